--- a/internal/balance/accused_test.go
+++ b/internal/balance/accused_test.go
@@ -47,13 +47,13 @@
 // that others complain of would press the rest.
 func TestServersAreNotAvoidedWhenMostAreAccused(t *testing.T) {
 	for _, accused := range []int{10, manyServers / 2} {
-		shares := balance.NewShares()
+		shares := balance.NewSharedLoads()
 		for _, sender := range []string{"a", "b"} {
 			loads := make(map[uint32]balance.SharedLoad)
 			for _, member := range manyMembers()[:accused] {
 				loads[balance.ServerHash(member.ID)] = balance.SharedLoad{Suspects: 1}
 			}
-			shares.Take(sender, 1, 1, loads, 0)
+			shares.Apply(sender, 1, 1, loads, 0)
 		}
 		pool := balance.NewPool("service", "here", shares)
 		pool.Update(manyMembers())
@@ -70,7 +70,7 @@
 			if avoided[choice.ID] {
 				hits++
 			}
-			pool.Ended(choice, health.Success, 0, 0, random)
+			pool.RecordOutcome(choice, health.Success, 0, 0, random)
 		}
 		if few := accused == 10; few != (hits == 0) {
 			t.Errorf("with %d accused servers of %d, %d of 500 requests went there", accused, manyServers, hits)
--- a/internal/balance/evidence.go
+++ b/internal/balance/evidence.go
@@ -7,8 +7,8 @@
 	"rockwind.example/rockwind/internal/health"
 )
 
-// Load is what a server told of its load with an answer.
-type Load struct {
+// LoadReport is what a server told of its load with an answer.
+type LoadReport struct {
 	Running int
 	Waiting int
 	Slots   int
@@ -17,8 +17,8 @@
 	Pace float64
 }
 
-// Told takes what a server told.
-func (p *Pool) Told(id string, load Load, now time.Duration) {
+// RecordReport takes what a server told.
+func (p *Pool) RecordReport(id string, load LoadReport, now time.Duration) {
 	known := p.find(id)
 	if known == nil {
 		return
@@ -28,13 +28,13 @@
 		known.Slots = load.Slots
 	}
 	if p.pacer != nil {
-		p.pacer.Told(p.place(id), load.Pace, now)
+		p.pacer.RecordReport(p.place(id), load.Pace, now)
 	}
 }
 
-// Read tells that the first event of a request came, or that it never will. The
+// RecordFirstEvent tells that the first event of a request came, or that it never will. The
 // prompt tokens that the choice counted are no longer awaited.
-func (p *Pool) Read(choice Choice, came bool, now time.Duration) {
+func (p *Pool) RecordFirstEvent(choice Choice, came bool, now time.Duration) {
 	place := p.place(choice.ID)
 	if place < 0 {
 		return
@@ -44,9 +44,9 @@
 	p.tracker.FirstToken(place, came, now)
 }
 
-// Ended takes the end of an exchange. Latency is the time to the answer's head;
+// RecordOutcome takes the end of an exchange. Latency is the time to the answer's head;
 // zero where there was none.
-func (p *Pool) Ended(choice Choice, outcome health.Outcome, latency, now time.Duration, random *rand.Rand) {
+func (p *Pool) RecordOutcome(choice Choice, outcome health.Outcome, latency, now time.Duration, random *rand.Rand) {
 	p.release(choice)
 	place := p.place(choice.ID)
 	if place < 0 {
@@ -62,17 +62,17 @@
 	p.tracker.Record(place, outcome, latency, now, random)
 }
 
-// Gone takes the end of an exchange in which another server answered at the address: the
+// RecordReplaced takes the end of an exchange in which another server answered at the address: the
 // chosen one has ended for good, whatever the directory still says.
-func (p *Pool) Gone(choice Choice) {
+func (p *Pool) RecordReplaced(choice Choice) {
 	p.release(choice)
 	if known := p.find(choice.ID); known != nil {
 		known.gone = true
 	}
 }
 
-// Abandoned takes the end of an exchange that says nothing of the server.
-func (p *Pool) Abandoned(choice Choice) {
+// Abandon takes the end of an exchange that says nothing of the server.
+func (p *Pool) Abandon(choice Choice) {
 	p.release(choice)
 }
 
--- a/internal/balance/fleet_test.go
+++ b/internal/balance/fleet_test.go
@@ -33,7 +33,7 @@
 type process struct {
 	name   string
 	pool   *balance.Pool
-	shares *balance.Shares
+	shares *balance.SharedLoads
 	// started is when this life began, in Unix milliseconds, and gone that it has ended
 	// without a word to anyone.
 	started int64
@@ -61,7 +61,7 @@
 		members = append(members, balance.Member{ID: name, Address: name, Zone: "here", Slots: slots})
 	}
 	for i := range processes {
-		shares := balance.NewShares()
+		shares := balance.NewSharedLoads()
 		created := &process{name: fmt.Sprint("process-", i), pool: balance.NewPool("service", "here", shares), shares: shares, started: 1}
 		created.pool.Update(members)
 		f.processes = append(f.processes, created)
@@ -82,14 +82,14 @@
 	}
 	loads := make(map[uint32]balance.SharedLoad)
 	add := func(server uint32, load balance.SharedLoad) { loads[server] = load }
-	sender.pool.Own(now, add)
+	sender.pool.OwnLoads(now, add)
 	sender.shares.OwnLeftBehind(add)
 	f.sequence++
 	sequence := f.sequence
 	f.at(now+time.Millisecond, func(now time.Duration) {
 		for _, other := range f.processes {
 			if other != sender {
-				other.shares.Take(sender.name, sender.started, sequence, loads, now)
+				other.shares.Apply(sender.name, sender.started, sequence, loads, now)
 			}
 		}
 	})
@@ -148,10 +148,10 @@
 		if !choice.Batch && !by.gone {
 			f.waits = append(f.waits, began-now)
 		}
-		by.pool.Read(choice, true, began)
+		by.pool.RecordFirstEvent(choice, true, began)
 		f.at(began+time.Duration((0.5+f.random.Float64())*float64(holding)), func(now time.Duration) {
 			if !over {
-				by.pool.Ended(choice, health.Success, began-now, now, f.random)
+				by.pool.RecordOutcome(choice, health.Success, began-now, now, f.random)
 				leave(now)
 			}
 		})
@@ -163,7 +163,7 @@
 	}
 	return func(now time.Duration) {
 		if !over {
-			by.pool.Abandoned(choice)
+			by.pool.Abandon(choice)
 			leave(now)
 		}
 	}
--- a/internal/balance/headroom.go
+++ b/internal/balance/headroom.go
@@ -118,7 +118,7 @@
 	}
 	budget := max(sum.slots-sum.online, int(leastUse*float64(sum.slots)), 1)
 	rivals := max(1, p.batchProcesses)
-	if demand.First {
+	if demand.Prioritized {
 		rivals = min(rivals, firstRivals)
 	}
 	left := budget - sum.batch - demand.Reserved - (rivals-1)*p.headroom.starts.count(max(unseenFor, p.viewAge), now)
@@ -128,18 +128,18 @@
 // SetBatchProcesses tells how many processes start batch work, this one included.
 func (p *Pool) SetBatchProcesses(count int) { p.batchProcesses = count }
 
-// SetViewAge tells how old the loads of other processes may be where digests go by relays;
+// SetMaxLoadAge tells how old the loads of other processes may be where digests go by relays;
 // zero where all processes tell each other at once what others wait for.
-func (p *Pool) SetViewAge(age time.Duration) { p.viewAge = age }
+func (p *Pool) SetMaxLoadAge(age time.Duration) { p.viewAge = age }
 
-// Yield tells at which servers this process has batch work that should give way to online
+// PreemptBatch tells at which servers this process has batch work that should give way to online
 // work, and how much of it. At a server with more requests than slots that is its share of
 // what is too much; for online requests that wait in the queues of all processes, waiting
 // of them in this one's, it is its share of those. Requests that are paced are sent to servers
 // with batch work and do not wait for it to give way. A part of a request is drawn by chance,
 // so that processes that see the same do neither nothing nor all. The visitor returns how
 // many gave way.
-func (p *Pool) Yield(waiting int, now time.Duration, random *rand.Rand, visit func(server string, requests int) int) {
+func (p *Pool) PreemptBatch(waiting int, now time.Duration, random *rand.Rand, visit func(server string, requests int) int) {
 	for _, place := range p.withBatch() {
 		each := p.servers[place]
 		if each.Slots == 0 {
--- a/internal/balance/headroom_test.go
+++ b/internal/balance/headroom_test.go
@@ -12,8 +12,8 @@
 )
 
 // newPool returns a pool of so many servers with the shares that it reads.
-func newPool(servers, slots int) (*balance.Pool, *balance.Shares, []string) {
-	shares := balance.NewShares()
+func newPool(servers, slots int) (*balance.Pool, *balance.SharedLoads, []string) {
+	shares := balance.NewSharedLoads()
 	pool := balance.NewPool("service", "here", shares)
 	var names []string
 	var members []balance.Member
@@ -40,7 +40,7 @@
 		for _, name := range names {
 			loads[balance.ServerHash(name)] = balance.SharedLoad{Inflight: online}
 		}
-		shares.Take("router", 1, 1, loads, 0)
+		shares.Apply("router", 1, 1, loads, 0)
 		started := 0
 		for now := time.Duration(0); now < 30*time.Second; now += 250 * time.Millisecond {
 			if _, found := pool.Choose(balance.Demand{Batch: true}, nil, now, seeded(1)); found {
@@ -86,14 +86,14 @@
 				t.Skip("no room for the batch work itself")
 			}
 		}
-		shares.Take("others", 1, 1, map[uint32]balance.SharedLoad{
+		shares.Apply("others", 1, 1, map[uint32]balance.SharedLoad{
 			balance.ServerHash(names[0]): {Inflight: others + online, Batch: others},
 		}, 0)
 		const rounds = 400
 		total := 0
 		random := seeded(rapid.Uint64().Draw(t, "seed"))
 		for range rounds {
-			pool.Yield(0, 0, random, func(_ string, requests int) int {
+			pool.PreemptBatch(0, 0, random, func(_ string, requests int) int {
 				if requests > own {
 					t.Fatalf("%d of %d give way", requests, own)
 				}
@@ -124,7 +124,7 @@
 				t.Skip("no room for the batch work itself")
 			}
 		}
-		shares.Take("others", 1, 1, map[uint32]balance.SharedLoad{
+		shares.Apply("others", 1, 1, map[uint32]balance.SharedLoad{
 			balance.ServerHash(names[0]):  {Inflight: others, Batch: others},
 			balance.QueueHash("service"):  {Inflight: queued},
 			balance.QueueHash("another"):  {Inflight: 100},
@@ -138,7 +138,7 @@
 		for round := range rounds {
 			now := time.Duration(round) * time.Second
 			give := func() (gave int) {
-				pool.Yield(0, now, random, func(_ string, requests int) int { gave += requests; return requests })
+				pool.PreemptBatch(0, now, random, func(_ string, requests int) int { gave += requests; return requests })
 				return gave
 			}
 			first := give()
@@ -160,12 +160,12 @@
 	const servers, slots = 4, 4
 	pool, shares, names := newPool(servers, slots)
 	pool.SetOnlineProcesses(2)
-	pool.SetViewAge(viewAge)
+	pool.SetMaxLoadAge(viewAge)
 	loads := map[uint32]balance.SharedLoad{}
 	for i, name := range names {
 		loads[balance.ServerHash(name)] = balance.SharedLoad{Inflight: slots, Batch: i}
 	}
-	shares.Take("store", 1, 1, loads, 0)
+	shares.Apply("store", 1, 1, loads, 0)
 	chosen := make(map[string]int)
 	for now := time.Duration(0); now < time.Minute; now += viewAge {
 		for _, choice := range startAll(pool, now) {
--- a/internal/balance/homes_test.go
+++ b/internal/balance/homes_test.go
@@ -38,7 +38,7 @@
 		members := manyMembers()
 		random.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
 		for subject := uint64(1); subject <= 20; subject++ {
-			pool := balance.NewPool("service", "here", balance.NewShares())
+			pool := balance.NewPool("service", "here", balance.NewSharedLoads())
 			// The homes of the first half are found and then have to be found again.
 			pool.Update(members[:manyServers/2])
 			pool.Choose(longPrompt(subject), nil, 0, random)
@@ -63,7 +63,7 @@
 // TestChoicesOfManyServersSpread: prompts of many subjects go to many servers.
 func TestChoicesOfManyServersSpread(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	pool := balance.NewPool("service", "here", balance.NewShares())
+	pool := balance.NewPool("service", "here", balance.NewSharedLoads())
 	pool.Update(manyMembers())
 	var servers []string
 	for subject := uint64(1); subject <= 400; subject++ {
@@ -80,13 +80,13 @@
 // BenchmarkChoiceAmongManyServers is the time of one choice on a large site.
 func BenchmarkChoiceAmongManyServers(b *testing.B) {
 	random := rand.New(rand.NewPCG(1, 2))
-	shares := balance.NewShares()
-	shares.Take("other", 1, 1, map[uint32]balance.SharedLoad{1: {Inflight: 1}}, 0)
+	shares := balance.NewSharedLoads()
+	shares.Apply("other", 1, 1, map[uint32]balance.SharedLoad{1: {Inflight: 1}}, 0)
 	pool := balance.NewPool("service", "here", shares)
 	pool.Update(manyMembers())
 	for i := 0; b.Loop(); i++ {
 		if choice, found := pool.Choose(longPrompt(uint64(i%500+1)), nil, 0, random); found {
-			pool.Abandoned(choice)
+			pool.Abandon(choice)
 		}
 	}
 }
@@ -94,17 +94,17 @@
 // BenchmarkChoiceByPace is the same where servers tell their pace.
 func BenchmarkChoiceByPace(b *testing.B) {
 	random := rand.New(rand.NewPCG(1, 2))
-	shares := balance.NewShares()
-	shares.Take("other", 1, 1, map[uint32]balance.SharedLoad{1: {Inflight: 1}}, 0)
+	shares := balance.NewSharedLoads()
+	shares.Apply("other", 1, 1, map[uint32]balance.SharedLoad{1: {Inflight: 1}}, 0)
 	pool := balance.NewPool("service", "here", shares)
-	pool.SetPacer(pace.New())
+	pool.SetPaceEstimator(pace.New())
 	pool.Update(manyMembers())
 	for _, member := range manyMembers() {
-		pool.Told(member.ID, balance.Load{Pace: 1}, 0)
+		pool.RecordReport(member.ID, balance.LoadReport{Pace: 1}, 0)
 	}
 	for i := 0; b.Loop(); i++ {
 		if choice, found := pool.Choose(longPrompt(uint64(i%500+1)), nil, 0, random); found {
-			pool.Abandoned(choice)
+			pool.Abandon(choice)
 		}
 	}
 }
--- a/internal/balance/leftbehind.go
+++ b/internal/balance/leftbehind.go
@@ -14,21 +14,23 @@
 // others that have not.
 var livedMark = uint32(xxhash.Sum64String("others lived on"))
 
-// LeftHash is the short name in digests of what processes that are gone left behind at a
+// LeftBehindHash is the short name in digests of what processes that are gone left behind at a
 // server: the requests in flight there are those, as each of so many processes was told as
 // the tokens say.
-func LeftHash(server string) uint32 { return uint32(xxhash.Sum64String("left behind at " + server)) }
+func LeftBehindHash(server string) uint32 {
+	return uint32(xxhash.Sum64String("left behind at " + server))
+}
 
 // SetLeftBehind replaces what this process was told that processes that are gone left behind
 // at servers, by identifier, and whether it says that others have lived on. It tells whether
 // that differs from before.
-func (s *Shares) SetLeftBehind(left map[string]int, livedOn bool) (changed bool) {
+func (s *SharedLoads) SetLeftBehind(left map[string]int, livedOn bool) (changed bool) {
 	next := make(map[uint32]SharedLoad, len(left)+2)
 	if livedOn {
 		next[livedMark] = SharedLoad{Inflight: 1}
 	}
 	for server, count := range left {
-		next[LeftHash(server)] = SharedLoad{Inflight: count, Unread: 1}
+		next[LeftBehindHash(server)] = SharedLoad{Inflight: count, Unread: 1}
 	}
 	if len(left) > 0 {
 		next[leftMark] = SharedLoad{Inflight: 1}
@@ -39,11 +41,11 @@
 	return changed
 }
 
-// LivedOn tells whether another process that has just started says that some have not.
-func (s *Shares) LivedOn() bool { return s.sums[livedMark].Inflight > 0 }
+// SurvivorsReported tells whether another process that has just started says that some have not.
+func (s *SharedLoads) SurvivorsReported() bool { return s.sums[livedMark].Inflight > 0 }
 
 // OwnLeftBehind visits what this process tells the others of what was left behind.
-func (s *Shares) OwnLeftBehind(visit func(hash uint32, load SharedLoad)) {
+func (s *SharedLoads) OwnLeftBehind(visit func(hash uint32, load SharedLoad)) {
 	for hash, load := range s.ownLeft {
 		visit(hash, load)
 	}
@@ -51,16 +53,16 @@
 
 // IgnoreLeftBehind has nothing counted as left behind here. What others tell of it is passed
 // on all the same.
-func (s *Shares) IgnoreLeftBehind() { s.leftIgnored = true }
+func (s *SharedLoads) IgnoreLeftBehind() { s.leftIgnored = true }
 
 // noteLeft notes whether anything is told of requests left behind.
-func (s *Shares) noteLeft() {
+func (s *SharedLoads) noteLeft() {
 	s.leftKnown = !s.leftIgnored && (len(s.ownLeft) > 0 || s.sums[leftMark].Inflight > 0)
 }
 
 // leftBehind is how many requests of processes that are gone a server has: the mean of what
 // the processes were told that asked it, rounded up.
-func (s *Shares) leftBehind(hash uint32) int {
+func (s *SharedLoads) leftBehind(hash uint32) int {
 	if !s.leftKnown {
 		return 0
 	}
@@ -82,8 +84,8 @@
 	return sum
 }
 
-// Living is how many requests the living processes have at a server, this one included.
-func (p *Pool) Living(id string) int {
+// LiveInflight is how many requests the living processes have at a server, this one included.
+func (p *Pool) LiveInflight(id string) int {
 	known := p.find(id)
 	if known == nil {
 		return 0
--- a/internal/balance/leftbehind_test.go
+++ b/internal/balance/leftbehind_test.go
@@ -58,7 +58,7 @@
 
 // equip tells the pool of a process what the directory says of its peers.
 func (l *loss) equip(each *process) {
-	each.pool.SetViewAge(viewAge)
+	each.pool.SetMaxLoadAge(viewAge)
 	each.pool.SetOnlineProcesses(len(l.processes) - l.stores)
 	each.pool.SetBatchProcesses(l.stores)
 }
@@ -78,7 +78,7 @@
 	if store.gone {
 		return
 	}
-	store.pool.Yield(0, now, l.random, func(server string, requests int) int {
+	store.pool.PreemptBatch(0, now, l.random, func(server string, requests int) int {
 		running := l.running[store][server]
 		gave := min(requests, len(running))
 		for _, breakOff := range running[:gave] {
@@ -105,14 +105,14 @@
 	for i, each := range l.processes[:l.lost] {
 		each.gone = true
 		// Nobody hears of it before it is back.
-		l.processes[i] = &process{name: each.name, gone: true, shares: balance.NewShares()}
+		l.processes[i] = &process{name: each.name, gone: true, shares: balance.NewSharedLoads()}
 		back := backAt + time.Duration(l.random.Float64()*float64(backOver))
 		l.at(back, func(now time.Duration) { l.comeBack(i, each.name, now) })
 	}
 }
 
 func (l *loss) comeBack(place int, name string, now time.Duration) {
-	shares := balance.NewShares()
+	shares := balance.NewSharedLoads()
 	created := &process{name: name, pool: balance.NewPool("service", "here", shares), shares: shares, started: 1 + now.Milliseconds()}
 	created.pool.Update(l.members())
 	l.processes[place] = created
@@ -163,13 +163,13 @@
 // survey has a store ask servers until its survey is over.
 func (l *loss) survey(store *process, survey *leftbehind.Survey, now time.Duration) {
 	earliest, heard := store.shares.EarliestStart()
-	survey.Judge(leftbehind.Sight{Heard: heard, Earliest: earliest, LivedOn: store.shares.LivedOn()}, store.pool.Living, now)
+	survey.Judge(leftbehind.Sight{Heard: heard, Earliest: earliest, LivedOn: store.shares.SurvivorsReported()}, store.pool.LiveInflight, now)
 	l.tellLeft(store, survey)
 	for _, server := range survey.Due(now) {
 		l.asked++
 		l.at(now+answerTime, func(now time.Duration) {
 			told := l.lie(server.ID, l.loads[(now - reportAge).Truncate(lookEach)][server.ID])
-			survey.Answered(server.ID, told, store.pool.Living(server.ID))
+			survey.Answered(server.ID, told, store.pool.LiveInflight(server.ID))
 			l.tellLeft(store, survey)
 		})
 	}
@@ -269,11 +269,11 @@
 func TestWhatWasLeftBehindIsTheMeanOfThoseWhoAsked(t *testing.T) {
 	pool, shares, names := newPool(1, 8)
 	tell := func(sender string, left int, now time.Duration) {
-		other := balance.NewShares()
+		other := balance.NewSharedLoads()
 		other.SetLeftBehind(map[string]int{names[0]: left}, false)
 		loads := make(map[uint32]balance.SharedLoad)
 		other.OwnLeftBehind(func(hash uint32, load balance.SharedLoad) { loads[hash] = load })
-		shares.Take(sender, 1, uint64(now+1), loads, now)
+		shares.Apply(sender, 1, uint64(now+1), loads, now)
 	}
 	tell("store-1", 3, 0)
 	if got := pool.LeftBehind(); got != 3 {
@@ -303,16 +303,16 @@
 	if others.SetLeftBehind(map[string]int{names[0]: 2}, false); ignoring.LeftBehind() != 0 {
 		t.Error("what was left behind counts where it is to be ignored")
 	}
-	if shares.LivedOn() {
+	if shares.SurvivorsReported() {
 		t.Error("nobody said that others lived on")
 	}
-	if told := balance.NewShares(); !told.SetLeftBehind(nil, true) || told.LivedOn() {
+	if told := balance.NewSharedLoads(); !told.SetLeftBehind(nil, true) || told.SurvivorsReported() {
 		t.Error("a process takes its own word for that of another")
 	} else {
 		loads := make(map[uint32]balance.SharedLoad)
 		told.OwnLeftBehind(func(hash uint32, load balance.SharedLoad) { loads[hash] = load })
-		shares.TakeGroup("store-3", "zone", 9, 1, 1, loads, 3*time.Second)
-		if !shares.LivedOn() || pool.LeftBehind() != 2 {
+		shares.ApplyGroup("store-3", "zone", 9, 1, 1, loads, 3*time.Second)
+		if !shares.SurvivorsReported() || pool.LeftBehind() != 2 {
 			t.Error("the word of a new process that others lived on is not passed on by its delegate")
 		}
 	}
--- a/internal/balance/members.go
+++ b/internal/balance/members.go
@@ -86,7 +86,7 @@
 		known.Member = member
 		return
 	}
-	p.add(&server{Member: member, hash: ServerHash(member.ID), left: LeftHash(member.ID), parts: make(map[uint64]time.Duration)})
+	p.add(&server{Member: member, hash: ServerHash(member.ID), left: LeftBehindHash(member.ID), parts: make(map[uint64]time.Duration)})
 }
 
 // Drop removes a member, if it is one.
--- a/internal/balance/near.go
+++ b/internal/balance/near.go
@@ -14,10 +14,10 @@
 
 // SetZone tells in which zone this process stands: the groups of digests are named for their
 // zones. Call it before the first digest.
-func (s *Shares) SetZone(zone string) { s.zone = zone }
+func (s *SharedLoads) SetZone(zone string) { s.zone = zone }
 
 // isFar tells whether a sender sums up groups of other zones.
-func (s *Shares) isFar(from *sender) bool {
+func (s *SharedLoads) isFar(from *sender) bool {
 	if s.zone == "" || from.group == "" {
 		return false
 	}
@@ -25,7 +25,7 @@
 }
 
 // addFar adds what a sender told of paces to that of other zones, or takes it out.
-func (s *Shares) addFar(from *sender, sign int) {
+func (s *SharedLoads) addFar(from *sender, sign int) {
 	if !s.isFar(from) {
 		return
 	}
@@ -41,15 +41,17 @@
 
 // PaceAt is what all other processes together know of the pace of a server, those of other
 // zones with at most mostFar runs.
-func (s *Shares) PaceAt(server uint32) SharedPace { return s.nearPace(server, s.sums[server].Pace) }
+func (s *SharedLoads) PaceAt(server uint32) SharedPace {
+	return s.nearPace(server, s.sums[server].Pace)
+}
 
 // nearPace takes out of what all other processes know what other zones saw beyond mostFar runs.
-func (s *Shares) nearPace(server uint32, all SharedPace) SharedPace {
+func (s *SharedLoads) nearPace(server uint32, all SharedPace) SharedPace {
 	far := s.far[server]
-	if far.SeenVoices <= mostFar {
+	if far.ObservedCount <= mostFar {
 		return all
 	}
-	all.Seen -= far.Seen - far.Seen*mostFar/far.SeenVoices
-	all.SeenVoices -= far.SeenVoices - mostFar
+	all.ObservedSum -= far.ObservedSum - far.ObservedSum*mostFar/far.ObservedCount
+	all.ObservedCount -= far.ObservedCount - mostFar
 	return all
 }
--- a/internal/balance/near_test.go
+++ b/internal/balance/near_test.go
@@ -10,7 +10,7 @@
 // given multiple of what is usual.
 func saw(server uint32, runs, hundredths int) map[uint32]balance.SharedLoad {
 	return map[uint32]balance.SharedLoad{server: {Pace: balance.SharedPace{
-		Told: 100, ToldVoices: 1, Seen: runs * hundredths, SeenVoices: runs,
+		ReportedSum: 100, ReportedCount: 1, ObservedSum: runs * hundredths, ObservedCount: runs,
 	}}}
 }
 
@@ -18,32 +18,32 @@
 // of what others saw a few runs do, at their mean. What the server told counts from everywhere.
 func TestSightingsOfOtherZonesCountAsFewRuns(t *testing.T) {
 	const server = 7
-	digests := map[string]func(shares *balance.Shares){
-		"a group of another zone": func(shares *balance.Shares) {
-			shares.Take("near", 1, 1, saw(server, 10, 800), 0)
-			shares.TakeGroup("far", "b", 20, 1, 1, saw(server, 40, 100), 0)
+	digests := map[string]func(shares *balance.SharedLoads){
+		"a group of another zone": func(shares *balance.SharedLoads) {
+			shares.Apply("near", 1, 1, saw(server, 10, 800), 0)
+			shares.ApplyGroup("far", "b", 20, 1, 1, saw(server, 40, 100), 0)
 		},
-		"all other zones at once": func(shares *balance.Shares) {
-			shares.TakeGroup("delegate", "a", 20, 1, 1, saw(server, 10, 800), 0)
-			shares.TakeElsewhere("delegate", "a", 1, 2, saw(server, 40, 100), 0)
+		"all other zones at once": func(shares *balance.SharedLoads) {
+			shares.ApplyGroup("delegate", "a", 20, 1, 1, saw(server, 10, 800), 0)
+			shares.ApplyOtherGroups("delegate", "a", 1, 2, saw(server, 40, 100), 0)
 		},
-		"a newer digest in place of an older one": func(shares *balance.Shares) {
-			shares.Take("near", 1, 1, saw(server, 10, 800), 0)
-			shares.TakeGroup("far", "b", 20, 1, 1, saw(server, 90, 500), 0)
-			shares.TakeGroup("far", "b", 20, 1, 2, saw(server, 40, 100), 0)
+		"a newer digest in place of an older one": func(shares *balance.SharedLoads) {
+			shares.Apply("near", 1, 1, saw(server, 10, 800), 0)
+			shares.ApplyGroup("far", "b", 20, 1, 1, saw(server, 90, 500), 0)
+			shares.ApplyGroup("far", "b", 20, 1, 2, saw(server, 40, 100), 0)
 		},
 	}
 	for name, tell := range digests {
-		shares := balance.NewShares()
+		shares := balance.NewSharedLoads()
 		shares.SetZone("a")
 		tell(shares)
 		got := shares.PaceAt(server)
-		want := balance.SharedPace{Told: 200, ToldVoices: 2, Seen: 10*800 + 4*100, SeenVoices: 14}
+		want := balance.SharedPace{ReportedSum: 200, ReportedCount: 2, ObservedSum: 10*800 + 4*100, ObservedCount: 14}
 		if got != want {
 			t.Errorf("%s: %+v is known, want %+v", name, got, want)
 		}
-		if all := shares.At(server).Pace; all.SeenVoices != 50 {
-			t.Errorf("%s: all together saw %d runs, want 50", name, all.SeenVoices)
+		if all := shares.At(server).Pace; all.ObservedCount != 50 {
+			t.Errorf("%s: all together saw %d runs, want 50", name, all.ObservedCount)
 		}
 	}
 }
@@ -51,15 +51,15 @@
 // TestSightingsCountAlikeWhereNoZoneIsSet: nothing is told of zones, and few far runs count in full.
 func TestSightingsCountAlikeWhereNoZoneIsSet(t *testing.T) {
 	const server = 7
-	shares := balance.NewShares()
-	shares.TakeGroup("far", "b", 20, 1, 1, saw(server, 40, 100), 0)
-	if got := shares.PaceAt(server); got.SeenVoices != 40 {
-		t.Errorf("%d runs count without a zone, want 40", got.SeenVoices)
+	shares := balance.NewSharedLoads()
+	shares.ApplyGroup("far", "b", 20, 1, 1, saw(server, 40, 100), 0)
+	if got := shares.PaceAt(server); got.ObservedCount != 40 {
+		t.Errorf("%d runs count without a zone, want 40", got.ObservedCount)
 	}
-	few := balance.NewShares()
+	few := balance.NewSharedLoads()
 	few.SetZone("a")
-	few.TakeGroup("far", "b", 20, 1, 1, saw(server, 3, 100), 0)
-	if got := few.PaceAt(server); got.SeenVoices != 3 {
-		t.Errorf("%d far runs count, want 3", got.SeenVoices)
+	few.ApplyGroup("far", "b", 20, 1, 1, saw(server, 3, 100), 0)
+	if got := few.PaceAt(server); got.ObservedCount != 3 {
+		t.Errorf("%d far runs count, want 3", got.ObservedCount)
 	}
 }
--- a/internal/balance/pace/pace.go
+++ b/internal/balance/pace/pace.go
@@ -50,7 +50,7 @@
 	heard   bool
 }
 
-var _ balance.Pacer = (*Estimates)(nil)
+var _ balance.PaceEstimator = (*Estimates)(nil)
 
 // server is what is known of one.
 type server struct {
@@ -76,8 +76,8 @@
 // Forget implements balance.Pacer.
 func (e *Estimates) Forget(place int) { e.servers[place] = server{speed: 1} }
 
-// Told implements balance.Pacer.
-func (e *Estimates) Told(place int, pace float64, now time.Duration) {
+// RecordReport implements balance.Pacer.
+func (e *Estimates) RecordReport(place int, pace float64, now time.Duration) {
 	if pace <= 0 {
 		return
 	}
@@ -86,31 +86,33 @@
 	e.heard, e.heardAt = true, now
 }
 
-// Seen implements balance.Pacer. What the server told of the moment is taken out, so that it
+// RecordRun implements balance.Pacer. What the server told of the moment is taken out, so that it
 // does not count twice.
-func (e *Estimates) Seen(place int, run balance.Run, now time.Duration) {
-	event := float64(run.Event)
-	if run.Told > 0 {
-		event /= run.Told
+func (e *Estimates) RecordRun(place int, run balance.RunSample, now time.Duration) {
+	event := float64(run.EventInterval)
+	if run.ReportedPace > 0 {
+		event /= run.ReportedPace
 	}
-	if expected := e.usual.event(run.Beside); expected > 0 {
+	if expected := e.usual.event(run.Concurrency); expected > 0 {
 		ratio := min(max(event/expected, leastRatio), mostRatio)
 		e.servers[place].seen.add(int(math.Round(ratio*hundred)), now)
 	}
-	e.usual.add(run.Beside, event)
+	e.usual.add(run.Concurrency, event)
 }
 
-// Informed implements balance.Pacer.
-func (e *Estimates) Informed(now time.Duration) bool { return e.heard && now-e.heardAt <= informedFor }
+// HasReports implements balance.Pacer.
+func (e *Estimates) HasReports(now time.Duration) bool {
+	return e.heard && now-e.heardAt <= informedFor
+}
 
-// At implements balance.Pacer.
-func (e *Estimates) At(place int, others balance.SharedPace, now time.Duration) float64 {
+// CurrentPace implements balance.Pacer.
+func (e *Estimates) CurrentPace(place int, others balance.SharedPace, now time.Duration) float64 {
 	known := &e.servers[place]
 	return bounded(known.moment(others, now) * known.speedNow(others, now))
 }
 
-// Speed implements balance.Pacer.
-func (e *Estimates) Speed(place int, others balance.SharedPace, now time.Duration) float64 {
+// LongTermPace implements balance.Pacer.
+func (e *Estimates) LongTermPace(place int, others balance.SharedPace, now time.Duration) float64 {
 	return bounded(e.servers[place].speedNow(others, now))
 }
 
@@ -119,29 +121,29 @@
 // moment is how long work takes at this moment by what the server told all processes.
 func (s *server) moment(others balance.SharedPace, now time.Duration) float64 {
 	voices := s.toldVoices(now)
-	sum := float64(voices)*s.told + float64(others.Told)/hundred
-	return (sum + momentPrior) / (float64(voices+others.ToldVoices) + momentPrior)
+	sum := float64(voices)*s.told + float64(others.ReportedSum)/hundred
+	return (sum + momentPrior) / (float64(voices+others.ReportedCount) + momentPrior)
 }
 
 // speedNow is the server's own speed by what the runs of all processes showed.
 func (s *server) speedNow(others balance.SharedPace, now time.Duration) float64 {
 	sum, voices := s.seen.total(now)
-	return (float64(sum+others.Seen)/hundred + speedPrior*s.speed) / (float64(voices+others.SeenVoices) + speedPrior)
+	return (float64(sum+others.ObservedSum)/hundred + speedPrior*s.speed) / (float64(voices+others.ObservedCount) + speedPrior)
 }
 
-// Own implements balance.Pacer.
-func (e *Estimates) Own(place int, now time.Duration) balance.SharedPace {
+// OwnPace implements balance.Pacer.
+func (e *Estimates) OwnPace(place int, now time.Duration) balance.SharedPace {
 	known := &e.servers[place]
-	own := balance.SharedPace{ToldVoices: known.toldVoices(now)}
-	own.Told = int(math.Round(float64(own.ToldVoices) * known.told * hundred))
-	own.Seen, own.SeenVoices = known.seen.total(now)
+	own := balance.SharedPace{ReportedCount: known.toldVoices(now)}
+	own.ReportedSum = int(math.Round(float64(own.ReportedCount) * known.told * hundred))
+	own.ObservedSum, own.ObservedCount = known.seen.total(now)
 	return own
 }
 
 // Remember implements balance.Pacer.
 func (e *Estimates) Remember(place int, others balance.SharedPace, now time.Duration) {
 	known := &e.servers[place]
-	if _, voices := known.seen.total(now); voices+others.SeenVoices >= leastVoices {
+	if _, voices := known.seen.total(now); voices+others.ObservedCount >= leastVoices {
 		known.speed = known.speedNow(others, now)
 		return
 	}
--- a/internal/balance/pace/regret_test.go
+++ b/internal/balance/pace/regret_test.go
@@ -15,27 +15,27 @@
 	told, seen, others bool
 }
 
-func (b blind) Told(place int, told float64, now time.Duration) {
+func (b blind) RecordReport(place int, told float64, now time.Duration) {
 	if !b.told {
 		told = 1
 	}
-	b.Estimates.Told(place, told, now)
+	b.Estimates.RecordReport(place, told, now)
 }
 
-func (b blind) Seen(place int, run balance.Run, now time.Duration) {
+func (b blind) RecordRun(place int, run balance.RunSample, now time.Duration) {
 	if !b.told {
-		run.Told = 0
+		run.ReportedPace = 0
 	}
 	if b.seen {
-		b.Estimates.Seen(place, run, now)
+		b.Estimates.RecordRun(place, run, now)
 	}
 }
 
-func (b blind) At(place int, others balance.SharedPace, now time.Duration) float64 {
+func (b blind) CurrentPace(place int, others balance.SharedPace, now time.Duration) float64 {
 	if !b.others {
 		others = balance.SharedPace{}
 	}
-	return b.Estimates.At(place, others, now)
+	return b.Estimates.CurrentPace(place, others, now)
 }
 
 func (b blind) Remember(place int, others balance.SharedPace, now time.Duration) {
@@ -51,36 +51,36 @@
 	site *site
 }
 
-func (o oracle) Informed(time.Duration) bool { return true }
+func (o oracle) HasReports(time.Duration) bool { return true }
 
-func (o oracle) At(place int, _ balance.SharedPace, _ time.Duration) float64 {
+func (o oracle) CurrentPace(place int, _ balance.SharedPace, _ time.Duration) float64 {
 	return o.site.servers[o.site.names[place]].pace()
 }
 
-func (o oracle) Speed(place int, _ balance.SharedPace, _ time.Duration) float64 {
+func (o oracle) LongTermPace(place int, _ balance.SharedPace, _ time.Duration) float64 {
 	known := o.site.servers[o.site.names[place]]
 	return known.speed * known.slowed
 }
 
-func (o oracle) Own(int, time.Duration) balance.SharedPace { return balance.SharedPace{} }
+func (o oracle) OwnPace(int, time.Duration) balance.SharedPace { return balance.SharedPace{} }
 
 // ways are those to know the paces: none, by what a process sees itself, by what servers tell
 // it, by both, by what all processes tell each other, and by the truth.
 var ways = []struct {
 	name  string
-	pacer func(s *site) balance.Pacer
+	pacer func(s *site) balance.PaceEstimator
 }{
-	{"free-slots", func(*site) balance.Pacer { return nil }},
-	{"own-runs", func(*site) balance.Pacer { return blind{Estimates: pace.New(), seen: true} }},
-	{"told", func(*site) balance.Pacer { return blind{Estimates: pace.New(), told: true} }},
-	{"own-and-told", func(*site) balance.Pacer { return blind{Estimates: pace.New(), seen: true, told: true} }},
-	{"digests", func(*site) balance.Pacer { return pace.New() }},
-	{"oracle", func(s *site) balance.Pacer { return oracle{pace.New(), s} }},
+	{"free-slots", func(*site) balance.PaceEstimator { return nil }},
+	{"own-runs", func(*site) balance.PaceEstimator { return blind{Estimates: pace.New(), seen: true} }},
+	{"told", func(*site) balance.PaceEstimator { return blind{Estimates: pace.New(), told: true} }},
+	{"own-and-told", func(*site) balance.PaceEstimator { return blind{Estimates: pace.New(), seen: true, told: true} }},
+	{"digests", func(*site) balance.PaceEstimator { return pace.New() }},
+	{"oracle", func(s *site) balance.PaceEstimator { return oracle{pace.New(), s} }},
 }
 
 // play has 64 processes send so much of the capacity of 90 servers, a quarter of which is
 // slowed beyond what it tells.
-func play(seed uint64, pacer func(s *site) balance.Pacer, slowed, load float64) result {
+func play(seed uint64, pacer func(s *site) balance.PaceEstimator, slowed, load float64) result {
 	const (
 		processes, servers = 64, 90
 		sending, ending    = 12 * time.Second, 16 * time.Second
@@ -109,8 +109,8 @@
 	)
 	for seed := uint64(1); seed <= 2; seed++ {
 		plain := play(seed, ways[0].pacer, slowdown, load)
-		paced := play(seed, func(*site) balance.Pacer { return pace.New() }, slowdown, load)
-		best := play(seed, func(s *site) balance.Pacer { return oracle{pace.New(), s} }, slowdown, load)
+		paced := play(seed, func(*site) balance.PaceEstimator { return pace.New() }, slowdown, load)
+		best := play(seed, func(s *site) balance.PaceEstimator { return oracle{pace.New(), s} }, slowdown, load)
 		t.Logf("seed %d: free slots %+v, paces %+v, true paces %+v", seed, plain, paced, best)
 		if paced.whole > time.Duration(gain*float64(plain.whole)) || paced.late > plain.late {
 			t.Errorf("seed %d: %+v with paces, %+v by free slots", seed, paced, plain)
@@ -126,7 +126,7 @@
 func TestServersThatTellTheTruthAreLeftWhileOthersUseTheirMachine(t *testing.T) {
 	const load = 0.5
 	plain := play(1, ways[0].pacer, 1, load)
-	paced := play(1, func(*site) balance.Pacer { return pace.New() }, 1, load)
+	paced := play(1, func(*site) balance.PaceEstimator { return pace.New() }, 1, load)
 	t.Logf("free slots %+v, paces %+v", plain, paced)
 	if paced.whole >= plain.whole || paced.first >= plain.first {
 		t.Errorf("%+v with paces, %+v by free slots", paced, plain)
@@ -142,7 +142,7 @@
 		part           = 0.25
 	)
 	plain := play(1, ways[0].pacer, slowdown, load)
-	paced := play(1, func(*site) balance.Pacer { return pace.New() }, slowdown, load)
+	paced := play(1, func(*site) balance.PaceEstimator { return pace.New() }, slowdown, load)
 	t.Logf("free slots %+v, paces %+v", plain, paced)
 	if paced.late > part*plain.late {
 		t.Errorf("%+v with paces, %+v by free slots", paced, plain)
--- a/internal/balance/pace/uneven_test.go
+++ b/internal/balance/pace/uneven_test.go
@@ -82,7 +82,7 @@
 	name    string
 	zone    string
 	pool    *balance.Pool
-	shares  *balance.Shares
+	shares  *balance.SharedLoads
 	waiting []*request
 }
 
@@ -99,7 +99,7 @@
 
 // newSite returns a site whose processes choose with pacers that are made for each of them;
 // none chooses by free slots alone.
-func newSite(seed uint64, processes, servers int, pacer func(s *site) balance.Pacer, zones ...string) *site {
+func newSite(seed uint64, processes, servers int, pacer func(s *site) balance.PaceEstimator, zones ...string) *site {
 	s := &site{random: rand.New(rand.NewPCG(seed, 1)), servers: make(map[string]*server), byZone: make(map[string]*met)}
 	s.zones = append(zones, "")[:max(1, len(zones))]
 	var members []balance.Member
@@ -111,15 +111,15 @@
 		s.share(s.servers[name])
 	}
 	for i := range processes {
-		shares := balance.NewShares()
+		shares := balance.NewSharedLoads()
 		zone := s.zones[i%len(s.zones)]
 		shares.SetZone(zone)
 		s.byZone[zone] = &met{}
 		created := &process{name: fmt.Sprint("process-", i), zone: zone, shares: shares, pool: balance.NewPool("service", "here", shares)}
 		if made := pacer(s); made != nil {
-			created.pool.SetPacer(made)
+			created.pool.SetPaceEstimator(made)
 		}
-		created.pool.SetViewAge(digestInterval)
+		created.pool.SetMaxLoadAge(digestInterval)
 		created.pool.SetOnlineProcesses(processes)
 		created.pool.Update(members)
 		s.processes = append(s.processes, created)
@@ -154,13 +154,13 @@
 // tell sends the digest of a process to all others of its zone.
 func (s *site) tell(sender *process) {
 	loads := make(map[uint32]balance.SharedLoad)
-	sender.pool.Own(s.clock.Now(), func(server uint32, load balance.SharedLoad) { loads[server] = load })
+	sender.pool.OwnLoads(s.clock.Now(), func(server uint32, load balance.SharedLoad) { loads[server] = load })
 	s.sequence++
 	sequence := s.sequence
 	s.clock.After(time.Millisecond, func() {
 		for _, other := range s.processes {
 			if other != sender && other.zone == sender.zone {
-				other.shares.Take(sender.name, 1, sequence, loads, s.clock.Now())
+				other.shares.Apply(sender.name, 1, sequence, loads, s.clock.Now())
 			}
 		}
 	})
@@ -175,14 +175,14 @@
 			continue
 		}
 		members++
-		each.pool.Own(s.clock.Now(), func(server uint32, load balance.SharedLoad) { loads[server] = loads[server].Plus(load) })
+		each.pool.OwnLoads(s.clock.Now(), func(server uint32, load balance.SharedLoad) { loads[server] = loads[server].Plus(load) })
 	}
 	s.sequence++
 	sequence := s.sequence
 	s.clock.After(time.Millisecond, func() {
 		for _, other := range s.processes {
 			if other.zone != zone {
-				other.shares.TakeGroup("delegate of "+zone, zone, members, 1, sequence, loads, s.clock.Now())
+				other.shares.ApplyGroup("delegate of "+zone, zone, members, 1, sequence, loads, s.clock.Now())
 			}
 		}
 	})
@@ -257,16 +257,16 @@
 	r.made++
 	if r.made == 1 {
 		r.began, r.told = s.clock.Now(), each.told()
-		pool.Told(r.choice.ID, balance.Load{Running: len(each.running), Waiting: len(each.waiting), Slots: slots, Pace: r.told}, s.clock.Now())
-		pool.Read(r.choice, true, s.clock.Now())
+		pool.RecordReport(r.choice.ID, balance.LoadReport{Running: len(each.running), Waiting: len(each.waiting), Slots: slots, Pace: r.told}, s.clock.Now())
+		pool.RecordFirstEvent(r.choice, true, s.clock.Now())
 		s.first = append(s.first, s.clock.Now()-r.arrived)
 		zone.first = append(zone.first, s.clock.Now()-r.arrived)
 	}
 	if r.made < events {
 		return false
 	}
-	pool.Seen(r.choice, r.made, s.clock.Now()-r.began, r.told, s.clock.Now())
-	pool.Ended(r.choice, health.Success, r.began-r.sent, s.clock.Now(), s.random)
+	pool.RecordRun(r.choice, r.made, s.clock.Now()-r.began, r.told, s.clock.Now())
+	pool.RecordOutcome(r.choice, health.Success, r.began-r.sent, s.clock.Now(), s.random)
 	s.whole = append(s.whole, s.clock.Now()-r.arrived)
 	zone.whole = append(zone.whole, s.clock.Now()-r.arrived)
 	s.clock.After(0, func() { s.serve(r.by) })
--- a/internal/balance/pace/zones_test.go
+++ b/internal/balance/pace/zones_test.go
@@ -16,7 +16,7 @@
 		processes, servers = 63, 90
 		sending, ending    = 12 * time.Second, 16 * time.Second
 	)
-	s := newSite(seed, processes, servers, func(*site) balance.Pacer { return pace.New() }, "a", "b", "c")
+	s := newSite(seed, processes, servers, func(*site) balance.PaceEstimator { return pace.New() }, "a", "b", "c")
 	for i, name := range s.names {
 		if i%4 == 0 {
 			s.servers[name].slowed = slowed
@@ -47,7 +47,7 @@
 		load               = 0.5
 		sending, ending    = 12 * time.Second, 20 * time.Second
 	)
-	s := newSite(seed, processes, servers, func(*site) balance.Pacer { return pace.New() }, "a", "b", "c")
+	s := newSite(seed, processes, servers, func(*site) balance.PaceEstimator { return pace.New() }, "a", "b", "c")
 	for i, name := range s.names {
 		if i%3 == 0 {
 			s.servers[name].slowFor = map[string]int{"a": slowSteps}
--- a/internal/balance/pacing.go
+++ b/internal/balance/pacing.go
@@ -65,7 +65,7 @@
 // of each server: it waits for one at the server, where the next of all requests there leaves it
 // one, while slots that are left stay with the process that had them.
 func (p *Pool) beyond(demand Demand) int {
-	if demand.Beyond && p.paced() {
+	if demand.Overcommit && p.paced() {
 		return 1
 	}
 	return 0
--- a/internal/balance/pacing_test.go
+++ b/internal/balance/pacing_test.go
@@ -10,16 +10,16 @@
 
 // pacedPool is a pool of ten servers with ten slots each, of which the other processes leave
 // so many free, as one of ten processes sees it.
-func pacedPool(free int) (*balance.Pool, *balance.Shares) {
+func pacedPool(free int) (*balance.Pool, *balance.SharedLoads) {
 	pool, shares, names := newPool(10, 10)
 	pool.SetOnlineProcesses(10)
-	pool.SetViewAge(viewAge)
+	pool.SetMaxLoadAge(viewAge)
 	loads := map[uint32]balance.SharedLoad{}
 	for i, name := range names {
 		left := min(10, max(0, free-10*i))
 		loads[balance.ServerHash(name)] = balance.SharedLoad{Inflight: 10 - left}
 	}
-	shares.Take("others", 1, 1, loads, 0)
+	shares.Apply("others", 1, 1, loads, 0)
 	return pool, shares
 }
 
@@ -51,7 +51,7 @@
 	const free = 60
 	for _, each := range []struct{ here, elsewhere, want int }{{0, 0, 6}, {10, 90, 6}, {90, 10, 50}, {1, 90, 2}} {
 		pool, shares := pacedPool(free)
-		shares.Take("queues", 1, 1, map[uint32]balance.SharedLoad{balance.QueueHash("service"): {Inflight: each.elsewhere}}, time.Second)
+		shares.Apply("queues", 1, 1, map[uint32]balance.SharedLoad{balance.QueueHash("service"): {Inflight: each.elsewhere}}, time.Second)
 		pool.SetWaiting(each.here)
 		if started := len(startAll(pool, time.Second)); started != each.want {
 			t.Errorf("with %d requests here and %d elsewhere %d were started, want %d", each.here, each.elsewhere, started, each.want)
@@ -72,11 +72,11 @@
 		hash := balance.ServerHash(choice.ID)
 		loads[hash] = balance.SharedLoad{Inflight: loads[hash].Inflight - 1}
 	}
-	shares.Take("others", 1, 2, loads, time.Second)
+	shares.Apply("others", 1, 2, loads, time.Second)
 	if more := startAll(pool, 2*time.Second); len(more) != 0 {
 		t.Fatalf("%d requests were started without a free slot", len(more))
 	}
-	pool.Ended(started[0], health.Success, time.Millisecond, 2*time.Second, seeded(1))
+	pool.RecordOutcome(started[0], health.Success, time.Millisecond, 2*time.Second, seeded(1))
 	if again := startAll(pool, 2*time.Second); len(again) != 1 || again[0].ID != started[0].ID {
 		t.Fatalf("%d requests were started in the slot that was left", len(again))
 	}
@@ -88,7 +88,7 @@
 	queued := func(paced bool) time.Duration {
 		f := newFleet(1, 50, 89, 6, 700*time.Millisecond, viewAge)
 		for _, each := range f.processes {
-			each.pool.SetViewAge(viewAge)
+			each.pool.SetMaxLoadAge(viewAge)
 			if paced {
 				each.pool.SetOnlineProcesses(len(f.processes))
 			}
@@ -126,8 +126,8 @@
 		}
 	}
 	pool.Update(left)
-	pool.Ended(started[0], health.Failure, 0, 2*time.Millisecond, seeded(1))
-	pool.Abandoned(started[1])
+	pool.RecordOutcome(started[0], health.Failure, 0, 2*time.Millisecond, seeded(1))
+	pool.Abandon(started[1])
 	if again := len(startAll(pool, 2*time.Millisecond)); again != 2 {
 		t.Fatalf("%d requests were started after two had ended", again)
 	}
@@ -140,7 +140,7 @@
 	for free, want := range map[int]int{0: 3, 20: 1} {
 		pool, _ := pacedPool(free)
 		startAll(pool, time.Second)
-		beyond := balance.Demand{Beyond: true}
+		beyond := balance.Demand{Overcommit: true}
 		var started []balance.Choice
 		for {
 			choice, found := pool.Choose(beyond, nil, time.Second, seeded(1))
@@ -155,7 +155,7 @@
 		if more := startAll(pool, time.Second); len(more) != 0 {
 			t.Fatalf("with %d free slots %d others start behind them", free, len(more))
 		}
-		pool.Ended(started[0], health.Success, 0, time.Second, seeded(1))
+		pool.RecordOutcome(started[0], health.Success, 0, time.Second, seeded(1))
 		if _, found := pool.Choose(beyond, nil, time.Second, seeded(1)); !found {
 			t.Fatalf("with %d free slots none goes beyond once one has ended", free)
 		}
--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -48,18 +48,18 @@
 	Batch bool
 	// Reserved is how many slots of the service a batch request leaves to others, and First tells
 	// that the others leave theirs to it.
-	Reserved int
-	First    bool
-	// Beyond lets an online request start one beyond this process's part of the slots, and one
+	Reserved    int
+	Prioritized bool
+	// Overcommit lets an online request start one beyond this process's part of the slots, and one
 	// beyond those of a server, where requests are paced.
-	Beyond bool
+	Overcommit bool
 }
 
 // Pool is the servers of one service as one process sees them. It belongs to one
 // goroutine at a time.
 type Pool struct {
 	zone    string
-	shares  *Shares
+	shares  *SharedLoads
 	servers []*server
 	// places are those of the servers by identifier, and vacant those that no server has.
 	places map[string]int
@@ -68,7 +68,7 @@
 	batchPlaces []int
 	tracker     *health.Tracker
 	// pacer estimates how long work takes at the servers; nil where they count as alike.
-	pacer Pacer
+	pacer PaceEstimator
 	// homes are the places of the servers that are expected to keep a shared part.
 	homes map[uint64]homePlaces
 	// headroom is what batch work leaves to online work.
@@ -100,7 +100,7 @@
 
 // NewPool returns a pool of a service without servers, for a process in the given zone.
 // The shares are those of all pools of the process.
-func NewPool(service, zone string, shares *Shares) *Pool {
+func NewPool(service, zone string, shares *SharedLoads) *Pool {
 	created := &Pool{
 		zone: zone, shares: shares, queue: QueueHash(service), tracker: health.NewTracker(policy(), 0),
 		places: make(map[string]int), homes: make(map[uint64]homePlaces), pacing: pacing{credit: leastCredit},
@@ -137,19 +137,19 @@
 	Pace float64
 }
 
-// Expected is how long the first event is expected to take.
-func (c Choice) Expected() time.Duration {
+// ExpectedFirstEvent is how long the first event is expected to take.
+func (c Choice) ExpectedFirstEvent() time.Duration {
 	return time.Duration(float64(c.Uncached) / readRate * c.Slowness() * float64(time.Millisecond))
 }
 
-// Usual is how long a usual server takes for what the chosen one takes so long for. Items of
+// NormalizeDuration is how long a usual server takes for what the chosen one takes so long for. Items of
 // jobs are compared by what they need themselves, not by where the last ones ran.
-func (c Choice) Usual(ran time.Duration) time.Duration {
+func (c Choice) NormalizeDuration(ran time.Duration) time.Duration {
 	return time.Duration(float64(ran) / c.Slowness())
 }
 
-// There is how long the chosen server takes for what a usual one takes so long for.
-func (c Choice) There(usual time.Duration) time.Duration {
+// ScaleDuration is how long the chosen server takes for what a usual one takes so long for.
+func (c Choice) ScaleDuration(usual time.Duration) time.Duration {
 	return time.Duration(float64(usual) * c.Slowness())
 }
 
@@ -210,7 +210,7 @@
 	}
 	choice.Batch = demand.Batch
 	p.start(chosen, demand, choice.Uncached, now)
-	p.tracker.Sent(p.place(chosen.ID), choice.Expected(), now)
+	p.tracker.Sent(p.place(chosen.ID), choice.ExpectedFirstEvent(), now)
 	return choice
 }
 
--- a/internal/balance/reserved_test.go
+++ b/internal/balance/reserved_test.go
@@ -35,8 +35,8 @@
 	for _, first := range []bool{false, true} {
 		pool, _, _ := newPool(8, 10)
 		pool.SetBatchProcesses(11)
-		pool.SetViewAge(300 * time.Millisecond)
-		started[first] = startBatch(pool, balance.Demand{Batch: true, First: first})
+		pool.SetMaxLoadAge(300 * time.Millisecond)
+		started[first] = startBatch(pool, balance.Demand{Batch: true, Prioritized: first})
 	}
 	if started[true] < 2*started[false] {
 		t.Errorf("%d start instead of %d", started[true], started[false])
--- a/internal/balance/sample_test.go
+++ b/internal/balance/sample_test.go
@@ -15,8 +15,8 @@
 const targetServers = 1200
 
 // fullBut has the others fill all servers of the target but the listed ones.
-func fullBut(servers int, free ...int) (*balance.Pool, *balance.Shares) {
-	shares := balance.NewShares()
+func fullBut(servers int, free ...int) (*balance.Pool, *balance.SharedLoads) {
+	shares := balance.NewSharedLoads()
 	pool := balance.NewPool("service", "here", shares)
 	var members []balance.Member
 	loads := make(map[uint32]balance.SharedLoad)
@@ -29,7 +29,7 @@
 		loads[balance.ServerHash(fmt.Sprint("server-", each))] = balance.SharedLoad{Inflight: 3}
 	}
 	pool.Update(members)
-	shares.Take("others", 1, 1, loads, 0)
+	shares.Apply("others", 1, 1, loads, 0)
 	return pool, shares
 }
 
@@ -65,7 +65,7 @@
 	for i := range targetServers - 1 {
 		loads[balance.ServerHash(fmt.Sprint("server-", i))] = balance.SharedLoad{Inflight: 4}
 	}
-	shares.Take("others", 1, 2, loads, later)
+	shares.Apply("others", 1, 2, loads, later)
 	choice, found := pool.Choose(balance.Demand{}, nil, later, random)
 	if !found || choice.ID != fmt.Sprint("server-", targetServers-1) {
 		t.Fatalf("%v, %v", choice.ID, found)
@@ -80,12 +80,12 @@
 	if !found {
 		t.Fatal("no server is chosen")
 	}
-	pool.Abandoned(first)
+	pool.Abandon(first)
 	second, found := pool.Choose(balance.Demand{}, []string{first.ID}, 0, random)
 	if !found || second.ID == first.ID {
 		t.Fatalf("%v after %v, %v", second.ID, first.ID, found)
 	}
-	pool.Abandoned(second)
+	pool.Abandon(second)
 	if third, found := pool.Choose(balance.Demand{}, []string{first.ID, second.ID}, 0, random); found {
 		t.Fatalf("%v is chosen; both servers with room were tried", third.ID)
 	}
@@ -101,7 +101,7 @@
 		t.Fatal("no server is chosen")
 	}
 	for range 8 {
-		pool.Ended(sick, health.Failure, 0, 0, random)
+		pool.RecordOutcome(sick, health.Failure, 0, 0, random)
 	}
 	pool.Evaluate(time.Second, random)
 	choice, found := pool.Choose(balance.Demand{}, nil, held, random)
@@ -128,11 +128,11 @@
 	for subject := range uint64(subjects) {
 		demand := longPrompt(subject + 1)
 		at := fmt.Sprint("server-", random.IntN(targetServers))
-		sent, found := pool.At(at, demand, 0)
+		sent, found := pool.StartAt(at, demand, 0)
 		if !found {
 			t.Fatalf("%v is not known", at)
 		}
-		pool.Abandoned(sent)
+		pool.Abandon(sent)
 		if choice, _ := pool.Choose(demand, nil, time.Second, random); choice.ID == at {
 			again++
 		}
@@ -152,7 +152,7 @@
 		if !found || choice.Candidates > most {
 			t.Fatalf("choice %d looks at %d servers, %v", i, choice.Candidates, found)
 		}
-		pool.Ended(choice, health.Success, time.Millisecond, time.Duration(i)*time.Millisecond, random)
+		pool.RecordOutcome(choice, health.Success, time.Millisecond, time.Duration(i)*time.Millisecond, random)
 	}
 }
 
@@ -171,15 +171,15 @@
 		if choice, found := pool.Choose(demand, nil, now, random); found {
 			_, _ = fmt.Fprint(sum, choice.ID, choice.Candidates, choice.Uncached)
 			open = append(open, choice)
-			pool.Told(choice.ID, balance.Load{Running: random.IntN(8), Pace: 1 + random.Float64()}, now)
+			pool.RecordReport(choice.ID, balance.LoadReport{Running: random.IntN(8), Pace: 1 + random.Float64()}, now)
 		}
 		if len(open) > 40 {
 			outcome := health.Success
 			if i%17 == 0 {
 				outcome = health.Failure
 			}
-			pool.Read(open[0], true, now)
-			pool.Ended(open[0], outcome, 20*time.Millisecond, now, random)
+			pool.RecordFirstEvent(open[0], true, now)
+			pool.RecordOutcome(open[0], outcome, 20*time.Millisecond, now, random)
 			open = open[1:]
 		}
 		if i%100 == 0 {
@@ -201,7 +201,7 @@
 	most := 0
 	for range processes {
 		pool, shares := fullBut(0)
-		shares.Take("others", 1, 1, nil, 0)
+		shares.Apply("others", 1, 1, nil, 0)
 		var members []balance.Member
 		for i := range targetServers {
 			name := fmt.Sprint("server-", i)
@@ -240,7 +240,7 @@
 func TestProcessThatHearsOfNoOtherTakesTheBestOfMany(t *testing.T) {
 	const servers, idle = 300, "server-123"
 	random := rand.New(rand.NewPCG(1, 2))
-	pool := balance.NewPool("service", "here", balance.NewShares())
+	pool := balance.NewPool("service", "here", balance.NewSharedLoads())
 	var members []balance.Member
 	for i := range servers {
 		name := fmt.Sprint("server-", i)
@@ -249,7 +249,7 @@
 	pool.Update(members)
 	for _, member := range members {
 		if member.ID != idle {
-			pool.Told(member.ID, balance.Load{Running: 3, Slots: 4}, 0)
+			pool.RecordReport(member.ID, balance.LoadReport{Running: 3, Slots: 4}, 0)
 		}
 	}
 	for range 20 {
@@ -257,7 +257,7 @@
 		if !found || choice.ID != idle {
 			t.Fatalf("%v is chosen, %v; all but %v have one slot left", choice.ID, found, idle)
 		}
-		pool.Abandoned(choice)
+		pool.Abandon(choice)
 	}
 }
 
@@ -274,14 +274,14 @@
 		if !found {
 			t.Fatal("no server is chosen")
 		}
-		pool.Told(first.ID, balance.Load{Pace: 1}, now)
-		pool.Read(first, true, now)
-		pool.Ended(first, health.Success, time.Millisecond, now, random)
+		pool.RecordReport(first.ID, balance.LoadReport{Pace: 1}, now)
+		pool.RecordFirstEvent(first, true, now)
+		pool.RecordOutcome(first, health.Success, time.Millisecond, now, random)
 		next, found := pool.Choose(balance.Demand{}, nil, now+time.Millisecond, random)
 		if found && next.ID == first.ID {
 			taken++
 		}
-		pool.Abandoned(next)
+		pool.Abandon(next)
 	}
 	if taken < least {
 		t.Errorf("%d of %d requests take the slot that one has just left", taken, rounds)
--- a/internal/balance/search.go
+++ b/internal/balance/search.go
@@ -35,7 +35,7 @@
 func (p *Pool) newSearch(demand Demand, tried []string, now time.Duration, random *rand.Rand) *search {
 	return &search{
 		pool: p, demand: demand, tried: tried, now: now, random: random,
-		alone: !p.shares.Known(), informed: p.informed(now), avoidAccused: p.overview().avoidsAccused(now),
+		alone: !p.shares.HasPeers(), informed: p.informed(now), avoidAccused: p.overview().avoidsAccused(now),
 	}
 }
 
--- a/internal/balance/second.go
+++ b/internal/balance/second.go
@@ -7,10 +7,10 @@
 	"rockwind.example/rockwind/internal/health"
 )
 
-// Second returns the server that keeps the copy of a run at the first one: the less loaded of
+// ChooseCopyServer returns the server that keeps the copy of a run at the first one: the less loaded of
 // two drawn from those that are well and would have room for the run. It fails where there is
 // none. The run is not counted there before it goes on there.
-func (p *Pool) Second(first string, otherZone bool, now time.Duration, random *rand.Rand) (Member, bool) {
+func (p *Pool) ChooseCopyServer(first string, otherZone bool, now time.Duration, random *rand.Rand) (Member, bool) {
 	zone := p.zone
 	if known := p.find(first); known != nil {
 		zone = known.Zone
@@ -53,9 +53,9 @@
 	return near, far
 }
 
-// At counts a request at a given server, however loaded that is: a run goes on where its
+// StartAt counts a request at a given server, however loaded that is: a run goes on where its
 // copy is. It fails where the server has left.
-func (p *Pool) At(id string, demand Demand, now time.Duration) (Choice, bool) {
+func (p *Pool) StartAt(id string, demand Demand, now time.Duration) (Choice, bool) {
 	known := p.find(id)
 	if known == nil || known.gone {
 		return Choice{}, false
--- a/internal/balance/second_test.go
+++ b/internal/balance/second_test.go
@@ -10,7 +10,7 @@
 
 // copyingPool is a pool in zone-0 with two servers in each of two zones.
 func copyingPool() (*balance.Pool, *rand.Rand) {
-	pool := balance.NewPool("app", "zone-0", balance.NewShares())
+	pool := balance.NewPool("app", "zone-0", balance.NewSharedLoads())
 	var members []balance.Member
 	for each := range 4 {
 		members = append(members, balance.Member{
@@ -24,10 +24,10 @@
 func TestCopyIsInTheZoneOfItsRunUnlessThatFails(t *testing.T) {
 	pool, random := copyingPool()
 	for range 20 {
-		if holder, found := pool.Second("s1", false, 0, random); !found || holder.ID != "s3" {
+		if holder, found := pool.ChooseCopyServer("s1", false, 0, random); !found || holder.ID != "s3" {
 			t.Fatalf("the copy of a run at s1 is at %q", holder.ID)
 		}
-		if holder, found := pool.Second("s1", true, 0, random); !found || holder.Zone != "zone-0" {
+		if holder, found := pool.ChooseCopyServer("s1", true, 0, random); !found || holder.Zone != "zone-0" {
 			t.Fatalf("the copy is at %q in %q", holder.ID, holder.Zone)
 		}
 	}
@@ -38,28 +38,28 @@
 	pool, random := copyingPool()
 	fill := func(id string) {
 		for range 2 {
-			if _, found := pool.At(id, balance.Demand{}, 0); !found {
+			if _, found := pool.StartAt(id, balance.Demand{}, 0); !found {
 				t.Fatalf("no request begins at %s", id)
 			}
 		}
 	}
 	fill("s2")
-	if holder, found := pool.Second("s0", false, 0, random); !found || holder.Zone != "zone-1" {
+	if holder, found := pool.ChooseCopyServer("s0", false, 0, random); !found || holder.Zone != "zone-1" {
 		t.Fatalf("with its zone full the copy is at %q", holder.ID)
 	}
 	fill("s1")
 	fill("s3")
-	if holder, found := pool.Second("s0", false, 0, random); found {
+	if holder, found := pool.ChooseCopyServer("s0", false, 0, random); found {
 		t.Fatalf("with all others full the copy is at %q", holder.ID)
 	}
 }
 
 func TestRunDoesNotGoOnAtAServerThatLeft(t *testing.T) {
 	pool, _ := copyingPool()
-	choice, _ := pool.At("s2", balance.Demand{}, 0)
-	pool.Gone(choice)
+	choice, _ := pool.StartAt("s2", balance.Demand{}, 0)
+	pool.RecordReplaced(choice)
 	for _, id := range []string{"s2", "never-seen"} {
-		if _, found := pool.At(id, balance.Demand{}, 0); found {
+		if _, found := pool.StartAt(id, balance.Demand{}, 0); found {
 			t.Errorf("a run goes on at %s", id)
 		}
 	}
--- a/internal/balance/settled_test.go
+++ b/internal/balance/settled_test.go
@@ -13,8 +13,8 @@
 
 // busyPool is a pool of one process of several that start batch work. Each of its servers
 // has one batch request of this process and online requests of others, one too many.
-func busyPool(servers int, random *rand.Rand) (*balance.Pool, *balance.Shares) {
-	shares := balance.NewShares()
+func busyPool(servers int, random *rand.Rand) (*balance.Pool, *balance.SharedLoads) {
+	shares := balance.NewSharedLoads()
 	pool := balance.NewPool("service", "here", shares)
 	pool.Update(manyMembers()[:servers])
 	pool.SetBatchProcesses(1)
@@ -25,15 +25,15 @@
 	for _, member := range manyMembers()[:servers] {
 		loads[balance.ServerHash(member.ID)] = balance.SharedLoad{Inflight: 7, Batch: 3}
 	}
-	shares.Take("others", 1, 1, loads, 0)
-	pool.SetViewAge(viewAge)
+	shares.Apply("others", 1, 1, loads, 0)
+	pool.SetMaxLoadAge(viewAge)
 	return pool, shares
 }
 
 // yields counts how much gives way in one look.
 func yields(pool *balance.Pool, waiting int, now time.Duration, random *rand.Rand) int {
 	count := 0
-	pool.Yield(waiting, now, random, func(_ string, requests int) int {
+	pool.PreemptBatch(waiting, now, random, func(_ string, requests int) int {
 		count += requests
 		return requests
 	})
@@ -62,12 +62,12 @@
 // TestBatchGivesWayToQueuesOnceAndToWhatIsAdded does the same for requests that wait.
 func TestBatchGivesWayToQueuesOnceAndToWhatIsAdded(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	pool := balance.NewPool("service", "here", balance.NewShares())
+	pool := balance.NewPool("service", "here", balance.NewSharedLoads())
 	pool.Update(manyMembers()[:10])
 	for range 20 {
 		pool.Choose(balance.Demand{Batch: true}, nil, 0, random)
 	}
-	pool.SetViewAge(viewAge)
+	pool.SetMaxLoadAge(viewAge)
 	if gave := yields(pool, 4, time.Second, random); gave != 4 {
 		t.Fatalf("%d gave way to 4", gave)
 	}
@@ -82,10 +82,10 @@
 // TestServerThatIsGoneIsNotChosenAgain: its own word is proof, whatever the directory says.
 func TestServerThatIsGoneIsNotChosenAgain(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	pool := balance.NewPool("service", "here", balance.NewShares())
+	pool := balance.NewPool("service", "here", balance.NewSharedLoads())
 	pool.Update(manyMembers()[:2])
 	first, _ := pool.Choose(balance.Demand{}, nil, 0, random)
-	pool.Gone(first)
+	pool.RecordReplaced(first)
 	for range 7 {
 		if choice, found := pool.Choose(balance.Demand{}, nil, 0, random); !found || choice.ID == first.ID {
 			t.Fatalf("chose %+v, %v", choice, found)
--- a/internal/balance/shared.go
+++ b/internal/balance/shared.go
@@ -57,9 +57,9 @@
 	elsewhere bool
 }
 
-// Shares holds the newest digests of the other processes and their sums by server.
+// SharedLoads holds the newest digests of the other processes and their sums by server.
 // It belongs to one goroutine at a time.
-type Shares struct {
+type SharedLoads struct {
 	senders map[string]*sender
 	sums    map[uint32]SharedLoad
 	// processes is how many processes all digests cover.
@@ -75,16 +75,16 @@
 	leftIgnored bool
 }
 
-// NewShares returns shares without senders.
-func NewShares() *Shares {
-	return &Shares{senders: make(map[string]*sender), sums: make(map[uint32]SharedLoad), far: make(map[uint32]SharedPace)}
+// NewSharedLoads returns shares without senders.
+func NewSharedLoads() *SharedLoads {
+	return &SharedLoads{senders: make(map[string]*sender), sums: make(map[uint32]SharedLoad), far: make(map[uint32]SharedPace)}
 }
 
-// Take replaces what a process told before. A digest that is older than the one
+// Apply replaces what a process told before. A digest that is older than the one
 // held, by the sender's start and its sequence, is passed over.
 // A sum of the process's own group covered it, and counts no more: members tell their loads to
 // relays, which take no such sum, and to those that stand in for them.
-func (s *Shares) Take(name string, started int64, sequence uint64, loads map[uint32]SharedLoad, now time.Duration) {
+func (s *SharedLoads) Apply(name string, started int64, sequence uint64, loads map[uint32]SharedLoad, now time.Duration) {
 	if s.zone != "" {
 		// Without groups there is nothing to look for among all senders.
 		s.dropOthers(name, s.sumsOwnGroup)
@@ -93,14 +93,14 @@
 }
 
 // sumsOwnGroup tells whether a sender sums up the group of this process, whose zone is known.
-func (s *Shares) sumsOwnGroup(known *sender) bool {
+func (s *SharedLoads) sumsOwnGroup(known *sender) bool {
 	return known.group == s.zone && !known.elsewhere
 }
 
-// TakeGroup replaces what was told of a group before, by this delegate or by
+// ApplyGroup replaces what was told of a group before, by this delegate or by
 // another one, also within a sum of all groups but one. The sum of the own group also
 // replaces what members of it told themselves.
-func (s *Shares) TakeGroup(delegate, group string, members int, started int64, sequence uint64, loads map[uint32]SharedLoad, now time.Duration) {
+func (s *SharedLoads) ApplyGroup(delegate, group string, members int, started int64, sequence uint64, loads map[uint32]SharedLoad, now time.Duration) {
 	key := "group of " + delegate
 	s.dropOthers(key, func(known *sender) bool {
 		switch {
@@ -114,8 +114,8 @@
 	s.take(key, sender{started: started, sequence: sequence, at: now, loads: loads, group: group, members: members})
 }
 
-// TakeElsewhere replaces what was told of all groups but the named one.
-func (s *Shares) TakeElsewhere(delegate, group string, started int64, sequence uint64, loads map[uint32]SharedLoad, now time.Duration) {
+// ApplyOtherGroups replaces what was told of all groups but the named one.
+func (s *SharedLoads) ApplyOtherGroups(delegate, group string, started int64, sequence uint64, loads map[uint32]SharedLoad, now time.Duration) {
 	key := "elsewhere of " + delegate
 	s.dropOthers(key, func(known *sender) bool {
 		return known.elsewhere || (known.group != "" && known.group != group)
@@ -124,7 +124,7 @@
 }
 
 // dropOthers drops the senders whose digests a newer one under the given key covers.
-func (s *Shares) dropOthers(key string, covered func(known *sender) bool) {
+func (s *SharedLoads) dropOthers(key string, covered func(known *sender) bool) {
 	for other, known := range s.senders {
 		if other != key && covered(known) {
 			s.drop(other)
@@ -132,7 +132,7 @@
 	}
 }
 
-func (s *Shares) take(key string, next sender) {
+func (s *SharedLoads) take(key string, next sender) {
 	known := s.senders[key]
 	if known != nil {
 		older := next.started < known.started || (next.started == known.started && next.sequence <= known.sequence)
@@ -147,7 +147,7 @@
 	s.addFar(&next, 1)
 }
 
-func (s *Shares) drop(key string) {
+func (s *SharedLoads) drop(key string) {
 	known := s.senders[key]
 	s.add(known.loads, -1)
 	s.addFar(known, -1)
@@ -155,7 +155,7 @@
 	delete(s.senders, key)
 }
 
-func (s *Shares) add(loads map[uint32]SharedLoad, sign int) {
+func (s *SharedLoads) add(loads map[uint32]SharedLoad, sign int) {
 	for server, load := range loads {
 		sum := s.sums[server].plus(load, sign)
 		if sum == (SharedLoad{}) {
@@ -168,7 +168,7 @@
 }
 
 // Expire forgets the processes that were silent for long.
-func (s *Shares) Expire(now time.Duration) {
+func (s *SharedLoads) Expire(now time.Duration) {
 	for name, known := range s.senders {
 		if now-known.at > senderFor {
 			s.drop(name)
@@ -176,12 +176,12 @@
 	}
 }
 
-// Known tells whether any other process tells what it has.
-func (s *Shares) Known() bool { return len(s.senders) > 0 }
+// HasPeers tells whether any other process tells what it has.
+func (s *SharedLoads) HasPeers() bool { return len(s.senders) > 0 }
 
 // EarliestStart is the earliest start of the processes that tell what they have, or of the
 // delegates that tell it for them, in Unix milliseconds, and whether there is one.
-func (s *Shares) EarliestStart() (started int64, heard bool) {
+func (s *SharedLoads) EarliestStart() (started int64, heard bool) {
 	for _, known := range s.senders {
 		if !heard || known.started < started {
 			started, heard = known.started, true
@@ -191,19 +191,19 @@
 }
 
 // Processes is how many other processes the digests cover.
-func (s *Shares) Processes() int { return s.processes }
+func (s *SharedLoads) Processes() int { return s.processes }
 
 // heardFor is how long a process counts as heard after its last digest.
 const heardFor = 700 * time.Millisecond
 
 // Heard tells whether a digest of the process itself came lately.
-func (s *Shares) Heard(name string, now time.Duration) bool {
+func (s *SharedLoads) Heard(name string, now time.Duration) bool {
 	known, found := s.senders[name]
 	return found && now-known.at <= heardFor
 }
 
 // SumOf adds up what the named processes have told of themselves.
-func (s *Shares) SumOf(names []string) map[uint32]SharedLoad {
+func (s *SharedLoads) SumOf(names []string) map[uint32]SharedLoad {
 	sums := make(map[uint32]SharedLoad)
 	for _, name := range names {
 		if known, found := s.senders[name]; found {
@@ -221,7 +221,7 @@
 }
 
 // Sequences lists the newest digests of the named processes themselves.
-func (s *Shares) Sequences(names []string, visit func(name string, started int64, sequence uint64)) {
+func (s *SharedLoads) Sequences(names []string, visit func(name string, started int64, sequence uint64)) {
 	for _, name := range names {
 		if known, found := s.senders[name]; found {
 			visit(name, known.started, known.sequence)
@@ -229,8 +229,8 @@
 	}
 }
 
-// SumElsewhere adds up what was told of all groups but the named one.
-func (s *Shares) SumElsewhere(group string) map[uint32]SharedLoad {
+// SumOtherGroups adds up what was told of all groups but the named one.
+func (s *SharedLoads) SumOtherGroups(group string) map[uint32]SharedLoad {
 	sums := make(map[uint32]SharedLoad)
 	for _, known := range s.senders {
 		if known.group != "" && (known.group == group) == known.elsewhere {
@@ -241,11 +241,11 @@
 }
 
 // At is what all other processes together have at a server.
-func (s *Shares) At(server uint32) SharedLoad { return s.sums[server] }
+func (s *SharedLoads) At(server uint32) SharedLoad { return s.sums[server] }
 
-// Own lists what this process has at the servers of the pool, which of them it takes for
+// OwnLoads lists what this process has at the servers of the pool, which of them it takes for
 // failing, and their paces where servers tell theirs.
-func (p *Pool) Own(now time.Duration, visit func(server uint32, load SharedLoad)) {
+func (p *Pool) OwnLoads(now time.Duration, visit func(server uint32, load SharedLoad)) {
 	informed := p.informed(now)
 	for place, known := range p.servers {
 		if known == nil {
@@ -256,7 +256,7 @@
 			load.Suspects = 1
 		}
 		if informed {
-			load.Pace = p.pacer.Own(place, now)
+			load.Pace = p.pacer.OwnPace(place, now)
 		}
 		if load != (SharedLoad{}) {
 			visit(known.hash, load)
--- a/internal/balance/shared_test.go
+++ b/internal/balance/shared_test.go
@@ -11,8 +11,8 @@
 	"rockwind.example/rockwind/internal/balance"
 )
 
-func pool(slots int, names ...string) (*balance.Pool, *balance.Shares) {
-	shares := balance.NewShares()
+func pool(slots int, names ...string) (*balance.Pool, *balance.SharedLoads) {
+	shares := balance.NewSharedLoads()
 	created := balance.NewPool("service", "here", shares)
 	var members []balance.Member
 	for _, name := range names {
@@ -28,9 +28,9 @@
 // keep busy tells this process nothing, since it sends no request there.
 func TestBusyServerWithAnOldReportDoesNotSeemEmpty(t *testing.T) {
 	p, shares := pool(12, "busy", "free")
-	p.Told("busy", balance.Load{Running: 12, Slots: 12}, 0)
+	p.RecordReport("busy", balance.LoadReport{Running: 12, Slots: 12}, 0)
 	now := 10 * time.Second
-	shares.Take("other", 1, 1, map[uint32]balance.SharedLoad{balance.ServerHash("busy"): {Inflight: 11}}, now)
+	shares.Apply("other", 1, 1, map[uint32]balance.SharedLoad{balance.ServerHash("busy"): {Inflight: 11}}, now)
 	for range 8 {
 		choice, found := p.Choose(balance.Demand{}, nil, now, random())
 		if !found || choice.ID != "free" {
@@ -41,7 +41,7 @@
 
 func TestFullServersAreNotChosenByAnyone(t *testing.T) {
 	p, shares := pool(4, "a")
-	shares.Take("other", 1, 1, map[uint32]balance.SharedLoad{balance.ServerHash("a"): {Inflight: 3}}, 0)
+	shares.Apply("other", 1, 1, map[uint32]balance.SharedLoad{balance.ServerHash("a"): {Inflight: 3}}, 0)
 	if _, found := p.Choose(balance.Demand{}, nil, 0, random()); !found {
 		t.Fatal("the last slot is not used")
 	}
@@ -52,14 +52,14 @@
 
 func TestBatchLeavesRoomForOnline(t *testing.T) {
 	p, shares := pool(10, "a")
-	shares.Take("other", 1, 1, map[uint32]balance.SharedLoad{balance.ServerHash("a"): {Inflight: 9}, balance.QueueHash("service"): {Inflight: 1}}, 0)
+	shares.Apply("other", 1, 1, map[uint32]balance.SharedLoad{balance.ServerHash("a"): {Inflight: 9}, balance.QueueHash("service"): {Inflight: 1}}, 0)
 	if choice, found := p.Choose(balance.Demand{Batch: true}, nil, 0, random()); found {
 		t.Fatalf("batch takes %+v while online waits", choice)
 	}
 	if _, found := p.Choose(balance.Demand{}, nil, 0, random()); !found {
 		t.Fatal("online gets no room")
 	}
-	shares.Take("other", 1, 2, map[uint32]balance.SharedLoad{balance.ServerHash("a"): {Inflight: 10}}, 0)
+	shares.Apply("other", 1, 2, map[uint32]balance.SharedLoad{balance.ServerHash("a"): {Inflight: 10}}, 0)
 	if choice, found := p.Choose(balance.Demand{Batch: true}, nil, 0, random()); found {
 		t.Fatalf("batch takes %+v beside full online work", choice)
 	}
@@ -68,14 +68,14 @@
 // TestGroupCountsOnceWhenItsDelegateChanges: the sum of a group replaces the one of
 // its former delegate, whichever of the two started first.
 func TestGroupCountsOnceWhenItsDelegateChanges(t *testing.T) {
-	shares := balance.NewShares()
+	shares := balance.NewSharedLoads()
 	load := func(n int) map[uint32]balance.SharedLoad {
 		return map[uint32]balance.SharedLoad{1: {Inflight: n, Batch: n}}
 	}
-	shares.Take("a", 1, 1, load(1), 0)
-	shares.TakeGroup("a", "west", 3, 9, 5, load(10), 0)
-	shares.TakeGroup("b", "west", 4, 2, 1, load(20), 0)
-	shares.TakeGroup("c", "east", 2, 2, 1, load(100), 0)
+	shares.Apply("a", 1, 1, load(1), 0)
+	shares.ApplyGroup("a", "west", 3, 9, 5, load(10), 0)
+	shares.ApplyGroup("b", "west", 4, 2, 1, load(20), 0)
+	shares.ApplyGroup("c", "east", 2, 2, 1, load(100), 0)
 	if got := shares.At(1); got.Inflight != 121 || got.Batch != 121 || shares.Processes() != 7 {
 		t.Fatalf("the sum is %+v over %d processes", got, shares.Processes())
 	}
@@ -88,20 +88,20 @@
 }
 
 func TestOldAndRepeatedDigestsArePassedOver(t *testing.T) {
-	shares := balance.NewShares()
+	shares := balance.NewSharedLoads()
 	load := func(n int) map[uint32]balance.SharedLoad { return map[uint32]balance.SharedLoad{1: {Inflight: n}} }
-	shares.Take("a", 5, 2, load(2), 0)
-	shares.Take("a", 5, 1, load(1), 0)
-	shares.Take("a", 4, 9, load(9), 0)
+	shares.Apply("a", 5, 2, load(2), 0)
+	shares.Apply("a", 5, 1, load(1), 0)
+	shares.Apply("a", 4, 9, load(9), 0)
 	if got := shares.At(1).Inflight; got != 2 {
 		t.Fatalf("the sum is %d", got)
 	}
-	shares.Take("a", 6, 1, load(7), 0)
+	shares.Apply("a", 6, 1, load(7), 0)
 	if got := shares.At(1).Inflight; got != 7 {
 		t.Fatalf("after a restart the sum is %d", got)
 	}
 	shares.Expire(balance.SenderFor + 1)
-	if shares.Known() || shares.At(1) != (balance.SharedLoad{}) {
+	if shares.HasPeers() || shares.At(1) != (balance.SharedLoad{}) {
 		t.Fatal("a silent process still counts")
 	}
 }
@@ -110,7 +110,7 @@
 // come and go, with a count from scratch.
 func TestSumsAreThoseOfTheNewestDigests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		shares := balance.NewShares()
+		shares := balance.NewSharedLoads()
 		type held struct {
 			sequence uint64
 			at       time.Duration
@@ -131,7 +131,7 @@
 			if known, found := oracle[name]; !found || sequence > known.sequence {
 				oracle[name] = held{sequence, now, loads}
 			}
-			shares.Take(name, 1, sequence, loads, now)
+			shares.Apply(name, 1, sequence, loads, now)
 			shares.Expire(now)
 			for sender, known := range oracle {
 				if now-known.at > balance.SenderFor {
@@ -174,7 +174,7 @@
 			if sender == 0 {
 				told = loads
 			}
-			shares.Take(fmt.Sprint(sender), 1, 1, told, 0)
+			shares.Apply(fmt.Sprint(sender), 1, 1, told, 0)
 		}
 		choice, found := p.Choose(balance.Demand{}, nil, 0, rand.New(rand.NewPCG(uint64(process), 7)))
 		if !found {
@@ -200,7 +200,7 @@
 		if sender == 0 {
 			told = loads
 		}
-		shares.Take(fmt.Sprint(sender), 1, 1, told, 0)
+		shares.Apply(fmt.Sprint(sender), 1, 1, told, 0)
 	}
 	if choice, found := p.Choose(balance.Demand{}, nil, 0, random()); !found || choice.ID != "free" {
 		t.Fatalf("%+v, %v", choice, found)
--- a/internal/balance/sight.go
+++ b/internal/balance/sight.go
@@ -29,7 +29,7 @@
 	seen := sight{server: s, others: others, counted: s.inflight + others.Inflight + p.shares.leftBehind(s.left), batch: s.batch + others.Batch}
 	seen.load = seen.counted
 	valid := reportFor
-	if p.shares.Known() {
+	if p.shares.HasPeers() {
 		valid = reportBeside
 	}
 	if s.known && now-s.toldAt <= valid {
--- a/internal/balance/size_test.go
+++ b/internal/balance/size_test.go
@@ -16,10 +16,10 @@
 // sitePool is the pool of one of 350 processes whose loads are told by relays, before servers
 // that tell their pace and have all but one of their slots in use.
 func sitePool(servers int) *balance.Pool {
-	shares := balance.NewShares()
+	shares := balance.NewSharedLoads()
 	pool := balance.NewPool("service", "here", shares)
-	pool.SetPacer(pace.New())
-	pool.SetViewAge(viewAge)
+	pool.SetPaceEstimator(pace.New())
+	pool.SetMaxLoadAge(viewAge)
 	pool.SetOnlineProcesses(350)
 	pool.SetBatchProcesses(2)
 	var members []balance.Member
@@ -31,9 +31,9 @@
 	}
 	pool.Update(members)
 	for _, member := range members {
-		pool.Told(member.ID, balance.Load{Pace: 1}, 0)
+		pool.RecordReport(member.ID, balance.LoadReport{Pace: 1}, 0)
 	}
-	shares.Take("others", 1, 1, loads, 0)
+	shares.Apply("others", 1, 1, loads, 0)
 	return pool
 }
 
@@ -55,8 +55,8 @@
 					demand := longPrompt(uint64(i%500 + 1))
 					demand.Batch = kind.batch
 					if choice, room := pool.Choose(demand, nil, now, random); room {
-						pool.Told(choice.ID, balance.Load{Pace: 1}, now)
-						pool.Abandoned(choice)
+						pool.RecordReport(choice.ID, balance.LoadReport{Pace: 1}, now)
+						pool.Abandon(choice)
 						found++
 					}
 				}
--- a/internal/balance/vacated_test.go
+++ b/internal/balance/vacated_test.go
@@ -12,14 +12,14 @@
 // crowdedPool is a pool of one of several processes that sees one free slot at each server.
 func crowdedPool(servers int) *balance.Pool {
 	pool, shares := poolByPace(servers)
-	pool.SetViewAge(viewAge)
+	pool.SetMaxLoadAge(viewAge)
 	pool.SetOnlineProcesses(10)
 	loads := make(map[uint32]balance.SharedLoad)
 	for _, member := range manyMembers()[:servers] {
 		loads[balance.ServerHash(member.ID)] = balance.SharedLoad{Inflight: member.Slots - 1}
 	}
-	shares.Take("others", 1, 1, loads, 0)
-	pool.Told(manyMembers()[0].ID, balance.Load{Pace: 1}, 0)
+	shares.Apply("others", 1, 1, loads, 0)
+	pool.RecordReport(manyMembers()[0].ID, balance.LoadReport{Pace: 1}, 0)
 	return pool
 }
 
@@ -36,7 +36,7 @@
 			t.Fatal("no server has room")
 		}
 		used[choice.ID] = true
-		pool.Ended(choice, health.Success, 20*time.Millisecond, 0, random)
+		pool.RecordOutcome(choice, health.Success, 20*time.Millisecond, 0, random)
 	}
 	if len(used) > rounds/5 {
 		t.Errorf("%d requests that came one after the other took slots of %d servers", rounds, len(used))
@@ -51,7 +51,7 @@
 	for range rounds {
 		pool := crowdedPool(servers)
 		first, _ := pool.Choose(balance.Demand{}, nil, 0, random)
-		pool.Ended(first, health.Success, 20*time.Millisecond, 0, random)
+		pool.RecordOutcome(first, health.Success, 20*time.Millisecond, 0, random)
 		if next, _ := pool.Choose(balance.Demand{}, nil, 2*viewAge, random); next.ID == first.ID {
 			again++
 		}
@@ -69,7 +69,7 @@
 	for range rounds {
 		pool := crowdedPool(servers)
 		first, _ := pool.Choose(balance.Demand{}, nil, 0, random)
-		pool.Ended(first, health.Failure, 20*time.Millisecond, 0, random)
+		pool.RecordOutcome(first, health.Failure, 20*time.Millisecond, 0, random)
 		if next, _ := pool.Choose(balance.Demand{}, nil, 0, random); next.ID == first.ID {
 			again++
 		}
--- a/internal/balance/yieldsize_test.go
+++ b/internal/balance/yieldsize_test.go
@@ -13,7 +13,7 @@
 func BenchmarkYield(b *testing.B) {
 	for _, servers := range []int{300, 1000, 3000, 10_000, 20_000} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			pool := balance.NewPool("app", "zone", balance.NewShares())
+			pool := balance.NewPool("app", "zone", balance.NewSharedLoads())
 			for place := range servers {
 				pool.Put(balance.Member{ID: fmt.Sprint("server-", place), Zone: "zone", Slots: 8})
 			}
@@ -24,7 +24,7 @@
 				}
 			}
 			for now := time.Duration(0); b.Loop(); now += 40 * time.Millisecond {
-				pool.Yield(0, now, random, func(string, int) int { return 0 })
+				pool.PreemptBatch(0, now, random, func(string, int) int { return 0 })
 			}
 		})
 	}
@@ -35,7 +35,7 @@
 func TestBatchGivesWayWhereverItRuns(t *testing.T) {
 	const servers = 200
 	random := rand.New(rand.NewPCG(1, 1))
-	pool := balance.NewPool("app", "zone", balance.NewShares())
+	pool := balance.NewPool("app", "zone", balance.NewSharedLoads())
 	running := make(map[string]int)
 	add := func(round int) {
 		for place := range servers {
@@ -56,7 +56,7 @@
 		visited := make(map[string]int)
 		now += time.Minute
 		// All wait that there are: each run is asked to give way.
-		pool.Yield(10*servers, now, random, func(server string, requests int) int {
+		pool.PreemptBatch(10*servers, now, random, func(server string, requests int) int {
 			visited[server] += requests
 			return 0
 		})
--- a/internal/loadshare/digest.go
+++ b/internal/loadshare/digest.go
@@ -45,10 +45,10 @@
 func addPaces(digest *rockwindpb.LoadDigest, loads map[uint32]balance.SharedLoad) {
 	for _, server := range digest.GetServers() {
 		pace := loads[server].Pace
-		digest.ToldPaces = append(digest.ToldPaces, uint32(pace.Told))
-		digest.ToldVoices = append(digest.ToldVoices, uint32(pace.ToldVoices))
-		digest.SeenPaces = append(digest.SeenPaces, uint32(pace.Seen))
-		digest.SeenVoices = append(digest.SeenVoices, uint32(pace.SeenVoices))
+		digest.ToldPaces = append(digest.ToldPaces, uint32(pace.ReportedSum))
+		digest.ToldVoices = append(digest.ToldVoices, uint32(pace.ReportedCount))
+		digest.SeenPaces = append(digest.SeenPaces, uint32(pace.ObservedSum))
+		digest.SeenVoices = append(digest.SeenVoices, uint32(pace.ObservedCount))
 	}
 }
 
@@ -71,14 +71,14 @@
 		return balance.SharedPace{}
 	}
 	return balance.SharedPace{
-		Told: int(digest.GetToldPaces()[place]), ToldVoices: int(digest.GetToldVoices()[place]),
-		Seen: int(digest.GetSeenPaces()[place]), SeenVoices: int(digest.GetSeenVoices()[place]),
+		ReportedSum: int(digest.GetToldPaces()[place]), ReportedCount: int(digest.GetToldVoices()[place]),
+		ObservedSum: int(digest.GetSeenPaces()[place]), ObservedCount: int(digest.GetSeenVoices()[place]),
 	}
 }
 
 // SumDigest lists what the named processes told and what this one has, with the stamps of
 // the digests that it covers.
-func SumDigest(shares *balance.Shares, names []string, own map[uint32]balance.SharedLoad) *rockwindpb.LoadDigest {
+func SumDigest(shares *balance.SharedLoads, names []string, own map[uint32]balance.SharedLoad) *rockwindpb.LoadDigest {
 	loads := shares.SumOf(names)
 	for server, load := range own {
 		loads[server] = loads[server].Plus(load)
@@ -92,14 +92,14 @@
 
 // TakeInto has the shares take the loads of the digest of a process, of a group, or of all
 // groups but one.
-func TakeInto(shares *balance.Shares, digest *rockwindpb.LoadDigest, loads map[uint32]balance.SharedLoad, now time.Duration) {
+func TakeInto(shares *balance.SharedLoads, digest *rockwindpb.LoadDigest, loads map[uint32]balance.SharedLoad, now time.Duration) {
 	sender, started, sequence := digest.GetSender(), digest.GetStartedUnixMs(), digest.GetSequence()
 	switch group := digest.GetGroup(); {
 	case group == "":
-		shares.Take(sender, started, sequence, loads, now)
+		shares.Apply(sender, started, sequence, loads, now)
 	case digest.GetElsewhere():
-		shares.TakeElsewhere(sender, group, started, sequence, loads, now)
+		shares.ApplyOtherGroups(sender, group, started, sequence, loads, now)
 	default:
-		shares.TakeGroup(sender, group, int(digest.GetMembers()), started, sequence, loads, now)
+		shares.ApplyGroup(sender, group, int(digest.GetMembers()), started, sequence, loads, now)
 	}
 }
--- a/internal/loadshare/pace_test.go
+++ b/internal/loadshare/pace_test.go
@@ -12,7 +12,7 @@
 )
 
 // busyPace is what processes tell of a server that many of them saw.
-var busyPace = balance.SharedPace{Told: 900, ToldVoices: 6, Seen: 2400, SeenVoices: 20}
+var busyPace = balance.SharedPace{ReportedSum: 900, ReportedCount: 6, ObservedSum: 2400, ObservedCount: 20}
 
 // TestDigestWithoutPacesIsAsBefore: where no server tells its pace, digests are not longer,
 // and those of processes that know nothing of paces are taken.
@@ -118,7 +118,7 @@
 		for range watched {
 			server := uint32(w.random.IntN(servers))
 			load := s.own[server]
-			load.Pace = balance.SharedPace{Told: w.random.IntN(200), ToldVoices: 1, Seen: w.random.IntN(300), SeenVoices: 2}
+			load.Pace = balance.SharedPace{ReportedSum: w.random.IntN(200), ReportedCount: 1, ObservedSum: w.random.IntN(300), ObservedCount: 2}
 			s.own[server] = load
 		}
 	}
--- a/internal/loadshare/protocol_test.go
+++ b/internal/loadshare/protocol_test.go
@@ -23,7 +23,7 @@
 type station struct {
 	member   loadshare.Member
 	protocol *loadshare.Protocol
-	shares   *balance.Shares
+	shares   *balance.SharedLoads
 	own      map[uint32]balance.SharedLoad
 	silent   bool
 	// deaf has what others send to the process lost.
@@ -40,7 +40,7 @@
 }
 
 func (s *station) Elsewhere(group string) *rockwindpb.LoadDigest {
-	return loadshare.NewDigest(s.shares.SumElsewhere(group))
+	return loadshare.NewDigest(s.shares.SumOtherGroups(group))
 }
 
 func (s *station) Heard(name string) bool { return s.shares.Heard(name, s.now) }
@@ -101,7 +101,7 @@
 func (w *world) start(s *station, members []loadshare.Member) {
 	s.protocol = loadshare.NewProtocol(s.member.Name(), int64(w.now/time.Millisecond)+1)
 	s.protocol.SetLayout(loadshare.NewLayout(members, s.member.Name()))
-	s.shares = balance.NewShares()
+	s.shares = balance.NewSharedLoads()
 	s.shares.SetZone(s.member.Zone())
 	w.next[s] = w.now + time.Duration(w.random.Int64N(int64(100*time.Millisecond)))
 }
@@ -216,7 +216,7 @@
 	if rapid.Bool().Draw(t, "silent of paces") {
 		return balance.SharedPace{}
 	}
-	return balance.SharedPace{Told: rapid.IntRange(0, 400).Draw(t, "told"), ToldVoices: 1, Seen: rapid.IntRange(0, 900).Draw(t, "seen"), SeenVoices: 2}
+	return balance.SharedPace{ReportedSum: rapid.IntRange(0, 400).Draw(t, "told"), ReportedCount: 1, ObservedSum: rapid.IntRange(0, 900).Draw(t, "seen"), ObservedCount: 2}
 }
 
 // sparedRelays names a relay of each zone, by its number among them.
--- a/internal/router/continuation.go
+++ b/internal/router/continuation.go
@@ -227,14 +227,14 @@
 func (d *Dispatcher) Second(service, first string, otherZone bool) (balance.Member, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.service(service).pool.Second(first, otherZone, d.now(), d.random)
+	return d.service(service).pool.ChooseCopyServer(first, otherZone, d.now(), d.random)
 }
 
 // At returns a lease of a given server, whatever its load, or nil where it has left.
 func (d *Dispatcher) At(service, id string, demand balance.Demand) *Lease {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	choice, found := d.service(service).pool.At(id, demand, d.now())
+	choice, found := d.service(service).pool.StartAt(id, demand, d.now())
 	if !found {
 		return nil
 	}
--- a/internal/router/dispatcher.go
+++ b/internal/router/dispatcher.go
@@ -44,7 +44,7 @@
 	// behind there.
 	servers map[uint32]struct{}
 	lefts   map[uint32]struct{}
-	shares  *balance.Shares
+	shares  *balance.SharedLoads
 	order   uint64
 	// stores is how many processes start batch work, and viewAge how old the loads of
 	// other processes may be.
@@ -67,7 +67,7 @@
 // NewDispatcher returns a dispatcher without servers, for a process in a zone with the given
 // gates.
 func NewDispatcher(zone string, gates gate.Set) *Dispatcher {
-	shares := balance.NewShares()
+	shares := balance.NewSharedLoads()
 	shares.SetZone(zone)
 	if !gates.On(gate.LeftBehind) {
 		shares.IgnoreLeftBehind()
@@ -196,7 +196,7 @@
 	choice, found := pool.pool.Choose(ask.Demand, ask.Tried, d.now(), d.random)
 	if !found && pool.modest(ask, d.now()) {
 		beyond := ask.Demand
-		beyond.Beyond = true
+		beyond.Overcommit = true
 		choice, found = pool.pool.Choose(beyond, ask.Tried, d.now(), d.random)
 	}
 	if !found {
@@ -230,7 +230,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	pool := d.service(service)
-	pool.pool.Yield(pool.waiting.Len(), d.now(), d.random, visit)
+	pool.pool.PreemptBatch(pool.waiting.Len(), d.now(), d.random, visit)
 }
 
 // nudge tells the others at once what has changed here. The mutex is held.
@@ -373,12 +373,12 @@
 }
 
 // Told takes the load that the server told with an answer.
-func (l *Lease) Told(load balance.Load) {
+func (l *Lease) Told(load balance.LoadReport) {
 	l.told = load.Pace
 	d := l.dispatcher
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.service(l.service).pool.Told(l.ID, load, d.now())
+	d.service(l.service).pool.RecordReport(l.ID, load, d.now())
 }
 
 // Read tells that the first event, or the whole answer, came.
@@ -392,7 +392,7 @@
 	d := l.dispatcher
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.service(l.service).pool.Read(l.Choice, came, d.now())
+	d.service(l.service).pool.RecordFirstEvent(l.Choice, came, d.now())
 }
 
 // Done ends the lease with what the exchange showed of the server.
@@ -403,7 +403,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	pool := d.service(l.service)
-	pool.pool.Ended(l.Choice, outcome, latency, d.now(), d.random)
+	pool.pool.RecordOutcome(l.Choice, outcome, latency, d.now(), d.random)
 	// One whose time was over held its slot for at least as long.
 	if outcome == health.Success || (outcome == health.Timeout && d.gates.On(gate.Returns)) {
 		pool.learn(time.Since(l.began))
@@ -430,10 +430,10 @@
 }
 
 // Gone ends the lease of an exchange in which another server answered at the address.
-func (l *Lease) Gone() { l.release((*balance.Pool).Gone) }
+func (l *Lease) Gone() { l.release((*balance.Pool).RecordReplaced) }
 
 // Abandon ends the lease of an exchange that shows nothing of the server.
-func (l *Lease) Abandon() { l.release((*balance.Pool).Abandoned) }
+func (l *Lease) Abandon() { l.release((*balance.Pool).Abandon) }
 
 // release ends the lease of an exchange that gave no answer of the server, and hands on
 // what it has left free.
--- a/internal/router/export_test.go
+++ b/internal/router/export_test.go
@@ -27,7 +27,7 @@
 	defer d.mutex.Unlock()
 	pool := d.service(service).pool
 	pool.SetOnlineProcesses(processes)
-	pool.SetViewAge(viewAge)
+	pool.SetMaxLoadAge(viewAge)
 }
 
 // SubmissionEnds is when the stores' time for a job ends that was received at a time from a
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -38,7 +38,7 @@
 	for name, service := range d.pools {
 		service.pool.SetBatchProcesses(d.stores)
 		service.pool.SetOnlineProcesses(d.routers)
-		service.pool.SetViewAge(d.viewAge)
+		service.pool.SetMaxLoadAge(d.viewAge)
 		d.serveWaiting(name)
 	}
 	if !d.Ready() {
@@ -132,6 +132,6 @@
 	}
 	for _, server := range news {
 		d.servers[balance.ServerHash(server.GetId())] = struct{}{}
-		d.lefts[balance.LeftHash(server.GetId())] = struct{}{}
+		d.lefts[balance.LeftBehindHash(server.GetId())] = struct{}{}
 	}
 }
--- a/internal/router/pace.go
+++ b/internal/router/pace.go
@@ -16,7 +16,7 @@
 func (d *Dispatcher) newPool(service string) *balance.Pool {
 	created := balance.NewPool(service, d.zone, d.shares)
 	if d.gates.On(gate.Pace) {
-		created.SetPacer(pace.New())
+		created.SetPaceEstimator(pace.New())
 	}
 	return created
 }
@@ -52,7 +52,7 @@
 	d := l.dispatcher
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.service(l.service).pool.Seen(l.Choice, l.sighting.Events(), l.sighting.Took(), l.told, d.now()) {
+	if d.service(l.service).pool.RecordRun(l.Choice, l.sighting.Events(), l.sighting.Took(), l.told, d.now()) {
 		l.sighting.Restart()
 	}
 }
--- a/internal/router/protocol.go
+++ b/internal/router/protocol.go
@@ -50,7 +50,7 @@
 	// OtherServer tells that another incarnation has the address.
 	OtherServer bool
 	// Load is what the server told of its load; nil where it told nothing.
-	Load *balance.Load
+	Load *balance.LoadReport
 }
 
 // Protocol is what clients and servers agree on beside plain HTTP. It only
--- a/internal/router/queue.go
+++ b/internal/router/queue.go
@@ -63,7 +63,7 @@
 	name    string
 	gates   gate.Set
 	pool    *balance.Pool
-	shares  *balance.Shares
+	shares  *balance.SharedLoads
 	waiting waiting.Queue[*waiter]
 	// rechecking tells that what waits is looked at again soon.
 	rechecking bool
--- a/internal/router/recording.go
+++ b/internal/router/recording.go
@@ -25,7 +25,7 @@
 	fields["candidates"] = lease.Candidates
 	fields["uncached_tokens"] = lease.Uncached
 	fields["load_age_ms"] = lease.ReportAge.Milliseconds()
-	fields["expected_first_ms"] = lease.Expected().Milliseconds()
+	fields["expected_first_ms"] = lease.ExpectedFirstEvent().Milliseconds()
 	if lease.Pace > 0 {
 		fields["pace"] = lease.Pace
 	}
--- a/internal/router/sharing.go
+++ b/internal/router/sharing.go
@@ -65,7 +65,7 @@
 func (s loadSource) Elsewhere(group string) *rockwindpb.LoadDigest {
 	s.dispatcher.mutex.Lock()
 	defer s.dispatcher.mutex.Unlock()
-	return loadshare.NewDigest(s.dispatcher.shares.SumElsewhere(group))
+	return loadshare.NewDigest(s.dispatcher.shares.SumOtherGroups(group))
 }
 
 // Heard implements loadshare.Source.
@@ -117,7 +117,7 @@
 	loads := make(map[uint32]balance.SharedLoad)
 	add := func(hash uint32, load balance.SharedLoad) { loads[hash] = loads[hash].Plus(load) }
 	for _, pool := range d.pools {
-		pool.pool.Own(d.now(), add)
+		pool.pool.OwnLoads(d.now(), add)
 		pool.queued(time.Now(), d.now(), add)
 	}
 	d.batchLoads(add)
--- a/internal/router/sharing_test.go
+++ b/internal/router/sharing_test.go
@@ -33,7 +33,7 @@
 	source := oneServer(4).LoadSource()
 	for hash, want := range map[uint32]loadshare.Sparing{
 		balance.ServerHash("server"): loadshare.NeverSpared, balance.QueueHash("app"): loadshare.NeverSpared,
-		balance.LeftHash("server"): loadshare.SparedFirst, balance.QueueHash("a tenant"): loadshare.SparedNext,
+		balance.LeftBehindHash("server"): loadshare.SparedFirst, balance.QueueHash("a tenant"): loadshare.SparedNext,
 	} {
 		if got := source.Sparing(hash); got != want {
 			t.Errorf("%d is spared %d, want %d", hash, got, want)
--- a/internal/router/survey.go
+++ b/internal/router/survey.go
@@ -118,13 +118,15 @@
 	defer d.mutex.Unlock()
 	now := d.now()
 	earliest, heard := d.shares.EarliestStart()
-	d.survey.Judge(leftbehind.Sight{Heard: heard, Earliest: earliest, LivedOn: d.shares.LivedOn()}, d.living, now)
+	d.survey.Judge(leftbehind.Sight{Heard: heard, Earliest: earliest, LivedOn: d.shares.SurvivorsReported()}, d.living, now)
 	d.tellLeftBehind()
 	return d.survey.Due(now), d.survey.Over()
 }
 
 // living is how many requests the living processes have at a server. The mutex is held.
-func (d *Dispatcher) living(id string) int { return d.service(d.survey.services[id]).pool.Living(id) }
+func (d *Dispatcher) living(id string) int {
+	return d.service(d.survey.services[id]).pool.LiveInflight(id)
+}
 
 // tellLeftBehind has what is known of the survey counted here and told to the others, at once
 // where it has changed. The mutex is held.
--- a/internal/store/executor.go
+++ b/internal/store/executor.go
@@ -274,7 +274,7 @@
 	}
 	if active != nil && end.outcome == rockwindpb.StoredOutcome_STORED_OUTCOME_DONE {
 		whole := end.history.made()
-		e.pace(active.service).Ended(whole-active.madeBefore, whole, active.choice.Usual(time.Since(active.began)))
+		e.pace(active.service).Ended(whole-active.madeBefore, whole, active.choice.NormalizeDuration(time.Since(active.began)))
 	}
 	recordEnd(end, active, e.term)
 	if end.outcome == rockwindpb.StoredOutcome_STORED_OUTCOME_UNSPECIFIED {
--- a/internal/store/order.go
+++ b/internal/store/order.go
@@ -79,6 +79,6 @@
 // backlogTry is what the order in which tries give way rests on. What a try has made since
 // it began is taken to be what others make in that time.
 func (e *executor) backlogTry(try *activeTry) backlog.Item {
-	remaining := try.choice.There(e.pace(try.service).Remaining(try.madeBefore)) - time.Since(try.began)
+	remaining := try.choice.ScaleDuration(e.pace(try.service).Remaining(try.madeBefore)) - time.Since(try.began)
 	return backlog.NewItem(try.submitted, dueTime(try.route, try.submitted), max(0, remaining)).Of(try.tenant, e.weight(try.tenant))
 }
--- a/internal/store/share.go
+++ b/internal/store/share.go
@@ -92,7 +92,7 @@
 	wanted := e.backlogItem(item)
 	demand := balance.Demand{
 		Parts: e.parts(item), Batch: true,
-		Reserved: e.share.use.Reserved(service, wanted), First: e.share.use.First(service, wanted),
+		Reserved: e.share.use.Reserved(service, wanted), Prioritized: e.share.use.First(service, wanted),
 	}
 	lease = e.store.dispatcher.TryAcquire(service, demand)
 	if lease != nil {
