--- a/internal/balance/cost.go
+++ b/internal/balance/cost.go
@@ -8,54 +8,54 @@
 	"rockwind.example/rockwind/internal/health"
 )
 
-// Figures of what a server costs.
+// Parameters of the cost function.
 const (
-	// readRate is how many prompt tokens a server reads in a millisecond.
-	readRate = 85.0
-	// Costs in milliseconds of the time to the first event.
+	// prefillTokensPerMillisecond is the prefill rate of a server.
+	prefillTokensPerMillisecond = 85.0
+	// Penalties in milliseconds of time to first event.
 	otherZoneCost = 4.0
 	suspectCost   = 1000.0
 	silentCost    = 2000.0
-	// costScale is how much later, in milliseconds, the first event may come from a server
-	// that has e times as many free slots.
+	// costScale is how many milliseconds of time to first event weigh as much as a factor of e in
+	// free slots.
 	costScale = 8.0
-	// tieCost breaks ties, in units of costScale.
-	tieCost = 0.1
-	// leastFree is what a server that was tried although it is full counts as.
-	leastFree = 0.1
-	// smallestNoise keeps the logarithm of zero away.
-	smallestNoise = 1e-12
+	// tieBreakCost is the range of the random tie-breaker, in units of costScale.
+	tieBreakCost = 0.1
+	// minFreeSlots is the number of free slots assumed for a server that is considered although it
+	// is full.
+	minFreeSlots = 0.1
+	// minNoise avoids the logarithm of zero.
+	minNoise = 1e-12
 )
 
-// noise makes the least of some costs a draw: with the logarithm of exponential noise each
-// is the least with a probability in proportion to the exponential of its negative.
-func noise(alone bool, random *rand.Rand) float64 {
-	if alone {
-		return tieCost * random.Float64()
+// noise returns a random term for a cost. With the logarithm of exponential noise, choosing the
+// lowest cost chooses each server with a probability proportional to exp(-cost). A process without
+// peers only breaks ties.
+func noise(noPeers bool, random *rand.Rand) float64 {
+	if noPeers {
+		return tieBreakCost * random.Float64()
 	}
-	return math.Log(random.ExpFloat64() + smallestNoise)
+	return math.Log(random.ExpFloat64() + minNoise)
 }
 
-// cost is the time to the first event that a server is expected to take, in units of
-// costScale, less the logarithm of what its free slots are worth: one at a server that is
-// twice as slow serves half as many requests. Sent that way, 64 processes that share 90 servers
-// of 0.6 to 1.6 times the usual pace, a quarter of them three times slower, have the ends of
-// answers come 18% earlier at 0.8 of the capacity than by free slots alone.
-func (p *Pool) cost(candidate sight, state health.State, demand Demand, uncached int, pace float64, now time.Duration) float64 {
-	free := candidate.free(demand.Batch)
+// cost returns the expected time to the first event in units of costScale, less the logarithm of
+// the number of free slots. A free slot at a server that is twice as slow counts half.
+func (p *Pool) cost(candidate serverView, state health.State, demand Demand, uncached int, pace float64, now time.Duration) float64 {
+	free := candidate.freeEstimate(demand.Batch)
 	if pace == 0 {
-		return p.firstEvent(candidate, state, uncached, usualPace)/costScale - math.Log(free)
+		return p.firstEventCost(candidate, state, uncached, defaultPace)/costScale - math.Log(free)
 	}
 	if !demand.Batch && p.paced() {
-		free = p.surely(candidate.server, free, now)
+		free = p.weighFreeSlots(candidate.server, free, now)
 	}
-	return p.firstEvent(candidate, state, uncached, pace)/costScale - math.Log(free/pace)
+	return p.firstEventCost(candidate, state, uncached, pace)/costScale - math.Log(free/pace)
 }
 
-// firstEvent is the time to the first event that a server is expected to take, beyond that
-// of the best one, in milliseconds.
-func (p *Pool) firstEvent(candidate sight, state health.State, uncached int, pace float64) float64 {
-	cost := float64(uncached+candidate.unread+candidate.others.Unread) / readRate * pace
+// firstEventCost returns the expected time to the first event, in milliseconds. It includes the
+// prompt tokens already queued at the server and penalties for another zone, a suspect server and a
+// silent one.
+func (p *Pool) firstEventCost(candidate serverView, state health.State, uncached int, pace float64) float64 {
+	cost := float64(uncached+candidate.unread+candidate.peers.Unread) / prefillTokensPerMillisecond * pace
 	if candidate.Zone != p.zone {
 		cost += otherZoneCost
 	}
@@ -68,26 +68,26 @@
 	return cost
 }
 
-// uncached estimates how many prompt tokens a server has to read.
-func (p *Pool) uncached(place int, demand Demand, now time.Duration) int {
+// uncachedTokens estimates how many prompt tokens the server at a place has to prefill.
+func (p *Pool) uncachedTokens(place int, demand Demand, now time.Duration) int {
 	candidate := p.servers[place]
 	total := 0
-	kept := true
+	cached := true
 	for i, part := range demand.Parts {
-		if !kept {
+		if !cached {
 			total += part.Tokens
 			continue
 		}
 		last, sent := candidate.parts[part.ID]
-		if sent && now-last < partFor {
+		if sent && now-last < partTTL {
 			continue
 		}
-		kept = false
-		trust := 0.0
+		cached = false
+		hitProbability := 0.0
 		if i < len(demand.Parts)-1 {
-			trust = p.trust(place, part.ID)
+			hitProbability = p.homeHitProbability(place, part.ID)
 		}
-		total += int(float64(part.Tokens) * (1 - trust))
+		total += int(float64(part.Tokens) * (1 - hitProbability))
 	}
 	return total
 }
--- a/internal/balance/export_test.go
+++ b/internal/balance/export_test.go
@@ -2,6 +2,6 @@
 
 // Its figures that the tests use.
 const (
-	HeardFor  = heardFor
-	SenderFor = senderFor
+	HeardWindow = heardWindow
+	SenderTTL   = senderTTL
 )
--- a/internal/balance/homes.go
+++ b/internal/balance/homes.go
@@ -7,54 +7,53 @@
 )
 
 const (
-	// homeCount is how many servers are expected to keep a shared part, found by
-	// rendezvous hashing.
+	// homeCount is how many servers, selected by rendezvous hashing, are expected to cache a shared
+	// part.
 	homeCount = 2
-	// maximumHomes bounds the shared parts whose homes are remembered: some hundred bytes
-	// each, and more than the subjects that a site's prompts share.
-	maximumHomes = 4096
+	// maxCachedHomes bounds the number of parts whose homes are cached, at some hundred bytes each.
+	maxCachedHomes = 4096
 )
 
-// homeTrust is how likely the first and the second home of a part keep it.
-var homeTrust = [homeCount]float64{0.8, 0.5}
+// homeHitProbabilities are the probabilities that the first and the second home of a part have it
+// cached.
+var homeHitProbabilities = [homeCount]float64{0.8, 0.5}
 
-// homePlaces are the places of the servers that rank first for a part, -1 where there is
-// none.
+// homePlaces are the places of a part's homes, or -1 where there is none.
 type homePlaces [homeCount]int
 
-// trust is how likely the server at a place keeps a shared part that this process did not
-// send there: the servers that rank first for the part are expected to.
-func (p *Pool) trust(place int, part uint64) float64 {
+// homeHitProbability returns the probability that the server at a place has a shared part cached
+// that this process did not send there.
+func (p *Pool) homeHitProbability(place int, part uint64) float64 {
 	for i, home := range p.homesOf(part) {
 		if home == place {
-			return homeTrust[i]
+			return homeHitProbabilities[i]
 		}
 	}
 	return 0
 }
 
-// homesOf finds the homes of a part. They are remembered until the members change: to rank
-// all servers for each of them at each choice took longer than all else.
+// homesOf returns the homes of a part. They are cached until the members change, since ranking all
+// servers for each choice is expensive.
 func (p *Pool) homesOf(part uint64) homePlaces {
-	if known, found := p.homes[part]; found {
-		return known
+	if cached, found := p.homes[part]; found {
+		return cached
 	}
-	if len(p.homes) >= maximumHomes {
+	if len(p.homes) >= maxCachedHomes {
 		clear(p.homes)
 	}
-	found := p.rankHomes(part)
-	p.homes[part] = found
-	return found
+	homes := p.rankHomes(part)
+	p.homes[part] = homes
+	return homes
 }
 
 func (p *Pool) rankHomes(part uint64) homePlaces {
 	homes := homePlaces{-1, -1}
 	var ranks [homeCount]uint64
-	for place, known := range p.servers {
-		if known == nil {
+	for place, srv := range p.servers {
+		if srv == nil {
 			continue
 		}
-		candidate, own := place, rank(known.ID, part)
+		candidate, own := place, rank(srv.ID, part)
 		for i := range homes {
 			if homes[i] < 0 || own > ranks[i] {
 				homes[i], candidate = candidate, homes[i]
--- a/internal/balance/leftbehind.go
+++ b/internal/balance/leftbehind.go
@@ -6,91 +6,93 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// leftMark is the hash under which a digest says that it tells of requests left behind, so
-// that loads need not be looked up under a second hash at each choice.
-var leftMark = uint32(xxhash.Sum64String("left behind"))
+// leftBehindMarker is the hash under which a digest tells that it contains requests left behind.
+// Without it, each choice would have to look up a second hash per server.
+var leftBehindMarker = uint32(xxhash.Sum64String("left behind"))
 
-// livedMark is the hash under which a process that has just started says that it heard of
-// others that have not.
-var livedMark = uint32(xxhash.Sum64String("others lived on"))
+// survivorsMarker is the hash under which a restarted process tells that it heard of processes that
+// have not restarted.
+var survivorsMarker = uint32(xxhash.Sum64String("others lived on"))
 
-// LeftBehindHash is the short name in digests of what processes that are gone left behind at a
-// server: the requests in flight there are those, as each of so many processes was told as
-// the tokens say.
+// LeftBehindHash returns the hash that identifies the requests left behind at a server in digests,
+// that is, those still running there for processes that have ended. Inflight sums up the counts of
+// the processes that asked the server, and Unread is the number of these processes.
 func LeftBehindHash(server string) uint32 {
 	return uint32(xxhash.Sum64String("left behind at " + server))
 }
 
-// SetLeftBehind replaces what this process was told that processes that are gone left behind
-// at servers, by identifier, and whether it says that others have lived on. It tells whether
-// that differs from before.
-func (s *SharedLoads) SetLeftBehind(left map[string]int, livedOn bool) (changed bool) {
+// SetLeftBehind replaces the numbers of requests left behind that servers told this process, by
+// server identifier, and whether it reports that other processes survived. It returns whether
+// anything changed.
+func (s *SharedLoads) SetLeftBehind(left map[string]int, survivors bool) (changed bool) {
 	next := make(map[uint32]SharedLoad, len(left)+2)
-	if livedOn {
-		next[livedMark] = SharedLoad{Inflight: 1}
+	if survivors {
+		next[survivorsMarker] = SharedLoad{Inflight: 1}
 	}
 	for server, count := range left {
 		next[LeftBehindHash(server)] = SharedLoad{Inflight: count, Unread: 1}
 	}
 	if len(left) > 0 {
-		next[leftMark] = SharedLoad{Inflight: 1}
+		next[leftBehindMarker] = SharedLoad{Inflight: 1}
 	}
-	changed = !maps.Equal(s.ownLeft, next)
-	s.ownLeft = next
-	s.noteLeft()
+	changed = !maps.Equal(s.ownLeftBehind, next)
+	s.ownLeftBehind = next
+	s.updateHasLeftBehind()
 	return changed
 }
 
-// SurvivorsReported tells whether another process that has just started says that some have not.
-func (s *SharedLoads) SurvivorsReported() bool { return s.sums[livedMark].Inflight > 0 }
+// SurvivorsReported reports whether another restarted process tells that some processes have not
+// restarted.
+func (s *SharedLoads) SurvivorsReported() bool { return s.sums[survivorsMarker].Inflight > 0 }
 
-// OwnLeftBehind visits what this process tells the others of what was left behind.
+// OwnLeftBehind visits the entries about requests left behind for this process's digest.
 func (s *SharedLoads) OwnLeftBehind(visit func(hash uint32, load SharedLoad)) {
-	for hash, load := range s.ownLeft {
+	for hash, load := range s.ownLeftBehind {
 		visit(hash, load)
 	}
 }
 
-// IgnoreLeftBehind has nothing counted as left behind here. What others tell of it is passed
-// on all the same.
-func (s *SharedLoads) IgnoreLeftBehind() { s.leftIgnored = true }
+// IgnoreLeftBehind excludes requests left behind from this process's loads. Sums for other
+// processes still include them.
+func (s *SharedLoads) IgnoreLeftBehind() { s.ignoreLeftBehind = true }
 
-// noteLeft notes whether anything is told of requests left behind.
-func (s *SharedLoads) noteLeft() {
-	s.leftKnown = !s.leftIgnored && (len(s.ownLeft) > 0 || s.sums[leftMark].Inflight > 0)
+// updateHasLeftBehind updates whether any process tells of requests left behind.
+func (s *SharedLoads) updateHasLeftBehind() {
+	s.hasLeftBehind = !s.ignoreLeftBehind && (len(s.ownLeftBehind) > 0 || s.sums[leftBehindMarker].Inflight > 0)
 }
 
-// leftBehind is how many requests of processes that are gone a server has: the mean of what
-// the processes were told that asked it, rounded up.
+// leftBehind returns the number of requests left behind at a server: the mean over the processes
+// that asked it, rounded up.
 func (s *SharedLoads) leftBehind(hash uint32) int {
-	if !s.leftKnown {
+	if !s.hasLeftBehind {
 		return 0
 	}
-	told := s.sums[hash].Plus(s.ownLeft[hash])
-	if told.Unread == 0 {
+	reported := s.sums[hash].Plus(s.ownLeftBehind[hash])
+	if reported.Unread == 0 {
 		return 0
 	}
-	return (told.Inflight + told.Unread - 1) / told.Unread
+	return (reported.Inflight + reported.Unread - 1) / reported.Unread
 }
 
-// LeftBehind is how many requests of processes that are gone the servers of the pool have.
+// LeftBehind returns the number of requests left behind at all servers of the pool.
 func (p *Pool) LeftBehind() int {
 	sum := 0
-	for _, each := range p.servers {
-		if each != nil {
-			sum += p.shares.leftBehind(each.left)
+	for _, srv := range p.servers {
+		if srv != nil {
+			sum += p.shares.leftBehind(srv.leftBehindHash)
 		}
 	}
 	return sum
 }
 
-// LiveInflight is how many requests the living processes have at a server, this one included.
+// LiveInflight returns the number of requests that live processes, including this one, have at a
+// server.
 func (p *Pool) LiveInflight(id string) int {
-	known := p.find(id)
-	if known == nil {
+	srv := p.find(id)
+	if srv == nil {
 		return 0
 	}
-	return p.living(known)
+	return p.liveInflight(srv)
 }
 
-func (p *Pool) living(s *server) int { return s.inflight + p.shares.At(s.hash).Inflight }
+func (p *Pool) liveInflight(s *server) int { return s.inflight + p.shares.At(s.hash).Inflight }
--- a/internal/balance/members.go
+++ b/internal/balance/members.go
@@ -7,12 +7,12 @@
 	ID      string
 	Address string
 	Zone    string
-	// Slots is how many requests it runs at once; zero is unknown.
+	// Slots is the number of requests it runs concurrently; zero if unknown.
 	Slots int
-	// Silent servers have not reported for long.
+	// Silent is set for a server that has not reported to the directory for long.
 	Silent bool
-	// ColdUntil is until when it is cold, in the pool's time, and ColdSpacing the least time between
-	// requests of this process meanwhile; zero means none.
+	// ColdUntil is when the server stops being cold, in the pool's time. ColdSpacing is the minimum
+	// time between requests of this process until then; zero means that none may be sent.
 	ColdUntil   time.Duration
 	ColdSpacing time.Duration
 }
@@ -20,76 +20,78 @@
 // server is a member with what is known of its load.
 type server struct {
 	Member
-	// hash is its short name in digests.
+	// hash identifies the server in digests.
 	hash uint32
-	// left is the short name of what was left behind there.
-	left uint32
+	// leftBehindHash identifies the requests left behind there.
+	leftBehindHash uint32
 	// inflight counts the requests of this process.
 	inflight int
-	// batch is how many of them are batch work.
+	// batch counts those of them that are batch work.
 	batch int
-	// unread is the number of prompt tokens sent whose first event is awaited.
+	// unread is the number of prompt tokens sent whose first event has not arrived.
 	unread int
-	// told is the load that the server told last, at toldAt; since counts the
-	// requests of this process that began less those that ended since.
-	told   int
-	toldAt time.Duration
-	since  int
-	known  bool
-	// fullUntil is when the server may be tried again after it refused as full.
+	// reportedLoad is the server's last reported load, received at reportedAt. inflightDelta is the
+	// number of requests that this process started since, less those that ended.
+	reportedLoad  int
+	reportedAt    time.Duration
+	inflightDelta int
+	hasReport     bool
+	// fullUntil is when the server may be used again after it refused a request as full.
 	fullUntil time.Duration
-	// gone tells that another server has its address now.
-	gone bool
-	// excess is how many requests beyond its slots were given way to already.
-	excess settled
-	// vacated is when requests of this process left slots here that none has taken since.
-	vacated recent
-	// coldNext is when this process may send the next request there while it is cold.
+	// replaced is set once another server answers at its address.
+	replaced bool
+	// handledExcess is the number of requests beyond its slots that preemptions were already decided
+	// for.
+	handledExcess handledAmount
+	// freedSlots holds when requests of this process freed slots that none of its requests has taken
+	// since.
+	freedSlots recentTimes
+	// coldNext is when this process may send the next request while the server is cold.
 	coldNext time.Duration
-	// looked is the last search among a part of the servers that looked at this one.
-	looked uint64
-	// parts tells when a part was last sent here.
+	// lastSearch is the last sampling search that considered this server.
+	lastSearch uint64
+	// parts maps prompt parts to the time they were last sent here.
 	parts map[uint64]time.Duration
 }
 
-// Update replaces the members and keeps what is known of those that stay.
+// Update replaces the members and keeps the state of those that stay.
 func (p *Pool) Update(members []Member) {
 	p.summary.invalidate()
-	// A server's place never changes while it is a member: the judgement of its
-	// health is kept by place.
+	// A server's place never changes while it is a member, because its health and pace are tracked
+	// by place.
 	byID := make(map[string]Member, len(members))
 	for _, member := range members {
 		byID[member.ID] = member
 	}
-	for place, known := range p.servers {
-		if known == nil {
+	for place, srv := range p.servers {
+		if srv == nil {
 			continue
 		}
-		member, stays := byID[known.ID]
+		member, stays := byID[srv.ID]
 		if !stays {
 			p.remove(place)
 			continue
 		}
-		known.Member = member
+		srv.Member = member
 	}
 	for _, member := range members {
-		if _, known := p.places[member.ID]; !known {
+		if _, present := p.places[member.ID]; !present {
 			p.Put(member)
 		}
 	}
 }
 
-// Put adds a member, or takes what has changed of one.
+// Put adds or updates a member.
 func (p *Pool) Put(member Member) {
 	p.summary.invalidate()
-	if known := p.find(member.ID); known != nil {
-		known.Member = member
+	if srv := p.find(member.ID); srv != nil {
+		srv.Member = member
 		return
 	}
-	p.add(&server{Member: member, hash: ServerHash(member.ID), left: LeftBehindHash(member.ID), parts: make(map[uint64]time.Duration)})
+	p.add(&server{Member: member, hash: ServerHash(member.ID), leftBehindHash: LeftBehindHash(member.ID), parts: make(map[uint64]time.Duration)})
 }
 
-// Drop removes a member, if it is one.
+// Drop removes a member, if present.
 func (p *Pool) Drop(id string) {
 	if place := p.place(id); place >= 0 {
 		p.summary.invalidate()
@@ -104,7 +106,7 @@
 	p.places[added.ID] = place
 }
 
-// vacantPlace takes a place that no server has.
+// vacantPlace returns a place that no server has and grows the pool if there is none.
 func (p *Pool) vacantPlace() int {
 	if last := len(p.vacant) - 1; last >= 0 {
 		place := p.vacant[last]
@@ -113,8 +115,8 @@
 	}
 	p.servers = append(p.servers, nil)
 	p.tracker.Resize(len(p.servers))
-	if p.pacer != nil {
-		p.pacer.Resize(len(p.servers))
+	if p.paceEstimator != nil {
+		p.paceEstimator.Resize(len(p.servers))
 	}
 	return len(p.servers) - 1
 }
@@ -125,8 +127,8 @@
 	p.servers[place] = nil
 	p.vacant = append(p.vacant, place)
 	p.tracker.Forget(place)
-	if p.pacer != nil {
-		p.pacer.Forget(place)
+	if p.paceEstimator != nil {
+		p.paceEstimator.Forget(place)
 	}
 }
 
@@ -138,44 +140,44 @@
 }
 
 func (p *Pool) place(id string) int {
-	place, known := p.places[id]
-	if !known {
+	place, found := p.places[id]
+	if !found {
 		return -1
 	}
 	return place
 }
 
-// Size is the number of members.
+// Size returns the number of members.
 func (p *Pool) Size() int { return len(p.places) }
 
-// Slots is how many requests all members run at once; zero where one does not say.
+// Slots returns the number of slots of all members, or zero if that of any is unknown.
 func (p *Pool) Slots() int {
 	slots := 0
-	for _, known := range p.servers {
-		if known == nil {
+	for _, srv := range p.servers {
+		if srv == nil {
 			continue
 		}
-		if known.Slots == 0 {
+		if srv.Slots == 0 {
 			return 0
 		}
-		slots += known.Slots
+		slots += srv.Slots
 	}
 	return slots
 }
 
-// refusesCold tells whether a server is cold and gets nothing more from this process now.
+// refusesCold reports whether the server is cold and may not be sent a request of this process now.
 func (s *server) refusesCold(now time.Duration) bool {
 	return now < s.ColdUntil && (s.ColdSpacing == 0 || now < s.coldNext)
 }
 
 func (s *server) dropOldParts(now time.Duration) {
 	for id, last := range s.parts {
-		if now-last > partFor {
+		if now-last > partTTL {
 			delete(s.parts, id)
 		}
 	}
 	for id := range s.parts {
-		if len(s.parts) <= maximumParts {
+		if len(s.parts) <= maxPartsPerServer {
 			return
 		}
 		delete(s.parts, id)
--- a/internal/balance/overview.go
+++ b/internal/balance/overview.go
@@ -2,70 +2,69 @@
 
 import "time"
 
-// sampleAbove is the number of servers up to which each choice looks at all of them.
-const sampleAbove = 64
+// maxFullScan is the number of servers up to which each choice considers all of them.
+const maxFullScan = 64
 
-// overview is what a choice has to know of all servers together.
+// overview provides sums over all servers of a pool.
 type overview interface {
-	// usage is what the servers have in hand.
+	// usage returns the load of the servers.
 	usage(now time.Duration) usage
-	// freeSlots is how many slots of all servers online requests could use, less those that
-	// queue at servers, with the spare ones. It is not limited where a server does not say its
-	// slots.
-	freeSlots(now time.Duration) (free float64, limited bool)
-	// avoidsAccused tells that some servers are accused, and few enough to be avoided.
-	avoidsAccused(now time.Duration) bool
+	// freeSlots returns how many slots online requests may use, including spare ones and less the
+	// requests that queue at servers. slotsKnown is false if the slots of any usable server are
+	// unknown.
+	freeSlots(now time.Duration) (free float64, slotsKnown bool)
+	// avoidsSuspected reports whether some servers are suspected, but few enough to be avoided.
+	avoidsSuspected(now time.Duration) bool
 }
 
 var (
-	_ overview = wholeLook{}
+	_ overview = fullScan{}
 	_ overview = (*summary)(nil)
 )
 
-// overview is a look at each server where there are few, and sums that serve for a while where
-// there are many.
+// overview returns a full scan for small pools and cached sums for large ones.
 func (p *Pool) overview() overview {
 	if p.large() {
 		return &p.summary
 	}
-	return wholeLook{p}
+	return fullScan{p}
 }
 
-// large tells whether choices look at a part of the servers only.
-func (p *Pool) large() bool { return len(p.places) > sampleAbove }
+// large reports whether choices consider a sample of the servers only.
+func (p *Pool) large() bool { return len(p.places) > maxFullScan }
 
-// wholeLook looks at each server whenever it is asked.
-type wholeLook struct{ pool *Pool }
+// fullScan computes the sums from all servers on each call.
+type fullScan struct{ pool *Pool }
 
-func (l wholeLook) usage(now time.Duration) usage {
-	sum := usage{limited: true}
-	for place, each := range l.pool.servers {
-		if each != nil {
-			sum.add(l.pool.see(each, now), l.pool.usable(place, now))
+func (l fullScan) usage(now time.Duration) usage {
+	sum := usage{slotsKnown: true}
+	for place, srv := range l.pool.servers {
+		if srv != nil {
+			sum.add(l.pool.viewOf(srv, now), l.pool.usable(place, now))
 		}
 	}
 	return sum
 }
 
-func (l wholeLook) freeSlots(now time.Duration) (free float64, limited bool) {
-	for place, each := range l.pool.servers {
-		if each == nil || !l.pool.usable(place, now) {
+func (l fullScan) freeSlots(now time.Duration) (free float64, slotsKnown bool) {
+	for place, srv := range l.pool.servers {
+		if srv == nil || !l.pool.usable(place, now) {
 			continue
 		}
-		if each.Slots == 0 {
+		if srv.Slots == 0 {
 			return 0, false
 		}
-		free += l.pool.see(each, now).freeSlots()
+		free += l.pool.viewOf(srv, now).freeSlots()
 	}
 	return free, true
 }
 
-func (l wholeLook) avoidsAccused(time.Duration) bool {
-	accused := 0
-	for _, each := range l.pool.servers {
-		if each != nil && l.pool.shares.At(each.hash).accused() {
-			accused++
+func (l fullScan) avoidsSuspected(time.Duration) bool {
+	suspected := 0
+	for _, srv := range l.pool.servers {
+		if srv != nil && l.pool.shares.At(srv.hash).suspectedByPeers() {
+			suspected++
 		}
 	}
-	return fewAccused(accused, len(l.pool.places))
+	return fewSuspected(suspected, len(l.pool.places))
 }
--- a/internal/balance/pacing.go
+++ b/internal/balance/pacing.go
@@ -3,87 +3,84 @@
 import "time"
 
 const (
-	// leastCredit is how many online requests a process may start at once at least beyond
-	// what it has ended, where there is room.
-	leastCredit = 2.0
-	// spareSlots is the part of all slots beyond which online requests may queue at servers:
-	// it lets a process start something that has ended nothing while all others are busy.
-	spareSlots = 0.01
+	// minCredit is the minimum for the upper limit of a process's credit, and its initial credit.
+	minCredit = 2.0
+	// spareSlotFraction is the fraction of all slots that online requests may queue for at busy
+	// servers. It lets a process start requests that has ended none while all servers are busy.
+	spareSlotFraction = 0.01
 )
 
-// pacing bounds the online requests that a process starts where the loads of others are
-// old. All processes see the same free slots; if each of them filled these, as many requests
-// as there are processes would queue at the servers that had a free slot, while the slots
-// that others have freed since stay empty. So a process starts as many as it ends itself,
-// and its part of the slots that are free beyond that: by what waits there, where processes
-// tell of it, else an equal one.
+// pacing limits how many online requests a process starts when the loads of other processes are
+// outdated. All processes see the same free slots; if each of them filled these, requests would
+// queue there while recently freed slots stay empty. A process may therefore start as many requests
+// as it ends, plus its share of the free slots: in proportion to its queue if that is known, else
+// an equal share.
 type pacing struct {
 	credit float64
 	at     time.Duration
 }
 
-// earn adds the process's part of the free slots of the time since the last look.
-func (c *pacing) earn(part float64, viewAge, now time.Duration) {
-	most := max(leastCredit, part)
-	elapsed := min(viewAge, now-c.at)
-	c.credit = min(most, c.credit+max(0, part)*float64(elapsed)/float64(viewAge))
-	c.at = now
+// earn adds the process's share of the free slots for the time since the last call.
+func (p *pacing) earn(share float64, maxLoadAge, now time.Duration) {
+	most := max(minCredit, share)
+	elapsed := min(maxLoadAge, now-p.at)
+	p.credit = min(most, p.credit+max(0, share)*float64(elapsed)/float64(maxLoadAge))
+	p.at = now
 }
 
-// ended gives back the credit of a request that has left its slot.
-func (c *pacing) ended() { c.credit++ }
+// refund returns the credit of a request that has freed its slot.
+func (p *pacing) refund() { p.credit++ }
 
-// SetOnlineProcesses tells how many processes start online requests, this one included.
+// SetOnlineProcesses sets the number of processes that start online requests, including this one.
 func (p *Pool) SetOnlineProcesses(count int) { p.onlineProcesses = count }
 
-// SetWaiting tells how many online requests wait in this process. Its part of the free slots
-// follows that from then on.
+// SetWaiting sets the number of online requests that wait in this process. Its share of the free
+// slots depends on it from then on.
 func (p *Pool) SetWaiting(count int) { p.waiting, p.waitingKnown = count, true }
 
-// part is this process's part of what all may start: by what waits here beside all that
-// waits. Each process counts for one request more than it tells of, which it may have by
-// now, so that the parts of all together are the whole, and are equal while nothing waits.
-// With 50 routers before servers that are used to four fifths, 0.999 of the requests are in
-// time instead of 0.732 (fairshare.TestFloodOfOneTenantDoesNotMakeOthersLate).
-func (p *Pool) part() float64 {
+// onlineShare returns this process's share of the free slots, in proportion to its waiting
+// requests. Each process counts as having one request more than it reports, so that the shares sum
+// up to 1 and are equal while nothing waits.
+func (p *Pool) onlineShare() float64 {
 	if !p.waitingKnown {
 		return 1 / float64(p.onlineProcesses)
 	}
-	all := p.waiting + p.shares.At(p.queue).Inflight + p.onlineProcesses
+	all := p.waiting + p.shares.At(p.queueHash).Inflight + p.onlineProcesses
 	return float64(p.waiting+1) / float64(all)
 }
 
-// paced tells whether online requests are paced: the loads of others are old, and there are
-// others that start online requests.
-func (p *Pool) paced() bool { return p.viewAge > 0 && p.onlineProcesses > 1 }
+// paced reports whether online requests are paced, which is the case if the loads of other
+// processes are outdated and others start online requests too.
+func (p *Pool) paced() bool { return p.maxLoadAge > 0 && p.onlineProcesses > 1 }
 
-// Paced tells whether this process may start only its part of what all may, where a request may
-// go beyond it (Demand.Beyond).
+// Paced reports whether this process is limited to its share of the free slots, which
+// Demand.Overcommit exceeds.
 func (p *Pool) Paced() bool { return p.paced() }
 
-// beyond is how many slots a request may count on that are not there, of this process's part and
-// of each server: it waits for one at the server, where the next of all requests there leaves it
-// one, while slots that are left stay with the process that had them.
-func (p *Pool) beyond(demand Demand) int {
+// overcommit returns how many slots a request may use beyond this process's share and beyond those
+// of a server. Such a request waits at the server for the next slot that any request frees there.
+func (p *Pool) overcommit(demand Demand) int {
 	if demand.Overcommit && p.paced() {
 		return 1
 	}
 	return 0
 }
 
-// mayStart tells whether this process may start one more online request now.
+// mayStart reports whether this process may start another online request now.
 func (p *Pool) mayStart(demand Demand, now time.Duration) bool {
 	if !p.paced() {
 		return true
 	}
-	free, limited := p.overview().freeSlots(now)
-	if !limited {
+	free, slotsKnown := p.overview().freeSlots(now)
+	if !slotsKnown {
 		return true
 	}
-	p.pacing.earn(free*p.part(), p.viewAge, now)
-	return p.pacing.credit+float64(p.beyond(demand)) >= 1
+	p.pacing.earn(free*p.onlineShare(), p.maxLoadAge, now)
+	return p.pacing.credit+float64(p.overcommit(demand)) >= 1
 }
 
-// freeSlots is how many slots of a server online requests could use, less those that queue
-// there, with the spare ones.
-func (s sight) freeSlots() float64 { return float64(s.Slots)*(1+spareSlots) - float64(s.online) }
+// freeSlots returns how many slots online requests may use, including spare ones and less the
+// requests that queue at the server.
+func (s serverView) freeSlots() float64 {
+	return float64(s.Slots)*(1+spareSlotFraction) - float64(s.onlineLoad)
+}
--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -1,12 +1,15 @@
-// Package balance chooses the server of a service for a request. It is pure:
-// time and randomness are arguments, so that routers, stores and simulations run
-// the same code. Times are durations since an origin of the caller's choice.
+// Package balance chooses the server of a service for a request. It is pure: time and randomness
+// are arguments, so that routers, stores and simulations run the same code. Times are durations
+// since an origin of the caller's choice.
 //
-// What a process sent itself is always counted at once. What servers tell of
-// their load with each answer is late and covers all callers; both together give
-// the estimate of a server's load. Prompt parts that were sent to a server lately
-// are likely to be kept in its memory; where nothing is known, all processes
-// expect a shared part at the same few servers, found by rendezvous hashing.
+// A process always counts its own requests immediately. The load that servers report with each
+// answer is delayed but covers all callers; a server's load is estimated from both and from the
+// digests of other processes. Prompt parts that were recently sent to a server are likely still
+// cached there. Without such knowledge, all processes expect a shared part at the same few servers,
+// its homes, which are found by rendezvous hashing.
+//
+// The state of a server is kept under its place, an index that doesn't change while the server is a
+// member of the pool.
 package balance
 
 import (
@@ -16,104 +19,104 @@
 	"rockwind.example/rockwind/internal/health"
 )
 
-// Tuning of the choice.
+// Limits of the state that choices are based on.
 const (
-	// reportFor is how long a told load counts, and reportBeside how long where other
-	// processes tell theirs.
-	reportFor    = 1500 * time.Millisecond
-	reportBeside = 150 * time.Millisecond
-	// fullFor is how long a server that refused as full is passed over.
-	fullFor = 60 * time.Millisecond
-	// silentFor is how long no first event may come from a server while some are
-	// awaited.
-	silentFor = 350 * time.Millisecond
-	// partFor is how long a part that was sent to a server counts as kept.
-	partFor = 20 * time.Second
-	// maximumParts bounds the parts remembered for a server.
-	maximumParts = 512
+	// reportTTL is how long a load report counts, and reportTTLWithPeers how long while other
+	// processes share their loads.
+	reportTTL          = 1500 * time.Millisecond
+	reportTTLWithPeers = 150 * time.Millisecond
+	// fullBackoff is how long a server is avoided after it refused a request as full.
+	fullBackoff = 60 * time.Millisecond
+	// silenceTimeout is how long a server may send no first event while some are awaited.
+	silenceTimeout = 350 * time.Millisecond
+	// partTTL is how long a part that was sent to a server counts as cached.
+	partTTL = 20 * time.Second
+	// maxPartsPerServer bounds the parts remembered for a server.
+	maxPartsPerServer = 512
 )
 
-// Part is a piece of a prompt that requests may share.
+// Part is a piece of a prompt that requests may have in common.
 type Part struct {
-	// ID identifies the content, given everything before it.
+	// ID identifies the content together with everything before it.
 	ID     uint64
 	Tokens int
 }
 
-// Demand is what a request asks of a server.
+// Demand describes what a request needs from a server.
 type Demand struct {
-	// Parts of the prompt in order; the last one is the request's own.
+	// Parts of the prompt in order; the last one belongs to this request alone.
 	Parts []Part
 	// Batch requests only take what online requests leave.
 	Batch bool
-	// Reserved is how many slots of the service a batch request leaves to others, and First tells
-	// that the others leave theirs to it.
+	// Reserved is how many slots of the service a batch request leaves to others. Prioritized is set
+	// if others leave their slots to it.
 	Reserved    int
 	Prioritized bool
-	// Overcommit lets an online request start one beyond this process's part of the slots, and one
-	// beyond those of a server, where requests are paced.
+	// Overcommit lets an online request exceed this process's share of the slots, and the slots of a
+	// server, by one while requests are paced.
 	Overcommit bool
 }
 
-// Pool is the servers of one service as one process sees them. It belongs to one
-// goroutine at a time.
+// Pool holds the servers of one service as seen by one process. It is not safe for concurrent use.
 type Pool struct {
 	zone    string
 	shares  *SharedLoads
 	servers []*server
-	// places are those of the servers by identifier, and vacant those that no server has.
+	// places maps server identifiers to places. vacant lists the places without a server.
 	places map[string]int
 	vacant []int
-	// batchPlaces are those of servers that had batch work of this process, see withBatch.
+	// batchPlaces are the places of servers that had batch work of this process, see
+	// placesWithBatch.
 	batchPlaces []int
 	tracker     *health.Tracker
-	// pacer estimates how long work takes at the servers; nil where they count as alike.
-	pacer PaceEstimator
-	// homes are the places of the servers that are expected to keep a shared part.
+	// paceEstimator estimates how long work takes at the servers; if nil, all are considered equally
+	// fast.
+	paceEstimator PaceEstimator
+	// homes caches the homes of parts.
 	homes map[uint64]homePlaces
-	// headroom is what batch work leaves to online work.
+	// headroom limits batch work to what online work leaves.
 	headroom headroom
-	// queue is the name of the service's queue in digests.
-	queue uint32
-	// batchProcesses is how many processes start batch work.
+	// queueHash identifies the service's queue in digests.
+	queueHash uint32
+	// batchProcesses is the number of processes that start batch work.
 	batchProcesses int
-	// viewAge is how old the loads of other processes may be.
-	viewAge time.Duration
-	// onlineProcesses is how many processes start online requests, and pacing bounds what
-	// this one starts.
+	// maxLoadAge is how old the loads of other processes may be.
+	maxLoadAge time.Duration
+	// onlineProcesses is the number of processes that start online requests. pacing limits those of
+	// this one.
 	onlineProcesses int
 	pacing          pacing
-	// waiting is how many online requests wait in this process, where it is told.
+	// waiting is the number of online requests that wait in this process, if waitingKnown.
 	waiting      int
 	waitingKnown bool
-	// What follows spares choices of a large pool from looking at all servers: sums over them,
-	// where parts of prompts were sent, all places in no order, where own requests left slots,
-	// and which servers are out for their failures.
-	summary summary
-	keepers keepers
-	every   []int
-	leavers []int
-	ejected []int
-	// choices counts the searches among a part of the servers.
-	choices uint64
+	// The following fields spare the choices of a large pool a scan of all servers: cached sums,
+	// where prompt parts were sent, all places in random order, the places with slots freed by this
+	// process, and the places of ejected servers.
+	summary       summary
+	partLocations partLocations
+	allPlaces     []int
+	freedPlaces   []int
+	ejected       []int
+	// searches counts the sampling searches.
+	searches uint64
 }
 
-// NewPool returns a pool of a service without servers, for a process in the given zone.
-// The shares are those of all pools of the process.
+// NewPool returns an empty pool of a service for a process in the given zone. All pools of a
+// process use the same shares.
 func NewPool(service, zone string, shares *SharedLoads) *Pool {
 	created := &Pool{
-		zone: zone, shares: shares, queue: QueueHash(service), tracker: health.NewTracker(policy(), 0),
-		places: make(map[string]int), homes: make(map[uint64]homePlaces), pacing: pacing{credit: leastCredit},
+		zone: zone, shares: shares, queueHash: QueueHash(service), tracker: health.NewTracker(healthPolicy(), 0),
+		places: make(map[string]int), homes: make(map[uint64]homePlaces), pacing: pacing{credit: minCredit},
 	}
 	created.summary.pool = created
 	return created
 }
 
-// policy judges servers as health.DefaultPolicy does, but takes silence for
-// sickness earlier: first events come within a tenth of a second as a rule.
-func policy() health.Policy {
+// healthPolicy returns health.DefaultPolicy with a shorter silence timeout, since first events
+// usually arrive within a tenth of a second.
+func healthPolicy() health.Policy {
 	adjusted := health.DefaultPolicy
-	adjusted.SilentFor = silentFor
+	adjusted.SilentFor = silenceTimeout
 	return adjusted
 }
 
@@ -121,57 +124,55 @@
 type Choice struct {
 	ID      string
 	Address string
-	// Load and Slots are what the choice rested on, and ReportAge the age of what
-	// the server told of its load; negative where it told nothing.
+	// Load and Slots are those at the time of the choice. ReportAge is the age of the server's last
+	// load report; negative if there was none.
 	Load      int
 	Slots     int
 	ReportAge time.Duration
-	// Uncached is how many prompt tokens the server is expected to read.
+	// Uncached is the estimated number of prompt tokens that the server has to prefill.
 	Uncached int
-	// Candidates is how many of the servers that were looked at had room.
+	// Candidates is how many of the considered servers had room.
 	Candidates int
 	// Batch tells that the request is batch work.
 	Batch bool
-	// Pace is how long work is expected to take there, as a multiple of what is usual; zero
-	// where servers count as alike.
+	// Pace is the expected duration of work at the server as a multiple of the usual one; zero if
+	// pace is not used.
 	Pace float64
 }
 
-// ExpectedFirstEvent is how long the first event is expected to take.
+// ExpectedFirstEvent returns the expected time to the first event.
 func (c Choice) ExpectedFirstEvent() time.Duration {
-	return time.Duration(float64(c.Uncached) / readRate * c.Slowness() * float64(time.Millisecond))
+	return time.Duration(float64(c.Uncached) / prefillTokensPerMillisecond * c.Slowness() * float64(time.Millisecond))
 }
 
-// NormalizeDuration is how long a usual server takes for what the chosen one takes so long for. Items of
-// jobs are compared by what they need themselves, not by where the last ones ran.
-func (c Choice) NormalizeDuration(ran time.Duration) time.Duration {
-	return time.Duration(float64(ran) / c.Slowness())
+// NormalizeDuration converts a duration at the chosen server to that at a server of usual pace, so
+// that job items can be compared independently of where they ran.
+func (c Choice) NormalizeDuration(duration time.Duration) time.Duration {
+	return time.Duration(float64(duration) / c.Slowness())
 }
 
-// ScaleDuration is how long the chosen server takes for what a usual one takes so long for.
-func (c Choice) ScaleDuration(usual time.Duration) time.Duration {
-	return time.Duration(float64(usual) * c.Slowness())
+// ScaleDuration converts a duration at a server of usual pace to that at the chosen server.
+func (c Choice) ScaleDuration(duration time.Duration) time.Duration {
+	return time.Duration(float64(duration) * c.Slowness())
 }
 
-// Slowness is the pace, 1 where servers count as alike.
+// Slowness returns the pace, or 1 if pace is not used.
 func (c Choice) Slowness() float64 {
 	if c.Pace == 0 {
-		return usualPace
+		return defaultPace
 	}
 	return c.Pace
 }
 
-// Choose returns a server with room, and counts the request there. A server that is out
-// for its failures gets a single request as a trial when its time has come. It fails where
-// no server that was not tried has room.
+// Choose returns a server with room and counts the request there. An ejected server gets a single
+// trial request once one is due. Choose returns false if no server has room apart from those
+// already tried.
 //
-// A server is chosen with a probability in proportion to its free slots, which falls
-// exponentially with the time to the first event that it is expected to take. Processes
-// that see the same loads fill the servers evenly that way, however old their digests are:
-// if each took the best one, all would take the same. A process that hears of no other
-// takes the best one. Where servers tell their pace, a free slot counts the less the slower
-// its server is, and far more if only this process knows of it. Among many servers a part of
-// them is looked at, see sample.
+// Servers are chosen at random, with a probability proportional to their free slots that falls
+// exponentially with the expected time to the first event. Processes that see the same loads thus
+// spread over the servers even if their digests are old. A process that hears of no others chooses
+// the best server. Where servers report their pace, a free slot counts less at a slower server, and
+// much more if only this process knows of it. Large pools are sampled, see sample.
 func (p *Pool) Choose(demand Demand, tried []string, now time.Duration, random *rand.Rand) (Choice, bool) {
 	if demand.Batch && !p.batchFits(demand, now, random) {
 		return Choice{}, false
@@ -183,30 +184,29 @@
 	if s.best == nil {
 		return Choice{}, false
 	}
-	return p.take(s.best, s.found, demand, now), true
+	return p.commit(s.best, s.choice, demand, now), true
 }
 
-// search finds the best server: among a part of them where there are many and this process
-// hears of others, else, and where that part has none that will do, among all.
+// search finds the best server. In a large pool it considers a sample first, unless the process
+// hears of no others, and all servers only if the sample has no suitable one.
 func (p *Pool) search(demand Demand, tried []string, now time.Duration, random *rand.Rand) *search {
 	s := p.newSearch(demand, tried, now, random)
-	if p.large() && !s.alone {
+	if p.large() && !s.noPeers {
 		if s.sample() {
 			return s
 		}
 		s = p.newSearch(demand, tried, now, random)
 	}
-	s.all()
+	s.considerAll()
 	return s
 }
 
-// take counts the request at the chosen server, and completes the choice with what it
-// rested on.
-func (p *Pool) take(chosen *server, choice Choice, demand Demand, now time.Duration) Choice {
+// commit counts the request at the chosen server and completes the choice.
+func (p *Pool) commit(chosen *server, choice Choice, demand Demand, now time.Duration) Choice {
 	choice.ID, choice.Address, choice.Slots = chosen.ID, chosen.Address, chosen.Slots
-	choice.Load, choice.ReportAge = p.see(chosen, now).load, -1
-	if chosen.known {
-		choice.ReportAge = now - chosen.toldAt
+	choice.Load, choice.ReportAge = p.viewOf(chosen, now).load, -1
+	if chosen.hasReport {
+		choice.ReportAge = now - chosen.reportedAt
 	}
 	choice.Batch = demand.Batch
 	p.start(chosen, demand, choice.Uncached, now)
@@ -214,33 +214,33 @@
 	return choice
 }
 
-// usable tells whether the server at a place is taken to answer.
+// usable reports whether the server at a place is expected to answer.
 func (p *Pool) usable(place int, now time.Duration) bool {
 	state, _ := p.tracker.State(place, now)
-	return state != health.Ejected && !p.servers[place].Silent && !p.servers[place].gone
+	return state != health.Ejected && !p.servers[place].Silent && !p.servers[place].replaced
 }
 
 func (p *Pool) start(chosen *server, demand Demand, uncached int, now time.Duration) {
 	chosen.inflight++
 	chosen.coldNext = now + chosen.ColdSpacing
-	chosen.since++
+	chosen.inflightDelta++
 	p.summary.started(demand.Batch)
 	if demand.Batch {
 		chosen.batch++
 		p.noteBatch(p.place(chosen.ID))
-		p.headroom.starts.add(1, now)
+		p.headroom.batchStarts.add(1, now)
 	} else {
 		p.pacing.credit--
-		chosen.occupy()
+		chosen.takeFreedSlot()
 	}
 	chosen.unread += uncached
 	for _, part := range demand.Parts {
 		chosen.parts[part.ID] = now
 	}
 	if p.large() {
-		p.keepers.note(demand.Parts, p.place(chosen.ID))
+		p.partLocations.record(demand.Parts, p.place(chosen.ID))
 	}
-	if len(chosen.parts) > maximumParts {
+	if len(chosen.parts) > maxPartsPerServer {
 		chosen.dropOldParts(now)
 	}
 }
--- a/internal/balance/sample.go
+++ b/internal/balance/sample.go
@@ -7,104 +7,102 @@
 	"rockwind.example/rockwind/internal/health"
 )
 
-// sampleSize is how many servers a choice of a large pool draws. Before 204 servers at 0.97 of what
-// they can do, 24 leave as many requests in time as a look at all (docs/design/size.md); each more
-// costs some 0.2 us.
+// sampleSize is how many servers a choice in a large pool draws, see docs/design/size.md.
 const sampleSize = 24
 
-// sample looks at a part of the servers of a large pool: those that are due for a trial, those
-// whose slots own requests have left, those that are likely to keep a part of the prompt, and
-// some drawn from all. As the draw is even, each drawn server stands for many; those that keep
-// a part stand for themselves, and are weighed so: a server is chosen nearly with the probability
-// that it would have had among all. Where none of these is well, some are drawn from those that
-// had room when the sums were made. It returns false where none of these is well either: then
-// all have to be looked at.
+// sample considers some servers of a large pool: those due for a trial, those with slots that this
+// process freed, those likely to have a part of the prompt cached, and a random sample. Each
+// randomly drawn server stands for many others, but a part's location only for itself; its penalty
+// makes up for that, so that each server is chosen with nearly the same probability as among all.
+// If none of them is healthy, servers are drawn from those that had room when the sums were
+// computed. sample returns false if there is still no healthy server; then all have to be
+// considered.
 func (s *search) sample() bool {
 	p := s.pool
-	p.choices++
+	p.searches++
 	for _, place := range p.ejected {
 		if p.trialDue(place, s.now) {
-			s.lookOnce(place)
+			s.considerOnce(place)
 		}
 	}
-	s.lookAtLeavers()
-	s.lookAtKeepers()
-	s.draw(p.everyPlace())
-	if !s.settled() {
-		s.draw(p.summary.roomy(s.demand.Batch, s.now))
+	s.considerFreed()
+	s.considerPartLocations()
+	s.considerRandom(p.shuffledPlaces())
+	if !s.foundGood() {
+		s.considerRandom(p.summary.placesWithRoom(s.demand.Batch, s.now))
 	}
-	return s.settled()
+	return s.foundGood()
 }
 
-// lookAtLeavers looks at the servers whose slots own requests have left. Such a slot counts for
-// more than others where servers tell their pace, see surely; elsewhere it is one of many.
-func (s *search) lookAtLeavers() {
-	if s.demand.Batch || !s.informed {
+// considerFreed considers the servers where this process freed slots. Such slots count for more
+// only where servers report their pace, see weighFreeSlots.
+func (s *search) considerFreed() {
+	if s.demand.Batch || !s.usesPace {
 		return
 	}
-	for _, place := range s.pool.leftSlots(s.now) {
-		s.lookOnce(place)
+	for _, place := range s.pool.placesWithFreedSlots(s.now) {
+		s.considerOnce(place)
 	}
 }
 
-// settled tells that the best server so far will do.
-func (s *search) settled() bool { return s.trial || s.sound }
+// foundGood reports whether the best server so far is good enough to stop.
+func (s *search) foundGood() bool { return s.trial || s.healthy }
 
-// everyPlace lists the places of the servers, some of which may be vacant, in no order.
-func (p *Pool) everyPlace() []int {
-	for place := len(p.every); place < len(p.servers); place++ {
-		p.every = append(p.every, place)
+// shuffledPlaces returns all places, including vacant ones, in random order.
+func (p *Pool) shuffledPlaces() []int {
+	for place := len(p.allPlaces); place < len(p.servers); place++ {
+		p.allPlaces = append(p.allPlaces, place)
 	}
-	return p.every
+	return p.allPlaces
 }
 
-// lookAtKeepers looks at the servers that are likely to keep a part of the prompt. All processes
-// expect a part at the same homes: unless these stood for themselves only, beside drawn ones
-// that stand for many, a part that hardly matters would gather all requests there.
-func (s *search) lookAtKeepers() {
-	s.handicap = math.Log(float64(len(s.pool.places)) / sampleSize)
-	defer func() { s.handicap = 0 }()
+// considerPartLocations considers the servers that are likely to have a part of the prompt cached.
+// All processes look at the same homes of a part. Without the penalty, homes would receive all
+// requests even for parts that are cheap to prefill.
+func (s *search) considerPartLocations() {
+	s.penalty = math.Log(float64(len(s.pool.places)) / sampleSize)
+	defer func() { s.penalty = 0 }()
 	for i, part := range s.demand.Parts {
-		keepers := s.pool.keepers.places(part.ID)
-		for _, place := range keepers {
-			s.lookOnce(int(place) - 1)
+		places := s.pool.partLocations.places(part.ID)
+		for _, place := range places {
+			s.considerOnce(int(place) - 1)
 		}
 		if i == len(s.demand.Parts)-1 {
 			return
 		}
 		for _, home := range s.pool.homesOf(part.ID) {
-			s.lookOnce(home)
+			s.considerOnce(home)
 		}
-		if keepers == (keeperPlaces{}) {
-			// What comes after a part that was sent nowhere is kept nowhere: uncached trusts
-			// no home beyond the first such part.
+		// uncachedTokens assumes no cached parts after the first one that was sent nowhere, so that
+		// later homes are of no use.
+		if places == (partPlaces{}) {
 			return
 		}
 	}
 }
 
-// draw looks at so many of the places, drawn without putting back. They stay in the order of
-// the draws: the next one draws anew.
-func (s *search) draw(places []int) {
+// considerRandom considers up to sampleSize of the places, drawn without replacement by a partial
+// shuffle in place.
+func (s *search) considerRandom(places []int) {
 	for i := range min(sampleSize, len(places)) {
 		other := i + s.random.IntN(len(places)-i)
 		places[i], places[other] = places[other], places[i]
-		s.lookOnce(places[i])
+		s.considerOnce(places[i])
 	}
 }
 
-// lookOnce weighs the server at a place, negative for none, unless this search has done so or
-// is over.
-func (s *search) lookOnce(place int) {
+// considerOnce considers the server at a place unless the place is negative, this search has
+// already considered it or has found a trial.
+func (s *search) considerOnce(place int) {
 	p := s.pool
-	if s.trial || place < 0 || place >= len(p.servers) || p.servers[place] == nil || p.servers[place].looked == p.choices {
+	if s.trial || place < 0 || place >= len(p.servers) || p.servers[place] == nil || p.servers[place].lastSearch == p.searches {
 		return
 	}
-	p.servers[place].looked = p.choices
-	s.look(place)
+	p.servers[place].lastSearch = p.searches
+	s.consider(place)
 }
 
-// trialDue tells whether the server at a place is out for its failures and may be tried.
+// trialDue reports whether the server at a place is ejected and may be sent a trial request.
 func (p *Pool) trialDue(place int, now time.Duration) bool {
 	if place >= len(p.servers) || p.servers[place] == nil {
 		return false
@@ -113,15 +111,15 @@
 	return state == health.Ejected && !p.tracker.Failing(place, now)
 }
 
-// findEjected notes which servers are out for their failures. Their first trial is due no
-// earlier than seconds later, so that it is enough to look for them now and then.
+// findEjected updates the list of ejected servers. It is enough to call it now and then, since the
+// first trial is due seconds after an ejection.
 func (p *Pool) findEjected(now time.Duration) {
 	p.ejected = p.ejected[:0]
 	if !p.large() || p.tracker.Ejected() == 0 {
 		return
 	}
-	for place, each := range p.servers {
-		if each == nil {
+	for place, srv := range p.servers {
+		if srv == nil {
 			continue
 		}
 		if state, _ := p.tracker.State(place, now); state == health.Ejected {
--- a/internal/balance/search.go
+++ b/internal/balance/search.go
@@ -8,77 +8,77 @@
 	"rockwind.example/rockwind/internal/health"
 )
 
-// search is the state of one choice: the servers looked at, and the best one of them.
+// search is the state of one choice.
 type search struct {
 	pool     *Pool
 	demand   Demand
 	tried    []string
 	now      time.Duration
 	random   *rand.Rand
-	alone    bool
-	informed bool
-	// avoidAccused tells that servers are avoided that other processes accuse.
-	avoidAccused bool
-	// handicap is what servers cost that are looked at for a reason beside others that were
-	// drawn, in units of costScale.
-	handicap float64
-	best     *server
-	found    Choice
-	lowest   float64
-	// sound tells that the best one is healthy and not silent.
-	sound bool
-	// trial tells that the best one is out for its failures and gets the request as a trial:
-	// the search is over.
+	noPeers  bool
+	usesPace bool
+	// avoidSuspected is set if servers that other processes suspect are avoided.
+	avoidSuspected bool
+	// penalty is added to the cost of servers that are considered for their cached parts, in units
+	// of costScale.
+	penalty    float64
+	best       *server
+	choice     Choice
+	lowestCost float64
+	// healthy is set if the best server is healthy and not silent.
+	healthy bool
+	// trial is set if the best server is ejected and gets the request as a trial, which ends the
+	// search.
 	trial bool
 }
 
 func (p *Pool) newSearch(demand Demand, tried []string, now time.Duration, random *rand.Rand) *search {
 	return &search{
 		pool: p, demand: demand, tried: tried, now: now, random: random,
-		alone: !p.shares.HasPeers(), informed: p.informed(now), avoidAccused: p.overview().avoidsAccused(now),
+		noPeers: !p.shares.HasPeers(), usesPace: p.usesPace(now), avoidSuspected: p.overview().avoidsSuspected(now),
 	}
 }
 
-// all looks at all servers.
-func (s *search) all() {
+// considerAll considers all servers.
+func (s *search) considerAll() {
 	for place := range s.pool.servers {
-		if s.look(place); s.trial {
+		if s.consider(place); s.trial {
 			return
 		}
 	}
 }
 
-// look weighs the server at a place.
-func (s *search) look(place int) {
-	p, known := s.pool, s.pool.servers[place]
-	if known == nil || known.refusesCold(s.now) || slices.Contains(s.tried, known.ID) {
+// consider compares the server at a place with the best one so far.
+func (s *search) consider(place int) {
+	p, srv := s.pool, s.pool.servers[place]
+	if srv == nil || srv.refusesCold(s.now) || slices.Contains(s.tried, srv.ID) {
 		return
 	}
-	candidate := p.see(known, s.now)
-	if !candidate.room(s.demand.Batch, p.beyond(s.demand), s.now) {
+	candidate := p.viewOf(srv, s.now)
+	if !candidate.hasRoom(s.demand.Batch, p.overcommit(s.demand), s.now) {
 		return
 	}
-	accused := s.avoidAccused && candidate.others.accused()
-	uncached := p.uncached(place, s.demand, s.now)
+	suspected := s.avoidSuspected && candidate.peers.suspectedByPeers()
+	uncached := p.uncachedTokens(place, s.demand, s.now)
 	state, _ := p.tracker.State(place, s.now)
 	if state == health.Ejected {
-		if !s.demand.Batch && !accused && p.tracker.StartTrial(place, s.now) {
-			s.best, s.found.Uncached, s.trial = known, uncached, true
+		if !s.demand.Batch && !suspected && p.tracker.StartTrial(place, s.now) {
+			s.best, s.choice.Uncached, s.trial = srv, uncached, true
 		}
 		return
 	}
 	pace := 0.0
-	if s.informed {
-		others := p.shares.nearPace(known.hash, candidate.others.Pace)
-		pace, state = p.paceWith(place, others, s.demand.Batch, s.now), p.withoutSlowness(place, state, s.now)
+	if s.usesPace {
+		others := p.shares.limitRemotePace(srv.hash, candidate.peers.Pace)
+		pace, state = p.estimatePace(place, others, s.demand.Batch, s.now), p.withoutSlowness(place, state, s.now)
 	}
-	if state == health.Healthy && accused {
+	if state == health.Healthy && suspected {
 		state = health.Suspect
 	}
-	cost := p.cost(candidate, state, s.demand, uncached, pace, s.now) + noise(s.alone, s.random) + s.handicap
-	s.found.Candidates++
-	if s.best == nil || cost < s.lowest {
-		s.best, s.lowest, s.found.Uncached, s.found.Pace = known, cost, uncached, pace
-		s.sound = state == health.Healthy && !known.Silent
+	cost := p.cost(candidate, state, s.demand, uncached, pace, s.now) + noise(s.noPeers, s.random) + s.penalty
+	s.choice.Candidates++
+	if s.best == nil || cost < s.lowestCost {
+		s.best, s.lowestCost, s.choice.Uncached, s.choice.Pace = srv, cost, uncached, pace
+		s.healthy = state == health.Healthy && !srv.Silent
 	}
 }
--- a/internal/balance/shared_test.go
+++ b/internal/balance/shared_test.go
@@ -82,7 +82,7 @@
 	if sum := shares.SumOf([]string{"a", "b", "c"}); sum[1].Inflight != 1 {
 		t.Fatalf("the sum of the processes themselves is %+v", sum)
 	}
-	if !shares.Heard("a", balance.HeardFor) || shares.Heard("a", balance.HeardFor+1) || shares.Heard("b", 0) {
+	if !shares.Heard("a", balance.HeardWindow) || shares.Heard("a", balance.HeardWindow+1) || shares.Heard("b", 0) {
 		t.Fatal("a process is heard through its group's digest only, or after its time")
 	}
 }
@@ -100,7 +100,7 @@
 	if got := shares.At(1).Inflight; got != 7 {
 		t.Fatalf("after a restart the sum is %d", got)
 	}
-	shares.Expire(balance.SenderFor + 1)
+	shares.Expire(balance.SenderTTL + 1)
 	if shares.HasPeers() || shares.At(1) != (balance.SharedLoad{}) {
 		t.Fatal("a silent process still counts")
 	}
@@ -134,7 +134,7 @@
 			shares.Apply(name, 1, sequence, loads, now)
 			shares.Expire(now)
 			for sender, known := range oracle {
-				if now-known.at > balance.SenderFor {
+				if now-known.at > balance.SenderTTL {
 					delete(oracle, sender)
 				}
 			}
--- a/internal/balance/summary.go
+++ b/internal/balance/summary.go
@@ -2,106 +2,108 @@
 
 import "time"
 
-// summaryFor is how long the sums over the servers of a large pool are used again. Loads of
-// other processes are some 250 ms old there, and what this process starts and ends is
-// counted at once. At 1,200 servers the sums take 50 to 100 us, a thousandth of a core.
-const summaryFor = 50 * time.Millisecond
+// summaryTTL is how long the sums over the servers of a large pool are reused. Loads of other
+// processes are older than that on large sites, and this process's own starts and ends are counted
+// immediately.
+const summaryTTL = 50 * time.Millisecond
 
-// summary is the overview of a large pool: sums over its servers that serve for summaryFor.
+// summary implements overview for a large pool with cached sums.
 type summary struct {
 	pool *Pool
-	sums
+	totals
 }
 
-// sums are those over all servers of a pool at a time.
-type sums struct {
+// totals are the sums over all servers of a pool at a moment.
+type totals struct {
 	at    time.Duration
 	valid bool
-	// inHand is what the servers have in hand.
-	inHand usage
-	// free is how many slots online requests could use, and limited tells that all usable
-	// servers say their slots.
-	free    float64
-	limited bool
-	// accused is how many servers are.
-	accused int
-	// online and batch are the places of the servers that have room for such requests.
-	online []int
-	batch  []int
+	// inUse is the load of the servers.
+	inUse usage
+	// free is the number of slots that online requests may use. slotsKnown is set if all usable
+	// servers report their slots.
+	free       float64
+	slotsKnown bool
+	// suspected counts the servers that other processes suspect.
+	suspected int
+	// onlinePlaces and batchPlaces are the places of the servers with room for such requests.
+	onlinePlaces []int
+	batchPlaces  []int
 }
 
-func (s *summary) usage(now time.Duration) usage { return s.current(now).inHand }
+func (s *summary) usage(now time.Duration) usage { return s.current(now).inUse }
 
-func (s *summary) freeSlots(now time.Duration) (free float64, limited bool) {
+func (s *summary) freeSlots(now time.Duration) (free float64, slotsKnown bool) {
 	current := s.current(now)
-	return current.free, current.limited
+	return current.free, current.slotsKnown
 }
 
-func (s *summary) avoidsAccused(now time.Duration) bool {
-	return fewAccused(s.current(now).accused, len(s.pool.places))
+func (s *summary) avoidsSuspected(now time.Duration) bool {
+	return fewSuspected(s.current(now).suspected, len(s.pool.places))
 }
 
-// roomy lists the places of the servers that had room when the sums were made, in no order.
-func (s *summary) roomy(batch bool, now time.Duration) []int {
+// placesWithRoom returns the places of the servers that had room when the sums were computed, in no
+// particular order.
+func (s *summary) placesWithRoom(batch bool, now time.Duration) []int {
 	if batch {
-		return s.current(now).batch
+		return s.current(now).batchPlaces
 	}
-	return s.current(now).online
+	return s.current(now).onlinePlaces
 }
 
-// current returns the sums, at most summaryFor old.
-func (s *summary) current(now time.Duration) *sums {
-	if !s.valid || now < s.at || now-s.at >= summaryFor {
-		s.renew(now)
+// current returns the sums, which are at most summaryTTL old.
+func (s *summary) current(now time.Duration) *totals {
+	if !s.valid || now < s.at || now-s.at >= summaryTTL {
+		s.recompute(now)
 	}
-	return &s.sums
+	return &s.totals
 }
 
-// renew makes the sums anew, with one look at each server.
-func (s *summary) renew(now time.Duration) {
-	s.sums = sums{
-		at: now, valid: true, inHand: usage{limited: true}, limited: true,
-		online: s.online[:0], batch: s.batch[:0],
+// recompute computes the sums from all servers.
+func (s *summary) recompute(now time.Duration) {
+	s.totals = totals{
+		at: now, valid: true, inUse: usage{slotsKnown: true}, slotsKnown: true,
+		onlinePlaces: s.onlinePlaces[:0], batchPlaces: s.batchPlaces[:0],
 	}
-	for place, each := range s.pool.servers {
-		if each != nil {
-			s.add(place, s.pool.see(each, now), s.pool.usable(place, now), now)
+	for place, srv := range s.pool.servers {
+		if srv != nil {
+			s.add(place, s.pool.viewOf(srv, now), s.pool.usable(place, now), now)
 		}
 	}
 }
 
-// add counts the server at a place.
-func (s *sums) add(place int, seen sight, usable bool, now time.Duration) {
-	if seen.others.accused() {
-		s.accused++
+// add adds the server at a place.
+func (s *totals) add(place int, view serverView, usable bool, now time.Duration) {
+	if view.peers.suspectedByPeers() {
+		s.suspected++
 	}
-	s.inHand.add(seen, usable)
+	s.inUse.add(view, usable)
 	if !usable {
 		return
 	}
-	s.limited = s.limited && seen.Slots > 0
-	s.free += seen.freeSlots()
-	if seen.room(false, 0, now) {
-		s.online = append(s.online, place)
+	s.slotsKnown = s.slotsKnown && view.Slots > 0
+	s.free += view.freeSlots()
+	if view.hasRoom(false, 0, now) {
+		s.onlinePlaces = append(s.onlinePlaces, place)
 	}
-	if seen.room(true, 0, now) {
-		s.batch = append(s.batch, place)
+	if view.hasRoom(true, 0, now) {
+		s.batchPlaces = append(s.batchPlaces, place)
 	}
 }
 
-// invalidate has the sums made anew: the members have changed.
-func (s *sums) invalidate() { s.valid = false }
+// invalidate forces a recomputation after a change of members.
+func (s *totals) invalidate() { s.valid = false }
 
-// started counts a request that this process starts, ended one that has left its server.
-func (s *sums) started(batch bool) { s.count(batch, 1) }
+// started counts a request that this process starts.
+func (s *totals) started(batch bool) { s.count(batch, 1) }
 
-func (s *sums) ended(batch bool) { s.count(batch, -1) }
+// ended subtracts a request that has left its server.
+func (s *totals) ended(batch bool) { s.count(batch, -1) }
 
-func (s *sums) count(batch bool, requests int) {
+func (s *totals) count(batch bool, requests int) {
 	if batch {
-		s.inHand.batch += requests
+		s.inUse.batch += requests
 		return
 	}
-	s.inHand.online += requests
+	s.inUse.online += requests
 	s.free -= float64(requests)
 }
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -1,10 +1,10 @@
-// Package coldstart decides how often one process may send to a server that is cold: one that has
-// just started bears a few requests a second from all processes together, and falls over above
-// that. Nobody tells the others what it sends, so the right to send is split beforehand. The
-// package is pure.
+// Package coldstart limits how often one process may send to a cold server. A server that has just
+// started can serve only a few requests a second from all processes together and fails above that
+// rate. The processes don't coordinate each request, so the right to send is divided among them in
+// advance. The package is pure.
 //
-// The load it is for: the servers of a zone come back together, empty, and each of hundreds of
-// processes prefers an empty server to those that are busy.
+// It guards against the restart of all servers of a zone at once, when each of hundreds of
+// processes prefers the empty servers to the busy ones.
 package coldstart
 
 import (
@@ -14,43 +14,44 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// onTheWay lengthens the time between two requests of one process: they may take unlike long to
-// the server, and are to arrive a second apart all the same.
-const onTheWay = 1.1
+// jitterMargin lengthens the time between two requests of one process, so that they also arrive a
+// second apart where their network delays differ.
+const jitterMargin = 1.1
 
-// Spacing is the least time between two requests of a process to a cold server that bears so many a
-// second. May is false for a process without a right to send there.
+// Spacing returns the minimum time between two requests of a process to a cold server that can serve
+// perSecond requests a second. It returns false for a process that may not send to the server.
 //
-// Where there are more processes than the server bears requests, so many of them as it bears may send
-// one a second each, drawn by the hashes of the server and the process: each process has a right at
-// some servers, and a request that finds none here finds it at another. Rounding up the part of each
-// process would let as many through as there are processes.
+// Where there are more processes than requests a second, as many processes as whole requests may send
+// about one a second each. They are selected by the hashes of server and process, so that
+// each process may send to some of the servers, and a request that is refused for one server finds
+// another. Rounding up each process's share instead would let all processes send.
 //
-// All processes that know the same ones draw alike. One that is lost takes its right along until it
-// is forgotten; one that is not known yet counts itself in, and so adds one request a second at most.
-func Spacing(server, self string, processes []string, perSecond float64) (spacing time.Duration, may bool) {
+// Processes that know the same list select the same senders. The share of a failed process is lost
+// until the process is removed from the list. A process that the others don't know yet counts itself
+// in, which adds at most one request a second.
+func Spacing(server, self string, processes []string, perSecond float64) (spacing time.Duration, allowed bool) {
 	if perSecond <= 0 {
 		return 0, false
 	}
-	holders := max(1, int(perSecond))
-	each := perSecond / float64(holders)
-	if len(processes) <= holders {
-		each = perSecond / float64(max(1, len(processes)))
-	} else if !holds(server, self, processes, holders) {
+	senders := max(1, int(perSecond))
+	rate := perSecond / float64(senders)
+	if len(processes) <= senders {
+		rate = perSecond / float64(max(1, len(processes)))
+	} else if !selected(server, self, processes, senders) {
 		return 0, false
 	}
-	return time.Duration(onTheWay / each * float64(time.Second)), true
+	return time.Duration(jitterMargin / rate * float64(time.Second)), true
 }
 
-// holds tells whether a process is among so many that are drawn for a server.
-func holds(server, self string, processes []string, holders int) bool {
+// selected reports whether a process is among the given number of senders selected for a server.
+func selected(server, self string, processes []string, senders int) bool {
 	rank := func(process string) uint64 { return xxhash.Sum64String(server + " " + process) }
-	own, before := rank(self), 0
+	own, ahead := rank(self), 0
 	for _, process := range processes {
 		if process != self && cmp.Or(cmp.Compare(rank(process), own), cmp.Compare(process, self)) < 0 {
-			before++
+			ahead++
 		}
-		if before == holders {
+		if ahead == senders {
 			return false
 		}
 	}
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -10,16 +10,17 @@
 	"rockwind.example/rockwind/internal/coldstart"
 )
 
-// perSecond is what the cold servers of the tests bear.
+// perSecond is the request rate that the cold servers of the tests can serve.
 const perSecond = 9.2
 
-// arrivals plays processes that send to a cold server whenever they may, each request up to 50 ms on
-// its way, and returns the times of arrival. Those that end send nothing after the given time.
+// arrivals simulates processes that send to a cold server as often as they are allowed, with a network
+// delay of up to 50 ms, and returns the sorted arrival times. A process listed in ends stops at the
+// given time.
 func arrivals(server string, processes []string, ends map[string]time.Duration, span time.Duration, random *rand.Rand) []time.Duration {
 	var arrived []time.Duration
 	for _, process := range processes {
-		spacing, may := coldstart.Spacing(server, process, processes, perSecond)
-		if !may {
+		spacing, allowed := coldstart.Spacing(server, process, processes, perSecond)
+		if !allowed {
 			continue
 		}
 		for at := time.Duration(random.Int64N(int64(10 * time.Millisecond))); at < span; at += spacing {
@@ -32,8 +33,8 @@
 	return arrived
 }
 
-// most is the largest number of arrivals within a second.
-func most(arrived []time.Duration) int {
+// maxPerSecond returns the largest number of arrivals within a second.
+func maxPerSecond(arrived []time.Duration) int {
 	largest := 0
 	for first, at := range arrived {
 		last, _ := slices.BinarySearch(arrived, at+time.Second)
@@ -42,7 +43,7 @@
 	return largest
 }
 
-func named(count int) []string {
+func processNames(count int) []string {
 	var names []string
 	for i := range count {
 		names = append(names, fmt.Sprint("process-", i))
@@ -50,52 +51,51 @@
 	return names
 }
 
-// TestColdServersGetWhatTheyBear: the servers of a zone come back at once, and every process sends to
-// each as often as it may, half of them until they end. No server gets more in a second than it
-// bears, and while all processes live each gets most of that.
+// TestColdServersGetWhatTheyBear checks that no cold server is sent more than it can serve a second, also
+// after half of the processes have ended, and that it is sent most of that while all of them run.
 func TestColdServersGetWhatTheyBear(t *testing.T) {
 	const span = 10 * time.Second
 	for _, size := range []int{1, 3, 30, 300} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			random := rand.New(rand.NewPCG(1, uint64(size)))
-			processes := named(size)
+			processes := processNames(size)
 			ends := make(map[string]time.Duration)
 			for _, process := range processes[:size/2] {
 				ends[process] = span / 2
 			}
 			for server := range 40 {
 				arrived := arrivals(fmt.Sprint("server-", server), processes, ends, span, random)
-				if got := most(arrived); float64(got) > perSecond+1 {
-					t.Errorf("server %d gets %d requests in a second", server, got)
+				if got := maxPerSecond(arrived); float64(got) > perSecond+1 {
+					t.Errorf("server %d gets %d requests in a second, more than its rate", server, got)
 				}
 				before, _ := slices.BinarySearch(arrived, span/2)
 				if wanted := 0.7 * perSecond * (span / 2).Seconds(); float64(before) < wanted {
-					t.Errorf("server %d gets %d requests in %v, and bears %.0f", server, before, span/2, perSecond*(span/2).Seconds())
+					t.Errorf("server %d gets %d requests in %v and can serve %.0f", server, before, span/2, perSecond*(span/2).Seconds())
 				}
 			}
 		})
 	}
 }
 
-// TestProcessesHaveRightsAtSomeServers: so that a process finds a server among many that are cold. At 500
-// servers each of 300 processes has 15 rights in the mean.
-func TestProcessesHaveRightsAtSomeServers(t *testing.T) {
-	processes := named(300)
+// TestEachProcessMaySendToSomeServers guards against a process that is allowed at none of many cold
+// servers. With 500 servers each of 300 processes is selected at 15 on average.
+func TestEachProcessMaySendToSomeServers(t *testing.T) {
+	processes := processNames(300)
 	for _, process := range processes {
-		rights := 0
+		selected := 0
 		for server := range 500 {
-			if _, may := coldstart.Spacing(fmt.Sprint("server-", server), process, processes, perSecond); may {
-				rights++
+			if _, allowed := coldstart.Spacing(fmt.Sprint("server-", server), process, processes, perSecond); allowed {
+				selected++
 			}
 		}
-		if rights == 0 {
-			t.Errorf("%s has no right at any of 500 servers", process)
+		if selected == 0 {
+			t.Errorf("%s may send to none of 500 servers", process)
 		}
 	}
 }
 
-func TestServerThatBearsNothingGetsNothing(t *testing.T) {
-	if _, may := coldstart.Spacing("server", "process", named(3), 0); may {
-		t.Error("a server that bears nothing gets requests")
+func TestServerWithoutRateGetsNoRequests(t *testing.T) {
+	if _, allowed := coldstart.Spacing("server", "process", processNames(3), 0); allowed {
+		t.Error("a server with a rate of 0 gets requests")
 	}
 }
