--- a/internal/balance/copyserver.go
+++ b/internal/balance/copyserver.go
@@ -25,7 +25,7 @@
 		return Member{}, false
 	}
 	chosen, other := candidates[random.IntN(len(candidates))], candidates[random.IntN(len(candidates))]
-	if p.viewOf(other, now).onlineLoad < p.viewOf(chosen, now).onlineLoad {
+	if p.viewOf(other, now).online < p.viewOf(chosen, now).online {
 		chosen = other
 	}
 	return chosen.Member, true
--- a/internal/balance/feedback.go
+++ b/internal/balance/feedback.go
@@ -27,8 +27,8 @@
 	if report.Slots > 0 {
 		srv.Slots = report.Slots
 	}
-	if p.paceEstimator != nil {
-		p.paceEstimator.RecordReport(p.place(id), report.Pace, now)
+	if p.paces != nil {
+		p.paces.RecordReport(p.place(id), report.Pace, now)
 	}
 }
 
@@ -104,7 +104,7 @@
 	}
 	for place, srv := range p.servers {
 		if srv != nil {
-			p.paceEstimator.Remember(place, p.shares.PaceAt(srv.hash), now)
+			p.paces.Remember(place, p.shares.PaceAt(srv.hash), now)
 		}
 	}
 }
--- a/internal/balance/members.go
+++ b/internal/balance/members.go
@@ -115,8 +115,8 @@
 	}
 	p.servers = append(p.servers, nil)
 	p.tracker.Resize(len(p.servers))
-	if p.paceEstimator != nil {
-		p.paceEstimator.Resize(len(p.servers))
+	if p.paces != nil {
+		p.paces.Resize(len(p.servers))
 	}
 	return len(p.servers) - 1
 }
@@ -127,8 +127,8 @@
 	p.servers[place] = nil
 	p.vacant = append(p.vacant, place)
 	p.tracker.Forget(place)
-	if p.paceEstimator != nil {
-		p.paceEstimator.Forget(place)
+	if p.paces != nil {
+		p.paces.Forget(place)
 	}
 }
 
--- a/internal/balance/paceestimator.go
+++ b/internal/balance/paceestimator.go
@@ -70,12 +70,10 @@
 
 // SetPaceEstimator makes choices depend on the paces of servers. Call it before the first server is
 // added.
-func (p *Pool) SetPaceEstimator(paceEstimator PaceEstimator) { p.paceEstimator = paceEstimator }
+func (p *Pool) SetPaceEstimator(paceEstimator PaceEstimator) { p.paces = paceEstimator }
 
 // usesPace reports whether choices may use pace estimates.
-func (p *Pool) usesPace(now time.Duration) bool {
-	return p.paceEstimator != nil && p.paceEstimator.HasReports(now)
-}
+func (p *Pool) usesPace(now time.Duration) bool { return p.paces != nil && p.paces.HasReports(now) }
 
 // paceFor returns the expected pace for a request at the server at a place.
 func (p *Pool) paceFor(place int, demand Demand, now time.Duration) float64 {
@@ -86,9 +84,9 @@
 // long-term pace, since it outlasts temporary slowness.
 func (p *Pool) estimatePace(place int, others SharedPace, batch bool, now time.Duration) float64 {
 	if batch {
-		return p.paceEstimator.LongTermPace(place, others, now)
+		return p.paces.LongTermPace(place, others, now)
 	}
-	return p.paceEstimator.CurrentPace(place, others, now)
+	return p.paces.CurrentPace(place, others, now)
 }
 
 // Paces returns the estimates of the servers in no particular order, or nil if they are not used.
@@ -120,8 +118,8 @@
 	if took <= 0 || events < minEventsLongRun || (events < minEvents && took < longRun) {
 		return false
 	}
-	if place := p.place(choice.ID); place >= 0 && p.paceEstimator != nil {
-		p.paceEstimator.RecordRun(place, RunSample{EventInterval: took / time.Duration(events-1), Concurrency: choice.Load + 1, ReportedPace: reportedPace}, now)
+	if place := p.place(choice.ID); place >= 0 && p.paces != nil {
+		p.paces.RecordRun(place, RunSample{EventInterval: took / time.Duration(events-1), Concurrency: choice.Load + 1, ReportedPace: reportedPace}, now)
 	}
 	return true
 }
--- a/internal/balance/pacing.go
+++ b/internal/balance/pacing.go
@@ -5,9 +5,9 @@
 const (
 	// minCredit is the minimum for the upper limit of a process's credit, and its initial credit.
 	minCredit = 2.0
-	// spareSlotFraction is the fraction of all slots that online requests may queue for at busy
+	// spareShare is the fraction of all slots that online requests may queue for at busy
 	// servers. It lets a process start requests that has ended none while all servers are busy.
-	spareSlotFraction = 0.01
+	spareShare = 0.01
 )
 
 // pacing limits how many online requests a process starts when the loads of other processes are
@@ -81,6 +81,4 @@
 
 // freeSlots returns how many slots online requests may use, including spare ones and less the
 // requests that queue at the server.
-func (s serverView) freeSlots() float64 {
-	return float64(s.Slots)*(1+spareSlotFraction) - float64(s.onlineLoad)
-}
+func (s serverView) freeSlots() float64 { return float64(s.Slots)*(1+spareShare) - float64(s.online) }
--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -69,9 +69,9 @@
 	// placesWithBatch.
 	batchPlaces []int
 	tracker     *health.Tracker
-	// paceEstimator estimates how long work takes at the servers; if nil, all are considered equally
+	// paces estimates how long work takes at the servers; if nil, all are considered equally
 	// fast.
-	paceEstimator PaceEstimator
+	paces PaceEstimator
 	// homes caches the homes of parts.
 	homes map[uint64]homePlaces
 	// headroom limits batch work to what online work leaves.
--- a/internal/balance/shared.go
+++ b/internal/balance/shared.go
@@ -253,7 +253,7 @@
 			load.Suspects = 1
 		}
 		if usesPace {
-			load.Pace = p.paceEstimator.OwnPace(place, now)
+			load.Pace = p.paces.OwnPace(place, now)
 		}
 		if load != (SharedLoad{}) {
 			visit(srv.hash, load)
--- a/internal/balance/sight.go
+++ b/internal/balance/sight.go
@@ -13,8 +13,8 @@
 	load          int
 	// batch is the number of batch requests of all processes.
 	batch int
-	// onlineLoad is the load that counts for an online request.
-	onlineLoad int
+	// online is the load that counts for an online request.
+	online int
 }
 
 // viewOf estimates the load of a server. The server's own report counts only while it is recent,
@@ -34,9 +34,9 @@
 	if s.hasReport && now-s.reportedAt <= ttl {
 		view.load = max(view.load, s.reportedLoad+s.inflightDelta)
 	}
-	view.onlineLoad = view.load
+	view.online = view.load
 	if p.paced() {
-		view.onlineLoad = max(0, view.load-view.batch)
+		view.online = max(0, view.load-view.batch)
 	}
 	return view
 }
@@ -55,13 +55,13 @@
 		// They only tell whether requests wait at the server.
 		return s.totalInflight < s.Slots && s.load <= s.Slots
 	}
-	return s.onlineLoad < s.Slots+overcommit
+	return s.online < s.Slots+overcommit
 }
 
 // freeEstimate returns the estimated number of free slots. If the slots are not known, the result
 // falls with the load.
 func (s serverView) freeEstimate(batch bool) float64 {
-	load := float64(s.onlineLoad)
+	load := float64(s.online)
 	if batch {
 		load = float64(s.load)
 	}
