--- a/internal/balance/accused_test.go
+++ b/internal/balance/accused_test.go
@@ -9,56 +9,56 @@
 	"rockwind.example/rockwind/internal/health"
 )
 
-// judge has all processes judge their servers, as routers do four times a second.
-func (f *fleet) judge(now time.Duration) {
+// evaluate runs the health evaluation of all processes four times a second.
+func (f *fleet) evaluate(now time.Duration) {
 	for _, each := range f.processes {
 		each.pool.Evaluate(now, f.random)
 	}
-	f.at(now+250*time.Millisecond, f.judge)
+	f.schedule(now+250*time.Millisecond, f.evaluate)
 }
 
-// TestDarkServersOfALargeSiteAreKnownByTheLossesOfFew: 250 processes send a server some
-// three requests a second together. Each cannot lose one to learn that it has gone dark.
-func TestDarkServersOfALargeSiteAreKnownByTheLossesOfFew(t *testing.T) {
+// TestFailedServersAreDetectedAfterFewLostRequests guards against each of 250 processes losing a
+// request to every failed server. Together they send a server about three requests a second.
+func TestFailedServersAreDetectedAfterFewLostRequests(t *testing.T) {
 	const (
-		dark = 3
-		// watched is about as long as the directory takes to call a server silent.
-		watched = 5 * time.Second
-		// most is how many requests may be lost for each dark server: what comes in until
-		// two processes have waited long enough for an answer and the others know.
+		failed = 3
+		// window is about the time the directory needs to mark a server silent.
+		window = 5 * time.Second
+		// most is the number of requests that may be lost per failed server until two processes have
+		// timed out and the others know.
 		most = 6
 	)
-	f := newFleet(1, 250, manyServers, 7, 800*time.Millisecond, 200*time.Millisecond)
-	f.at(0, f.judge)
-	f.arrive(func(time.Duration) float64 { return 530 }, 3*time.Second+watched)
-	f.at(3*time.Second, func(time.Duration) {
-		for _, name := range f.names[:dark] {
-			f.servers[name].dark = true
+	f := newFleet(1, 250, largeSiteServers, 7, 800*time.Millisecond, 200*time.Millisecond)
+	f.schedule(0, f.evaluate)
+	f.generate(func(time.Duration) float64 { return 530 }, 3*time.Second+window)
+	f.schedule(3*time.Second, func(time.Duration) {
+		for _, name := range f.names[:failed] {
+			f.servers[name].failed = true
 		}
 	})
-	f.run(3*time.Second + watched)
-	t.Logf("%d requests were lost at %d dark servers within %s", f.lost, dark, watched)
-	if f.lost > most*dark {
-		t.Errorf("%d requests were lost at %d dark servers, more than %d", f.lost, dark, most*dark)
+	f.run(3*time.Second + window)
+	t.Logf("%d requests were lost at %d failed servers within %s", f.lost, failed, window)
+	if f.lost > most*failed {
+		t.Errorf("%d requests were lost at %d failed servers, more than %d", f.lost, failed, most*failed)
 	}
 }
 
-// TestServersAreNotAvoidedWhenMostAreAccused: where all servers are slow, avoiding those
-// that others complain of would press the rest.
-func TestServersAreNotAvoidedWhenMostAreAccused(t *testing.T) {
-	for _, accused := range []int{10, manyServers / 2} {
+// TestServersAreNotAvoidedWhenMostAreSuspected guards against overloading the remaining servers
+// when all servers are slow.
+func TestServersAreNotAvoidedWhenMostAreSuspected(t *testing.T) {
+	for _, suspected := range []int{10, largeSiteServers / 2} {
 		shares := balance.NewSharedLoads()
 		for _, sender := range []string{"a", "b"} {
 			loads := make(map[uint32]balance.SharedLoad)
-			for _, member := range manyMembers()[:accused] {
+			for _, member := range largeSiteMembers()[:suspected] {
 				loads[balance.ServerHash(member.ID)] = balance.SharedLoad{Suspects: 1}
 			}
 			shares.Apply(sender, 1, 1, loads, 0)
 		}
 		pool := balance.NewPool("service", "here", shares)
-		pool.Update(manyMembers())
+		pool.Update(largeSiteMembers())
 		avoided := make(map[string]bool)
-		for _, member := range manyMembers()[:accused] {
+		for _, member := range largeSiteMembers()[:suspected] {
 			avoided[member.ID] = true
 		}
 		random, hits := rand.New(rand.NewPCG(1, 2)), 0
@@ -72,8 +72,8 @@
 			}
 			pool.RecordOutcome(choice, health.Success, 0, 0, random)
 		}
-		if few := accused == 10; few != (hits == 0) {
-			t.Errorf("with %d accused servers of %d, %d of 500 requests went there", accused, manyServers, hits)
+		if few := suspected == 10; few != (hits == 0) {
+			t.Errorf("with %d suspected servers of %d, %d of 500 requests went there", suspected, largeSiteServers, hits)
 		}
 	}
 }
--- a/internal/balance/copyserver_test.go
+++ b/internal/balance/copyserver_test.go
@@ -8,8 +8,8 @@
 	"rockwind.example/rockwind/internal/balance"
 )
 
-// copyingPool is a pool in zone-0 with two servers in each of two zones.
-func copyingPool() (*balance.Pool, *rand.Rand) {
+// twoZonePool returns a pool in zone-0 with two servers in each of two zones.
+func twoZonePool() (*balance.Pool, *rand.Rand) {
 	pool := balance.NewPool("app", "zone-0", balance.NewSharedLoads())
 	var members []balance.Member
 	for each := range 4 {
@@ -21,8 +21,8 @@
 	return pool, rand.New(rand.NewPCG(1, 2))
 }
 
-func TestCopyIsInTheZoneOfItsRunUnlessThatFails(t *testing.T) {
-	pool, random := copyingPool()
+func TestCopyIsInTheRequestedZone(t *testing.T) {
+	pool, random := twoZonePool()
 	for range 20 {
 		if holder, found := pool.ChooseCopyServer("s1", false, 0, random); !found || holder.ID != "s3" {
 			t.Fatalf("the copy of a run at s1 is at %q", holder.ID)
@@ -35,11 +35,11 @@
 
 // TestNoCopyIsSentWhereThereIsNoRoom fills the servers one after the other.
 func TestNoCopyIsSentWhereThereIsNoRoom(t *testing.T) {
-	pool, random := copyingPool()
+	pool, random := twoZonePool()
 	fill := func(id string) {
 		for range 2 {
 			if _, found := pool.StartAt(id, balance.Demand{}, 0); !found {
-				t.Fatalf("no request begins at %s", id)
+				t.Fatalf("no request starts at %s", id)
 			}
 		}
 	}
@@ -54,13 +54,13 @@
 	}
 }
 
-func TestRunDoesNotGoOnAtAServerThatLeft(t *testing.T) {
-	pool, _ := copyingPool()
+func TestRunDoesNotContinueAtAReplacedServer(t *testing.T) {
+	pool, _ := twoZonePool()
 	choice, _ := pool.StartAt("s2", balance.Demand{}, 0)
 	pool.RecordReplaced(choice)
 	for _, id := range []string{"s2", "never-seen"} {
 		if _, found := pool.StartAt(id, balance.Demand{}, 0); found {
-			t.Errorf("a run goes on at %s", id)
+			t.Errorf("a run continues at %s", id)
 		}
 	}
 }
--- a/internal/balance/handled_test.go
+++ b/internal/balance/handled_test.go
@@ -8,30 +8,30 @@
 	"rockwind.example/rockwind/internal/balance"
 )
 
-// viewAge is how old the loads of other processes may be in these tests.
-const viewAge = 250 * time.Millisecond
+// maxLoadAge is how old the loads of other processes may be in these tests.
+const maxLoadAge = 250 * time.Millisecond
 
-// busyPool is a pool of one process of several that start batch work. Each of its servers
-// has one batch request of this process and online requests of others, one too many.
-func busyPool(servers int, random *rand.Rand) (*balance.Pool, *balance.SharedLoads) {
+// overloadedPool returns a pool where each server has one request more than slots: one batch
+// request of this process, and batch and online requests of others.
+func overloadedPool(servers int, random *rand.Rand) (*balance.Pool, *balance.SharedLoads) {
 	shares := balance.NewSharedLoads()
 	pool := balance.NewPool("service", "here", shares)
-	pool.Update(manyMembers()[:servers])
+	pool.Update(largeSiteMembers()[:servers])
 	pool.SetBatchProcesses(1)
 	for range servers {
 		pool.Choose(balance.Demand{Batch: true}, nil, 0, random)
 	}
 	loads := make(map[uint32]balance.SharedLoad)
-	for _, member := range manyMembers()[:servers] {
+	for _, member := range largeSiteMembers()[:servers] {
 		loads[balance.ServerHash(member.ID)] = balance.SharedLoad{Inflight: 7, Batch: 3}
 	}
 	shares.Apply("others", 1, 1, loads, 0)
-	pool.SetMaxLoadAge(viewAge)
+	pool.SetMaxLoadAge(maxLoadAge)
 	return pool, shares
 }
 
-// yields counts how much gives way in one look.
-func yields(pool *balance.Pool, waiting int, now time.Duration, random *rand.Rand) int {
+// preempt returns how many requests one call of PreemptBatch preempts.
+func preempt(pool *balance.Pool, waiting int, now time.Duration, random *rand.Rand) int {
 	count := 0
 	pool.PreemptBatch(waiting, now, random, func(_ string, requests int) int {
 		count += requests
@@ -40,50 +40,52 @@
 	return count
 }
 
-// TestBatchGivesWayOnceForWhatItSees: the loads of others show what gave way only after
-// some looks. Deciding at each of them would give way many times over: this process has a
-// quarter of the batch work, so about a quarter of the excess is its part.
+// TestBatchGivesWayOnceForWhatItSees guards against preempting again for the same excess before the
+// loads of others show the effect. This process has a quarter of the batch work and preempts about
+// a quarter of the excess.
 func TestBatchGivesWayOnceForWhatItSees(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	const servers = 100
-	pool, _ := busyPool(servers, random)
+	pool, _ := overloadedPool(servers, random)
 	gave := 0
 	for look := range 6 {
-		gave += yields(pool, 0, time.Second+time.Duration(look)*40*time.Millisecond, random)
+		gave += preempt(pool, 0, time.Second+time.Duration(look)*40*time.Millisecond, random)
 	}
 	if gave < servers/8 || gave > servers/2 {
-		t.Errorf("%d of %d gave way within the age of the view", gave, servers)
+		t.Errorf("%d of %d were preempted within the maximum load age", gave, servers)
 	}
-	if again := yields(pool, 0, time.Second+2*viewAge, random); again == 0 {
-		t.Error("nothing gives way although the excess stays")
+	if again := preempt(pool, 0, time.Second+2*maxLoadAge, random); again == 0 {
+		t.Error("nothing is preempted although the excess remains")
 	}
 }
 
-// TestBatchGivesWayToQueuesOnceAndToWhatIsAdded does the same for requests that wait.
-func TestBatchGivesWayToQueuesOnceAndToWhatIsAdded(t *testing.T) {
+// TestBatchIsPreemptedOnceForTheSameQueue checks the same for waiting requests, and that additional
+// ones cause further preemptions.
+func TestBatchIsPreemptedOnceForTheSameQueue(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	pool := balance.NewPool("service", "here", balance.NewSharedLoads())
-	pool.Update(manyMembers()[:10])
+	pool.Update(largeSiteMembers()[:10])
 	for range 20 {
 		pool.Choose(balance.Demand{Batch: true}, nil, 0, random)
 	}
-	pool.SetMaxLoadAge(viewAge)
-	if gave := yields(pool, 4, time.Second, random); gave != 4 {
-		t.Fatalf("%d gave way to 4", gave)
+	pool.SetMaxLoadAge(maxLoadAge)
+	if gave := preempt(pool, 4, time.Second, random); gave != 4 {
+		t.Fatalf("%d were preempted for 4 waiting requests", gave)
 	}
-	if gave := yields(pool, 4, time.Second+40*time.Millisecond, random); gave != 0 {
-		t.Errorf("%d more gave way to the same 4", gave)
+	if gave := preempt(pool, 4, time.Second+40*time.Millisecond, random); gave != 0 {
+		t.Errorf("%d more were preempted for the same 4 requests", gave)
 	}
-	if gave := yields(pool, 6, time.Second+80*time.Millisecond, random); gave != 2 {
-		t.Errorf("%d gave way to 2 more", gave)
+	if gave := preempt(pool, 6, time.Second+80*time.Millisecond, random); gave != 2 {
+		t.Errorf("%d were preempted for 2 additional requests", gave)
 	}
 }
 
-// TestServerThatIsGoneIsNotChosenAgain: its own word is proof, whatever the directory says.
+// TestServerThatIsGoneIsNotChosenAgain checks that a replaced server isn't chosen even if the
+// directory still lists it.
 func TestServerThatIsGoneIsNotChosenAgain(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	pool := balance.NewPool("service", "here", balance.NewSharedLoads())
-	pool.Update(manyMembers()[:2])
+	pool.Update(largeSiteMembers()[:2])
 	first, _ := pool.Choose(balance.Demand{}, nil, 0, random)
 	pool.RecordReplaced(first)
 	for range 7 {
--- a/internal/balance/headroom_test.go
+++ b/internal/balance/headroom_test.go
@@ -11,7 +11,7 @@
 	"rockwind.example/rockwind/internal/balance"
 )
 
-// newPool returns a pool of so many servers with the shares that it reads.
+// newPool returns a pool of the given number of servers, its shared loads and the server names.
 func newPool(servers, slots int) (*balance.Pool, *balance.SharedLoads, []string) {
 	shares := balance.NewSharedLoads()
 	pool := balance.NewPool("service", "here", shares)
@@ -28,11 +28,11 @@
 
 func serverName(number int) string { return fmt.Sprintf("server-%d", number) }
 
-func seeded(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 1)) }
+func newRandom(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 1)) }
 
-// TestBatchWorkFillsWhatOnlineWorkLeaves counts the batch requests that start beside
-// online work of other processes, slowly enough for all to know of each start.
-func TestBatchWorkFillsWhatOnlineWorkLeaves(t *testing.T) {
+// TestBatchWorkUsesSlotsLeftByOnlineWork checks how many batch requests start besides online work
+// of other processes, slowly enough that every start is known.
+func TestBatchWorkUsesSlotsLeftByOnlineWork(t *testing.T) {
 	const servers, slots = 10, 10
 	for online, want := range map[int]int{0: 100, 4: 60, 6: 40, 9: 10, 10: 0} {
 		pool, shares, names := newPool(servers, slots)
@@ -43,37 +43,37 @@
 		shares.Apply("router", 1, 1, loads, 0)
 		started := 0
 		for now := time.Duration(0); now < 30*time.Second; now += 250 * time.Millisecond {
-			if _, found := pool.Choose(balance.Demand{Batch: true}, nil, now, seeded(1)); found {
+			if _, found := pool.Choose(balance.Demand{Batch: true}, nil, now, newRandom(1)); found {
 				started++
 			}
 		}
 		if started != want {
-			t.Errorf("beside %d online requests a server %d batch requests start, want %d", online, started, want)
+			t.Errorf("with %d online requests per server %d batch requests start, want %d", online, started, want)
 		}
 	}
 }
 
-// TestProcessDoesNotStartAllAtOnceWhatAllMayStart: what was started a moment ago is
-// counted twice, since another process may have started as much unseen.
-func TestProcessDoesNotStartAllAtOnceWhatAllMayStart(t *testing.T) {
+// TestProcessLeavesBatchSlotsToOtherProcesses checks that recent starts count twice, since the
+// other process may have started as many.
+func TestProcessLeavesBatchSlotsToOtherProcesses(t *testing.T) {
 	pool, _, _ := newPool(20, 10)
 	pool.SetBatchProcesses(2)
 	started := 0
 	for {
-		if _, found := pool.Choose(balance.Demand{Batch: true}, nil, 0, seeded(1)); !found {
+		if _, found := pool.Choose(balance.Demand{Batch: true}, nil, 0, newRandom(1)); !found {
 			break
 		}
 		started++
 	}
 	if started != 100 {
-		t.Fatalf("%d started of a budget of 200", started)
+		t.Fatalf("%d started out of 200 slots, want 100", started)
 	}
 }
 
-// TestBatchWorkGivesWayByItsShare: over random loads the processes together give up
-// about what a server has too much, none more than it has, and nothing where no request
-// waits at the server.
-func TestBatchWorkGivesWayByItsShare(t *testing.T) {
+// TestBatchWorkIsPreemptedByShare checks for random loads that processes together preempt about as
+// many requests as exceed a server's slots, that none preempts more than it runs, and that nothing
+// is preempted while no request waits at the server.
+func TestBatchWorkIsPreemptedByShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const slots = 8
 		own := rapid.IntRange(1, 6).Draw(t, "own")
@@ -82,7 +82,7 @@
 		pool, shares, names := newPool(1, slots)
 		for range own {
 			shares.Expire(time.Hour)
-			if _, found := pool.Choose(balance.Demand{Batch: true}, nil, 0, seeded(1)); !found {
+			if _, found := pool.Choose(balance.Demand{Batch: true}, nil, 0, newRandom(1)); !found {
 				t.Skip("no room for the batch work itself")
 			}
 		}
@@ -91,11 +91,11 @@
 		}, 0)
 		const rounds = 400
 		total := 0
-		random := seeded(rapid.Uint64().Draw(t, "seed"))
+		random := newRandom(rapid.Uint64().Draw(t, "seed"))
 		for range rounds {
 			pool.PreemptBatch(0, 0, random, func(_ string, requests int) int {
 				if requests > own {
-					t.Fatalf("%d of %d give way", requests, own)
+					t.Fatalf("%d of %d are preempted", requests, own)
 				}
 				total += requests
 				return requests
@@ -104,20 +104,20 @@
 		excess := max(0, own+others+online-slots)
 		want := min(float64(own), float64(excess)*float64(own)/float64(own+others))
 		if got := float64(total) / rounds; got < want-0.2 || got > want+0.2 {
-			t.Fatalf("%.2f give way on average, want %.2f", got, want)
+			t.Fatalf("%.2f are preempted on average, want %.2f", got, want)
 		}
 	})
 }
 
-// TestBatchWorkGivesWayToQueues: online requests that wait in the routers get as many slots
-// of batch work as there are of them, once, from all processes together.
-func TestBatchWorkGivesWayToQueues(t *testing.T) {
+// TestBatchWorkIsPreemptedForQueues checks that all processes together free one slot, once, for
+// each online request waiting in the routers.
+func TestBatchWorkIsPreemptedForQueues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const slots = 8
 		queued := rapid.IntRange(0, 10).Draw(t, "queued")
 		own := rapid.IntRange(1, 12).Draw(t, "own")
 		others := rapid.IntRange(0, 12).Draw(t, "others")
-		random := seeded(rapid.Uint64().Draw(t, "seed"))
+		random := newRandom(rapid.Uint64().Draw(t, "seed"))
 		pool, shares, names := newPool(4, slots)
 		for range own {
 			if _, found := pool.Choose(balance.Demand{Batch: true}, nil, 0, random); !found {
@@ -144,30 +144,30 @@
 			first := give()
 			total += first
 			if own+others <= slots && first >= queued && give() != 0 {
-				t.Fatal("batch work gives way again before the slots can be taken")
+				t.Fatal("batch work is preempted again before the slots can be taken")
 			}
 		}
 		want := min(float64(own), float64(queued)*float64(own)/float64(own+others))
 		if got := float64(total) / rounds; own+others <= slots && (got < want-0.3 || got > want+0.3) {
-			t.Fatalf("%.2f give way on average, want %.2f", got, want)
+			t.Fatalf("%.2f are preempted on average, want %.2f", got, want)
 		}
 	})
 }
 
-// TestPacedRequestsGoWhereBatchWorkIs: with all slots taken, most of them by batch work, the
-// few servers with a free slot got all online requests of all processes together.
-func TestPacedRequestsGoWhereBatchWorkIs(t *testing.T) {
+// TestPacedRequestsUseServersWithBatchWork guards against all online requests going to the few
+// servers with a free slot while batch work fills the others.
+func TestPacedRequestsUseServersWithBatchWork(t *testing.T) {
 	const servers, slots = 4, 4
 	pool, shares, names := newPool(servers, slots)
 	pool.SetOnlineProcesses(2)
-	pool.SetMaxLoadAge(viewAge)
+	pool.SetMaxLoadAge(maxLoadAge)
 	loads := map[uint32]balance.SharedLoad{}
 	for i, name := range names {
 		loads[balance.ServerHash(name)] = balance.SharedLoad{Inflight: slots, Batch: i}
 	}
 	shares.Apply("store", 1, 1, loads, 0)
 	chosen := make(map[string]int)
-	for now := time.Duration(0); now < time.Minute; now += viewAge {
+	for now := time.Duration(0); now < time.Minute; now += maxLoadAge {
 		for _, choice := range startAll(pool, now) {
 			chosen[choice.ID]++
 		}
@@ -177,7 +177,7 @@
 			t.Errorf("%s with %d batch requests in its %d slots got %d online requests", name, i, slots, chosen[name])
 		}
 	}
-	if _, found := pool.Choose(balance.Demand{Batch: true}, nil, time.Minute, seeded(1)); found {
+	if _, found := pool.Choose(balance.Demand{Batch: true}, nil, time.Minute, newRandom(1)); found {
 		t.Error("batch work was started at a full server")
 	}
 }
--- a/internal/balance/homes_test.go
+++ b/internal/balance/homes_test.go
@@ -11,36 +11,36 @@
 	"rockwind.example/rockwind/internal/balance/pace"
 )
 
-// manyServers is the number of servers of a service on a large site.
-const manyServers = 204
+// largeSiteServers is the number of servers of a service on a large site.
+const largeSiteServers = 204
 
-func manyMembers() []balance.Member {
+func largeSiteMembers() []balance.Member {
 	var members []balance.Member
-	for i := range manyServers {
+	for i := range largeSiteServers {
 		name := fmt.Sprint("server-", i)
 		members = append(members, balance.Member{ID: name, Address: name, Zone: "here", Slots: 7})
 	}
 	return members
 }
 
-// longPrompt shares a long part with other prompts.
+// longPrompt returns a demand with a long part that it shares with others of the subject.
 func longPrompt(subject uint64) balance.Demand {
 	return balance.Demand{Parts: []balance.Part{{ID: subject, Tokens: 13_000}, {ID: subject << 32, Tokens: 10}}}
 }
 
-// TestSharedPartsHaveTheSameHomesEverywhere: processes that know nothing of each other
-// expect a shared part at the same servers, in whatever order they learned of them, also
-// after the members have changed.
+// TestSharedPartsHaveTheSameHomesEverywhere checks that processes without digests expect a shared
+// part at the same servers, independently of the order of members and also after the members have
+// changed.
 func TestSharedPartsHaveTheSameHomesEverywhere(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	chosen := make(map[uint64]map[string]bool)
 	for range 6 {
-		members := manyMembers()
+		members := largeSiteMembers()
 		random.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
 		for subject := uint64(1); subject <= 20; subject++ {
 			pool := balance.NewPool("service", "here", balance.NewSharedLoads())
-			// The homes of the first half are found and then have to be found again.
-			pool.Update(members[:manyServers/2])
+			// Caches homes among half of the members, which the next update must discard.
+			pool.Update(members[:largeSiteServers/2])
 			pool.Choose(longPrompt(subject), nil, 0, random)
 			pool.Update(members)
 			choice, found := pool.Choose(longPrompt(subject), nil, time.Hour, random)
@@ -60,11 +60,11 @@
 	}
 }
 
-// TestChoicesOfManyServersSpread: prompts of many subjects go to many servers.
+// TestChoicesOfManyServersSpread checks that prompts of many subjects use many servers.
 func TestChoicesOfManyServersSpread(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	pool := balance.NewPool("service", "here", balance.NewSharedLoads())
-	pool.Update(manyMembers())
+	pool.Update(largeSiteMembers())
 	var servers []string
 	for subject := uint64(1); subject <= 400; subject++ {
 		if choice, found := pool.Choose(longPrompt(subject), nil, 0, random); found {
@@ -72,18 +72,18 @@
 		}
 	}
 	slices.Sort(servers)
-	if distinct := len(slices.Compact(servers)); distinct < manyServers/2 {
-		t.Errorf("400 subjects went to %d of %d servers", distinct, manyServers)
+	if distinct := len(slices.Compact(servers)); distinct < largeSiteServers/2 {
+		t.Errorf("400 subjects went to %d of %d servers", distinct, largeSiteServers)
 	}
 }
 
-// BenchmarkChoiceAmongManyServers is the time of one choice on a large site.
+// BenchmarkChoiceAmongManyServers measures a choice on a large site.
 func BenchmarkChoiceAmongManyServers(b *testing.B) {
 	random := rand.New(rand.NewPCG(1, 2))
 	shares := balance.NewSharedLoads()
 	shares.Apply("other", 1, 1, map[uint32]balance.SharedLoad{1: {Inflight: 1}}, 0)
 	pool := balance.NewPool("service", "here", shares)
-	pool.Update(manyMembers())
+	pool.Update(largeSiteMembers())
 	for i := 0; b.Loop(); i++ {
 		if choice, found := pool.Choose(longPrompt(uint64(i%500+1)), nil, 0, random); found {
 			pool.Abandon(choice)
@@ -91,15 +91,15 @@
 	}
 }
 
-// BenchmarkChoiceByPace is the same where servers tell their pace.
+// BenchmarkChoiceByPace measures a choice on a large site whose servers report their pace.
 func BenchmarkChoiceByPace(b *testing.B) {
 	random := rand.New(rand.NewPCG(1, 2))
 	shares := balance.NewSharedLoads()
 	shares.Apply("other", 1, 1, map[uint32]balance.SharedLoad{1: {Inflight: 1}}, 0)
 	pool := balance.NewPool("service", "here", shares)
 	pool.SetPaceEstimator(pace.New())
-	pool.Update(manyMembers())
-	for _, member := range manyMembers() {
+	pool.Update(largeSiteMembers())
+	for _, member := range largeSiteMembers() {
 		pool.RecordReport(member.ID, balance.LoadReport{Pace: 1}, 0)
 	}
 	for i := 0; b.Loop(); i++ {
--- a/internal/balance/pace/pace.go
+++ b/internal/balance/pace/pace.go
@@ -40,7 +40,7 @@
 	leastPace, mostPace = 0.2, 20.0
 )
 
-// Estimates implements balance.Pacer for one service in one process.
+// Estimates implements balance.PaceEstimator for one service in one process.
 type Estimates struct {
 	servers []server
 	// usual is how long an event usually takes.
@@ -65,7 +65,7 @@
 // New returns estimates that know nothing.
 func New() *Estimates { return &Estimates{} }
 
-// Resize implements balance.Pacer.
+// Resize implements balance.PaceEstimator.
 func (e *Estimates) Resize(places int) {
 	for len(e.servers) < places {
 		e.servers = append(e.servers, server{speed: 1})
@@ -73,10 +73,10 @@
 	e.servers = e.servers[:places]
 }
 
-// Forget implements balance.Pacer.
+// Forget implements balance.PaceEstimator.
 func (e *Estimates) Forget(place int) { e.servers[place] = server{speed: 1} }
 
-// RecordReport implements balance.Pacer.
+// RecordReport implements balance.PaceEstimator.
 func (e *Estimates) RecordReport(place int, pace float64, now time.Duration) {
 	if pace <= 0 {
 		return
@@ -86,7 +86,7 @@
 	e.heard, e.heardAt = true, now
 }
 
-// RecordRun implements balance.Pacer. What the server told of the moment is taken out, so that it
+// RecordRun implements balance.PaceEstimator. What the server told of the moment is taken out, so that it
 // does not count twice.
 func (e *Estimates) RecordRun(place int, run balance.RunSample, now time.Duration) {
 	event := float64(run.EventInterval)
@@ -100,18 +100,18 @@
 	e.usual.add(run.Concurrency, event)
 }
 
-// HasReports implements balance.Pacer.
+// HasReports implements balance.PaceEstimator.
 func (e *Estimates) HasReports(now time.Duration) bool {
 	return e.heard && now-e.heardAt <= informedFor
 }
 
-// CurrentPace implements balance.Pacer.
+// CurrentPace implements balance.PaceEstimator.
 func (e *Estimates) CurrentPace(place int, others balance.SharedPace, now time.Duration) float64 {
 	known := &e.servers[place]
 	return bounded(known.moment(others, now) * known.speedNow(others, now))
 }
 
-// LongTermPace implements balance.Pacer.
+// LongTermPace implements balance.PaceEstimator.
 func (e *Estimates) LongTermPace(place int, others balance.SharedPace, now time.Duration) float64 {
 	return bounded(e.servers[place].speedNow(others, now))
 }
@@ -131,7 +131,7 @@
 	return (float64(sum+others.ObservedSum)/hundred + speedPrior*s.speed) / (float64(voices+others.ObservedCount) + speedPrior)
 }
 
-// OwnPace implements balance.Pacer.
+// OwnPace implements balance.PaceEstimator.
 func (e *Estimates) OwnPace(place int, now time.Duration) balance.SharedPace {
 	known := &e.servers[place]
 	own := balance.SharedPace{ReportedCount: known.toldVoices(now)}
@@ -140,7 +140,7 @@
 	return own
 }
 
-// Remember implements balance.Pacer.
+// Remember implements balance.PaceEstimator.
 func (e *Estimates) Remember(place int, others balance.SharedPace, now time.Duration) {
 	known := &e.servers[place]
 	if _, voices := known.seen.total(now); voices+others.ObservedCount >= leastVoices {
--- a/internal/balance/paceestimator_test.go
+++ b/internal/balance/paceestimator_test.go
@@ -10,22 +10,22 @@
 	"rockwind.example/rockwind/internal/health"
 )
 
-// poolByPace is a pool of some servers that chooses by paces, as one of several processes.
-func poolByPace(servers int) (*balance.Pool, *balance.SharedLoads) {
+// newPacePool returns a pool that estimates paces.
+func newPacePool(servers int) (*balance.Pool, *balance.SharedLoads) {
 	shares := balance.NewSharedLoads()
 	pool := balance.NewPool("service", "here", shares)
 	pool.SetPaceEstimator(pace.New())
-	pool.Update(manyMembers()[:servers])
+	pool.Update(largeSiteMembers()[:servers])
 	return pool, shares
 }
 
-// TestServersThatTellNoPaceAreChosenAsWithoutPaces: on sites whose servers do not tell it, the
-// same requests go to the same servers, whatever runs show.
-func TestServersThatTellNoPaceAreChosenAsWithoutPaces(t *testing.T) {
+// TestPaceIsIgnoredWithoutReports checks that choices don't depend on observed runs where servers
+// don't report their pace.
+func TestPaceIsIgnoredWithoutReports(t *testing.T) {
 	const servers, requests = 12, 400
-	paced, _ := poolByPace(servers)
+	paced, _ := newPacePool(servers)
 	plain := balance.NewPool("service", "here", balance.NewSharedLoads())
-	plain.Update(manyMembers()[:servers])
+	plain.Update(largeSiteMembers()[:servers])
 	one, other := rand.New(rand.NewPCG(1, 2)), rand.New(rand.NewPCG(1, 2))
 	for i := range requests {
 		now := time.Duration(i) * 10 * time.Millisecond
@@ -43,24 +43,24 @@
 	}
 	paced.OwnLoads(requests*10*time.Millisecond, func(_ uint32, load balance.SharedLoad) {
 		if load.Pace != (balance.SharedPace{}) {
-			t.Errorf("others are told %+v", load.Pace)
+			t.Errorf("the pace %+v is shared with other processes", load.Pace)
 		}
 	})
 	if known := paced.Paces(requests * 10 * time.Millisecond); known != nil {
-		t.Errorf("the paces count as known: %v", known)
+		t.Errorf("pace estimates are used: %v", known)
 	}
 }
 
-// TestSlowServersGetLessWork: what other processes saw of a server counts although this one
-// has sent nothing there.
+// TestSlowServersGetLessWork checks that observations of other processes count even if this one has
+// sent nothing to the server.
 func TestSlowServersGetLessWork(t *testing.T) {
 	const (
 		requests = 2000
 		slowdown = 4
 	)
 	random := rand.New(rand.NewPCG(1, 2))
-	pool, shares := poolByPace(2)
-	slow, usual := manyMembers()[0].ID, manyMembers()[1].ID
+	pool, shares := newPacePool(2)
+	slow, usual := largeSiteMembers()[0].ID, largeSiteMembers()[1].ID
 	seen := balance.SharedPace{ReportedSum: 400, ReportedCount: 4, ObservedSum: slowdown * 100 * 40, ObservedCount: 40}
 	shares.Apply("other", 1, 1, map[uint32]balance.SharedLoad{balance.ServerHash(slow): {Pace: seen}}, 0)
 	pool.RecordReport(usual, balance.LoadReport{Pace: 1}, 0)
@@ -78,20 +78,19 @@
 	}
 }
 
-// TestServersThatAreSlowTogetherAreNotAvoided: a third of the servers answers four times as
-// late as the others. Their paces leave them what they can do; as suspects they would get
-// nothing while the others have room.
+// TestServersThatAreSlowTogetherAreNotAvoided guards against excluding a third of the servers as
+// suspect because they are four times slower. Their pace only reduces their share of the work.
 func TestServersThatAreSlowTogetherAreNotAvoided(t *testing.T) {
 	const (
 		servers, slowOnes = 12, 4
 		rounds            = 20
 	)
 	random := rand.New(rand.NewPCG(1, 2))
-	pool, shares := poolByPace(servers)
+	pool, shares := newPacePool(servers)
 	shares.Apply("other", 1, 1, map[uint32]balance.SharedLoad{1: {Inflight: 1}}, 0)
 	now := time.Duration(0)
 	slow := make(map[string]bool)
-	for _, member := range manyMembers()[:slowOnes] {
+	for _, member := range largeSiteMembers()[:slowOnes] {
 		slow[member.ID] = true
 	}
 	reached := 0
@@ -117,16 +116,16 @@
 		pool.Evaluate(now, random)
 	}
 	if reached == 0 {
-		t.Error("servers that are slow get nothing")
+		t.Error("slow servers get no requests")
 	}
 }
 
-// TestLateFirstEventOfASlowServerIsNotSilence: the wait for it is expected to be as many times
-// longer as the server is slower.
+// TestLateFirstEventOfASlowServerIsNotSilence checks that the expected wait for the first event
+// grows with the server's pace.
 func TestLateFirstEventOfASlowServerIsNotSilence(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	pool, shares := poolByPace(1)
-	server := manyMembers()[0].ID
+	pool, shares := newPacePool(1)
+	server := largeSiteMembers()[0].ID
 	pool.RecordReport(server, balance.LoadReport{Pace: 1}, 0)
 	seen := balance.SharedPace{ObservedSum: 8 * 100 * 60, ObservedCount: 60}
 	shares.Apply("other", 1, 1, map[uint32]balance.SharedLoad{balance.ServerHash(server): {Pace: seen}}, 0)
@@ -140,29 +139,30 @@
 	}
 	pool.RecordFirstEvent(choice, true, 300*time.Millisecond)
 	if _, found := pool.Choose(balance.Demand{}, nil, 300*time.Millisecond, random); !found {
-		t.Error("the server is out")
+		t.Error("the server was ejected")
 	}
 }
 
-// TestRunsAreComparedByWhatAUsualServerNeeds: where paces are not known all are usual.
-func TestRunsAreComparedByWhatAUsualServerNeeds(t *testing.T) {
+// TestDurationsAreNormalizedByPace checks the conversion of durations, also for unknown paces.
+func TestDurationsAreNormalizedByPace(t *testing.T) {
 	slow, unknown := balance.Choice{Pace: 2.5}, balance.Choice{}
 	if got := slow.NormalizeDuration(5 * time.Second); got != 2*time.Second {
-		t.Errorf("5 s at a server that is 2.5 times slower are %v", got)
+		t.Errorf("5 s at a server of pace 2.5 normalize to %v, want 2s", got)
 	}
 	if got := slow.ScaleDuration(2 * time.Second); got != 5*time.Second {
-		t.Errorf("2 s are %v there", got)
+		t.Errorf("2 s scale to %v at a server of pace 2.5, want 5s", got)
 	}
 	if unknown.NormalizeDuration(time.Second) != time.Second || unknown.ScaleDuration(time.Second) != time.Second {
-		t.Error("a server of unknown pace is not usual")
+		t.Error("unknown pace does not count as 1")
 	}
 }
 
-// TestEventsThatCameTogetherTellNoPace: how long they took is not known.
-func TestEventsThatCameTogetherTellNoPace(t *testing.T) {
-	pool, _ := poolByPace(1)
+// TestSimultaneousEventsAreNoRunSample checks that events that arrived together are no sample of a
+// pace.
+func TestSimultaneousEventsAreNoRunSample(t *testing.T) {
+	pool, _ := newPacePool(1)
 	choice, found := pool.Choose(balance.Demand{}, nil, 0, rand.New(rand.NewPCG(1, 2)))
 	if !found || pool.RecordRun(choice, 20, 0, 0, time.Second) || !pool.RecordRun(choice, 20, time.Second, 0, time.Second) {
-		t.Fatal("events that came at one time are taken for a sight, or others are not")
+		t.Fatal("simultaneous events are accepted as a sample, or other events are not")
 	}
 }
--- a/internal/balance/pacing_test.go
+++ b/internal/balance/pacing_test.go
@@ -8,12 +8,12 @@
 	"rockwind.example/rockwind/internal/health"
 )
 
-// pacedPool is a pool of ten servers with ten slots each, of which the other processes leave
-// so many free, as one of ten processes sees it.
+// pacedPool returns a pool as one of ten processes sees it, with ten servers of ten slots, of which
+// other processes leave the given number free.
 func pacedPool(free int) (*balance.Pool, *balance.SharedLoads) {
 	pool, shares, names := newPool(10, 10)
 	pool.SetOnlineProcesses(10)
-	pool.SetMaxLoadAge(viewAge)
+	pool.SetMaxLoadAge(maxLoadAge)
 	loads := map[uint32]balance.SharedLoad{}
 	for i, name := range names {
 		left := min(10, max(0, free-10*i))
@@ -23,11 +23,11 @@
 	return pool, shares
 }
 
-// startAll starts as many online requests as the pool lets through at a time.
+// startAll starts as many online requests as the pool admits at a time.
 func startAll(pool *balance.Pool, now time.Duration) []balance.Choice {
 	var started []balance.Choice
 	for {
-		choice, found := pool.Choose(balance.Demand{}, nil, now, seeded(1))
+		choice, found := pool.Choose(balance.Demand{}, nil, now, newRandom(1))
 		if !found {
 			return started
 		}
@@ -35,9 +35,9 @@
 	}
 }
 
-// TestProcessStartsItsPartOfTheFreeSlots: all processes saw the same free slots, and each of
-// them filled them.
-func TestProcessStartsItsPartOfTheFreeSlots(t *testing.T) {
+// TestProcessStartsItsShareOfTheFreeSlots guards against every process filling all the free slots
+// that all of them see.
+func TestProcessStartsItsShareOfTheFreeSlots(t *testing.T) {
 	for free, want := range map[int]int{0: 0, 20: 2, 60: 6, 100: 10} {
 		pool, _ := pacedPool(free)
 		if started := len(startAll(pool, time.Second)); started != want {
@@ -46,8 +46,9 @@
 	}
 }
 
-// TestPartOfTheFreeSlotsFollowsWhatWaits here, beside what the others tell that waits there.
-func TestPartOfTheFreeSlotsFollowsWhatWaits(t *testing.T) {
+// TestShareOfTheFreeSlotsFollowsTheQueue checks that the share depends on the requests waiting here
+// and elsewhere.
+func TestShareOfTheFreeSlotsFollowsTheQueue(t *testing.T) {
 	const free = 60
 	for _, each := range []struct{ here, elsewhere, want int }{{0, 0, 6}, {10, 90, 6}, {90, 10, 50}, {1, 90, 2}} {
 		pool, shares := pacedPool(free)
@@ -59,9 +60,9 @@
 	}
 }
 
-// TestProcessUsesWhatItEndsAtOnce although no slot is free by what others tell: it alone
-// knows of the slot yet.
-func TestProcessUsesWhatItEndsAtOnce(t *testing.T) {
+// TestProcessReusesItsFreedSlotsImmediately checks that a process uses a slot it freed although no
+// slot is free according to the other processes.
+func TestProcessReusesItsFreedSlotsImmediately(t *testing.T) {
 	pool, shares := pacedPool(20)
 	started := startAll(pool, time.Second)
 	loads := make(map[uint32]balance.SharedLoad)
@@ -76,46 +77,46 @@
 	if more := startAll(pool, 2*time.Second); len(more) != 0 {
 		t.Fatalf("%d requests were started without a free slot", len(more))
 	}
-	pool.RecordOutcome(started[0], health.Success, time.Millisecond, 2*time.Second, seeded(1))
+	pool.RecordOutcome(started[0], health.Success, time.Millisecond, 2*time.Second, newRandom(1))
 	if again := startAll(pool, 2*time.Second); len(again) != 1 || again[0].ID != started[0].ID {
-		t.Fatalf("%d requests were started in the slot that was left", len(again))
+		t.Fatalf("%d requests were started in the freed slot, want 1", len(again))
 	}
 }
 
-// TestPacedRequestsSpreadAtSaturation: 50 processes before 534 slots get a tenth more
-// requests than these hold. Unpaced, they queue at servers that all had seen free.
+// TestPacedRequestsSpreadAtSaturation guards against queues at servers that all processes saw as
+// free. 50 processes send a tenth more requests than 534 slots can serve.
 func TestPacedRequestsSpreadAtSaturation(t *testing.T) {
 	queued := func(paced bool) time.Duration {
-		f := newFleet(1, 50, 89, 6, 700*time.Millisecond, viewAge)
+		f := newFleet(1, 50, 89, 6, 700*time.Millisecond, maxLoadAge)
 		for _, each := range f.processes {
-			each.pool.SetMaxLoadAge(viewAge)
+			each.pool.SetMaxLoadAge(maxLoadAge)
 			if paced {
 				each.pool.SetOnlineProcesses(len(f.processes))
 			}
 		}
-		f.arrive(func(time.Duration) float64 { return 840 }, 6*time.Second)
+		f.generate(func(time.Duration) float64 { return 840 }, 6*time.Second)
 		f.run(10 * time.Second)
-		t.Logf("paced %v: median wait at servers %v, p90 %v, %d of %d found no room", paced, f.waited(0.5), f.waited(0.9), f.refused, f.refused+len(f.waits))
-		return f.waited(0.9)
+		t.Logf("paced %v: median wait at servers %v, p90 %v, %d of %d found no room", paced, f.waitQuantile(0.5), f.waitQuantile(0.9), f.refused, f.refused+len(f.waits))
+		return f.waitQuantile(0.9)
 	}
 	if unpaced, paced := queued(false), queued(true); paced > unpaced/2 {
 		t.Errorf("p90 of the waits at servers: %v unpaced, %v paced", unpaced, paced)
 	}
 }
 
-// TestProcessThatHasJustStartedMayStartRequests although its part of the free slots is small:
-// on a site of 250 routers before 18 slots each got its first request after seven seconds.
+// TestProcessThatHasJustStartedMayStartRequests guards against a new process waiting seconds for
+// its first credit because its share of the free slots is small.
 func TestProcessThatHasJustStartedMayStartRequests(t *testing.T) {
 	pool, _ := pacedPool(90)
 	pool.SetOnlineProcesses(250)
 	if started := len(startAll(pool, time.Millisecond)); started != 2 {
-		t.Fatalf("%d requests were started", started)
+		t.Fatalf("%d requests were started, want 2", started)
 	}
 }
 
-// TestRequestsOfRemovedServersGiveTheirCreditBack: after a server was lost with requests of
-// this process on it, the process could start fewer for good.
-func TestRequestsOfRemovedServersGiveTheirCreditBack(t *testing.T) {
+// TestRequestsOfRemovedServersRefundCredit guards against losing credit for good when a server with
+// requests of this process is removed.
+func TestRequestsOfRemovedServersRefundCredit(t *testing.T) {
 	pool, _ := pacedPool(90)
 	pool.SetOnlineProcesses(250)
 	started := startAll(pool, time.Millisecond)
@@ -126,38 +127,38 @@
 		}
 	}
 	pool.Update(left)
-	pool.RecordOutcome(started[0], health.Failure, 0, 2*time.Millisecond, seeded(1))
+	pool.RecordOutcome(started[0], health.Failure, 0, 2*time.Millisecond, newRandom(1))
 	pool.Abandon(started[1])
 	if again := len(startAll(pool, 2*time.Millisecond)); again != 2 {
-		t.Fatalf("%d requests were started after two had ended", again)
+		t.Fatalf("%d requests were started after two had ended, want 2", again)
 	}
 }
 
-// TestFewRequestsGoBeyondWhatIsThere: they start although others have filled all servers, by what
-// this process may start and one more; others do not start behind them, and the next one that
-// may goes beyond once one of them has ended.
-func TestFewRequestsGoBeyondWhatIsThere(t *testing.T) {
+// TestOvercommitIsLimited checks that requests with overcommit start on full servers, at most one
+// more than this process may start, that no ordinary request starts after them, and that another
+// may overcommit once one has ended.
+func TestOvercommitIsLimited(t *testing.T) {
 	for free, want := range map[int]int{0: 3, 20: 1} {
 		pool, _ := pacedPool(free)
 		startAll(pool, time.Second)
 		beyond := balance.Demand{Overcommit: true}
 		var started []balance.Choice
 		for {
-			choice, found := pool.Choose(beyond, nil, time.Second, seeded(1))
+			choice, found := pool.Choose(beyond, nil, time.Second, newRandom(1))
 			if !found {
 				break
 			}
 			started = append(started, choice)
 		}
 		if len(started) != want {
-			t.Fatalf("with %d free slots %d go beyond, want %d", free, len(started), want)
+			t.Fatalf("with %d free slots %d requests overcommit, want %d", free, len(started), want)
 		}
 		if more := startAll(pool, time.Second); len(more) != 0 {
-			t.Fatalf("with %d free slots %d others start behind them", free, len(more))
+			t.Fatalf("with %d free slots %d ordinary requests start after them", free, len(more))
 		}
-		pool.RecordOutcome(started[0], health.Success, 0, time.Second, seeded(1))
-		if _, found := pool.Choose(beyond, nil, time.Second, seeded(1)); !found {
-			t.Fatalf("with %d free slots none goes beyond once one has ended", free)
+		pool.RecordOutcome(started[0], health.Success, 0, time.Second, newRandom(1))
+		if _, found := pool.Choose(beyond, nil, time.Second, newRandom(1)); !found {
+			t.Fatalf("with %d free slots no request overcommits after one has ended", free)
 		}
 	}
 }
--- a/internal/balance/preemptsize_test.go
+++ b/internal/balance/preemptsize_test.go
@@ -9,7 +9,7 @@
 	"rockwind.example/rockwind/internal/balance"
 )
 
-// BenchmarkYield is a look of a store with 20 items running at what online requests need.
+// BenchmarkYield measures PreemptBatch of a store with 20 running items.
 func BenchmarkYield(b *testing.B) {
 	for _, servers := range []int{300, 1000, 3000, 10_000, 20_000} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
@@ -20,7 +20,7 @@
 			random := rand.New(rand.NewPCG(1, 1))
 			for range 20 {
 				if _, found := pool.Choose(balance.Demand{Batch: true}, nil, 0, random); !found {
-					b.Fatal("an item finds no server")
+					b.Fatal("no server has room for an item")
 				}
 			}
 			for now := time.Duration(0); b.Loop(); now += 40 * time.Millisecond {
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestBatchGivesWayWhereverItRuns: servers that come, go and come back at the places of others are
-// looked at, and those without batch work are not.
+// TestBatchGivesWayWhereverItRuns checks that servers with batch work, and only those, are visited
+// when servers leave and others take over their places.
 func TestBatchGivesWayWhereverItRuns(t *testing.T) {
 	const servers = 200
 	random := rand.New(rand.NewPCG(1, 1))
@@ -49,7 +49,7 @@
 			now += time.Second
 			choice, found := pool.Choose(balance.Demand{Batch: true}, nil, now, random)
 			if !found {
-				t.Fatal("an item finds no server")
+				t.Fatal("no server has room for an item")
 			}
 			running[choice.ID]++
 		}
@@ -62,12 +62,12 @@
 		})
 		for id, count := range running {
 			if visited[id] != count {
-				t.Errorf("round %d: %d of %d runs at %s are asked to give way", round, visited[id], count, id)
+				t.Errorf("round %d: %d of %d runs at %s are preempted", round, visited[id], count, id)
 			}
 		}
 		for id := range visited {
 			if running[id] == 0 {
-				t.Errorf("round %d: %s is asked, and runs nothing", round, id)
+				t.Errorf("round %d: %s is visited without batch work", round, id)
 			}
 		}
 		for place := range servers {
--- a/internal/balance/sample_test.go
+++ b/internal/balance/sample_test.go
@@ -11,11 +11,12 @@
 	"rockwind.example/rockwind/internal/health"
 )
 
-// targetServers is the number of servers of the largest site that is planned for.
+// targetServers is the number of servers of the largest planned site.
 const targetServers = 1200
 
-// fullBut has the others fill all servers of the target but the listed ones.
-func fullBut(servers int, free ...int) (*balance.Pool, *balance.SharedLoads) {
+// poolWithFree returns a pool where other processes fill all servers except one slot at each of the
+// listed ones.
+func poolWithFree(servers int, free ...int) (*balance.Pool, *balance.SharedLoads) {
 	shares := balance.NewSharedLoads()
 	pool := balance.NewPool("service", "here", shares)
 	var members []balance.Member
@@ -33,13 +34,14 @@
 	return pool, shares
 }
 
-// TestOnlyServerWithRoomIsFound among many, and none is chosen where there is none.
+// TestOnlyServerWithRoomIsFound checks that the only server with room among many is found, and that
+// none is chosen if all are full.
 func TestOnlyServerWithRoomIsFound(t *testing.T) {
 	for _, batch := range []bool{false, true} {
 		for seed := range uint64(20) {
 			random := rand.New(rand.NewPCG(seed, 1))
 			only := random.IntN(targetServers)
-			pool, _ := fullBut(targetServers, only)
+			pool, _ := poolWithFree(targetServers, only)
 			demand := balance.Demand{Batch: batch}
 			choice, found := pool.Choose(demand, nil, 0, random)
 			if !found || choice.ID != fmt.Sprint("server-", only) {
@@ -52,12 +54,12 @@
 	}
 }
 
-// TestServerThatGotRoomSinceTheSumsIsFound: the sums over all servers may be older than the
-// loads.
-func TestServerThatGotRoomSinceTheSumsIsFound(t *testing.T) {
+// TestServerWithRoomSinceTheLastSummaryIsFound guards against missing a server that got room after
+// the sums were computed.
+func TestServerWithRoomSinceTheLastSummaryIsFound(t *testing.T) {
 	const later = time.Millisecond
 	random := rand.New(rand.NewPCG(1, 2))
-	pool, shares := fullBut(targetServers)
+	pool, shares := poolWithFree(targetServers)
 	if choice, found := pool.Choose(balance.Demand{}, nil, 0, random); found {
 		t.Fatalf("%v is chosen though it is full", choice.ID)
 	}
@@ -68,14 +70,15 @@
 	shares.Apply("others", 1, 2, loads, later)
 	choice, found := pool.Choose(balance.Demand{}, nil, later, random)
 	if !found || choice.ID != fmt.Sprint("server-", targetServers-1) {
-		t.Fatalf("%v, %v", choice.ID, found)
+		t.Fatalf("chose %q, %v; only the last server has room", choice.ID, found)
 	}
 }
 
-// TestTriedServersAreNotTriedAgainAmongMany: also where no other one has room.
+// TestTriedServersAreNotTriedAgainAmongMany checks that tried servers are excluded even if no other
+// one has room.
 func TestTriedServersAreNotTriedAgainAmongMany(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	pool, _ := fullBut(targetServers, 7, 900)
+	pool, _ := poolWithFree(targetServers, 7, 900)
 	first, found := pool.Choose(balance.Demand{}, nil, 0, random)
 	if !found {
 		t.Fatal("no server is chosen")
@@ -83,7 +86,7 @@
 	pool.Abandon(first)
 	second, found := pool.Choose(balance.Demand{}, []string{first.ID}, 0, random)
 	if !found || second.ID == first.ID {
-		t.Fatalf("%v after %v, %v", second.ID, first.ID, found)
+		t.Fatalf("chose %v after %v, %v", second.ID, first.ID, found)
 	}
 	pool.Abandon(second)
 	if third, found := pool.Choose(balance.Demand{}, []string{first.ID, second.ID}, 0, random); found {
@@ -91,7 +94,8 @@
 	}
 }
 
-// TestEjectedServerAmongManyGetsItsTrial with the next request after its time has come.
+// TestEjectedServerAmongManyGetsItsTrial checks that the next request after an ejection has expired
+// is the trial.
 func TestEjectedServerAmongManyGetsItsTrial(t *testing.T) {
 	const held = time.Minute
 	random := rand.New(rand.NewPCG(1, 2))
@@ -113,12 +117,13 @@
 	}
 }
 
-// TestPromptGoesWhereItsPartsWereSentAmongMany: also where that is none of their homes.
+// TestPromptGoesWhereItsPartsWereSentAmongMany checks that prompts return to servers that are not
+// homes of their parts.
 func TestPromptGoesWhereItsPartsWereSentAmongMany(t *testing.T) {
 	const subjects, least = 50, 40
 	again := 0
 	random := rand.New(rand.NewPCG(1, 2))
-	pool, _ := fullBut(0)
+	pool, _ := poolWithFree(0)
 	var members []balance.Member
 	for i := range targetServers {
 		name := fmt.Sprint("server-", i)
@@ -130,7 +135,7 @@
 		at := fmt.Sprint("server-", random.IntN(targetServers))
 		sent, found := pool.StartAt(at, demand, 0)
 		if !found {
-			t.Fatalf("%v is not known", at)
+			t.Fatalf("%v is not a member", at)
 		}
 		pool.Abandon(sent)
 		if choice, _ := pool.Choose(demand, nil, time.Second, random); choice.ID == at {
@@ -142,22 +147,21 @@
 	}
 }
 
-// TestChoiceAmongManyLooksAtAFew of those that have room.
-func TestChoiceAmongManyLooksAtAFew(t *testing.T) {
+func TestChoiceAmongManyConsidersFew(t *testing.T) {
 	const most = 60
 	random := rand.New(rand.NewPCG(1, 2))
 	pool := sitePool(targetServers)
 	for i := range 200 {
 		choice, found := pool.Choose(longPrompt(uint64(i%20+1)), nil, time.Duration(i)*time.Millisecond, random)
 		if !found || choice.Candidates > most {
-			t.Fatalf("choice %d looks at %d servers, %v", i, choice.Candidates, found)
+			t.Fatalf("choice %d considers %d servers, %v", i, choice.Candidates, found)
 		}
 		pool.RecordOutcome(choice, health.Success, time.Millisecond, time.Duration(i)*time.Millisecond, random)
 	}
 }
 
-// TestSmallSitesChooseAmongAll: up to 64 servers, the same requests go to the same servers as
-// by weighing all of them in the order of their places, which gave this sum.
+// TestSmallSitesChooseAmongAll checks that up to 64 servers are all considered in the order of
+// their places. The expected checksum is that of such choices.
 func TestSmallSitesChooseAmongAll(t *testing.T) {
 	const want = "40 13e51e87e2513cd9"
 	sum := fnv.New64a()
@@ -191,16 +195,16 @@
 	}
 }
 
-// crowdOfHomes has 50 processes that hear of each other choose 40 times each among many idle
-// servers, for prompts that begin with the same part of so many tokens. It returns which part of
-// the choices went to the server that is chosen most.
-func crowdOfHomes(shared int) float64 {
+// busiestServerFraction has 50 processes make 40 choices each among many idle servers, for prompts
+// that share a first part of the given number of tokens. It returns the fraction of the requests
+// that went to the most chosen server.
+func busiestServerFraction(shared int) float64 {
 	const processes, choices, common = 50, 40, 77
 	random := rand.New(rand.NewPCG(1, 2))
 	chosen := make(map[string]int)
 	most := 0
 	for range processes {
-		pool, shares := fullBut(0)
+		pool, shares := poolWithFree(0)
 		shares.Apply("others", 1, 1, nil, 0)
 		var members []balance.Member
 		for i := range targetServers {
@@ -221,23 +225,24 @@
 	return float64(most) / (processes * choices)
 }
 
-// TestPartThatHardlyMattersGathersNoRequestsAtItsHomes: all processes look at the same homes of a
-// shared part. Reading 100 tokens takes a server a millisecond, which is nothing beside the
-// requests of all processes at two servers; reading 5,000 takes it 60 ms, and is worth the way.
+// TestPartThatHardlyMattersGathersNoRequestsAtItsHomes guards against all processes sending
+// requests to the homes of a short shared part: 100 tokens take about a millisecond to prefill,
+// 5,000 take 60 ms.
 func TestPartThatHardlyMattersGathersNoRequestsAtItsHomes(t *testing.T) {
 	const most, least = 0.01, 0.05
 	for _, shared := range []int{0, 100} {
-		if part := crowdOfHomes(shared); part > most {
-			t.Errorf("%v of the requests that share %d tokens go to one of %d servers", part, shared, targetServers)
+		if part := busiestServerFraction(shared); part > most {
+			t.Errorf("%v of the requests that share %d tokens go to the busiest of %d servers", part, shared, targetServers)
 		}
 	}
-	if part := crowdOfHomes(5000); part < least {
-		t.Errorf("%v of the requests that share 5,000 tokens go to the server that keeps them", part)
+	if part := busiestServerFraction(5000); part < least {
+		t.Errorf("%v of the requests that share 5,000 tokens go to the busiest server", part)
 	}
 }
 
-// TestProcessThatHearsOfNoOtherTakesTheBestOfMany: nobody else meets it there.
-func TestProcessThatHearsOfNoOtherTakesTheBestOfMany(t *testing.T) {
+// TestProcessWithoutPeersTakesTheBestServer checks that a process without peers isn't limited to a
+// sample.
+func TestProcessWithoutPeersTakesTheBestServer(t *testing.T) {
 	const servers, idle = 300, "server-123"
 	random := rand.New(rand.NewPCG(1, 2))
 	pool := balance.NewPool("service", "here", balance.NewSharedLoads())
@@ -261,9 +266,9 @@
 	}
 }
 
-// TestSlotThatAnOwnRequestLeftIsTakenAmongMany: the next request goes to it nearly always, though
-// all others are as free by what all processes see.
-func TestSlotThatAnOwnRequestLeftIsTakenAmongMany(t *testing.T) {
+// TestFreedSlotIsReusedAmongMany checks that a request nearly always takes a slot that this process
+// just freed, although other servers look as free to all processes.
+func TestFreedSlotIsReusedAmongMany(t *testing.T) {
 	const rounds, least = 50, 40
 	random := rand.New(rand.NewPCG(1, 2))
 	pool := sitePool(targetServers)
@@ -284,20 +289,20 @@
 		pool.Abandon(next)
 	}
 	if taken < least {
-		t.Errorf("%d of %d requests take the slot that one has just left", taken, rounds)
+		t.Errorf("%d of %d requests take the slot that was just freed", taken, rounds)
 	}
 }
 
-// TestStartsBetweenTheSumsCount: a process that may start a few of the free slots starts no more
-// within a moment, however old its sums over a large pool are.
-func TestStartsBetweenTheSumsCount(t *testing.T) {
+// TestStartsBetweenSummariesCount checks that a process doesn't exceed the free slots between two
+// computations of the sums over a large pool.
+func TestStartsBetweenSummariesCount(t *testing.T) {
 	const free = 8
 	places := make([]int, free)
 	for i := range places {
 		places[i] = i * 100
 	}
 	random := rand.New(rand.NewPCG(1, 2))
-	pool, _ := fullBut(targetServers, places...)
+	pool, _ := poolWithFree(targetServers, places...)
 	pool.SetBatchProcesses(1)
 	started := 0
 	for range 3 * free {
--- a/internal/balance/shared_test.go
+++ b/internal/balance/shared_test.go
@@ -24,8 +24,8 @@
 
 func random() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// TestBusyServerWithAnOldReportDoesNotSeemEmpty: a server that other processes
-// keep busy tells this process nothing, since it sends no request there.
+// TestBusyServerWithAnOldReportDoesNotSeemEmpty guards against ignoring load of other processes at
+// a server that has not reported to this process lately.
 func TestBusyServerWithAnOldReportDoesNotSeemEmpty(t *testing.T) {
 	p, shares := pool(12, "busy", "free")
 	p.RecordReport("busy", balance.LoadReport{Running: 12, Slots: 12}, 0)
@@ -54,19 +54,19 @@
 	p, shares := pool(10, "a")
 	shares.Apply("other", 1, 1, map[uint32]balance.SharedLoad{balance.ServerHash("a"): {Inflight: 9}, balance.QueueHash("service"): {Inflight: 1}}, 0)
 	if choice, found := p.Choose(balance.Demand{Batch: true}, nil, 0, random()); found {
-		t.Fatalf("batch takes %+v while online waits", choice)
+		t.Fatalf("batch work takes %+v while online requests wait", choice)
 	}
 	if _, found := p.Choose(balance.Demand{}, nil, 0, random()); !found {
-		t.Fatal("online gets no room")
+		t.Fatal("an online request finds no room")
 	}
 	shares.Apply("other", 1, 2, map[uint32]balance.SharedLoad{balance.ServerHash("a"): {Inflight: 10}}, 0)
 	if choice, found := p.Choose(balance.Demand{Batch: true}, nil, 0, random()); found {
-		t.Fatalf("batch takes %+v beside full online work", choice)
+		t.Fatalf("batch work takes %+v although online requests fill the slots", choice)
 	}
 }
 
-// TestGroupCountsOnceWhenItsDelegateChanges: the sum of a group replaces the one of
-// its former delegate, whichever of the two started first.
+// TestGroupCountsOnceWhenItsDelegateChanges checks that the sum of a group replaces that of its
+// former delegate, whichever started first.
 func TestGroupCountsOnceWhenItsDelegateChanges(t *testing.T) {
 	shares := balance.NewSharedLoads()
 	load := func(n int) map[uint32]balance.SharedLoad {
@@ -83,11 +83,11 @@
 		t.Fatalf("the sum of the processes themselves is %+v", sum)
 	}
 	if !shares.Heard("a", balance.HeardWindow) || shares.Heard("a", balance.HeardWindow+1) || shares.Heard("b", 0) {
-		t.Fatal("a process is heard through its group's digest only, or after its time")
+		t.Fatal("a process counts as heard because of its group's digest or after the window")
 	}
 }
 
-func TestOldAndRepeatedDigestsArePassedOver(t *testing.T) {
+func TestOldAndRepeatedDigestsAreIgnored(t *testing.T) {
 	shares := balance.NewSharedLoads()
 	load := func(n int) map[uint32]balance.SharedLoad { return map[uint32]balance.SharedLoad{1: {Inflight: n}} }
 	shares.Apply("a", 5, 2, load(2), 0)
@@ -106,8 +106,8 @@
 	}
 }
 
-// TestSumsAreThoseOfTheNewestDigests compares the sums, which are kept as digests
-// come and go, with a count from scratch.
+// TestSumsAreThoseOfTheNewestDigests compares the incrementally updated sums with sums computed
+// from scratch.
 func TestSumsAreThoseOfTheNewestDigests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shares := balance.NewSharedLoads()
@@ -152,8 +152,8 @@
 	})
 }
 
-// TestManyProcessesDoNotAllChooseTheSameServer: with the same digests, processes that
-// choose at the same moment spread over the servers.
+// TestManyProcessesDoNotAllChooseTheSameServer guards against processes with the same digests all
+// choosing the one empty server.
 func TestManyProcessesDoNotAllChooseTheSameServer(t *testing.T) {
 	const processes = 64
 	var names []string
@@ -182,13 +182,12 @@
 		}
 		chosen[choice.ID]++
 	}
-	// All would choose the one that is empty.
 	if most := chosen[names[0]]; most > processes/2 {
 		t.Fatalf("%d of %d processes choose the same server", most, processes)
 	}
 }
 
-func TestSampleThatHoldsNoRoomIsWidened(t *testing.T) {
+func TestOnlyFreeServerIsFoundWithManyPeers(t *testing.T) {
 	names := []string{"full-1", "full-2", "full-3", "free"}
 	p, shares := pool(1, names...)
 	loads := map[uint32]balance.SharedLoad{}
@@ -203,6 +202,6 @@
 		shares.Apply(fmt.Sprint(sender), 1, 1, told, 0)
 	}
 	if choice, found := p.Choose(balance.Demand{}, nil, 0, random()); !found || choice.ID != "free" {
-		t.Fatalf("%+v, %v", choice, found)
+		t.Fatalf("chose %+v, %v", choice, found)
 	}
 }
--- a/internal/balance/size_test.go
+++ b/internal/balance/size_test.go
@@ -10,16 +10,16 @@
 	"rockwind.example/rockwind/internal/balance/pace"
 )
 
-// siteSizes are the numbers of servers of a small site, of a large one and of the target.
+// siteSizes are the numbers of servers of a small, a large and the largest planned site.
 var siteSizes = []int{48, 204, 1200}
 
-// sitePool is the pool of one of 350 processes whose loads are told by relays, before servers
-// that tell their pace and have all but one of their slots in use.
+// sitePool returns the pool of one of 350 processes that share loads through relays. The servers
+// report their pace and have about one free slot each.
 func sitePool(servers int) *balance.Pool {
 	shares := balance.NewSharedLoads()
 	pool := balance.NewPool("service", "here", shares)
 	pool.SetPaceEstimator(pace.New())
-	pool.SetMaxLoadAge(viewAge)
+	pool.SetMaxLoadAge(maxLoadAge)
 	pool.SetOnlineProcesses(350)
 	pool.SetBatchProcesses(2)
 	var members []balance.Member
@@ -37,8 +37,8 @@
 	return pool
 }
 
-// BenchmarkChoiceBySize is the time of one choice by the number of servers, where requests come
-// each two milliseconds.
+// BenchmarkChoiceBySize measures a choice by the number of servers, with a request every two
+// milliseconds.
 func BenchmarkChoiceBySize(b *testing.B) {
 	const between = 2 * time.Millisecond
 	for _, kind := range []struct {
--- a/internal/balance/vacated_test.go
+++ b/internal/balance/vacated_test.go
@@ -9,23 +9,23 @@
 	"rockwind.example/rockwind/internal/health"
 )
 
-// crowdedPool is a pool of one of several processes that sees one free slot at each server.
+// crowdedPool returns the pool of one of several processes with one free slot at each server.
 func crowdedPool(servers int) *balance.Pool {
-	pool, shares := poolByPace(servers)
-	pool.SetMaxLoadAge(viewAge)
+	pool, shares := newPacePool(servers)
+	pool.SetMaxLoadAge(maxLoadAge)
 	pool.SetOnlineProcesses(10)
 	loads := make(map[uint32]balance.SharedLoad)
-	for _, member := range manyMembers()[:servers] {
+	for _, member := range largeSiteMembers()[:servers] {
 		loads[balance.ServerHash(member.ID)] = balance.SharedLoad{Inflight: member.Slots - 1}
 	}
 	shares.Apply("others", 1, 1, loads, 0)
-	pool.RecordReport(manyMembers()[0].ID, balance.LoadReport{Pace: 1}, 0)
+	pool.RecordReport(largeSiteMembers()[0].ID, balance.LoadReport{Pace: 1}, 0)
 	return pool
 }
 
-// TestSlotThatAnOwnRequestLeftIsTakenFirst: others see the same free slots as this process, but
-// not yet that one.
-func TestSlotThatAnOwnRequestLeftIsTakenFirst(t *testing.T) {
+// TestFreedSlotIsReusedFirst checks that a process prefers slots it freed, which other processes
+// don't know of yet.
+func TestFreedSlotIsReusedFirst(t *testing.T) {
 	const servers, rounds = 40, 50
 	random := rand.New(rand.NewPCG(1, 2))
 	pool := crowdedPool(servers)
@@ -39,12 +39,13 @@
 		pool.RecordOutcome(choice, health.Success, 20*time.Millisecond, 0, random)
 	}
 	if len(used) > rounds/5 {
-		t.Errorf("%d requests that came one after the other took slots of %d servers", rounds, len(used))
+		t.Errorf("%d consecutive requests used %d servers", rounds, len(used))
 	}
 }
 
-// TestSlotThatWasLeftLongAgoIsSeenByAll, and no better than the others.
-func TestSlotThatWasLeftLongAgoIsSeenByAll(t *testing.T) {
+// TestFreedSlotIsNotPreferredOnceShared checks that the preference ends once the loads show the
+// freed slot to all processes.
+func TestFreedSlotIsNotPreferredOnceShared(t *testing.T) {
 	const servers, rounds = 40, 50
 	random := rand.New(rand.NewPCG(1, 2))
 	again := 0
@@ -52,17 +53,18 @@
 		pool := crowdedPool(servers)
 		first, _ := pool.Choose(balance.Demand{}, nil, 0, random)
 		pool.RecordOutcome(first, health.Success, 20*time.Millisecond, 0, random)
-		if next, _ := pool.Choose(balance.Demand{}, nil, 2*viewAge, random); next.ID == first.ID {
+		if next, _ := pool.Choose(balance.Demand{}, nil, 2*maxLoadAge, random); next.ID == first.ID {
 			again++
 		}
 	}
 	if again > rounds/5 {
-		t.Errorf("the slot was taken %d times of %d", again, rounds)
+		t.Errorf("the slot was reused %d times of %d", again, rounds)
 	}
 }
 
-// TestSlotOfAFailedRequestIsNotTakenFirst: the server may fail the next one as well.
-func TestSlotOfAFailedRequestIsNotTakenFirst(t *testing.T) {
+// TestSlotOfAFailedRequestIsNotPreferred guards against sending further requests to a server that
+// just failed one.
+func TestSlotOfAFailedRequestIsNotPreferred(t *testing.T) {
 	const servers, rounds = 40, 50
 	random := rand.New(rand.NewPCG(1, 2))
 	again := 0
@@ -75,6 +77,6 @@
 		}
 	}
 	if again > rounds/5 {
-		t.Errorf("the slot was taken %d times of %d", again, rounds)
+		t.Errorf("the slot was reused %d times of %d", again, rounds)
 	}
 }
