--- a/internal/balance/accused_test.go
+++ b/internal/balance/accused_test.go
@@ -47,15 +47,15 @@
 // when all servers are slow.
 func TestServersAreNotAvoidedWhenMostAreSuspected(t *testing.T) {
 	for _, suspected := range []int{10, largeSiteServers / 2} {
-		shares := balance.NewSharedLoads()
+		sharedLoads := balance.NewSharedLoads()
 		for _, sender := range []string{"a", "b"} {
 			loads := make(map[uint32]balance.SharedLoad)
 			for _, member := range largeSiteMembers()[:suspected] {
 				loads[balance.ServerHash(member.ID)] = balance.SharedLoad{Suspects: 1}
 			}
-			shares.Apply(sender, 1, 1, loads, 0)
+			sharedLoads.Apply(sender, 1, 1, loads, 0)
 		}
-		pool := balance.NewPool("service", "here", shares)
+		pool := balance.NewPool("service", "here", sharedLoads)
 		pool.Update(largeSiteMembers())
 		avoided := make(map[string]bool)
 		for _, member := range largeSiteMembers()[:suspected] {
--- a/internal/balance/copyserver.go
+++ b/internal/balance/copyserver.go
@@ -8,9 +8,9 @@
 )
 
 // ChooseCopyServer returns the server that keeps the copy of a run at the first server: the less
-// loaded of two drawn at random from the healthy servers with room. With otherZone the copy goes to
-// a zone other than the first server's. It returns false if there is none. The run counts there
-// only once it continues there.
+// loaded of two drawn at random from the healthy servers with room. It is in the first server's
+// zone if possible, or in another zone with otherZone. ChooseCopyServer returns false if there is
+// none. The run counts at the copy server only once it continues there.
 func (p *Pool) ChooseCopyServer(first string, otherZone bool, now time.Duration, random *rand.Rand) (Member, bool) {
 	zone := p.zone
 	if srv := p.find(first); srv != nil {
--- a/internal/balance/feedback.go
+++ b/internal/balance/feedback.go
@@ -97,14 +97,13 @@
 func (p *Pool) Evaluate(now time.Duration, random *rand.Rand) {
 	p.tracker.Evaluate(now, random)
 	p.findEjected(now)
-	// No server reports its pace, so choices don't use the remembered one.
+	// Unless servers report their pace, choices don't use the remembered one.
 	if !p.usesPace(now) {
-		// No server tells its pace, and no choice goes by what would be remembered.
 		return
 	}
 	for place, srv := range p.servers {
 		if srv != nil {
-			p.paces.Remember(place, p.shares.PaceAt(srv.hash), now)
+			p.paces.Remember(place, p.loads.PaceAt(srv.hash), now)
 		}
 	}
 }
--- a/internal/balance/fleet_test.go
+++ b/internal/balance/fleet_test.go
@@ -33,7 +33,7 @@
 type process struct {
 	name   string
 	pool   *balance.Pool
-	shares *balance.SharedLoads
+	sharedLoads *balance.SharedLoads
 	// started is the start time in Unix milliseconds. gone is set once the process has ended without
 	// notice.
 	started int64
@@ -61,8 +61,8 @@
 		members = append(members, balance.Member{ID: name, Address: name, Zone: "here", Slots: slots})
 	}
 	for i := range processes {
-		shares := balance.NewSharedLoads()
-		created := &process{name: fmt.Sprint("process-", i), pool: balance.NewPool("service", "here", shares), shares: shares, started: 1}
+		sharedLoads := balance.NewSharedLoads()
+		created := &process{name: fmt.Sprint("process-", i), pool: balance.NewPool("service", "here", sharedLoads), sharedLoads: sharedLoads, started: 1}
 		created.pool.Update(members)
 		f.processes = append(f.processes, created)
 		f.schedule(time.Duration(f.random.Float64()*float64(interval)), func(now time.Duration) { f.sendDigest(created, now) })
@@ -83,13 +83,13 @@
 	loads := make(map[uint32]balance.SharedLoad)
 	add := func(server uint32, load balance.SharedLoad) { loads[server] = load }
 	sender.pool.OwnLoads(now, add)
-	sender.shares.OwnLeftBehind(add)
+	sender.sharedLoads.OwnLeftBehind(add)
 	f.sequence++
 	sequence := f.sequence
 	f.schedule(now+time.Millisecond, func(now time.Duration) {
 		for _, other := range f.processes {
 			if other != sender {
-				other.shares.Apply(sender.name, sender.started, sequence, loads, now)
+				other.sharedLoads.Apply(sender.name, sender.started, sequence, loads, now)
 			}
 		}
 	})
--- a/internal/balance/handled_test.go
+++ b/internal/balance/handled_test.go
@@ -14,8 +14,8 @@
 // overloadedPool returns a pool where each server has one request more than slots: one batch
 // request of this process, and batch and online requests of others.
 func overloadedPool(servers int, random *rand.Rand) (*balance.Pool, *balance.SharedLoads) {
-	shares := balance.NewSharedLoads()
-	pool := balance.NewPool("service", "here", shares)
+	sharedLoads := balance.NewSharedLoads()
+	pool := balance.NewPool("service", "here", sharedLoads)
 	pool.Update(largeSiteMembers()[:servers])
 	pool.SetBatchProcesses(1)
 	for range servers {
@@ -25,9 +25,9 @@
 	for _, member := range largeSiteMembers()[:servers] {
 		loads[balance.ServerHash(member.ID)] = balance.SharedLoad{Inflight: 7, Batch: 3}
 	}
-	shares.Apply("others", 1, 1, loads, 0)
+	sharedLoads.Apply("others", 1, 1, loads, 0)
 	pool.SetMaxLoadAge(maxLoadAge)
-	return pool, shares
+	return pool, sharedLoads
 }
 
 // preempt returns how many requests one call of PreemptBatch preempts.
@@ -47,12 +47,12 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	const servers = 100
 	pool, _ := overloadedPool(servers, random)
-	gave := 0
+	preempted := 0
 	for look := range 6 {
-		gave += preempt(pool, 0, time.Second+time.Duration(look)*40*time.Millisecond, random)
+		preempted += preempt(pool, 0, time.Second+time.Duration(look)*40*time.Millisecond, random)
 	}
-	if gave < servers/8 || gave > servers/2 {
-		t.Errorf("%d of %d were preempted within the maximum load age", gave, servers)
+	if preempted < servers/8 || preempted > servers/2 {
+		t.Errorf("%d of %d were preempted within the maximum load age", preempted, servers)
 	}
 	if again := preempt(pool, 0, time.Second+2*maxLoadAge, random); again == 0 {
 		t.Error("nothing is preempted although the excess remains")
@@ -69,14 +69,14 @@
 		pool.Choose(balance.Demand{Batch: true}, nil, 0, random)
 	}
 	pool.SetMaxLoadAge(maxLoadAge)
-	if gave := preempt(pool, 4, time.Second, random); gave != 4 {
-		t.Fatalf("%d were preempted for 4 waiting requests", gave)
+	if preempted := preempt(pool, 4, time.Second, random); preempted != 4 {
+		t.Fatalf("%d were preempted for 4 waiting requests", preempted)
 	}
-	if gave := preempt(pool, 4, time.Second+40*time.Millisecond, random); gave != 0 {
-		t.Errorf("%d more were preempted for the same 4 requests", gave)
+	if preempted := preempt(pool, 4, time.Second+40*time.Millisecond, random); preempted != 0 {
+		t.Errorf("%d more were preempted for the same 4 requests", preempted)
 	}
-	if gave := preempt(pool, 6, time.Second+80*time.Millisecond, random); gave != 2 {
-		t.Errorf("%d were preempted for 2 additional requests", gave)
+	if preempted := preempt(pool, 6, time.Second+80*time.Millisecond, random); preempted != 2 {
+		t.Errorf("%d were preempted for 2 additional requests", preempted)
 	}
 }
 
--- a/internal/balance/headroom.go
+++ b/internal/balance/headroom.go
@@ -43,21 +43,21 @@
 
 // unhandled returns the part of an amount that was not acted on within the given time and marks it
 // as handled.
-func (s *handledAmount) unhandled(amount int, within, now time.Duration) int {
+func (h *handledAmount) unhandled(amount int, within, now time.Duration) int {
 	if within == 0 {
 		return amount
 	}
-	if s.amount == 0 || now-s.at >= within {
-		*s = handledAmount{at: now, amount: amount}
+	if h.amount == 0 || now-h.at >= within {
+		*h = handledAmount{at: now, amount: amount}
 		return amount
 	}
-	rest := max(0, amount-s.amount)
-	s.amount += rest
+	rest := max(0, amount-h.amount)
+	h.amount += rest
 	return rest
 }
 
 // reset marks the amount as not handled, for use when less was done than decided.
-func (s *handledAmount) reset() { s.amount = 0 }
+func (h *handledAmount) reset() { h.amount = 0 }
 
 // recentTimes holds the times of recent occurrences, the oldest first.
 type recentTimes []time.Duration
@@ -100,7 +100,7 @@
 }
 
 // batchAt returns the number of batch requests at a server, of all processes.
-func (p *Pool) batchAt(s *server) int { return s.batch + p.shares.At(s.hash).Batch }
+func (p *Pool) batchAt(s *server) int { return s.batch + p.loads.At(s.hash).Batch }
 
 // batchFits reports whether the service has room for one more batch request besides its online work
 // and the slots reserved for others. Every process that starts batch work is assumed to have
@@ -108,7 +108,7 @@
 // requests are paced, no batch work starts while online requests wait, because these need preempted
 // slots.
 func (p *Pool) batchFits(demand Demand, now time.Duration, random *rand.Rand) bool {
-	if !p.paced() && p.shares.At(p.queueHash).Inflight > 0 {
+	if !p.paced() && p.loads.At(p.queueHash).Inflight > 0 {
 		return false
 	}
 	sum := p.overview().usage(now)
@@ -164,7 +164,7 @@
 	for _, place := range places {
 		own += p.servers[place].batch
 	}
-	queued := waiting + p.shares.At(p.queueHash).Inflight
+	queued := waiting + p.loads.At(p.queueHash).Inflight
 	if p.maxLoadAge == 0 {
 		queued -= p.headroom.preemptions.countWithin(slotHandover, now)
 	}
--- a/internal/balance/headroom_test.go
+++ b/internal/balance/headroom_test.go
@@ -13,8 +13,8 @@
 
 // newPool returns a pool of the given number of servers, its shared loads and the server names.
 func newPool(servers, slots int) (*balance.Pool, *balance.SharedLoads, []string) {
-	shares := balance.NewSharedLoads()
-	pool := balance.NewPool("service", "here", shares)
+	sharedLoads := balance.NewSharedLoads()
+	pool := balance.NewPool("service", "here", sharedLoads)
 	var names []string
 	var members []balance.Member
 	for i := range servers {
@@ -23,7 +23,7 @@
 		members = append(members, balance.Member{ID: name, Address: name, Zone: "here", Slots: slots})
 	}
 	pool.Update(members)
-	return pool, shares, names
+	return pool, sharedLoads, names
 }
 
 func serverName(number int) string { return fmt.Sprintf("server-%d", number) }
@@ -35,12 +35,12 @@
 func TestBatchWorkUsesSlotsLeftByOnlineWork(t *testing.T) {
 	const servers, slots = 10, 10
 	for online, want := range map[int]int{0: 100, 4: 60, 6: 40, 9: 10, 10: 0} {
-		pool, shares, names := newPool(servers, slots)
+		pool, sharedLoads, names := newPool(servers, slots)
 		loads := map[uint32]balance.SharedLoad{}
 		for _, name := range names {
 			loads[balance.ServerHash(name)] = balance.SharedLoad{Inflight: online}
 		}
-		shares.Apply("router", 1, 1, loads, 0)
+		sharedLoads.Apply("router", 1, 1, loads, 0)
 		started := 0
 		for now := time.Duration(0); now < 30*time.Second; now += 250 * time.Millisecond {
 			if _, found := pool.Choose(balance.Demand{Batch: true}, nil, now, newRandom(1)); found {
@@ -79,14 +79,14 @@
 		own := rapid.IntRange(1, 6).Draw(t, "own")
 		others := rapid.IntRange(0, 6).Draw(t, "others")
 		online := rapid.IntRange(0, 10).Draw(t, "online")
-		pool, shares, names := newPool(1, slots)
+		pool, sharedLoads, names := newPool(1, slots)
 		for range own {
-			shares.Expire(time.Hour)
+			sharedLoads.Expire(time.Hour)
 			if _, found := pool.Choose(balance.Demand{Batch: true}, nil, 0, newRandom(1)); !found {
 				t.Skip("no room for the batch work itself")
 			}
 		}
-		shares.Apply("others", 1, 1, map[uint32]balance.SharedLoad{
+		sharedLoads.Apply("others", 1, 1, map[uint32]balance.SharedLoad{
 			balance.ServerHash(names[0]): {Inflight: others + online, Batch: others},
 		}, 0)
 		const rounds = 400
@@ -118,13 +118,13 @@
 		own := rapid.IntRange(1, 12).Draw(t, "own")
 		others := rapid.IntRange(0, 12).Draw(t, "others")
 		random := newRandom(rapid.Uint64().Draw(t, "seed"))
-		pool, shares, names := newPool(4, slots)
+		pool, sharedLoads, names := newPool(4, slots)
 		for range own {
 			if _, found := pool.Choose(balance.Demand{Batch: true}, nil, 0, random); !found {
 				t.Skip("no room for the batch work itself")
 			}
 		}
-		shares.Apply("others", 1, 1, map[uint32]balance.SharedLoad{
+		sharedLoads.Apply("others", 1, 1, map[uint32]balance.SharedLoad{
 			balance.ServerHash(names[0]):  {Inflight: others, Batch: others},
 			balance.QueueHash("service"):  {Inflight: queued},
 			balance.QueueHash("another"):  {Inflight: 100},
@@ -137,9 +137,9 @@
 		const rounds = 300
 		for round := range rounds {
 			now := time.Duration(round) * time.Second
-			give := func() (gave int) {
-				pool.PreemptBatch(0, now, random, func(_ string, requests int) int { gave += requests; return requests })
-				return gave
+			give := func() (preempted int) {
+				pool.PreemptBatch(0, now, random, func(_ string, requests int) int { preempted += requests; return requests })
+				return preempted
 			}
 			first := give()
 			total += first
@@ -158,14 +158,14 @@
 // servers with a free slot while batch work fills the others.
 func TestPacedRequestsUseServersWithBatchWork(t *testing.T) {
 	const servers, slots = 4, 4
-	pool, shares, names := newPool(servers, slots)
+	pool, sharedLoads, names := newPool(servers, slots)
 	pool.SetOnlineProcesses(2)
 	pool.SetMaxLoadAge(maxLoadAge)
 	loads := map[uint32]balance.SharedLoad{}
 	for i, name := range names {
 		loads[balance.ServerHash(name)] = balance.SharedLoad{Inflight: slots, Batch: i}
 	}
-	shares.Apply("store", 1, 1, loads, 0)
+	sharedLoads.Apply("store", 1, 1, loads, 0)
 	chosen := make(map[string]int)
 	for now := time.Duration(0); now < time.Minute; now += maxLoadAge {
 		for _, choice := range startAll(pool, now) {
--- a/internal/balance/homes_test.go
+++ b/internal/balance/homes_test.go
@@ -80,9 +80,9 @@
 // BenchmarkChoiceAmongManyServers measures a choice on a large site.
 func BenchmarkChoiceAmongManyServers(b *testing.B) {
 	random := rand.New(rand.NewPCG(1, 2))
-	shares := balance.NewSharedLoads()
-	shares.Apply("other", 1, 1, map[uint32]balance.SharedLoad{1: {Inflight: 1}}, 0)
-	pool := balance.NewPool("service", "here", shares)
+	sharedLoads := balance.NewSharedLoads()
+	sharedLoads.Apply("other", 1, 1, map[uint32]balance.SharedLoad{1: {Inflight: 1}}, 0)
+	pool := balance.NewPool("service", "here", sharedLoads)
 	pool.Update(largeSiteMembers())
 	for i := 0; b.Loop(); i++ {
 		if choice, found := pool.Choose(longPrompt(uint64(i%500+1)), nil, 0, random); found {
@@ -94,9 +94,9 @@
 // BenchmarkChoiceByPace measures a choice on a large site whose servers report their pace.
 func BenchmarkChoiceByPace(b *testing.B) {
 	random := rand.New(rand.NewPCG(1, 2))
-	shares := balance.NewSharedLoads()
-	shares.Apply("other", 1, 1, map[uint32]balance.SharedLoad{1: {Inflight: 1}}, 0)
-	pool := balance.NewPool("service", "here", shares)
+	sharedLoads := balance.NewSharedLoads()
+	sharedLoads.Apply("other", 1, 1, map[uint32]balance.SharedLoad{1: {Inflight: 1}}, 0)
+	pool := balance.NewPool("service", "here", sharedLoads)
 	pool.SetPaceEstimator(pace.New())
 	pool.Update(largeSiteMembers())
 	for _, member := range largeSiteMembers() {
--- a/internal/balance/leftbehind.go
+++ b/internal/balance/leftbehind.go
@@ -79,7 +79,7 @@
 	sum := 0
 	for _, srv := range p.servers {
 		if srv != nil {
-			sum += p.shares.leftBehind(srv.leftBehindHash)
+			sum += p.loads.leftBehind(srv.leftBehindHash)
 		}
 	}
 	return sum
@@ -95,4 +95,4 @@
 	return p.liveInflight(srv)
 }
 
-func (p *Pool) liveInflight(s *server) int { return s.inflight + p.shares.At(s.hash).Inflight }
+func (p *Pool) liveInflight(s *server) int { return s.inflight + p.loads.At(s.hash).Inflight }
--- a/internal/balance/leftbehind_test.go
+++ b/internal/balance/leftbehind_test.go
@@ -80,12 +80,12 @@
 	}
 	store.pool.PreemptBatch(0, now, l.random, func(server string, requests int) int {
 		running := l.running[store][server]
-		gave := min(requests, len(running))
-		for _, cancel := range running[:gave] {
+		preempted := min(requests, len(running))
+		for _, cancel := range running[:preempted] {
 			cancel(now)
 		}
-		l.running[store][server] = running[gave:]
-		return gave
+		l.running[store][server] = running[preempted:]
+		return preempted
 	})
 	for range maxStarts {
 		choice, found := store.pool.Choose(balance.Demand{Batch: true}, nil, now, l.random)
@@ -105,15 +105,15 @@
 	for i, each := range l.processes[:l.lost] {
 		each.gone = true
 		// A placeholder sends no digests until the restart.
-		l.processes[i] = &process{name: each.name, gone: true, shares: balance.NewSharedLoads()}
+		l.processes[i] = &process{name: each.name, gone: true, sharedLoads: balance.NewSharedLoads()}
 		back := restartAt + time.Duration(l.random.Float64()*float64(restartSpread))
 		l.schedule(back, func(now time.Duration) { l.restart(i, each.name, now) })
 	}
 }
 
 func (l *loss) restart(place int, name string, now time.Duration) {
-	shares := balance.NewSharedLoads()
-	created := &process{name: name, pool: balance.NewPool("service", "here", shares), shares: shares, started: 1 + now.Milliseconds()}
+	sharedLoads := balance.NewSharedLoads()
+	created := &process{name: name, pool: balance.NewPool("service", "here", sharedLoads), sharedLoads: sharedLoads, started: 1 + now.Milliseconds()}
 	created.pool.Update(l.members())
 	l.processes[place] = created
 	l.configure(created)
@@ -162,8 +162,8 @@
 
 // survey has a store query servers until its survey is over.
 func (l *loss) survey(store *process, survey *leftbehind.Survey, now time.Duration) {
-	earliest, heard := store.shares.EarliestStart()
-	survey.Judge(leftbehind.Sight{Heard: heard, Earliest: earliest, LivedOn: store.shares.SurvivorsReported()}, store.pool.LiveInflight, now)
+	earliest, heard := store.sharedLoads.EarliestStart()
+	survey.Judge(leftbehind.Sight{Heard: heard, Earliest: earliest, LivedOn: store.sharedLoads.SurvivorsReported()}, store.pool.LiveInflight, now)
 	l.reportLeftBehind(store, survey)
 	for _, server := range survey.Due(now) {
 		l.queried++
@@ -181,7 +181,7 @@
 func (l *loss) reportLeftBehind(store *process, survey *leftbehind.Survey) {
 	left := make(map[string]int)
 	survey.Left(func(id string, count int) { left[id] = count })
-	store.shares.SetLeftBehind(left, survey.LivedOn())
+	store.sharedLoads.SetLeftBehind(left, survey.LivedOn())
 }
 
 // runScenario runs heavy load before the failure and normal load after it, starting with the
@@ -267,13 +267,13 @@
 // TestLeftBehindIsTheMeanOfReports checks that the number of requests left behind is the mean of
 // the reports and that it expires with the reporting processes.
 func TestLeftBehindIsTheMeanOfReports(t *testing.T) {
-	pool, shares, names := newPool(1, 8)
+	pool, sharedLoads, names := newPool(1, 8)
 	report := func(sender string, left int, now time.Duration) {
 		other := balance.NewSharedLoads()
 		other.SetLeftBehind(map[string]int{names[0]: left}, false)
 		loads := make(map[uint32]balance.SharedLoad)
 		other.OwnLeftBehind(func(hash uint32, load balance.SharedLoad) { loads[hash] = load })
-		shares.Apply(sender, 1, uint64(now+1), loads, now)
+		sharedLoads.Apply(sender, 1, uint64(now+1), loads, now)
 	}
 	report("store-1", 3, 0)
 	if got := pool.LeftBehind(); got != 3 {
@@ -287,15 +287,15 @@
 		t.Errorf("%d requests were started with 5 of 8 slots in use, want 3", started)
 	}
 	// The first report expires before the second one.
-	shares.Expire(1500 * time.Millisecond)
+	sharedLoads.Expire(1500 * time.Millisecond)
 	if got := pool.LeftBehind(); got != 6 {
 		t.Errorf("%d left behind according to the remaining report, want 6", got)
 	}
-	shares.Expire(3 * time.Second)
+	sharedLoads.Expire(3 * time.Second)
 	if got := pool.LeftBehind(); got != 0 {
 		t.Errorf("%d left behind after all reports expired, want 0", got)
 	}
-	if changed := shares.SetLeftBehind(map[string]int{names[0]: 2}, false); !changed || pool.LeftBehind() != 2 {
+	if changed := sharedLoads.SetLeftBehind(map[string]int{names[0]: 2}, false); !changed || pool.LeftBehind() != 2 {
 		t.Errorf("%d left behind according to this process, want 2", pool.LeftBehind())
 	}
 	ignoring, others, _ := newPool(1, 8)
@@ -303,7 +303,7 @@
 	if others.SetLeftBehind(map[string]int{names[0]: 2}, false); ignoring.LeftBehind() != 0 {
 		t.Error("requests left behind count although they are ignored")
 	}
-	if shares.SurvivorsReported() {
+	if sharedLoads.SurvivorsReported() {
 		t.Error("survivors are reported, but by no process")
 	}
 	if told := balance.NewSharedLoads(); !told.SetLeftBehind(nil, true) || told.SurvivorsReported() {
@@ -311,12 +311,12 @@
 	} else {
 		loads := make(map[uint32]balance.SharedLoad)
 		told.OwnLeftBehind(func(hash uint32, load balance.SharedLoad) { loads[hash] = load })
-		shares.ApplyGroup("store-3", "zone", 9, 1, 1, loads, 3*time.Second)
-		if !shares.SurvivorsReported() || pool.LeftBehind() != 2 {
+		sharedLoads.ApplyGroup("store-3", "zone", 9, 1, 1, loads, 3*time.Second)
+		if !sharedLoads.SurvivorsReported() || pool.LeftBehind() != 2 {
 			t.Error("a report of survivors is not passed on by the delegate")
 		}
 	}
-	if shares.SetLeftBehind(map[string]int{names[0]: 2}, false) || !shares.SetLeftBehind(nil, false) || pool.LeftBehind() != 0 {
+	if sharedLoads.SetLeftBehind(map[string]int{names[0]: 2}, false) || !sharedLoads.SetLeftBehind(nil, false) || pool.LeftBehind() != 0 {
 		t.Error("requests left behind still count after the report was withdrawn")
 	}
 }
--- a/internal/balance/near_test.go
+++ b/internal/balance/near_test.go
@@ -18,31 +18,31 @@
 // reports them, and only a few of other zones. Paces that servers reported count from all zones.
 func TestRunsOfOtherZonesAreLimited(t *testing.T) {
 	const server = 7
-	digests := map[string]func(shares *balance.SharedLoads){
-		"a group of another zone": func(shares *balance.SharedLoads) {
-			shares.Apply("near", 1, 1, paceDigest(server, 10, 800), 0)
-			shares.ApplyGroup("far", "b", 20, 1, 1, paceDigest(server, 40, 100), 0)
+	digests := map[string]func(sharedLoads *balance.SharedLoads){
+		"a group of another zone": func(sharedLoads *balance.SharedLoads) {
+			sharedLoads.Apply("near", 1, 1, paceDigest(server, 10, 800), 0)
+			sharedLoads.ApplyGroup("far", "b", 20, 1, 1, paceDigest(server, 40, 100), 0)
 		},
-		"all other zones at once": func(shares *balance.SharedLoads) {
-			shares.ApplyGroup("delegate", "a", 20, 1, 1, paceDigest(server, 10, 800), 0)
-			shares.ApplyOtherGroups("delegate", "a", 1, 2, paceDigest(server, 40, 100), 0)
+		"all other zones at once": func(sharedLoads *balance.SharedLoads) {
+			sharedLoads.ApplyGroup("delegate", "a", 20, 1, 1, paceDigest(server, 10, 800), 0)
+			sharedLoads.ApplyOtherGroups("delegate", "a", 1, 2, paceDigest(server, 40, 100), 0)
 		},
-		"a newer digest in place of an older one": func(shares *balance.SharedLoads) {
-			shares.Apply("near", 1, 1, paceDigest(server, 10, 800), 0)
-			shares.ApplyGroup("far", "b", 20, 1, 1, paceDigest(server, 90, 500), 0)
-			shares.ApplyGroup("far", "b", 20, 1, 2, paceDigest(server, 40, 100), 0)
+		"a newer digest in place of an older one": func(sharedLoads *balance.SharedLoads) {
+			sharedLoads.Apply("near", 1, 1, paceDigest(server, 10, 800), 0)
+			sharedLoads.ApplyGroup("far", "b", 20, 1, 1, paceDigest(server, 90, 500), 0)
+			sharedLoads.ApplyGroup("far", "b", 20, 1, 2, paceDigest(server, 40, 100), 0)
 		},
 	}
 	for name, apply := range digests {
-		shares := balance.NewSharedLoads()
-		shares.SetZone("a")
-		apply(shares)
-		got := shares.PaceAt(server)
+		sharedLoads := balance.NewSharedLoads()
+		sharedLoads.SetZone("a")
+		apply(sharedLoads)
+		got := sharedLoads.PaceAt(server)
 		want := balance.SharedPace{ReportedSum: 200, ReportedCount: 2, ObservedSum: 10*800 + 4*100, ObservedCount: 14}
 		if got != want {
 			t.Errorf("%s: got %+v, want %+v", name, got, want)
 		}
-		if all := shares.At(server).Pace; all.ObservedCount != 50 {
+		if all := sharedLoads.At(server).Pace; all.ObservedCount != 50 {
 			t.Errorf("%s: all processes observed %d runs, want 50", name, all.ObservedCount)
 		}
 	}
@@ -52,9 +52,9 @@
 // runs of other zones.
 func TestRunsCountInFullWithoutZone(t *testing.T) {
 	const server = 7
-	shares := balance.NewSharedLoads()
-	shares.ApplyGroup("far", "b", 20, 1, 1, paceDigest(server, 40, 100), 0)
-	if got := shares.PaceAt(server); got.ObservedCount != 40 {
+	sharedLoads := balance.NewSharedLoads()
+	sharedLoads.ApplyGroup("far", "b", 20, 1, 1, paceDigest(server, 40, 100), 0)
+	if got := sharedLoads.PaceAt(server); got.ObservedCount != 40 {
 		t.Errorf("%d runs count without a zone, want 40", got.ObservedCount)
 	}
 	few := balance.NewSharedLoads()
--- a/internal/balance/overview.go
+++ b/internal/balance/overview.go
@@ -36,35 +36,35 @@
 // fullScan computes the sums from all servers on each call.
 type fullScan struct{ pool *Pool }
 
-func (l fullScan) usage(now time.Duration) usage {
+func (f fullScan) usage(now time.Duration) usage {
 	sum := usage{slotsKnown: true}
-	for place, srv := range l.pool.servers {
+	for place, srv := range f.pool.servers {
 		if srv != nil {
-			sum.add(l.pool.viewOf(srv, now), l.pool.usable(place, now))
+			sum.add(f.pool.viewOf(srv, now), f.pool.usable(place, now))
 		}
 	}
 	return sum
 }
 
-func (l fullScan) freeSlots(now time.Duration) (free float64, slotsKnown bool) {
-	for place, srv := range l.pool.servers {
-		if srv == nil || !l.pool.usable(place, now) {
+func (f fullScan) freeSlots(now time.Duration) (free float64, slotsKnown bool) {
+	for place, srv := range f.pool.servers {
+		if srv == nil || !f.pool.usable(place, now) {
 			continue
 		}
 		if srv.Slots == 0 {
 			return 0, false
 		}
-		free += l.pool.viewOf(srv, now).freeSlots()
+		free += f.pool.viewOf(srv, now).freeSlots()
 	}
 	return free, true
 }
 
-func (l fullScan) avoidsSuspected(time.Duration) bool {
+func (f fullScan) avoidsSuspected(time.Duration) bool {
 	suspected := 0
-	for _, srv := range l.pool.servers {
-		if srv != nil && l.pool.shares.At(srv.hash).suspectedByPeers() {
+	for _, srv := range f.pool.servers {
+		if srv != nil && f.pool.loads.At(srv.hash).suspectedByPeers() {
 			suspected++
 		}
 	}
-	return fewSuspected(suspected, len(l.pool.places))
+	return fewSuspected(suspected, len(f.pool.places))
 }
--- a/internal/balance/paceestimator.go
+++ b/internal/balance/paceestimator.go
@@ -77,7 +77,7 @@
 
 // paceFor returns the expected pace for a request at the server at a place.
 func (p *Pool) paceFor(place int, demand Demand, now time.Duration) float64 {
-	return p.estimatePace(place, p.shares.PaceAt(p.servers[place].hash), demand.Batch, now)
+	return p.estimatePace(place, p.loads.PaceAt(p.servers[place].hash), demand.Batch, now)
 }
 
 // estimatePace returns the expected pace, given what other processes know. Batch work uses the
--- a/internal/balance/paceestimator_test.go
+++ b/internal/balance/paceestimator_test.go
@@ -12,11 +12,11 @@
 
 // newPacePool returns a pool that estimates paces.
 func newPacePool(servers int) (*balance.Pool, *balance.SharedLoads) {
-	shares := balance.NewSharedLoads()
-	pool := balance.NewPool("service", "here", shares)
+	sharedLoads := balance.NewSharedLoads()
+	pool := balance.NewPool("service", "here", sharedLoads)
 	pool.SetPaceEstimator(pace.New())
 	pool.Update(largeSiteMembers()[:servers])
-	return pool, shares
+	return pool, sharedLoads
 }
 
 // TestPaceIsIgnoredWithoutReports checks that choices don't depend on observed runs where servers
@@ -59,10 +59,10 @@
 		slowdown = 4
 	)
 	random := rand.New(rand.NewPCG(1, 2))
-	pool, shares := newPacePool(2)
+	pool, sharedLoads := newPacePool(2)
 	slow, usual := largeSiteMembers()[0].ID, largeSiteMembers()[1].ID
 	seen := balance.SharedPace{ReportedSum: 400, ReportedCount: 4, ObservedSum: slowdown * 100 * 40, ObservedCount: 40}
-	shares.Apply("other", 1, 1, map[uint32]balance.SharedLoad{balance.ServerHash(slow): {Pace: seen}}, 0)
+	sharedLoads.Apply("other", 1, 1, map[uint32]balance.SharedLoad{balance.ServerHash(slow): {Pace: seen}}, 0)
 	pool.RecordReport(usual, balance.LoadReport{Pace: 1}, 0)
 	counts := make(map[string]int)
 	for range requests {
@@ -86,8 +86,8 @@
 		rounds            = 20
 	)
 	random := rand.New(rand.NewPCG(1, 2))
-	pool, shares := newPacePool(servers)
-	shares.Apply("other", 1, 1, map[uint32]balance.SharedLoad{1: {Inflight: 1}}, 0)
+	pool, sharedLoads := newPacePool(servers)
+	sharedLoads.Apply("other", 1, 1, map[uint32]balance.SharedLoad{1: {Inflight: 1}}, 0)
 	now := time.Duration(0)
 	slow := make(map[string]bool)
 	for _, member := range largeSiteMembers()[:slowOnes] {
@@ -124,11 +124,11 @@
 // grows with the server's pace.
 func TestLateFirstEventOfASlowServerIsNotSilence(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	pool, shares := newPacePool(1)
+	pool, sharedLoads := newPacePool(1)
 	server := largeSiteMembers()[0].ID
 	pool.RecordReport(server, balance.LoadReport{Pace: 1}, 0)
 	seen := balance.SharedPace{ObservedSum: 8 * 100 * 60, ObservedCount: 60}
-	shares.Apply("other", 1, 1, map[uint32]balance.SharedLoad{balance.ServerHash(server): {Pace: seen}}, 0)
+	sharedLoads.Apply("other", 1, 1, map[uint32]balance.SharedLoad{balance.ServerHash(server): {Pace: seen}}, 0)
 	plain := balance.Choice{Uncached: 850}
 	choice, _ := pool.Choose(balance.Demand{Parts: []balance.Part{{ID: 1, Tokens: 850}}}, nil, 0, random)
 	if choice.ExpectedFirstEvent() < 5*plain.ExpectedFirstEvent() {
--- a/internal/balance/pacing.go
+++ b/internal/balance/pacing.go
@@ -3,10 +3,11 @@
 import "time"
 
 const (
-	// minCredit is the minimum for the upper limit of a process's credit, and its initial credit.
+	// minCredit is the initial credit and the lower bound of the credit limit, so that a process may
+	// always start some requests at once.
 	minCredit = 2.0
-	// spareShare is the fraction of all slots that online requests may queue for at busy
-	// servers. It lets a process start requests that has ended none while all servers are busy.
+	// spareShare is the fraction of all slots that online requests may queue for at busy servers. It
+	// lets a process that has ended no requests start some while all servers are busy.
 	spareShare = 0.01
 )
 
@@ -45,7 +46,7 @@
 	if !p.waitingKnown {
 		return 1 / float64(p.onlineProcesses)
 	}
-	all := p.waiting + p.shares.At(p.queueHash).Inflight + p.onlineProcesses
+	all := p.waiting + p.loads.At(p.queueHash).Inflight + p.onlineProcesses
 	return float64(p.waiting+1) / float64(all)
 }
 
--- a/internal/balance/pacing_test.go
+++ b/internal/balance/pacing_test.go
@@ -11,7 +11,7 @@
 // pacedPool returns a pool as one of ten processes sees it, with ten servers of ten slots, of which
 // other processes leave the given number free.
 func pacedPool(free int) (*balance.Pool, *balance.SharedLoads) {
-	pool, shares, names := newPool(10, 10)
+	pool, sharedLoads, names := newPool(10, 10)
 	pool.SetOnlineProcesses(10)
 	pool.SetMaxLoadAge(maxLoadAge)
 	loads := map[uint32]balance.SharedLoad{}
@@ -19,8 +19,8 @@
 		left := min(10, max(0, free-10*i))
 		loads[balance.ServerHash(name)] = balance.SharedLoad{Inflight: 10 - left}
 	}
-	shares.Apply("others", 1, 1, loads, 0)
-	return pool, shares
+	sharedLoads.Apply("others", 1, 1, loads, 0)
+	return pool, sharedLoads
 }
 
 // startAll starts as many online requests as the pool admits at a time.
@@ -51,8 +51,8 @@
 func TestShareOfTheFreeSlotsFollowsTheQueue(t *testing.T) {
 	const free = 60
 	for _, each := range []struct{ here, elsewhere, want int }{{0, 0, 6}, {10, 90, 6}, {90, 10, 50}, {1, 90, 2}} {
-		pool, shares := pacedPool(free)
-		shares.Apply("queues", 1, 1, map[uint32]balance.SharedLoad{balance.QueueHash("service"): {Inflight: each.elsewhere}}, time.Second)
+		pool, sharedLoads := pacedPool(free)
+		sharedLoads.Apply("queues", 1, 1, map[uint32]balance.SharedLoad{balance.QueueHash("service"): {Inflight: each.elsewhere}}, time.Second)
 		pool.SetWaiting(each.here)
 		if started := len(startAll(pool, time.Second)); started != each.want {
 			t.Errorf("with %d requests here and %d elsewhere %d were started, want %d", each.here, each.elsewhere, started, each.want)
@@ -63,7 +63,7 @@
 // TestProcessReusesItsFreedSlotsImmediately checks that a process uses a slot it freed although no
 // slot is free according to the other processes.
 func TestProcessReusesItsFreedSlotsImmediately(t *testing.T) {
-	pool, shares := pacedPool(20)
+	pool, sharedLoads := pacedPool(20)
 	started := startAll(pool, time.Second)
 	loads := make(map[uint32]balance.SharedLoad)
 	for i := range 10 {
@@ -73,7 +73,7 @@
 		hash := balance.ServerHash(choice.ID)
 		loads[hash] = balance.SharedLoad{Inflight: loads[hash].Inflight - 1}
 	}
-	shares.Apply("others", 1, 2, loads, time.Second)
+	sharedLoads.Apply("others", 1, 2, loads, time.Second)
 	if more := startAll(pool, 2*time.Second); len(more) != 0 {
 		t.Fatalf("%d requests were started without a free slot", len(more))
 	}
--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -19,7 +19,7 @@
 	"rockwind.example/rockwind/internal/health"
 )
 
-// Limits of the state that choices are based on.
+// Periods and limits for the state of a server.
 const (
 	// reportTTL is how long a load report counts, and reportTTLWithPeers how long while other
 	// processes share their loads.
@@ -60,7 +60,7 @@
 // Pool holds the servers of one service as seen by one process. It is not safe for concurrent use.
 type Pool struct {
 	zone    string
-	shares  *SharedLoads
+	loads   *SharedLoads
 	servers []*server
 	// places maps server identifiers to places. vacant lists the places without a server.
 	places map[string]int
@@ -69,8 +69,7 @@
 	// placesWithBatch.
 	batchPlaces []int
 	tracker     *health.Tracker
-	// paces estimates how long work takes at the servers; if nil, all are considered equally
-	// fast.
+	// paces estimates how long work takes at the servers; if nil, all are considered equally fast.
 	paces PaceEstimator
 	// homes caches the homes of parts.
 	homes map[uint64]homePlaces
@@ -102,10 +101,10 @@
 }
 
 // NewPool returns an empty pool of a service for a process in the given zone. All pools of a
-// process use the same shares.
-func NewPool(service, zone string, shares *SharedLoads) *Pool {
+// process use the same loads.
+func NewPool(service, zone string, loads *SharedLoads) *Pool {
 	created := &Pool{
-		zone: zone, shares: shares, queueHash: QueueHash(service), tracker: health.NewTracker(healthPolicy(), 0),
+		zone: zone, loads: loads, queueHash: QueueHash(service), tracker: health.NewTracker(healthPolicy(), 0),
 		places: make(map[string]int), homes: make(map[uint64]homePlaces), pacing: pacing{credit: minCredit},
 	}
 	created.summary.pool = created
--- a/internal/balance/preemptsize_test.go
+++ b/internal/balance/preemptsize_test.go
@@ -55,14 +55,14 @@
 		}
 		visited := make(map[string]int)
 		now += time.Minute
-		// All wait that there are: each run is asked to give way.
+		// More requests wait than batch requests run, so that all of these are to be preempted.
 		pool.PreemptBatch(10*servers, now, random, func(server string, requests int) int {
 			visited[server] += requests
 			return 0
 		})
 		for id, count := range running {
 			if visited[id] != count {
-				t.Errorf("round %d: %d of %d runs at %s are preempted", round, visited[id], count, id)
+				t.Errorf("round %d: %d of %d runs at %s are visited for preemption", round, visited[id], count, id)
 			}
 		}
 		for id := range visited {
--- a/internal/balance/sample_test.go
+++ b/internal/balance/sample_test.go
@@ -17,8 +17,8 @@
 // poolWithFree returns a pool where other processes fill all servers except one slot at each of the
 // listed ones.
 func poolWithFree(servers int, free ...int) (*balance.Pool, *balance.SharedLoads) {
-	shares := balance.NewSharedLoads()
-	pool := balance.NewPool("service", "here", shares)
+	sharedLoads := balance.NewSharedLoads()
+	pool := balance.NewPool("service", "here", sharedLoads)
 	var members []balance.Member
 	loads := make(map[uint32]balance.SharedLoad)
 	for i := range servers {
@@ -30,8 +30,8 @@
 		loads[balance.ServerHash(fmt.Sprint("server-", each))] = balance.SharedLoad{Inflight: 3}
 	}
 	pool.Update(members)
-	shares.Apply("others", 1, 1, loads, 0)
-	return pool, shares
+	sharedLoads.Apply("others", 1, 1, loads, 0)
+	return pool, sharedLoads
 }
 
 // TestOnlyServerWithRoomIsFound checks that the only server with room among many is found, and that
@@ -59,7 +59,7 @@
 func TestServerWithRoomSinceTheLastSummaryIsFound(t *testing.T) {
 	const later = time.Millisecond
 	random := rand.New(rand.NewPCG(1, 2))
-	pool, shares := poolWithFree(targetServers)
+	pool, sharedLoads := poolWithFree(targetServers)
 	if choice, found := pool.Choose(balance.Demand{}, nil, 0, random); found {
 		t.Fatalf("%v is chosen though it is full", choice.ID)
 	}
@@ -67,7 +67,7 @@
 	for i := range targetServers - 1 {
 		loads[balance.ServerHash(fmt.Sprint("server-", i))] = balance.SharedLoad{Inflight: 4}
 	}
-	shares.Apply("others", 1, 2, loads, later)
+	sharedLoads.Apply("others", 1, 2, loads, later)
 	choice, found := pool.Choose(balance.Demand{}, nil, later, random)
 	if !found || choice.ID != fmt.Sprint("server-", targetServers-1) {
 		t.Fatalf("chose %q, %v; only the last server has room", choice.ID, found)
@@ -204,8 +204,8 @@
 	chosen := make(map[string]int)
 	most := 0
 	for range processes {
-		pool, shares := poolWithFree(0)
-		shares.Apply("others", 1, 1, nil, 0)
+		pool, sharedLoads := poolWithFree(0)
+		sharedLoads.Apply("others", 1, 1, nil, 0)
 		var members []balance.Member
 		for i := range targetServers {
 			name := fmt.Sprint("server-", i)
--- a/internal/balance/search.go
+++ b/internal/balance/search.go
@@ -35,7 +35,7 @@
 func (p *Pool) newSearch(demand Demand, tried []string, now time.Duration, random *rand.Rand) *search {
 	return &search{
 		pool: p, demand: demand, tried: tried, now: now, random: random,
-		noPeers: !p.shares.HasPeers(), usesPace: p.usesPace(now), avoidSuspected: p.overview().avoidsSuspected(now),
+		noPeers: !p.loads.HasPeers(), usesPace: p.usesPace(now), avoidSuspected: p.overview().avoidsSuspected(now),
 	}
 }
 
@@ -69,7 +69,7 @@
 	}
 	pace := 0.0
 	if s.usesPace {
-		others := p.shares.limitRemotePace(srv.hash, candidate.peers.Pace)
+		others := p.loads.limitRemotePace(srv.hash, candidate.peers.Pace)
 		pace, state = p.estimatePace(place, others, s.demand.Batch, s.now), p.withoutSlowness(place, state, s.now)
 	}
 	if state == health.Healthy && suspected {
--- a/internal/balance/shared.go
+++ b/internal/balance/shared.go
@@ -17,7 +17,7 @@
 	Unread   int
 	// Batch counts the requests in flight that are batch work.
 	Batch int
-	// Suspects is the number of processes that take the server for failing.
+	// Suspects is the number of processes that consider the server failing.
 	Suspects int
 	// Pace is what is known of how long work takes there.
 	Pace SharedPace
--- a/internal/balance/shared_test.go
+++ b/internal/balance/shared_test.go
@@ -12,14 +12,14 @@
 )
 
 func pool(slots int, names ...string) (*balance.Pool, *balance.SharedLoads) {
-	shares := balance.NewSharedLoads()
-	created := balance.NewPool("service", "here", shares)
+	sharedLoads := balance.NewSharedLoads()
+	created := balance.NewPool("service", "here", sharedLoads)
 	var members []balance.Member
 	for _, name := range names {
 		members = append(members, balance.Member{ID: name, Address: name, Zone: "here", Slots: slots})
 	}
 	created.Update(members)
-	return created, shares
+	return created, sharedLoads
 }
 
 func random() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
@@ -27,10 +27,10 @@
 // TestBusyServerWithAnOldReportDoesNotSeemEmpty guards against ignoring load of other processes at
 // a server that has not reported to this process lately.
 func TestBusyServerWithAnOldReportDoesNotSeemEmpty(t *testing.T) {
-	p, shares := pool(12, "busy", "free")
+	p, sharedLoads := pool(12, "busy", "free")
 	p.RecordReport("busy", balance.LoadReport{Running: 12, Slots: 12}, 0)
 	now := 10 * time.Second
-	shares.Apply("other", 1, 1, map[uint32]balance.SharedLoad{balance.ServerHash("busy"): {Inflight: 11}}, now)
+	sharedLoads.Apply("other", 1, 1, map[uint32]balance.SharedLoad{balance.ServerHash("busy"): {Inflight: 11}}, now)
 	for range 8 {
 		choice, found := p.Choose(balance.Demand{}, nil, now, random())
 		if !found || choice.ID != "free" {
@@ -40,8 +40,8 @@
 }
 
 func TestFullServersAreNotChosenByAnyone(t *testing.T) {
-	p, shares := pool(4, "a")
-	shares.Apply("other", 1, 1, map[uint32]balance.SharedLoad{balance.ServerHash("a"): {Inflight: 3}}, 0)
+	p, sharedLoads := pool(4, "a")
+	sharedLoads.Apply("other", 1, 1, map[uint32]balance.SharedLoad{balance.ServerHash("a"): {Inflight: 3}}, 0)
 	if _, found := p.Choose(balance.Demand{}, nil, 0, random()); !found {
 		t.Fatal("the last slot is not used")
 	}
@@ -51,15 +51,15 @@
 }
 
 func TestBatchLeavesRoomForOnline(t *testing.T) {
-	p, shares := pool(10, "a")
-	shares.Apply("other", 1, 1, map[uint32]balance.SharedLoad{balance.ServerHash("a"): {Inflight: 9}, balance.QueueHash("service"): {Inflight: 1}}, 0)
+	p, sharedLoads := pool(10, "a")
+	sharedLoads.Apply("other", 1, 1, map[uint32]balance.SharedLoad{balance.ServerHash("a"): {Inflight: 9}, balance.QueueHash("service"): {Inflight: 1}}, 0)
 	if choice, found := p.Choose(balance.Demand{Batch: true}, nil, 0, random()); found {
 		t.Fatalf("batch work takes %+v while online requests wait", choice)
 	}
 	if _, found := p.Choose(balance.Demand{}, nil, 0, random()); !found {
 		t.Fatal("an online request finds no room")
 	}
-	shares.Apply("other", 1, 2, map[uint32]balance.SharedLoad{balance.ServerHash("a"): {Inflight: 10}}, 0)
+	sharedLoads.Apply("other", 1, 2, map[uint32]balance.SharedLoad{balance.ServerHash("a"): {Inflight: 10}}, 0)
 	if choice, found := p.Choose(balance.Demand{Batch: true}, nil, 0, random()); found {
 		t.Fatalf("batch work takes %+v although online requests fill the slots", choice)
 	}
@@ -68,40 +68,40 @@
 // TestGroupCountsOnceWhenItsDelegateChanges checks that the sum of a group replaces that of its
 // former delegate, whichever started first.
 func TestGroupCountsOnceWhenItsDelegateChanges(t *testing.T) {
-	shares := balance.NewSharedLoads()
+	sharedLoads := balance.NewSharedLoads()
 	load := func(n int) map[uint32]balance.SharedLoad {
 		return map[uint32]balance.SharedLoad{1: {Inflight: n, Batch: n}}
 	}
-	shares.Apply("a", 1, 1, load(1), 0)
-	shares.ApplyGroup("a", "west", 3, 9, 5, load(10), 0)
-	shares.ApplyGroup("b", "west", 4, 2, 1, load(20), 0)
-	shares.ApplyGroup("c", "east", 2, 2, 1, load(100), 0)
-	if got := shares.At(1); got.Inflight != 121 || got.Batch != 121 || shares.Processes() != 7 {
-		t.Fatalf("the sum is %+v over %d processes", got, shares.Processes())
+	sharedLoads.Apply("a", 1, 1, load(1), 0)
+	sharedLoads.ApplyGroup("a", "west", 3, 9, 5, load(10), 0)
+	sharedLoads.ApplyGroup("b", "west", 4, 2, 1, load(20), 0)
+	sharedLoads.ApplyGroup("c", "east", 2, 2, 1, load(100), 0)
+	if got := sharedLoads.At(1); got.Inflight != 121 || got.Batch != 121 || sharedLoads.Processes() != 7 {
+		t.Fatalf("the sum is %+v over %d processes", got, sharedLoads.Processes())
 	}
-	if sum := shares.SumOf([]string{"a", "b", "c"}); sum[1].Inflight != 1 {
+	if sum := sharedLoads.SumOf([]string{"a", "b", "c"}); sum[1].Inflight != 1 {
 		t.Fatalf("the sum of the processes themselves is %+v", sum)
 	}
-	if !shares.Heard("a", balance.HeardWindow) || shares.Heard("a", balance.HeardWindow+1) || shares.Heard("b", 0) {
+	if !sharedLoads.Heard("a", balance.HeardWindow) || sharedLoads.Heard("a", balance.HeardWindow+1) || sharedLoads.Heard("b", 0) {
 		t.Fatal("a process counts as heard because of its group's digest or after the window")
 	}
 }
 
 func TestOldAndRepeatedDigestsAreIgnored(t *testing.T) {
-	shares := balance.NewSharedLoads()
+	sharedLoads := balance.NewSharedLoads()
 	load := func(n int) map[uint32]balance.SharedLoad { return map[uint32]balance.SharedLoad{1: {Inflight: n}} }
-	shares.Apply("a", 5, 2, load(2), 0)
-	shares.Apply("a", 5, 1, load(1), 0)
-	shares.Apply("a", 4, 9, load(9), 0)
-	if got := shares.At(1).Inflight; got != 2 {
+	sharedLoads.Apply("a", 5, 2, load(2), 0)
+	sharedLoads.Apply("a", 5, 1, load(1), 0)
+	sharedLoads.Apply("a", 4, 9, load(9), 0)
+	if got := sharedLoads.At(1).Inflight; got != 2 {
 		t.Fatalf("the sum is %d", got)
 	}
-	shares.Apply("a", 6, 1, load(7), 0)
-	if got := shares.At(1).Inflight; got != 7 {
+	sharedLoads.Apply("a", 6, 1, load(7), 0)
+	if got := sharedLoads.At(1).Inflight; got != 7 {
 		t.Fatalf("after a restart the sum is %d", got)
 	}
-	shares.Expire(balance.SenderTTL + 1)
-	if shares.HasPeers() || shares.At(1) != (balance.SharedLoad{}) {
+	sharedLoads.Expire(balance.SenderTTL + 1)
+	if sharedLoads.HasPeers() || sharedLoads.At(1) != (balance.SharedLoad{}) {
 		t.Fatal("a silent process still counts")
 	}
 }
@@ -110,7 +110,7 @@
 // from scratch.
 func TestSumsAreThoseOfTheNewestDigests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		shares := balance.NewSharedLoads()
+		sharedLoads := balance.NewSharedLoads()
 		type held struct {
 			sequence uint64
 			at       time.Duration
@@ -131,8 +131,8 @@
 			if known, found := oracle[name]; !found || sequence > known.sequence {
 				oracle[name] = held{sequence, now, loads}
 			}
-			shares.Apply(name, 1, sequence, loads, now)
-			shares.Expire(now)
+			sharedLoads.Apply(name, 1, sequence, loads, now)
+			sharedLoads.Expire(now)
 			for sender, known := range oracle {
 				if now-known.at > balance.SenderTTL {
 					delete(oracle, sender)
@@ -144,7 +144,7 @@
 					want.Inflight += known.loads[server].Inflight
 					want.Unread += known.loads[server].Unread
 				}
-				if got := shares.At(server); got != want {
+				if got := sharedLoads.At(server); got != want {
 					t.Fatalf("server %d: %+v, want %+v", server, got, want)
 				}
 			}
@@ -168,13 +168,13 @@
 	}
 	chosen := map[string]int{}
 	for process := range processes {
-		p, shares := pool(8, names...)
+		p, sharedLoads := pool(8, names...)
 		for sender := range processes - 1 {
 			told := map[uint32]balance.SharedLoad{}
 			if sender == 0 {
 				told = loads
 			}
-			shares.Apply(fmt.Sprint(sender), 1, 1, told, 0)
+			sharedLoads.Apply(fmt.Sprint(sender), 1, 1, told, 0)
 		}
 		choice, found := p.Choose(balance.Demand{}, nil, 0, rand.New(rand.NewPCG(uint64(process), 7)))
 		if !found {
@@ -189,7 +189,7 @@
 
 func TestOnlyFreeServerIsFoundWithManyPeers(t *testing.T) {
 	names := []string{"full-1", "full-2", "full-3", "free"}
-	p, shares := pool(1, names...)
+	p, sharedLoads := pool(1, names...)
 	loads := map[uint32]balance.SharedLoad{}
 	for _, name := range names[:3] {
 		loads[balance.ServerHash(name)] = balance.SharedLoad{Inflight: 1}
@@ -199,7 +199,7 @@
 		if sender == 0 {
 			told = loads
 		}
-		shares.Apply(fmt.Sprint(sender), 1, 1, told, 0)
+		sharedLoads.Apply(fmt.Sprint(sender), 1, 1, told, 0)
 	}
 	if choice, found := p.Choose(balance.Demand{}, nil, 0, random()); !found || choice.ID != "free" {
 		t.Fatalf("chose %+v, %v", choice, found)
--- a/internal/balance/sight.go
+++ b/internal/balance/sight.go
@@ -24,11 +24,11 @@
 // server full of batch work starts once some of that is preempted. Otherwise the request waits in
 // the router for the preemption.
 func (p *Pool) viewOf(s *server, now time.Duration) serverView {
-	peers := p.shares.At(s.hash)
-	view := serverView{server: s, peers: peers, totalInflight: s.inflight + peers.Inflight + p.shares.leftBehind(s.leftBehindHash), batch: s.batch + peers.Batch}
+	peers := p.loads.At(s.hash)
+	view := serverView{server: s, peers: peers, totalInflight: s.inflight + peers.Inflight + p.loads.leftBehind(s.leftBehindHash), batch: s.batch + peers.Batch}
 	view.load = view.totalInflight
 	ttl := reportTTL
-	if p.shares.HasPeers() {
+	if p.loads.HasPeers() {
 		ttl = reportTTLWithPeers
 	}
 	if s.hasReport && now-s.reportedAt <= ttl {
--- a/internal/balance/size_test.go
+++ b/internal/balance/size_test.go
@@ -16,8 +16,8 @@
 // sitePool returns the pool of one of 350 processes that share loads through relays. The servers
 // report their pace and have about one free slot each.
 func sitePool(servers int) *balance.Pool {
-	shares := balance.NewSharedLoads()
-	pool := balance.NewPool("service", "here", shares)
+	sharedLoads := balance.NewSharedLoads()
+	pool := balance.NewPool("service", "here", sharedLoads)
 	pool.SetPaceEstimator(pace.New())
 	pool.SetMaxLoadAge(maxLoadAge)
 	pool.SetOnlineProcesses(350)
@@ -33,7 +33,7 @@
 	for _, member := range members {
 		pool.RecordReport(member.ID, balance.LoadReport{Pace: 1}, 0)
 	}
-	shares.Apply("others", 1, 1, loads, 0)
+	sharedLoads.Apply("others", 1, 1, loads, 0)
 	return pool
 }
 
--- a/internal/balance/vacated_test.go
+++ b/internal/balance/vacated_test.go
@@ -11,14 +11,14 @@
 
 // crowdedPool returns the pool of one of several processes with one free slot at each server.
 func crowdedPool(servers int) *balance.Pool {
-	pool, shares := newPacePool(servers)
+	pool, sharedLoads := newPacePool(servers)
 	pool.SetMaxLoadAge(maxLoadAge)
 	pool.SetOnlineProcesses(10)
 	loads := make(map[uint32]balance.SharedLoad)
 	for _, member := range largeSiteMembers()[:servers] {
 		loads[balance.ServerHash(member.ID)] = balance.SharedLoad{Inflight: member.Slots - 1}
 	}
-	shares.Apply("others", 1, 1, loads, 0)
+	sharedLoads.Apply("others", 1, 1, loads, 0)
 	pool.RecordReport(largeSiteMembers()[0].ID, balance.LoadReport{Pace: 1}, 0)
 	return pool
 }
