--- a/internal/fairshare/fairshare.go
+++ b/internal/fairshare/fairshare.go
@@ -24,16 +24,16 @@
 )
 
 const (
-	// Memory is the time constant by which work is forgotten: several times as long as a
+	// DecayTime is the time constant by which work is forgotten: several times as long as a
 	// digest needs to all processes of a large site (some 300 ms), so that what the others
 	// tell is not old beside it, and no longer, so that a tenant that was quiet cannot hold
 	// up the others for more than a moment.
-	Memory = time.Second
-	// MostTold is of how many tenants of one class a process tells at most: the few that had
+	DecayTime = time.Second
+	// MaxEntries is of how many tenants of one class a process tells at most: the few that had
 	// the most. With 250 routers of three zones, the sum of two zones is 670 entries of some 11
 	// bytes, 7 KB beside those of the servers, even where no two routers tell of the same. Where
 	// that is too long for a datagram, the tenants are left out (package loadshare).
-	MostTold = 4
+	MaxEntries = 4
 	// leastWork is the work in tokens below which a tenant is forgotten: a request of 400
 	// tokens is, after six seconds.
 	leastWork = 1.0
@@ -51,9 +51,9 @@
 // bound 1.00 (TestFloodOfOneTenantDoesNotMakeOthersLate).
 const scarceFrom = 100 * time.Millisecond
 
-// Scarce tells whether there is too little room, given how long all servers need for what
+// Overloaded tells whether there is too little room, given how long all servers need for what
 // waits.
-func Scarce(needed time.Duration) bool { return needed > scarceFrom }
+func Overloaded(needed time.Duration) bool { return needed > scarceFrom }
 
 // modestPart is the part of what another tenant had below which a tenant is modest: its requests
 // do not wait until slots are left that those of the other one have taken. Of two tenants that
@@ -66,8 +66,8 @@
 	return uint32(xxhash.Sum64String("share of " + tenant + " in " + class))
 }
 
-// Told is what the other processes tell of a tenant.
-type Told struct {
+// RemoteUsage is what the other processes tell of a tenant.
+type RemoteUsage struct {
 	// Waiting is how many of its requests wait there.
 	Waiting int
 	// Work is the work that they began for it lately.
@@ -85,7 +85,7 @@
 }
 
 func (a *account) workAt(now time.Duration) float64 {
-	return a.work * math.Exp(-max(0, now-a.at).Seconds()/Memory.Seconds())
+	return a.work * math.Exp(-max(0, now-a.at).Seconds()/DecayTime.Seconds())
 }
 
 // Ledger holds the work that one process began for the tenants of one class: the requests of
@@ -93,7 +93,7 @@
 // It belongs to one goroutine at a time.
 type Ledger struct {
 	class    string
-	told     func(hash uint32) Told
+	told     func(hash uint32) RemoteUsage
 	accounts map[string]*account
 	swept    time.Duration
 	// most is the highest virtual time of the time mostAt.
@@ -103,21 +103,21 @@
 
 // NewLedger returns an empty ledger of the named class; told looks up what the other
 // processes tell.
-func NewLedger(class string, told func(hash uint32) Told) *Ledger {
+func NewLedger(class string, told func(hash uint32) RemoteUsage) *Ledger {
 	return &Ledger{class: class, told: told, accounts: make(map[string]*account), mostAt: -totalFor}
 }
 
-// Begin notes that work in tokens begins for a tenant.
-func (l *Ledger) Begin(tenant string, work float64, now time.Duration) {
+// Charge notes that work in tokens begins for a tenant.
+func (l *Ledger) Charge(tenant string, work float64, now time.Duration) {
 	l.sweep(now)
 	known := l.account(tenant)
 	known.work, known.at = known.workAt(now)+work, now
 	known.totalAt = -totalFor
 }
 
-// GiveBack takes back work that was begun for a tenant at a time and did not run after all: what
+// Refund takes back work that was begun for a tenant at a time and did not run after all: what
 // is left of it by now.
-func (l *Ledger) GiveBack(tenant string, work float64, began, now time.Duration) {
+func (l *Ledger) Refund(tenant string, work float64, began, now time.Duration) {
 	known := l.accounts[tenant]
 	if known == nil {
 		return
@@ -127,8 +127,8 @@
 	known.totalAt = -totalFor
 }
 
-// Virtual is the virtual time of a tenant with the given weight; a weight of zero is one.
-func (l *Ledger) Virtual(tenant string, weight uint32, now time.Duration) float64 {
+// VirtualTime is the virtual time of a tenant with the given weight; a weight of zero is one.
+func (l *Ledger) VirtualTime(tenant string, weight uint32, now time.Duration) float64 {
 	known := l.account(tenant)
 	if now-known.totalAt >= totalFor {
 		known.total, known.totalAt = known.workAt(now)+float64(l.told(known.hash).Work), now
@@ -136,26 +136,26 @@
 	return known.total / float64(max(1, weight))
 }
 
-// Behind is how many requests wait at other processes, as they tell, of tenants that come
+// RemoteWaitingBehind is how many requests wait at other processes, as they tell, of tenants that come
 // after one with the given virtual time: all known here that had more, with their weights.
-func (l *Ledger) Behind(virtual float64, weight func(tenant string) uint32, now time.Duration) int {
+func (l *Ledger) RemoteWaitingBehind(virtual float64, weight func(tenant string) uint32, now time.Duration) int {
 	behind := 0
 	for tenant, known := range l.accounts {
 		told := l.told(known.hash)
-		if told.Waiting > 0 && l.Virtual(tenant, weight(tenant), now) > virtual {
+		if told.Waiting > 0 && l.VirtualTime(tenant, weight(tenant), now) > virtual {
 			behind += told.Waiting
 		}
 	}
 	return behind
 }
 
-// Highest is the highest virtual time among the tenants that wait here or elsewhere. Under a
+// MaxVirtualTime is the highest virtual time among the tenants that wait here or elsewhere. Under a
 // lasting lack of room it is what each tenant that asks for more than its share gets of a
 // Memory, by unit of weight. Work is the most that any tenant had, also one that does not wait
 // now: where that is little, the share rests on too little.
-func (l *Ledger) Highest(waiting map[string]int, weight func(tenant string) uint32, now time.Duration) (highest, work float64) {
+func (l *Ledger) MaxVirtualTime(waiting map[string]int, weight func(tenant string) uint32, now time.Duration) (highest, work float64) {
 	for tenant, known := range l.accounts {
-		virtual := l.Virtual(tenant, weight(tenant), now)
+		virtual := l.VirtualTime(tenant, weight(tenant), now)
 		work = max(work, known.total)
 		if waiting[tenant] > 0 || l.told(known.hash).Waiting > 0 {
 			highest = max(highest, virtual)
@@ -164,20 +164,20 @@
 	return highest, work
 }
 
-// Modest tells whether a tenant had less than modestPart of what another one had, here and
+// IsLight tells whether a tenant had less than modestPart of what another one had, here and
 // elsewhere.
-func (l *Ledger) Modest(tenant string, weight func(tenant string) uint32, now time.Duration) bool {
+func (l *Ledger) IsLight(tenant string, weight func(tenant string) uint32, now time.Duration) bool {
 	if now-l.mostAt >= totalFor {
 		l.most, l.mostAt = 0, now
 		for other := range l.accounts {
-			l.most = max(l.most, l.Virtual(other, weight(other), now))
+			l.most = max(l.most, l.VirtualTime(other, weight(other), now))
 		}
 	}
-	return l.Virtual(tenant, weight(tenant), now) < modestPart*l.most
+	return l.VirtualTime(tenant, weight(tenant), now) < modestPart*l.most
 }
 
-// Waiting is how many requests of a tenant wait elsewhere.
-func (l *Ledger) Waiting(tenant string) int { return l.told(l.account(tenant).hash).Waiting }
+// RemoteWaiting is how many requests of a tenant wait elsewhere.
+func (l *Ledger) RemoteWaiting(tenant string) int { return l.told(l.account(tenant).hash).Waiting }
 
 // Entry is what a process tells of a tenant.
 type Entry struct {
@@ -205,7 +205,7 @@
 		}
 	}
 	slices.SortFunc(entries, func(a, b Entry) int { return cmp.Or(cmp.Compare(b.Work, a.Work), cmp.Compare(a.Hash, b.Hash)) })
-	return entries[:min(len(entries), MostTold)]
+	return entries[:min(len(entries), MaxEntries)]
 }
 
 // Len is how many tenants are held.
@@ -227,7 +227,7 @@
 	}
 	l.swept = now
 	for tenant, known := range l.accounts {
-		if known.workAt(now) < leastWork && l.told(known.hash) == (Told{}) {
+		if known.workAt(now) < leastWork && l.told(known.hash) == (RemoteUsage{}) {
 			delete(l.accounts, tenant)
 		}
 	}
--- a/internal/fairshare/flood_test.go
+++ b/internal/fairshare/flood_test.go
@@ -95,7 +95,7 @@
 
 func (r *simulatedRouter) waits() map[string]int {
 	waits := make(map[string]int)
-	r.queue.Each(func(place waiting.Place) { waits[place.Tenant().Name]++ })
+	r.queue.Each(func(place waiting.SortKey) { waits[place.Tenant().Name]++ })
 	return waits
 }
 
@@ -111,7 +111,7 @@
 	way     way
 	random  *rand.Rand
 	routers []*simulatedRouter
-	sums    map[uint32]fairshare.Told
+	sums    map[uint32]fairshare.RemoteUsage
 	now     time.Duration
 	// waits is how many requests waited at the last digests.
 	waits int
@@ -131,14 +131,14 @@
 func origin() time.Time { return time.Unix(1_000_000, 0) }
 
 func (s *simulation) ledger(router *simulatedRouter) *fairshare.Ledger {
-	return fairshare.NewLedger("class", func(hash uint32) fairshare.Told {
+	return fairshare.NewLedger("class", func(hash uint32) fairshare.RemoteUsage {
 		if !s.way.tells {
-			return fairshare.Told{}
+			return fairshare.RemoteUsage{}
 		}
 		sum := s.sums[hash]
 		for _, own := range router.sent {
 			if own.Hash == hash {
-				sum = fairshare.Told{Waiting: sum.Waiting - own.Waiting, Work: sum.Work - own.Work}
+				sum = fairshare.RemoteUsage{Waiting: sum.Waiting - own.Waiting, Work: sum.Work - own.Work}
 			}
 		}
 		return sum
@@ -146,16 +146,16 @@
 }
 
 func play(way way) outcome {
-	s := &simulation{way: way, random: rand.New(rand.NewPCG(7, 7)), sums: make(map[uint32]fairshare.Told)}
+	s := &simulation{way: way, random: rand.New(rand.NewPCG(7, 7)), sums: make(map[uint32]fairshare.RemoteUsage)}
 	for range routerCount {
 		router := &simulatedRouter{credit: leastCredit}
 		router.ledger = s.ledger(router)
 		if way.shares {
-			router.queue.Share(func(place waiting.Place) float64 {
+			router.queue.EnableFairShare(func(place waiting.SortKey) float64 {
 				if !s.scarce(router) {
 					return 0
 				}
-				return router.ledger.Virtual(place.Tenant().Name, 1, s.now)
+				return router.ledger.VirtualTime(place.Tenant().Name, 1, s.now)
 			})
 		}
 		s.routers = append(s.routers, router)
@@ -178,7 +178,7 @@
 // scarce tells whether room is too little by what a router knows.
 func (s *simulation) scarce(router *simulatedRouter) bool {
 	waits := s.waits - router.told + router.queue.Len()
-	return fairshare.Scarce(time.Duration(waits) * holding / slotCount)
+	return fairshare.Overloaded(time.Duration(waits) * holding / slotCount)
 }
 
 func (s *simulation) inFlood() bool { return s.now >= floodBegins && s.now < floodEnds }
@@ -207,8 +207,8 @@
 func (s *simulation) add(tenant, router int) {
 	s.order++
 	now := origin().Add(s.now)
-	place := waiting.NewPlace(waiting.Priority{}, s.order, now.Add(timely), now.Add(patience)).
-		Of(waiting.Tenant{Name: names[tenant]})
+	place := waiting.NewSortKey(waiting.Priority{}, s.order, now.Add(timely), now.Add(patience)).
+		WithTenant(waiting.Tenant{Name: names[tenant]})
 	s.routers[router].queue.Add(place, request{tenant: tenant, router: router, arrived: s.now})
 	if s.inFlood() {
 		s.asked[class(tenant)]++
@@ -247,7 +247,7 @@
 		}
 		for _, entry := range router.sent {
 			sum := s.sums[entry.Hash]
-			s.sums[entry.Hash] = fairshare.Told{Waiting: sum.Waiting + entry.Waiting, Work: sum.Work + entry.Work}
+			s.sums[entry.Hash] = fairshare.RemoteUsage{Waiting: sum.Waiting + entry.Waiting, Work: sum.Work + entry.Work}
 		}
 	}
 }
@@ -297,7 +297,7 @@
 		}
 		router.credit--
 		router.since++
-		router.ledger.Begin(names[served.tenant], work, s.now)
+		router.ledger.Charge(names[served.tenant], work, s.now)
 		s.started = append(s.started, served)
 	}
 }
@@ -316,7 +316,7 @@
 
 func (s *simulation) mayStart(router *simulatedRouter, each request) bool {
 	credit, most := router.credit, full
-	if s.way.modest && router.ledger.Modest(names[each.tenant], func(string) uint32 { return 1 }, s.now) {
+	if s.way.modest && router.ledger.IsLight(names[each.tenant], func(string) uint32 { return 1 }, s.now) {
 		credit, most = credit+1, beyond
 	}
 	return credit >= 1 && float64(s.seen+router.since) < most*slotCount
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -75,7 +75,7 @@
 	if peers := len(response.GetPeers()); peers > 0 {
 		g.limiter.SetGateways(peers)
 	}
-	g.limiter.Allow(response.GetTenants(), time.Now())
+	g.limiter.SetAllowances(response.GetTenants(), time.Now())
 	g.batch.Allow(response.GetGroups())
 	g.follower.Hint(response.GetLatestConfiguration())
 	return response
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -201,8 +201,8 @@
 	g.tenant.used.tokens += tokens
 }
 
-// Allow puts newer allowances in force.
-func (l *Limiter) Allow(allowances []*rockwindpb.TenantAllowance, now time.Time) {
+// SetAllowances puts newer allowances in force.
+func (l *Limiter) SetAllowances(allowances []*rockwindpb.TenantAllowance, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, allowance := range allowances {
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -173,7 +173,7 @@
 	if again := limiter.Usage(now); again[0].GetRequests() != 5 {
 		t.Fatalf("an undelivered report became %v", again)
 	}
-	limiter.Allow([]*rockwindpb.TenantAllowance{{Tenant: tenantName, RequestsPerSecond: 10, Concurrency: 10}}, now)
+	limiter.SetAllowances([]*rockwindpb.TenantAllowance{{Tenant: tenantName, RequestsPerSecond: 10, Concurrency: 10}}, now)
 	now = now.Add(time.Second)
 	if admitted := admit(20); admitted != 9 {
 		t.Fatalf("the whole limits admitted %d beside one running", admitted)
--- a/internal/loadshare/digest.go
+++ b/internal/loadshare/digest.go
@@ -90,9 +90,9 @@
 	return digest
 }
 
-// TakeInto has the shares take the loads of the digest of a process, of a group, or of all
+// ApplyDigest has the shares take the loads of the digest of a process, of a group, or of all
 // groups but one.
-func TakeInto(shares *balance.Shares, digest *rockwindpb.LoadDigest, loads map[uint32]balance.SharedLoad, now time.Duration) {
+func ApplyDigest(shares *balance.Shares, digest *rockwindpb.LoadDigest, loads map[uint32]balance.SharedLoad, now time.Duration) {
 	sender, started, sequence := digest.GetSender(), digest.GetStartedUnixMs(), digest.GetSequence()
 	switch group := digest.GetGroup(); {
 	case group == "":
--- a/internal/loadshare/fit.go
+++ b/internal/loadshare/fit.go
@@ -11,29 +11,29 @@
 // maximumBytes bounds a datagram; longer ones are passed over.
 const maximumBytes = 16 << 10
 
-// Sparing tells when an entry is left out of a digest that is too long.
-type Sparing int
+// DropPriority tells when an entry is left out of a digest that is too long.
+type DropPriority int
 
 // The entries of a digest.
 const (
-	// NeverSpared are the loads of servers and queues.
-	NeverSpared Sparing = iota
-	// SparedFirst is what was left behind at servers, which does not count then. It is told
+	// NeverDrop are the loads of servers and queues.
+	NeverDrop DropPriority = iota
+	// DropFirst is what was left behind at servers, which does not count then. It is told
 	// for some seconds after a loss at most.
-	SparedFirst
-	// SparedNext are tenants, whose requests go by arrival then.
-	SparedNext
+	DropFirst
+	// DropSecond are tenants, whose requests go by arrival then.
+	DropSecond
 )
 
 // fit leaves out of a digest what is missed least until it fits in a datagram: first what was
 // left behind at servers, next the entries of tenants, then the paces, without which servers
 // count as alike. What does not fit then is not sent.
 func fit(source Source, digest *rockwindpb.LoadDigest) {
-	for _, left := range []Sparing{SparedFirst, SparedNext} {
+	for _, left := range []DropPriority{DropFirst, DropSecond} {
 		if fits(digest) {
 			return
 		}
-		leaveOut(digest, func(hash uint32) bool { return source.Sparing(hash) == left })
+		leaveOut(digest, func(hash uint32) bool { return source.DropPriority(hash) == left })
 	}
 	if fits(digest) {
 		return
@@ -75,11 +75,11 @@
 // datagrams sends digests together where they fit in a datagram, else each by itself.
 func datagrams(receivers []netip.AddrPort, outside bool, digests ...*rockwindpb.LoadDigest) []Datagram {
 	if fits(digests...) {
-		return []Datagram{{Receivers: receivers, Bundle: bundle(digests...), Outside: outside}}
+		return []Datagram{{Receivers: receivers, Bundle: bundle(digests...), CrossZone: outside}}
 	}
 	var sent []Datagram
 	for _, digest := range digests {
-		sent = append(sent, Datagram{Receivers: receivers, Bundle: bundle(digest), Outside: outside})
+		sent = append(sent, Datagram{Receivers: receivers, Bundle: bundle(digest), CrossZone: outside})
 	}
 	return sent
 }
--- a/internal/loadshare/fit_test.go
+++ b/internal/loadshare/fit_test.go
@@ -38,7 +38,7 @@
 	for range 400 {
 		for _, s := range w.stations {
 			s.now = w.now
-			for _, datagram := range s.protocol.Turn(s, w.now) {
+			for _, datagram := range s.protocol.Tick(s, w.now) {
 				longest = max(longest, proto.Size(datagram.Bundle))
 				w.deliver(t, s, datagram)
 			}
--- a/internal/loadshare/layout.go
+++ b/internal/loadshare/layout.go
@@ -177,12 +177,12 @@
 	return l.except(l.relays)
 }
 
-// Audience are the addresses of those that the delegate tells of all loads: the other
+// MemberAddresses are the addresses of those that the delegate tells of all loads: the other
 // members of its group.
-func (l *Layout) Audience() []netip.AddrPort { return l.except(l.members) }
+func (l *Layout) MemberAddresses() []netip.AddrPort { return l.except(l.members) }
 
-// Others lists the other groups.
-func (l *Layout) Others() []Group { return l.others }
+// OtherGroups lists the other groups.
+func (l *Layout) OtherGroups() []Group { return l.others }
 
 // except lists the addresses of the given members without this process.
 func (l *Layout) except(members []Member) []netip.AddrPort {
@@ -195,12 +195,12 @@
 	return addresses
 }
 
-// Relay tells whether this process may be the delegate of its group.
-func (l *Layout) Relay() bool { return slices.ContainsFunc(l.relays, l.isSelf) }
+// IsRelay tells whether this process may be the delegate of its group.
+func (l *Layout) IsRelay() bool { return slices.ContainsFunc(l.relays, l.isSelf) }
 
-// Delegate tells whether this process is the delegate of its group: no relay before it
+// IsDelegate tells whether this process is the delegate of its group: no relay before it
 // is heard.
-func (l *Layout) Delegate(heard func(name string) bool) bool {
+func (l *Layout) IsDelegate(heard func(name string) bool) bool {
 	for _, relay := range l.relays {
 		if l.isSelf(relay) {
 			return true
@@ -212,17 +212,17 @@
 	return false
 }
 
-// Standby tells whether this process may stand in for the relays of its group.
-func (l *Layout) Standby() bool { return slices.ContainsFunc(l.standbys, l.isSelf) }
+// IsStandby tells whether this process may stand in for the relays of its group.
+func (l *Layout) IsStandby() bool { return slices.ContainsFunc(l.standbys, l.isSelf) }
 
-// IsStandby tells whether the named process may stand in for the relays of this group.
-func (l *Layout) IsStandby(name string) bool {
+// HasStandby tells whether the named process may stand in for the relays of this group.
+func (l *Layout) HasStandby(name string) bool {
 	return slices.ContainsFunc(l.standbys, func(m Member) bool { return m.name == name })
 }
 
-// StandsIn tells whether this process is the delegate of its group while the relays are
+// IsActingDelegate tells whether this process is the delegate of its group while the relays are
 // silent: no standby before it is heard, and enough members tell it their load.
-func (l *Layout) StandsIn(heard func(name string) bool) bool {
+func (l *Layout) IsActingDelegate(heard func(name string) bool) bool {
 	for _, standby := range l.standbys {
 		if l.isSelf(standby) {
 			return l.enoughHeard(heard)
@@ -259,10 +259,10 @@
 	return max(l.Interval(), time.Duration(len(l.others))*intervalPerGroup)
 }
 
-// Age is how old the loads of other processes may be: from a member to its delegate, from
+// MaxAge is how old the loads of other processes may be: from a member to its delegate, from
 // there to the other members, and half of the time between groups. It is zero in a mesh,
 // where what others wait for is told at once.
-func (l *Layout) Age() time.Duration {
+func (l *Layout) MaxAge() time.Duration {
 	if l.Mesh() {
 		return 0
 	}
--- a/internal/loadshare/layout_test.go
+++ b/internal/loadshare/layout_test.go
@@ -30,10 +30,10 @@
 func TestSmallSiteIsAMesh(t *testing.T) {
 	members := site([]string{"a", "b", "c"}, 1, 3)
 	layout := loadshare.NewLayout(members, members[0].Name())
-	if !layout.Mesh() || len(layout.Receivers(false)) != len(members)-1 || len(layout.Others()) != 0 {
-		t.Fatalf("%d receivers, %d other groups", len(layout.Receivers(false)), len(layout.Others()))
+	if !layout.Mesh() || len(layout.Receivers(false)) != len(members)-1 || len(layout.OtherGroups()) != 0 {
+		t.Fatalf("%d receivers, %d other groups", len(layout.Receivers(false)), len(layout.OtherGroups()))
 	}
-	if layout.Relay() || layout.Delegate(func(string) bool { return false }) {
+	if layout.IsRelay() || layout.IsDelegate(func(string) bool { return false }) {
 		t.Fatal("a mesh has a delegate")
 	}
 }
@@ -42,7 +42,7 @@
 func TestStoresAreTheRelays(t *testing.T) {
 	members := site([]string{"a", "b"}, 4, 20)
 	for _, each := range members {
-		relay := loadshare.NewLayout(members, each.Name()).Relay()
+		relay := loadshare.NewLayout(members, each.Name()).IsRelay()
 		number, store := 0, false
 		if n, _ := fmt.Sscanf(each.Name()[1:], "-0-%d", &number); n == 1 {
 			store = number < 3
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -39,13 +39,13 @@
 	// Sum lists what the named processes, this one included, have there, with the stamps
 	// of the digests that it covers.
 	Sum(names []string) *rockwindpb.LoadDigest
-	// Elsewhere lists what the processes of all groups but the named one have there.
-	Elsewhere(group string) *rockwindpb.LoadDigest
+	// SumOtherGroups lists what the processes of all groups but the named one have there.
+	SumOtherGroups(group string) *rockwindpb.LoadDigest
 	// Heard tells whether a digest of the named process came lately.
 	Heard(name string) bool
-	// Sparing tells when the entry of a hash is left out of a digest that is too long, as far
+	// DropPriority tells when the entry of a hash is left out of a digest that is too long, as far
 	// as this process knows what it is of.
-	Sparing(hash uint32) Sparing
+	DropPriority(hash uint32) DropPriority
 	// Take takes the digest of another process or group.
 	Take(digest *rockwindpb.LoadDigest)
 }
@@ -76,12 +76,12 @@
 	// Datagrams is how many were sent, and Bytes how many bytes they carried.
 	Datagrams uint64
 	Bytes     uint64
-	// OtherZones is how many of the bytes went to other groups.
-	OtherZones uint64
-	// Unsent is how many datagrams were not sent as they were too long.
-	Unsent uint64
-	// RelaysMissed tells that this process hears no relay of its zone now.
-	RelaysMissed bool
+	// CrossZoneBytes is how many of the bytes went to other groups.
+	CrossZoneBytes uint64
+	// Oversized is how many datagrams were not sent as they were too long.
+	Oversized uint64
+	// RelaysSilent tells that this process hears no relay of its zone now.
+	RelaysSilent bool
 }
 
 // Open binds the address for the digests of the named machine.
@@ -106,26 +106,26 @@
 // SetLayout replaces the processes that digests go to.
 func (s *Sharer) SetLayout(layout *Layout) { s.layout.Store(layout) }
 
-// Nudge has the digests sent out of turn, soon: others wait for what has changed. It never
+// TriggerSend has the digests sent out of turn, soon: others wait for what has changed. It never
 // blocks.
-func (s *Sharer) Nudge() {
+func (s *Sharer) TriggerSend() {
 	select {
 	case s.nudges <- struct{}{}:
 	default:
 	}
 }
 
-// PassOn has the digests sent out of turn if this process may be its group's delegate:
+// TriggerForward has the digests sent out of turn if this process may be its group's delegate:
 // it was told something that others wait for. It never blocks.
-func (s *Sharer) PassOn() {
-	if s.layout.Load().Relay() {
-		s.Nudge()
+func (s *Sharer) TriggerForward() {
+	if s.layout.Load().IsRelay() {
+		s.TriggerSend()
 	}
 }
 
 // Traffic tells what was sent since the start.
 func (s *Sharer) Traffic() Traffic {
-	return Traffic{Datagrams: s.datagrams.Load(), Bytes: s.bytes.Load(), OtherZones: s.otherZones.Load(), Unsent: s.unsent.Load(), RelaysMissed: s.relaysMissed.Load()}
+	return Traffic{Datagrams: s.datagrams.Load(), Bytes: s.bytes.Load(), CrossZoneBytes: s.otherZones.Load(), Oversized: s.unsent.Load(), RelaysSilent: s.relaysMissed.Load()}
 }
 
 // intervals are the time between digests now, and the least time between those that are
@@ -167,8 +167,8 @@
 func (s *Sharer) takeTurn(source Source) {
 	s.mutex.Lock()
 	s.protocol.SetLayout(s.layout.Load())
-	datagrams := s.protocol.Turn(source, time.Since(s.started))
-	missed, standby := s.protocol.RelaysMissed()
+	datagrams := s.protocol.Tick(source, time.Since(s.started))
+	missed, standby := s.protocol.RelayStatus()
 	s.mutex.Unlock()
 	s.recordRelays(missed, standby)
 	for _, datagram := range datagrams {
@@ -222,7 +222,7 @@
 	receivers := uint64(len(datagram.Receivers))
 	s.datagrams.Add(receivers)
 	s.bytes.Add(receivers * size)
-	if datagram.Outside {
+	if datagram.CrossZone {
 		s.otherZones.Add(receivers * size)
 	}
 }
--- a/internal/loadshare/nudge_test.go
+++ b/internal/loadshare/nudge_test.go
@@ -25,7 +25,7 @@
 
 func (s *countingSource) Own() *rockwindpb.LoadDigest         { return s.digest() }
 func (s *countingSource) Sum([]string) *rockwindpb.LoadDigest { return s.digest() }
-func (s *countingSource) Elsewhere(string) *rockwindpb.LoadDigest {
+func (s *countingSource) SumOtherGroups(string) *rockwindpb.LoadDigest {
 	return &rockwindpb.LoadDigest{}
 }
 func (s *countingSource) Heard(string) bool                  { return true }
@@ -67,7 +67,7 @@
 	go func() { _ = receiver.Run(ctx, heard) }()
 	for want := uint32(1); want <= 3; want++ {
 		told.inflight.Store(want)
-		sender.Nudge()
+		sender.TriggerSend()
 		limit := time.After(2 * time.Second)
 		for got := uint32(0); got != want; {
 			select {
@@ -80,5 +80,5 @@
 	}
 }
 
-// Sparing implements loadshare.Source.
-func (*countingSource) Sparing(uint32) loadshare.Sparing { return loadshare.NeverSpared }
+// DropPriority implements loadshare.Source.
+func (*countingSource) DropPriority(uint32) loadshare.DropPriority { return loadshare.NeverDrop }
--- a/internal/loadshare/protocol.go
+++ b/internal/loadshare/protocol.go
@@ -27,8 +27,8 @@
 type Datagram struct {
 	Receivers []netip.AddrPort
 	Bundle    *rockwindpb.LoadBundle
-	// Outside tells that the receivers are of other groups.
-	Outside bool
+	// CrossZone tells that the receivers are of other groups.
+	CrossZone bool
 }
 
 // Protocol decides what a process tells whom, and what it takes from others. It does no
@@ -73,8 +73,8 @@
 // Layout is the layout in force.
 func (p *Protocol) Layout() *Layout { return p.layout }
 
-// Turn returns what is to be sent now.
-func (p *Protocol) Turn(source Source, now time.Duration) []Datagram {
+// Tick returns what is to be sent now.
+func (p *Protocol) Tick(source Source, now time.Duration) []Datagram {
 	var sent []Datagram
 	if grouped := !p.layout.Mesh(); grouped != p.grouped {
 		// Relays have not told anything in a mesh, nor before this process knew the site.
@@ -103,24 +103,24 @@
 
 // relaysSilent tells whether this process takes all relays of its group for silent.
 func (p *Protocol) relaysSilent(now time.Duration) bool {
-	return p.grouped && !p.layout.Relay() && now-p.relayAt > relaysSilentAfter
+	return p.grouped && !p.layout.IsRelay() && now-p.relayAt > relaysSilentAfter
 }
 
-// RelaysMissed tells whether this process took all relays of its group for silent at its last turn,
+// RelayStatus tells whether this process took all relays of its group for silent at its last turn,
 // and whether it is one of those that stand in for them.
-func (p *Protocol) RelaysMissed() (missed, standby bool) { return p.missed, p.layout.Standby() }
+func (p *Protocol) RelayStatus() (missed, standby bool) { return p.missed, p.layout.IsStandby() }
 
 // isDelegate tells whether this process is the delegate of its group.
 func (p *Protocol) isDelegate(source Source, now time.Duration) bool {
-	if p.layout.Delegate(source.Heard) {
+	if p.layout.IsDelegate(source.Heard) {
 		return true
 	}
-	return p.relaysSilent(now) && p.layout.StandsIn(source.Heard)
+	return p.relaysSilent(now) && p.layout.IsActingDelegate(source.Heard)
 }
 
 // tellMembers tells the members of the group its sum and that of all others.
 func (p *Protocol) tellMembers(source Source, sum *rockwindpb.LoadDigest, now time.Duration) []Datagram {
-	elsewhere := source.Elsewhere(p.layout.Group())
+	elsewhere := source.SumOtherGroups(p.layout.Group())
 	elsewhere.Group, elsewhere.Elsewhere = p.layout.Group(), true
 	told := bundle(sum, elsewhere)
 	if !p.inside.due(told, now) {
@@ -130,7 +130,7 @@
 	p.sign(elsewhere)
 	fit(source, sum)
 	fit(source, elsewhere)
-	return datagrams(p.layout.Audience(), false, sum, elsewhere)
+	return datagrams(p.layout.MemberAddresses(), false, sum, elsewhere)
 }
 
 // tellOthers tells the other groups the sum of this one.
@@ -160,7 +160,7 @@
 // two groups without relays would not find each other otherwise.
 func (p *Protocol) otherDelegates(now time.Duration) []netip.AddrPort {
 	var receivers []netip.AddrPort
-	for _, group := range p.layout.Others() {
+	for _, group := range p.layout.OtherGroups() {
 		known, found := p.delegates[group.name]
 		member, placed := group.candidate(known.name)
 		if found && placed && now-known.at <= delegateFor {
@@ -192,18 +192,18 @@
 	switch group := digest.GetGroup(); {
 	case group == "":
 		// Who hears a relay knows of the members by its sum.
-		return p.layout.Mesh() || p.layout.Relay() || p.relaysSilent(now)
+		return p.layout.Mesh() || p.layout.IsRelay() || p.relaysSilent(now)
 	case group != p.layout.Group():
 		p.delegates[group] = delegate{name: digest.GetSender(), at: now}
-		return !digest.GetElsewhere() && (!p.layout.Standby() || p.relaysSilent(now))
-	case p.layout.IsStandby(digest.GetSender()):
+		return !digest.GetElsewhere() && (!p.layout.IsStandby() || p.relaysSilent(now))
+	case p.layout.HasStandby(digest.GetSender()):
 		return p.wantedOfStandby(source, digest, now)
 	}
 	p.relayAt = now
 	switch {
 	case digest.GetElsewhere():
-		return !p.layout.Delegate(source.Heard)
-	case p.layout.Relay():
+		return !p.layout.IsDelegate(source.Heard)
+	case p.layout.IsRelay():
 		// Members tell the relays themselves.
 		return false
 	}
@@ -218,7 +218,7 @@
 		return false
 	case digest.GetElsewhere():
 		return !p.isDelegate(source, now)
-	case p.layout.Standby():
+	case p.layout.IsStandby():
 		// Members tell the standbys themselves.
 		return false
 	}
--- a/internal/loadshare/protocol_test.go
+++ b/internal/loadshare/protocol_test.go
@@ -39,22 +39,22 @@
 	return loadshare.SumDigest(s.shares, names, s.own)
 }
 
-func (s *station) Elsewhere(group string) *rockwindpb.LoadDigest {
+func (s *station) SumOtherGroups(group string) *rockwindpb.LoadDigest {
 	return loadshare.NewDigest(s.shares.SumElsewhere(group))
 }
 
 func (s *station) Heard(name string) bool { return s.shares.Heard(name, s.now) }
 
-// Sparing implements loadshare.Source: the hashes of tenants have the highest bit, those of
+// DropPriority implements loadshare.Source: the hashes of tenants have the highest bit, those of
 // what was left behind the next one.
-func (s *station) Sparing(hash uint32) loadshare.Sparing {
+func (s *station) DropPriority(hash uint32) loadshare.DropPriority {
 	switch {
 	case hash >= firstTenant:
-		return loadshare.SparedNext
+		return loadshare.DropSecond
 	case hash >= firstLeft:
-		return loadshare.SparedFirst
+		return loadshare.DropFirst
 	default:
-		return loadshare.NeverSpared
+		return loadshare.NeverDrop
 	}
 }
 
@@ -66,7 +66,7 @@
 )
 
 func (s *station) Take(digest *rockwindpb.LoadDigest) {
-	loadshare.TakeInto(s.shares, digest, loadshare.Loads(digest), s.now)
+	loadshare.ApplyDigest(s.shares, digest, loadshare.Loads(digest), s.now)
 }
 
 // world plays the processes of a site in virtual time, step by step of 5 ms. Datagrams
@@ -118,7 +118,7 @@
 				continue
 			}
 			w.next[s] = w.now + s.protocol.Layout().Interval()
-			for _, datagram := range s.protocol.Turn(s, w.now) {
+			for _, datagram := range s.protocol.Tick(s, w.now) {
 				w.deliver(t, s, datagram)
 			}
 		}
--- a/internal/loadshare/standby_test.go
+++ b/internal/loadshare/standby_test.go
@@ -96,7 +96,7 @@
 	w.run(t, 2*time.Second, func() { w.redraw(30) })
 	w.run(t, settled, func() {})
 	for _, s := range w.stations[3:23] {
-		if !s.protocol.Layout().Standby() {
+		if !s.protocol.Layout().IsStandby() {
 			continue
 		}
 		s.deaf = true
@@ -154,7 +154,7 @@
 		}
 		layout := loadshare.NewLayout(members, s.member.Name())
 		was := s.silent
-		s.silent = layout.Relay() && headless[zone] || besides[zone] == 0
+		s.silent = layout.IsRelay() && headless[zone] || besides[zone] == 0
 		besides[zone]--
 		if was && !s.silent && rapid.Bool().Draw(t, "anew") {
 			w.start(s, members)
--- a/internal/rateclient/lossy_test.go
+++ b/internal/rateclient/lossy_test.go
@@ -16,7 +16,7 @@
 // lossyOwner counts as an owner does. Some questions do not reach it, and some of its answers
 // are lost.
 type lossyOwner struct {
-	counts *requestrate.Counts
+	counts *requestrate.Limiter
 	now    time.Duration
 	fate   func() fate
 }
@@ -40,13 +40,13 @@
 	}
 	limit := requestrate.NewLimit(request.GetRequestsPerSecond(), request.GetRequestBurst())
 	decided := o.counts.Take(requestrate.NewRequest(request.GetTenant(), limit, request.GetConfiguration()).
-		From(request.GetRouter(), request.GetRouterStartedUnixMs(), request.GetQuestion()).
+		FromRouter(request.GetRouter(), request.GetRouterStartedUnixMs(), request.GetQuestion()).
 		WithReturned(request.GetReturned()).WithUnanswered(request.GetPassed(), request.GetWithheld()), o.now)
 	if fate == answerLost {
 		return nil, errLost
 	}
 	return &rockwindpb.TakeRequestsResponse{
-		Granted: decided.Granted(), RetryAfterMs: uint32(decided.ComeBack().Milliseconds()), Remaining: decided.Remaining(),
+		Granted: decided.Granted(), RetryAfterMs: uint32(decided.RetryAfter().Milliseconds()), Remaining: decided.Remaining(),
 	}, nil
 }
 
@@ -56,14 +56,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const burst, routers = 12, 2
 		limited := &rockwindpb.Tenant{Name: "tenant", Limits: &rockwindpb.Limits{RequestsPerSecond: 0.000001, RequestBurst: burst}}
-		owner := &lossyOwner{counts: requestrate.NewCounts(requestrate.Tolerance{}, 0), now: 1e6 * time.Hour}
+		owner := &lossyOwner{counts: requestrate.NewLimiter(requestrate.Tolerance{}, 0), now: 1e6 * time.Hour}
 		var clients []*rateclient.Client
 		for _, name := range []string{"router-1", "router-2"} {
 			clients = append(clients, rateclient.New(owner, name, func() int { return routers }))
 		}
 		passed := 0
 		ask := func(client *rateclient.Client) {
-			if client.Take(context.Background(), limited, 1, time.Second, rateclient.Turn{}) == nil {
+			if client.Take(context.Background(), limited, 1, time.Second, rateclient.TakeOptions{}) == nil {
 				passed++
 			}
 		}
--- a/internal/requestrate/flood_test.go
+++ b/internal/requestrate/flood_test.go
@@ -34,7 +34,7 @@
 func playFlood(told bool) floodOutcome {
 	const perSecond, burst = 145, 72
 	limit := requestrate.NewLimit(perSecond, burst)
-	counts := requestrate.NewCounts(requestrate.Tolerance{}, 0)
+	counts := requestrate.NewLimiter(requestrate.Tolerance{}, 0)
 	var waiting []floodCaller
 	for i := range 4500 {
 		at := long + time.Duration(i)*5*time.Second/4500
@@ -49,7 +49,7 @@
 		if told && late {
 			request = request.Late()
 		} else if told {
-			request = request.WithWait(callerObjective / 4)
+			request = request.WithMaxWait(callerObjective / 4)
 		}
 		decided := counts.Take(request, caller.asks)
 		switch left := callerDeadline - (caller.asks - caller.first); {
@@ -63,7 +63,7 @@
 		case left < 200*time.Millisecond:
 			outcome.refused++
 		default:
-			caller.asks += min(decided.ComeBack(), left/3)
+			caller.asks += min(decided.RetryAfter(), left/3)
 			place, _ := slices.BinarySearchFunc(waiting, caller, func(a, b floodCaller) int { return cmp.Compare(a.asks, b.asks) })
 			waiting = slices.Insert(waiting, place, caller)
 		}
@@ -95,11 +95,11 @@
 // are granted the rest.
 func TestLateRequestsGetWhatIsLeft(t *testing.T) {
 	limit := requestrate.NewLimit(100, 50)
-	counts := requestrate.NewCounts(requestrate.Tolerance{}, 0)
+	counts := requestrate.NewLimiter(requestrate.Tolerance{}, 0)
 	timely, late := 0, 0
 	for i := range 1000 {
 		now := long + time.Duration(i)*5*time.Millisecond
-		if i%4 == 0 && counts.Take(ask(limit).WithWait(50*time.Millisecond), now).Granted() {
+		if i%4 == 0 && counts.Take(ask(limit).WithMaxWait(50*time.Millisecond), now).Granted() {
 			timely++
 		}
 		if counts.Take(ask(limit).Late(), now).Granted() {
@@ -115,7 +115,7 @@
 // dozen requests that come at once found no room beside them.
 func TestLateRequestsLeaveRoomForThoseInTime(t *testing.T) {
 	limit := requestrate.NewLimit(100, 50)
-	counts := requestrate.NewCounts(requestrate.Tolerance{}, 0)
+	counts := requestrate.NewLimiter(requestrate.Tolerance{}, 0)
 	asked, timely, late := 0, 0, 0
 	for i := range 1000 {
 		now := long + time.Duration(i)*5*time.Millisecond
@@ -127,7 +127,7 @@
 		}
 		for range 12 {
 			asked++
-			if counts.Take(ask(limit).WithWait(20*time.Millisecond), now).Granted() {
+			if counts.Take(ask(limit).WithMaxWait(20*time.Millisecond), now).Granted() {
 				timely++
 			}
 		}
@@ -140,15 +140,15 @@
 // TestGrantAheadIsWaitedFor until the rate has earned it, and is told again with its wait where
 // the answer got lost.
 func TestGrantAheadIsWaitedFor(t *testing.T) {
-	counts, limit := requestrate.NewCounts(requestrate.Tolerance{}, 0), requestrate.NewLimit(20, 10)
+	counts, limit := requestrate.NewLimiter(requestrate.Tolerance{}, 0), requestrate.NewLimit(20, 10)
 	grants(counts, ask(limit), 10, long)
-	ahead := ask(limit).From("router", 1, 1).WithWait(75 * time.Millisecond)
+	ahead := ask(limit).FromRouter("router", 1, 1).WithMaxWait(75 * time.Millisecond)
 	for range 2 {
 		if decided := counts.Take(ahead, long); !decided.Granted() || decided.Wait() != 50*time.Millisecond {
 			t.Fatalf("granted %v after %v", decided.Granted(), decided.Wait())
 		}
 	}
-	if counts.Take(ask(limit).WithWait(75*time.Millisecond), long).Granted() {
+	if counts.Take(ask(limit).WithMaxWait(75*time.Millisecond), long).Granted() {
 		t.Fatal("granted although the rate earns it too late")
 	}
 }
@@ -161,16 +161,16 @@
 		perSecond := rapid.Float64Range(0.2, 200).Draw(t, "rate")
 		burst := rapid.Uint32Range(1, 80).Draw(t, "burst")
 		limit := requestrate.NewLimit(perSecond, burst)
-		counts := requestrate.NewCounts(requestrate.Tolerance{}, 0)
+		counts := requestrate.NewLimiter(requestrate.Tolerance{}, 0)
 		now, owners := long, 0
 		var starts []time.Duration
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 100).Draw(t, "pause")) * time.Millisecond
 			if rapid.IntRange(0, 60).Draw(t, "change") == 0 {
-				counts = requestrate.NewCounts(requestrate.Tolerance{}, now)
+				counts = requestrate.NewLimiter(requestrate.Tolerance{}, now)
 				owners++
 			}
-			request := ask(limit).WithWait(time.Duration(rapid.IntRange(0, int(mostWait.Milliseconds())).Draw(t, "wait")) * time.Millisecond)
+			request := ask(limit).WithMaxWait(time.Duration(rapid.IntRange(0, int(mostWait.Milliseconds())).Draw(t, "wait")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "late") {
 				request = request.Late()
 			}
--- a/internal/requestrate/owners_test.go
+++ b/internal/requestrate/owners_test.go
@@ -18,13 +18,13 @@
 // TestNewerWordLowersWhatANewOwnerBeganWith: the router that asks first had not seen the flood.
 func TestNewerWordLowersWhatANewOwnerBeganWith(t *testing.T) {
 	limit := requestrate.NewLimit(10, 100)
-	counts := requestrate.NewCounts(requestrate.Tolerance{}, long)
+	counts := requestrate.NewLimiter(requestrate.Tolerance{}, long)
 	counts.Take(ask(limit).WithRemaining(90, 900*time.Millisecond), long)
 	counts.Take(ask(limit).WithRemaining(2, 400*time.Millisecond), long)
 	if granted := grants(counts, ask(limit), 200, long); granted != 4 {
 		t.Fatalf("%d more are granted, want 4 of what the newer word left", granted)
 	}
-	counts = requestrate.NewCounts(requestrate.Tolerance{}, long)
+	counts = requestrate.NewLimiter(requestrate.Tolerance{}, long)
 	counts.Take(ask(limit).WithRemaining(90, 400*time.Millisecond), long)
 	counts.Take(ask(limit).WithRemaining(2, 900*time.Millisecond), long)
 	counts.Take(ask(limit).WithRemaining(2, 0), long+10*time.Millisecond)
@@ -49,7 +49,7 @@
 	limit, tolerance := requestrate.NewLimit(perSecond, burst), requestrate.NewTolerance(window, 0.1, 20)
 	words := make([]word, 2+random.IntN(49))
 	flooded := 1 + random.IntN(len(words))
-	counts := requestrate.NewCounts(tolerance, 0)
+	counts := requestrate.NewLimiter(tolerance, 0)
 	now := long
 	var granted []time.Duration
 	take := func(router int) {
@@ -78,7 +78,7 @@
 		now += time.Duration(random.IntN(10_000)) * time.Millisecond
 		flood(flooded)
 		now += time.Duration(100+random.IntN(1400)) * time.Millisecond
-		counts = requestrate.NewCounts(tolerance, now)
+		counts = requestrate.NewLimiter(tolerance, now)
 		flood(len(words))
 	}
 	most := (perSecond*window.Seconds()+float64(burst))*1.1 + 20
--- a/internal/requestrate/requestrate.go
+++ b/internal/requestrate/requestrate.go
@@ -125,9 +125,9 @@
 	return Request{tenant: tenant, limit: limit, number: number, remaining: -1}
 }
 
-// From adds which router asks, in which life of its process, and the number of its question:
+// FromRouter adds which router asks, in which life of its process, and the number of its question:
 // one that is asked again under the same number counts once.
-func (r Request) From(router string, life int64, question uint64) Request {
+func (r Request) FromRouter(router string, life int64, question uint64) Request {
 	r.router, r.life, r.question = router, life, question
 	return r
 }
@@ -164,8 +164,8 @@
 	return r
 }
 
-// WithWait adds how long the request may wait for its turn once it is granted.
-func (r Request) WithWait(wait time.Duration) Request {
+// WithMaxWait adds how long the request may wait for its turn once it is granted.
+func (r Request) WithMaxWait(wait time.Duration) Request {
 	r.wait = wait
 	return r
 }
@@ -184,8 +184,8 @@
 // Wait is after how long a granted request is within the limit.
 func (d Decision) Wait() time.Duration { return d.wait }
 
-// ComeBack is when the tenant is expected to have room, where the request is not granted.
-func (d Decision) ComeBack() time.Duration { return d.comeBack }
+// RetryAfter is when the tenant is expected to have room, where the request is not granted.
+func (d Decision) RetryAfter() time.Duration { return d.comeBack }
 
 // Remaining is how many more requests the tenant could make at once.
 func (d Decision) Remaining() uint32 { return d.remaining }
@@ -211,22 +211,22 @@
 	asked map[string]*questions
 }
 
-// Counts is what the owner of tenants counts in one term. It belongs to one goroutine at a
+// Limiter is what the owner of tenants counts in one term. It belongs to one goroutine at a
 // time.
-type Counts struct {
+type Limiter struct {
 	tolerance Tolerance
 	began     time.Duration
 	swept     time.Duration
 	buckets   map[string]*bucket
 }
 
-// NewCounts returns the counts of an owner whose term began at a time.
-func NewCounts(tolerance Tolerance, began time.Duration) *Counts {
-	return &Counts{tolerance: tolerance, began: began, swept: began, buckets: make(map[string]*bucket)}
+// NewLimiter returns the counts of an owner whose term began at a time.
+func NewLimiter(tolerance Tolerance, began time.Duration) *Limiter {
+	return &Limiter{tolerance: tolerance, began: began, swept: began, buckets: make(map[string]*bucket)}
 }
 
 // Take decides on a request, and counts it where it is granted.
-func (c *Counts) Take(request Request, now time.Duration) Decision {
+func (c *Limiter) Take(request Request, now time.Duration) Decision {
 	c.sweep(now)
 	held := c.bucket(request, now)
 	held.advance(now)
@@ -246,7 +246,7 @@
 }
 
 // bucket returns the tenant's bucket, under the newest limit that a router has told.
-func (c *Counts) bucket(request Request, now time.Duration) *bucket {
+func (c *Limiter) bucket(request Request, now time.Duration) *bucket {
 	held, known := c.buckets[request.tenant]
 	if !known {
 		first := c.firstLevel(request, now)
@@ -289,7 +289,7 @@
 }
 
 // firstLevel is what a tenant has left that this owner has not counted yet.
-func (c *Counts) firstLevel(request Request, now time.Duration) float64 {
+func (c *Limiter) firstLevel(request Request, now time.Duration) float64 {
 	level := max(freshLevel, freshPart*c.tolerance.of(request.limit)) + request.limit.perSecond*(now-c.began).Seconds()
 	if request.remaining >= 0 && request.age <= wordFor {
 		level = max(level, request.remaining+request.limit.perSecond*request.age.Seconds())
@@ -299,7 +299,7 @@
 
 // lower takes a newer word of the owner before than the one that the bucket began with. What
 // this owner said itself is newer than the bucket.
-func (c *Counts) lower(held *bucket, request Request, now time.Duration) {
+func (c *Limiter) lower(held *bucket, request Request, now time.Duration) {
 	wordAt := now - request.age
 	if request.remaining < 0 || now-held.began > wordFor || wordAt <= held.wordAt || wordAt >= held.began {
 		return
@@ -332,7 +332,7 @@
 }
 
 // sweep forgets tenants that have not asked for long.
-func (c *Counts) sweep(now time.Duration) {
+func (c *Limiter) sweep(now time.Duration) {
 	if now-c.swept < sweepInterval {
 		return
 	}
--- a/internal/requestrate/requestrate_test.go
+++ b/internal/requestrate/requestrate_test.go
@@ -17,7 +17,7 @@
 }
 
 // grants asks so many times at once and counts what is granted.
-func grants(counts *requestrate.Counts, request requestrate.Request, times int, now time.Duration) int {
+func grants(counts *requestrate.Limiter, request requestrate.Request, times int, now time.Duration) int {
 	granted := 0
 	for range times {
 		if counts.Take(request, now).Granted() {
@@ -28,7 +28,7 @@
 }
 
 func TestTenantHasItsBurstAndThenItsRate(t *testing.T) {
-	counts, limit := requestrate.NewCounts(requestrate.Tolerance{}, 0), requestrate.NewLimit(10, 30)
+	counts, limit := requestrate.NewLimiter(requestrate.Tolerance{}, 0), requestrate.NewLimit(10, 30)
 	if granted := grants(counts, ask(limit), 100, long); granted != 30 {
 		t.Fatalf("%d of 100 at once were granted", granted)
 	}
@@ -41,7 +41,7 @@
 }
 
 func TestLimitWithoutABurstTakesRequestsAsTheyCome(t *testing.T) {
-	counts := requestrate.NewCounts(requestrate.Tolerance{}, 0)
+	counts := requestrate.NewLimiter(requestrate.Tolerance{}, 0)
 	if granted := grants(counts, ask(requestrate.NewLimit(4, 0)), 10, long); granted != 2 {
 		t.Fatalf("%d of 10 at once were granted", granted)
 	}
@@ -53,10 +53,10 @@
 // TestNewOwnerBeginsNearlyEmpty: it does not know what the one before has granted.
 func TestNewOwnerBeginsNearlyEmpty(t *testing.T) {
 	limit := requestrate.NewLimit(10, 100)
-	if granted := grants(requestrate.NewCounts(requestrate.Tolerance{}, long), ask(limit), 100, long); granted != 5 {
+	if granted := grants(requestrate.NewLimiter(requestrate.Tolerance{}, long), ask(limit), 100, long); granted != 5 {
 		t.Fatalf("%d were granted at the beginning of a term", granted)
 	}
-	if granted := grants(requestrate.NewCounts(requestrate.Tolerance{}, long), ask(limit), 100, long+2*time.Second); granted != 25 {
+	if granted := grants(requestrate.NewLimiter(requestrate.Tolerance{}, long), ask(limit), 100, long+2*time.Second); granted != 25 {
 		t.Fatalf("%d were granted two seconds later", granted)
 	}
 }
@@ -65,7 +65,7 @@
 func TestNewOwnerUsesAPartOfTheTolerance(t *testing.T) {
 	tolerance := requestrate.NewTolerance(5*time.Second, 0.1, 20)
 	for burst, want := range map[uint32]int{10: 10, 200: 84} {
-		counts := requestrate.NewCounts(tolerance, long)
+		counts := requestrate.NewLimiter(tolerance, long)
 		if granted := grants(counts, ask(requestrate.NewLimit(float64(burst), burst)), 300, long); granted != want {
 			t.Errorf("%d of a burst of %d were granted at the beginning of a term, want %d", granted, burst, want)
 		}
@@ -81,7 +81,7 @@
 		age       time.Duration
 		want      int
 	}{{40, 0, 40}, {40, time.Second, 50}, {95, time.Second, 100}, {40, 2 * time.Second, 5}, {90, time.Minute, 5}, {0, 0, 5}} {
-		counts := requestrate.NewCounts(requestrate.Tolerance{}, long)
+		counts := requestrate.NewLimiter(requestrate.Tolerance{}, long)
 		if granted := grants(counts, ask(limit).WithRemaining(told.remaining, told.age), 200, long); granted != told.want {
 			t.Errorf("%d were granted after %+v", granted, told)
 		}
@@ -89,7 +89,7 @@
 }
 
 func TestNewestLimitHolds(t *testing.T) {
-	counts := requestrate.NewCounts(requestrate.Tolerance{}, 0)
+	counts := requestrate.NewLimiter(requestrate.Tolerance{}, 0)
 	wide, narrow := requestrate.NewLimit(100, 100), requestrate.NewLimit(1, 3)
 	counts.Take(requestrate.NewRequest("tenant", wide, 7), long)
 	counts.Take(requestrate.NewRequest("tenant", narrow, 8), long)
@@ -99,7 +99,7 @@
 }
 
 func TestRequestsThatDidNotRunAreGivenBack(t *testing.T) {
-	counts, limit := requestrate.NewCounts(requestrate.Tolerance{}, 0), requestrate.NewLimit(1, 10)
+	counts, limit := requestrate.NewLimiter(requestrate.Tolerance{}, 0), requestrate.NewLimit(1, 10)
 	grants(counts, ask(limit), 10, long)
 	if !counts.Take(ask(limit).WithReturned(1), long).Granted() {
 		t.Fatal("what was given back is not granted again")
@@ -113,13 +113,13 @@
 }
 
 func TestUnaskedRequestsCount(t *testing.T) {
-	counts, limit := requestrate.NewCounts(requestrate.Tolerance{}, 0), requestrate.NewLimit(10, 10)
+	counts, limit := requestrate.NewLimiter(requestrate.Tolerance{}, 0), requestrate.NewLimit(10, 10)
 	grants(counts, ask(limit), 10, long)
 	var passed []uint64
 	for number := range uint64(20) {
 		passed = append(passed, number+1)
 	}
-	counts.Take(ask(limit).From("router", 1, 21).WithUnanswered(passed, nil), long)
+	counts.Take(ask(limit).FromRouter("router", 1, 21).WithUnanswered(passed, nil), long)
 	if counts.Take(ask(limit), long+1900*time.Millisecond).Granted() {
 		t.Fatal("granted before the unasked requests were made up for")
 	}
@@ -130,13 +130,13 @@
 
 // TestTimeToComeBackGrowsWithWhatIsAskedBeyondTheLimit, within its bounds.
 func TestTimeToComeBackGrowsWithWhatIsAskedBeyondTheLimit(t *testing.T) {
-	counts, limit := requestrate.NewCounts(requestrate.Tolerance{}, 0), requestrate.NewLimit(10, 10)
+	counts, limit := requestrate.NewLimiter(requestrate.Tolerance{}, 0), requestrate.NewLimit(10, 10)
 	grants(counts, ask(limit), 10, long)
-	first := counts.Take(ask(limit), long).ComeBack()
+	first := counts.Take(ask(limit), long).RetryAfter()
 	grants(counts, ask(limit), 30, long)
-	later := counts.Take(ask(limit), long).ComeBack()
+	later := counts.Take(ask(limit), long).RetryAfter()
 	grants(counts, ask(limit), 10_000, long)
-	last := counts.Take(ask(limit), long).ComeBack()
+	last := counts.Take(ask(limit), long).RetryAfter()
 	if first != 200*time.Millisecond || later < 2*time.Second || last != 10*time.Second {
 		t.Fatalf("%v, %v, %v", first, later, last)
 	}
@@ -145,9 +145,9 @@
 // TestRefusalsOfRoutersCountForTheTimeToComeBack: a router answers for a moment by itself, so
 // that the owner saw a part of a flood only and told its tenant to come back at once.
 func TestRefusalsOfRoutersCountForTheTimeToComeBack(t *testing.T) {
-	counts, limit := requestrate.NewCounts(requestrate.Tolerance{}, 0), requestrate.NewLimit(10, 10)
+	counts, limit := requestrate.NewLimiter(requestrate.Tolerance{}, 0), requestrate.NewLimit(10, 10)
 	grants(counts, ask(limit), 10, long)
-	if comeBack := counts.Take(ask(limit).WithRefused(40), long).ComeBack(); comeBack < 4*time.Second {
+	if comeBack := counts.Take(ask(limit).WithRefused(40), long).RetryAfter(); comeBack < 4*time.Second {
 		t.Fatalf("after 40 refusals it is told to come back after %v", comeBack)
 	}
 }
@@ -159,14 +159,14 @@
 		perSecond := rapid.Float64Range(0.2, 50).Draw(t, "rate")
 		burst := rapid.Uint32Range(1, 80).Draw(t, "burst")
 		limit := requestrate.NewLimit(perSecond, burst)
-		counts := requestrate.NewCounts(requestrate.Tolerance{}, 0)
+		counts := requestrate.NewLimiter(requestrate.Tolerance{}, 0)
 		now := long
 		owners := 0
 		var granted []time.Duration
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 200).Draw(t, "pause")) * time.Millisecond
 			if rapid.IntRange(0, 40).Draw(t, "change") == 0 {
-				counts = requestrate.NewCounts(requestrate.Tolerance{}, now)
+				counts = requestrate.NewLimiter(requestrate.Tolerance{}, now)
 				owners++
 			}
 			if counts.Take(ask(limit), now).Granted() {
@@ -188,17 +188,17 @@
 
 // TestWhatAQuestionTellsCountsOnce however often the question is asked.
 func TestWhatAQuestionTellsCountsOnce(t *testing.T) {
-	counts, limit := requestrate.NewCounts(requestrate.Tolerance{}, 0), requestrate.NewLimit(10, 30)
+	counts, limit := requestrate.NewLimiter(requestrate.Tolerance{}, 0), requestrate.NewLimit(10, 30)
 	grants(counts, ask(limit), 30, long)
-	request := ask(limit).From("router", 1, 1).WithReturned(1)
+	request := ask(limit).FromRouter("router", 1, 1).WithReturned(1)
 	for i := range 5 {
 		if decided := counts.Take(request, long); !decided.Granted() || decided.Remaining() != 0 {
 			t.Fatalf("asked %d times: granted %v, %d remain", i+1, decided.Granted(), decided.Remaining())
 		}
 	}
-	refused := ask(limit).From("router", 1, 2).WithRefused(20)
-	first := counts.Take(refused, long).ComeBack()
-	if again := counts.Take(refused, long).ComeBack(); again > first+100*time.Millisecond {
+	refused := ask(limit).FromRouter("router", 1, 2).WithRefused(20)
+	first := counts.Take(refused, long).RetryAfter()
+	if again := counts.Take(refused, long).RetryAfter(); again > first+100*time.Millisecond {
 		t.Fatalf("asked again it is told %v instead of %v", again, first)
 	}
 }
--- a/internal/returning/deadlines.go
+++ b/internal/returning/deadlines.go
@@ -17,12 +17,12 @@
 	mostValues = 64
 )
 
-// Deadlines learns how long the clients of a route wait in all, by the millisecond: those that
+// TimeoutEstimator learns how long the clients of a route wait in all, by the millisecond: those that
 // ask for the first time tell the same few times again and again. It answers that neither a
 // route's own limit nor one time for all says who has come back: limits are changed under
 // clients that know nothing of it, and clients differ in how long they wait. The zero value
 // knows nothing. It belongs to one goroutine at a time.
-type Deadlines struct {
+type TimeoutEstimator struct {
 	current, previous generation
 }
 
@@ -32,8 +32,8 @@
 	tries  int
 }
 
-// Note takes the deadline of one try.
-func (d *Deadlines) Note(left time.Duration) {
+// Observe takes the deadline of one try.
+func (d *TimeoutEstimator) Observe(left time.Duration) {
 	if d.current.tries == generationTries {
 		d.previous, d.current = d.current, generation{}
 	}
@@ -47,9 +47,9 @@
 	}
 }
 
-// Whole is how long a client waits in all that has so much of its time left: the shortest usual
+// Estimate is how long a client waits in all that has so much of its time left: the shortest usual
 // time that is not shorter, or what is left itself where there is none.
-func (d *Deadlines) Whole(left time.Duration) time.Duration {
+func (d *TimeoutEstimator) Estimate(left time.Duration) time.Duration {
 	shortest := time.Duration(0)
 	for _, counts := range []map[int64]int{d.current.counts, d.previous.counts} {
 		for value := range counts {
@@ -62,7 +62,7 @@
 	return max(left, shortest)
 }
 
-func (d *Deadlines) usual(value int64) bool {
+func (d *TimeoutEstimator) usual(value int64) bool {
 	seen := d.current.counts[value] + d.previous.counts[value]
 	return seen >= usualLeast && float64(seen) >= usualPart*float64(d.current.tries+d.previous.tries)
 }
--- a/internal/returning/deadlines_test.go
+++ b/internal/returning/deadlines_test.go
@@ -12,14 +12,14 @@
 // while two thirds of the tries are of clients that come back, as in a flood.
 func TestWhoComesBackIsToldByUnusualDeadlines(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
-	var deadlines returning.Deadlines
+	var deadlines returning.TimeoutEstimator
 	for range 600 {
-		deadlines.Note(5 * time.Second)
+		deadlines.Observe(5 * time.Second)
 		if random.IntN(4) == 0 {
-			deadlines.Note(2 * time.Second)
+			deadlines.Observe(2 * time.Second)
 		}
 		for range 2 {
-			deadlines.Note(5*time.Second - time.Duration(400+random.IntN(1300))*time.Millisecond)
+			deadlines.Observe(5*time.Second - time.Duration(400+random.IntN(1300))*time.Millisecond)
 		}
 	}
 	for left, whole := range map[time.Duration]time.Duration{
@@ -29,7 +29,7 @@
 		1500 * time.Millisecond: 2 * time.Second,
 		6 * time.Second:         6 * time.Second,
 	} {
-		if got := deadlines.Whole(left); got != whole {
+		if got := deadlines.Estimate(left); got != whole {
 			t.Errorf("one with %v left waits %v in all, want %v", left, got, whole)
 		}
 	}
@@ -37,28 +37,28 @@
 
 // TestNobodyHasComeBackWhereNothingIsKnown: a router that has just started takes all for new.
 func TestNobodyHasComeBackWhereNothingIsKnown(t *testing.T) {
-	var deadlines returning.Deadlines
+	var deadlines returning.TimeoutEstimator
 	for range 3 {
-		deadlines.Note(5 * time.Second)
+		deadlines.Observe(5 * time.Second)
 	}
-	if got := deadlines.Whole(4 * time.Second); got != 4*time.Second {
+	if got := deadlines.Estimate(4 * time.Second); got != 4*time.Second {
 		t.Fatalf("after three tries one with 4 s left is taken to wait %v", got)
 	}
 }
 
 // TestDeadlineThatNobodyUsesIsForgotten: all clients of a route wait for less than before.
 func TestDeadlineThatNobodyUsesIsForgotten(t *testing.T) {
-	var deadlines returning.Deadlines
+	var deadlines returning.TimeoutEstimator
 	for range 1000 {
-		deadlines.Note(8 * time.Second)
+		deadlines.Observe(8 * time.Second)
 	}
 	for range 600 {
-		deadlines.Note(3 * time.Second)
+		deadlines.Observe(3 * time.Second)
 	}
-	if got := deadlines.Whole(5 * time.Second); got != 5*time.Second {
+	if got := deadlines.Estimate(5 * time.Second); got != 5*time.Second {
 		t.Fatalf("one with 5 s left is taken to wait %v in all", got)
 	}
-	if got := deadlines.Whole(2 * time.Second); got != 3*time.Second {
+	if got := deadlines.Estimate(2 * time.Second); got != 3*time.Second {
 		t.Fatalf("one with 2 s left is taken to wait %v in all", got)
 	}
 }
--- a/internal/returning/returning.go
+++ b/internal/returning/returning.go
@@ -22,59 +22,61 @@
 	mostPromised = 256
 )
 
-// FirstTry is since when a client has been asking that waits so long in all, and whose try was
+// FirstAttempt is since when a client has been asking that waits so long in all, and whose try was
 // received at a time with so much of that left. One that asks for the first time has nearly
 // all of it, and one that says nothing of its time is taken for such.
-func FirstTry(received time.Time, whole, left time.Duration) time.Time {
-	if AsksFirst(whole, left) {
+func FirstAttempt(received time.Time, whole, left time.Duration) time.Time {
+	if IsFirstAttempt(whole, left) {
 		return received
 	}
 	return received.Add(left - whole)
 }
 
-// AsksFirst tells whether a client that waits so long in all, with so much of that left, asks
+// IsFirstAttempt tells whether a client that waits so long in all, with so much of that left, asks
 // for the first time.
-func AsksFirst(whole, left time.Duration) bool {
+func IsFirstAttempt(whole, left time.Duration) bool {
 	return left <= 0 || left >= time.Duration(wholePart*float64(whole))
 }
 
-// Room is how fast servers become free.
-type Room struct {
+// Capacity is how fast servers become free.
+type Capacity struct {
 	slots   int
 	holding time.Duration
 }
 
-// NewRoom returns the room of servers that together run so many requests at once, each for as
+// NewCapacity returns the room of servers that together run so many requests at once, each for as
 // long as holding.
-func NewRoom(slots int, holding time.Duration) Room { return Room{slots: slots, holding: holding} }
+func NewCapacity(slots int, holding time.Duration) Capacity {
+	return Capacity{slots: slots, holding: holding}
+}
 
-// After is when a request gets room that has so many others before it. It is zero where the
+// EstimateWait is when a request gets room that has so many others before it. It is zero where the
 // servers do not say how many requests they run.
-func (r Room) After(ahead int) time.Duration {
+func (r Capacity) EstimateWait(ahead int) time.Duration {
 	if r.slots == 0 {
 		return 0
 	}
 	return time.Duration(float64(r.holding) * float64(ahead+1) / float64(r.slots))
 }
 
-// Promises are the times at which clients were told to come back. They count as requests
+// PendingRetries are the times at which clients were told to come back. They count as requests
 // that wait until then, so that the next one is told a later time and finds room that was
 // not promised to another. The zero value has made none. It belongs to one goroutine at a
 // time.
-type Promises struct {
+type PendingRetries struct {
 	due []time.Time
 }
 
 // Add notes that a client was told to come back at a time.
-func (p *Promises) Add(due time.Time) {
+func (p *PendingRetries) Add(due time.Time) {
 	if len(p.due) == mostPromised {
 		p.due = p.due[1:]
 	}
 	p.due = append(p.due, due)
 }
 
-// Open is how many clients have not come back yet by what they were told.
-func (p *Promises) Open(now time.Time) int {
+// Count is how many clients have not come back yet by what they were told.
+func (p *PendingRetries) Count(now time.Time) int {
 	p.due = slices.DeleteFunc(p.due, func(due time.Time) bool { return !due.After(now) })
 	return len(p.due)
 }
--- a/internal/returning/returning_test.go
+++ b/internal/returning/returning_test.go
@@ -16,34 +16,34 @@
 		0: 0, whole: 0, 2 * whole: 0, 4990 * time.Millisecond: 0,
 		4 * time.Second: time.Second, 500 * time.Millisecond: 4500 * time.Millisecond,
 	} {
-		if asked := returning.FirstTry(now, whole, left); now.Sub(asked) != since {
+		if asked := returning.FirstAttempt(now, whole, left); now.Sub(asked) != since {
 			t.Errorf("with %v of %v left it has been asking for %v, want %v", left, whole, now.Sub(asked), since)
 		}
 	}
 }
 
 func TestRoomComesWithWhatEnds(t *testing.T) {
-	if after := returning.NewRoom(20, 100*time.Millisecond).After(39); after != 200*time.Millisecond {
+	if after := returning.NewCapacity(20, 100*time.Millisecond).EstimateWait(39); after != 200*time.Millisecond {
 		t.Fatalf("room behind 39 others comes after %v", after)
 	}
-	if after := returning.NewRoom(0, time.Second).After(1000); after != 0 {
+	if after := returning.NewCapacity(0, time.Second).EstimateWait(1000); after != 0 {
 		t.Fatalf("where slots are not known a wait of %v is expected", after)
 	}
 }
 
 // TestPromisesEndWithTheirTime, and are bounded.
 func TestPromisesEndWithTheirTime(t *testing.T) {
-	var promises returning.Promises
+	var promises returning.PendingRetries
 	for i := range 10 {
 		promises.Add(now.Add(time.Duration(i) * 100 * time.Millisecond))
 	}
-	if open := promises.Open(now.Add(450 * time.Millisecond)); open != 5 {
+	if open := promises.Count(now.Add(450 * time.Millisecond)); open != 5 {
 		t.Fatalf("%d are open", open)
 	}
 	for range 10_000 {
 		promises.Add(now.Add(time.Hour))
 	}
-	if open := promises.Open(now); open != 256 {
+	if open := promises.Count(now); open != 256 {
 		t.Fatalf("%d are held", open)
 	}
 }
@@ -52,12 +52,12 @@
 // that are refused come back as told; at no time do more come than a tenth of a second has
 // places for beyond the new ones.
 func TestReturnersMeetRoomAndNotEachOther(t *testing.T) {
-	room := returning.NewRoom(20, 100*time.Millisecond)
-	var promises returning.Promises
+	room := returning.NewCapacity(20, 100*time.Millisecond)
+	var promises returning.PendingRetries
 	arrivals := make(map[int]int)
 	for i := range 100 {
 		at := now.Add(time.Duration(i) * 10 * time.Millisecond)
-		wait := room.After(60 + promises.Open(at))
+		wait := room.EstimateWait(60 + promises.Count(at))
 		promises.Add(at.Add(wait))
 		arrivals[int(at.Add(wait).Sub(now)/(100*time.Millisecond))]++
 	}
--- a/internal/router/class.go
+++ b/internal/router/class.go
@@ -42,9 +42,9 @@
 }
 
 // told is what the other processes tell of a tenant of a class.
-func (p *servicePool) told(hash uint32) fairshare.Told {
+func (p *servicePool) told(hash uint32) fairshare.RemoteUsage {
 	load := p.shares.At(hash)
-	return fairshare.Told{Waiting: load.Inflight, Work: load.Unread}
+	return fairshare.RemoteUsage{Waiting: load.Inflight, Work: load.Unread}
 }
 
 // note keeps the weight of a tenant that asks.
@@ -59,7 +59,7 @@
 func (c *class) weight(tenant string) uint32 { return c.weights[tenant] }
 
 func (c *class) virtual(tenant waiting.Tenant, now time.Duration) float64 {
-	return c.ledger.Virtual(tenant.Name, tenant.Weight, now)
+	return c.ledger.VirtualTime(tenant.Name, tenant.Weight, now)
 }
 
 // judgeRoom judges whether there is too little room for what waits at all processes. Where the
@@ -68,8 +68,8 @@
 func (p *servicePool) judgeRoom(now time.Duration) {
 	waits := p.waiting.Len() + p.shares.At(balance.QueueHash(p.name)).Inflight
 	before := p.scarce
-	p.scarce = waits > 0 && (p.pool.Slots() == 0 || fairshare.Scarce(p.room().After(waits)))
-	if p.scarce && (!before || now-p.judgedAt > fairshare.Memory) {
+	p.scarce = waits > 0 && (p.pool.Slots() == 0 || fairshare.Overloaded(p.room().EstimateWait(waits)))
+	if p.scarce && (!before || now-p.judgedAt > fairshare.DecayTime) {
 		p.scarceSince = now
 	}
 	p.judgedAt = now
@@ -77,7 +77,7 @@
 
 // virtual is what the order of a request among others of its priority rests on: how much its
 // tenant had, where there is too little room.
-func (p *servicePool) virtual(place waiting.Place, now time.Duration) float64 {
+func (p *servicePool) virtual(place waiting.SortKey, now time.Duration) float64 {
 	if !p.scarce {
 		return 0
 	}
@@ -86,7 +86,7 @@
 
 // behind is how many requests wait elsewhere of tenants that had more than the given one.
 func (c *class) behind(tenant waiting.Tenant, now time.Duration) int {
-	return c.ledger.Behind(c.virtual(tenant, now), c.weight, now)
+	return c.ledger.RemoteWaitingBehind(c.virtual(tenant, now), c.weight, now)
 }
 
 // charge is the work that a tenant was charged for a request that goes to a server. The zero
@@ -101,7 +101,7 @@
 // giveBack takes the charge back: the request did not run.
 func (c charge) giveBack(now time.Duration) {
 	if c.class != nil {
-		c.class.ledger.GiveBack(c.tenant, c.work, c.began, now)
+		c.class.ledger.Refund(c.tenant, c.work, c.began, now)
 	}
 }
 
@@ -116,7 +116,7 @@
 	}
 	p.work += workWeight * (work - p.work)
 	class := p.class(ask.Priority)
-	class.ledger.Begin(ask.Tenant.Name, work, now)
+	class.ledger.Charge(ask.Tenant.Name, work, now)
 	return charge{class: class, tenant: ask.Tenant.Name, work: work, began: now}
 }
 
@@ -127,7 +127,7 @@
 		return false
 	}
 	class := p.class(ask.Priority)
-	return class.ledger.Modest(ask.Tenant.Name, class.weight, now)
+	return class.ledger.IsLight(ask.Tenant.Name, class.weight, now)
 }
 
 // wrote takes how many events an answer had.
@@ -138,7 +138,7 @@
 // waitsOf counts the requests that wait here, by class and tenant.
 func (p *servicePool) waitsOf() map[waiting.Priority]map[string]int {
 	waits := make(map[waiting.Priority]map[string]int)
-	p.waiting.Each(func(place waiting.Place) {
+	p.waiting.Each(func(place waiting.SortKey) {
 		if waits[place.Priority()] == nil {
 			waits[place.Priority()] = make(map[string]int)
 		}
@@ -152,7 +152,7 @@
 func (p *servicePool) queued(now time.Time, elapsed time.Duration, visit func(hash uint32, load balance.SharedLoad)) {
 	total := balance.SharedLoad{Inflight: p.waiting.Len()}
 	if p.gates.On(gate.Returns) {
-		total.Unread = p.promises.Open(now)
+		total.Unread = p.promises.Count(now)
 	}
 	if total != (balance.SharedLoad{}) {
 		visit(balance.QueueHash(p.name), total)
--- a/internal/router/deadlines.go
+++ b/internal/router/deadlines.go
@@ -15,7 +15,7 @@
 // goroutine. The zero value knows nothing.
 type routeDeadlines struct {
 	mutex  sync.Mutex
-	routes map[string]*returning.Deadlines
+	routes map[string]*returning.TimeoutEstimator
 }
 
 // whole is how long a client waits in all that asks a route with so much of its time left.
@@ -26,13 +26,13 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.routes == nil || len(d.routes) > mostRoutes {
-		d.routes = make(map[string]*returning.Deadlines)
+		d.routes = make(map[string]*returning.TimeoutEstimator)
 	}
 	known := d.routes[route]
 	if known == nil {
-		known = &returning.Deadlines{}
+		known = &returning.TimeoutEstimator{}
 		d.routes[route] = known
 	}
-	known.Note(left)
-	return known.Whole(left)
+	known.Observe(left)
+	return known.Estimate(left)
 }
--- a/internal/router/dispatcher.go
+++ b/internal/router/dispatcher.go
@@ -127,7 +127,7 @@
 		needHashes: backlog.NeedHashes(name),
 	}
 	if d.gates.On(gate.FairShare) {
-		created.waiting.Share(func(place waiting.Place) float64 { return created.virtual(place, d.now()) })
+		created.waiting.EnableFairShare(func(place waiting.SortKey) float64 { return created.virtual(place, d.now()) })
 	}
 	return created
 }
@@ -159,7 +159,7 @@
 	d.order++
 	place := ask.place(d.order, now)
 	pool.class(ask.Priority).note(ask.Tenant)
-	before := pool.waiting.Ahead(place, now)
+	before := pool.waiting.CountAhead(place, now)
 	if before == 0 {
 		if given, found := d.choose(pool, ask); found {
 			d.mutex.Unlock()
@@ -236,7 +236,7 @@
 // nudge tells the others at once what has changed here. The mutex is held.
 func (d *Dispatcher) nudge() {
 	if d.sharer != nil {
-		d.sharer.Nudge()
+		d.sharer.TriggerSend()
 	}
 }
 
@@ -299,7 +299,7 @@
 	defer d.mutex.Unlock()
 	service := entry.Value().ask.Service
 	pool := d.service(service)
-	if entry.Left() {
+	if entry.Removed() {
 		return d.lease(service, <-entry.Value().granted), nil
 	}
 	pool.waiting.Remove(entry)
@@ -309,7 +309,7 @@
 	if ask.Remaining > 0 {
 		ask.Remaining = max(time.Millisecond, ask.Remaining-now.Sub(waiter.began))
 	}
-	ahead := pool.waiting.Ahead(waiter.place, now) + pool.elsewhere(waiter.place, d.now())
+	ahead := pool.waiting.CountAhead(waiter.place, now) + pool.elsewhere(waiter.place, d.now())
 	return nil, pool.busy(ask, ahead, now, d.now())
 }
 
@@ -352,7 +352,7 @@
 		return served, given
 	}
 	priority := pool.waiting.First(now).Value().ask.Priority
-	modest := pool.waiting.FirstOf(now, func(each *waiter) bool {
+	modest := pool.waiting.FirstMatching(now, func(each *waiter) bool {
 		return each.ask.Priority == priority && pool.modest(each.ask, d.now())
 	})
 	if modest != nil {
--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -210,7 +210,7 @@
 		Service: e.service, Demand: balance.Demand{Parts: e.facts.Parts}, Priority: e.priority(),
 		Tenant:      waiting.Tenant{Name: e.tenant.GetName(), Weight: e.tenant.GetWeight()},
 		OnTimeUntil: e.onTimeUntil(), Tried: e.tried, Patience: e.patience(),
-		Remaining: time.Until(e.ends), Final: e.sent > 0 || !returning.AsksFirst(e.whole, e.facts.Deadline),
+		Remaining: time.Until(e.ends), Final: e.sent > 0 || !returning.IsFirstAttempt(e.whole, e.facts.Deadline),
 	}
 	if e.router.gates.On(gate.Returns) {
 		ask.Asked = e.firstTry()
@@ -223,7 +223,7 @@
 	if !e.router.gates.On(gate.Returns) {
 		return e.received
 	}
-	return returning.FirstTry(e.received, e.whole, e.facts.Deadline)
+	return returning.FirstAttempt(e.received, e.whole, e.facts.Deadline)
 }
 
 func (e *exchange) priority() waiting.Priority {
@@ -258,12 +258,12 @@
 }
 
 // turn is how the request goes before others of its tenant now.
-func (e *exchange) turn() rateclient.Turn {
+func (e *exchange) turn() rateclient.TakeOptions {
 	if e.route.GetGoalMs() == 0 || !e.router.gates.On(gate.Returns) {
-		return rateclient.Turn{}
+		return rateclient.TakeOptions{}
 	}
 	left := time.Until(e.onTimeUntil())
-	return rateclient.Turn{Late: left <= 0, Wait: max(0, min(left, turnWait))}
+	return rateclient.TakeOptions{Late: left <= 0, MaxWait: max(0, min(left, turnWait))}
 }
 
 // awaitRate waits for as long as the refusal of a request says that its tenant's rate needs,
@@ -289,7 +289,7 @@
 // mayComeBack tells whether the client has all of its time left: it is told early
 // to come back, and is in time then. One that has come back waits instead.
 func (e *exchange) mayComeBack() bool {
-	return e.facts.Deadline > 0 && returning.AsksFirst(e.whole, e.facts.Deadline)
+	return e.facts.Deadline > 0 && returning.IsFirstAttempt(e.whole, e.facts.Deadline)
 }
 
 // mayTryAgain tells whether another server may be tried.
@@ -405,7 +405,7 @@
 	}
 	status, failure := e.failure(ctx, fault.From(err))
 	if e.sent == 0 {
-		e.router.rates.GiveBack(e.tenant)
+		e.router.rates.Refund(e.tenant)
 	}
 	e.recordRefusal(status, failure)
 	refuse(e.writer, status, failure)
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -41,7 +41,7 @@
 			}
 		}
 		elsewhere := d.shares.At(balance.QueueHash(pool.name)).Inflight
-		promised := pool.promises.Open(time.Now())
+		promised := pool.promises.Count(time.Now())
 		all = append(all, sitemetrics.NewWaiting(pool.name, pool.waiting.Len(), elsewhere, promised, pool.scarce, held))
 	}
 	return all
@@ -73,7 +73,7 @@
 		class := p.class(priority)
 		most := heldTenant{service: p.name, virtual: -1}
 		for tenant, waiting := range waits {
-			virtual := class.ledger.Virtual(tenant, class.weight(tenant), now)
+			virtual := class.ledger.VirtualTime(tenant, class.weight(tenant), now)
 			if virtual > most.virtual || (virtual == most.virtual && tenant < most.tenant) {
 				most.tenant, most.waiting, most.virtual = tenant, waiting, virtual
 			}
--- a/internal/router/queue.go
+++ b/internal/router/queue.go
@@ -54,8 +54,8 @@
 }
 
 // place is what the order of the request rests on, which is the given arrival.
-func (a Ask) place(arrival uint64, now time.Time) waiting.Place {
-	return waiting.NewPlace(a.Priority, arrival, a.OnTimeUntil, now.Add(a.Patience)).Of(a.Tenant).AskedAt(a.Asked)
+func (a Ask) place(arrival uint64, now time.Time) waiting.SortKey {
+	return waiting.NewSortKey(a.Priority, arrival, a.OnTimeUntil, now.Add(a.Patience)).WithTenant(a.Tenant).WithFirstAttempt(a.Asked)
 }
 
 // servicePool is the pool of one service with the requests that wait for it.
@@ -75,7 +75,7 @@
 	scarceSince time.Duration
 	judgedAt    time.Duration
 	// promises are the clients that were told to come back.
-	promises returning.Promises
+	promises returning.PendingRetries
 	// holding is how long requests held a server lately, for the time to come back, and
 	// ended how many that rests on.
 	holding time.Duration
@@ -99,7 +99,7 @@
 // waiter is a request that waits for room.
 type waiter struct {
 	ask     Ask
-	place   waiting.Place
+	place   waiting.SortKey
 	began   time.Time
 	granted chan grant
 }
@@ -117,7 +117,7 @@
 
 // elsewhere is how many requests go before one with the given place at the other processes, as
 // they tell.
-func (p *servicePool) elsewhere(place waiting.Place, elapsed time.Duration) int {
+func (p *servicePool) elsewhere(place waiting.SortKey, elapsed time.Duration) int {
 	count := p.shares.At(balance.QueueHash(p.name)).Inflight
 	if p.gates.On(gate.Returns) {
 		count -= p.lower(place.Priority())
@@ -140,14 +140,16 @@
 }
 
 // room is how fast servers become free.
-func (p *servicePool) room() returning.Room { return returning.NewRoom(p.pool.Slots(), p.holding) }
+func (p *servicePool) room() returning.Capacity {
+	return returning.NewCapacity(p.pool.Slots(), p.holding)
+}
 
 // expected is how long a request waits that has so many others before it: until the servers
 // have taken those; and while room has been too little for long enough to show what a tenant
 // gets, until its tenant gets room for it behind its others.
 func (p *servicePool) expected(ask Ask, ahead int, elapsed time.Duration) time.Duration {
-	expected := p.room().After(ahead)
-	if p.gates.On(gate.Returns) && p.scarce && elapsed-p.scarceSince >= fairshare.Memory {
+	expected := p.room().EstimateWait(ahead)
+	if p.gates.On(gate.Returns) && p.scarce && elapsed-p.scarceSince >= fairshare.DecayTime {
 		expected = max(expected, p.ofShare(ask, elapsed))
 	}
 	return expected
@@ -161,14 +163,14 @@
 		return 0
 	}
 	class, waits := p.class(ask.Priority), p.waitsOf()[ask.Priority]
-	highest, work := class.ledger.Highest(waits, class.weight, elapsed)
+	highest, work := class.ledger.MaxVirtualTime(waits, class.weight, elapsed)
 	share := highest * float64(max(1, ask.Tenant.Weight))
 	if share <= 0 || work < leastStarts*p.work {
 		return 0
 	}
-	before := waits[ask.Tenant.Name] + class.ledger.Waiting(ask.Tenant.Name)
+	before := waits[ask.Tenant.Name] + class.ledger.RemoteWaiting(ask.Tenant.Name)
 	memories := float64(before+1) * p.work / share
-	return time.Duration(min(memories, longestExpected) * float64(fairshare.Memory))
+	return time.Duration(min(memories, longestExpected) * float64(fairshare.DecayTime))
 }
 
 // comeBack is when a request that is refused now will find room, no later than its client
@@ -176,8 +178,8 @@
 // adds (returnSpread), and it is promised where the client is expected then. Clients that
 // were told to come back are before it as if they waited, here and elsewhere.
 func (p *servicePool) comeBack(ask Ask, ahead int, now time.Time, elapsed time.Duration) time.Duration {
-	promised := p.promises.Open(now) + p.shares.At(balance.QueueHash(p.name)).Unread
-	comeBack := max(shortestReturn, p.expected(ask, ahead, elapsed), p.room().After(ahead+promised))
+	promised := p.promises.Count(now) + p.shares.At(balance.QueueHash(p.name)).Unread
+	comeBack := max(shortestReturn, p.expected(ask, ahead, elapsed), p.room().EstimateWait(ahead+promised))
 	comeBack = boundReturn(comeBack, ask.Remaining)
 	if !ask.Final && comeBack <= returnsWithin*ask.Patience {
 		p.promises.Add(now.Add(comeBack))
@@ -187,7 +189,7 @@
 
 // crowded is the refusal of a request behind so many others that it would wait for too long.
 func (p *servicePool) crowded(ask Ask, ahead int, now time.Time, elapsed time.Duration) error {
-	comeBack := max(shortestReturn, p.room().After(ahead)-ask.Patience)
+	comeBack := max(shortestReturn, p.room().EstimateWait(ahead)-ask.Patience)
 	if p.gates.On(gate.Returns) {
 		comeBack = p.comeBack(ask, ahead, now, elapsed)
 	}
--- a/internal/router/sharing.go
+++ b/internal/router/sharing.go
@@ -61,8 +61,8 @@
 	return loadshare.SumDigest(s.dispatcher.shares, names, s.dispatcher.ownLoads())
 }
 
-// Elsewhere implements loadshare.Source.
-func (s loadSource) Elsewhere(group string) *rockwindpb.LoadDigest {
+// SumOtherGroups implements loadshare.Source.
+func (s loadSource) SumOtherGroups(group string) *rockwindpb.LoadDigest {
 	s.dispatcher.mutex.Lock()
 	defer s.dispatcher.mutex.Unlock()
 	return loadshare.NewDigest(s.dispatcher.shares.SumElsewhere(group))
@@ -75,17 +75,17 @@
 	return s.dispatcher.shares.Heard(name, s.dispatcher.now())
 }
 
-// Sparing implements loadshare.Source. What is not known here is taken for a tenant.
-func (s loadSource) Sparing(hash uint32) loadshare.Sparing {
+// DropPriority implements loadshare.Source. What is not known here is taken for a tenant.
+func (s loadSource) DropPriority(hash uint32) loadshare.DropPriority {
 	s.dispatcher.mutex.Lock()
 	defer s.dispatcher.mutex.Unlock()
 	if s.dispatcher.names(hash) {
-		return loadshare.NeverSpared
+		return loadshare.NeverDrop
 	}
 	if _, isLeft := s.dispatcher.lefts[hash]; isLeft {
-		return loadshare.SparedFirst
+		return loadshare.DropFirst
 	}
-	return loadshare.SparedNext
+	return loadshare.DropSecond
 }
 
 // names tells whether a hash is that of a server, of a queue, or of a class. The mutex is held.
@@ -128,7 +128,7 @@
 func (d *Dispatcher) takeLoads(digest *rockwindpb.LoadDigest, loads map[uint32]balance.SharedLoad) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	loadshare.TakeInto(d.shares, digest, loads, d.now())
+	loadshare.ApplyDigest(d.shares, digest, loads, d.now())
 	pressed := false
 	for service, pool := range d.pools {
 		if pool.waiting.Len() > 0 {
@@ -141,7 +141,7 @@
 	}
 	d.press()
 	if digest.GetGroup() == "" && d.sharer != nil {
-		d.sharer.PassOn()
+		d.sharer.TriggerForward()
 	}
 }
 
@@ -177,5 +177,5 @@
 	}
 	layout := loadshare.NewLayout(members, d.name)
 	d.sharer.SetLayout(layout)
-	d.viewAge = layout.Age()
+	d.viewAge = layout.MaxAge()
 }
--- a/internal/router/sharing_test.go
+++ b/internal/router/sharing_test.go
@@ -31,11 +31,11 @@
 // TestEntriesAreSparedByWhatTheyAreOf: what was left behind goes before tenants.
 func TestEntriesAreSparedByWhatTheyAreOf(t *testing.T) {
 	source := oneServer(4).LoadSource()
-	for hash, want := range map[uint32]loadshare.Sparing{
-		balance.ServerHash("server"): loadshare.NeverSpared, balance.QueueHash("app"): loadshare.NeverSpared,
-		balance.LeftHash("server"): loadshare.SparedFirst, balance.QueueHash("a tenant"): loadshare.SparedNext,
+	for hash, want := range map[uint32]loadshare.DropPriority{
+		balance.ServerHash("server"): loadshare.NeverDrop, balance.QueueHash("app"): loadshare.NeverDrop,
+		balance.LeftHash("server"): loadshare.DropFirst, balance.QueueHash("a tenant"): loadshare.DropSecond,
 	} {
-		if got := source.Sparing(hash); got != want {
+		if got := source.DropPriority(hash); got != want {
 			t.Errorf("%d is spared %d, want %d", hash, got, want)
 		}
 	}
--- a/internal/sitemetrics/traffic_test.go
+++ b/internal/sitemetrics/traffic_test.go
@@ -10,7 +10,7 @@
 func TestScrapeShowsTheTrafficOfLoadDigests(t *testing.T) {
 	set := newSet("router")
 	set.LoadTraffic(func() loadshare.Traffic {
-		return loadshare.Traffic{Datagrams: 3, Bytes: 600, OtherZones: 200, Unsent: 4, RelaysMissed: true}
+		return loadshare.Traffic{Datagrams: 3, Bytes: 600, CrossZoneBytes: 200, Oversized: 4, RelaysSilent: true}
 	})
 	page := scrape(set)
 	for _, want := range []string{
--- a/internal/store/rates.go
+++ b/internal/store/rates.go
@@ -24,7 +24,7 @@
 // ratesOfTerm is what is counted in one term of a shard.
 type ratesOfTerm struct {
 	term   uint64
-	counts *requestrate.Counts
+	counts *requestrate.Limiter
 }
 
 func newRequestRates(s *Store) *requestRates {
@@ -56,7 +56,7 @@
 		return nil, fault.ToTwirp(err)
 	}
 	return &rockwindpb.TakeRequestsResponse{
-		Granted: decided.Granted(), RetryAfterMs: uint32(decided.ComeBack().Milliseconds()), Remaining: decided.Remaining(),
+		Granted: decided.Granted(), RetryAfterMs: uint32(decided.RetryAfter().Milliseconds()), Remaining: decided.Remaining(),
 		WaitMs: uint32((decided.Wait() + time.Millisecond - 1).Milliseconds()),
 	}, nil
 }
@@ -70,12 +70,12 @@
 func (r *requestRates) decide(shard uint32, term uint64, request *rockwindpb.TakeRequestsRequest) requestrate.Decision {
 	limit := requestrate.NewLimit(request.GetRequestsPerSecond(), request.GetRequestBurst())
 	asked := requestrate.NewRequest(request.GetTenant(), limit, request.GetConfiguration()).
-		From(request.GetRouter(), request.GetRouterStartedUnixMs(), request.GetQuestion()).
+		FromRouter(request.GetRouter(), request.GetRouterStartedUnixMs(), request.GetQuestion()).
 		WithReturned(request.GetReturned()).WithUnanswered(request.GetPassed(), request.GetWithheld()).WithRefused(request.GetRefused())
 	if request.Remaining != nil {
 		asked = asked.WithRemaining(request.GetRemaining(), time.Duration(request.GetRemainingAgeMs())*time.Millisecond)
 	}
-	asked = asked.WithWait(time.Duration(request.GetWaitMs()) * time.Millisecond)
+	asked = asked.WithMaxWait(time.Duration(request.GetWaitMs()) * time.Millisecond)
 	if request.GetLate() {
 		asked = asked.Late()
 	}
@@ -84,7 +84,7 @@
 	now := time.Since(r.origin)
 	held := r.terms[shard]
 	if held == nil || held.term != term {
-		held = &ratesOfTerm{term: term, counts: requestrate.NewCounts(r.tolerance, now)}
+		held = &ratesOfTerm{term: term, counts: requestrate.NewLimiter(r.tolerance, now)}
 		r.terms[shard] = held
 	}
 	return held.counts.Take(asked, now)
--- a/internal/waiting/waiting.go
+++ b/internal/waiting/waiting.go
@@ -32,8 +32,8 @@
 	return cmp.Or(cmp.Compare(p.Tenant, other.Tenant), cmp.Compare(p.Route, other.Route))
 }
 
-// Place is what the order of a request rests on.
-type Place struct {
+// SortKey is what the order of a request rests on.
+type SortKey struct {
 	priority    Priority
 	arrival     uint64
 	onTimeUntil time.Time
@@ -49,31 +49,31 @@
 	Weight uint32
 }
 
-// NewPlace returns the place of a request. Its answer is in time if it begins at a server
+// NewSortKey returns the place of a request. Its answer is in time if it begins at a server
 // until onTimeUntil, and it waits no longer than until givesUp. Arrival rises with each
 // request.
-func NewPlace(priority Priority, arrival uint64, onTimeUntil, givesUp time.Time) Place {
-	return Place{priority: priority, arrival: arrival, onTimeUntil: onTimeUntil, givesUp: givesUp}
+func NewSortKey(priority Priority, arrival uint64, onTimeUntil, givesUp time.Time) SortKey {
+	return SortKey{priority: priority, arrival: arrival, onTimeUntil: onTimeUntil, givesUp: givesUp}
 }
 
-// Of returns the place of a request of a tenant.
-func (p Place) Of(tenant Tenant) Place {
+// WithTenant returns the place of a request of a tenant.
+func (p SortKey) WithTenant(tenant Tenant) SortKey {
 	p.tenant = tenant
 	return p
 }
 
-// AskedAt returns the place of a request whose client has been asking since a time. It goes
+// WithFirstAttempt returns the place of a request whose client has been asking since a time. It goes
 // before those of its standing whose clients began to ask later.
-func (p Place) AskedAt(asked time.Time) Place {
+func (p SortKey) WithFirstAttempt(asked time.Time) SortKey {
 	p.asked = asked
 	return p
 }
 
 // Tenant is whose request it is.
-func (p Place) Tenant() Tenant { return p.tenant }
+func (p SortKey) Tenant() Tenant { return p.tenant }
 
 // Priority is that of the request.
-func (p Place) Priority() Priority { return p.priority }
+func (p SortKey) Priority() Priority { return p.priority }
 
 // standing is the order among requests of one priority.
 type standing int
@@ -87,7 +87,7 @@
 	late
 )
 
-func (p Place) standing(now time.Time) standing {
+func (p SortKey) standing(now time.Time) standing {
 	switch {
 	case now.Before(p.onTimeUntil):
 		return timely
@@ -97,12 +97,12 @@
 	return late
 }
 
-// Virtual is how much the tenant of a request had lately, in any unit.
-type Virtual func(place Place) float64
+// VirtualTime is how much the tenant of a request had lately, in any unit.
+type VirtualTime func(place SortKey) float64
 
 // ranked is a place with what its order rests on at one moment.
 type ranked struct {
-	place    Place
+	place    SortKey
 	standing standing
 	virtual  float64
 }
@@ -121,7 +121,7 @@
 
 // Entry is a request that waits, with what its owner keeps of it.
 type Entry[T any] struct {
-	place Place
+	place SortKey
 	value T
 	// left tells that it does not wait any more.
 	left bool
@@ -130,33 +130,33 @@
 // Value is what the owner keeps of the request.
 func (e *Entry[T]) Value() T { return e.value }
 
-// Left tells whether the request was removed.
-func (e *Entry[T]) Left() bool { return e.left }
+// Removed tells whether the request was removed.
+func (e *Entry[T]) Removed() bool { return e.left }
 
 // Queue holds requests that wait. Which one goes first changes with time, so that it is
 // found anew each time, at the cost of a look at each; a process has some tens of them, and
 // hundreds in the hardest floods. It belongs to one goroutine at a time. The zero value is empty.
 type Queue[T any] struct {
 	entries []*Entry[T]
-	virtual Virtual
+	virtual VirtualTime
 }
 
-// Share has tenants share: of requests alike in priority and standing the one with the least
+// EnableFairShare has tenants share: of requests alike in priority and standing the one with the least
 // virtual time goes first.
-func (q *Queue[T]) Share(virtual Virtual) { q.virtual = virtual }
+func (q *Queue[T]) EnableFairShare(virtual VirtualTime) { q.virtual = virtual }
 
 // Len is how many requests wait.
 func (q *Queue[T]) Len() int { return len(q.entries) }
 
 // Add puts a request into the queue.
-func (q *Queue[T]) Add(place Place, value T) *Entry[T] {
+func (q *Queue[T]) Add(place SortKey, value T) *Entry[T] {
 	added := &Entry[T]{place: place, value: value}
 	q.entries = append(q.entries, added)
 	return added
 }
 
 // Each visits the places of all requests that wait.
-func (q *Queue[T]) Each(visit func(place Place)) {
+func (q *Queue[T]) Each(visit func(place SortKey)) {
 	for _, each := range q.entries {
 		visit(each.place)
 	}
@@ -169,12 +169,12 @@
 
 // First is the request that goes before all others now, nil where none waits.
 func (q *Queue[T]) First(now time.Time) *Entry[T] {
-	return q.FirstOf(now, func(T) bool { return true })
+	return q.FirstMatching(now, func(T) bool { return true })
 }
 
-// FirstOf is the request that goes first now of those of which that holds, nil where it holds of
+// FirstMatching is the request that goes first now of those of which that holds, nil where it holds of
 // none.
-func (q *Queue[T]) FirstOf(now time.Time, holds func(value T) bool) *Entry[T] {
+func (q *Queue[T]) FirstMatching(now time.Time, holds func(value T) bool) *Entry[T] {
 	var first *Entry[T]
 	var best ranked
 	least := q.least(now)
@@ -219,8 +219,8 @@
 	return others
 }
 
-// Ahead is how many of those that wait go before a request that does not wait yet.
-func (q *Queue[T]) Ahead(place Place, now time.Time) int {
+// CountAhead is how many of those that wait go before a request that does not wait yet.
+func (q *Queue[T]) CountAhead(place SortKey, now time.Time) int {
 	least := q.least(now, place)
 	own := q.rank(place, least, now)
 	ahead := 0
@@ -234,12 +234,12 @@
 
 // least is the least virtual time among those that wait and the given places, by priority.
 // It is nil where nothing is shared, or no request gives up soon.
-func (q *Queue[T]) least(now time.Time, more ...Place) map[Priority]float64 {
+func (q *Queue[T]) least(now time.Time, more ...SortKey) map[Priority]float64 {
 	if q.virtual == nil || !q.presses(now, more) {
 		return nil
 	}
 	least := make(map[Priority]float64)
-	note := func(place Place) {
+	note := func(place SortKey) {
 		virtual := q.virtual(place)
 		if known, found := least[place.priority]; !found || virtual < known {
 			least[place.priority] = virtual
@@ -253,15 +253,15 @@
 }
 
 // presses tells whether one of those that wait or of the given places gives up soon.
-func (q *Queue[T]) presses(now time.Time, more []Place) bool {
-	isPressing := func(place Place) bool { return place.standing(now) == pressing }
+func (q *Queue[T]) presses(now time.Time, more []SortKey) bool {
+	isPressing := func(place SortKey) bool { return place.standing(now) == pressing }
 	return slices.ContainsFunc(more, isPressing) ||
 		slices.ContainsFunc(q.entries, func(each *Entry[T]) bool { return isPressing(each.place) })
 }
 
 // rank is what the order of a place rests on now. One that gives up soon counts as any other
 // late one where its tenant had more than another that waits.
-func (q *Queue[T]) rank(place Place, least map[Priority]float64, now time.Time) ranked {
+func (q *Queue[T]) rank(place SortKey, least map[Priority]float64, now time.Time) ranked {
 	rank := ranked{place: place, standing: place.standing(now)}
 	if q.virtual == nil {
 		return rank
--- a/internal/waiting/waiting_test.go
+++ b/internal/waiting/waiting_test.go
@@ -14,12 +14,12 @@
 
 // places are those of a request that is late, of one that can still be in time, of one that
 // gives up soon, and of one of a tenant that goes after them.
-func places() (late, timely, pressing, lower waiting.Place) {
+func places() (late, timely, pressing, lower waiting.SortKey) {
 	normal := waiting.Priority{}
-	late = waiting.NewPlace(normal, 1, now.Add(-time.Second), now.Add(long))
-	timely = waiting.NewPlace(normal, 2, now.Add(100*time.Millisecond), now.Add(long))
-	pressing = waiting.NewPlace(normal, 3, now.Add(-time.Second), now.Add(100*time.Millisecond))
-	lower = waiting.NewPlace(waiting.Priority{Tenant: 1}, 0, now.Add(long), now.Add(long))
+	late = waiting.NewSortKey(normal, 1, now.Add(-time.Second), now.Add(long))
+	timely = waiting.NewSortKey(normal, 2, now.Add(100*time.Millisecond), now.Add(long))
+	pressing = waiting.NewSortKey(normal, 3, now.Add(-time.Second), now.Add(100*time.Millisecond))
+	lower = waiting.NewSortKey(waiting.Priority{Tenant: 1}, 0, now.Add(long), now.Add(long))
 	return late, timely, pressing, lower
 }
 
@@ -38,7 +38,7 @@
 			t.Fatalf("the %s request goes first, want the %s one", first.Value(), want)
 		}
 		queue.Remove(first)
-		if !first.Left() {
+		if !first.Removed() {
 			t.Fatalf("the %s request has not left", want)
 		}
 	}
@@ -63,13 +63,13 @@
 
 func TestEarlierRequestGoesFirstAmongEqualOnes(t *testing.T) {
 	_, timely, _, _ := places()
-	next := waiting.NewPlace(waiting.Priority{}, 5, now.Add(100*time.Millisecond), now.Add(long))
-	for _, order := range [][]waiting.Place{{timely, next}, {next, timely}} {
-		queue := waiting.Queue[waiting.Place]{}
+	next := waiting.NewSortKey(waiting.Priority{}, 5, now.Add(100*time.Millisecond), now.Add(long))
+	for _, order := range [][]waiting.SortKey{{timely, next}, {next, timely}} {
+		queue := waiting.Queue[waiting.SortKey]{}
 		for _, place := range order {
 			queue.Add(place, place)
 		}
-		if queue.First(now).Value() != timely || queue.Ahead(next, now) == 0 {
+		if queue.First(now).Value() != timely || queue.CountAhead(next, now) == 0 {
 			t.Fatal("the later one goes first")
 		}
 	}
@@ -79,11 +79,11 @@
 func TestNewcomerGoesBeforeLateRequests(t *testing.T) {
 	late, timely, _, lower := places()
 	queue := waiting.Queue[string]{}
-	if queue.Ahead(lower, now) != 0 {
+	if queue.CountAhead(lower, now) != 0 {
 		t.Fatal("it does not go first where none waits")
 	}
 	queue.Add(late, "late")
-	if queue.Ahead(timely, now) != 0 || queue.Ahead(lower, now) == 0 {
+	if queue.CountAhead(timely, now) != 0 || queue.CountAhead(lower, now) == 0 {
 		t.Fatal("the order of newcomers is not that of the queue")
 	}
 }
@@ -91,8 +91,8 @@
 // TestClientThatHasAskedForLongerGoesFirst among those whose answers can be in time, and not
 // before them when its own cannot.
 func TestClientThatHasAskedForLongerGoesFirst(t *testing.T) {
-	place := func(arrival uint64, asked, onTimeUntil time.Duration) waiting.Place {
-		return waiting.NewPlace(waiting.Priority{}, arrival, now.Add(onTimeUntil), now.Add(long)).AskedAt(now.Add(asked))
+	place := func(arrival uint64, asked, onTimeUntil time.Duration) waiting.SortKey {
+		return waiting.NewSortKey(waiting.Priority{}, arrival, now.Add(onTimeUntil), now.Add(long)).WithFirstAttempt(now.Add(asked))
 	}
 	queue := waiting.Queue[string]{}
 	queue.Add(place(1, -10*time.Millisecond, 240*time.Millisecond), "new")
@@ -112,10 +112,10 @@
 func shared() *waiting.Queue[string] {
 	had := map[string]float64{"flood": 9000, "small": 40}
 	queue := &waiting.Queue[string]{}
-	queue.Share(func(place waiting.Place) float64 { return had[place.Tenant().Name] })
+	queue.EnableFairShare(func(place waiting.SortKey) float64 { return had[place.Tenant().Name] })
 	for arrival := range uint64(20) {
-		place := waiting.NewPlace(waiting.Priority{}, arrival, now.Add(-time.Second), now.Add(100*time.Millisecond))
-		queue.Add(place.Of(waiting.Tenant{Name: "flood"}), "flood")
+		place := waiting.NewSortKey(waiting.Priority{}, arrival, now.Add(-time.Second), now.Add(100*time.Millisecond))
+		queue.Add(place.WithTenant(waiting.Tenant{Name: "flood"}), "flood")
 	}
 	return queue
 }
@@ -124,8 +124,8 @@
 // of all others.
 func TestFloodThatGivesUpSoonDoesNotGoBeforeOthers(t *testing.T) {
 	queue := shared()
-	small := waiting.NewPlace(waiting.Priority{}, 99, now.Add(long), now.Add(long)).Of(waiting.Tenant{Name: "small"})
-	if ahead := queue.Ahead(small, now); ahead != 0 {
+	small := waiting.NewSortKey(waiting.Priority{}, 99, now.Add(long), now.Add(long)).WithTenant(waiting.Tenant{Name: "small"})
+	if ahead := queue.CountAhead(small, now); ahead != 0 {
 		t.Fatalf("%d of the flood go before a request of a tenant that had little", ahead)
 	}
 	queue.Add(small, "small")
@@ -137,8 +137,8 @@
 // TestFloodAloneKeepsItsOrder: where no other tenant waits, what gives up soon goes first.
 func TestFloodAloneKeepsItsOrder(t *testing.T) {
 	queue := shared()
-	timely := waiting.NewPlace(waiting.Priority{}, 99, now.Add(long), now.Add(long)).Of(waiting.Tenant{Name: "flood"})
-	if ahead := queue.Ahead(timely, now); ahead != 20 {
+	timely := waiting.NewSortKey(waiting.Priority{}, 99, now.Add(long), now.Add(long)).WithTenant(waiting.Tenant{Name: "flood"})
+	if ahead := queue.CountAhead(timely, now); ahead != 20 {
 		t.Fatalf("%d that give up soon go first", ahead)
 	}
 }
@@ -146,8 +146,8 @@
 // TestPriorityGoesBeforeShare: tenants share only within one priority.
 func TestPriorityGoesBeforeShare(t *testing.T) {
 	queue := shared()
-	lower := waiting.NewPlace(waiting.Priority{Tenant: 1}, 99, now.Add(long), now.Add(long)).Of(waiting.Tenant{Name: "small"})
-	if ahead := queue.Ahead(lower, now); ahead != 20 {
+	lower := waiting.NewSortKey(waiting.Priority{Tenant: 1}, 99, now.Add(long), now.Add(long)).WithTenant(waiting.Tenant{Name: "small"})
+	if ahead := queue.CountAhead(lower, now); ahead != 20 {
 		t.Fatalf("%d of 20 of a higher priority go first", ahead)
 	}
 }
@@ -156,7 +156,7 @@
 func TestWalkVisitsInOrderUntilItIsEnded(t *testing.T) {
 	late, timely, pressing, lower := places()
 	queue := waiting.Queue[string]{}
-	for value, place := range map[string]waiting.Place{"lower": lower, "late": late, "timely": timely, "pressing": pressing} {
+	for value, place := range map[string]waiting.SortKey{"lower": lower, "late": late, "timely": timely, "pressing": pressing} {
 		queue.Add(place, value)
 	}
 	want := []string{"pressing", "timely", "late", "lower"}
