--- a/internal/balance/leftbehind_test.go
+++ b/internal/balance/leftbehind_test.go
@@ -130,14 +130,14 @@
 	for _, member := range l.members() {
 		servers = append(servers, leftbehind.Server{ID: member.ID, Address: member.Address, Slots: member.Slots})
 	}
-	survey.Begin(name, l.storeNames(), servers, now)
+	survey.Start(name, l.storeNames(), servers, now)
 	l.survey(created, survey, now)
 	l.at(now+lookEach, func(now time.Duration) { l.itemsOnceKnown(created, survey, now) })
 }
 
 // itemsOnceKnown starts items as soon as it is known what was left behind.
 func (l *loss) itemsOnceKnown(store *process, survey *leftbehind.Survey, now time.Duration) {
-	if survey.Open() {
+	if survey.Pending() {
 		l.at(now+lookEach, func(now time.Duration) { l.itemsOnceKnown(store, survey, now) })
 		return
 	}
@@ -163,7 +163,7 @@
 // survey has a store ask servers until its survey is over.
 func (l *loss) survey(store *process, survey *leftbehind.Survey, now time.Duration) {
 	earliest, heard := store.shares.EarliestStart()
-	survey.Judge(leftbehind.Sight{Heard: heard, Earliest: earliest, LivedOn: store.shares.LivedOn()}, store.pool.Living, now)
+	survey.Evaluate(leftbehind.PeerStatus{Heard: heard, EarliestStart: earliest, SurvivorsReported: store.shares.LivedOn()}, store.pool.Living, now)
 	l.tellLeft(store, survey)
 	for _, server := range survey.Due(now) {
 		l.asked++
@@ -173,15 +173,15 @@
 			l.tellLeft(store, survey)
 		})
 	}
-	if !survey.Over() {
+	if !survey.Done() {
 		l.at(now+lookEach, func(now time.Duration) { l.survey(store, survey, now) })
 	}
 }
 
 func (l *loss) tellLeft(store *process, survey *leftbehind.Survey) {
 	left := make(map[string]int)
-	survey.Left(func(id string, count int) { left[id] = count })
-	store.shares.SetLeftBehind(left, survey.LivedOn())
+	survey.LeftBehind(func(id string, count int) { left[id] = count })
+	store.shares.SetLeftBehind(left, survey.ReportSurvivors())
 }
 
 // play runs the day: busy before the loss, then the usual rate, with those who waited coming
--- a/internal/continuation/continuation.go
+++ b/internal/continuation/continuation.go
@@ -12,13 +12,13 @@
 	"time"
 )
 
-// Way says which runs are copied.
-type Way int
+// Mode says which runs are copied.
+type Mode int
 
 // The ways.
 const (
 	// None copies no run.
-	None Way = iota
+	None Mode = iota
 	// Selective copies the runs that are likely enough to end with their server.
 	Selective
 	// All copies every run.
@@ -66,20 +66,20 @@
 	run     time.Duration
 }
 
-// Watch follows the servers of a site. It belongs to one goroutine at a time.
-type Watch struct {
-	way      Way
+// Tracker follows the servers of a site. It belongs to one goroutine at a time.
+type Tracker struct {
+	way      Mode
 	services map[string]*service
 }
 
-// NewWatch returns a watch that has seen no server.
-func NewWatch(way Way) *Watch {
-	return &Watch{way: way, services: make(map[string]*service)}
+// NewTracker returns a watch that has seen no server.
+func NewTracker(way Mode) *Tracker {
+	return &Tracker{way: way, services: make(map[string]*service)}
 }
 
-// Take takes that an incarnation in the directory is other than before; nil is one that it does
+// Update takes that an incarnation in the directory is other than before; nil is one that it does
 // not hold.
-func (w *Watch) Take(before, after *Server, now time.Duration) {
+func (w *Tracker) Update(before, after *Server, now time.Duration) {
 	if before != nil && !before.Ended {
 		w.service(before.Service).serving--
 	}
@@ -97,7 +97,7 @@
 	}
 }
 
-func (w *Watch) service(name string) *service {
+func (w *Tracker) service(name string) *service {
 	known := w.services[name]
 	if known == nil {
 		known = &service{run: typicalRun}
@@ -106,8 +106,8 @@
 	return known
 }
 
-// Ran takes how long a run of a service took that ended well.
-func (w *Watch) Ran(name string, took time.Duration) {
+// RecordRun takes how long a run of a service took that ended well.
+func (w *Tracker) RecordRun(name string, took time.Duration) {
 	known := w.service(name)
 	known.run += time.Duration(runWeight * float64(took-known.run))
 }
@@ -138,7 +138,7 @@
 func (p Plan) Chance() float64 { return p.chance }
 
 // Plan decides about a run.
-func (w *Watch) Plan(run Run, now time.Duration) Plan {
+func (w *Tracker) Plan(run Run, now time.Duration) Plan {
 	known := w.service(run.Service)
 	recent, here, inZone := 0, 0, 0
 	for _, each := range known.ends {
--- a/internal/continuation/continuation_test.go
+++ b/internal/continuation/continuation_test.go
@@ -23,23 +23,23 @@
 
 // follower has a watch take what each list of servers tells, of those that stay as they were too.
 type follower struct {
-	*continuation.Watch
+	*continuation.Tracker
 	seen map[string]*continuation.Server
 }
 
-func follow(way continuation.Way) *follower {
-	return &follower{Watch: continuation.NewWatch(way), seen: make(map[string]*continuation.Server)}
+func follow(way continuation.Mode) *follower {
+	return &follower{Tracker: continuation.NewTracker(way), seen: make(map[string]*continuation.Server)}
 }
 
 func (f *follower) See(servers []continuation.Server, now time.Duration) {
 	listed := make(map[string]*continuation.Server)
 	for _, server := range servers {
-		f.Take(f.seen[server.ID], &server, now)
+		f.Update(f.seen[server.ID], &server, now)
 		listed[server.ID] = &server
 		delete(f.seen, server.ID)
 	}
 	for _, left := range f.seen {
-		f.Take(left, nil, now)
+		f.Update(left, nil, now)
 	}
 	f.seen = listed
 }
@@ -50,7 +50,7 @@
 
 func TestRunsAreCopiedWhereServersEnd(t *testing.T) {
 	for name, test := range map[string]struct {
-		way   continuation.Way
+		way   continuation.Mode
 		ended int
 		at    time.Duration
 		run   int
@@ -101,7 +101,7 @@
 	watch := follow(continuation.Selective)
 	watch.See(fleet(90, 1), 0)
 	for range 200 {
-		watch.Ran("app", 10*time.Millisecond)
+		watch.RecordRun("app", 10*time.Millisecond)
 	}
 	if plan := watch.Plan(run(0), 0); plan.Copied() {
 		t.Errorf("a run of 10 ms is copied, with a chance of %v", plan.Chance())
--- a/internal/jobstore/progress.go
+++ b/internal/jobstore/progress.go
@@ -7,31 +7,31 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Received is what a shard holds of the output of an item without a result: its first events.
+// PartialOutput is what a shard holds of the output of an item without a result: its first events.
 // The zero value is nothing.
-type Received struct {
+type PartialOutput struct {
 	known   bool
 	last    uint64
 	text    []byte
 	hasText bool
 }
 
-// Last is the number of the last event that is held; known is false where none is.
-func (r Received) Last() (last uint64, known bool) { return r.last, r.known }
+// LastEvent is the number of the last event that is held; known is false where none is.
+func (r PartialOutput) LastEvent() (last uint64, known bool) { return r.last, r.known }
 
 // Text is the data of the events, separated by line feeds; found is false where none had any.
 // It must not be changed.
-func (r Received) Text() (text []byte, found bool) { return r.text, r.hasText }
+func (r PartialOutput) Text() (text []byte, found bool) { return r.text, r.hasText }
 
 // received is what is held of an item. The state may go on while the result is in use: it
 // appends to the text and does not change what it has.
-func (j *job) received(item uint32) Received {
+func (j *job) received(item uint32) PartialOutput {
 	place, found := j.progressOf(item)
 	if !found {
-		return Received{}
+		return PartialOutput{}
 	}
 	held := j.stored.GetProgress()[place]
-	return Received{known: true, last: held.GetLast(), text: slices.Clip(held.GetText()), hasText: held.Text != nil}
+	return PartialOutput{known: true, last: held.GetLast(), text: slices.Clip(held.GetText()), hasText: held.Text != nil}
 }
 
 // progressOf finds the place of an item's progress, or where it would be.
--- a/internal/jobstore/progress_test.go
+++ b/internal/jobstore/progress_test.go
@@ -44,8 +44,8 @@
 		if open.Index != item {
 			continue
 		}
-		gotLast, known := open.Received.Last()
-		gotText, _ := open.Received.Text()
+		gotLast, known := open.PartialOutput.LastEvent()
+		gotText, _ := open.PartialOutput.Text()
 		if gotLast != last || known != (last > 0) || string(gotText) != text {
 			t.Fatalf("item %d: held are %d events (%v) with %q, want %d with %q", item, gotLast, known, gotText, last, text)
 		}
@@ -89,8 +89,8 @@
 	bare := part(0, 1, 1, 3, "")
 	bare.Progress.Text = nil
 	apply(t, machine, progress("job", bare))
-	received := func() jobstore.Received {
-		return machine.OpenItems(func(string, uint32) bool { return true })[0].Received
+	received := func() jobstore.PartialOutput {
+		return machine.OpenItems(func(string, uint32) bool { return true })[0].PartialOutput
 	}
 	if _, found := received().Text(); found {
 		t.Fatal("events without data have a text")
--- a/internal/jobstore/read.go
+++ b/internal/jobstore/read.go
@@ -43,8 +43,8 @@
 	Tenant string
 	// Failures is how many tries a server answered as failed.
 	Failures int
-	// Received is what the shard holds of the item's output.
-	Received Received
+	// PartialOutput is what the shard holds of the item's output.
+	PartialOutput PartialOutput
 }
 
 // OpenItems lists the items without a result of jobs that are open, given a
@@ -63,7 +63,7 @@
 				Job: id, Index: uint32(index), Host: known.stored.GetHost(), JobPath: known.stored.GetPath(),
 				Item: item, Body: item.GetBody(), SubmittedUnixMs: known.stored.GetSubmittedUnixMs(),
 				Tenant: known.stored.GetTenant(), Failures: int(known.failuresOf(uint32(index)).GetCount()),
-				Received: known.received(uint32(index)),
+				PartialOutput: known.received(uint32(index)),
 			})
 		}
 	}
--- a/internal/leftbehind/survey.go
+++ b/internal/leftbehind/survey.go
@@ -73,15 +73,15 @@
 	Slots   int
 }
 
-// Sight is what a process has heard of the others since its start.
-type Sight struct {
+// PeerStatus is what a process has heard of the others since its start.
+type PeerStatus struct {
 	// Heard tells that another process told its load.
 	Heard bool
-	// Earliest is the earliest start of those that did, in Unix milliseconds.
-	Earliest int64
-	// LivedOn tells that another process which has just started said that it heard of some that
+	// EarliestStart is the earliest start of those that did, in Unix milliseconds.
+	EarliestStart int64
+	// SurvivorsReported tells that another process which has just started said that it heard of some that
 	// have not: delegates that are new tell of the loads of others, not of their starts.
-	LivedOn bool
+	SurvivorsReported bool
 }
 
 // Survey is what one process asks after its start, and what came of it. It belongs to one
@@ -106,8 +106,8 @@
 	// Asked is how many questions were put, and Answered how many had an answer.
 	Asked    int
 	Answered int
-	// Left is how many requests were found left behind at first.
-	Left int
+	// LeftBehind is how many requests were found left behind at first.
+	LeftBehind int
 }
 
 // stage is how far a survey is.
@@ -146,10 +146,10 @@
 	return &Survey{started: startedUnixMs, asked: make(map[string]*asked)}
 }
 
-// Begin takes the servers of the first directory after the start, and the names of the
+// Start takes the servers of the first directory after the start, and the names of the
 // processes that ask. Servers that come later have nothing of earlier lives. Only the first
 // call counts.
-func (s *Survey) Begin(self string, processes []string, servers []Server, now time.Duration) {
+func (s *Survey) Start(self string, processes []string, servers []Server, now time.Duration) {
 	if s.begun {
 		return
 	}
@@ -223,15 +223,15 @@
 	each.left = min(each.most, unknown(told, counted))
 	if each.unsure {
 		each.unsure = false
-		s.counts.Left += each.left
+		s.counts.LeftBehind += each.left
 		return
 	}
 	each.left = min(before, each.left)
 }
 
-// Missed takes that a server gave no answer that can be read. What it told before counts on,
+// Failed takes that a server gave no answer that can be read. What it told before counts on,
 // less and less; where it was unsure nothing does.
-func (s *Survey) Missed(id string) {
+func (s *Survey) Failed(id string) {
 	if each := s.answering(id); each != nil {
 		each.unsure = false
 	}
@@ -257,10 +257,10 @@
 // count has what a server told first count as left behind.
 func (s *Survey) count(each *asked, left int) {
 	each.left, each.most = left, left
-	s.counts.Left += left
+	s.counts.LeftBehind += left
 }
 
-// Judge takes what was heard of the others, and how many requests all living processes count
+// Evaluate takes what was heard of the others, and how many requests all living processes count
 // at a server. Call it some times a tenth of a second until Over.
 //
 // Where all that are heard have just started too, all that servers told is left behind: it is
@@ -271,14 +271,14 @@
 // Others that lived on may be heard only after their loads should have been: what was counted
 // is compared with these then. The word of others that some lived on is no longer taken by that
 // time, as machines that are back later than the rest say so of the rest.
-func (s *Survey) Judge(sight Sight, counted func(id string) int, now time.Duration) {
+func (s *Survey) Evaluate(sight PeerStatus, counted func(id string) int, now time.Duration) {
 	if !s.begun {
 		return
 	}
 	elapsed := now - s.began
 	settled := elapsed >= settleFor
-	older := sight.Heard && s.started-sight.Earliest > freshFor.Milliseconds()
-	old := older || (sight.LivedOn && !settled)
+	older := sight.Heard && s.started-sight.EarliestStart > freshFor.Milliseconds()
+	old := older || (sight.SurvivorsReported && !settled)
 	s.elapsed, s.lived = elapsed, s.lived || old
 	if s.stage == over {
 		return
@@ -315,7 +315,7 @@
 // withdraw takes back what was counted: some others live, and their loads are still to come.
 func (s *Survey) withdraw() {
 	if s.stage == counting {
-		s.counts.Left = 0
+		s.counts.LeftBehind = 0
 	}
 	s.stage = beside
 	for _, each := range s.asked {
@@ -372,19 +372,19 @@
 	}
 }
 
-// Over tells whether nothing is asked or told any more.
-func (s *Survey) Over() bool { return s.begun && s.stage == over && !s.LivedOn() }
+// Done tells whether nothing is asked or told any more.
+func (s *Survey) Done() bool { return s.begun && s.stage == over && !s.ReportSurvivors() }
 
-// LivedOn tells whether the others are to be told that some have lived on: those that start at
+// ReportSurvivors tells whether the others are to be told that some have lived on: those that start at
 // about the same time take it.
-func (s *Survey) LivedOn() bool { return s.lived && s.elapsed < tellFor }
+func (s *Survey) ReportSurvivors() bool { return s.lived && s.elapsed < tellFor }
 
-// Open tells whether it is not known yet what was left behind: work that can wait does.
-func (s *Survey) Open() bool { return s.begun && (s.stage == listening || s.stage == beside) }
+// Pending tells whether it is not known yet what was left behind: work that can wait does.
+func (s *Survey) Pending() bool { return s.begun && (s.stage == listening || s.stage == beside) }
 
-// Left lists what was left behind at the servers that answered, in no order, also those where
+// LeftBehind lists what was left behind at the servers that answered, in no order, also those where
 // that is nothing: another process may have been told more.
-func (s *Survey) Left(visit func(id string, left int)) {
+func (s *Survey) LeftBehind(visit func(id string, left int)) {
 	if s.stage != counting {
 		return
 	}
--- a/internal/leftbehind/survey_test.go
+++ b/internal/leftbehind/survey_test.go
@@ -16,15 +16,15 @@
 // fresh is what a process hears where all others have just started too, and alive where one of
 // them has lived for a minute.
 var (
-	fresh = leftbehind.Sight{Heard: true, Earliest: started - 300}
-	alive = leftbehind.Sight{Heard: true, Earliest: started - 60_000}
+	fresh = leftbehind.PeerStatus{Heard: true, EarliestStart: started - 300}
+	alive = leftbehind.PeerStatus{Heard: true, EarliestStart: started - 60_000}
 	none  = func(string) int { return 0 }
 )
 
 // begun is the survey of the only process that asks, before the given number of servers.
 func begun(servers int) *leftbehind.Survey {
 	survey := leftbehind.New(started)
-	survey.Begin("store", []string{"store"}, list(servers), 0)
+	survey.Start("store", []string{"store"}, list(servers), 0)
 	return survey
 }
 
@@ -39,7 +39,7 @@
 // left is what the survey counts at a server; -1 where it tells nothing of it.
 func left(survey *leftbehind.Survey, id string) int {
 	found := -1
-	survey.Left(func(each string, count int) {
+	survey.LeftBehind(func(each string, count int) {
 		if each == id {
 			found = count
 		}
@@ -58,7 +58,7 @@
 	asked := make(map[string]int)
 	for _, store := range stores {
 		survey := leftbehind.New(started)
-		survey.Begin(store, stores, list(90), 0)
+		survey.Start(store, stores, list(90), 0)
 		for _, server := range survey.Due(0) {
 			asked[server.ID]++
 		}
@@ -69,8 +69,8 @@
 		}
 	}
 	router := leftbehind.New(started)
-	router.Begin("router", stores, list(90), 0)
-	if due(router, 0) != 0 || !router.Over() {
+	router.Start("router", stores, list(90), 0)
+	if due(router, 0) != 0 || !router.Done() {
 		t.Error("a process that is none of those that ask asks")
 	}
 }
@@ -78,28 +78,28 @@
 func TestQuestionsOfOneProcessAreBounded(t *testing.T) {
 	survey, questions := begun(3000), 0
 	for now := time.Duration(0); now < 10*time.Second; now += 20 * time.Millisecond {
-		survey.Judge(fresh, none, now)
+		survey.Evaluate(fresh, none, now)
 		for _, server := range survey.Due(now) {
 			questions++
 			survey.Answered(server.ID, 30, 0)
 		}
 	}
-	if questions != 2*64 || !survey.Over() {
-		t.Errorf("%d questions, over %v", questions, survey.Over())
+	if questions != 2*64 || !survey.Done() {
+		t.Errorf("%d questions, over %v", questions, survey.Done())
 	}
 }
 
 func TestAllThatServersTellIsLeftBehindWhereAllHaveJustStarted(t *testing.T) {
 	survey := begun(2)
-	if due(survey, 0) != 2 || !survey.Open() {
+	if due(survey, 0) != 2 || !survey.Pending() {
 		t.Fatal("the servers are not asked at once")
 	}
 	survey.Answered("server-0", 5, 3)
 	if left(survey, "server-0") != -1 {
 		t.Error("something is told before another process is heard")
 	}
-	survey.Judge(fresh, none, 40*time.Millisecond)
-	if survey.Open() || left(survey, "server-0") != 5 {
+	survey.Evaluate(fresh, none, 40*time.Millisecond)
+	if survey.Pending() || left(survey, "server-0") != 5 {
 		t.Errorf("%d left behind, want 5", left(survey, "server-0"))
 	}
 	survey.Answered("server-1", 7, 3)
@@ -114,7 +114,7 @@
 	due(survey, 0)
 	survey.Answered("server-0", 5, 0)
 	for now := time.Duration(0); now < 400*time.Millisecond; now += 20 * time.Millisecond {
-		survey.Judge(leftbehind.Sight{}, none, now)
+		survey.Evaluate(leftbehind.PeerStatus{}, none, now)
 	}
 	if left(survey, "server-0") != 5 {
 		t.Errorf("%d left behind, want 5", left(survey, "server-0"))
@@ -127,23 +127,23 @@
 	survey, questions := begun(12), 0
 	counted := func(string) int { return 5 }
 	for now := time.Duration(0); now < 5*time.Second; now += 20 * time.Millisecond {
-		sight := leftbehind.Sight{}
+		sight := leftbehind.PeerStatus{}
 		if now >= 60*time.Millisecond {
 			sight = alive
 		}
-		survey.Judge(sight, counted, now)
+		survey.Evaluate(sight, counted, now)
 		for _, server := range survey.Due(now) {
 			questions++
 			survey.Answered(server.ID, 6, 0)
 		}
-		survey.Left(func(id string, count int) {
+		survey.LeftBehind(func(id string, count int) {
 			if count > 0 {
 				t.Errorf("%d left behind at %s at %v", count, id, now)
 			}
 		})
 	}
-	if questions != 12 || !survey.Over() || survey.Counts().Left != 0 {
-		t.Errorf("%d questions, over %v, %d left behind", questions, survey.Over(), survey.Counts().Left)
+	if questions != 12 || !survey.Done() || survey.Counts().LeftBehind != 0 {
+		t.Errorf("%d questions, over %v, %d left behind", questions, survey.Done(), survey.Counts().LeftBehind)
 	}
 }
 
@@ -152,7 +152,7 @@
 	survey := begun(4)
 	counted := func(string) int { return 2 }
 	for now := time.Duration(0); now < 800*time.Millisecond; now += 20 * time.Millisecond {
-		survey.Judge(alive, counted, now)
+		survey.Evaluate(alive, counted, now)
 		for _, server := range survey.Due(now) {
 			survey.Answered(server.ID, 6, counted(server.ID))
 		}
@@ -169,7 +169,7 @@
 func TestWhatTheLivingTurnOutToHaveIsNotCounted(t *testing.T) {
 	survey, questions := begun(4), 0
 	for now := time.Duration(0); now < 3*time.Second; now += 20 * time.Millisecond {
-		survey.Judge(alive, none, now)
+		survey.Evaluate(alive, none, now)
 		for _, server := range survey.Due(now) {
 			questions++
 			survey.Answered(server.ID, 6, 5)
@@ -178,8 +178,8 @@
 			t.Fatalf("%d counted at %v", left(survey, "server-0"), now)
 		}
 	}
-	if questions != 8 || !survey.Over() {
-		t.Errorf("%d questions, over %v", questions, survey.Over())
+	if questions != 8 || !survey.Done() {
+		t.Errorf("%d questions, over %v", questions, survey.Done())
 	}
 }
 
@@ -189,11 +189,11 @@
 	survey := begun(1)
 	due(survey, 0)
 	survey.Answered("server-0", 6, 0)
-	survey.Judge(fresh, none, 20*time.Millisecond)
+	survey.Evaluate(fresh, none, 20*time.Millisecond)
 	if left(survey, "server-0") != 6 {
 		t.Fatal("nothing was counted")
 	}
-	survey.Judge(alive, none, 40*time.Millisecond)
+	survey.Evaluate(alive, none, 40*time.Millisecond)
 	if left(survey, "server-0") > 0 {
 		t.Errorf("%d is still counted", left(survey, "server-0"))
 	}
@@ -205,12 +205,12 @@
 	due(survey, 0)
 	survey.Answered("server-0", 5, 0)
 	survey.Answered("server-1", 5, 0)
-	survey.Judge(alive, none, 100*time.Millisecond)
-	if !survey.Open() {
+	survey.Evaluate(alive, none, 100*time.Millisecond)
+	if !survey.Pending() {
 		t.Fatal("what the others have is not waited for")
 	}
-	survey.Judge(leftbehind.Sight{}, none, 500*time.Millisecond)
-	if survey.Open() || due(survey, 500*time.Millisecond) != 2 {
+	survey.Evaluate(leftbehind.PeerStatus{}, none, 500*time.Millisecond)
+	if survey.Pending() || due(survey, 500*time.Millisecond) != 2 {
 		t.Error("it is waited for without an end")
 	}
 }
@@ -221,20 +221,20 @@
 	survey := begun(1)
 	due(survey, 0)
 	survey.Answered("server-0", 6, 0)
-	survey.Judge(fresh, none, 20*time.Millisecond)
-	if survey.LivedOn() {
+	survey.Evaluate(fresh, none, 20*time.Millisecond)
+	if survey.ReportSurvivors() {
 		t.Fatal("told without word of it")
 	}
 	told := fresh
-	told.LivedOn = true
-	survey.Judge(told, none, 60*time.Millisecond)
-	if left(survey, "server-0") > 0 || !survey.LivedOn() || !survey.Open() {
+	told.SurvivorsReported = true
+	survey.Evaluate(told, none, 60*time.Millisecond)
+	if left(survey, "server-0") > 0 || !survey.ReportSurvivors() || !survey.Pending() {
 		t.Error("the word is not taken")
 	}
 	for now := 80 * time.Millisecond; now < 3*time.Second; now += 20 * time.Millisecond {
-		survey.Judge(fresh, func(string) int { return 6 }, now)
-		if telling := now < 900*time.Millisecond; survey.LivedOn() != telling || survey.Over() == telling {
-			t.Fatalf("at %v told: %v, over: %v", now, survey.LivedOn(), survey.Over())
+		survey.Evaluate(fresh, func(string) int { return 6 }, now)
+		if telling := now < 900*time.Millisecond; survey.ReportSurvivors() != telling || survey.Done() == telling {
+			t.Fatalf("at %v told: %v, over: %v", now, survey.ReportSurvivors(), survey.Done())
 		}
 	}
 }
@@ -242,12 +242,12 @@
 func TestServersThatDoNotAnswerOrAnswerNonsenseCountNothing(t *testing.T) {
 	survey := begun(3)
 	due(survey, 0)
-	survey.Missed("server-0")
+	survey.Failed("server-0")
 	survey.Answered("server-1", 4*slots+1, 0)
 	survey.Answered("server-2", -1, 0)
 	survey.Answered("unknown", 5, 0)
 	for now := time.Duration(0); now < 700*time.Millisecond; now += 20 * time.Millisecond {
-		survey.Judge(fresh, none, now)
+		survey.Evaluate(fresh, none, now)
 		if due(survey, now) > 0 {
 			t.Fatalf("asked again at %v", now)
 		}
@@ -257,7 +257,7 @@
 			}
 		}
 	}
-	if !survey.Over() || survey.Counts().Answered != 0 {
+	if !survey.Done() || survey.Counts().Answered != 0 {
 		t.Error("the survey goes on")
 	}
 }
@@ -267,12 +267,12 @@
 	survey := begun(1)
 	due(survey, 0)
 	for now := time.Duration(0); now <= 4*time.Second; now += 20 * time.Millisecond {
-		survey.Judge(fresh, none, now)
-		if survey.Open() && now > 200*time.Millisecond {
+		survey.Evaluate(fresh, none, now)
+		if survey.Pending() && now > 200*time.Millisecond {
 			t.Fatal("work waits for it")
 		}
 	}
-	if !survey.Over() {
+	if !survey.Done() {
 		t.Error("the survey goes on")
 	}
 	survey.Answered("server-0", 5, 0)
@@ -289,8 +289,8 @@
 	survey.Answered("server-0", 8, 0)
 	survey.Answered("server-1", 8, 0)
 	last, over := 8, time.Duration(0)
-	for now := time.Duration(0); now < 10*time.Second && !survey.Over(); now += 20 * time.Millisecond {
-		survey.Judge(fresh, none, now)
+	for now := time.Duration(0); now < 10*time.Second && !survey.Done(); now += 20 * time.Millisecond {
+		survey.Evaluate(fresh, none, now)
 		for _, server := range survey.Due(now) {
 			if server.ID == "server-0" {
 				survey.Answered(server.ID, 9, 8)
@@ -320,17 +320,17 @@
 	due(survey, 0)
 	survey.Answered("server-0", 6, 0)
 	for now := time.Duration(0); now <= 420*time.Millisecond; now += 20 * time.Millisecond {
-		survey.Judge(alive, none, now)
+		survey.Evaluate(alive, none, now)
 	}
 	survey.Answered("server-1", 6, 6)
-	if got := left(survey, "server-1"); got != 0 || survey.Counts().Left != 0 {
+	if got := left(survey, "server-1"); got != 0 || survey.Counts().LeftBehind != 0 {
 		t.Errorf("%d counted of %d that the living have", got, 6)
 	}
 }
 
 // TestOthersThatAreHeardLateTakeTheCountBack also after the time in which loads settle.
 func TestOthersThatAreHeardLateTakeTheCountBack(t *testing.T) {
-	for _, sight := range []leftbehind.Sight{{}, fresh} {
+	for _, sight := range []leftbehind.PeerStatus{{}, fresh} {
 		survey := begun(2)
 		counted := none
 		for now := time.Duration(0); now < 2*time.Second; now += 20 * time.Millisecond {
@@ -340,7 +340,7 @@
 				}
 				sight, counted = alive, func(string) int { return 6 }
 			}
-			survey.Judge(sight, counted, now)
+			survey.Evaluate(sight, counted, now)
 			for _, server := range survey.Due(now) {
 				survey.Answered(server.ID, 6, counted(server.ID))
 			}
@@ -348,8 +348,8 @@
 				t.Fatalf("%d still counted at %v", left(survey, "server-0"), now)
 			}
 		}
-		if !survey.Over() || survey.Counts().Left != 0 {
-			t.Errorf("over %v, %d left behind", survey.Over(), survey.Counts().Left)
+		if !survey.Done() || survey.Counts().LeftBehind != 0 {
+			t.Errorf("over %v, %d left behind", survey.Done(), survey.Counts().LeftBehind)
 		}
 	}
 }
@@ -361,13 +361,13 @@
 	due(survey, 0)
 	survey.Answered("server-0", 8, 0)
 	word := fresh
-	word.LivedOn = true
+	word.SurvivorsReported = true
 	for now := time.Duration(0); now < 900*time.Millisecond; now += 20 * time.Millisecond {
 		sight := fresh
 		if now > 400*time.Millisecond {
 			sight = word
 		}
-		survey.Judge(sight, func(string) int { return 8 }, now)
+		survey.Evaluate(sight, func(string) int { return 8 }, now)
 	}
 	if got := left(survey, "server-0"); got < 6 {
 		t.Errorf("%d left behind, want 6 or more by then", got)
@@ -379,10 +379,10 @@
 func TestMachineThatIsBackLaterThanTheRestCountsNothingOfTheirs(t *testing.T) {
 	for _, later := range []int64{600, 1000, 1500} {
 		survey := begun(4)
-		rest := leftbehind.Sight{Heard: true, Earliest: started - later}
+		rest := leftbehind.PeerStatus{Heard: true, EarliestStart: started - later}
 		counted := func(string) int { return 6 }
 		for now := time.Duration(0); now < 2*time.Second; now += 20 * time.Millisecond {
-			survey.Judge(rest, counted, now)
+			survey.Evaluate(rest, counted, now)
 			for _, server := range survey.Due(now) {
 				survey.Answered(server.ID, 6, counted(server.ID))
 			}
@@ -390,8 +390,8 @@
 				t.Fatalf("back %d ms after the rest: %d counted at %v", later, got, now)
 			}
 		}
-		if survey.Counts().Left != 0 {
-			t.Errorf("back %d ms after the rest: %d left behind", later, survey.Counts().Left)
+		if survey.Counts().LeftBehind != 0 {
+			t.Errorf("back %d ms after the rest: %d left behind", later, survey.Counts().LeftBehind)
 		}
 	}
 }
@@ -402,13 +402,13 @@
 	due(survey, 0)
 	survey.Answered("server-0", 0, 0)
 	survey.Answered("server-1", 3, 0)
-	survey.Judge(alive, none, 20*time.Millisecond)
-	if !survey.Open() {
+	survey.Evaluate(alive, none, 20*time.Millisecond)
+	if !survey.Pending() {
 		t.Fatal("the last server is not waited for")
 	}
-	survey.Missed("server-2")
-	survey.Judge(alive, none, 40*time.Millisecond)
-	if survey.Open() || left(survey, "server-1") > 0 {
+	survey.Failed("server-2")
+	survey.Evaluate(alive, none, 40*time.Millisecond)
+	if survey.Pending() || left(survey, "server-1") > 0 {
 		t.Error("work waits for loads that change nothing")
 	}
 }
--- a/internal/router/continuation.go
+++ b/internal/router/continuation.go
@@ -21,13 +21,13 @@
 	origin time.Time
 
 	mutex sync.Mutex
-	watch *continuation.Watch
+	watch *continuation.Tracker
 	// seen is the directory that the watch has seen.
 	seen *directory.View
 }
 
 func newCopies() *copies {
-	return &copies{origin: time.Now(), watch: continuation.NewWatch(continuation.Selective)}
+	return &copies{origin: time.Now(), watch: continuation.NewTracker(continuation.Selective)}
 }
 
 // plan decides about a run at the server of a lease.
@@ -45,7 +45,7 @@
 func (c *copies) ran(service string, took time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.watch.Ran(service, took)
+	c.watch.RecordRun(service, took)
 }
 
 // follow has the watch take what is other in a view than in the one that it has seen. The mutex
@@ -53,10 +53,10 @@
 func (c *copies) follow(view *directory.View, now time.Duration) {
 	change := view.ChangeFrom(c.seen)
 	for _, server := range change.Servers() {
-		c.watch.Take(incarnation(c.seen, server.GetId()), incarnation(view, server.GetId()), now)
+		c.watch.Update(incarnation(c.seen, server.GetId()), incarnation(view, server.GetId()), now)
 	}
 	for _, left := range change.Left() {
-		c.watch.Take(incarnation(c.seen, left.GetId()), nil, now)
+		c.watch.Update(incarnation(c.seen, left.GetId()), nil, now)
 	}
 	c.seen = view
 }
--- a/internal/router/survey.go
+++ b/internal/router/survey.go
@@ -109,7 +109,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.survey = &survey{Survey: leftbehind.New(d.origin.UnixMilli()), services: services}
-	d.survey.Begin(self, surveyors(view), servers, d.now())
+	d.survey.Start(self, surveyors(view), servers, d.now())
 }
 
 // judgeSurvey takes what was heard of the others, and returns the servers to be asked now.
@@ -118,9 +118,9 @@
 	defer d.mutex.Unlock()
 	now := d.now()
 	earliest, heard := d.shares.EarliestStart()
-	d.survey.Judge(leftbehind.Sight{Heard: heard, Earliest: earliest, LivedOn: d.shares.LivedOn()}, d.living, now)
+	d.survey.Evaluate(leftbehind.PeerStatus{Heard: heard, EarliestStart: earliest, SurvivorsReported: d.shares.LivedOn()}, d.living, now)
 	d.tellLeftBehind()
-	return d.survey.Due(now), d.survey.Over()
+	return d.survey.Due(now), d.survey.Done()
 }
 
 // living is how many requests the living processes have at a server. The mutex is held.
@@ -130,8 +130,8 @@
 // where it has changed. The mutex is held.
 func (d *Dispatcher) tellLeftBehind() {
 	left := make(map[string]int)
-	d.survey.Left(func(id string, count int) { left[id] = count })
-	if d.shares.SetLeftBehind(left, d.survey.LivedOn()) {
+	d.survey.LeftBehind(func(id string, count int) { left[id] = count })
+	if d.shares.SetLeftBehind(left, d.survey.ReportSurvivors()) {
 		d.nudge()
 	}
 }
@@ -143,7 +143,7 @@
 	defer d.mutex.Unlock()
 	if err != nil {
 		log.WithError(fault.From(err)).WithField("server", server.ID).Debug("a server does not tell its load")
-		d.survey.Missed(server.ID)
+		d.survey.Failed(server.ID)
 		return
 	}
 	d.survey.Answered(server.ID, requests, d.living(server.ID))
@@ -181,13 +181,13 @@
 		return
 	}
 	decision.Default.Record(decision.ServersAsked, self, log.Fields{
-		"asked": counts.Asked, "answered": counts.Answered, "left_behind": counts.Left, "after_ms": d.now().Milliseconds(),
+		"asked": counts.Asked, "answered": counts.Answered, "left_behind": counts.LeftBehind, "after_ms": d.now().Milliseconds(),
 	})
 }
 
 // surveyOpen tells whether it is not known yet what was left behind: batch work waits for that. The
 // mutex is held.
-func (d *Dispatcher) surveyOpen() bool { return d.survey != nil && d.survey.Open() }
+func (d *Dispatcher) surveyOpen() bool { return d.survey != nil && d.survey.Pending() }
 
 // LeftBehind tells how many requests of processes that are gone the servers are taken to have,
 // as all processes tell, and how many questions this one put since its start.
--- a/internal/store/claims/claims.go
+++ b/internal/store/claims/claims.go
@@ -48,9 +48,9 @@
 // NewTable returns a table without claims.
 func NewTable() *Table { return &Table{current: make(map[Key]held)} }
 
-// Make claims an item that nobody holds; ok is false where it is held.
+// Acquire claims an item that nobody holds; ok is false where it is held.
 // The function ends the item's try early.
-func (t *Table) Make(key Key, cancel func()) (claim Claim, ok bool) {
+func (t *Table) Acquire(key Key, cancel func()) (claim Claim, ok bool) {
 	if t.Held(key) {
 		return Claim{}, false
 	}
--- a/internal/store/claims/claims_test.go
+++ b/internal/store/claims/claims_test.go
@@ -17,9 +17,9 @@
 func TestLateEndOfDroppedTryDoesNotReleaseTheNext(t *testing.T) {
 	table := claims.NewTable()
 	key := claims.NewKey("job", 3)
-	first, _ := table.Make(key, nothing)
+	first, _ := table.Acquire(key, nothing)
 	table.Drop()
-	second, made := table.Make(key, nothing)
+	second, made := table.Acquire(key, nothing)
 	if !made {
 		t.Fatal("a dropped item cannot be claimed")
 	}
@@ -30,7 +30,7 @@
 	if !table.Current(second) || !table.Held(key) {
 		t.Fatal("the end of the dropped try released the next")
 	}
-	if _, made := table.Make(key, nothing); made {
+	if _, made := table.Acquire(key, nothing); made {
 		t.Fatal("the item is in hand twice")
 	}
 }
@@ -39,7 +39,7 @@
 	table := claims.NewTable()
 	ended := map[uint32]bool{}
 	for index := range uint32(3) {
-		table.Make(claims.NewKey("job", index), func() { ended[index] = true })
+		table.Acquire(claims.NewKey("job", index), func() { ended[index] = true })
 	}
 	table.Cancel(func(key claims.Key) bool { return key.Index() == 1 })
 	if len(ended) != 1 || !ended[1] || table.Len() != 3 {
@@ -61,7 +61,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"make": func(t *rapid.T) {
 				key := claims.NewKey("job", rapid.Uint32Range(0, 3).Draw(t, "item"))
-				claim, ok := table.Make(key, nothing)
+				claim, ok := table.Acquire(key, nothing)
 				if _, taken := holder[key]; taken == ok {
 					t.Fatalf("claim made: %v, held before: %v", ok, taken)
 				}
--- a/internal/store/executor.go
+++ b/internal/store/executor.go
@@ -121,7 +121,7 @@
 	heldAt time.Time
 	ended  chan itemEnd
 	// runs numbers the runs whose progress is recorded.
-	runs output.Runs
+	runs output.RunCounter
 	// historyTerm is the term in which the histories were made.
 	historyTerm uint64
 	// noted is when the progress of items was last recorded, and noting tells that a record is
--- a/internal/store/history.go
+++ b/internal/store/history.go
@@ -31,9 +31,9 @@
 
 // newHistory is that of an item of which this leader knows nothing.
 func (e *executor) newHistory(item jobstore.OpenItem) *history {
-	part := item.Received
+	part := item.PartialOutput
 	if !e.store.gates.On(gate.ItemProgress) {
-		part = jobstore.Received{}
+		part = jobstore.PartialOutput{}
 	}
 	return &history{output: output.New(&e.runs, part)}
 }
@@ -54,7 +54,7 @@
 	if h.output == nil {
 		return 0
 	}
-	return int(h.output.Last())
+	return int(h.output.LastEvent())
 }
 
 // keepHistory keeps the histories while no other store may have led the shard since: a term has
@@ -77,7 +77,7 @@
 // histories, so what goes on gets new ones.
 func (e *executor) closeOutputs() {
 	for key, known := range e.history {
-		known.output.Close()
+		known.output.RevokeWriter()
 		e.history[key] = &history{output: known.output}
 	}
 }
--- a/internal/store/order.go
+++ b/internal/store/order.go
@@ -34,7 +34,7 @@
 	if known := e.history[claims.NewKey(item.Job, item.Index)]; known != nil {
 		return known.made()
 	}
-	last, _ := item.Received.Last()
+	last, _ := item.PartialOutput.LastEvent()
 	return int(last)
 }
 
--- a/internal/store/output/outlives_test.go
+++ b/internal/store/output/outlives_test.go
@@ -28,7 +28,7 @@
 	t       *rapid.T
 	machine *jobstore.Machine
 	applied [][]byte
-	runs    *output.Runs
+	runs    *output.RunCounter
 	output  *output.Output
 	writer  output.Writer
 	// dropped are the writers of earlier tries, which may still add.
@@ -85,12 +85,12 @@
 	p.term++
 	item, _ := p.open()
 	p.failures = item.Failures
-	p.runs = &output.Runs{}
+	p.runs = &output.RunCounter{}
 	if p.output != nil {
 		p.dropped = append(p.dropped, p.writer)
 	}
-	p.output = output.New(p.runs, item.Received)
-	p.writer = p.output.Write(p.failures)
+	p.output = output.New(p.runs, item.PartialOutput)
+	p.writer = p.output.NewWriter(p.failures)
 }
 
 func (p *plan) giveUp() {
@@ -102,16 +102,16 @@
 
 // lapse has the lease lapse and hold again in the same term.
 func (p *plan) lapse(*rapid.T) {
-	p.output.Close()
+	p.output.RevokeWriter()
 	p.dropped = append(p.dropped, p.writer)
-	p.writer = p.output.Write(p.failures)
+	p.writer = p.output.NewWriter(p.failures)
 }
 
 // receive has the server send the events that the try asked for.
 func (p *plan) receive(t *rapid.T) {
 	for range rapid.IntRange(1, 3).Draw(t, "events") {
 		p.serial++
-		next := p.output.Last() + 1
+		next := p.output.LastEvent() + 1
 		p.writer.Add([]upstream.Event{event(next, fmt.Sprintf("%d.%d", next, p.serial))})
 		p.lines[string(p.output.Text())] = next
 	}
@@ -123,7 +123,7 @@
 		t.Skip("no try was dropped")
 	}
 	text := string(p.output.Text())
-	rapid.SampledFrom(p.dropped).Draw(t, "try").Add([]upstream.Event{event(p.output.Last()+1, "late")})
+	rapid.SampledFrom(p.dropped).Draw(t, "try").Add([]upstream.Event{event(p.output.LastEvent()+1, "late")})
 	if string(p.output.Text()) != text {
 		t.Fatalf("a dropped try added to %q: %q", text, p.output.Text())
 	}
@@ -134,7 +134,7 @@
 	if p.underWay != nil || !some {
 		t.Skip("nothing is to be told")
 	}
-	p.toldText, p.toldLast = string(p.output.Text()), p.output.Last()
+	p.toldText, p.toldLast = string(p.output.Text()), p.output.LastEvent()
 	part.Events().Progress.Term = p.term
 	p.underWay = &told{part: part, command: encode(t, &rockwindpb.JobStoreCommand{Command: &rockwindpb.JobStoreCommand_Progress{
 		Progress: &rockwindpb.RecordProgress{Jobs: []*rockwindpb.JobProgress{{Job: job, Items: []*rockwindpb.ReceivedEvents{part.Events()}}}},
@@ -151,21 +151,21 @@
 		p.record(t)
 		return
 	}
-	p.underWay.part.Lost()
+	p.underWay.part.MarkLost()
 	p.giveUp()
 }
 
 // record applies the record under way, after which the shard holds what the leader told.
 func (p *plan) record(t *rapid.T) {
 	p.apply(p.underWay.command)
-	p.underWay.part.Recorded()
+	p.underWay.part.MarkRecorded()
 	p.underWay = nil
 	item, open := p.open()
 	if !open {
 		return
 	}
-	last, _ := item.Received.Last()
-	text, _ := item.Received.Text()
+	last, _ := item.PartialOutput.LastEvent()
+	text, _ := item.PartialOutput.Text()
 	if last != p.toldLast || string(text) != p.toldText {
 		t.Fatalf("the shard holds %q up to event %d, told were %q up to %d", text, last, p.toldText, p.toldLast)
 	}
@@ -199,11 +199,11 @@
 	p.failures++
 	p.apply(encode(t, &rockwindpb.JobStoreCommand{Command: &rockwindpb.JobStoreCommand_Failure{Failure: &rockwindpb.RecordFailure{Job: job}}}))
 	if item, open := p.open(); open {
-		if _, known := item.Received.Last(); known {
+		if _, known := item.PartialOutput.LastEvent(); known {
 			t.Fatal("the shard holds the output of a failed run")
 		}
 	}
-	p.writer = p.output.Write(p.failures)
+	p.writer = p.output.NewWriter(p.failures)
 }
 
 // losePower replays the log, or restores a snapshot, and a new leader goes on.
@@ -234,7 +234,7 @@
 
 // finish records the result, seldom, since nothing else happens to the item afterwards.
 func (p *plan) finish(t *rapid.T) {
-	if p.output.Last() == 0 || p.done != "" || !seldom(t) {
+	if p.output.LastEvent() == 0 || p.done != "" || !seldom(t) {
 		t.Skip("nothing to record")
 	}
 	p.done = string(p.output.Text())
@@ -249,7 +249,7 @@
 // check looks at what the leader and the shard hold: each event once, in order, and in the shard
 // what one leader received.
 func (p *plan) check(t *rapid.T) {
-	inOrder(t, string(p.output.Text()), p.output.Last())
+	inOrder(t, string(p.output.Text()), p.output.LastEvent())
 	item, open := p.open()
 	if open != (p.done == "") {
 		t.Fatalf("the item is open: %v", open)
@@ -261,8 +261,8 @@
 		}
 		return
 	}
-	if last, known := item.Received.Last(); known {
-		text, _ := item.Received.Text()
+	if last, known := item.PartialOutput.LastEvent(); known {
+		text, _ := item.PartialOutput.Text()
 		inOrder(t, string(text), last)
 		if got, received := p.lines[string(text)]; !received || got != last {
 			t.Fatalf("no leader received %q up to event %d", text, last)
@@ -315,21 +315,21 @@
 		apply(&rockwindpb.JobStoreCommand{Command: &rockwindpb.JobStoreCommand_Progress{Progress: &rockwindpb.RecordProgress{
 			Jobs: []*rockwindpb.JobProgress{{Job: job, Items: []*rockwindpb.ReceivedEvents{part.Events()}}},
 		}}})
-		part.Recorded()
+		part.MarkRecorded()
 	}
-	received := output.New(&output.Runs{}, jobstore.Received{})
-	received.Write(0).Discard()
-	next := received.Write(0)
+	received := output.New(&output.RunCounter{}, jobstore.PartialOutput{})
+	received.NewWriter(0).Discard()
+	next := received.NewWriter(0)
 	next.Add([]upstream.Event{event(1, "a"), event(2, "b")})
 	apply(&rockwindpb.JobStoreCommand{Command: &rockwindpb.JobStoreCommand_Failure{Failure: &rockwindpb.RecordFailure{Job: job}}})
 	record(received)
-	received.Write(1).Add([]upstream.Event{event(3, "c")})
+	received.NewWriter(1).Add([]upstream.Event{event(3, "c")})
 	record(received)
 	items := machine.OpenItems(func(string, uint32) bool { return true })
 	if len(items) != 1 {
 		t.Fatalf("%d items are open", len(items))
 	}
-	if last, known := items[0].Received.Last(); !known || last != 3 {
+	if last, known := items[0].PartialOutput.LastEvent(); !known || last != 3 {
 		t.Fatalf("the shard holds the events up to %d, %v; 3 were received", last, known)
 	}
 }
--- a/internal/store/output/output.go
+++ b/internal/store/output/output.go
@@ -18,16 +18,16 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// Runs numbers what is received in one piece at the leader of a shard. The zero value has
+// RunCounter numbers what is received in one piece at the leader of a shard. The zero value has
 // numbered nothing.
-type Runs struct{ last atomic.Uint64 }
+type RunCounter struct{ last atomic.Uint64 }
 
-func (r *Runs) next() uint64 { return r.last.Add(1) }
+func (r *RunCounter) next() uint64 { return r.last.Add(1) }
 
 // Output is what was received of an item's output. Its methods may be called by any goroutine.
 type Output struct {
 	mutex sync.Mutex
-	runs  *Runs
+	runs  *RunCounter
 	// run numbers the events since the output was begun or taken over, or its last try failed.
 	run uint64
 	// writer is the number of the writer that may add, zero where none may.
@@ -61,20 +61,20 @@
 }
 
 // New returns the output of an item of which the shard holds a part already.
-func New(runs *Runs, part jobstore.Received) *Output {
+func New(runs *RunCounter, part jobstore.PartialOutput) *Output {
 	created := &Output{runs: runs, run: runs.next()}
 	text, hasText := part.Text()
 	created.text, created.hasText = slices.Clone(text), hasText
 	created.numbered = place{length: len(text), hasText: hasText}
-	if last, known := part.Last(); known {
+	if last, known := part.LastEvent(); known {
 		created.received.Take(upstream.Event{Sequence: last, HasSequence: true})
 		created.taken = last
 	}
 	return created
 }
 
-// Last is the number of the last event that was received, zero where none was.
-func (o *Output) Last() uint64 {
+// LastEvent is the number of the last event that was received, zero where none was.
+func (o *Output) LastEvent() uint64 {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.received.Last()
@@ -87,10 +87,10 @@
 	return slices.Clone(o.text)
 }
 
-// Write returns the writer of the next try, the only one from then on. The item has had the
+// NewWriter returns the writer of the next try, the only one from then on. The item has had the
 // given number of failed tries. Where a failure came to be known since the last try began, the
 // shard has passed over what was told with the earlier number: all is told again.
-func (o *Output) Write(failures int) Writer {
+func (o *Output) NewWriter(failures int) Writer {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if o.writers > 0 && uint32(failures) != o.failures {
@@ -102,8 +102,8 @@
 	return Writer{output: o, number: o.writer}
 }
 
-// Close ends what the current writer may do.
-func (o *Output) Close() {
+// RevokeWriter ends what the current writer may do.
+func (o *Output) RevokeWriter() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.writer = 0
@@ -200,11 +200,11 @@
 // Events are those to record, without the item and the term.
 func (u Unrecorded) Events() *rockwindpb.ReceivedEvents { return u.events }
 
-// Recorded notes that the shard holds the events.
-func (u Unrecorded) Recorded() { u.output.hold(u.until) }
+// MarkRecorded notes that the shard holds the events.
+func (u Unrecorded) MarkRecorded() { u.output.hold(u.until) }
 
-// Lost notes that it is not known what the shard holds: all is told again.
-func (u Unrecorded) Lost() { u.output.hold(mark{}) }
+// MarkLost notes that it is not known what the shard holds: all is told again.
+func (u Unrecorded) MarkLost() { u.output.hold(mark{}) }
 
 func (o *Output) hold(until mark) {
 	o.mutex.Lock()
--- a/internal/store/output/output_test.go
+++ b/internal/store/output/output_test.go
@@ -14,8 +14,8 @@
 }
 
 func begin() (*output.Output, output.Writer) {
-	begun := output.New(&output.Runs{}, jobstore.Received{})
-	return begun, begun.Write(0)
+	begun := output.New(&output.RunCounter{}, jobstore.PartialOutput{})
+	return begun, begun.NewWriter(0)
 }
 
 // TestNextTryGoesOnAfterWhatWasReceived, and events that come again are passed over.
@@ -25,13 +25,13 @@
 		t.Fatalf("a new output goes on after %q", first.ResumeAfter())
 	}
 	first.Add([]upstream.Event{event(1, "a"), event(2, "b")})
-	second := item.Write(0)
+	second := item.NewWriter(0)
 	if second.ResumeAfter() != "2" {
 		t.Fatalf("the next try goes on after %q", second.ResumeAfter())
 	}
 	second.Add([]upstream.Event{event(2, "b"), event(3, "c")})
-	if string(item.Text()) != "a\nb\nc" || item.Last() != 3 {
-		t.Fatalf("received are %d events, %q", item.Last(), item.Text())
+	if string(item.Text()) != "a\nb\nc" || item.LastEvent() != 3 {
+		t.Fatalf("received are %d events, %q", item.LastEvent(), item.Text())
 	}
 }
 
@@ -40,9 +40,9 @@
 func TestDroppedTryAddsNothing(t *testing.T) {
 	item, first := begin()
 	first.Add([]upstream.Event{event(1, "a")})
-	item.Close()
+	item.RevokeWriter()
 	first.Add([]upstream.Event{event(2, "late")})
-	second := item.Write(0)
+	second := item.NewWriter(0)
 	first.Add([]upstream.Event{event(2, "late")})
 	first.Discard()
 	second.Add([]upstream.Event{event(2, "b")})
@@ -59,7 +59,7 @@
 	if _, some := item.Unrecorded(); some {
 		t.Fatal("the output of a failed run is recorded")
 	}
-	if next := item.Write(1); next.ResumeAfter() != "" || len(item.Text()) != 0 {
+	if next := item.NewWriter(1); next.ResumeAfter() != "" || len(item.Text()) != 0 {
 		t.Fatalf("the next try goes on after %q with %q", next.ResumeAfter(), item.Text())
 	}
 }
@@ -82,14 +82,14 @@
 	writer.Add([]upstream.Event{event(1, "a")})
 	part := told("a", true)
 	writer.Add([]upstream.Event{event(2, "b")})
-	part.Recorded()
+	part.MarkRecorded()
 	part = told("\nb", false)
-	part.Recorded()
+	part.MarkRecorded()
 	if _, some := item.Unrecorded(); some {
 		t.Fatal("all was recorded")
 	}
 	writer.Add([]upstream.Event{event(3, "c")})
-	told("\nc", false).Lost()
+	told("\nc", false).MarkLost()
 	told("a\nb\nc", true)
 }
 
@@ -99,14 +99,14 @@
 	bare := upstream.Event{Data: []byte("bare"), HasData: true}
 	item, writer := begin()
 	writer.Add([]upstream.Event{bare})
-	writer = item.Write(0)
+	writer = item.NewWriter(0)
 	writer.Add([]upstream.Event{bare, event(1, "a"), bare})
 	part, some := item.Unrecorded()
 	if got := string(part.Events().GetProgress().GetText()); !some || got != "bare\na" {
 		t.Fatalf("told is %q", got)
 	}
-	part.Recorded()
-	writer = item.Write(0)
+	part.MarkRecorded()
+	writer = item.NewWriter(0)
 	writer.Add([]upstream.Event{bare, event(2, "b")})
 	if part, _ = item.Unrecorded(); string(part.Events().GetProgress().GetText()) != "\nbare\nb" {
 		t.Fatalf("told is %q", part.Events().GetProgress().GetText())
@@ -125,9 +125,9 @@
 	apply(&rockwindpb.JobStoreCommand{Command: &rockwindpb.JobStoreCommand_Progress{Progress: &rockwindpb.RecordProgress{
 		Jobs: []*rockwindpb.JobProgress{{Job: "job", Items: []*rockwindpb.ReceivedEvents{{Progress: &rockwindpb.ItemProgress{Term: 1, Run: 1, Last: 2, Text: []byte("a\nb")}}}}},
 	}}})
-	part := machine.OpenItems(func(string, uint32) bool { return true })[0].Received
-	item := output.New(&output.Runs{}, part)
-	writer := item.Write(0)
+	part := machine.OpenItems(func(string, uint32) bool { return true })[0].PartialOutput
+	item := output.New(&output.RunCounter{}, part)
+	writer := item.NewWriter(0)
 	if _, some := item.Unrecorded(); some || writer.ResumeAfter() != "2" {
 		t.Fatalf("something is told, or the try goes on after %q", writer.ResumeAfter())
 	}
--- a/internal/store/parting_test.go
+++ b/internal/store/parting_test.go
@@ -53,14 +53,14 @@
 		ended: make(chan itemEnd, endBuffer), notes: make(chan struct{}, 1), partings: s.partingsOf(1),
 		term: 1, historyTerm: 1, noted: time.Now().Add(time.Hour),
 	}
-	received := output.New(&e.runs, jobstore.Received{})
+	received := output.New(&e.runs, jobstore.PartialOutput{})
 	key := claims.NewKey("job", 0)
 	e.history[key] = &history{output: received}
 	e.active[key] = &activeTry{}
-	if _, made := e.claims.Make(key, func() {}); !made {
+	if _, made := e.claims.Acquire(key, func() {}); !made {
 		t.Fatal("the item runs already")
 	}
-	return &leavingShard{t: t, store: s, executor: e, group: group, machine: machine, writer: received.Write(0)}
+	return &leavingShard{t: t, store: s, executor: e, group: group, machine: machine, writer: received.NewWriter(0)}
 }
 
 // run has the executor work until the test ends.
@@ -82,8 +82,8 @@
 func (l *leavingShard) holds() (last uint64, text string) {
 	l.t.Helper()
 	err := l.group.Read(l.t.Context(), func() {
-		received := l.machine.OpenItems(func(string, uint32) bool { return true })[0].Received
-		last, _ = received.Last()
+		received := l.machine.OpenItems(func(string, uint32) bool { return true })[0].PartialOutput
+		last, _ = received.LastEvent()
 		found, _ := received.Text()
 		text = string(found)
 	})
--- a/internal/store/progress.go
+++ b/internal/store/progress.go
@@ -113,9 +113,9 @@
 	}
 	for _, part := range record.parts {
 		if err != nil {
-			part.Lost()
+			part.MarkLost()
 		} else {
-			part.Recorded()
+			part.MarkRecorded()
 		}
 	}
 }
--- a/internal/store/share_test.go
+++ b/internal/store/share_test.go
@@ -36,7 +36,7 @@
 		t.Error("an item whose hold has lapsed asks for no room")
 	}
 	e.history[key] = &history{}
-	if _, made := e.claims.Make(key, func() {}); !made || e.startable(item, now) {
+	if _, made := e.claims.Acquire(key, func() {}); !made || e.startable(item, now) {
 		t.Error("an item that runs asks for room")
 	}
 }
@@ -58,7 +58,7 @@
 	e := &executor{claims: claims.NewTable(), active: make(map[claims.Key]*activeTry), paces: make(map[string]*backlog.Pace)}
 	e.left = []leftItem{{at: time.Now().Add(-backlog.Memory)}}
 	key := claims.NewKey("job", 0)
-	claim, _ := e.claims.Make(key, func() {})
+	claim, _ := e.claims.Acquire(key, func() {})
 	e.active[key] = &activeTry{began: time.Now()}
 	e.finish(itemEnd{claim: claim, recorded: true})
 	if len(e.left) != 1 {
--- a/internal/store/start.go
+++ b/internal/store/start.go
@@ -48,7 +48,7 @@
 
 // giveUp ends an item that gets no result.
 func (e *executor) giveUp(item jobstore.OpenItem, known *history, reason string) {
-	claim, made := e.claims.Make(claims.NewKey(item.Job, item.Index), func() {})
+	claim, made := e.claims.Acquire(claims.NewKey(item.Job, item.Index), func() {})
 	if !made {
 		return
 	}
@@ -62,7 +62,7 @@
 func (e *executor) start(ctx context.Context, item jobstore.OpenItem, route *rockwindpb.Route, known *history, now time.Time) bool {
 	key := claims.NewKey(item.Job, item.Index)
 	running, cancel := context.WithCancelCause(ctx)
-	claim, made := e.claims.Make(key, func() { cancel(nil) })
+	claim, made := e.claims.Acquire(key, func() { cancel(nil) })
 	if !made {
 		cancel(nil)
 		return true
@@ -80,7 +80,7 @@
 	}
 	recordStart(item, known, lease, now)
 	try := &itemTry{
-		store: e.store, item: item, history: known, writer: known.output.Write(known.failures),
+		store: e.store, item: item, history: known, writer: known.output.NewWriter(known.failures),
 		lease: lease, route: route.GetName(), attempts: max(1, int(route.GetAttempts())),
 	}
 	go func() {
@@ -118,7 +118,7 @@
 	}
 	decision.Default.Record(decision.ItemStarted, item.Job, log.Fields{
 		"item": item.Index, "item_id": item.Item.GetId(), "server": lease.ID, "load": lease.Load, "slots": lease.Slots, "pace": lease.Slowness(),
-		"failures": known.failures, "after_event": known.output.Last(), "age_ms": now.UnixMilli() - item.SubmittedUnixMs,
+		"failures": known.failures, "after_event": known.output.LastEvent(), "age_ms": now.UnixMilli() - item.SubmittedUnixMs,
 		"tenant": item.Tenant,
 	})
 }
