--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -332,8 +332,8 @@
 	}, elsewhere)
 }
 
-// Newest returns a configuration that holds everything accepted before the call.
-func (c *Coordinator) Newest(ctx context.Context) (*rockwindpb.GetConfigurationResponse, error) {
+// LatestConfiguration returns a configuration that holds everything accepted before the call.
+func (c *Coordinator) LatestConfiguration(ctx context.Context) (*rockwindpb.GetConfigurationResponse, error) {
 	request := &rockwindpb.GetConfigurationRequest{Newest: true}
 	elsewhere := func(ctx context.Context, base string) (*rockwindpb.GetConfigurationResponse, error) {
 		return c.configurationAt(base).Get(ctx, request)
@@ -353,11 +353,11 @@
 // Report takes a server's report. It returns once what is new in it is committed. It fails with
 // fault.InvalidArgument for a report that names no server to use.
 func (c *Coordinator) Report(ctx context.Context, server *rockwindpb.Server) error {
-	if err := directory.CheckReport(server); err != nil {
+	if err := directory.ValidateReport(server); err != nil {
 		return err
 	}
 	if c.outside() {
-		if known := c.followed(); known != nil && !known.directory.Changes(server) {
+		if known := c.followed(); known != nil && !known.directory.WouldChange(server) {
 			c.live.note(server.GetId(), time.Now())
 			return nil
 		}
@@ -370,7 +370,7 @@
 	if err != nil {
 		return err
 	}
-	if view.directory.Changes(server) {
+	if view.directory.WouldChange(server) {
 		command := c.admission(view, server)
 		if err := c.change(ctx, command); err != nil {
 			return err
--- a/internal/coordinator/incarnations.go
+++ b/internal/coordinator/incarnations.go
@@ -53,9 +53,9 @@
 	if c.identifier == nil {
 		return &rockwindpb.DirectoryCommand{Command: &rockwindpb.DirectoryCommand_Report{Report: report}}
 	}
-	holders := view.directory.Holders(report)
+	holders := view.directory.ConflictingWith(report)
 	if len(holders) == 0 {
-		return directory.Admit(report, nil, directory.Identity{})
+		return directory.ReportCommand(report, nil, directory.Identity{})
 	}
 	// Reports that were held back arrive together: one question serves them all. It tells of
 	// the holders from before it was asked, and not of those that a later caller knows.
@@ -63,7 +63,7 @@
 		return answered{identity: c.identify(view, report), holders: holders}, nil
 	})
 	answer, _ := shared.(answered)
-	command := directory.Admit(report, answer.holders, answer.identity)
+	command := directory.ReportCommand(report, answer.holders, answer.identity)
 	recordIdentity(append(slices.Clone(answer.holders), report), answer.identity, command)
 	return command
 }
@@ -96,10 +96,10 @@
 		return
 	}
 	var asks sync.WaitGroup
-	for _, contest := range c.identities.due(view.directory.Contests(), now) {
+	for _, contest := range c.identities.due(view.directory.AddressConflicts(), now) {
 		asks.Go(func() {
 			identity := c.identify(view, contest[0])
-			command := directory.Settle(contest, identity)
+			command := directory.ResolveConflict(contest, identity)
 			recordIdentity(contest, identity, command)
 			if command == nil {
 				return
@@ -145,7 +145,7 @@
 	}
 	ended := append(slices.Clone(command.GetSuccession().GetEnded()), command.GetLeave().GetId())
 	decision.Default.Record(decision.AddressAsked, incarnations[0].GetAddress(), log.Fields{
-		"incarnations": known, "found": identity.Found, "denied": identity.Denied, "ended": slices.DeleteFunc(ended, isEmpty),
+		"incarnations": known, "found": identity.Found, "denied": identity.Rejected, "ended": slices.DeleteFunc(ended, isEmpty),
 	})
 }
 
--- a/internal/coordinator/keeper.go
+++ b/internal/coordinator/keeper.go
@@ -151,7 +151,7 @@
 
 // foundStores decides the founding of the stores' cluster once.
 func (c *Coordinator) foundStores(ctx context.Context, view *directory.View, now time.Time) {
-	founding := directory.PlanStores(view, site.Places(c.settings), now)
+	founding := directory.PlanStoreCluster(view, site.Places(c.settings), now)
 	if founding == nil {
 		return
 	}
--- a/internal/coordinator/members_test.go
+++ b/internal/coordinator/members_test.go
@@ -58,7 +58,7 @@
 			if _, err := c.Apply(ctx, &rockwindpb.ApplyConfigurationRequest{Configuration: configuration}); err != nil {
 				return err
 			}
-			newest, err := c.Newest(ctx)
+			newest, err := c.LatestConfiguration(ctx)
 			if err == nil && newest.GetConfiguration().GetNumber() != number {
 				return fmt.Errorf("the newest configuration is %d", newest.GetConfiguration().GetNumber())
 			}
@@ -199,7 +199,7 @@
 		ctx, cancel := context.WithTimeout(s.t.Context(), callPatience)
 		defer cancel()
 		began := time.Now()
-		_, err := outside[0].coordinator.Newest(ctx)
+		_, err := outside[0].coordinator.LatestConfiguration(ctx)
 		took, calls := time.Since(began), s.links.takeCalls()
 		s.t.Logf("refused after %v and %d calls: %v", took, calls, err)
 		if !fault.Is(err, fault.Unavailable) || took > time.Second || calls > 2*passTries {
@@ -304,7 +304,7 @@
 		return err
 	}
 	read := func(ctx context.Context, c *Coordinator) error {
-		_, err := c.Newest(ctx)
+		_, err := c.LatestConfiguration(ctx)
 		return err
 	}
 	for name, test := range map[string]struct {
--- a/internal/directory/change.go
+++ b/internal/directory/change.go
@@ -18,11 +18,11 @@
 // Servers lists the entries that are new or other than before, by identifier.
 func (c Change) Servers() []*rockwindpb.Server { return c.servers }
 
-// Left lists the entries of before that are no more, by identifier.
-func (c Change) Left() []*rockwindpb.Server { return c.left }
+// Removed lists the entries of before that are no more, by identifier.
+func (c Change) Removed() []*rockwindpb.Server { return c.left }
 
-// Machines tells whether any machine is new, other than before or no more.
-func (c Change) Machines() bool { return c.machines }
+// MachinesChanged tells whether any machine is new, other than before or no more.
+func (c Change) MachinesChanged() bool { return c.machines }
 
 // ChangeFrom compares the view with one before that the same watcher held, nil for an empty
 // one. It looks at what has changed; where entries may have left meanwhile, at each of them.
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -79,9 +79,9 @@
 	}
 }
 
-// Changes tells whether a report would change the directory. A report that
+// WouldChange tells whether a report would change the directory. A report that
 // would not needs no entry in the log.
-func (v *View) Changes(report *rockwindpb.Server) bool {
+func (v *View) WouldChange(report *rockwindpb.Server) bool {
 	return changes(v.servers.get(report.GetId()), report)
 }
 
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -104,11 +104,11 @@
 	start := time.UnixMilli(10_000)
 	for i := range 3 {
 		d.Apply(announce(fmt.Sprintf("s%d", i), role, uint64(i+1), start.UnixMilli()))
-		if directory.PlanStores(d.View(), 3, start.Add(directory.FoundingSettle-time.Millisecond)) != nil {
+		if directory.PlanStoreCluster(d.View(), 3, start.Add(directory.FoundingQuietPeriod-time.Millisecond)) != nil {
 			t.Fatal("founded before the stores have settled")
 		}
 	}
-	founding := directory.PlanStores(d.View(), 3, start.Add(directory.FoundingSettle))
+	founding := directory.PlanStoreCluster(d.View(), 3, start.Add(directory.FoundingQuietPeriod))
 	if len(founding.GetGroups()) != 3 {
 		t.Fatalf("%v", founding)
 	}
@@ -117,7 +117,7 @@
 			t.Fatalf("%v", group)
 		}
 	}
-	if !proto.Equal(founding, directory.PlanStores(d.View(), 3, start.Add(time.Hour))) {
+	if !proto.Equal(founding, directory.PlanStoreCluster(d.View(), 3, start.Add(time.Hour))) {
 		t.Fatal("the same stores make another cluster")
 	}
 	found := &rockwindpb.DirectoryCommand{Command: &rockwindpb.DirectoryCommand_FoundStores{FoundStores: founding}}
@@ -128,7 +128,7 @@
 	if got := d.View().StoreCluster().GetClusterId(); got != founding.GetClusterId() {
 		t.Fatalf("a second founding made %s", got)
 	}
-	if directory.PlanStores(d.View(), 3, start.Add(time.Hour)) != nil {
+	if directory.PlanStoreCluster(d.View(), 3, start.Add(time.Hour)) != nil {
 		t.Fatal("founded twice")
 	}
 }
@@ -137,10 +137,10 @@
 	d := directory.New()
 	start := time.UnixMilli(10_000)
 	d.Apply(announce("s0", rockwindpb.SiteRole_SITE_ROLE_STORE, 1, start.UnixMilli()))
-	if directory.PlanStores(d.View(), 3, start.Add(directory.FoundingPatience-time.Millisecond)) != nil {
+	if directory.PlanStoreCluster(d.View(), 3, start.Add(directory.FoundingTimeout-time.Millisecond)) != nil {
 		t.Fatal("founded with one store of three at once")
 	}
-	if directory.PlanStores(d.View(), 3, start.Add(directory.FoundingPatience)) == nil {
+	if directory.PlanStoreCluster(d.View(), 3, start.Add(directory.FoundingTimeout)) == nil {
 		t.Fatal("never founded")
 	}
 }
@@ -217,7 +217,7 @@
 	for i := range 3 {
 		d.Apply(announce(fmt.Sprintf("s%d", i), rockwindpb.SiteRole_SITE_ROLE_STORE, uint64(i+1), start.UnixMilli()))
 	}
-	founding := directory.PlanStores(d.View(), 3, start.Add(directory.FoundingSettle))
+	founding := directory.PlanStoreCluster(d.View(), 3, start.Add(directory.FoundingQuietPeriod))
 	d.Apply(&rockwindpb.DirectoryCommand{Command: &rockwindpb.DirectoryCommand_FoundStores{FoundStores: founding}})
 	held := directory.Merge(nil, d.View().Since(0, ""))
 	d.Apply(report("a", "x", ready, 1))
@@ -243,7 +243,7 @@
 	}
 	d.Apply(silence("silent"))
 	for id, want := range map[string]bool{"left": false, "drained": false, "replaced": true, "silent": true, "serves": false, "unknown": false} {
-		if got := d.View().Ended(id); got != want {
+		if got := d.View().Lost(id); got != want {
 			t.Errorf("%s ended without leaving: %v", id, got)
 		}
 	}
--- a/internal/directory/ending.go
+++ b/internal/directory/ending.go
@@ -6,24 +6,24 @@
 // answer before it counts as ended: one may be lost.
 const unansweredToEnd = 2
 
-// Ending is what is known of the end of an incarnation whose connection broke off.
-type Ending int
+// Termination is what is known of the end of an incarnation whose connection broke off.
+type Termination int
 
 // What can be known.
 const (
-	// EndingUnclear: nothing shows yet that it has ended, or that it lives.
-	EndingUnclear Ending = iota
-	// EndingInDoubt: it is silent, or another one is known at its address, which is to be asked.
-	EndingInDoubt
-	// EndingCertain: it has ended without having said that it leaves.
-	EndingCertain
-	// EndingDenied: it lives, and the connection broke off for another reason.
-	EndingDenied
+	// TerminationUnknown: nothing shows yet that it has ended, or that it lives.
+	TerminationUnknown Termination = iota
+	// TerminationSuspected: it is silent, or another one is known at its address, which is to be asked.
+	TerminationSuspected
+	// TerminationConfirmed: it has ended without having said that it leaves.
+	TerminationConfirmed
+	// TerminationRefuted: it lives, and the connection broke off for another reason.
+	TerminationRefuted
 )
 
-// Inquiry is what the address of an incarnation answered since its connection broke off. The
+// ProbeHistory is what the address of an incarnation answered since its connection broke off. The
 // zero value tells that it was not asked.
-type Inquiry struct {
+type ProbeHistory struct {
 	itself     bool
 	denied     bool
 	unanswered int
@@ -32,9 +32,9 @@
 // With returns the inquiry after one more question about an incarnation. An answer that names
 // another one without denying this one counts as none: it may be damaged, or somebody else's
 // who takes connections in its place.
-func (i Inquiry) With(id string, identity Identity) Inquiry {
+func (i ProbeHistory) With(id string, identity Identity) ProbeHistory {
 	switch {
-	case identity.Denied == id:
+	case identity.Rejected == id:
 		i.denied = true
 	case identity.Found == id:
 		i.itself = true
@@ -44,26 +44,26 @@
 	return i
 }
 
-// Ending judges by the directory, and by the answers of its address, whether an incarnation
+// Termination judges by the directory, and by the answers of its address, whether an incarnation
 // has ended whose connection broke off. It has where another one has its address. Silence
 // alone shows no end: reports are late where processors or the coordinators are busy. A silent
 // incarnation has ended where its address does not answer for it either, as with a proxy that
 // goes on to take connections, unless most other servers are silent too: then it is the way to
 // them that is disturbed, and only an answer decides.
-func (v *View) Ending(id string, asked Inquiry) Ending {
+func (v *View) Termination(id string, asked ProbeHistory) Termination {
 	switch {
 	case v.Replaced(id) || asked.denied:
-		return EndingCertain
+		return TerminationConfirmed
 	case asked.itself:
-		return EndingDenied
+		return TerminationRefuted
 	case v.contested(id):
-		return EndingInDoubt
-	case !v.Ended(id):
-		return EndingUnclear
+		return TerminationSuspected
+	case !v.Lost(id):
+		return TerminationUnknown
 	case asked.unanswered < unansweredToEnd || v.othersSilent():
-		return EndingInDoubt
+		return TerminationSuspected
 	}
-	return EndingCertain
+	return TerminationConfirmed
 }
 
 // contested tells whether another incarnation is known at the address of one that is not gone:
--- a/internal/directory/ending_test.go
+++ b/internal/directory/ending_test.go
@@ -10,7 +10,7 @@
 
 func TestEndingOfAServerWhoseConnectionBrokeOff(t *testing.T) {
 	itself := directory.Identity{Found: "a"}
-	another := directory.Identity{Found: "b", Denied: "a"}
+	another := directory.Identity{Found: "b", Rejected: "a"}
 	damaged := directory.Identity{Found: "b"}
 	nobody := directory.Identity{}
 	calm := []rockwindpb.ServerState{ready, ready, draining}
@@ -19,27 +19,27 @@
 		replaced bool
 		others   []rockwindpb.ServerState
 		answers  []directory.Identity
-		want     directory.Ending
+		want     directory.Termination
 	}{
-		"it reports":                                  {ready, false, calm, nil, directory.EndingUnclear},
-		"it says that it leaves":                      {draining, false, calm, nil, directory.EndingUnclear},
-		"it left":                                     {gone, false, calm, nil, directory.EndingUnclear},
-		"another incarnation has its address":         {gone, true, calm, nil, directory.EndingCertain},
-		"it is silent":                                {silent, false, calm, nil, directory.EndingInDoubt},
-		"it is silent and answers":                    {silent, false, calm, []directory.Identity{itself}, directory.EndingDenied},
-		"it answers after a question was lost":        {silent, false, calm, []directory.Identity{nobody, itself}, directory.EndingDenied},
-		"it was silent and reports again":             {ready, false, calm, []directory.Identity{nobody}, directory.EndingUnclear},
-		"it reports again after all questions":        {ready, false, calm, []directory.Identity{nobody, nobody}, directory.EndingUnclear},
-		"another one answers":                         {silent, false, calm, []directory.Identity{another}, directory.EndingCertain},
-		"another one answers before it is silent":     {ready, false, calm, []directory.Identity{another}, directory.EndingCertain},
-		"one question has no answer":                  {silent, false, calm, []directory.Identity{nobody}, directory.EndingInDoubt},
-		"a damaged answer":                            {silent, false, calm, []directory.Identity{damaged}, directory.EndingInDoubt},
-		"a proxy takes its connections":               {silent, false, calm, []directory.Identity{nobody, nobody}, directory.EndingCertain},
-		"the same, and some others are silent":        {silent, false, []rockwindpb.ServerState{silent, ready}, []directory.Identity{nobody, nobody}, directory.EndingCertain},
-		"the same, and most others are silent":        {silent, false, []rockwindpb.ServerState{silent, silent, ready}, []directory.Identity{nobody, nobody}, directory.EndingInDoubt},
-		"most others are silent and another answers":  {silent, false, []rockwindpb.ServerState{silent, silent}, []directory.Identity{another}, directory.EndingCertain},
-		"those that are gone are no others":           {silent, false, []rockwindpb.ServerState{gone, gone, silent, ready}, []directory.Identity{nobody, nobody}, directory.EndingCertain},
-		"it is the only one, and a proxy is in place": {silent, false, nil, []directory.Identity{nobody, nobody}, directory.EndingCertain},
+		"it reports":                                  {ready, false, calm, nil, directory.TerminationUnknown},
+		"it says that it leaves":                      {draining, false, calm, nil, directory.TerminationUnknown},
+		"it left":                                     {gone, false, calm, nil, directory.TerminationUnknown},
+		"another incarnation has its address":         {gone, true, calm, nil, directory.TerminationConfirmed},
+		"it is silent":                                {silent, false, calm, nil, directory.TerminationSuspected},
+		"it is silent and answers":                    {silent, false, calm, []directory.Identity{itself}, directory.TerminationRefuted},
+		"it answers after a question was lost":        {silent, false, calm, []directory.Identity{nobody, itself}, directory.TerminationRefuted},
+		"it was silent and reports again":             {ready, false, calm, []directory.Identity{nobody}, directory.TerminationUnknown},
+		"it reports again after all questions":        {ready, false, calm, []directory.Identity{nobody, nobody}, directory.TerminationUnknown},
+		"another one answers":                         {silent, false, calm, []directory.Identity{another}, directory.TerminationConfirmed},
+		"another one answers before it is silent":     {ready, false, calm, []directory.Identity{another}, directory.TerminationConfirmed},
+		"one question has no answer":                  {silent, false, calm, []directory.Identity{nobody}, directory.TerminationSuspected},
+		"a damaged answer":                            {silent, false, calm, []directory.Identity{damaged}, directory.TerminationSuspected},
+		"a proxy takes its connections":               {silent, false, calm, []directory.Identity{nobody, nobody}, directory.TerminationConfirmed},
+		"the same, and some others are silent":        {silent, false, []rockwindpb.ServerState{silent, ready}, []directory.Identity{nobody, nobody}, directory.TerminationConfirmed},
+		"the same, and most others are silent":        {silent, false, []rockwindpb.ServerState{silent, silent, ready}, []directory.Identity{nobody, nobody}, directory.TerminationSuspected},
+		"most others are silent and another answers":  {silent, false, []rockwindpb.ServerState{silent, silent}, []directory.Identity{another}, directory.TerminationConfirmed},
+		"those that are gone are no others":           {silent, false, []rockwindpb.ServerState{gone, gone, silent, ready}, []directory.Identity{nobody, nobody}, directory.TerminationConfirmed},
+		"it is the only one, and a proxy is in place": {silent, false, nil, []directory.Identity{nobody, nobody}, directory.TerminationConfirmed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			response := &rockwindpb.WatchDirectoryResponse{Revision: 1, Full: true}
@@ -47,11 +47,11 @@
 			for position, state := range test.others {
 				response.Servers = append(response.Servers, &rockwindpb.Server{Id: fmt.Sprint("other-", position), Address: fmt.Sprint("address-", position), State: state})
 			}
-			var asked directory.Inquiry
+			var asked directory.ProbeHistory
 			for _, answer := range test.answers {
 				asked = asked.With("a", answer)
 			}
-			if got := directory.Merge(nil, response).Ending("a", asked); got != test.want {
+			if got := directory.Merge(nil, response).Termination("a", asked); got != test.want {
 				t.Errorf("got %v, want %v", got, test.want)
 			}
 		})
@@ -60,14 +60,14 @@
 
 // TestIncarnationWhoseAddressAnotherOneReportsIsAskedFor, before it is silent.
 func TestIncarnationWhoseAddressAnotherOneReportsIsAskedFor(t *testing.T) {
-	for state, want := range map[rockwindpb.ServerState]directory.Ending{ready: directory.EndingInDoubt, gone: directory.EndingUnclear} {
+	for state, want := range map[rockwindpb.ServerState]directory.Termination{ready: directory.TerminationSuspected, gone: directory.TerminationUnknown} {
 		view := directory.Merge(nil, &rockwindpb.WatchDirectoryResponse{Revision: 1, Full: true, Servers: []*rockwindpb.Server{
 			{Id: "a", Address: "address", State: ready}, {Id: "b", Address: "address", State: state},
 		}})
-		if got := view.Ending("a", directory.Inquiry{}); got != want {
+		if got := view.Termination("a", directory.ProbeHistory{}); got != want {
 			t.Errorf("beside one that is %v: got %v, want %v", state, got, want)
 		}
-		if got := view.Ending("a", directory.Inquiry{}.With("a", directory.Identity{Found: "b", Denied: "a"})); got != directory.EndingCertain {
+		if got := view.Termination("a", directory.ProbeHistory{}.With("a", directory.Identity{Found: "b", Rejected: "a"})); got != directory.TerminationConfirmed {
 			t.Errorf("another one answered: got %v", got)
 		}
 	}
--- a/internal/directory/export_test.go
+++ b/internal/directory/export_test.go
@@ -2,6 +2,6 @@
 
 // Its figures that the tests use.
 const (
-	FoundingPatience = foundingPatience
-	FoundingSettle   = foundingSettle
+	FoundingTimeout     = foundingPatience
+	FoundingQuietPeriod = foundingSettle
 )
--- a/internal/directory/incarnations.go
+++ b/internal/directory/incarnations.go
@@ -11,9 +11,9 @@
 type Identity struct {
 	// Found is the identifier of the incarnation that answered, empty where none told it.
 	Found string
-	// Denied is the identifier of one that the address was asked for and does not have,
+	// Rejected is the identifier of one that the address was asked for and does not have,
 	// empty where no other one answered.
-	Denied string
+	Rejected string
 }
 
 // ended returns which of the incarnations at an address have ended. All of them were there
@@ -23,26 +23,26 @@
 	found := slices.ContainsFunc(incarnations, func(each *rockwindpb.Server) bool { return each.GetId() == i.Found })
 	var ended []string
 	for _, each := range incarnations {
-		if (found && each.GetId() != i.Found) || (!found && each.GetId() == i.Denied) {
+		if (found && each.GetId() != i.Found) || (!found && each.GetId() == i.Rejected) {
 			ended = append(ended, each.GetId())
 		}
 	}
 	return ended
 }
 
-// Holders returns the incarnations that may live at the address of a report, by identifier,
+// ConflictingWith returns the incarnations that may live at the address of a report, by identifier,
 // where the report is of an unknown one: whether it is newer or older than they are has to be
 // asked at the address.
-func (v *View) Holders(report *rockwindpb.Server) []*rockwindpb.Server {
+func (v *View) ConflictingWith(report *rockwindpb.Server) []*rockwindpb.Server {
 	if v.servers.get(report.GetId()) != nil {
 		return nil
 	}
 	return v.servers.at(report.GetAddress())
 }
 
-// Admit returns the command for a report. The holders are those from before the address was
+// ReportCommand returns the command for a report. The holders are those from before the address was
 // asked. Where nothing was found out, the reported incarnation is entered beside them.
-func Admit(report *rockwindpb.Server, holders []*rockwindpb.Server, identity Identity) *rockwindpb.DirectoryCommand {
+func ReportCommand(report *rockwindpb.Server, holders []*rockwindpb.Server, identity Identity) *rockwindpb.DirectoryCommand {
 	ended := identity.ended(append(slices.Clone(holders), report))
 	if slices.Contains(ended, report.GetId()) {
 		return &rockwindpb.DirectoryCommand{Command: &rockwindpb.DirectoryCommand_Leave{
@@ -55,9 +55,9 @@
 	}
 }
 
-// Contests returns the addresses of which several incarnations are not gone, those of each by
+// AddressConflicts returns the addresses of which several incarnations are not gone, those of each by
 // identifier. Addresses at which none reports any more are left out.
-func (v *View) Contests() [][]*rockwindpb.Server {
+func (v *View) AddressConflicts() [][]*rockwindpb.Server {
 	var contests [][]*rockwindpb.Server
 	var before *rockwindpb.Server
 	v.servers.here.Scan(func(_ string, server *rockwindpb.Server) bool {
@@ -77,9 +77,9 @@
 	return server.GetState() == rockwindpb.ServerState_SERVER_STATE_READY || server.GetState() == rockwindpb.ServerState_SERVER_STATE_DRAINING
 }
 
-// Settle returns the command that ends those of a contest which were found to have ended, or
+// ResolveConflict returns the command that ends those of a contest which were found to have ended, or
 // nil where none was.
-func Settle(contest []*rockwindpb.Server, identity Identity) *rockwindpb.DirectoryCommand {
+func ResolveConflict(contest []*rockwindpb.Server, identity Identity) *rockwindpb.DirectoryCommand {
 	ended := identity.ended(contest)
 	if len(ended) == 0 {
 		return nil
--- a/internal/directory/incarnations_test.go
+++ b/internal/directory/incarnations_test.go
@@ -18,7 +18,7 @@
 
 // admit applies a report as a coordinator does that got the given answer.
 func admit(d *directory.Directory, report *rockwindpb.Server, identity directory.Identity) {
-	d.Apply(directory.Admit(report, d.View().Holders(report), identity))
+	d.Apply(directory.ReportCommand(report, d.View().ConflictingWith(report), identity))
 }
 
 func stateOf(d *directory.Directory, id string) rockwindpb.ServerState {
@@ -30,12 +30,12 @@
 	d := directory.New()
 	admit(d, reportOf("new", "x", 1), directory.Identity{})
 	for sequence := range uint64(3) {
-		admit(d, reportOf("old", "x", sequence+1), directory.Identity{Found: "new", Denied: "old"})
+		admit(d, reportOf("old", "x", sequence+1), directory.Identity{Found: "new", Rejected: "old"})
 	}
 	if stateOf(d, "new") != ready || stateOf(d, "old") != gone {
 		t.Fatalf("the new one is %v, the old one %v", stateOf(d, "new"), stateOf(d, "old"))
 	}
-	if changes := d.View().Changes(reportOf("old", "x", 9)); changes {
+	if changes := d.View().WouldChange(reportOf("old", "x", 9)); changes {
 		t.Error("a further report of the old one needs a question")
 	}
 }
@@ -44,7 +44,7 @@
 	d := directory.New()
 	admit(d, reportOf("old", "x", 9), directory.Identity{})
 	admit(d, reportOf("new", "x", 1), directory.Identity{Found: "new"})
-	if stateOf(d, "new") != ready || stateOf(d, "old") != gone || !d.View().Ended("old") {
+	if stateOf(d, "new") != ready || stateOf(d, "old") != gone || !d.View().Lost("old") {
 		t.Fatalf("the new one is %v, the old one %v", stateOf(d, "new"), stateOf(d, "old"))
 	}
 }
@@ -52,7 +52,7 @@
 func TestIncarnationsOfAnAddressThatDoesNotAnswerAreKept(t *testing.T) {
 	for name, settled := range map[string]directory.Identity{
 		"found":  {Found: "b"},
-		"denied": {Denied: "a"},
+		"denied": {Rejected: "a"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := directory.New()
@@ -62,17 +62,17 @@
 			if stateOf(d, "a") != ready || stateOf(d, "b") != ready {
 				t.Fatalf("a is %v, b is %v", stateOf(d, "a"), stateOf(d, "b"))
 			}
-			contests := d.View().Contests()
+			contests := d.View().AddressConflicts()
 			if len(contests) != 1 || len(contests[0]) != 2 {
 				t.Fatalf("contests are %v", contests)
 			}
 			for _, nothing := range []directory.Identity{{}, {Found: "never-seen"}} {
-				if command := directory.Settle(contests[0], nothing); command != nil {
+				if command := directory.ResolveConflict(contests[0], nothing); command != nil {
 					t.Fatalf("%v settles by %v", nothing, command)
 				}
 			}
-			d.Apply(directory.Settle(contests[0], settled))
-			if stateOf(d, "a") != gone || stateOf(d, "b") != ready || len(d.View().Contests()) != 0 {
+			d.Apply(directory.ResolveConflict(contests[0], settled))
+			if stateOf(d, "a") != gone || stateOf(d, "b") != ready || len(d.View().AddressConflicts()) != 0 {
 				t.Errorf("a is %v, b is %v", stateOf(d, "a"), stateOf(d, "b"))
 			}
 		})
@@ -84,7 +84,7 @@
 func TestSuccessionOutlivesItsQuestion(t *testing.T) {
 	d := directory.New()
 	admit(d, reportOf("a", "x", 1), directory.Identity{})
-	late := directory.Admit(reportOf("b", "x", 1), d.View().Holders(reportOf("b", "x", 1)), directory.Identity{Found: "b"})
+	late := directory.ReportCommand(reportOf("b", "x", 1), d.View().ConflictingWith(reportOf("b", "x", 1)), directory.Identity{Found: "b"})
 	admit(d, reportOf("c", "x", 1), directory.Identity{Found: "c"})
 	d.Apply(late)
 	if stateOf(d, "a") != gone || stateOf(d, "c") != ready {
@@ -162,9 +162,9 @@
 	case found == expected.GetId():
 		return directory.Identity{Found: found}
 	case tells == 1:
-		return directory.Identity{Denied: expected.GetId()}
+		return directory.Identity{Rejected: expected.GetId()}
 	}
-	return directory.Identity{Found: found, Denied: expected.GetId()}
+	return directory.Identity{Found: found, Rejected: expected.GetId()}
 }
 
 // receive has a coordinator with the given view take a message and ask.
@@ -173,15 +173,15 @@
 	switch {
 	case report == nil:
 		f.pending = append(f.pending, message)
-	case view.Changes(report):
-		f.pending = append(f.pending, directory.Admit(report, view.Holders(report), f.ask(report, tells)))
+	case view.WouldChange(report):
+		f.pending = append(f.pending, directory.ReportCommand(report, view.ConflictingWith(report), f.ask(report, tells)))
 	}
 }
 
 // settle has a leader with the given view ask about contests.
 func (f *fleet) settle(view *directory.View, tells int) {
-	for _, contest := range view.Contests() {
-		if command := directory.Settle(contest, f.ask(contest[0], tells)); command != nil {
+	for _, contest := range view.AddressConflicts() {
+		if command := directory.ResolveConflict(contest, f.ask(contest[0], tells)); command != nil {
 			f.pending = append(f.pending, command)
 		}
 	}
@@ -327,15 +327,15 @@
 func TestQuestionsLeaveTheViewAsItIs(t *testing.T) {
 	d := directory.New()
 	for _, id := range []string{"a", "b", "c"} {
-		d.Apply(directory.Admit(&rockwindpb.Server{Id: id, Address: "at-" + id, State: ready, Sequence: 1}, nil, directory.Identity{}))
+		d.Apply(directory.ReportCommand(&rockwindpb.Server{Id: id, Address: "at-" + id, State: ready, Sequence: 1}, nil, directory.Identity{}))
 	}
 	view := d.View()
 	before := fmt.Sprint(view.Servers())
 	unknown := &rockwindpb.Server{Id: "d", Address: "at-c", State: ready, Sequence: 1}
-	holders := view.Holders(unknown)
-	view.Holders(&rockwindpb.Server{Id: "e", Address: "at-e", State: ready, Sequence: 1})
-	directory.Settle(append(holders, unknown), directory.Identity{Found: "d"})
-	view.Contests()
+	holders := view.ConflictingWith(unknown)
+	view.ConflictingWith(&rockwindpb.Server{Id: "e", Address: "at-e", State: ready, Sequence: 1})
+	directory.ResolveConflict(append(holders, unknown), directory.Identity{Found: "d"})
+	view.AddressConflicts()
 	if after := fmt.Sprint(view.Servers()); after != before {
 		t.Fatalf("the view has %s after the questions, %s before", after, before)
 	}
--- a/internal/directory/plan.go
+++ b/internal/directory/plan.go
@@ -22,10 +22,10 @@
 	largestShard = 5
 )
 
-// PlanStores decides whether the stores' cluster is to be founded now, and of
+// PlanStoreCluster decides whether the stores' cluster is to be founded now, and of
 // which machines. Wanted is how many stores a shard needs to bear the losses
 // that the site tolerates. It returns nil where nothing is to be done.
-func PlanStores(view *View, wanted int, now time.Time) *rockwindpb.FoundRequest {
+func PlanStoreCluster(view *View, wanted int, now time.Time) *rockwindpb.FoundRequest {
 	if view.StoreCluster() != nil {
 		return nil
 	}
--- a/internal/directory/report.go
+++ b/internal/directory/report.go
@@ -7,9 +7,9 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// CheckReport fails with fault.InvalidArgument for a report that names no server to use: it may come
+// ValidateReport fails with fault.InvalidArgument for a report that names no server to use: it may come
 // from another writer, of which nothing is known but that it reached a coordinator.
-func CheckReport(report *rockwindpb.Server) error {
+func ValidateReport(report *rockwindpb.Server) error {
 	switch report.GetState() {
 	case rockwindpb.ServerState_SERVER_STATE_READY, rockwindpb.ServerState_SERVER_STATE_DRAINING:
 	default:
--- a/internal/directory/report_test.go
+++ b/internal/directory/report_test.go
@@ -74,7 +74,7 @@
 // TestReportsThatNameNoServer come from other writers.
 func TestReportsThatNameNoServer(t *testing.T) {
 	good := &rockwindpb.Server{Id: "a", Service: "s", Address: "10.0.0.1:80", State: ready}
-	if err := directory.CheckReport(good); err != nil {
+	if err := directory.ValidateReport(good); err != nil {
 		t.Fatal(err)
 	}
 	for name, spoil := range map[string]func(server *rockwindpb.Server){
@@ -89,7 +89,7 @@
 	} {
 		bad := proto.CloneOf(good)
 		spoil(bad)
-		if err := directory.CheckReport(bad); !fault.Is(err, fault.InvalidArgument) {
+		if err := directory.ValidateReport(bad); !fault.Is(err, fault.InvalidArgument) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -49,9 +49,9 @@
 	return server, server != nil
 }
 
-// Ended tells whether an incarnation ended without having said that it leaves: it is silent,
+// Lost tells whether an incarnation ended without having said that it leaves: it is silent,
 // or another one was found at its address while it was ready.
-func (v *View) Ended(id string) bool {
+func (v *View) Lost(id string) bool {
 	server, known := v.Server(id)
 	return v.Replaced(id) || (known && server.GetState() == rockwindpb.ServerState_SERVER_STATE_SILENT)
 }
--- a/internal/router/continuation.go
+++ b/internal/router/continuation.go
@@ -55,7 +55,7 @@
 	for _, server := range change.Servers() {
 		c.watch.Take(incarnation(c.seen, server.GetId()), incarnation(view, server.GetId()), now)
 	}
-	for _, left := range change.Left() {
+	for _, left := range change.Removed() {
 		c.watch.Take(incarnation(c.seen, left.GetId()), nil, now)
 	}
 	c.seen = view
@@ -75,7 +75,7 @@
 		return nil
 	}
 	server, known := view.Server(id)
-	ended := view.Ended(id)
+	ended := view.Lost(id)
 	if !known || (server.GetState() == rockwindpb.ServerState_SERVER_STATE_GONE && !ended) {
 		return nil
 	}
--- a/internal/router/lookout.go
+++ b/internal/router/lookout.go
@@ -80,7 +80,7 @@
 		case known == nil:
 			return false
 		case reach == upstream.ReachRefused:
-			return known.Ended(id)
+			return known.Lost(id)
 		}
 		return reach == upstream.ReachListens && known.Replaced(id)
 	}
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -25,10 +25,10 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.view = view
-	if change.Machines() || before == nil {
+	if change.MachinesChanged() || before == nil {
 		d.setPeers(view)
 	}
-	for _, left := range change.Left() {
+	for _, left := range change.Removed() {
 		d.drop(left)
 	}
 	for _, server := range change.Servers() {
@@ -126,7 +126,7 @@
 // there. The mutex is held.
 func (d *Dispatcher) nameServers(view *directory.View, change directory.Change) {
 	news := change.Servers()
-	if len(change.Left()) > 0 {
+	if len(change.Removed()) > 0 {
 		// Servers may share a short name.
 		d.servers, d.lefts, news = make(map[uint32]struct{}), make(map[uint32]struct{}), view.Servers()
 	}
--- a/internal/router/witness.go
+++ b/internal/router/witness.go
@@ -144,18 +144,18 @@
 func (w *Witness) noticed(id string) bool {
 	limit := time.NewTimer(noticedWithin)
 	defer limit.Stop()
-	var asked directory.Inquiry
+	var asked directory.ProbeHistory
 	var askedAt time.Time
 	questions := 0
 	for {
 		changed := w.watcher.Changed()
 		var again <-chan time.Time
-		switch w.watcher.Directory().Ending(id, asked) {
-		case directory.EndingCertain:
+		switch w.watcher.Directory().Termination(id, asked) {
+		case directory.TerminationConfirmed:
 			return true
-		case directory.EndingDenied:
+		case directory.TerminationRefuted:
 			return false
-		case directory.EndingInDoubt:
+		case directory.TerminationSuspected:
 			pause := identityPause - time.Since(askedAt)
 			if pause <= 0 && questions < mostQuestions {
 				asked, askedAt = asked.With(id, w.identify(id)), time.Now()
--- a/internal/site/identity.go
+++ b/internal/site/identity.go
@@ -38,7 +38,7 @@
 		defer answer.Body.Close()
 		identity := directory.Identity{Found: answer.Header.Get(foundHeader)}
 		if answer.StatusCode == http.StatusMisdirectedRequest {
-			identity.Denied = expected.GetId()
+			identity.Rejected = expected.GetId()
 		}
 		return identity, nil
 	}
--- a/internal/zonedrain/zonedrain.go
+++ b/internal/zonedrain/zonedrain.go
@@ -107,7 +107,7 @@
 	return slices.SortedFunc(maps.Values(l.drains), func(a, b *rockwindpb.ZoneDrain) int { return cmp.Compare(a.GetZone(), b.GetZone()) })
 }
 
-// Same tells whether two lists drain the same zones.
-func (l *List) Same(other *List) bool {
+// Equal tells whether two lists drain the same zones.
+func (l *List) Equal(other *List) bool {
 	return slices.EqualFunc(l.Drains(), other.Drains(), func(a, b *rockwindpb.ZoneDrain) bool { return proto.Equal(a, b) })
 }
--- a/internal/zonedrain/zonedrain_test.go
+++ b/internal/zonedrain/zonedrain_test.go
@@ -49,7 +49,7 @@
 			before := first.List()
 			first.Apply(command)
 			second.Apply(command)
-			if first.List().Same(before) != (first.List().Revision() == before.Revision()) {
+			if first.List().Equal(before) != (first.List().Revision() == before.Revision()) {
 				t.Fatalf("the revision goes from %d to %d", before.Revision(), first.List().Revision())
 			}
 			if rapid.Bool().Draw(t, "restart") {
