--- a/internal/rateclient/lossy_test.go
+++ b/internal/rateclient/lossy_test.go
@@ -63,7 +63,7 @@
 		}
 		passed := 0
 		ask := func(client *rateclient.Client) {
-			if client.Take(context.Background(), limited, 1, time.Second, rateclient.TakeOptions{}) == nil {
+			if client.Take(context.Background(), limited, 1, time.Second, rateclient.Options{}) == nil {
 				passed++
 			}
 		}
--- a/internal/rateclient/rateclient.go
+++ b/internal/rateclient/rateclient.go
@@ -97,13 +97,13 @@
 	return now.Before(r.until) && waitMs <= r.waitMs
 }
 
-// TakeOptions is how a request goes before others of its tenant. The zero value has it go by its
+// Options is how a request goes before others of its tenant. The zero value has it go by its
 // arrival.
-type TakeOptions struct {
+type Options struct {
 	// Late tells that its answer cannot be in time any more.
 	Late bool
-	// MaxWait is how long it may wait for its turn once it is granted.
-	MaxWait time.Duration
+	// Wait is how long it may wait for its turn once it is granted.
+	Wait time.Duration
 }
 
 // New returns the client of the named router, given how many routers the site has.
@@ -120,14 +120,14 @@
 // number. It fails with fault.LimitReached where the tenant has used it up, and with
 // fault.Unavailable where no owner answers within the patience and the request may not be
 // let through unasked. It returns when the request may go to a server.
-func (c *Client) Take(ctx context.Context, tenant *rockwindpb.Tenant, number uint64, patience time.Duration, turn TakeOptions) error {
+func (c *Client) Take(ctx context.Context, tenant *rockwindpb.Tenant, number uint64, patience time.Duration, turn Options) error {
 	if !limited(tenant) {
 		return nil
 	}
 	request := &rockwindpb.TakeRequestsRequest{
 		Tenant: tenant.GetName(), Configuration: number,
 		RequestsPerSecond: tenant.GetLimits().GetRequestsPerSecond(), RequestBurst: tenant.GetLimits().GetRequestBurst(),
-		Late: turn.Late, WaitMs: uint32(turn.MaxWait.Milliseconds()),
+		Late: turn.Late, WaitMs: uint32(turn.Wait.Milliseconds()),
 	}
 	if comeBack := c.begin(request); comeBack > 0 {
 		return rateExceeded(tenant, comeBack)
--- a/internal/rateclient/rateclient_test.go
+++ b/internal/rateclient/rateclient_test.go
@@ -53,7 +53,7 @@
 	owner := &fakeOwner{answer: refuses}
 	client := newClient(owner, 1)
 	for _, unlimited := range []*rockwindpb.Tenant{nil, {Name: "free"}} {
-		if err := client.Take(t.Context(), unlimited, 1, patience, rateclient.TakeOptions{}); err != nil || len(owner.asked) != 0 {
+		if err := client.Take(t.Context(), unlimited, 1, patience, rateclient.Options{}); err != nil || len(owner.asked) != 0 {
 			t.Fatalf("%v, asked %d times", err, len(owner.asked))
 		}
 	}
@@ -61,7 +61,7 @@
 
 func TestOwnerIsToldTheLimitInForce(t *testing.T) {
 	owner := &fakeOwner{answer: grants}
-	if err := newClient(owner, 1).Take(t.Context(), tenant(), 7, patience, rateclient.TakeOptions{}); err != nil {
+	if err := newClient(owner, 1).Take(t.Context(), tenant(), 7, patience, rateclient.Options{}); err != nil {
 		t.Fatal(err)
 	}
 	if got := owner.asked[0]; got.GetRequestsPerSecond() != 2 || got.GetRequestBurst() != 3 || got.GetConfiguration() != 7 {
@@ -76,7 +76,7 @@
 		owner := &fakeOwner{answer: refuses}
 		client := newClient(owner, 1)
 		for range 50 {
-			err := client.Take(t.Context(), tenant(), 1, patience, rateclient.TakeOptions{})
+			err := client.Take(t.Context(), tenant(), 1, patience, rateclient.Options{})
 			failure := fault.From(err)
 			if failure == nil || failure.Kind != fault.LimitReached || failure.Ran != fault.NotRun || failure.RetryAfter <= 0 {
 				t.Fatal(err)
@@ -88,7 +88,7 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 		owner.answer = grants
-		if err := client.Take(t.Context(), tenant(), 1, patience, rateclient.TakeOptions{}); err != nil {
+		if err := client.Take(t.Context(), tenant(), 1, patience, rateclient.Options{}); err != nil {
 			t.Fatal(err)
 		}
 		if told := owner.asked[1].GetRefused(); told != 49 {
@@ -103,29 +103,29 @@
 		owner := &fakeOwner{answer: silent}
 		client := newClient(owner, 1)
 		began := time.Now()
-		if err := client.Take(t.Context(), tenant(), 1, patience, rateclient.TakeOptions{}); err != nil {
+		if err := client.Take(t.Context(), tenant(), 1, patience, rateclient.Options{}); err != nil {
 			t.Fatal(err)
 		}
 		if waited := time.Since(began); waited != patience {
 			t.Fatalf("it waited %v", waited)
 		}
-		err := client.Take(t.Context(), tenant(), 1, patience, rateclient.TakeOptions{})
+		err := client.Take(t.Context(), tenant(), 1, patience, rateclient.Options{})
 		if failure := fault.From(err); failure == nil || failure.Kind != fault.Unavailable || failure.Ran != fault.NotRun || failure.RetryAfter <= 0 {
 			t.Fatalf("the second one: %v", err)
 		}
 		time.Sleep(5 * time.Second)
-		if err := client.Take(t.Context(), tenant(), 1, patience, rateclient.TakeOptions{}); err != nil {
+		if err := client.Take(t.Context(), tenant(), 1, patience, rateclient.Options{}); err != nil {
 			t.Fatalf("one more after the window: %v", err)
 		}
 		owner.answer = grants
-		if err := client.Take(t.Context(), tenant(), 1, patience, rateclient.TakeOptions{}); err != nil {
+		if err := client.Take(t.Context(), tenant(), 1, patience, rateclient.Options{}); err != nil {
 			t.Fatal(err)
 		}
 		last := owner.asked[len(owner.asked)-1]
 		if passed, withheld := last.GetPassed(), last.GetWithheld(); !slices.Equal(passed, []uint64{1, 3}) || !slices.Equal(withheld, []uint64{2}) {
 			t.Fatalf("the owner was told of %v let through and %v withheld", passed, withheld)
 		}
-		if err := client.Take(t.Context(), tenant(), 1, patience, rateclient.TakeOptions{}); err != nil || len(owner.asked[len(owner.asked)-1].GetPassed()) != 0 {
+		if err := client.Take(t.Context(), tenant(), 1, patience, rateclient.Options{}); err != nil || len(owner.asked[len(owner.asked)-1].GetPassed()) != 0 {
 			t.Fatalf("%v, the owner was told of them again", err)
 		}
 	})
@@ -140,13 +140,13 @@
 			return &rockwindpb.TakeRequestsResponse{Granted: true, Remaining: 200}, nil
 		}}
 		client := newClient(owner, 20)
-		if err := client.Take(t.Context(), large, 1, patience, rateclient.TakeOptions{}); err != nil {
+		if err := client.Take(t.Context(), large, 1, patience, rateclient.Options{}); err != nil {
 			t.Fatal(err)
 		}
 		owner.answer = silent
 		passed := 0
 		for range 30 {
-			if client.Take(t.Context(), large, 1, patience, rateclient.TakeOptions{}) == nil {
+			if client.Take(t.Context(), large, 1, patience, rateclient.Options{}) == nil {
 				passed++
 			}
 		}
@@ -164,7 +164,7 @@
 		passed := 0
 		for number := range routers {
 			client := rateclient.New(&fakeOwner{answer: silent}, fmt.Sprint("router-", number), func() int { return routers })
-			if client.Take(t.Context(), tenant(), 1, patience, rateclient.TakeOptions{}) == nil {
+			if client.Take(t.Context(), tenant(), 1, patience, rateclient.Options{}) == nil {
 				passed++
 			}
 		}
@@ -180,7 +180,7 @@
 	client.Refund(tenant())
 	client.Refund(nil)
 	for _, want := range []uint32{1, 0} {
-		if err := client.Take(t.Context(), tenant(), 1, patience, rateclient.TakeOptions{}); err != nil {
+		if err := client.Take(t.Context(), tenant(), 1, patience, rateclient.Options{}); err != nil {
 			t.Fatal(err)
 		}
 		if got := owner.asked[len(owner.asked)-1].GetReturned(); got != want {
--- a/internal/rateclient/turn_test.go
+++ b/internal/rateclient/turn_test.go
@@ -21,7 +21,7 @@
 		owner := &fakeOwner{answer: ahead}
 		client := newClient(owner, 1)
 		began := time.Now()
-		if err := client.Take(t.Context(), tenant(), 1, patience, rateclient.TakeOptions{MaxWait: 75 * time.Millisecond}); err != nil || time.Since(began) != 60*time.Millisecond {
+		if err := client.Take(t.Context(), tenant(), 1, patience, rateclient.Options{Wait: 75 * time.Millisecond}); err != nil || time.Since(began) != 60*time.Millisecond {
 			t.Fatalf("%v after %v", err, time.Since(began))
 		}
 		if owner.asked[0].GetWaitMs() != 75 || owner.asked[0].GetLate() {
@@ -36,11 +36,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		owner := &fakeOwner{answer: ahead}
 		client := newClient(owner, 1)
-		go func() {
-			_ = client.Take(t.Context(), tenant(), 1, patience, rateclient.TakeOptions{MaxWait: time.Second})
-		}()
+		go func() { _ = client.Take(t.Context(), tenant(), 1, patience, rateclient.Options{Wait: time.Second}) }()
 		time.Sleep(30 * time.Millisecond)
-		_ = client.Take(t.Context(), tenant(), 1, patience, rateclient.TakeOptions{MaxWait: time.Second})
+		_ = client.Take(t.Context(), tenant(), 1, patience, rateclient.Options{Wait: time.Second})
 		if next := owner.asked[1]; next.GetRemaining() != 0 || next.GetRemainingAgeMs() != 0 {
 			t.Fatalf("the next owner is told %v", next)
 		}
@@ -54,11 +52,11 @@
 		client := newClient(owner, 1)
 		leaving, leave := context.WithTimeout(t.Context(), 20*time.Millisecond)
 		defer leave()
-		err := client.Take(leaving, tenant(), 1, patience, rateclient.TakeOptions{MaxWait: time.Second})
+		err := client.Take(leaving, tenant(), 1, patience, rateclient.Options{Wait: time.Second})
 		if failure := fault.From(err); failure == nil || failure.Ran != fault.NotRun {
 			t.Fatalf("it ends with %v", err)
 		}
-		_ = client.Take(t.Context(), tenant(), 1, patience, rateclient.TakeOptions{})
+		_ = client.Take(t.Context(), tenant(), 1, patience, rateclient.Options{})
 		if owner.asked[1].GetReturned() != 1 {
 			t.Fatalf("the owner is told %v", owner.asked[1])
 		}
@@ -71,18 +69,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		owner := &fakeOwner{answer: refuses}
 		client := newClient(owner, 1)
-		late := rateclient.TakeOptions{Late: true}
+		late := rateclient.Options{Late: true}
 		for range 3 {
 			if client.Take(t.Context(), tenant(), 1, patience, late) == nil {
 				t.Fatal("granted")
 			}
 		}
 		owner.answer = grants
-		if err := client.Take(t.Context(), tenant(), 1, patience, rateclient.TakeOptions{}); err != nil || len(owner.asked) != 2 {
+		if err := client.Take(t.Context(), tenant(), 1, patience, rateclient.Options{}); err != nil || len(owner.asked) != 2 {
 			t.Fatalf("%v after %d questions", err, len(owner.asked))
 		}
 		owner.answer = refuses
-		_ = client.Take(t.Context(), tenant(), 1, patience, rateclient.TakeOptions{})
+		_ = client.Take(t.Context(), tenant(), 1, patience, rateclient.Options{})
 		time.Sleep(90 * time.Millisecond)
 		if client.Take(t.Context(), tenant(), 1, patience, late) == nil || len(owner.asked) != 3 {
 			t.Fatalf("a late one is asked for although one in time was refused: %d questions", len(owner.asked))
@@ -99,7 +97,7 @@
 			wait  time.Duration
 			asked int
 		}{{20 * time.Millisecond, 1}, {20 * time.Millisecond, 1}, {0, 1}, {60 * time.Millisecond, 2}, {40 * time.Millisecond, 2}} {
-			if client.Take(t.Context(), tenant(), 1, patience, rateclient.TakeOptions{MaxWait: each.wait}) == nil || len(owner.asked) != each.asked {
+			if client.Take(t.Context(), tenant(), 1, patience, rateclient.Options{Wait: each.wait}) == nil || len(owner.asked) != each.asked {
 				t.Fatalf("with a wait of %v the owner is asked %d times, not %d", each.wait, len(owner.asked), each.asked)
 			}
 		}
--- a/internal/returning/returning.go
+++ b/internal/returning/returning.go
@@ -38,21 +38,19 @@
 	return left <= 0 || left >= time.Duration(wholePart*float64(whole))
 }
 
-// Capacity is how fast servers become free.
-type Capacity struct {
+// Rate is how fast servers become free.
+type Rate struct {
 	slots   int
 	holding time.Duration
 }
 
-// NewCapacity returns the room of servers that together run so many requests at once, each for as
+// NewRate returns the room of servers that together run so many requests at once, each for as
 // long as holding.
-func NewCapacity(slots int, holding time.Duration) Capacity {
-	return Capacity{slots: slots, holding: holding}
-}
+func NewRate(slots int, holding time.Duration) Rate { return Rate{slots: slots, holding: holding} }
 
 // EstimateWait is when a request gets room that has so many others before it. It is zero where the
 // servers do not say how many requests they run.
-func (r Capacity) EstimateWait(ahead int) time.Duration {
+func (r Rate) EstimateWait(ahead int) time.Duration {
 	if r.slots == 0 {
 		return 0
 	}
--- a/internal/returning/returning_test.go
+++ b/internal/returning/returning_test.go
@@ -23,10 +23,10 @@
 }
 
 func TestRoomComesWithWhatEnds(t *testing.T) {
-	if after := returning.NewCapacity(20, 100*time.Millisecond).EstimateWait(39); after != 200*time.Millisecond {
+	if after := returning.NewRate(20, 100*time.Millisecond).EstimateWait(39); after != 200*time.Millisecond {
 		t.Fatalf("room behind 39 others comes after %v", after)
 	}
-	if after := returning.NewCapacity(0, time.Second).EstimateWait(1000); after != 0 {
+	if after := returning.NewRate(0, time.Second).EstimateWait(1000); after != 0 {
 		t.Fatalf("where slots are not known a wait of %v is expected", after)
 	}
 }
@@ -52,7 +52,7 @@
 // that are refused come back as told; at no time do more come than a tenth of a second has
 // places for beyond the new ones.
 func TestReturnersMeetRoomAndNotEachOther(t *testing.T) {
-	room := returning.NewCapacity(20, 100*time.Millisecond)
+	room := returning.NewRate(20, 100*time.Millisecond)
 	var promises returning.PendingRetries
 	arrivals := make(map[int]int)
 	for i := range 100 {
--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -258,12 +258,12 @@
 }
 
 // turn is how the request goes before others of its tenant now.
-func (e *exchange) turn() rateclient.TakeOptions {
+func (e *exchange) turn() rateclient.Options {
 	if e.route.GetGoalMs() == 0 || !e.router.gates.On(gate.Returns) {
-		return rateclient.TakeOptions{}
+		return rateclient.Options{}
 	}
 	left := time.Until(e.onTimeUntil())
-	return rateclient.TakeOptions{Late: left <= 0, MaxWait: max(0, min(left, turnWait))}
+	return rateclient.Options{Late: left <= 0, Wait: max(0, min(left, turnWait))}
 }
 
 // awaitRate waits for as long as the refusal of a request says that its tenant's rate needs,
--- a/internal/router/queue.go
+++ b/internal/router/queue.go
@@ -140,9 +140,7 @@
 }
 
 // room is how fast servers become free.
-func (p *servicePool) room() returning.Capacity {
-	return returning.NewCapacity(p.pool.Slots(), p.holding)
-}
+func (p *servicePool) room() returning.Rate { return returning.NewRate(p.pool.Slots(), p.holding) }
 
 // expected is how long a request waits that has so many others before it: until the servers
 // have taken those; and while room has been too little for long enough to show what a tenant
