--- a/internal/loadshare/digest.go
+++ b/internal/loadshare/digest.go
@@ -9,8 +9,8 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// NewDigest lists loads in the order of the servers' hashes, so that equal loads give
-// equal digests.
+// NewDigest builds a digest of loads. Entries are sorted by hash, so equal loads give equal
+// digests.
 func NewDigest(loads map[uint32]balance.SharedLoad) *rockwindpb.LoadDigest {
 	digest := &rockwindpb.LoadDigest{Servers: slices.Sorted(maps.Keys(loads))}
 	for _, server := range digest.GetServers() {
@@ -20,29 +20,29 @@
 		digest.Batch = append(digest.Batch, uint32(load.Batch))
 		digest.Suspects = append(digest.Suspects, uint32(load.Suspects))
 	}
-	if tellsPace(loads) {
-		addPaces(digest, loads)
+	if includesPaces(loads) {
+		appendPaces(digest, loads)
 	}
 	return digest
 }
 
-// mostPaced is of how many servers a digest tells the paces at most: two sums of so many
-// servers fit in a datagram. Without paces servers count as alike.
-const mostPaced = 400
+// maxPacedServers is the largest number of servers for which a digest carries paces: two sums
+// of that size fit in a datagram. Without paces, receivers treat servers as equally fast.
+const maxPacedServers = 400
 
-// tellsPace tells whether the paces of the servers go into a digest: some are known, and
-// there is room for all. Queues, classes and tenants have none and do not count.
-func tellsPace(loads map[uint32]balance.SharedLoad) bool {
-	paced := 0
+// includesPaces reports whether a digest carries the paces of servers: some are known and all
+// fit. Queues, classes and tenants have no pace and are not counted.
+func includesPaces(loads map[uint32]balance.SharedLoad) bool {
+	pacedCount := 0
 	for _, load := range loads {
 		if load.Pace != (balance.SharedPace{}) {
-			paced++
+			pacedCount++
 		}
 	}
-	return paced > 0 && paced <= mostPaced
+	return pacedCount > 0 && pacedCount <= maxPacedServers
 }
 
-func addPaces(digest *rockwindpb.LoadDigest, loads map[uint32]balance.SharedLoad) {
+func appendPaces(digest *rockwindpb.LoadDigest, loads map[uint32]balance.SharedLoad) {
 	for _, server := range digest.GetServers() {
 		pace := loads[server].Pace
 		digest.ToldPaces = append(digest.ToldPaces, uint32(pace.ReportedSum))
@@ -52,32 +52,32 @@
 	}
 }
 
-// Loads reads the loads of a digest whose lists run beside each other.
+// Loads returns the loads of a digest by hash. The digest's lists must have equal lengths.
 func Loads(digest *rockwindpb.LoadDigest) map[uint32]balance.SharedLoad {
 	loads := make(map[uint32]balance.SharedLoad, len(digest.GetServers()))
 	for i, server := range digest.GetServers() {
 		loads[server] = balance.SharedLoad{
 			Inflight: int(digest.GetInflight()[i]), Unread: int(digest.GetUnread()[i]),
 			Batch: int(digest.GetBatch()[i]), Suspects: int(digest.GetSuspects()[i]),
-			Pace: paceIn(digest, i),
+			Pace: paceAt(digest, i),
 		}
 	}
 	return loads
 }
 
-// paceIn reads the pace of the server at a place of a digest.
-func paceIn(digest *rockwindpb.LoadDigest, place int) balance.SharedPace {
+// paceAt returns the pace of the entry at an index of a digest.
+func paceAt(digest *rockwindpb.LoadDigest, index int) balance.SharedPace {
 	if len(digest.GetToldPaces()) == 0 {
 		return balance.SharedPace{}
 	}
 	return balance.SharedPace{
-		ReportedSum: int(digest.GetToldPaces()[place]), ReportedCount: int(digest.GetToldVoices()[place]),
-		ObservedSum: int(digest.GetSeenPaces()[place]), ObservedCount: int(digest.GetSeenVoices()[place]),
+		ReportedSum: int(digest.GetToldPaces()[index]), ReportedCount: int(digest.GetToldVoices()[index]),
+		ObservedSum: int(digest.GetSeenPaces()[index]), ObservedCount: int(digest.GetSeenVoices()[index]),
 	}
 }
 
-// SumDigest lists what the named processes told and what this one has, with the stamps of
-// the digests that it covers.
+// SumDigest returns the sum of the loads that the named processes reported and this process's
+// own, with the stamps of the digests that it covers.
 func SumDigest(shares *balance.SharedLoads, names []string, own map[uint32]balance.SharedLoad) *rockwindpb.LoadDigest {
 	loads := shares.SumOf(names)
 	for server, load := range own {
@@ -90,8 +90,8 @@
 	return digest
 }
 
-// ApplyDigest has the shares take the loads of the digest of a process, of a group, or of all
-// groups but one.
+// ApplyDigest adds the loads of a received digest to shares. The digest covers a process, a
+// group, or all groups but one.
 func ApplyDigest(shares *balance.SharedLoads, digest *rockwindpb.LoadDigest, loads map[uint32]balance.SharedLoad, now time.Duration) {
 	sender, started, sequence := digest.GetSender(), digest.GetStartedUnixMs(), digest.GetSequence()
 	switch group := digest.GetGroup(); {
--- a/internal/loadshare/fit.go
+++ b/internal/loadshare/fit.go
@@ -8,32 +8,32 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// maximumBytes bounds a datagram; longer ones are passed over.
-const maximumBytes = 16 << 10
+// maxDatagramBytes is the largest datagram that is sent or accepted.
+const maxDatagramBytes = 16 << 10
 
-// DropPriority tells when an entry is left out of a digest that is too long.
+// DropPriority is the order in which entries are removed from an oversized digest.
 type DropPriority int
 
-// The entries of a digest.
+// Drop priorities of digest entries.
 const (
-	// NeverDrop are the loads of servers and queues.
+	// NeverDrop marks loads of servers and queues.
 	NeverDrop DropPriority = iota
-	// DropFirst is what was left behind at servers, which does not count then. It is told
-	// for some seconds after a loss at most.
+	// DropFirst marks requests left behind at servers by processes that are gone. They are
+	// only reported for some seconds after a loss.
 	DropFirst
-	// DropSecond are tenants, whose requests go by arrival then.
+	// DropSecond marks tenants. Without their entries, requests are served in order of arrival.
 	DropSecond
 )
 
-// fit leaves out of a digest what is missed least until it fits in a datagram: first what was
-// left behind at servers, next the entries of tenants, then the paces, without which servers
-// count as alike. What does not fit then is not sent.
-func fit(source Source, digest *rockwindpb.LoadDigest) {
-	for _, left := range []DropPriority{DropFirst, DropSecond} {
+// trimToFit removes the least important parts of a digest until it fits in a datagram: first
+// requests left behind at servers, then tenants, then paces. A digest that still does not fit
+// is not sent.
+func trimToFit(source Source, digest *rockwindpb.LoadDigest) {
+	for _, priority := range []DropPriority{DropFirst, DropSecond} {
 		if fits(digest) {
 			return
 		}
-		leaveOut(digest, func(hash uint32) bool { return source.DropPriority(hash) == left })
+		removeEntries(digest, func(hash uint32) bool { return source.DropPriority(hash) == priority })
 	}
 	if fits(digest) {
 		return
@@ -42,27 +42,27 @@
 }
 
 func fits(digests ...*rockwindpb.LoadDigest) bool {
-	return proto.Size(bundle(digests...)) <= maximumBytes
+	return proto.Size(bundle(digests...)) <= maxDatagramBytes
 }
 
-// leaveOut takes the entries that are spared out of all lists.
-func leaveOut(digest *rockwindpb.LoadDigest, spare func(hash uint32) bool) {
+// removeEntries removes the entries whose hashes match from all lists.
+func removeEntries(digest *rockwindpb.LoadDigest, remove func(hash uint32) bool) {
 	var keep []bool
 	for _, hash := range digest.GetServers() {
-		keep = append(keep, !spare(hash))
+		keep = append(keep, !remove(hash))
 	}
-	digest.Servers = kept(digest.GetServers(), keep)
+	digest.Servers = filter(digest.GetServers(), keep)
 	for _, list := range []*[]uint32{
 		&digest.Inflight, &digest.Unread, &digest.Batch, &digest.Suspects,
 		&digest.ToldPaces, &digest.ToldVoices, &digest.SeenPaces, &digest.SeenVoices,
 	} {
-		*list = kept(*list, keep)
+		*list = filter(*list, keep)
 	}
 }
 
-// kept returns a new list of those to keep of one that runs beside them; an empty one stays
+// filter returns a new list of the elements whose flag in keep is set. An empty list stays
 // empty.
-func kept(list []uint32, keep []bool) []uint32 {
+func filter(list []uint32, keep []bool) []uint32 {
 	var left []uint32
 	for i, each := range list {
 		if keep[i] {
@@ -72,14 +72,14 @@
 	return left
 }
 
-// datagrams sends digests together where they fit in a datagram, else each by itself.
-func datagrams(receivers []netip.AddrPort, outside bool, digests ...*rockwindpb.LoadDigest) []Datagram {
+// datagrams packs digests into one datagram if they fit, else into one datagram each.
+func datagrams(receivers []netip.AddrPort, crossZone bool, digests ...*rockwindpb.LoadDigest) []Datagram {
 	if fits(digests...) {
-		return []Datagram{{Receivers: receivers, Bundle: bundle(digests...), CrossZone: outside}}
+		return []Datagram{{Receivers: receivers, Bundle: bundle(digests...), CrossZone: crossZone}}
 	}
 	var sent []Datagram
 	for _, digest := range digests {
-		sent = append(sent, Datagram{Receivers: receivers, Bundle: bundle(digest), CrossZone: outside})
+		sent = append(sent, Datagram{Receivers: receivers, Bundle: bundle(digest), CrossZone: crossZone})
 	}
 	return sent
 }
--- a/internal/loadshare/history.go
+++ b/internal/loadshare/history.go
@@ -8,11 +8,11 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// historySize is how many of its latest digests a process remembers: several seconds of
-// them, longer than a digest counts.
+// historySize is the number of its own digests that a process keeps: several seconds' worth,
+// longer than receivers keep a digest.
 const historySize = 64
 
-// stamp is a short name of a digest of a single process.
+// stamp returns a short hash that identifies a digest of a single process.
 func stamp(sender string, started int64, sequence uint64) uint32 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(sender)
@@ -24,7 +24,7 @@
 	return uint32(digest.Sum64())
 }
 
-// history holds the latest digests of the process itself.
+// history holds the latest digests that this process sent.
 type history struct {
 	sent []stamped
 }
@@ -34,7 +34,7 @@
 	digest *rockwindpb.LoadDigest
 }
 
-// add remembers a digest that was sent.
+// add appends a digest that was sent.
 func (h *history) add(digest *rockwindpb.LoadDigest) {
 	named := stamp(digest.GetSender(), digest.GetStartedUnixMs(), digest.GetSequence())
 	h.sent = append(h.sent, stamped{stamp: named, digest: digest})
@@ -43,9 +43,9 @@
 	}
 }
 
-// takeOut takes this process's own part out of a sum of its group. A sum that covers
-// none of its digests is left as it is.
-func (h *history) takeOut(sum *rockwindpb.LoadDigest) {
+// subtractOwn subtracts this process's own load from a sum of its group. A sum that covers none
+// of the digests in the history is left unchanged.
+func (h *history) subtractOwn(sum *rockwindpb.LoadDigest) {
 	for _, each := range h.sent {
 		if slices.Contains(sum.GetStamps(), each.stamp) {
 			subtract(sum, each.digest)
@@ -54,36 +54,36 @@
 	}
 }
 
-// subtract takes the loads of a part out of a sum.
+// subtract subtracts the loads of a part from a sum.
 func subtract(sum, part *rockwindpb.LoadDigest) {
-	places := make(map[uint32]int, len(sum.GetServers()))
-	for place, server := range sum.GetServers() {
-		places[server] = place
+	indexes := make(map[uint32]int, len(sum.GetServers()))
+	for index, server := range sum.GetServers() {
+		indexes[server] = index
 	}
 	for i, server := range part.GetServers() {
-		place, found := places[server]
+		index, found := indexes[server]
 		if !found {
 			continue
 		}
-		less(sum.Inflight, place, part.Inflight[i])
-		less(sum.Unread, place, part.Unread[i])
-		less(sum.Batch, place, part.Batch[i])
-		less(sum.Suspects, place, part.Suspects[i])
+		decrease(sum.Inflight, index, part.Inflight[i])
+		decrease(sum.Unread, index, part.Unread[i])
+		decrease(sum.Batch, index, part.Batch[i])
+		decrease(sum.Suspects, index, part.Suspects[i])
 		if len(sum.GetToldPaces()) > 0 && len(part.GetToldPaces()) > 0 {
-			subtractPace(sum, place, part, i)
+			subtractPace(sum, index, part, i)
 		}
 	}
 }
 
-// subtractPace takes the pace of a server at a place of a part out of that in a sum.
-func subtractPace(sum *rockwindpb.LoadDigest, place int, part *rockwindpb.LoadDigest, at int) {
-	less(sum.ToldPaces, place, part.ToldPaces[at])
-	less(sum.ToldVoices, place, part.ToldVoices[at])
-	less(sum.SeenPaces, place, part.SeenPaces[at])
-	less(sum.SeenVoices, place, part.SeenVoices[at])
+// subtractPace subtracts the pace of one server in a part from the sum.
+func subtractPace(sum *rockwindpb.LoadDigest, index int, part *rockwindpb.LoadDigest, partIndex int) {
+	decrease(sum.ToldPaces, index, part.ToldPaces[partIndex])
+	decrease(sum.ToldVoices, index, part.ToldVoices[partIndex])
+	decrease(sum.SeenPaces, index, part.SeenPaces[partIndex])
+	decrease(sum.SeenVoices, index, part.SeenVoices[partIndex])
 }
 
-// less lowers a count, not below zero.
-func less(counts []uint32, place int, by uint32) {
-	counts[place] -= min(counts[place], by)
+// decrease lowers a count, but not below zero.
+func decrease(counts []uint32, index int, by uint32) {
+	counts[index] -= min(counts[index], by)
 }
--- a/internal/loadshare/layout.go
+++ b/internal/loadshare/layout.go
@@ -10,31 +10,28 @@
 )
 
 const (
-	// meshSize is up to how many processes all tell each other of their loads directly.
-	// A site with more of them is divided into the groups of its zones.
+	// meshSize is the largest site in which all processes exchange loads directly. Larger sites
+	// are divided into one group per zone.
 	meshSize = 16
-	// relayCount is how many members of a group may be its delegate: the first of them
-	// that is heard is, and the others know what it knows when it falls silent.
+	// relayCount is the number of relays of a group. The first one that is alive is the group's
+	// delegate; the others receive the same loads and take over when it fails.
 	relayCount = 3
-	// standbyCount is how many other members stand in for the relays while all of these are
-	// silent: as many, so that a zone bears as many losses among them.
+	// standbyCount is the number of members that replace the relays when all of them are silent.
 	standbyCount = 3
-	// standbyVoices is of how many members one has to tell a standby its load, so that it stands in:
-	// members do while they hear no relay. One that alone hears none knows nothing to tell, while in a
-	// zone without relays nearly all of those that run tell it. A third of all stands for a zone
-	// that has lost two thirds of its routers, too.
-	standbyVoices = 3
-	// meshInterval is the time between digests in a mesh, where news that others wait for
-	// are told at once besides.
+	// standbyQuorumDivisor is the part of the members, as a divisor, that must send a standby their
+	// loads before it acts as delegate. Members do so while they hear no relay, so the quorum keeps
+	// a standby that has lost its own connection from acting. A third allows for a zone that has
+	// also lost two thirds of its routers.
+	standbyQuorumDivisor = 3
+	// meshInterval is the time between digests in a mesh. Urgent changes are sent at once.
 	meshInterval = 80 * time.Millisecond
-	// shortestInterval is the time between digests in a small group, and intervalPerMember
-	// lengthens it in large ones, so that a delegate spends the same on digests however many
-	// members there are. 50 members of a zone are told each 100 ms, so that a load is known
-	// in its zone within 200 ms.
-	shortestInterval  = 40 * time.Millisecond
+	// minGroupInterval is the time between digests in a small group. intervalPerMember lengthens
+	// it in larger groups, so that a delegate's cost does not grow with the number of members: a
+	// zone of 50 members has an interval of 100 ms, and a load is known in it within 200 ms.
+	minGroupInterval  = 40 * time.Millisecond
 	intervalPerMember = 2 * time.Millisecond
-	// intervalPerGroup is the time between digests of a group to the others, for each of
-	// them: it bounds the bytes that a delegate sends to other zones.
+	// intervalPerGroup is the time between digests to other groups, for each of these groups. It
+	// bounds the traffic of a delegate to other zones.
 	intervalPerGroup = 20 * time.Millisecond
 )
 
@@ -46,53 +43,52 @@
 	rank    int
 }
 
-// NewMember describes a process. Among the members of a group those with the lowest
-// rank are its relays.
+// NewMember describes a process. The members of a group with the lowest ranks are its relays.
 func NewMember(name, zone string, address netip.AddrPort, rank int) Member {
 	return Member{name: name, zone: zone, address: address, rank: rank}
 }
 
-// Name is the machine's name.
+// Name returns the machine's name.
 func (m Member) Name() string { return m.name }
 
-// Zone is the zone that the machine stands in.
+// Zone returns the machine's zone.
 func (m Member) Zone() string { return m.zone }
 
-// Address is where the process takes digests.
+// Address returns the address at which the process receives digests.
 func (m Member) Address() netip.AddrPort { return m.address }
 
-// Layout says whom one process tells of loads. It is immutable.
+// Layout determines to which processes one process sends loads. It is immutable.
 //
-// On a small site all processes tell each other. On a larger one the processes of a zone
-// are a group. Members tell their loads to the relays of the group. The delegate, the
-// first relay that is heard, tells the members the sum of the group and the sum of all
-// other groups, and tells the delegates of the other groups the sum of its own. What a
-// process sends and hears so does not grow with the number of processes, and between
-// zones only delegates talk.
+// On a small site all processes send loads to each other, as a mesh. On a larger site the
+// processes of a zone form a group. Members send their loads to the relays of the group. The
+// delegate, which is the first relay that is alive, sends the members the sum of the group and
+// the sum of all other groups, and sends the sum of its group to the delegates of the other
+// groups. So the traffic of a process does not grow with the number of processes, and only
+// delegates send to other zones.
 //
-// Relays have the lowest ranks, and may all be lost at once. Standbys, drawn by hashing from the
-// other members, take their part while a process hears none of them.
+// Relays have the lowest ranks and may all fail at once. Standbys, selected from the other
+// members by hashes of their names, replace them while a process hears none of them.
 type Layout struct {
 	self    string
 	group   string
 	members []Member
 	relays  []Member
-	// standbys stand in for the relays, the first that is heard before the others.
-	standbys []Member
-	others   []Group
+	// standbys replace silent relays, in order of preference.
+	standbys    []Member
+	otherGroups []Group
 }
 
-// Group is another group than the process's own.
+// Group is a group other than the process's own.
 type Group struct {
 	name     string
 	relays   []Member
 	standbys []Member
 }
 
-// candidates are the members that may be the group's delegate.
+// candidates returns the members that may be the group's delegate.
 func (g Group) candidates() []Member { return slices.Concat(g.relays, g.standbys) }
 
-// candidate returns the one of a name among those that may be the group's delegate.
+// candidate returns the named candidate.
 func (g Group) candidate(name string) (Member, bool) {
 	for _, each := range g.candidates() {
 		if each.name == name {
@@ -102,8 +98,8 @@
 	return Member{}, false
 }
 
-// NewLayout returns the layout of the named process among the members of a site. All
-// processes with the same members get the same groups.
+// NewLayout returns the layout of the named process among the members of a site. Processes with
+// the same list of members compute the same groups.
 func NewLayout(members []Member, self string) *Layout {
 	sorted := slices.Clone(members)
 	slices.SortFunc(sorted, func(a, b Member) int {
@@ -126,37 +122,37 @@
 	return layout
 }
 
-// addZone makes the members of a zone a group: that of the process itself, or another.
+// addZone adds the members of a zone as the process's own group or as another one.
 func (l *Layout) addZone(zone string, members []Member) {
 	relays := members[:min(relayCount, len(members))]
-	standbys := drawStandbys(members[len(relays):])
+	standbys := selectStandbys(members[len(relays):])
 	if slices.ContainsFunc(members, l.isSelf) {
 		l.group, l.members, l.relays, l.standbys = zone, members, relays, standbys
 		return
 	}
-	l.others = append(l.others, Group{name: zone, relays: relays, standbys: standbys})
+	l.otherGroups = append(l.otherGroups, Group{name: zone, relays: relays, standbys: standbys})
 }
 
-// drawStandbys draws the standbys of a group from its members without the relays, by the
-// hashes of their names: all processes draw the same, and one that comes or goes changes
-// one of them at most.
-func drawStandbys(members []Member) []Member {
-	drawn := slices.Clone(members)
-	slices.SortFunc(drawn, func(a, b Member) int {
+// selectStandbys selects the standbys of a group from its members other than relays, by hashes of
+// their names. All processes select the same ones, and a member that joins or leaves changes at
+// most one of them.
+func selectStandbys(members []Member) []Member {
+	ordered := slices.Clone(members)
+	slices.SortFunc(ordered, func(a, b Member) int {
 		return cmp.Or(cmp.Compare(xxhash.Sum64String(a.name), xxhash.Sum64String(b.name)), cmp.Compare(a.name, b.name))
 	})
-	return drawn[:min(standbyCount, len(drawn))]
+	return ordered[:min(standbyCount, len(ordered))]
 }
 
 func (l *Layout) isSelf(member Member) bool { return member.name == l.self }
 
-// Mesh tells whether all processes tell each other directly.
+// Mesh reports whether all processes send to each other directly.
 func (l *Layout) Mesh() bool { return len(l.relays) == 0 }
 
-// Group names this process's group, empty in a mesh.
+// Group returns the name of this process's group. It is empty in a mesh.
 func (l *Layout) Group() string { return l.group }
 
-// Members lists the names of the group's members, this process included, by rank.
+// Members returns the names of the group's members by rank, including this process.
 func (l *Layout) Members() []string {
 	names := make([]string, 0, len(l.members))
 	for _, member := range l.members {
@@ -165,8 +161,8 @@
 	return names
 }
 
-// Receivers are the addresses of those that this process tells of its own load: the relays of
-// its group, and the standbys while the relays are silent.
+// Receivers returns the addresses to which this process sends its own load: the relays of its
+// group, and also the standbys while the relays are silent.
 func (l *Layout) Receivers(relaysSilent bool) []netip.AddrPort {
 	switch {
 	case l.Mesh():
@@ -177,14 +173,14 @@
 	return l.except(l.relays)
 }
 
-// MemberAddresses are the addresses of those that the delegate tells of all loads: the other
-// members of its group.
+// MemberAddresses returns the addresses of the other members of the group, to which the delegate
+// sends all loads.
 func (l *Layout) MemberAddresses() []netip.AddrPort { return l.except(l.members) }
 
-// OtherGroups lists the other groups.
-func (l *Layout) OtherGroups() []Group { return l.others }
+// OtherGroups returns all groups but this process's own.
+func (l *Layout) OtherGroups() []Group { return l.otherGroups }
 
-// except lists the addresses of the given members without this process.
+// except returns the addresses of the given members without this process.
 func (l *Layout) except(members []Member) []netip.AddrPort {
 	addresses := make([]netip.AddrPort, 0, len(members))
 	for _, member := range members {
@@ -195,11 +191,10 @@
 	return addresses
 }
 
-// IsRelay tells whether this process may be the delegate of its group.
+// IsRelay reports whether this process is a relay of its group.
 func (l *Layout) IsRelay() bool { return slices.ContainsFunc(l.relays, l.isSelf) }
 
-// IsDelegate tells whether this process is the delegate of its group: no relay before it
-// is heard.
+// IsDelegate reports whether this process is a relay of its group and no preferred relay is alive.
 func (l *Layout) IsDelegate(heard func(name string) bool) bool {
 	for _, relay := range l.relays {
 		if l.isSelf(relay) {
@@ -212,20 +207,20 @@
 	return false
 }
 
-// IsStandby tells whether this process may stand in for the relays of its group.
+// IsStandby reports whether this process is a standby of its group.
 func (l *Layout) IsStandby() bool { return slices.ContainsFunc(l.standbys, l.isSelf) }
 
-// HasStandby tells whether the named process may stand in for the relays of this group.
+// HasStandby reports whether the named process is a standby of this group.
 func (l *Layout) HasStandby(name string) bool {
 	return slices.ContainsFunc(l.standbys, func(m Member) bool { return m.name == name })
 }
 
-// IsActingDelegate tells whether this process is the delegate of its group while the relays are
-// silent: no standby before it is heard, and enough members tell it their load.
+// IsActingDelegate reports whether this process replaces the silent relays of its group: no
+// preferred standby is alive, and a quorum of members sends it loads.
 func (l *Layout) IsActingDelegate(heard func(name string) bool) bool {
 	for _, standby := range l.standbys {
 		if l.isSelf(standby) {
-			return l.enoughHeard(heard)
+			return l.hasQuorum(heard)
 		}
 		if heard(standby.name) {
 			return false
@@ -234,34 +229,34 @@
 	return false
 }
 
-// enoughHeard tells whether enough members besides the relays are heard.
-func (l *Layout) enoughHeard(heard func(name string) bool) bool {
+// hasQuorum reports whether enough members other than relays are alive.
+func (l *Layout) hasQuorum(heard func(name string) bool) bool {
 	others := l.members[len(l.relays):]
-	voices := 0
+	alive := 0
 	for _, member := range others {
 		if l.isSelf(member) || heard(member.name) {
-			voices++
+			alive++
 		}
 	}
-	return voices*standbyVoices >= len(others)
+	return alive*standbyQuorumDivisor >= len(others)
 }
 
-// Interval is the time between digests within the group, or the mesh.
+// Interval returns the time between digests within the group or mesh.
 func (l *Layout) Interval() time.Duration {
 	if l.Mesh() {
 		return meshInterval
 	}
-	return max(shortestInterval, time.Duration(len(l.members))*intervalPerMember)
+	return max(minGroupInterval, time.Duration(len(l.members))*intervalPerMember)
 }
 
-// GroupInterval is the time between digests to the other groups.
+// GroupInterval returns the time between digests to the other groups.
 func (l *Layout) GroupInterval() time.Duration {
-	return max(l.Interval(), time.Duration(len(l.others))*intervalPerGroup)
+	return max(l.Interval(), time.Duration(len(l.otherGroups))*intervalPerGroup)
 }
 
-// MaxAge is how old the loads of other processes may be: from a member to its delegate, from
-// there to the other members, and half of the time between groups. It is zero in a mesh,
-// where what others wait for is told at once.
+// MaxAge returns how old the loads of other processes may be: one interval from a member to the
+// delegate, one from there to the other members, and half an interval between groups. It is zero
+// in a mesh, where urgent changes are sent at once.
 func (l *Layout) MaxAge() time.Duration {
 	if l.Mesh() {
 		return 0
--- a/internal/loadshare/layout_test.go
+++ b/internal/loadshare/layout_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// TestStoresAreTheRelays: they have the larger processors.
+// TestStoresAreTheRelays: stores run on larger machines than routers.
 func TestStoresAreTheRelays(t *testing.T) {
 	members := site([]string{"a", "b"}, 4, 20)
 	for _, each := range members {
@@ -48,7 +48,7 @@
 			store = number < 3
 		}
 		if relay != store {
-			t.Fatalf("%s may be the delegate: %v", each.Name(), relay)
+			t.Fatalf("%s is a relay: %v", each.Name(), relay)
 		}
 	}
 }
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -1,8 +1,8 @@
-// Package loadshare carries load digests between the routers and stores of a
-// site. Each process tells several times a second how many requests it has at which
-// server; on a large site delegates sum that up for each zone. All together are the load
-// of the servers, newer than what the servers tell with their answers. A digest is a
-// hint: it may be lost, and nothing waits for it.
+// Package loadshare exchanges load digests between the routers and stores of a site. Each
+// process reports several times a second how many requests it has at which server; on a large
+// site, delegates sum these up per zone. Together they give a more recent load of each server
+// than the servers' own responses. Digests are hints: they may be lost, and nothing waits for
+// them.
 package loadshare
 
 import (
@@ -22,65 +22,64 @@
 )
 
 const (
-	// nudgeSpacing is the least time between digests that are sent out of turn in a mesh.
-	nudgeSpacing = 10 * time.Millisecond
-	// groupNudgeSpacing is the least time between them in a group, whose relays hear them
-	// from all members.
-	groupNudgeSpacing = 50 * time.Millisecond
-	// unsentInterval is the least time between lines in the log of datagrams that were too long.
-	unsentInterval = time.Minute
+	// minTriggerSpacing is the least time before a triggered digest in a mesh.
+	minTriggerSpacing = 10 * time.Millisecond
+	// minGroupTriggerSpacing is the same in a group, whose relays receive the digests of all members.
+	minGroupTriggerSpacing = 50 * time.Millisecond
+	// oversizedLogInterval is the least time between log lines about oversized datagrams.
+	oversizedLogInterval = time.Minute
 )
 
-// Source tells the loads that a process shares, and takes those of others. Its
-// methods may be called by any goroutine.
+// Source provides the loads that a process shares and receives those of others. Its methods must
+// be safe for concurrent use.
 type Source interface {
-	// Own lists what this process has at servers.
+	// Own returns this process's load by server.
 	Own() *rockwindpb.LoadDigest
-	// Sum lists what the named processes, this one included, have there, with the stamps
+	// Sum returns the summed load of the named processes, including this one, with the stamps
 	// of the digests that it covers.
 	Sum(names []string) *rockwindpb.LoadDigest
-	// SumOtherGroups lists what the processes of all groups but the named one have there.
+	// SumOtherGroups returns the summed load of all groups but the named one.
 	SumOtherGroups(group string) *rockwindpb.LoadDigest
-	// Heard tells whether a digest of the named process came lately.
+	// Heard reports whether a digest of the named process was received recently.
 	Heard(name string) bool
-	// DropPriority tells when the entry of a hash is left out of a digest that is too long, as far
-	// as this process knows what it is of.
+	// DropPriority returns when the entry of a hash is removed from an oversized digest, as far
+	// as this process knows what the hash stands for.
 	DropPriority(hash uint32) DropPriority
-	// Take takes the digest of another process or group.
+	// Take receives the digest of another process or group.
 	Take(digest *rockwindpb.LoadDigest)
 }
 
-// Sharer sends this process's digests and receives those of others.
+// Sharer sends this process's digests and receives those of other processes.
 type Sharer struct {
-	started time.Time
-	socket  *net.UDPConn
-	nudges  chan struct{}
-	// layout is the one in force. It is set by callers who may hold locks that the source
-	// takes, so it is not guarded by the mutex.
+	started  time.Time
+	socket   *net.UDPConn
+	triggers chan struct{}
+	// layout is the current layout. Callers that set it may hold locks that the source takes, so
+	// it is not guarded by the mutex.
 	layout atomic.Pointer[Layout]
 
-	// mutex guards the protocol. It is held while the source is called.
+	// mutex guards the protocol. It is held during calls of the source.
 	mutex    sync.Mutex
 	protocol *Protocol
 
-	datagrams, bytes, otherZones, unsent atomic.Uint64
-	// unsentAt is when it was last written that datagrams were too long. Only Run uses it.
-	unsentAt time.Time
-	// missed is what was written last of the relays. Only Run uses it.
-	missed       bool
-	relaysMissed atomic.Bool
+	datagrams, bytes, crossZoneBytes, oversized atomic.Uint64
+	// oversizedLoggedAt is when an oversized datagram was last logged. Only Run uses it.
+	oversizedLoggedAt time.Time
+	// loggedSilent is the relay status that was last logged. Only Run uses it.
+	loggedSilent bool
+	relaysSilent atomic.Bool
 }
 
 // Traffic counts what a process has sent since its start.
 type Traffic struct {
-	// Datagrams is how many were sent, and Bytes how many bytes they carried.
+	// Datagrams and Bytes are the numbers of datagrams sent and of their bytes.
 	Datagrams uint64
 	Bytes     uint64
-	// CrossZoneBytes is how many of the bytes went to other groups.
+	// CrossZoneBytes is the part of Bytes that went to other groups.
 	CrossZoneBytes uint64
-	// Oversized is how many datagrams were not sent as they were too long.
+	// Oversized is the number of datagrams that were too long to send.
 	Oversized uint64
-	// RelaysSilent tells that this process hears no relay of its zone now.
+	// RelaysSilent is set while this process hears no relay of its zone.
 	RelaysSilent bool
 }
 
@@ -88,7 +87,7 @@
 func Open(name, address string) (*Sharer, error) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return nil, errors.Wrap(err, "the address for load digests")
+		return nil, errors.Wrap(err, "parse address for load digests")
 	}
 	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(parsed))
 	if err != nil {
@@ -96,99 +95,98 @@
 	}
 	started := time.Now()
 	created := &Sharer{
-		started: started, socket: socket, nudges: make(chan struct{}, 1),
+		started: started, socket: socket, triggers: make(chan struct{}, 1),
 		protocol: NewProtocol(name, started.UnixMilli()),
 	}
 	created.SetLayout(NewLayout(nil, name))
 	return created, nil
 }
 
-// SetLayout replaces the processes that digests go to.
+// SetLayout replaces the layout.
 func (s *Sharer) SetLayout(layout *Layout) { s.layout.Store(layout) }
 
-// TriggerSend has the digests sent out of turn, soon: others wait for what has changed. It never
-// blocks.
+// TriggerSend sends digests soon instead of at the next interval, because other processes wait
+// for a change. It never blocks.
 func (s *Sharer) TriggerSend() {
 	select {
-	case s.nudges <- struct{}{}:
+	case s.triggers <- struct{}{}:
 	default:
 	}
 }
 
-// TriggerForward has the digests sent out of turn if this process may be its group's delegate:
-// it was told something that others wait for. It never blocks.
+// TriggerForward triggers a send if this process is a relay, after it received a change that
+// other processes wait for. It never blocks.
 func (s *Sharer) TriggerForward() {
 	if s.layout.Load().IsRelay() {
 		s.TriggerSend()
 	}
 }
 
-// Traffic tells what was sent since the start.
+// Traffic returns the counts since the start.
 func (s *Sharer) Traffic() Traffic {
-	return Traffic{Datagrams: s.datagrams.Load(), Bytes: s.bytes.Load(), CrossZoneBytes: s.otherZones.Load(), Oversized: s.unsent.Load(), RelaysSilent: s.relaysMissed.Load()}
+	return Traffic{Datagrams: s.datagrams.Load(), Bytes: s.bytes.Load(), CrossZoneBytes: s.crossZoneBytes.Load(), Oversized: s.oversized.Load(), RelaysSilent: s.relaysSilent.Load()}
 }
 
-// intervals are the time between digests now, and the least time between those that are
-// sent out of turn.
-func (s *Sharer) intervals() (turn, spacing time.Duration) {
+// intervals returns the time between digests, and the least time before a triggered digest.
+func (s *Sharer) intervals() (interval, spacing time.Duration) {
 	layout := s.layout.Load()
-	turn, spacing = layout.Interval(), nudgeSpacing
+	interval, spacing = layout.Interval(), minTriggerSpacing
 	if !layout.Mesh() {
-		spacing = groupNudgeSpacing
+		spacing = minGroupTriggerSpacing
 	}
-	return turn, spacing
+	return interval, spacing
 }
 
-// Run sends what the source tells whenever it has changed, and hands over the
-// digests of others, until the context ends.
+// Run sends digests of the source's loads when they change, and passes received digests to the
+// source, until the context ends.
 func (s *Sharer) Run(ctx context.Context, source Source) error {
 	stop := context.AfterFunc(ctx, func() { _ = s.socket.Close() })
 	defer stop()
 	go s.receive(source)
-	timer := time.NewTimer(shortestInterval)
+	timer := time.NewTimer(minGroupInterval)
 	defer timer.Stop()
 	var sent time.Time
 	for {
-		turn, spacing := s.intervals()
+		interval, spacing := s.intervals()
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-timer.C:
-		case <-s.nudges:
+		case <-s.triggers:
 			retry.Pause(ctx, spacing-time.Since(sent))
 		}
-		timer.Reset(turn)
+		timer.Reset(interval)
 		sent = time.Now()
-		s.takeTurn(source)
+		s.sendDue(source)
 	}
 }
 
-// takeTurn sends what the protocol has to send now.
-func (s *Sharer) takeTurn(source Source) {
+// sendDue sends what the protocol has due.
+func (s *Sharer) sendDue(source Source) {
 	s.mutex.Lock()
 	s.protocol.SetLayout(s.layout.Load())
-	datagrams := s.protocol.Tick(source, time.Since(s.started))
-	missed, standby := s.protocol.RelayStatus()
+	due := s.protocol.Tick(source, time.Since(s.started))
+	silent, standby := s.protocol.RelayStatus()
 	s.mutex.Unlock()
-	s.recordRelays(missed, standby)
-	for _, datagram := range datagrams {
+	s.logRelayStatus(silent, standby)
+	for _, datagram := range due {
 		s.send(datagram)
 	}
 }
 
-// recordRelays writes that the relays of this zone fell silent, or are heard again.
-func (s *Sharer) recordRelays(missed, standby bool) {
-	if missed == s.missed {
+// logRelayStatus logs that the relays of this zone have become silent or are heard again.
+func (s *Sharer) logRelayStatus(silent, standby bool) {
+	if silent == s.loggedSilent {
 		return
 	}
-	s.missed = missed
-	s.relaysMissed.Store(missed)
+	s.loggedSilent = silent
+	s.relaysSilent.Store(silent)
 	line := log.WithField("standby", standby).WithField("zone", s.layout.Load().Group())
-	if missed {
-		line.Warn("no relay of load digests is heard")
+	if silent {
+		line.Warn("no load digests received from any relay of this zone")
 		return
 	}
-	line.Info("a relay of load digests is heard again")
+	line.Info("receiving load digests from a relay of this zone again")
 }
 
 func (s *Sharer) send(datagram Datagram) {
@@ -196,47 +194,46 @@
 	if err != nil {
 		return
 	}
-	if len(encoded) > maximumBytes {
-		s.tooLong(len(encoded))
+	if len(encoded) > maxDatagramBytes {
+		s.recordOversized(len(encoded))
 		return
 	}
 	for _, receiver := range datagram.Receivers {
-		// What cannot be sent is lost, like what is lost on its way.
+		// Datagrams may be lost, so send errors are ignored.
 		_, _ = s.socket.WriteToUDPAddrPort(encoded, receiver)
 	}
-	s.count(datagram, uint64(len(encoded)))
+	s.recordTraffic(datagram, uint64(len(encoded)))
 }
 
-// tooLong counts a datagram that is not sent, and writes so now and then.
-func (s *Sharer) tooLong(size int) {
-	unsent := s.unsent.Add(1)
-	if !s.unsentAt.IsZero() && time.Since(s.unsentAt) < unsentInterval {
+// recordOversized counts a datagram that is too long to send, and logs it at intervals.
+func (s *Sharer) recordOversized(size int) {
+	oversized := s.oversized.Add(1)
+	if !s.oversizedLoggedAt.IsZero() && time.Since(s.oversizedLoggedAt) < oversizedLogInterval {
 		return
 	}
-	s.unsentAt = time.Now()
-	log.WithField("bytes", size).WithField("unsent", unsent).Warn("a load digest is too long for a datagram and is not sent")
+	s.oversizedLoggedAt = time.Now()
+	log.WithField("bytes", size).WithField("unsent", oversized).Warn("load digest exceeds the datagram size limit and was not sent")
 }
 
-// count adds a datagram of the given size to the traffic.
-func (s *Sharer) count(datagram Datagram, size uint64) {
+// recordTraffic adds a datagram of the given size to the traffic counts.
+func (s *Sharer) recordTraffic(datagram Datagram, size uint64) {
 	receivers := uint64(len(datagram.Receivers))
 	s.datagrams.Add(receivers)
 	s.bytes.Add(receivers * size)
 	if datagram.CrossZone {
-		s.otherZones.Add(receivers * size)
+		s.crossZoneBytes.Add(receivers * size)
 	}
 }
 
-// receive takes digests until the socket is closed. Datagrams that are none are
-// passed over.
+// receive processes datagrams until the socket is closed. Invalid ones are ignored.
 func (s *Sharer) receive(source Source) {
-	buffer := make([]byte, maximumBytes+1)
+	buffer := make([]byte, maxDatagramBytes+1)
 	for {
 		n, _, err := s.socket.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil || n > maximumBytes {
+		if err != nil || n > maxDatagramBytes {
 			continue
 		}
 		received := &rockwindpb.LoadBundle{}
--- a/internal/loadshare/pace_test.go
+++ b/internal/loadshare/pace_test.go
@@ -11,45 +11,46 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// busyPace is what processes tell of a server that many of them saw.
+// busyPace is the reported pace of a server that many processes used.
 var busyPace = balance.SharedPace{ReportedSum: 900, ReportedCount: 6, ObservedSum: 2400, ObservedCount: 20}
 
-// TestDigestWithoutPacesIsAsBefore: where no server tells its pace, digests are not longer,
-// and those of processes that know nothing of paces are taken.
-func TestDigestWithoutPacesIsAsBefore(t *testing.T) {
+// TestDigestWithoutPaces checks that digests carry no paces where none are known, and
+// that digests of processes which do not support paces are accepted.
+func TestDigestWithoutPaces(t *testing.T) {
 	loads := map[uint32]balance.SharedLoad{1: {Inflight: 2}, 2: {Unread: 30, Suspects: 1}}
 	digest := loadshare.NewDigest(loads)
 	if len(digest.GetToldPaces()) > 0 || len(digest.GetSeenVoices()) > 0 {
-		t.Errorf("it tells paces: %v", digest)
+		t.Errorf("digest carries paces: %v", digest)
 	}
 	got := loadshare.Loads(digest)
 	if len(got) != len(loads) || got[1] != loads[1] || got[2] != loads[2] {
-		t.Errorf("read as %+v", got)
+		t.Errorf("loads are %+v, want those of the digest", got)
 	}
 }
 
-// TestDigestWithListsOfPacesThatDoNotFitIsPassedOver.
-func TestDigestWithListsOfPacesThatDoNotFitIsPassedOver(t *testing.T) {
+// TestInconsistentPaceListsAreRejected guards against pace lists of other lengths than
+// the list of servers.
+func TestInconsistentPaceListsAreRejected(t *testing.T) {
 	members := site([]string{"a"}, 0, 2)
 	for _, spoil := range []func(digest *rockwindpb.LoadDigest){
 		func(digest *rockwindpb.LoadDigest) { digest.ToldPaces = digest.GetToldPaces()[:1] },
 		func(digest *rockwindpb.LoadDigest) { digest.SeenVoices = nil },
 	} {
 		w := newWorld(1, members)
-		receiver := w.stations[0]
+		receiver := w.processes[0]
 		digest := loadshare.NewDigest(map[uint32]balance.SharedLoad{1: {Inflight: 1, Pace: busyPace}, 2: {Inflight: 1}})
 		spoil(digest)
 		digest.Sender, digest.Sequence, digest.StartedUnixMs = members[1].Name(), 1, 1
 		receiver.protocol.Receive(receiver, &rockwindpb.LoadBundle{Digests: []*rockwindpb.LoadDigest{digest}}, 0)
 		if got := receiver.shares.At(1); got != (balance.SharedLoad{}) {
-			t.Errorf("it was taken: %+v", got)
+			t.Errorf("inconsistent digest was accepted: %+v", got)
 		}
 	}
 }
 
-// TestTwoSumsWithPacesFitInADatagram, whatever the number of servers.
+// TestTwoSumsWithPacesFitInADatagram checks this for any number of servers.
 func TestTwoSumsWithPacesFitInADatagram(t *testing.T) {
-	const mostBytes = 16 << 10
+	const maxDatagramBytes = 16 << 10
 	for _, servers := range []int{204, 400, 500} {
 		loads := make(map[uint32]balance.SharedLoad)
 		for server := range servers {
@@ -61,19 +62,19 @@
 			t.Fatal(err)
 		}
 		t.Logf("%d servers: %d bytes, paces of %d", servers, len(encoded), len(sum.GetToldPaces()))
-		if len(encoded) > mostBytes {
+		if len(encoded) > maxDatagramBytes {
 			t.Errorf("%d servers take %d bytes", servers, len(encoded))
 		}
 	}
 }
 
-// TestPacesStayInTheBudgetBetweenZones: each process tells what it saw of twenty servers
-// within the last seconds, beside three requests that it has.
+// TestPacesStayInTheBudgetBetweenZones runs processes that report the paces of twenty servers
+// besides three requests of their own.
 func TestPacesStayInTheBudgetBetweenZones(t *testing.T) {
 	t.Parallel()
 	const (
 		seconds, watched = 2, 20
-		// budget is the bytes a second that a process may send to other zones, in the mean.
+		// budget is the mean number of bytes a second that a process may send to other zones.
 		budget = 6000
 	)
 	sizes := []struct{ zones, stores, routers, servers int }{
@@ -89,29 +90,29 @@
 			redraw := func() {
 				w.redraw(size.servers)
 				if paced == 1 {
-					w.watch(size.servers, watched)
+					w.addPaces(size.servers, watched)
 				}
 			}
 			w.run(t, time.Second, redraw)
-			for _, s := range w.stations {
+			for _, s := range w.processes {
 				s.outside = 0
 			}
 			w.run(t, seconds*time.Second, redraw)
-			for _, s := range w.stations {
+			for _, s := range w.processes {
 				bytes[paced] += s.outside
 			}
 			bytes[paced] /= len(members) * seconds
 		}
-		t.Logf("%d processes: %d bytes a second to other zones a process, %d with paces", len(members), bytes[0], bytes[1])
+		t.Logf("%d processes: %d bytes a second to other zones per process, %d with paces", len(members), bytes[0], bytes[1])
 		if bytes[1] > budget {
-			t.Errorf("%d processes: %d bytes a second to other zones a process, more than %d", len(members), bytes[1], budget)
+			t.Errorf("%d processes: %d bytes a second to other zones per process, more than %d", len(members), bytes[1], budget)
 		}
 	}
 }
 
-// watch has one process of ten tell what it saw of so many servers.
-func (w *world) watch(servers, watched int) {
-	for _, s := range w.stations {
+// addPaces has one process in ten report the paces of that many servers.
+func (w *world) addPaces(servers, watched int) {
+	for _, s := range w.processes {
 		if w.random.IntN(10) > 0 {
 			continue
 		}
--- a/internal/loadshare/protocol.go
+++ b/internal/loadshare/protocol.go
@@ -10,84 +10,84 @@
 )
 
 const (
-	// repeatInterval is the time after which a digest is sent although nothing has
-	// changed: receivers forget a sender that is silent for long.
+	// repeatInterval is the time after which an unchanged digest is sent again: receivers forget
+	// a sender that is silent for long.
 	repeatInterval = 400 * time.Millisecond
-	// delegateFor is how long the delegate of another group counts as such after its last
-	// digest. Afterwards all relays and standbys of that group are told.
-	delegateFor = 700 * time.Millisecond
-	// relaysSilentAfter is how long a process hears no sum of its group until it takes all relays for
-	// silent: longer than a repeat and a turn. With two turns in a group of 50 the members know of each
-	// other again within a second. Where only the delegate is lost, its follower is there
-	// after delegateFor, and standbys may fill the time between.
-	relaysSilentAfter = 600 * time.Millisecond
+	// delegateTimeout is how long the delegate of another group is remembered after its last
+	// digest. Afterwards digests go to all relays and standbys of that group.
+	delegateTimeout = 700 * time.Millisecond
+	// relayTimeout is how long a process waits for a sum of its group before it considers all
+	// relays silent. It exceeds a repeat and an interval. Plus two intervals of a group of 50, the
+	// members know each other's loads again within a second. If only the delegate fails, the next
+	// relay replaces it after delegateTimeout; standbys may act in between.
+	relayTimeout = 600 * time.Millisecond
 )
 
-// Datagram is a bundle of digests with those that it goes to.
+// Datagram is a bundle of digests with its receivers.
 type Datagram struct {
 	Receivers []netip.AddrPort
 	Bundle    *rockwindpb.LoadBundle
-	// CrossZone tells that the receivers are of other groups.
+	// CrossZone is set if the receivers belong to other groups.
 	CrossZone bool
 }
 
-// Protocol decides what a process tells whom, and what it takes from others. It does no
-// I/O and reads no clock; times are durations since an origin of the caller's choice. It
-// belongs to one goroutine at a time.
+// Protocol decides what a process sends to whom, and what it accepts from others. It does no
+// I/O and reads no clock: times are durations since an origin of the caller's choice. It is
+// not safe for concurrent use.
 type Protocol struct {
 	name     string
 	started  int64
 	layout   *Layout
 	sequence uint64
 	history  history
-	// own, inside and outside are what was told last of this process, to the members of
-	// its group and to the other groups.
-	own, inside, outside sending
+	// lastOwn, lastMembers and lastGroups are what was last sent of this process's own load, to
+	// the members of its group and to the other groups.
+	lastOwn, lastMembers, lastGroups lastSent
 	// delegates are those of the other groups, by group.
 	delegates map[string]delegate
-	// relayAt is when a relay of this group was heard last, and missed tells that the relays
-	// were silent at the last turn.
-	relayAt time.Duration
-	missed  bool
-	// grouped tells that the layout had groups at the last turn.
+	// relayHeardAt is when a relay of this group was last heard, and silent whether
+	// the relays were silent at the last tick.
+	relayHeardAt time.Duration
+	silent       bool
+	// grouped tells whether the layout had groups at the last tick.
 	grouped bool
 }
 
-// delegate is a process that told the sum of its group.
+// delegate is a process that sent the sum of its group.
 type delegate struct {
 	name string
 	at   time.Duration
 }
 
-// NewProtocol returns the protocol of the named process, whose life began at the given
-// time in Unix milliseconds, on a site without other processes.
+// NewProtocol returns the protocol of the named process, started at the given time in Unix
+// milliseconds, on a site without other processes.
 func NewProtocol(name string, startedUnixMs int64) *Protocol {
 	return &Protocol{
 		name: name, started: startedUnixMs, layout: NewLayout(nil, name), delegates: make(map[string]delegate),
 	}
 }
 
-// SetLayout replaces the processes that digests go to.
+// SetLayout replaces the layout.
 func (p *Protocol) SetLayout(layout *Layout) { p.layout = layout }
 
-// Layout is the layout in force.
+// Layout returns the current layout.
 func (p *Protocol) Layout() *Layout { return p.layout }
 
-// Tick returns what is to be sent now.
+// Tick returns the datagrams that are due.
 func (p *Protocol) Tick(source Source, now time.Duration) []Datagram {
 	var sent []Datagram
 	if grouped := !p.layout.Mesh(); grouped != p.grouped {
-		// Relays have not told anything in a mesh, nor before this process knew the site.
-		p.grouped, p.relayAt = grouped, now
+		// In a mesh, or before this process knew the site, relays have not sent anything.
+		p.grouped, p.relayHeardAt = grouped, now
 	}
 	silent := p.relaysSilent(now)
-	if silent != p.missed {
-		// Others are told from now on, who know nothing of this process yet.
-		p.missed, p.own = silent, sending{}
+	if silent != p.silent {
+		// The set of receivers changes, so the digest is due again.
+		p.silent, p.lastOwn = silent, lastSent{}
 	}
-	if own := source.Own(); p.own.due(own, now) {
+	if own := source.Own(); p.lastOwn.due(own, now) {
 		p.sign(own)
-		fit(source, own)
+		trimToFit(source, own)
 		p.history.add(own)
 		sent = append(sent, datagrams(p.layout.Receivers(silent), false, own)...)
 	}
@@ -96,21 +96,21 @@
 	}
 	sum := source.Sum(p.layout.Members())
 	sum.Group, sum.Members = p.layout.Group(), uint32(len(p.layout.members))
-	sent = append(sent, p.tellMembers(source, proto.CloneOf(sum), now)...)
+	sent = append(sent, p.sendToMembers(source, proto.CloneOf(sum), now)...)
 	sum.Stamps = nil
-	return append(sent, p.tellOthers(source, sum, now)...)
+	return append(sent, p.sendToOtherGroups(source, sum, now)...)
 }
 
-// relaysSilent tells whether this process takes all relays of its group for silent.
+// relaysSilent reports whether this process considers all relays of its group silent.
 func (p *Protocol) relaysSilent(now time.Duration) bool {
-	return p.grouped && !p.layout.IsRelay() && now-p.relayAt > relaysSilentAfter
+	return p.grouped && !p.layout.IsRelay() && now-p.relayHeardAt > relayTimeout
 }
 
-// RelayStatus tells whether this process took all relays of its group for silent at its last turn,
-// and whether it is one of those that stand in for them.
-func (p *Protocol) RelayStatus() (missed, standby bool) { return p.missed, p.layout.IsStandby() }
+// RelayStatus reports whether all relays of the group were silent at the last tick, and whether
+// this process is one of the standbys that replace them.
+func (p *Protocol) RelayStatus() (silent, standby bool) { return p.silent, p.layout.IsStandby() }
 
-// isDelegate tells whether this process is the delegate of its group.
+// isDelegate reports whether this process acts as the delegate of its group.
 func (p *Protocol) isDelegate(source Source, now time.Duration) bool {
 	if p.layout.IsDelegate(source.Heard) {
 		return true
@@ -118,34 +118,34 @@
 	return p.relaysSilent(now) && p.layout.IsActingDelegate(source.Heard)
 }
 
-// tellMembers tells the members of the group its sum and that of all others.
-func (p *Protocol) tellMembers(source Source, sum *rockwindpb.LoadDigest, now time.Duration) []Datagram {
+// sendToMembers sends the members of the group its sum and that of all other groups.
+func (p *Protocol) sendToMembers(source Source, sum *rockwindpb.LoadDigest, now time.Duration) []Datagram {
 	elsewhere := source.SumOtherGroups(p.layout.Group())
 	elsewhere.Group, elsewhere.Elsewhere = p.layout.Group(), true
-	told := bundle(sum, elsewhere)
-	if !p.inside.due(told, now) {
+	content := bundle(sum, elsewhere)
+	if !p.lastMembers.due(content, now) {
 		return nil
 	}
 	p.sign(sum)
 	p.sign(elsewhere)
-	fit(source, sum)
-	fit(source, elsewhere)
+	trimToFit(source, sum)
+	trimToFit(source, elsewhere)
 	return datagrams(p.layout.MemberAddresses(), false, sum, elsewhere)
 }
 
-// tellOthers tells the other groups the sum of this one.
-func (p *Protocol) tellOthers(source Source, sum *rockwindpb.LoadDigest, now time.Duration) []Datagram {
-	soon := p.outside.last != nil && now-p.outside.at < p.layout.GroupInterval()
-	told := bundle(sum)
-	if soon || !p.outside.due(told, now) {
+// sendToOtherGroups sends the sum of this group to the other groups.
+func (p *Protocol) sendToOtherGroups(source Source, sum *rockwindpb.LoadDigest, now time.Duration) []Datagram {
+	tooSoon := p.lastGroups.last != nil && now-p.lastGroups.at < p.layout.GroupInterval()
+	content := bundle(sum)
+	if tooSoon || !p.lastGroups.due(content, now) {
 		return nil
 	}
 	p.sign(sum)
-	fit(source, sum)
+	trimToFit(source, sum)
 	return datagrams(p.otherDelegates(now), true, sum)
 }
 
-// sign names this process as the sender of a digest.
+// sign sets this process as the sender of a digest, with the next sequence number.
 func (p *Protocol) sign(digest *rockwindpb.LoadDigest) {
 	p.sequence++
 	digest.Sender, digest.Sequence, digest.StartedUnixMs = p.name, p.sequence, p.started
@@ -155,15 +155,15 @@
 	return &rockwindpb.LoadBundle{Digests: digests}
 }
 
-// otherDelegates lists whom the sum of this group goes to: in each other group the
-// delegate, which may be a standby, or all relays and standbys where none was heard lately:
-// two groups without relays would not find each other otherwise.
+// otherDelegates returns the receivers of this group's sum: the known delegate of each other
+// group, which may be a standby, or all its relays and standbys if none is known. Otherwise two
+// groups without relays would never find each other.
 func (p *Protocol) otherDelegates(now time.Duration) []netip.AddrPort {
 	var receivers []netip.AddrPort
 	for _, group := range p.layout.OtherGroups() {
 		known, found := p.delegates[group.name]
-		member, placed := group.candidate(known.name)
-		if found && placed && now-known.at <= delegateFor {
+		member, current := group.candidate(known.name)
+		if found && current && now-known.at <= delegateTimeout {
 			receivers = append(receivers, member.address)
 			continue
 		}
@@ -174,81 +174,81 @@
 	return receivers
 }
 
-// Receive hands the source what a datagram tells of others.
+// Receive passes the accepted digests of a datagram to the source.
 func (p *Protocol) Receive(source Source, received *rockwindpb.LoadBundle, now time.Duration) {
 	for _, digest := range received.GetDigests() {
 		if digest.GetSender() == "" || digest.GetSender() == p.name || !consistent(digest) {
 			continue
 		}
-		if p.wanted(source, digest, now) {
+		if p.accepts(source, digest, now) {
 			source.Take(digest)
 		}
 	}
 }
 
-// wanted tells whether a digest says something that this process does not know better. It
-// takes this process's own part out of the sum of its group.
-func (p *Protocol) wanted(source Source, digest *rockwindpb.LoadDigest, now time.Duration) bool {
+// accepts reports whether a digest is the best information available to this process. It
+// subtracts this process's own load from the sum of its group.
+func (p *Protocol) accepts(source Source, digest *rockwindpb.LoadDigest, now time.Duration) bool {
 	switch group := digest.GetGroup(); {
 	case group == "":
-		// Who hears a relay knows of the members by its sum.
+		// While a relay is alive, its sum covers the members.
 		return p.layout.Mesh() || p.layout.IsRelay() || p.relaysSilent(now)
 	case group != p.layout.Group():
 		p.delegates[group] = delegate{name: digest.GetSender(), at: now}
 		return !digest.GetElsewhere() && (!p.layout.IsStandby() || p.relaysSilent(now))
 	case p.layout.HasStandby(digest.GetSender()):
-		return p.wantedOfStandby(source, digest, now)
+		return p.acceptsFromStandby(source, digest, now)
 	}
-	p.relayAt = now
+	p.relayHeardAt = now
 	switch {
 	case digest.GetElsewhere():
 		return !p.layout.IsDelegate(source.Heard)
 	case p.layout.IsRelay():
-		// Members tell the relays themselves.
+		// Relays receive the members' digests directly.
 		return false
 	}
-	p.history.takeOut(digest)
+	p.history.subtractOwn(digest)
 	return true
 }
 
-// wantedOfStandby is wanted for what a standby tells of this group, or of all others.
-func (p *Protocol) wantedOfStandby(source Source, digest *rockwindpb.LoadDigest, now time.Duration) bool {
+// acceptsFromStandby is accepts for digests of this group's standbys.
+func (p *Protocol) acceptsFromStandby(source Source, digest *rockwindpb.LoadDigest, now time.Duration) bool {
 	switch {
 	case !p.relaysSilent(now):
 		return false
 	case digest.GetElsewhere():
 		return !p.isDelegate(source, now)
 	case p.layout.IsStandby():
-		// Members tell the standbys themselves.
+		// Standbys receive the members' digests directly.
 		return false
 	}
-	p.history.takeOut(digest)
+	p.history.subtractOwn(digest)
 	return true
 }
 
-// consistent tells whether the lists of a digest run beside each other.
+// consistent reports whether the lists of a digest have equal lengths.
 func consistent(digest *rockwindpb.LoadDigest) bool {
 	servers := len(digest.GetServers())
 	return len(digest.GetInflight()) == servers && len(digest.GetUnread()) == servers &&
 		len(digest.GetBatch()) == servers && len(digest.GetSuspects()) == servers && consistentPaces(digest)
 }
 
-// consistentPaces tells whether the lists of paces run beside the servers, or are all empty.
+// consistentPaces reports whether the lists of paces are all empty or as long as that of servers.
 func consistentPaces(digest *rockwindpb.LoadDigest) bool {
 	paced := len(digest.GetToldPaces())
 	return (paced == 0 || paced == len(digest.GetServers())) &&
 		len(digest.GetToldVoices()) == paced && len(digest.GetSeenPaces()) == paced && len(digest.GetSeenVoices()) == paced
 }
 
-// sending remembers what was sent last.
-type sending struct {
+// lastSent is what was last sent to one set of receivers.
+type lastSent struct {
 	last proto.Message
 	at   time.Duration
 }
 
-// due tells whether something has to be sent: it differs from what was sent last, or that
-// was sent long ago. It counts as sent then. The sender signs it afterwards.
-func (s *sending) due(next proto.Message, now time.Duration) bool {
+// due reports whether a message must be sent because it differs from the last one or the last one
+// is too old. If so, it is recorded as sent. Callers sign it afterwards.
+func (s *lastSent) due(next proto.Message, now time.Duration) bool {
 	if s.last != nil && proto.Equal(s.last, next) && now-s.at < repeatInterval {
 		return false
 	}
--- a/internal/loadshare/protocol_test.go
+++ b/internal/loadshare/protocol_test.go
@@ -16,38 +16,38 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// headerBytes is what IP and UDP add to a datagram.
+// headerBytes is the size of the IP and UDP headers.
 const headerBytes = 28
 
-// station is a process of a site in virtual time, with the shares that routers keep.
-type station struct {
+// simProcess is a process of a site in virtual time, with the shares that routers keep.
+type simProcess struct {
 	member   loadshare.Member
 	protocol *loadshare.Protocol
 	shares   *balance.SharedLoads
 	own      map[uint32]balance.SharedLoad
 	silent   bool
-	// deaf has what others send to the process lost.
+	// deaf drops all datagrams to the process.
 	deaf bool
 	now  time.Duration
-	// outside counts the bytes sent to other zones, and datagrams all that were sent.
+	// outside counts the bytes sent to other zones, datagrams all datagrams sent.
 	outside, datagrams int
 }
 
-func (s *station) Own() *rockwindpb.LoadDigest { return loadshare.NewDigest(s.own) }
+func (s *simProcess) Own() *rockwindpb.LoadDigest { return loadshare.NewDigest(s.own) }
 
-func (s *station) Sum(names []string) *rockwindpb.LoadDigest {
+func (s *simProcess) Sum(names []string) *rockwindpb.LoadDigest {
 	return loadshare.SumDigest(s.shares, names, s.own)
 }
 
-func (s *station) SumOtherGroups(group string) *rockwindpb.LoadDigest {
+func (s *simProcess) SumOtherGroups(group string) *rockwindpb.LoadDigest {
 	return loadshare.NewDigest(s.shares.SumOtherGroups(group))
 }
 
-func (s *station) Heard(name string) bool { return s.shares.Heard(name, s.now) }
+func (s *simProcess) Heard(name string) bool { return s.shares.Heard(name, s.now) }
 
-// DropPriority implements loadshare.Source: the hashes of tenants have the highest bit, those of
-// what was left behind the next one.
-func (s *station) DropPriority(hash uint32) loadshare.DropPriority {
+// DropPriority implements loadshare.Source. Hashes of tenants have the highest bit set, those of
+// requests left behind the next one.
+func (s *simProcess) DropPriority(hash uint32) loadshare.DropPriority {
 	switch {
 	case hash >= firstTenant:
 		return loadshare.DropSecond
@@ -61,44 +61,44 @@
 const (
 	// firstTenant is the first hash of a tenant.
 	firstTenant = 1 << 31
-	// firstLeft is the first hash of what was left behind at a server.
+	// firstLeft is the first hash of requests left behind at a server.
 	firstLeft = 1 << 30
 )
 
-func (s *station) Take(digest *rockwindpb.LoadDigest) {
+func (s *simProcess) Take(digest *rockwindpb.LoadDigest) {
 	loadshare.ApplyDigest(s.shares, digest, loadshare.Loads(digest), s.now)
 }
 
-// world plays the processes of a site in virtual time, step by step of 5 ms. Datagrams
-// arrive within the step in which they are sent.
+// world runs the processes of a site in virtual time, in steps of 5 ms. Datagrams arrive in the
+// step in which they are sent.
 type world struct {
-	stations  []*station
-	byAddress map[netip.AddrPort]*station
+	processes []*simProcess
+	byAddress map[netip.AddrPort]*simProcess
 	random    *rand.Rand
 	now       time.Duration
-	next      map[*station]time.Duration
-	// lossPart is how many of the datagrams are lost.
-	lossPart float64
+	next      map[*simProcess]time.Duration
+	// lossRate is the part of the datagrams that is lost.
+	lossRate float64
 }
 
 const step = 5 * time.Millisecond
 
 func newWorld(seed uint64, members []loadshare.Member) *world {
 	w := &world{
-		byAddress: make(map[netip.AddrPort]*station), next: make(map[*station]time.Duration),
+		byAddress: make(map[netip.AddrPort]*simProcess), next: make(map[*simProcess]time.Duration),
 		random: rand.New(rand.NewPCG(seed, 1)),
 	}
 	for _, member := range members {
-		created := &station{member: member, own: make(map[uint32]balance.SharedLoad)}
+		created := &simProcess{member: member, own: make(map[uint32]balance.SharedLoad)}
 		w.start(created, members)
-		w.stations = append(w.stations, created)
+		w.processes = append(w.processes, created)
 		w.byAddress[member.Address()] = created
 	}
 	return w
 }
 
-// start begins a life of a process.
-func (w *world) start(s *station, members []loadshare.Member) {
+// start starts or restarts a process.
+func (w *world) start(s *simProcess, members []loadshare.Member) {
 	s.protocol = loadshare.NewProtocol(s.member.Name(), int64(w.now/time.Millisecond)+1)
 	s.protocol.SetLayout(loadshare.NewLayout(members, s.member.Name()))
 	s.shares = balance.NewSharedLoads()
@@ -106,12 +106,12 @@
 	w.next[s] = w.now + time.Duration(w.random.Int64N(int64(100*time.Millisecond)))
 }
 
-// run plays for a time; each is called before each step.
+// run advances the world by a duration and calls each before each step.
 func (w *world) run(t rapid.TB, length time.Duration, each func()) {
 	t.Helper()
 	for end := w.now + length; w.now < end; w.now += step {
 		each()
-		for _, s := range w.stations {
+		for _, s := range w.processes {
 			s.now = w.now
 			s.shares.Expire(w.now)
 			if s.silent || w.now < w.next[s] {
@@ -125,13 +125,13 @@
 	}
 }
 
-func (w *world) deliver(t rapid.TB, from *station, datagram loadshare.Datagram) {
+func (w *world) deliver(t rapid.TB, from *simProcess, datagram loadshare.Datagram) {
 	encoded, err := proto.Marshal(datagram.Bundle)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(encoded) > mostBytes {
-		return // a sharer does not send it
+	if len(encoded) > maxDatagramBytes {
+		return // a Sharer drops it
 	}
 	for _, receiver := range datagram.Receivers {
 		from.datagrams++
@@ -139,7 +139,7 @@
 		if to.member.Zone() != from.member.Zone() {
 			from.outside += len(encoded) + headerBytes
 		}
-		if to.silent || to.deaf || w.random.Float64() < w.lossPart {
+		if to.silent || to.deaf || w.random.Float64() < w.lossRate {
 			continue
 		}
 		received := &rockwindpb.LoadBundle{}
@@ -150,10 +150,10 @@
 	}
 }
 
-// total is what all processes that are not silent have at a server.
+// total returns the load of a server over all processes that are not silent.
 func (w *world) total(server uint32) balance.SharedLoad {
 	var sum balance.SharedLoad
-	for _, s := range w.stations {
+	for _, s := range w.processes {
 		if !s.silent {
 			sum = sum.Plus(s.own[server])
 		}
@@ -161,26 +161,26 @@
 	return sum
 }
 
-// agree fails where a process does not know what the others have.
-func (w *world) agree(t rapid.TB, servers int) {
+// checkLoads fails unless each process knows the other processes' load of each server.
+func (w *world) checkLoads(t rapid.TB, servers int) {
 	t.Helper()
-	for _, s := range w.stations {
+	for _, s := range w.processes {
 		for server := range uint32(servers) {
 			got, want := s.shares.At(server).Plus(s.own[server]), w.total(server)
 			if !s.silent && got != want {
-				t.Fatalf("%s takes server %d to have %+v, not %+v", s.member.Name(), server, got, want)
+				t.Fatalf("%s: load of server %d is %+v, want %+v", s.member.Name(), server, got, want)
 			}
 		}
 	}
 }
 
-// settled is how long it takes until what silent processes told counts no more and all
-// loads are known everywhere, also where datagrams are lost.
-const settled = 2500 * time.Millisecond
+// settleTime is how long it takes until loads of silent processes expire and all loads are known
+// everywhere, also with datagram loss.
+const settleTime = 2500 * time.Millisecond
 
-// TestEveryProcessHearsOfEachOtherOnce: in sites of any size each process counts the load
-// of every other one exactly once, while processes fall silent, come back, start anew and
-// change their loads, and datagrams are lost.
+// TestEveryProcessHearsOfEachOtherOnce checks that each process counts the load of every other
+// one exactly once, on sites of any size, with silent and restarted processes, changing loads and
+// datagram loss.
 func TestEveryProcessHearsOfEachOtherOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const servers = 6
@@ -188,12 +188,12 @@
 		members := site(zones, rapid.IntRange(0, 4).Draw(t, "stores"), rapid.IntRange(1, 9).Draw(t, "routers"))
 		w := newWorld(rapid.Uint64().Draw(t, "seed"), members)
 		for range rapid.IntRange(1, 3).Draw(t, "rounds") {
-			w.lossPart = rapid.SampledFrom([]float64{0, 0.02}).Draw(t, "loss")
-			spared := sparedRelays(members, rapid.IntRange(0, 2).Draw(t, "spared"))
-			for _, s := range w.stations {
+			w.lossRate = rapid.SampledFrom([]float64{0, 0.02}).Draw(t, "loss")
+			kept := keptRelays(members, rapid.IntRange(0, 2).Draw(t, "spared"))
+			for _, s := range w.processes {
 				was := s.silent
-				// A group all of whose relays are lost has no delegate.
-				s.silent = s.member.Name() != spared[s.member.Zone()] && rapid.IntRange(0, 5).Draw(t, "silent") == 5
+				// A group that has lost all its relays has no delegate.
+				s.silent = s.member.Name() != kept[s.member.Zone()] && rapid.IntRange(0, 5).Draw(t, "silent") == 5
 				if was && !s.silent && rapid.Bool().Draw(t, "anew") {
 					w.start(s, members)
 				}
@@ -203,15 +203,15 @@
 					s.own[server] = balance.SharedLoad{Inflight: rapid.IntRange(1, 9).Draw(t, "inflight"), Batch: 1, Suspects: rapid.IntRange(0, 1).Draw(t, "suspects"), Pace: drawPace(t)}
 				}
 			}
-			w.run(t, settled, func() {})
-			w.lossPart = 0
-			w.run(t, settled, func() {})
-			w.agree(t, servers)
+			w.run(t, settleTime, func() {})
+			w.lossRate = 0
+			w.run(t, settleTime, func() {})
+			w.checkLoads(t, servers)
 		}
 	})
 }
 
-// drawPace draws what a process tells of the pace of a server; half of them tell nothing.
+// drawPace draws the pace that a process reports for a server. Half of the processes report none.
 func drawPace(t *rapid.T) balance.SharedPace {
 	if rapid.Bool().Draw(t, "silent of paces") {
 		return balance.SharedPace{}
@@ -219,21 +219,20 @@
 	return balance.SharedPace{ReportedSum: rapid.IntRange(0, 400).Draw(t, "told"), ReportedCount: 1, ObservedSum: rapid.IntRange(0, 900).Draw(t, "seen"), ObservedCount: 2}
 }
 
-// sparedRelays names a relay of each zone, by its number among them.
-func sparedRelays(members []loadshare.Member, number int) map[string]string {
-	spared := make(map[string]string)
+// keptRelays returns the name of one relay of each zone, by its number.
+func keptRelays(members []loadshare.Member, number int) map[string]string {
+	kept := make(map[string]string)
 	seen := make(map[string]int)
 	for _, member := range members {
 		if seen[member.Zone()] <= number {
-			spared[member.Zone()] = member.Name()
+			kept[member.Zone()] = member.Name()
 		}
 		seen[member.Zone()]++
 	}
-	return spared
+	return kept
 }
 
-// largeSite has routers and stores in equal parts in its zones, which have as many servers
-// each.
+// largeSite returns the members of a site with the given numbers of stores and routers per zone.
 func largeSite(zones, stores, routers int) []loadshare.Member {
 	var members []loadshare.Member
 	for zone := range zones {
@@ -249,15 +248,15 @@
 	return members
 }
 
-// TestLoadsCostTheSameBetweenZonesAtAnySize: what a process sends to other zones stays in
-// the budget of control traffic, and loads within a zone are known soon, on sites of
-// hundreds and of a thousand processes.
+// TestLoadsCostTheSameBetweenZonesAtAnySize checks, on sites of hundreds of processes and of a
+// thousand, that traffic to other zones stays within the budget of control traffic and that loads
+// spread quickly within a zone.
 func TestLoadsCostTheSameBetweenZonesAtAnySize(t *testing.T) {
 	const (
 		seconds = 2
-		// budget is the bytes a second that a process may send to other zones, in the mean.
+		// budget is the mean number of bytes a second that a process may send to other zones.
 		budget = 6000
-		// oldest is how old the view of a server of the own zone may be.
+		// oldest is the maximum age of a load within its zone.
 		oldest = 250 * time.Millisecond
 	)
 	sizes := []struct{ zones, stores, routers, servers int }{
@@ -272,32 +271,32 @@
 		members := largeSite(size.zones, size.stores, size.routers)
 		t.Run(fmt.Sprint(len(members)), func(t *testing.T) {
 			w := newWorld(1, members)
-			// Each process has three requests at servers that it draws anew all the time.
+			// Each process has three requests, whose servers change all the time.
 			w.run(t, time.Second, func() { w.redraw(size.servers) })
-			for _, s := range w.stations {
+			for _, s := range w.processes {
 				s.outside, s.datagrams = 0, 0
 			}
 			w.run(t, seconds*time.Second, func() { w.redraw(size.servers) })
 			outside, most := 0, 0
-			for _, s := range w.stations {
+			for _, s := range w.processes {
 				outside += s.outside
 				most = max(most, s.datagrams)
 			}
 			mean := outside / len(members) / seconds
-			t.Logf("%d processes: %d bytes a second to other zones a process, at most %d datagrams a second from one", len(members), mean, most/seconds)
+			t.Logf("%d processes: %d bytes a second to other zones per process, at most %d datagrams a second from one", len(members), mean, most/seconds)
 			if mean > budget {
-				t.Fatalf("%d bytes a second to other zones a process, more than %d", mean, budget)
+				t.Fatalf("%d bytes a second to other zones per process, more than %d", mean, budget)
 			}
-			if age := w.age(t); age > oldest {
-				t.Fatalf("a load is known in its zone after %s", age)
+			if localDelay := w.localDelay(t); localDelay > oldest {
+				t.Fatalf("a load takes %s to spread within its zone", localDelay)
 			}
 		})
 	}
 }
 
-// redraw gives one process of ten other loads.
+// redraw changes the loads of one process in ten.
 func (w *world) redraw(servers int) {
-	for _, s := range w.stations {
+	for _, s := range w.processes {
 		if w.random.IntN(10) > 0 {
 			continue
 		}
@@ -308,23 +307,22 @@
 	}
 }
 
-// age is how long it takes until all other processes of its zone know a new load of the
-// last router.
-func (w *world) age(t *testing.T) time.Duration {
+// localDelay returns how long it takes until a new load of the last router is known in its zone.
+func (w *world) localDelay(t *testing.T) time.Duration {
 	t.Helper()
 	const marked = 1 << 20
-	last := w.stations[len(w.stations)-1]
+	last := w.processes[len(w.processes)-1]
 	last.own = map[uint32]balance.SharedLoad{marked: {Inflight: 1}}
 	began := w.now
 	for w.now-began < time.Second {
 		w.run(t, step, func() {})
-		known := !slices.ContainsFunc(w.stations, func(s *station) bool {
+		known := !slices.ContainsFunc(w.processes, func(s *simProcess) bool {
 			return s != last && s.member.Zone() == last.member.Zone() && s.shares.At(marked).Inflight != 1
 		})
 		if known {
 			return w.now - began
 		}
 	}
-	t.Fatal("a load is not known in its zone")
+	t.Fatal("the load did not spread within its zone")
 	return 0
 }
--- a/internal/loadshare/standby_test.go
+++ b/internal/loadshare/standby_test.go
@@ -13,17 +13,17 @@
 	"rockwind.example/rockwind/internal/loadshare"
 )
 
-// known is how long it takes until a new load of one process is known to the wanted others,
-// within a limit.
-func (w *world) known(t *testing.T, of *station, limit time.Duration, wanted func(s *station) bool) time.Duration {
+// delay returns how long it takes until a new load of one process is known to the wanted others, at
+// most limit.
+func (w *world) delay(t *testing.T, of *simProcess, limit time.Duration, wanted func(s *simProcess) bool) time.Duration {
 	t.Helper()
-	marked := uint32(1<<20 + slices.Index(w.stations, of))
+	marked := uint32(1<<20 + slices.Index(w.processes, of))
 	was := of.own[marked]
 	of.own[marked] = balance.SharedLoad{Inflight: was.Inflight + 1}
 	began := w.now
 	for w.now-began < limit {
 		w.run(t, step, func() {})
-		unknown := slices.ContainsFunc(w.stations, func(s *station) bool {
+		unknown := slices.ContainsFunc(w.processes, func(s *simProcess) bool {
 			return s != of && !s.silent && wanted(s) && s.shares.At(marked).Inflight != was.Inflight+1
 		})
 		if !unknown {
@@ -33,18 +33,17 @@
 	return w.now - began
 }
 
-// inZone tells whether processes stand in a zone.
-func inZone(zone string) func(s *station) bool {
-	return func(s *station) bool { return s.member.Zone() == zone }
+// inZone returns a filter for the processes of a zone.
+func inZone(zone string) func(s *simProcess) bool {
+	return func(s *simProcess) bool { return s.member.Zone() == zone }
 }
 
-// isStore tells the stores of largeSite from its routers.
+// isStore reports whether a member of largeSite is a store.
 func isStore(member loadshare.Member) bool { return strings.Contains(member.Name(), "-0-") }
 
-// TestRoutersStandInWhileAllRelaysOfAZoneAreDown: the stores of one zone fall silent, and all its
-// relays with them. Within a second the routers there know of each other and of other zones
-// again, and these of them, and loads are as old as before; when the stores are back, they are the
-// relays again.
+// TestRoutersStandInWhileAllRelaysOfAZoneAreDown silences all stores of a zone, and so its relays.
+// Loads must spread within the zone and to and from other zones again within about a second, and
+// the restarted stores must become the relays again.
 func TestRoutersStandInWhileAllRelaysOfAZoneAreDown(t *testing.T) {
 	t.Parallel()
 	for _, size := range []struct{ zones, stores, routers int }{{3, 3, 9}, {6, 8, 42}} {
@@ -52,34 +51,34 @@
 		t.Run(fmt.Sprint(len(members)), func(t *testing.T) {
 			w := newWorld(1, members)
 			w.run(t, 2*time.Second, func() { w.redraw(30) })
-			here, there := w.stations[size.stores], w.stations[len(w.stations)-1]
+			here, there := w.processes[size.stores], w.processes[len(w.processes)-1]
 			zone := inZone(here.member.Zone())
-			before := w.known(t, here, 5*time.Second, zone)
-			for _, s := range w.stations[:size.stores] {
+			before := w.delay(t, here, 5*time.Second, zone)
+			for _, s := range w.processes[:size.stores] {
 				s.silent = true
 			}
-			down := w.known(t, here, 5*time.Second, func(*station) bool { return true })
-			inward := w.known(t, there, 5*time.Second, zone)
-			w.run(t, settled, func() {})
-			w.agree(t, 30)
-			inside, outside := w.known(t, here, 5*time.Second, zone), w.known(t, there, 5*time.Second, zone)
-			t.Logf("a load is known in the zone after %v; as its stores fall silent after %v everywhere, one of other zones there after %v; later %v and %v",
+			down := w.delay(t, here, 5*time.Second, func(*simProcess) bool { return true })
+			inward := w.delay(t, there, 5*time.Second, zone)
+			w.run(t, settleTime, func() {})
+			w.checkLoads(t, 30)
+			inside, outside := w.delay(t, here, 5*time.Second, zone), w.delay(t, there, 5*time.Second, zone)
+			t.Logf("a load spreads within the zone in %v; once its stores are silent, everywhere in %v and from another zone in %v; later in %v and %v",
 				before, down, inward, inside, outside)
 			if down > 1200*time.Millisecond || inward > time.Second || inside > 250*time.Millisecond || outside > 450*time.Millisecond {
-				t.Errorf("loads of a zone without its stores are not known in time")
+				t.Errorf("loads of a zone without its stores spread too slowly")
 			}
-			for _, s := range w.stations[:size.stores] {
+			for _, s := range w.processes[:size.stores] {
 				s.silent = false
 				w.start(s, members)
 			}
-			w.run(t, settled, func() {})
-			w.agree(t, 30)
-			for _, s := range w.stations {
+			w.run(t, settleTime, func() {})
+			w.checkLoads(t, 30)
+			for _, s := range w.processes {
 				s.datagrams = 0
 			}
 			w.run(t, time.Second, func() { w.redraw(30) })
-			for _, s := range w.stations {
-				// A router tells three relays, at most once an interval.
+			for _, s := range w.processes {
+				// A router sends to three relays, at most once per interval.
 				if most := 3 * (int(time.Second/s.protocol.Layout().Interval()) + 1); !isStore(s.member) && s.datagrams > most {
 					t.Errorf("%s still sends %d datagrams a second, more than %d", s.member.Name(), s.datagrams, most)
 				}
@@ -88,39 +87,39 @@
 	}
 }
 
-// TestProcessThatMissesItsRelaysAloneDoesNotStandIn: what the relays tell one standby is lost,
-// and all others hear them. It knows little then, and must tell nobody the sum of that.
+// TestProcessThatMissesItsRelaysAloneDoesNotStandIn guards against a standby that alone receives
+// nothing and sends the others an incomplete sum.
 func TestProcessThatMissesItsRelaysAloneDoesNotStandIn(t *testing.T) {
 	members := largeSite(3, 3, 20)
 	w := newWorld(1, members)
 	w.run(t, 2*time.Second, func() { w.redraw(30) })
-	w.run(t, settled, func() {})
-	for _, s := range w.stations[3:23] {
+	w.run(t, settleTime, func() {})
+	for _, s := range w.processes[3:23] {
 		if !s.protocol.Layout().IsStandby() {
 			continue
 		}
 		s.deaf = true
 		w.run(t, 2*time.Second, func() {
-			for _, other := range w.stations {
+			for _, other := range w.processes {
 				if other.deaf {
 					continue
 				}
 				for server := range uint32(3) {
 					if got, want := other.shares.At(server).Plus(other.own[server]), w.total(server); got != want {
-						t.Fatalf("while %s hears nothing, %s takes server %d to have %+v, not %+v", s.member.Name(), other.member.Name(), server, got, want)
+						t.Fatalf("while %s receives nothing, %s: load of server %d is %+v, want %+v", s.member.Name(), other.member.Name(), server, got, want)
 					}
 				}
 			}
 		})
 		s.deaf = false
-		w.run(t, settled, func() {})
-		w.agree(t, 30)
+		w.run(t, settleTime, func() {})
+		w.checkLoads(t, 30)
 	}
 }
 
-// TestEveryProcessHearsOfEachOtherOnceWithoutRelays: in zones that lose all their relays, and get
-// them back, each process counts the load of every other one exactly once, while others fall
-// silent, start anew and change their loads.
+// TestEveryProcessHearsOfEachOtherOnceWithoutRelays checks that each process counts the load of
+// every other one exactly once while zones lose and regain all their relays and other processes
+// fall silent, restart and change their loads.
 func TestEveryProcessHearsOfEachOtherOnceWithoutRelays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const servers = 6
@@ -129,24 +128,24 @@
 		w := newWorld(rapid.Uint64().Draw(t, "seed"), members)
 		for range rapid.IntRange(1, 2).Draw(t, "rounds") {
 			w.silenceRelays(t, members)
-			for _, s := range w.stations {
+			for _, s := range w.processes {
 				s.own = map[uint32]balance.SharedLoad{}
 				for range rapid.IntRange(0, 3).Draw(t, "loads") {
 					server := uint32(rapid.IntRange(0, servers-1).Draw(t, "server"))
 					s.own[server] = balance.SharedLoad{Inflight: rapid.IntRange(1, 9).Draw(t, "inflight"), Batch: 1, Pace: drawPace(t)}
 				}
 			}
-			w.run(t, settled, func() {})
-			w.agree(t, servers)
+			w.run(t, settleTime, func() {})
+			w.checkLoads(t, servers)
 		}
 	})
 }
 
-// silenceRelays draws the zones that have no relays from now on, and one other process in each
-// zone that is silent besides. Those that were silent come back, some of them anew.
+// silenceRelays draws the zones that lose all relays, and one more silent process per zone. Processes
+// that were silent return, some of them restarted.
 func (w *world) silenceRelays(t *rapid.T, members []loadshare.Member) {
 	headless, besides := make(map[string]bool), make(map[string]int)
-	for _, s := range w.stations {
+	for _, s := range w.processes {
 		zone := s.member.Zone()
 		if _, drawn := headless[zone]; !drawn {
 			headless[zone] = rapid.Bool().Draw(t, "headless")
--- a/internal/loadshare/nudge_test.go
+++ b/internal/loadshare/trigger_test.go
@@ -13,7 +13,7 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// countingSource has one load that a test changes, and counts the digests it is given.
+// countingSource has one load that a test changes, and passes on the digests it receives.
 type countingSource struct {
 	inflight atomic.Uint32
 	heard    chan *rockwindpb.LoadDigest
@@ -46,13 +46,13 @@
 	return sharer, netip.MustParseAddrPort(address)
 }
 
-// TestNudgedDigestIsNotHeldUntilItsTurn: among many processes a turn takes long; a request
-// that waits for a slot cannot.
-func TestNudgedDigestIsNotHeldUntilItsTurn(t *testing.T) {
+// TestTriggeredDigestDoesNotWaitForTheInterval guards against triggered digests that wait for the long
+// interval of a large site.
+func TestTriggeredDigestDoesNotWaitForTheInterval(t *testing.T) {
 	sender, from := open(t, "sender")
 	receiver, to := open(t, "receiver")
 	members := []loadshare.Member{loadshare.NewMember("sender", "z", from, 1), loadshare.NewMember("receiver", "z", to, 0)}
-	// Processes that are not there lengthen the turns to more than the test bears.
+	// Unreachable members make the interval longer than the test's time limit.
 	const others = 20_000
 	for i := range others {
 		nowhere := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), 9)
@@ -74,7 +74,7 @@
 			case digest := <-heard.heard:
 				got = digest.GetInflight()[0]
 			case <-limit:
-				t.Fatalf("the digest that was due at once did not come; load %d", want)
+				t.Fatalf("the triggered digest with load %d was not received", want)
 			}
 		}
 	}
