--- a/internal/fairshare/fairshare_test.go
+++ b/internal/fairshare/fairshare_test.go
@@ -9,11 +9,11 @@
 	"rockwind.example/rockwind/internal/fairshare"
 )
 
-// alone is told of nothing by others.
-func alone(uint32) fairshare.RemoteUsage { return fairshare.RemoteUsage{} }
+// noRemoteUsage is a ledger's lookup where other processes report nothing.
+func noRemoteUsage(uint32) fairshare.RemoteUsage { return fairshare.RemoteUsage{} }
 
-func TestQuietTenantGainsNoMoreThanAMoment(t *testing.T) {
-	ledger := fairshare.NewLedger("class", alone)
+func TestIdleTenantGainsLittle(t *testing.T) {
+	ledger := fairshare.NewLedger("class", noRemoteUsage)
 	for second := range 60 {
 		ledger.Charge("busy", 100, time.Duration(second)*time.Second)
 	}
@@ -27,9 +27,9 @@
 	}
 }
 
-func TestWhatOthersTellCounts(t *testing.T) {
-	told := map[uint32]fairshare.RemoteUsage{fairshare.Hash("class", "a"): {Waiting: 7, Work: 500}}
-	ledger := fairshare.NewLedger("class", func(hash uint32) fairshare.RemoteUsage { return told[hash] })
+func TestRemoteUsageCounts(t *testing.T) {
+	remote := map[uint32]fairshare.RemoteUsage{fairshare.Hash("class", "a"): {Waiting: 7, Work: 500}}
+	ledger := fairshare.NewLedger("class", func(hash uint32) fairshare.RemoteUsage { return remote[hash] })
 	ledger.Charge("a", 100, 0)
 	ledger.Charge("b", 300, 0)
 	if virtual := ledger.VirtualTime("a", 0, 0); math.Abs(virtual-600) > 1e-9 {
@@ -37,17 +37,17 @@
 	}
 	weight := func(string) uint32 { return 1 }
 	if behind := ledger.RemoteWaitingBehind(ledger.VirtualTime("b", 1, 0), weight, 0); behind != 7 {
-		t.Fatalf("%d wait elsewhere behind the tenant that had less", behind)
+		t.Fatalf("%d wait elsewhere behind the tenant with the lower virtual time", behind)
 	}
 	if behind := ledger.RemoteWaitingBehind(ledger.VirtualTime("a", 1, 0), weight, 0); behind != 0 {
-		t.Fatalf("%d wait elsewhere behind the tenant that had most", behind)
+		t.Fatalf("%d wait elsewhere behind the tenant with the highest virtual time", behind)
 	}
 }
 
-// TestWhatIsToldIsBounded: of thousands of tenants that wait the few that had the most are
-// told, and without tenants nothing is.
-func TestWhatIsToldIsBounded(t *testing.T) {
-	ledger := fairshare.NewLedger("class", alone)
+// TestEntriesAreBounded: of thousands of waiting tenants only those with the most work are
+// reported, and nothing is without named tenants.
+func TestEntriesAreBounded(t *testing.T) {
+	ledger := fairshare.NewLedger("class", noRemoteUsage)
 	waiting := make(map[string]int)
 	for i := range 11_000 {
 		tenant := fmt.Sprint("tenant ", i)
@@ -56,29 +56,29 @@
 	}
 	entries := ledger.Entries(waiting, 0)
 	if len(entries) != fairshare.MaxEntries || entries[0].Work != 10_999 {
-		t.Fatalf("%v are told", entries)
+		t.Fatalf("%v are reported", entries)
 	}
-	nameless := fairshare.NewLedger("class", alone)
+	nameless := fairshare.NewLedger("class", noRemoteUsage)
 	nameless.Charge("", 100, 0)
 	if entries := nameless.Entries(map[string]int{"": 3}, 0); len(entries) != 0 {
-		t.Fatalf("%v are told without tenants", entries)
+		t.Fatalf("%v are reported without named tenants", entries)
 	}
 }
 
-// TestTenantsAreForgotten: what is held is bounded by the work of some seconds.
+// TestTenantsAreForgotten checks that the size of a ledger is bounded by the last seconds' work.
 func TestTenantsAreForgotten(t *testing.T) {
-	ledger := fairshare.NewLedger("class", alone)
+	ledger := fairshare.NewLedger("class", noRemoteUsage)
 	for i := range 11_000 {
 		ledger.Charge(fmt.Sprint("tenant ", i), 400, time.Duration(i)*100*time.Millisecond)
 	}
 	if ledger.Len() > 100 {
-		t.Fatalf("%d tenants are held at ten requests a second", ledger.Len())
+		t.Fatalf("%d tenants are tracked at ten requests a second", ledger.Len())
 	}
 }
 
-// TestWorkThatDidNotRunIsGivenBack, as much of it as is left, and that of others stays.
-func TestWorkThatDidNotRunIsGivenBack(t *testing.T) {
-	ledger := fairshare.NewLedger("class", alone)
+// TestRefundIsLimitedToUndecayedWork checks that a refund is limited to the undecayed part.
+func TestRefundIsLimitedToUndecayedWork(t *testing.T) {
+	ledger := fairshare.NewLedger("class", noRemoteUsage)
 	ledger.Charge("a", 300, 0)
 	ledger.Charge("a", 100, 500*time.Millisecond)
 	ledger.Refund("a", 100, 500*time.Millisecond, time.Second)
--- a/internal/fairshare/flood_test.go
+++ b/internal/fairshare/flood_test.go
@@ -13,34 +13,34 @@
 	"rockwind.example/rockwind/internal/waiting"
 )
 
-// The load that the package answers, in virtual time: 75 tenants, a few of them large, at 50
-// routers before servers that are used to four fifths; two of the four largest tenants send
-// 6.6 times their usual, so that more than twice as much is asked as there is room for.
+// The simulated load: 75 tenants, a few of them large, at 50 routers in front of servers that are
+// usually 80% busy. Two of the four largest tenants send 6.6 times their usual requests, which
+// is more than twice what the servers can serve.
 const (
-	routerCount = 50
-	tenantCount = 75
-	skew        = 1.2
-	usualPerMs  = 2.0
-	floodFactor = 6.6
-	slotCount   = 200
-	holding     = 80 * time.Millisecond
-	timely      = 255 * time.Millisecond
-	patience    = 2500 * time.Millisecond
-	work        = 470
-	step        = 5 * time.Millisecond
-	digestTurn  = 100 * time.Millisecond
-	viewAge     = 300 * time.Millisecond
-	leastCredit = 2.0
-	// full is the part of the slots up to which requests are started, and beyond the part up to
-	// which modest ones are: one more at each server of eight slots.
-	full        = 1.01
-	beyond      = 1.125
-	floodBegins = 4 * time.Second
-	floodEnds   = 7 * time.Second
-	dayEnds     = 7500 * time.Millisecond
+	routerCount    = 50
+	tenantCount    = 75
+	skew           = 1.2
+	usualPerMs     = 2.0
+	floodFactor    = 6.6
+	slotCount      = 200
+	serviceTime    = 80 * time.Millisecond
+	onTimeLimit    = 255 * time.Millisecond
+	waitLimit      = 2500 * time.Millisecond
+	work           = 470
+	step           = 5 * time.Millisecond
+	digestInterval = 100 * time.Millisecond
+	viewDelay      = 300 * time.Millisecond
+	minCredit      = 2.0
+	// loadLimit is the part of the slots up to which requests start, and lightLoadLimit the same
+	// for light tenants: one more on each server of eight slots.
+	loadLimit      = 1.01
+	lightLoadLimit = 1.125
+	floodBegins    = 4 * time.Second
+	floodEnds      = 7 * time.Second
+	runEnds        = 7500 * time.Millisecond
 )
 
-// names are those of the tenants, and usual how many requests each makes in a step on average.
+// names are the tenants' names, and usual their mean numbers of requests per step.
 var names, usual = func() (names []string, usual []float64) {
 	total := 0.0
 	for tenant := range tenantCount {
@@ -54,24 +54,24 @@
 	return names, usual
 }()
 
-// flooding are the tenants that send more than their usual.
+// flooding are the tenants that send more than usual.
 var flooding = []int{0, 3}
 
-// way is how the routers order what waits.
-type way struct {
+// policy is how the routers order waiting requests, and the failures of a run.
+type policy struct {
 	name string
-	// shares: tenants share at all; tells: by what the others tell, too.
-	shares, tells bool
-	// byDemand: free slots go to routers by what waits there; else to all alike.
+	// fair enables sharing among tenants, remote the use of remote usage.
+	fair, remote bool
+	// byDemand divides free slots among routers by their waiting requests, instead of equally.
 	byDemand bool
-	// modest: requests of tenants that had little beside another one start beyond the slots.
-	modest bool
-	// flood: the two tenants do send more.
+	// light lets requests of light tenants start beyond the slots.
+	light bool
+	// flood has the flooding tenants send more.
 	flood bool
-	// restarts is how many routers lose what they know in the middle of the flood, and lost
-	// the part of the digests that get lost.
+	// restarts is the number of routers that restart during the flood, and lossRate the part of
+	// digests that is lost.
 	restarts int
-	lost     float64
+	lossRate float64
 }
 
 // outcome is the part of the requests in time, of the flooding tenants and of the others.
@@ -83,14 +83,15 @@
 
 // simulatedRouter is one router with its queue.
 type simulatedRouter struct {
-	queue  waiting.Queue[request]
-	ledger *fairshare.Ledger
-	sent   []fairshare.Entry
-	// credit is how many requests it may start, and told how many waited at its last digest.
-	credit float64
-	told   int
-	// since is what it has started since the last digest, less what ended.
-	since int
+	queue    waiting.Queue[request]
+	ledger   *fairshare.Ledger
+	reported []fairshare.Entry
+	// credit is how many requests it may start, and reportedWaiting how many waited at its last
+	// digest.
+	credit          float64
+	reportedWaiting int
+	// startedSince is the requests started since the last digest, minus those that ended.
+	startedSince int
 }
 
 func (r *simulatedRouter) waits() map[string]int {
@@ -106,25 +107,25 @@
 	ends    time.Duration
 }
 
-// simulation is one play of the load.
+// simulation is one run of the load.
 type simulation struct {
-	way     way
+	policy  policy
 	random  *rand.Rand
 	routers []*simulatedRouter
 	sums    map[uint32]fairshare.RemoteUsage
 	now     time.Duration
 	// waits is how many requests waited at the last digests.
 	waits int
-	// seen is how many requests had slots or waited for one at the last digest.
+	// seen is how many requests occupied or awaited a slot at the last digests.
 	seen int
-	// running are the requests that have a slot, and started those that wait for one at
-	// servers.
+	// running are the requests that occupy a slot, and started those that wait for one at a
+	// server.
 	running []request
 	started []request
 	order   uint64
 	asked   [2]float64
 	inTime  [2]float64
-	// atRouter counts the requests of others by router: asked, and in time.
+	// atRouter counts the requests of other tenants by router: all, and those in time.
 	atRouter [routerCount][2]float64
 }
 
@@ -132,11 +133,11 @@
 
 func (s *simulation) ledger(router *simulatedRouter) *fairshare.Ledger {
 	return fairshare.NewLedger("class", func(hash uint32) fairshare.RemoteUsage {
-		if !s.way.tells {
+		if !s.policy.remote {
 			return fairshare.RemoteUsage{}
 		}
 		sum := s.sums[hash]
-		for _, own := range router.sent {
+		for _, own := range router.reported {
 			if own.Hash == hash {
 				sum = fairshare.RemoteUsage{Waiting: sum.Waiting - own.Waiting, Work: sum.Work - own.Work}
 			}
@@ -145,14 +146,14 @@
 	})
 }
 
-func play(way way) outcome {
-	s := &simulation{way: way, random: rand.New(rand.NewPCG(7, 7)), sums: make(map[uint32]fairshare.RemoteUsage)}
+func simulate(policy policy) outcome {
+	s := &simulation{policy: policy, random: rand.New(rand.NewPCG(7, 7)), sums: make(map[uint32]fairshare.RemoteUsage)}
 	for range routerCount {
-		router := &simulatedRouter{credit: leastCredit}
+		router := &simulatedRouter{credit: minCredit}
 		router.ledger = s.ledger(router)
-		if way.shares {
+		if policy.fair {
 			router.queue.EnableFairShare(func(place waiting.SortKey) float64 {
-				if !s.scarce(router) {
+				if !s.overloaded(router) {
 					return 0
 				}
 				return router.ledger.VirtualTime(place.Tenant().Name, 1, s.now)
@@ -160,11 +161,11 @@
 		}
 		s.routers = append(s.routers, router)
 	}
-	for s.now = 0; s.now < dayEnds; s.now += step {
+	for s.now = 0; s.now < runEnds; s.now += step {
 		s.arrive()
 		s.restart()
-		if s.now%digestTurn == 0 {
-			s.tell()
+		if s.now%digestInterval == 0 {
+			s.exchange()
 		}
 		s.serve()
 	}
@@ -175,18 +176,18 @@
 	return outcome{flood: s.inTime[1] / s.asked[1], others: s.inTime[0] / s.asked[0], worst: worst}
 }
 
-// scarce tells whether room is too little by what a router knows.
-func (s *simulation) scarce(router *simulatedRouter) bool {
-	waits := s.waits - router.told + router.queue.Len()
-	return fairshare.Overloaded(time.Duration(waits) * holding / slotCount)
+// overloaded reports whether the service is overloaded as far as a router knows.
+func (s *simulation) overloaded(router *simulatedRouter) bool {
+	waits := s.waits - router.reportedWaiting + router.queue.Len()
+	return fairshare.Overloaded(time.Duration(waits) * serviceTime / slotCount)
 }
 
 func (s *simulation) inFlood() bool { return s.now >= floodBegins && s.now < floodEnds }
 
-// arrive has the requests of one step come to routers by chance.
+// arrive adds the requests of one step to random routers.
 func (s *simulation) arrive() {
 	for tenant, mean := range usual {
-		if s.way.flood && s.inFlood() && slices.Contains(flooding, tenant) {
+		if s.policy.flood && s.inFlood() && slices.Contains(flooding, tenant) {
 			mean *= floodFactor
 		}
 		for range s.poisson(mean) {
@@ -207,7 +208,7 @@
 func (s *simulation) add(tenant, router int) {
 	s.order++
 	now := origin().Add(s.now)
-	place := waiting.NewSortKey(waiting.Priority{}, s.order, now.Add(timely), now.Add(patience)).
+	place := waiting.NewSortKey(waiting.Priority{}, s.order, now.Add(onTimeLimit), now.Add(waitLimit)).
 		WithTenant(waiting.Tenant{Name: names[tenant]})
 	s.routers[router].queue.Add(place, request{tenant: tenant, router: router, arrived: s.now})
 	if s.inFlood() {
@@ -225,56 +226,55 @@
 	return 0
 }
 
-// restart has some routers lose what they know halfway through the flood.
+// restart clears the state of some routers halfway through the flood.
 func (s *simulation) restart() {
 	if s.now != (floodBegins+floodEnds)/2 {
 		return
 	}
-	for _, router := range s.routers[:s.way.restarts] {
-		router.ledger, router.sent = s.ledger(router), nil
+	for _, router := range s.routers[:s.policy.restarts] {
+		router.ledger, router.reported = s.ledger(router), nil
 	}
 }
 
-// tell replaces what all routers tell each other; where a digest gets lost, the one before it
-// counts on.
-func (s *simulation) tell() {
+// exchange replaces the digests of all routers. If a digest is lost, the previous one remains.
+func (s *simulation) exchange() {
 	clear(s.sums)
 	s.seen = len(s.running) + len(s.started)
 	for _, router := range s.routers {
-		router.since = 0
-		if s.random.Float64() >= s.way.lost {
-			router.sent, router.told = router.ledger.Entries(router.waits(), s.now), router.queue.Len()
+		router.startedSince = 0
+		if s.random.Float64() >= s.policy.lossRate {
+			router.reported, router.reportedWaiting = router.ledger.Entries(router.waits(), s.now), router.queue.Len()
 		}
-		for _, entry := range router.sent {
+		for _, entry := range router.reported {
 			sum := s.sums[entry.Hash]
 			s.sums[entry.Hash] = fairshare.RemoteUsage{Waiting: sum.Waiting + entry.Waiting, Work: sum.Work + entry.Work}
 		}
 	}
 }
 
-// serve ends what has run, has all routers start what they may, and gives slots to what was
-// started, in this order.
+// serve ends finished requests, has all routers start requests within their credit, and assigns
+// slots to started requests in this order.
 func (s *simulation) serve() {
 	s.running = slices.DeleteFunc(s.running, func(each request) bool {
 		if each.ends <= s.now {
 			s.routers[each.router].credit++
-			s.routers[each.router].since--
+			s.routers[each.router].startedSince--
 		}
 		return each.ends <= s.now
 	})
 	free := slotCount - float64(len(s.running)+len(s.started))
 	s.waits = 0
 	for _, router := range s.routers {
-		s.waits += router.told
+		s.waits += router.reportedWaiting
 	}
 	for _, index := range s.random.Perm(routerCount) {
 		router := s.routers[index]
-		part := free / routerCount
-		if s.way.byDemand {
+		share := free / routerCount
+		if s.policy.byDemand {
 			own := router.queue.Len()
-			part = free * float64(own+1) / float64(own+s.waits-router.told+routerCount)
+			share = free * float64(own+1) / float64(own+s.waits-router.reportedWaiting+routerCount)
 		}
-		router.credit = min(max(leastCredit, part), router.credit+max(0, part)*float64(step)/float64(viewAge))
+		router.credit = min(max(minCredit, share), router.credit+max(0, share)*float64(step)/float64(viewDelay))
 		s.start(router)
 	}
 	for len(s.running) < slotCount && len(s.started) > 0 {
@@ -283,7 +283,7 @@
 	}
 }
 
-// start has a router start what it may.
+// start starts a router's requests within its credit.
 func (s *simulation) start(router *simulatedRouter) {
 	for {
 		first := s.next(router)
@@ -292,40 +292,40 @@
 		}
 		served := first.Value()
 		router.queue.Remove(first)
-		if s.now-served.arrived > patience {
+		if s.now-served.arrived > waitLimit {
 			continue
 		}
 		router.credit--
-		router.since++
+		router.startedSince++
 		router.ledger.Charge(names[served.tenant], work, s.now)
 		s.started = append(s.started, served)
 	}
 }
 
-// next is the first request of a router that may start or gives up, nil where none does.
+// next returns the first request of a router that may start or has timed out, or nil.
 func (s *simulation) next(router *simulatedRouter) *waiting.Entry[request] {
 	var found *waiting.Entry[request]
 	router.queue.Walk(origin().Add(s.now), func(entry *waiting.Entry[request]) bool {
-		if s.now-entry.Value().arrived > patience || s.mayStart(router, entry.Value()) {
+		if s.now-entry.Value().arrived > waitLimit || s.mayStart(router, entry.Value()) {
 			found = entry
 		}
-		return found == nil && s.way.modest
+		return found == nil && s.policy.light
 	})
 	return found
 }
 
 func (s *simulation) mayStart(router *simulatedRouter, each request) bool {
-	credit, most := router.credit, full
-	if s.way.modest && router.ledger.IsLight(names[each.tenant], func(string) uint32 { return 1 }, s.now) {
-		credit, most = credit+1, beyond
+	credit, most := router.credit, loadLimit
+	if s.policy.light && router.ledger.IsLight(names[each.tenant], func(string) uint32 { return 1 }, s.now) {
+		credit, most = credit+1, lightLoadLimit
 	}
-	return credit >= 1 && float64(s.seen+router.since) < most*slotCount
+	return credit >= 1 && float64(s.seen+router.startedSince) < most*slotCount
 }
 
 func (s *simulation) run(served request) {
-	served.ends = s.now + holding
+	served.ends = s.now + serviceTime
 	s.running = append(s.running, served)
-	if s.now-served.arrived > timely || served.arrived < floodBegins || served.arrived >= floodEnds {
+	if s.now-served.arrived > onTimeLimit || served.arrived < floodBegins || served.arrived >= floodEnds {
 		return
 	}
 	s.inTime[class(served.tenant)]++
@@ -334,73 +334,72 @@
 	}
 }
 
-// playAll plays the load once for each way, at the same time, and returns what came of each
-// by its name.
-func playAll(t *testing.T, ways []way) map[string]outcome {
+// simulateAll runs the load once for each policy, concurrently, and returns the outcomes by name.
+func simulateAll(t *testing.T, policies []policy) map[string]outcome {
 	var mutex sync.Mutex
 	var group sync.WaitGroup
 	results := make(map[string]outcome)
-	for _, each := range ways {
+	for _, each := range policies {
 		group.Go(func() {
-			result := play(each)
+			result := simulate(each)
 			mutex.Lock()
 			defer mutex.Unlock()
 			results[each.name] = result
 		})
 	}
 	group.Wait()
-	for _, each := range ways {
+	for _, each := range policies {
 		t.Logf("%-34s %v", each.name, results[each.name])
 	}
 	return results
 }
 
-// TestFloodOfOneTenantDoesNotMakeOthersLate weighs the ways: by arrival most of the others
-// are late, by what each router knows itself a few are, and what the others tell and slots
-// that follow what waits leave hardly any.
+// TestFloodOfOneTenantDoesNotMakeOthersLate compares the policies: in order of arrival most other
+// requests are late, with local usage some are, and with remote usage and slots by demand hardly
+// any.
 func TestFloodOfOneTenantDoesNotMakeOthersLate(t *testing.T) {
-	results := playAll(t, []way{
+	results := simulateAll(t, []policy{
 		{name: "calm, by arrival"},
 		{name: "calm, by arrival, slots by demand", byDemand: true},
-		{name: "calm, told, slots by demand", shares: true, tells: true, byDemand: true},
+		{name: "calm, remote usage, slots by demand", fair: true, remote: true, byDemand: true},
 		{name: "by arrival", flood: true},
 		{name: "by arrival, slots by demand", flood: true, byDemand: true},
-		{name: "local", flood: true, shares: true},
-		{name: "local, slots by demand", flood: true, shares: true, byDemand: true},
-		{name: "told", flood: true, shares: true, tells: true},
-		{name: "told, slots by demand", flood: true, shares: true, tells: true, byDemand: true},
-		{name: "calm, modest go beyond", shares: true, tells: true, byDemand: true, modest: true},
-		{name: "modest go beyond", flood: true, shares: true, tells: true, byDemand: true, modest: true},
+		{name: "local", flood: true, fair: true},
+		{name: "local, slots by demand", flood: true, fair: true, byDemand: true},
+		{name: "remote usage", flood: true, fair: true, remote: true},
+		{name: "remote usage, slots by demand", flood: true, fair: true, remote: true, byDemand: true},
+		{name: "calm, light tenants beyond slots", fair: true, remote: true, byDemand: true, light: true},
+		{name: "light tenants beyond slots", flood: true, fair: true, remote: true, byDemand: true, light: true},
 	})
-	if modest := results["modest go beyond"]; modest.others < results["calm, modest go beyond"].others-0.01 {
-		t.Errorf("with the flood %v, without it %v", modest, results["calm, modest go beyond"])
+	if light := results["light tenants beyond slots"]; light.others < results["calm, light tenants beyond slots"].others-0.01 {
+		t.Errorf("with the flood %v, without it %v", light, results["calm, light tenants beyond slots"])
 	}
-	calm, kept := results["calm, told, slots by demand"], results["told, slots by demand"]
+	calm, kept := results["calm, remote usage, slots by demand"], results["remote usage, slots by demand"]
 	if kept.others < calm.others-0.02 {
 		t.Errorf("with the flood %v, without it %v", kept, calm)
 	}
 	if without := results["by arrival"]; without.others > calm.others-0.1 {
-		t.Errorf("the load is none: by arrival %v", without)
+		t.Errorf("the flood makes no difference in order of arrival: %v", without)
 	}
 	if equal := results["calm, by arrival"]; calm.others < equal.others+0.1 {
 		t.Errorf("slots by demand gain nothing: %v instead of %v", calm, equal)
 	}
 }
 
-// TestFloodDuringFailures: routers that start anew have no second helping for the flood, and
-// lost digests cost little.
+// TestFloodDuringFailures checks that restarted routers give the flooding tenants no second share
+// and that lost digests cost little.
 func TestFloodDuringFailures(t *testing.T) {
-	plain := way{name: "no failure", flood: true, shares: true, tells: true, byDemand: true}
+	plain := policy{name: "no failure", flood: true, fair: true, remote: true, byDemand: true}
 	restarted, lossy := plain, plain
 	restarted.name, restarted.restarts = "half of the routers start anew", routerCount/2
-	lossy.name, lossy.lost = "half of the digests get lost", 0.5
-	results := playAll(t, []way{plain, restarted, lossy})
+	lossy.name, lossy.lossRate = "half of the digests get lost", 0.5
+	results := simulateAll(t, []policy{plain, restarted, lossy})
 	for name, result := range results {
 		if result.others < results[plain.name].others-0.02 {
 			t.Errorf("%s: %v instead of %v", name, result, results[plain.name])
 		}
 	}
 	if results[restarted.name].flood > results[plain.name].flood+0.02 {
-		t.Errorf("the flood gains by restarts: %v instead of %v", results[restarted.name], results[plain.name])
+		t.Errorf("the flooding tenants gain by restarts: %v instead of %v", results[restarted.name], results[plain.name])
 	}
 }
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -183,10 +183,10 @@
 	s.relaysSilent.Store(silent)
 	line := log.WithField("standby", standby).WithField("zone", s.layout.Load().Group())
 	if silent {
-		line.Warn("no load digests received from any relay of this zone")
+		line.Warn("no relay of load digests is heard")
 		return
 	}
-	line.Info("receiving load digests from a relay of this zone again")
+	line.Info("a relay of load digests is heard again")
 }
 
 func (s *Sharer) send(datagram Datagram) {
--- a/internal/waiting/waiting.go
+++ b/internal/waiting/waiting.go
@@ -1,11 +1,11 @@
-// Package waiting orders the online requests that wait in one process for a server. Requests
-// that can still be answered in time go before those that cannot, so that work which is late
-// already makes no other work late; none waits until it gives up behind others of its
-// priority. Where tenants share, of requests alike in this the one goes first whose tenant
-// had least, and a late one that gives up soon goes before others only if its tenant had no
-// more than any that waits: a flood that is late does not push itself before the others.
+// Package waiting orders the online requests that wait in one process for a server. Requests that
+// can still meet their latency objective go before late ones, so that late work delays no other
+// work. A late request that is about to time out goes before others of its priority. With fair
+// share, requests of equal rank are ordered by their tenants' virtual times, and a late request
+// that is about to time out only goes ahead if no other waiting tenant has a lower virtual time:
+// the late requests of a flooding tenant must not overtake the others.
 //
-// The package is pure: time is an argument.
+// The package has no clock: times are arguments.
 package waiting
 
 import (
@@ -14,204 +14,200 @@
 	"time"
 )
 
-// pressingFor is how long before it gives up a late request goes before all others of its
-// priority: long enough for some slots to be left meanwhile.
-const pressingFor = 400 * time.Millisecond
+// urgentWindow is how long before its timeout a late request becomes urgent: long enough for
+// some slots to become free.
+const urgentWindow = 400 * time.Millisecond
 
-// Priority orders requests by that of the tenant, then by that of the route. Lower numbers go
-// first.
+// Priority is the priority of a request, by tenant and then by route. Lower numbers go first.
 type Priority struct {
 	Tenant uint32
 	Route  uint32
 }
 
-// Before tells whether requests of the priority go before those of another one.
+// Before reports whether requests of this priority go before those of another one.
 func (p Priority) Before(other Priority) bool { return p.compare(other) < 0 }
 
 func (p Priority) compare(other Priority) int {
 	return cmp.Or(cmp.Compare(p.Tenant, other.Tenant), cmp.Compare(p.Route, other.Route))
 }
 
-// SortKey is what the order of a request rests on.
+// SortKey holds the attributes by which requests are ordered.
 type SortKey struct {
-	priority    Priority
-	arrival     uint64
-	onTimeUntil time.Time
-	givesUp     time.Time
-	tenant      Tenant
-	asked       time.Time
+	priority     Priority
+	arrival      uint64
+	onTimeUntil  time.Time
+	expires      time.Time
+	tenant       Tenant
+	firstAttempt time.Time
 }
 
-// Tenant is whose request waits. The zero value is no tenant.
+// Tenant is the owner of a request. The zero value is no tenant.
 type Tenant struct {
 	Name string
-	// Weight is its part of what is shared, beside those of others; zero is one.
+	// Weight is its weight in fair share; zero counts as one.
 	Weight uint32
 }
 
-// NewSortKey returns the place of a request. Its answer is in time if it begins at a server
-// until onTimeUntil, and it waits no longer than until givesUp. Arrival rises with each
-// request.
-func NewSortKey(priority Priority, arrival uint64, onTimeUntil, givesUp time.Time) SortKey {
-	return SortKey{priority: priority, arrival: arrival, onTimeUntil: onTimeUntil, givesUp: givesUp}
+// NewSortKey returns the key of a request that meets its objective if a server starts it before
+// onTimeUntil, and that times out at expires. Arrival numbers increase with each request.
+func NewSortKey(priority Priority, arrival uint64, onTimeUntil, expires time.Time) SortKey {
+	return SortKey{priority: priority, arrival: arrival, onTimeUntil: onTimeUntil, expires: expires}
 }
 
-// WithTenant returns the place of a request of a tenant.
-func (p SortKey) WithTenant(tenant Tenant) SortKey {
-	p.tenant = tenant
-	return p
+// WithTenant returns the key with a tenant.
+func (k SortKey) WithTenant(tenant Tenant) SortKey {
+	k.tenant = tenant
+	return k
 }
 
-// WithFirstAttempt returns the place of a request whose client has been asking since a time. It goes
-// before those of its standing whose clients began to ask later.
-func (p SortKey) WithFirstAttempt(asked time.Time) SortKey {
-	p.asked = asked
-	return p
+// WithFirstAttempt returns the key with the time of the client's first attempt. Of otherwise equal
+// requests the one with the earlier first attempt goes first.
+func (k SortKey) WithFirstAttempt(firstAttempt time.Time) SortKey {
+	k.firstAttempt = firstAttempt
+	return k
 }
 
-// Tenant is whose request it is.
-func (p SortKey) Tenant() Tenant { return p.tenant }
+// Tenant returns the tenant of the request.
+func (k SortKey) Tenant() Tenant { return k.tenant }
 
-// Priority is that of the request.
-func (p SortKey) Priority() Priority { return p.priority }
+// Priority returns the priority of the request.
+func (k SortKey) Priority() Priority { return k.priority }
 
-// standing is the order among requests of one priority.
-type standing int
+// urgency orders requests of one priority.
+type urgency int
 
 const (
-	// pressing requests are late and give up soon.
-	pressing standing = iota
-	// timely requests can still be answered in time.
+	// urgent requests are late and about to time out.
+	urgent urgency = iota
+	// timely requests can still meet their objective.
 	timely
-	// late requests cannot: they wait for a moment with less to do.
+	// late requests cannot, and wait until there is less load.
 	late
 )
 
-func (p SortKey) standing(now time.Time) standing {
+func (k SortKey) urgency(now time.Time) urgency {
 	switch {
-	case now.Before(p.onTimeUntil):
+	case now.Before(k.onTimeUntil):
 		return timely
-	case p.givesUp.Sub(now) < pressingFor:
-		return pressing
+	case k.expires.Sub(now) < urgentWindow:
+		return urgent
 	}
 	return late
 }
 
-// VirtualTime is how much the tenant of a request had lately, in any unit.
-type VirtualTime func(place SortKey) float64
+// VirtualTime returns the recent usage of a request's tenant, in any unit.
+type VirtualTime func(key SortKey) float64
 
-// ranked is a place with what its order rests on at one moment.
-type ranked struct {
-	place    SortKey
-	standing standing
-	virtual  float64
+// rankedKey is a key with the values that its order depends on at one moment.
+type rankedKey struct {
+	key     SortKey
+	urgency urgency
+	virtual float64
 }
 
-func (r ranked) before(other ranked) bool { return r.compare(other) < 0 }
+func (r rankedKey) before(other rankedKey) bool { return r.compare(other) < 0 }
 
-func (r ranked) compare(other ranked) int {
+func (r rankedKey) compare(other rankedKey) int {
 	return cmp.Or(
-		r.place.priority.compare(other.place.priority),
-		cmp.Compare(r.standing, other.standing),
+		r.key.priority.compare(other.key.priority),
+		cmp.Compare(r.urgency, other.urgency),
 		cmp.Compare(r.virtual, other.virtual),
-		r.place.asked.Compare(other.place.asked),
-		cmp.Compare(r.place.arrival, other.place.arrival),
+		r.key.firstAttempt.Compare(other.key.firstAttempt),
+		cmp.Compare(r.key.arrival, other.key.arrival),
 	)
 }
 
-// Entry is a request that waits, with what its owner keeps of it.
+// Entry is a waiting request with the owner's value.
 type Entry[T any] struct {
-	place SortKey
+	key   SortKey
 	value T
-	// left tells that it does not wait any more.
-	left bool
+	// removed is set once the request is no longer in the queue.
+	removed bool
 }
 
-// Value is what the owner keeps of the request.
+// Value returns the owner's value.
 func (e *Entry[T]) Value() T { return e.value }
 
-// Removed tells whether the request was removed.
-func (e *Entry[T]) Removed() bool { return e.left }
+// Removed reports whether the request was removed.
+func (e *Entry[T]) Removed() bool { return e.removed }
 
-// Queue holds requests that wait. Which one goes first changes with time, so that it is
-// found anew each time, at the cost of a look at each; a process has some tens of them, and
-// hundreds in the hardest floods. It belongs to one goroutine at a time. The zero value is empty.
+// Queue holds waiting requests. Their order changes with time, so the first one is found by a
+// scan of all; a process has some tens of them, and hundreds under heavy overload. The zero value
+// is an empty queue. It is not safe for concurrent use.
 type Queue[T any] struct {
 	entries []*Entry[T]
 	virtual VirtualTime
 }
 
-// EnableFairShare has tenants share: of requests alike in priority and standing the one with the least
-// virtual time goes first.
+// EnableFairShare orders requests of equal priority and urgency by their tenants' virtual times.
 func (q *Queue[T]) EnableFairShare(virtual VirtualTime) { q.virtual = virtual }
 
-// Len is how many requests wait.
+// Len returns the number of waiting requests.
 func (q *Queue[T]) Len() int { return len(q.entries) }
 
-// Add puts a request into the queue.
-func (q *Queue[T]) Add(place SortKey, value T) *Entry[T] {
-	added := &Entry[T]{place: place, value: value}
+// Add adds a request to the queue.
+func (q *Queue[T]) Add(key SortKey, value T) *Entry[T] {
+	added := &Entry[T]{key: key, value: value}
 	q.entries = append(q.entries, added)
 	return added
 }
 
-// Each visits the places of all requests that wait.
-func (q *Queue[T]) Each(visit func(place SortKey)) {
+// Each calls visit with the key of each waiting request.
+func (q *Queue[T]) Each(visit func(key SortKey)) {
 	for _, each := range q.entries {
-		visit(each.place)
+		visit(each.key)
 	}
 }
 
-// Any tells whether a request waits of which that holds.
-func (q *Queue[T]) Any(holds func(value T) bool) bool {
-	return slices.ContainsFunc(q.entries, func(each *Entry[T]) bool { return holds(each.value) })
+// Any reports whether any waiting request matches.
+func (q *Queue[T]) Any(matches func(value T) bool) bool {
+	return slices.ContainsFunc(q.entries, func(each *Entry[T]) bool { return matches(each.value) })
 }
 
-// First is the request that goes before all others now, nil where none waits.
+// First returns the request that goes first now, or nil.
 func (q *Queue[T]) First(now time.Time) *Entry[T] {
 	return q.FirstMatching(now, func(T) bool { return true })
 }
 
-// FirstMatching is the request that goes first now of those of which that holds, nil where it holds of
-// none.
-func (q *Queue[T]) FirstMatching(now time.Time, holds func(value T) bool) *Entry[T] {
+// FirstMatching returns the matching request that goes first now, or nil.
+func (q *Queue[T]) FirstMatching(now time.Time, matches func(value T) bool) *Entry[T] {
 	var first *Entry[T]
-	var best ranked
-	least := q.least(now)
+	var best rankedKey
+	minVirtualTimes := q.minVirtualTimes(now)
 	for _, each := range q.entries {
-		if !holds(each.value) {
+		if !matches(each.value) {
 			continue
 		}
-		if rank := q.rank(each.place, least, now); first == nil || rank.before(best) {
+		if rank := q.rank(each.key, minVirtualTimes, now); first == nil || rank.before(best) {
 			first, best = each, rank
 		}
 	}
 	return first
 }
 
-// Walk visits the requests in the order in which they go now, until the visitor returns false
-// or all were visited. The order is that of its beginning; the visitor must not change the queue.
+// Walk visits the requests in their present order until visit returns false. The order does not
+// change during the walk; visit must not change the queue.
 func (q *Queue[T]) Walk(now time.Time, visit func(entry *Entry[T]) bool) {
-	// Most walks end at the first one, which needs no order among the others.
+	// Most walks end at the first request, which is found without sorting.
 	first := q.First(now)
 	if first == nil || !visit(first) {
 		return
 	}
-	for _, each := range q.after(first, now) {
+	for _, each := range q.sortedExcept(first, now) {
 		if !visit(each) {
 			return
 		}
 	}
 }
 
-// after lists all requests but the first one, in their order.
-func (q *Queue[T]) after(first *Entry[T], now time.Time) []*Entry[T] {
-	least := q.least(now)
-	ranks := make(map[*Entry[T]]ranked, len(q.entries))
+// sortedExcept returns all requests but the first one, in order.
+func (q *Queue[T]) sortedExcept(first *Entry[T], now time.Time) []*Entry[T] {
+	minVirtualTimes := q.minVirtualTimes(now)
+	ranks := make(map[*Entry[T]]rankedKey, len(q.entries))
 	others := make([]*Entry[T], 0, len(q.entries))
 	for _, each := range q.entries {
 		if each != first {
-			ranks[each] = q.rank(each.place, least, now)
+			ranks[each] = q.rank(each.key, minVirtualTimes, now)
 			others = append(others, each)
 		}
 	}
@@ -219,62 +215,62 @@
 	return others
 }
 
-// CountAhead is how many of those that wait go before a request that does not wait yet.
-func (q *Queue[T]) CountAhead(place SortKey, now time.Time) int {
-	least := q.least(now, place)
-	own := q.rank(place, least, now)
+// CountAhead returns how many waiting requests go before one that is not in the queue.
+func (q *Queue[T]) CountAhead(key SortKey, now time.Time) int {
+	minVirtualTimes := q.minVirtualTimes(now, key)
+	own := q.rank(key, minVirtualTimes, now)
 	ahead := 0
 	for _, each := range q.entries {
-		if !own.before(q.rank(each.place, least, now)) {
+		if !own.before(q.rank(each.key, minVirtualTimes, now)) {
 			ahead++
 		}
 	}
 	return ahead
 }
 
-// least is the least virtual time among those that wait and the given places, by priority.
-// It is nil where nothing is shared, or no request gives up soon.
-func (q *Queue[T]) least(now time.Time, more ...SortKey) map[Priority]float64 {
-	if q.virtual == nil || !q.presses(now, more) {
+// minVirtualTimes returns the least virtual time per priority of the waiting requests and the
+// given keys. It returns nil without fair share or urgent requests.
+func (q *Queue[T]) minVirtualTimes(now time.Time, more ...SortKey) map[Priority]float64 {
+	if q.virtual == nil || !q.hasUrgent(now, more) {
 		return nil
 	}
-	least := make(map[Priority]float64)
-	note := func(place SortKey) {
-		virtual := q.virtual(place)
-		if known, found := least[place.priority]; !found || virtual < known {
-			least[place.priority] = virtual
+	minVirtualTimes := make(map[Priority]float64)
+	note := func(key SortKey) {
+		virtual := q.virtual(key)
+		if known, found := minVirtualTimes[key.priority]; !found || virtual < known {
+			minVirtualTimes[key.priority] = virtual
 		}
 	}
 	q.Each(note)
-	for _, place := range more {
-		note(place)
+	for _, key := range more {
+		note(key)
 	}
-	return least
+	return minVirtualTimes
 }
 
-// presses tells whether one of those that wait or of the given places gives up soon.
-func (q *Queue[T]) presses(now time.Time, more []SortKey) bool {
-	isPressing := func(place SortKey) bool { return place.standing(now) == pressing }
-	return slices.ContainsFunc(more, isPressing) ||
-		slices.ContainsFunc(q.entries, func(each *Entry[T]) bool { return isPressing(each.place) })
+// hasUrgent reports whether any waiting request or given key is urgent.
+func (q *Queue[T]) hasUrgent(now time.Time, more []SortKey) bool {
+	isUrgent := func(key SortKey) bool { return key.urgency(now) == urgent }
+	return slices.ContainsFunc(more, isUrgent) ||
+		slices.ContainsFunc(q.entries, func(each *Entry[T]) bool { return isUrgent(each.key) })
 }
 
-// rank is what the order of a place rests on now. One that gives up soon counts as any other
-// late one where its tenant had more than another that waits.
-func (q *Queue[T]) rank(place SortKey, least map[Priority]float64, now time.Time) ranked {
-	rank := ranked{place: place, standing: place.standing(now)}
+// rank returns the rank of a key now. An urgent request whose tenant used more than another waiting
+// one counts as late.
+func (q *Queue[T]) rank(key SortKey, minVirtualTimes map[Priority]float64, now time.Time) rankedKey {
+	rank := rankedKey{key: key, urgency: key.urgency(now)}
 	if q.virtual == nil {
 		return rank
 	}
-	rank.virtual = q.virtual(place)
-	if rank.standing == pressing && rank.virtual > least[place.priority] {
-		rank.standing = late
+	rank.virtual = q.virtual(key)
+	if rank.urgency == urgent && rank.virtual > minVirtualTimes[key.priority] {
+		rank.urgency = late
 	}
 	return rank
 }
 
-// Remove takes a request out of the queue.
+// Remove removes a request from the queue.
 func (q *Queue[T]) Remove(entry *Entry[T]) {
-	entry.left = true
+	entry.removed = true
 	q.entries = slices.DeleteFunc(q.entries, func(each *Entry[T]) bool { return each == entry })
 }
--- a/internal/waiting/waiting_test.go
+++ b/internal/waiting/waiting_test.go
@@ -12,44 +12,43 @@
 
 var now = time.Unix(1_000_000, 0)
 
-// places are those of a request that is late, of one that can still be in time, of one that
-// gives up soon, and of one of a tenant that goes after them.
-func places() (late, timely, pressing, lower waiting.SortKey) {
+// testKeys returns the keys of a late request, one that can still be in time, one that is about to
+// time out, and one of lower priority.
+func testKeys() (late, timely, urgent, lower waiting.SortKey) {
 	normal := waiting.Priority{}
 	late = waiting.NewSortKey(normal, 1, now.Add(-time.Second), now.Add(long))
 	timely = waiting.NewSortKey(normal, 2, now.Add(100*time.Millisecond), now.Add(long))
-	pressing = waiting.NewSortKey(normal, 3, now.Add(-time.Second), now.Add(100*time.Millisecond))
+	urgent = waiting.NewSortKey(normal, 3, now.Add(-time.Second), now.Add(100*time.Millisecond))
 	lower = waiting.NewSortKey(waiting.Priority{Tenant: 1}, 0, now.Add(long), now.Add(long))
-	return late, timely, pressing, lower
+	return late, timely, urgent, lower
 }
 
-// TestRequestsThatCanBeInTimeGoBeforeLateOnes, and none waits until it gives up behind others
-// of its priority.
+// TestRequestsThatCanBeInTimeGoBeforeLateOnes also checks that urgent requests go before both.
 func TestRequestsThatCanBeInTimeGoBeforeLateOnes(t *testing.T) {
-	late, timely, pressing, lower := places()
+	late, timely, urgent, lower := testKeys()
 	queue := waiting.Queue[string]{}
 	queue.Add(lower, "lower")
 	queue.Add(late, "late")
 	queue.Add(timely, "timely")
-	queue.Add(pressing, "pressing")
-	for _, want := range []string{"pressing", "timely", "late", "lower"} {
+	queue.Add(urgent, "urgent")
+	for _, want := range []string{"urgent", "timely", "late", "lower"} {
 		first := queue.First(now)
 		if first.Value() != want {
 			t.Fatalf("the %s request goes first, want the %s one", first.Value(), want)
 		}
 		queue.Remove(first)
 		if !first.Removed() {
-			t.Fatalf("the %s request has not left", want)
+			t.Fatalf("the %s request is not marked as removed", want)
 		}
 	}
 	if queue.First(now) != nil || queue.Len() != 0 {
-		t.Fatalf("%d requests are left", queue.Len())
+		t.Fatalf("%d requests remain", queue.Len())
 	}
 }
 
-// TestOrderFollowsTheTime: a request falls behind once it cannot be in time any more.
+// TestOrderFollowsTheTime: a request falls behind once it can no longer be in time.
 func TestOrderFollowsTheTime(t *testing.T) {
-	late, timely, _, _ := places()
+	late, timely, _, _ := testKeys()
 	queue := waiting.Queue[string]{}
 	queue.Add(late, "late")
 	queue.Add(timely, "timely")
@@ -62,43 +61,43 @@
 }
 
 func TestEarlierRequestGoesFirstAmongEqualOnes(t *testing.T) {
-	_, timely, _, _ := places()
+	_, timely, _, _ := testKeys()
 	next := waiting.NewSortKey(waiting.Priority{}, 5, now.Add(100*time.Millisecond), now.Add(long))
 	for _, order := range [][]waiting.SortKey{{timely, next}, {next, timely}} {
 		queue := waiting.Queue[waiting.SortKey]{}
-		for _, place := range order {
-			queue.Add(place, place)
+		for _, key := range order {
+			queue.Add(key, key)
 		}
 		if queue.First(now).Value() != timely || queue.CountAhead(next, now) == 0 {
-			t.Fatal("the later one goes first")
+			t.Fatal("the later request goes first")
 		}
 	}
 }
 
 // TestNewcomerGoesBeforeLateRequests but not before those of a higher priority.
 func TestNewcomerGoesBeforeLateRequests(t *testing.T) {
-	late, timely, _, lower := places()
+	late, timely, _, lower := testKeys()
 	queue := waiting.Queue[string]{}
 	if queue.CountAhead(lower, now) != 0 {
-		t.Fatal("it does not go first where none waits")
+		t.Fatal("requests wait ahead in an empty queue")
 	}
 	queue.Add(late, "late")
 	if queue.CountAhead(timely, now) != 0 || queue.CountAhead(lower, now) == 0 {
-		t.Fatal("the order of newcomers is not that of the queue")
+		t.Fatal("the order of new requests is not that of the queue")
 	}
 }
 
-// TestClientThatHasAskedForLongerGoesFirst among those whose answers can be in time, and not
-// before them when its own cannot.
-func TestClientThatHasAskedForLongerGoesFirst(t *testing.T) {
-	place := func(arrival uint64, asked, onTimeUntil time.Duration) waiting.SortKey {
-		return waiting.NewSortKey(waiting.Priority{}, arrival, now.Add(onTimeUntil), now.Add(long)).WithFirstAttempt(now.Add(asked))
+// TestEarlierFirstAttemptGoesFirst among requests that can be in time, but a late retry does
+// not.
+func TestEarlierFirstAttemptGoesFirst(t *testing.T) {
+	key := func(arrival uint64, firstAttempt, onTimeUntil time.Duration) waiting.SortKey {
+		return waiting.NewSortKey(waiting.Priority{}, arrival, now.Add(onTimeUntil), now.Add(long)).WithFirstAttempt(now.Add(firstAttempt))
 	}
 	queue := waiting.Queue[string]{}
-	queue.Add(place(1, -10*time.Millisecond, 240*time.Millisecond), "new")
-	queue.Add(place(2, -100*time.Millisecond, 150*time.Millisecond), "back in time")
-	queue.Add(place(3, -time.Second, -750*time.Millisecond), "back late")
-	for _, want := range []string{"back in time", "new", "back late"} {
+	queue.Add(key(1, -10*time.Millisecond, 240*time.Millisecond), "new")
+	queue.Add(key(2, -100*time.Millisecond, 150*time.Millisecond), "retry in time")
+	queue.Add(key(3, -time.Second, -750*time.Millisecond), "late retry")
+	for _, want := range []string{"retry in time", "new", "late retry"} {
 		first := queue.First(now)
 		if first.Value() != want {
 			t.Fatalf("the %s request goes first, want the %s one", first.Value(), want)
@@ -107,59 +106,59 @@
 	}
 }
 
-// shared is a queue in which a flood of one tenant waits, late and about to give up, and
-// what each tenant had lately.
-func shared() *waiting.Queue[string] {
-	had := map[string]float64{"flood": 9000, "small": 40}
+// floodQueue returns a queue with late, urgent requests of a flooding tenant, and fair share by
+// fixed virtual times.
+func floodQueue() *waiting.Queue[string] {
+	usage := map[string]float64{"flood": 9000, "small": 40}
 	queue := &waiting.Queue[string]{}
-	queue.EnableFairShare(func(place waiting.SortKey) float64 { return had[place.Tenant().Name] })
+	queue.EnableFairShare(func(key waiting.SortKey) float64 { return usage[key.Tenant().Name] })
 	for arrival := range uint64(20) {
-		place := waiting.NewSortKey(waiting.Priority{}, arrival, now.Add(-time.Second), now.Add(100*time.Millisecond))
-		queue.Add(place.WithTenant(waiting.Tenant{Name: "flood"}), "flood")
+		key := waiting.NewSortKey(waiting.Priority{}, arrival, now.Add(-time.Second), now.Add(100*time.Millisecond))
+		queue.Add(key.WithTenant(waiting.Tenant{Name: "flood"}), "flood")
 	}
 	return queue
 }
 
-// TestFloodThatGivesUpSoonDoesNotGoBeforeOthers: its late requests went before the timely ones
-// of all others.
-func TestFloodThatGivesUpSoonDoesNotGoBeforeOthers(t *testing.T) {
-	queue := shared()
+// TestUrgentFloodDoesNotOvertakeOthers guards against urgent requests of a flooding tenant
+// that overtake the timely ones of all others.
+func TestUrgentFloodDoesNotOvertakeOthers(t *testing.T) {
+	queue := floodQueue()
 	small := waiting.NewSortKey(waiting.Priority{}, 99, now.Add(long), now.Add(long)).WithTenant(waiting.Tenant{Name: "small"})
 	if ahead := queue.CountAhead(small, now); ahead != 0 {
-		t.Fatalf("%d of the flood go before a request of a tenant that had little", ahead)
+		t.Fatalf("%d requests of the flooding tenant go before one of a light tenant", ahead)
 	}
 	queue.Add(small, "small")
 	if first := queue.First(now).Value(); first != "small" {
-		t.Fatalf("the %s goes first", first)
+		t.Fatalf("the %s request goes first", first)
 	}
 }
 
-// TestFloodAloneKeepsItsOrder: where no other tenant waits, what gives up soon goes first.
+// TestFloodAloneKeepsItsOrder: urgent requests go first if no other tenant waits.
 func TestFloodAloneKeepsItsOrder(t *testing.T) {
-	queue := shared()
+	queue := floodQueue()
 	timely := waiting.NewSortKey(waiting.Priority{}, 99, now.Add(long), now.Add(long)).WithTenant(waiting.Tenant{Name: "flood"})
 	if ahead := queue.CountAhead(timely, now); ahead != 20 {
-		t.Fatalf("%d that give up soon go first", ahead)
+		t.Fatalf("%d urgent requests go first", ahead)
 	}
 }
 
 // TestPriorityGoesBeforeShare: tenants share only within one priority.
 func TestPriorityGoesBeforeShare(t *testing.T) {
-	queue := shared()
+	queue := floodQueue()
 	lower := waiting.NewSortKey(waiting.Priority{Tenant: 1}, 99, now.Add(long), now.Add(long)).WithTenant(waiting.Tenant{Name: "small"})
 	if ahead := queue.CountAhead(lower, now); ahead != 20 {
 		t.Fatalf("%d of 20 of a higher priority go first", ahead)
 	}
 }
 
-// TestWalkVisitsInOrderUntilItIsEnded, and in the order in which requests would leave.
+// TestWalkVisitsInOrderUntilItIsEnded, in the order in which requests would be removed.
 func TestWalkVisitsInOrderUntilItIsEnded(t *testing.T) {
-	late, timely, pressing, lower := places()
+	late, timely, urgent, lower := testKeys()
 	queue := waiting.Queue[string]{}
-	for value, place := range map[string]waiting.SortKey{"lower": lower, "late": late, "timely": timely, "pressing": pressing} {
-		queue.Add(place, value)
+	for value, key := range map[string]waiting.SortKey{"lower": lower, "late": late, "timely": timely, "urgent": urgent} {
+		queue.Add(key, value)
 	}
-	want := []string{"pressing", "timely", "late", "lower"}
+	want := []string{"urgent", "timely", "late", "lower"}
 	for most := range len(want) {
 		var visited []string
 		queue.Walk(now, func(entry *waiting.Entry[string]) bool {
