--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,22 +1,21 @@
-// Package admission decides whether an online request may run now, must be
-// refused as not run with a time to come back, may be retried, and may be
-// hedged. It is pure: estimates and time are arguments.
+// Package admission decides whether an online request is admitted or refused with a retry delay, and
+// whether it may be hedged. It has no clock and no state: estimates and times are arguments.
 package admission
 
 import "time"
 
-// Policy bounds what online requests may wait for.
+// Policy bounds the waits of online requests.
 type Policy struct {
 	// QueueTimeout is the longest estimated wait that is admitted.
 	QueueTimeout time.Duration
-	// Margin multiplies the estimate before it is held against the deadline.
+	// Margin multiplies the estimate before it is compared with the deadline.
 	Margin float64
-	// MinimumRetryAfter and MaximumRetryAfter bound the advice to callers.
+	// MinimumRetryAfter and MaximumRetryAfter bound the advised retry delay.
 	MinimumRetryAfter time.Duration
 	MaximumRetryAfter time.Duration
 }
 
-// DefaultPolicy is used where the configuration says nothing.
+// DefaultPolicy is the policy without configuration.
 var DefaultPolicy = Policy{
 	QueueTimeout:      2 * time.Second,
 	Margin:            1.2,
@@ -24,14 +23,14 @@
 	MaximumRetryAfter: 30 * time.Second,
 }
 
-// Reason tells why a request was refused.
+// Reason is why a request was refused.
 type Reason uint8
 
-// The reasons.
+// Reasons for a verdict.
 const (
-	// Admitted: not refused.
+	// Admitted: the request was not refused.
 	Admitted Reason = iota
-	// NoBackEnd: no server may take the request now.
+	// NoBackEnd: no server can take the request now.
 	NoBackEnd
 	// QueueFull: the estimated wait exceeds QueueTimeout.
 	QueueFull
@@ -43,24 +42,24 @@
 type Estimate struct {
 	// Wait is the expected wait.
 	Wait time.Duration
-	// Found is false when routing found no server.
+	// Found is false if routing found no server.
 	Found bool
 }
 
 // Verdict is the decision on one request.
 type Verdict struct {
 	Reason Reason
-	// RetryAfter is when a refused request is worth sending again.
+	// RetryAfter is the advised retry delay of a refused request.
 	RetryAfter time.Duration
 }
 
-// Admit tells whether the request may run.
+// Admit reports whether the request is admitted.
 func (v Verdict) Admit() bool {
 	return v.Reason == Admitted
 }
 
-// Decide admits or refuses a request. Deadline is the point in time by which
-// the first token is wanted; zero means none.
+// Decide admits or refuses a request. The deadline is when the first token is wanted; zero means
+// none.
 func Decide(policy Policy, estimate Estimate, deadline, now time.Duration) Verdict {
 	if !estimate.Found {
 		return Verdict{Reason: NoBackEnd, RetryAfter: policy.MinimumRetryAfter}
--- a/internal/admission/hedge.go
+++ b/internal/admission/hedge.go
@@ -2,21 +2,20 @@
 
 import "time"
 
-// HedgePolicy says when a second attempt beside a slow first one is worth it.
+// HedgePolicy says when a slow first attempt is hedged by a second one.
 type HedgePolicy struct {
-	// Factor multiplies the expected wait to give the time before a hedge.
+	// Factor multiplies the expected wait to give the delay of a hedge.
 	Factor float64
-	// Minimum is the least time before a hedge.
+	// Minimum is the least delay of a hedge.
 	Minimum time.Duration
 }
 
-// DefaultHedgePolicy is what gateways use.
+// DefaultHedgePolicy is the policy of gateways.
 var DefaultHedgePolicy = HedgePolicy{Factor: 4, Minimum: 250 * time.Millisecond}
 
-// HedgeAfter tells after how long without a first token a second attempt may
-// start. It returns false when the request may not be repeated. The caller still
-// takes the hedge out of what its retry budget has to spare, so that a full
-// fleet, which uses the budget up, gets none.
+// HedgeAfter returns how long to wait for a first token before a second attempt may start. It
+// returns false if the request may not be repeated. The caller takes the hedge out of the spare
+// part of its retry budget, so that an overloaded fleet makes no hedges.
 func HedgeAfter(policy HedgePolicy, repeatable bool, expectedWait time.Duration) (time.Duration, bool) {
 	if !repeatable || policy.Factor <= 0 {
 		return 0, false
--- a/internal/limits/export_test.go
+++ b/internal/limits/export_test.go
@@ -1,10 +1,10 @@
 package limits
 
-// Its figures that the tests use.
+// Exported for the tests.
 const (
-	AllowanceLife     = allowanceLife
+	AllowanceLifetime = allowanceLifetime
 	MinimumRetryAfter = minimumRetryAfter
 )
 
-// Its function that the tests use.
+// Exported for the tests.
 var Unlimited = unlimited
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -1,10 +1,9 @@
-// Package limits holds tenants to their limits of requests per second,
-// concurrency and tokens per second without a round trip: each gateway spends
-// its own allowance of every limit. The control machines set the allowances at
-// each exchange, from the use that all gateways report. A gateway always lets
-// one request of a tenant run, so a concurrency limit below the number of
-// gateways that the tenant uses is exceeded by at most that number. The package has no
-// clock of its own: time is an argument.
+// Package limits enforces the limits of tenants on requests per second, concurrency and tokens
+// per second without a round trip: each gateway spends its own allowance of every limit. The
+// control machines set the allowances at each exchange, from the use that all gateways report. A
+// gateway always lets one request of a tenant run, so a concurrency limit below the number of
+// gateways that the tenant uses is exceeded by at most that number. The package has no clock:
+// times are arguments.
 package limits
 
 import (
@@ -16,34 +15,33 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Bounds of the limiter.
+// Constants of the limiter.
 const (
-	// burst is how many seconds of an allowance may be used at once.
+	// burst is the capacity of a token bucket, in seconds of its rate.
 	burst = 1.0
-	// minimumRetryAfter is the least advice to callers.
+	// minimumRetryAfter is the least retry delay that is advised.
 	minimumRetryAfter = 50 * time.Millisecond
-	// maximumRetryAfter is the greatest advice to callers.
+	// maximumRetryAfter is the greatest retry delay that is advised.
 	maximumRetryAfter = 30 * time.Second
-	// concurrencyRetryAfter is the advice while a tenant's concurrency is used up.
+	// concurrencyRetryAfter is the advised delay while a tenant's concurrency is exhausted.
 	concurrencyRetryAfter = 250 * time.Millisecond
-	// allowanceLife is how long an allowance holds without a newer one. Then the
-	// equal part of the limit holds again.
-	allowanceLife = 30 * time.Second
-	// idleLife is after how long without requests a tenant is forgotten.
-	idleLife = time.Minute
-	// maximumParts bounds the number of gateways that a limit is divided by.
-	maximumParts = 4096
+	// allowanceLifetime is how long an allowance is valid. Without a newer one, the gateway then
+	// uses its equal part of the limit.
+	allowanceLifetime = 30 * time.Second
+	// idleTimeout is the time without requests after which a tenant is forgotten.
+	idleTimeout = time.Minute
+	// maximumGateways bounds the number of gateways by which a limit is divided.
+	maximumGateways = 4096
 )
 
-// Limiter holds the tenants of one gateway to their allowances. It is safe for
-// concurrent use.
+// Limiter enforces the tenants' allowances at one gateway. It is safe for concurrent use.
 type Limiter struct {
-	mutex   sync.Mutex
-	parts   int
-	tenants map[string]*tenant
+	mutex    sync.Mutex
+	gateways int
+	tenants  map[string]*tenant
 }
 
-// tenant is what is known of one tenant with limits.
+// tenant is the state of one tenant with limits.
 type tenant struct {
 	limits      *rockwindpb.Limits
 	allowance   *rockwindpb.TenantAllowance
@@ -52,24 +50,24 @@
 	tokens      bucket
 	running     uint32
 	lastRequest time.Time
-	used        use
+	used        usageCounts
 }
 
-// use counts what was used since the last report.
-type use struct {
+// usageCounts counts what was used since the last report.
+type usageCounts struct {
 	requests float64
 	tokens   float64
 	peak     uint32
 }
 
-// bucket is a token bucket; its level may go below zero when the cost is known
-// only afterwards.
+// bucket is a token bucket. Its level may be negative, because the cost of a request in tokens is
+// known only when it ends.
 type bucket struct {
 	level  float64
 	filled time.Time
 }
 
-// refill adds what the time since the last call earned.
+// refill adds the tokens earned since the last call.
 func (b *bucket) refill(rate float64, now time.Time) {
 	capacity := max(rate*burst, 1)
 	if b.filled.IsZero() {
@@ -80,8 +78,7 @@
 	b.filled = now
 }
 
-// wait is the time until the level reaches need, and a millisecond more: the
-// level may round to just below.
+// wait returns the time until the level reaches need, plus a millisecond for rounding.
 func (b *bucket) wait(rate, need float64) time.Duration {
 	if rate <= 0 {
 		return maximumRetryAfter
@@ -92,30 +89,30 @@
 
 // New returns a limiter without tenants.
 func New() *Limiter {
-	return &Limiter{parts: 1, tenants: make(map[string]*tenant)}
+	return &Limiter{gateways: 1, tenants: make(map[string]*tenant)}
 }
 
-// SetGateways tells how many gateways share the limits of tenants for which no
-// allowance is known yet.
+// SetGateways sets the number of gateways among which a tenant's limits are divided while it has
+// no allowance.
 func (l *Limiter) SetGateways(count int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.parts = min(max(count, 1), maximumParts)
+	l.gateways = min(max(count, 1), maximumGateways)
 }
 
-// Grant is the permission of one request. Done must be called once.
+// Grant is the admission of one request. Done must be called once.
 type Grant struct {
 	limiter *Limiter
 	tenant  *tenant
 }
 
-// unlimited tells whether nothing is limited.
+// unlimited reports whether no limit is set.
 func unlimited(limits *rockwindpb.Limits) bool {
 	return limits.GetRequestsPerSecond() <= 0 && limits.GetConcurrency() == 0 && limits.GetTokensPerSecond() <= 0
 }
 
-// Admit takes one request out of the tenant's allowance. It fails with
-// fault.LimitReached, not run, and the time to come back.
+// Admit takes one request out of the tenant's allowance. If the allowance is exhausted, it returns
+// fault.LimitReached as not run, with a retry delay.
 func (l *Limiter) Admit(name string, limits *rockwindpb.Limits, now time.Time) (*Grant, error) {
 	if unlimited(limits) {
 		return &Grant{}, nil
@@ -129,39 +126,39 @@
 	}
 	found.limits = limits
 	found.lastRequest = now
-	// Demand is reported also when it is refused, so that the control machines
-	// can move allowances to where the requests are.
+	// Refused requests count as demand too, so that the control machines can move allowances to
+	// where the requests are.
 	found.used.requests++
 	found.used.peak = max(found.used.peak, found.running+1)
-	if err := found.admit(l.parts, now); err != nil {
+	if err := found.admit(l.gateways, now); err != nil {
 		return nil, err
 	}
 	found.running++
 	return &Grant{limiter: l, tenant: found}, nil
 }
 
-func (t *tenant) admit(parts int, now time.Time) error {
-	allowed := t.allowed(parts, now)
+func (t *tenant) admit(gateways int, now time.Time) error {
+	allowed := t.allowed(gateways, now)
 	if t.limits.GetConcurrency() > 0 && t.running >= allowed.concurrency {
-		return reached("concurrency", concurrencyRetryAfter)
+		return limitReached("concurrency", concurrencyRetryAfter)
 	}
 	if t.limits.GetTokensPerSecond() > 0 {
 		t.tokens.refill(allowed.tokens, now)
 		if t.tokens.level <= 0 {
-			return reached("tokens_per_second", t.tokens.wait(allowed.tokens, 1))
+			return limitReached("tokens_per_second", t.tokens.wait(allowed.tokens, 1))
 		}
 	}
 	if t.limits.GetRequestsPerSecond() > 0 {
 		t.requests.refill(allowed.requests, now)
 		if t.requests.level < 1 {
-			return reached("requests_per_second", t.requests.wait(allowed.requests, 1))
+			return limitReached("requests_per_second", t.requests.wait(allowed.requests, 1))
 		}
 		t.requests.level--
 	}
 	return nil
 }
 
-func reached(limit string, after time.Duration) error {
+func limitReached(limit string, after time.Duration) error {
 	after = min(max(after, minimumRetryAfter), maximumRetryAfter)
 	return fault.Newf(fault.LimitReached, "send the request again after the time in Retry-After, or ask for a higher limit",
 		"the tenant's limit %s is used up", limit).WithRan(fault.NotRun).WithRetryAfter(after)
@@ -174,8 +171,8 @@
 	concurrency uint32
 }
 
-func (t *tenant) allowed(parts int, now time.Time) allowed {
-	if t.allowance != nil && now.Sub(t.allowedAt) < allowanceLife {
+func (t *tenant) allowed(gateways int, now time.Time) allowed {
+	if t.allowance != nil && now.Sub(t.allowedAt) < allowanceLifetime {
 		return allowed{
 			requests:    min(t.allowance.GetRequestsPerSecond(), t.limits.GetRequestsPerSecond()),
 			tokens:      min(t.allowance.GetTokensPerSecond(), t.limits.GetTokensPerSecond()),
@@ -183,9 +180,9 @@
 		}
 	}
 	return allowed{
-		requests:    t.limits.GetRequestsPerSecond() / float64(parts),
-		tokens:      t.limits.GetTokensPerSecond() / float64(parts),
-		concurrency: max(1, t.limits.GetConcurrency()/uint32(parts)),
+		requests:    t.limits.GetRequestsPerSecond() / float64(gateways),
+		tokens:      t.limits.GetTokensPerSecond() / float64(gateways),
+		concurrency: max(1, t.limits.GetConcurrency()/uint32(gateways)),
 	}
 }
 
@@ -201,7 +198,7 @@
 	g.tenant.used.tokens += tokens
 }
 
-// SetAllowances puts newer allowances in force.
+// SetAllowances replaces the allowances of known tenants.
 func (l *Limiter) SetAllowances(allowances []*rockwindpb.TenantAllowance, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -213,28 +210,28 @@
 	}
 }
 
-// Usage returns what the tenants used since the last call, and forgets tenants
-// that have been idle for long.
+// Usage returns and resets what the tenants have used since the last call, and forgets tenants that
+// have been idle for long.
 func (l *Limiter) Usage(now time.Time) []*rockwindpb.TenantUsage {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var usage []*rockwindpb.TenantUsage
 	for name, found := range l.tenants {
-		if found.used != (use{}) || found.running > 0 {
+		if found.used != (usageCounts{}) || found.running > 0 {
 			usage = append(usage, &rockwindpb.TenantUsage{
 				Tenant: name, Requests: found.used.requests, Tokens: found.used.tokens,
 				Concurrency: max(found.used.peak, found.running),
 			})
 		}
-		found.used = use{}
-		if found.running == 0 && now.Sub(found.lastRequest) > idleLife {
+		found.used = usageCounts{}
+		if found.running == 0 && now.Sub(found.lastRequest) > idleTimeout {
 			delete(l.tenants, name)
 		}
 	}
 	return usage
 }
 
-// Restore gives back a usage report that was not delivered.
+// Restore adds back the usage of a report that was not delivered.
 func (l *Limiter) Restore(usage []*rockwindpb.TenantUsage) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -102,8 +102,8 @@
 	})
 }
 
-// TestRetryAfterIsEnough comes back at the advised time: the request is admitted
-// when nothing else used the limit in between.
+// TestRetryAfterIsEnough checks that a request that waits as advised is admitted, if nothing else
+// used the limit in between.
 func TestRetryAfterIsEnough(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		given := &rockwindpb.Limits{
@@ -130,7 +130,7 @@
 	})
 }
 
-// TestRetryAfterAllowsForRounding waits for a level that rounds to just below one.
+// TestRetryAfterAllowsForRounding uses a level that rounds to just below one.
 func TestRetryAfterAllowsForRounding(t *testing.T) {
 	given := &rockwindpb.Limits{RequestsPerSecond: 0.1, TokensPerSecond: 16.921875}
 	limiter, now := limits.New(), time.Unix(1_000_000, 0)
@@ -178,7 +178,7 @@
 	if admitted := admit(20); admitted != 9 {
 		t.Fatalf("the whole limits admitted %d beside one running", admitted)
 	}
-	now = now.Add(limits.AllowanceLife)
+	now = now.Add(limits.AllowanceLifetime)
 	if admitted := admit(5); admitted != 0 {
 		t.Fatalf("an allowance that is too old admitted %d", admitted)
 	}
--- a/internal/rateclient/lossy_test.go
+++ b/internal/rateclient/lossy_test.go
@@ -13,15 +13,14 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// lossyOwner counts as an owner does. Some questions do not reach it, and some of its answers
-// are lost.
+// lossyOwner is an owner some of whose requests and responses are lost.
 type lossyOwner struct {
 	counts *requestrate.Limiter
 	now    time.Duration
 	fate   func() fate
 }
 
-// fate is what becomes of a question.
+// fate is the outcome of a request to the owner.
 type fate int
 
 const (
@@ -30,7 +29,7 @@
 	answerLost
 )
 
-var errLost = errors.New("nobody answered")
+var errLost = errors.New("no response")
 
 // TakeRequest implements rateclient.Owners.
 func (o *lossyOwner) TakeRequest(_ context.Context, request *rockwindpb.TakeRequestsRequest) (*rockwindpb.TakeRequestsResponse, error) {
@@ -50,8 +49,8 @@
 	}, nil
 }
 
-// TestLostAnswersCostATenantNothing: whatever questions and answers are lost, a tenant gets its
-// burst, and no more than that and what its routers may let through unasked.
+// TestLostAnswersCostATenantNothing: with any losses a tenant gets its burst, and no more than that and
+// what its routers may pass unchecked.
 func TestLostAnswersCostATenantNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const burst, routers = 12, 2
@@ -79,7 +78,7 @@
 				ask(client)
 			}
 		}
-		// Each router lets one through at any time, and its part of what the tenant has left.
+		// Each router may pass one unchecked, and its share of the remaining requests.
 		if passed < burst || passed > 2*burst+routers {
 			t.Fatalf("%d requests passed with a burst of %d", passed, burst)
 		}
--- a/internal/requestrate/flood_test.go
+++ b/internal/requestrate/flood_test.go
@@ -11,51 +11,51 @@
 	"rockwind.example/rockwind/internal/requestrate"
 )
 
-// floodCaller is a client of a tenant that asks for far more than its limit. It comes back
-// as told, up to a third of the time that it has left.
-type floodCaller struct {
-	first time.Duration
-	asks  time.Duration
+// floodClient is a client of a tenant far above its limit. It retries as told, but no later than
+// after a third of its remaining time.
+type floodClient struct {
+	firstAttempt time.Duration
+	next         time.Duration
 }
 
 const (
-	callerObjective = 300 * time.Millisecond
-	callerDeadline  = 5 * time.Second
+	clientObjective = 300 * time.Millisecond
+	clientTimeout   = 5 * time.Second
 )
 
-// floodOutcome counts callers, and the grants of each tenth of a second.
+// floodOutcome counts requests and lists the times at which granted ones may start.
 type floodOutcome struct {
 	inTime, late, refused int
 	starts                []time.Duration
 }
 
-// playFlood has a tenant with 145 requests a second make 900 a second for 5 s, at an owner
-// that is told whether requests are late, and how long they may wait.
-func playFlood(told bool) floodOutcome {
+// simulateFlood sends 900 requests a second for 5 s for a tenant with a limit of 145. If informed,
+// the owner is told which requests are late and how long the others may wait.
+func simulateFlood(informed bool) floodOutcome {
 	const perSecond, burst = 145, 72
 	limit := requestrate.NewLimit(perSecond, burst)
-	counts := requestrate.NewLimiter(requestrate.Tolerance{}, 0)
-	var waiting []floodCaller
+	limiter := requestrate.NewLimiter(requestrate.Tolerance{}, 0)
+	var waiting []floodClient
 	for i := range 4500 {
-		at := long + time.Duration(i)*5*time.Second/4500
-		waiting = append(waiting, floodCaller{first: at, asks: at})
+		at := warm + time.Duration(i)*5*time.Second/4500
+		waiting = append(waiting, floodClient{firstAttempt: at, next: at})
 	}
 	var outcome floodOutcome
 	for len(waiting) > 0 {
-		caller := waiting[0]
+		client := waiting[0]
 		waiting = waiting[1:]
 		request := requestrate.NewRequest("tenant", limit, 1)
-		late := caller.asks-caller.first > callerObjective*85/100
-		if told && late {
+		late := client.next-client.firstAttempt > clientObjective*85/100
+		if informed && late {
 			request = request.Late()
-		} else if told {
-			request = request.WithMaxWait(callerObjective / 4)
+		} else if informed {
+			request = request.WithMaxWait(clientObjective / 4)
 		}
-		decided := counts.Take(request, caller.asks)
-		switch left := callerDeadline - (caller.asks - caller.first); {
+		decided := limiter.Take(request, client.next)
+		switch left := clientTimeout - (client.next - client.firstAttempt); {
 		case decided.Granted():
-			outcome.starts = append(outcome.starts, caller.asks+decided.Wait())
-			if caller.asks+decided.Wait()-caller.first <= callerObjective {
+			outcome.starts = append(outcome.starts, client.next+decided.Wait())
+			if client.next+decided.Wait()-client.firstAttempt <= clientObjective {
 				outcome.inTime++
 			} else {
 				outcome.late++
@@ -63,20 +63,19 @@
 		case left < 200*time.Millisecond:
 			outcome.refused++
 		default:
-			caller.asks += min(decided.RetryAfter(), left/3)
-			place, _ := slices.BinarySearchFunc(waiting, caller, func(a, b floodCaller) int { return cmp.Compare(a.asks, b.asks) })
-			waiting = slices.Insert(waiting, place, caller)
+			client.next += min(decided.RetryAfter(), left/3)
+			index, _ := slices.BinarySearchFunc(waiting, client, func(a, b floodClient) int { return cmp.Compare(a.next, b.next) })
+			waiting = slices.Insert(waiting, index, client)
 		}
 	}
 	return outcome
 }
 
-// TestFloodServesThoseWhoCanBeInTime: clients that came back late took the room of those that
-// had just come.
+// TestFloodServesThoseWhoCanBeInTime guards against late retries that take the room of new requests.
 func TestFloodServesThoseWhoCanBeInTime(t *testing.T) {
-	before, after := playFlood(false), playFlood(true)
+	before, after := simulateFlood(false), simulateFlood(true)
 	t.Logf("by arrival: %d in time, %d late, %d refused", before.inTime, before.late, before.refused)
-	t.Logf("those in time first: %d in time, %d late, %d refused", after.inTime, after.late, after.refused)
+	t.Logf("timely requests first: %d in time, %d late, %d refused", after.inTime, after.late, after.refused)
 	if after.inTime < before.inTime*5/4 || after.inTime+after.late < before.inTime+before.late-10 {
 		t.Fatalf("%d in time and %d late instead of %d and %d", after.inTime, after.late, before.inTime, before.late)
 	}
@@ -91,35 +90,34 @@
 	}
 }
 
-// TestLateRequestsGetWhatIsLeft: where those in time ask for less than the limit, the others
-// are granted the rest.
+// TestLateRequestsGetWhatIsLeft checks that late requests get what timely ones leave of the limit.
 func TestLateRequestsGetWhatIsLeft(t *testing.T) {
 	limit := requestrate.NewLimit(100, 50)
-	counts := requestrate.NewLimiter(requestrate.Tolerance{}, 0)
+	limiter := requestrate.NewLimiter(requestrate.Tolerance{}, 0)
 	timely, late := 0, 0
 	for i := range 1000 {
-		now := long + time.Duration(i)*5*time.Millisecond
-		if i%4 == 0 && counts.Take(ask(limit).WithMaxWait(50*time.Millisecond), now).Granted() {
+		now := warm + time.Duration(i)*5*time.Millisecond
+		if i%4 == 0 && limiter.Take(ask(limit).WithMaxWait(50*time.Millisecond), now).Granted() {
 			timely++
 		}
-		if counts.Take(ask(limit).Late(), now).Granted() {
+		if limiter.Take(ask(limit).Late(), now).Granted() {
 			late++
 		}
 	}
 	if timely != 250 || late < 240 {
-		t.Fatalf("%d of 250 in time and %d late ones are granted, of 550", timely, late)
+		t.Fatalf("%d of 250 timely and %d late requests are granted, of 550", timely, late)
 	}
 }
 
-// TestLateRequestsLeaveRoomForThoseInTime: after a flood its clients come back all the time; a
-// dozen requests that come at once found no room beside them.
+// TestLateRequestsLeaveRoomForThoseInTime guards against continuous late retries that leave no room
+// for bursts of timely requests.
 func TestLateRequestsLeaveRoomForThoseInTime(t *testing.T) {
 	limit := requestrate.NewLimit(100, 50)
-	counts := requestrate.NewLimiter(requestrate.Tolerance{}, 0)
+	limiter := requestrate.NewLimiter(requestrate.Tolerance{}, 0)
 	asked, timely, late := 0, 0, 0
 	for i := range 1000 {
-		now := long + time.Duration(i)*5*time.Millisecond
-		if counts.Take(ask(limit).Late(), now).Granted() {
+		now := warm + time.Duration(i)*5*time.Millisecond
+		if limiter.Take(ask(limit).Late(), now).Granted() {
 			late++
 		}
 		if i%40 != 39 {
@@ -127,54 +125,54 @@
 		}
 		for range 12 {
 			asked++
-			if counts.Take(ask(limit).WithMaxWait(20*time.Millisecond), now).Granted() {
+			if limiter.Take(ask(limit).WithMaxWait(20*time.Millisecond), now).Granted() {
 				timely++
 			}
 		}
 	}
 	if timely < asked/2 || timely+late < 500 {
-		t.Fatalf("%d of %d in time and %d late ones are granted", timely, asked, late)
+		t.Fatalf("%d of %d timely and %d late requests are granted", timely, asked, late)
 	}
 }
 
-// TestGrantAheadIsWaitedFor until the rate has earned it, and is told again with its wait where
-// the answer got lost.
-func TestGrantAheadIsWaitedFor(t *testing.T) {
-	counts, limit := requestrate.NewLimiter(requestrate.Tolerance{}, 0), requestrate.NewLimit(20, 10)
-	grants(counts, ask(limit), 10, long)
+// TestGrantAheadHasAWait checks that a grant ahead of the rate comes with a wait, also if the
+// router repeats the request because the response was lost.
+func TestGrantAheadHasAWait(t *testing.T) {
+	limiter, limit := requestrate.NewLimiter(requestrate.Tolerance{}, 0), requestrate.NewLimit(20, 10)
+	grants(limiter, ask(limit), 10, warm)
 	ahead := ask(limit).FromRouter("router", 1, 1).WithMaxWait(75 * time.Millisecond)
 	for range 2 {
-		if decided := counts.Take(ahead, long); !decided.Granted() || decided.Wait() != 50*time.Millisecond {
+		if decided := limiter.Take(ahead, warm); !decided.Granted() || decided.Wait() != 50*time.Millisecond {
 			t.Fatalf("granted %v after %v", decided.Granted(), decided.Wait())
 		}
 	}
-	if counts.Take(ask(limit).WithMaxWait(75*time.Millisecond), long).Granted() {
-		t.Fatal("granted although the rate earns it too late")
+	if limiter.Take(ask(limit).WithMaxWait(75*time.Millisecond), warm).Granted() {
+		t.Fatal("granted although the rate earns the token too late")
 	}
 }
 
-// TestGrantsAheadStayWithinTheLimitInEverySpan, counted when they may go to a server, whatever
-// is asked when; a change of owners adds what the former one granted ahead.
+// TestGrantsAheadStayWithinTheLimitInEverySpan counts grants by the time at which they may start. A
+// change of owners adds what the former owner granted ahead.
 func TestGrantsAheadStayWithinTheLimitInEverySpan(t *testing.T) {
 	const mostWait = 100 * time.Millisecond
 	rapid.Check(t, func(t *rapid.T) {
 		perSecond := rapid.Float64Range(0.2, 200).Draw(t, "rate")
 		burst := rapid.Uint32Range(1, 80).Draw(t, "burst")
 		limit := requestrate.NewLimit(perSecond, burst)
-		counts := requestrate.NewLimiter(requestrate.Tolerance{}, 0)
-		now, owners := long, 0
+		limiter := requestrate.NewLimiter(requestrate.Tolerance{}, 0)
+		now, owners := warm, 0
 		var starts []time.Duration
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 100).Draw(t, "pause")) * time.Millisecond
 			if rapid.IntRange(0, 60).Draw(t, "change") == 0 {
-				counts = requestrate.NewLimiter(requestrate.Tolerance{}, now)
+				limiter = requestrate.NewLimiter(requestrate.Tolerance{}, now)
 				owners++
 			}
 			request := ask(limit).WithMaxWait(time.Duration(rapid.IntRange(0, int(mostWait.Milliseconds())).Draw(t, "wait")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "late") {
 				request = request.Late()
 			}
-			if decided := counts.Take(request, now); decided.Granted() {
+			if decided := limiter.Take(request, now); decided.Granted() {
 				starts = append(starts, now+decided.Wait())
 			}
 		}
--- a/internal/requestrate/owners_test.go
+++ b/internal/requestrate/owners_test.go
@@ -8,60 +8,61 @@
 	"rockwind.example/rockwind/internal/requestrate"
 )
 
-// word is what an owner told a router last.
-type word struct {
+// lastResponse is what an owner last reported to a router.
+type lastResponse struct {
 	remaining uint32
 	at        time.Duration
-	told      bool
+	valid     bool
 }
 
-// TestNewerWordLowersWhatANewOwnerBeganWith: the router that asks first had not seen the flood.
-func TestNewerWordLowersWhatANewOwnerBeganWith(t *testing.T) {
+// TestNewerReportLowersTheInitialLevel: the first router to ask a new owner may have an outdated
+// remaining count.
+func TestNewerReportLowersTheInitialLevel(t *testing.T) {
 	limit := requestrate.NewLimit(10, 100)
-	counts := requestrate.NewLimiter(requestrate.Tolerance{}, long)
-	counts.Take(ask(limit).WithRemaining(90, 900*time.Millisecond), long)
-	counts.Take(ask(limit).WithRemaining(2, 400*time.Millisecond), long)
-	if granted := grants(counts, ask(limit), 200, long); granted != 4 {
-		t.Fatalf("%d more are granted, want 4 of what the newer word left", granted)
+	limiter := requestrate.NewLimiter(requestrate.Tolerance{}, warm)
+	limiter.Take(ask(limit).WithRemaining(90, 900*time.Millisecond), warm)
+	limiter.Take(ask(limit).WithRemaining(2, 400*time.Millisecond), warm)
+	if granted := grants(limiter, ask(limit), 200, warm); granted != 4 {
+		t.Fatalf("%d more are granted, want the 4 that the newer report left", granted)
 	}
-	counts = requestrate.NewLimiter(requestrate.Tolerance{}, long)
-	counts.Take(ask(limit).WithRemaining(90, 400*time.Millisecond), long)
-	counts.Take(ask(limit).WithRemaining(2, 900*time.Millisecond), long)
-	counts.Take(ask(limit).WithRemaining(2, 0), long+10*time.Millisecond)
-	if granted := grants(counts, ask(limit), 200, long+10*time.Millisecond); granted != 91 {
-		t.Fatalf("%d more are granted, want 91: the words are older, or this owner's own", granted)
+	limiter = requestrate.NewLimiter(requestrate.Tolerance{}, warm)
+	limiter.Take(ask(limit).WithRemaining(90, 400*time.Millisecond), warm)
+	limiter.Take(ask(limit).WithRemaining(2, 900*time.Millisecond), warm)
+	limiter.Take(ask(limit).WithRemaining(2, 0), warm+10*time.Millisecond)
+	if granted := grants(limiter, ask(limit), 200, warm+10*time.Millisecond); granted != 91 {
+		t.Fatalf("%d more are granted, want 91: the reports are older, or this owner's own", granted)
 	}
 }
 
-// TestFloodStaysWithinTheToleranceWhereOwnersChange: a flood has drained the burst at some
-// routers before the owner died; others, which know of a full one, ask the next owner too.
+// TestFloodStaysWithinTheToleranceWhereOwnersChange: a flood has drained the burst at some routers
+// before the owner fails, and routers that still report a full burst ask the new owner too.
 func TestFloodStaysWithinTheToleranceWhereOwnersChange(t *testing.T) {
 	for seed := range uint64(400) {
-		playOwners(t, rand.New(rand.NewPCG(seed, 1)))
+		simulateOwnerChanges(t, rand.New(rand.NewPCG(seed, 1)))
 	}
 }
 
-// playOwners plays up to three changes of owners, each amid a flood, at a site drawn at random.
-func playOwners(t *testing.T, random *rand.Rand) {
+// simulateOwnerChanges runs up to three changes of owners during floods at a random site.
+func simulateOwnerChanges(t *testing.T, random *rand.Rand) {
 	t.Helper()
 	const window = 5 * time.Second
 	perSecond, burst := 1+100*random.Float64(), 8+random.Uint32N(400)
 	limit, tolerance := requestrate.NewLimit(perSecond, burst), requestrate.NewTolerance(window, 0.1, 20)
-	words := make([]word, 2+random.IntN(49))
-	flooded := 1 + random.IntN(len(words))
-	counts := requestrate.NewLimiter(tolerance, 0)
-	now := long
+	responses := make([]lastResponse, 2+random.IntN(49))
+	flooded := 1 + random.IntN(len(responses))
+	limiter := requestrate.NewLimiter(tolerance, 0)
+	now := warm
 	var granted []time.Duration
 	take := func(router int) {
 		request := ask(limit)
-		if known := words[router]; known.told {
+		if known := responses[router]; known.valid {
 			request = request.WithRemaining(known.remaining, now-known.at)
 		}
-		decided := counts.Take(request, now)
+		decided := limiter.Take(request, now)
 		if decided.Granted() {
 			granted = append(granted, now)
 		}
-		words[router] = word{remaining: decided.Remaining(), at: now, told: true}
+		responses[router] = lastResponse{remaining: decided.Remaining(), at: now, valid: true}
 	}
 	flood := func(routers int) {
 		spacing := time.Duration(float64(time.Second) / (perSecond*(2+8*random.Float64()) + 200))
@@ -70,16 +71,16 @@
 		}
 	}
 	for range 1 + random.IntN(3) {
-		// All routers ask now and then, until the flood begins at some.
+		// All routers make occasional requests until the flood begins at some of them.
 		now += 2 * window
-		for router := range words {
+		for router := range responses {
 			take(router)
 		}
 		now += time.Duration(random.IntN(10_000)) * time.Millisecond
 		flood(flooded)
 		now += time.Duration(100+random.IntN(1400)) * time.Millisecond
-		counts = requestrate.NewLimiter(tolerance, now)
-		flood(len(words))
+		limiter = requestrate.NewLimiter(tolerance, now)
+		flood(len(responses))
 	}
 	most := (perSecond*window.Seconds()+float64(burst))*1.1 + 20
 	from := 0
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,6 +1,5 @@
-// Package retry holds what callers that repeat calls have in common: a budget
-// that bounds retries to a part of the first attempts, and a pause that ends
-// with its context.
+// Package retry provides a budget that bounds retries to a fraction of the first attempts, and a
+// pause that ends with its context.
 package retry
 
 import (
@@ -9,28 +8,28 @@
 	"time"
 )
 
-// Budget bounds retries to a part of the first attempts, so that a failure
-// never multiplies the traffic. It is safe for concurrent use.
+// Budget bounds retries to a fraction of the first attempts, so that a failure never multiplies the
+// traffic. It is safe for concurrent use.
 type Budget struct {
 	mutex   sync.Mutex
 	tokens  float64
 	reserve float64
 }
 
-// NewBudget returns a budget that holds its whole reserve: the retries that
-// may be made at once after a quiet time.
+// NewBudget returns a budget with a full reserve: the retries that may be made at once after an idle
+// time.
 func NewBudget(reserve float64) *Budget {
 	return &Budget{tokens: reserve, reserve: reserve}
 }
 
-// Deposit counts a first attempt; ratio is the retries allowed per attempt.
+// Deposit counts a first attempt. The ratio is the number of retries allowed per attempt.
 func (b *Budget) Deposit(ratio float64) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.tokens = min(b.tokens+ratio, b.reserve)
 }
 
-// Withdraw takes one retry and reports whether there was one.
+// Withdraw takes one retry out of the budget and reports whether it was available.
 func (b *Budget) Withdraw() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -41,8 +40,8 @@
 	return true
 }
 
-// WithdrawSpare takes one attempt that is not needed, such as a hedge, and
-// reports whether there was one. It leaves half of the reserve to retries.
+// WithdrawSpare takes one optional attempt, such as a hedge, and reports whether it was available. It
+// leaves half of the reserve for retries.
 func (b *Budget) WithdrawSpare() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -53,7 +52,7 @@
 	return true
 }
 
-// Pause waits for a duration and reports whether the context still lasts.
+// Pause waits for a duration. It returns false if the context ends first.
 func Pause(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestBudgetBoundsRetries draws attempts and retries: whatever the order, the
-// retries granted never exceed the reserve plus the ratio of the attempts.
+// TestBudgetBoundsRetries checks that in any order of attempts and retries, the retries granted never
+// exceed the reserve plus the ratio of the attempts.
 func TestBudgetBoundsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reserve := float64(rapid.IntRange(1, 20).Draw(t, "reserve"))
@@ -40,7 +40,7 @@
 	})
 }
 
-// TestPauseEndsWithItsContext checks both ends of a pause in virtual time.
+// TestPauseEndsWithItsContext checks both ways in which a pause ends, in virtual time.
 func TestPauseEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		begun := time.Now()
