--- a/internal/rateclient/rateclient.go
+++ b/internal/rateclient/rateclient.go
@@ -152,7 +152,7 @@
 		return nil
 	}
 	c.Refund(tenant)
-	return fault.New(fault.Unavailable, "send the request again after the time in Retry-After", "the request ended while it waited for its tenant's rate limit").
+	return fault.New(fault.Unavailable, "come back later", "the request ended while it waited for its tenant's rate limit").
 		WithRan(fault.NotRun).WithRetryAfter(minRetryAfter)
 }
 
