--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -25,7 +25,7 @@
 			return
 		}
 		if verdict.RetryAfter < admission.DefaultPolicy.MinimumRetryAfter || verdict.RetryAfter > admission.DefaultPolicy.MaximumRetryAfter {
-			t.Fatalf("come back after %v", verdict.RetryAfter)
+			t.Fatalf("retry after %v", verdict.RetryAfter)
 		}
 		if wait*2 < admission.DefaultPolicy.QueueTimeout && (deadline == 0 || now+wait*2 < deadline) {
 			t.Fatalf("refused a wait of %v", wait)
--- a/internal/fairshare/flood_test.go
+++ b/internal/fairshare/flood_test.go
@@ -391,7 +391,7 @@
 func TestFloodDuringFailures(t *testing.T) {
 	plain := policy{name: "no failure", flood: true, fair: true, remote: true, byDemand: true}
 	restarted, lossy := plain, plain
-	restarted.name, restarted.restarts = "half of the routers start anew", routerCount/2
+	restarted.name, restarted.restarts = "half of the routers restart", routerCount/2
 	lossy.name, lossy.lossRate = "half of the digests get lost", 0.5
 	results := simulateAll(t, []policy{plain, restarted, lossy})
 	for name, result := range results {
--- a/internal/loadshare/protocol_test.go
+++ b/internal/loadshare/protocol_test.go
@@ -189,12 +189,12 @@
 		w := newWorld(rapid.Uint64().Draw(t, "seed"), members)
 		for range rapid.IntRange(1, 3).Draw(t, "rounds") {
 			w.lossRate = rapid.SampledFrom([]float64{0, 0.02}).Draw(t, "loss")
-			kept := keptRelays(members, rapid.IntRange(0, 2).Draw(t, "spared"))
+			kept := keptRelays(members, rapid.IntRange(0, 2).Draw(t, "kept"))
 			for _, s := range w.processes {
 				was := s.silent
 				// A group that has lost all its relays has no delegate.
 				s.silent = s.member.Name() != kept[s.member.Zone()] && rapid.IntRange(0, 5).Draw(t, "silent") == 5
-				if was && !s.silent && rapid.Bool().Draw(t, "anew") {
+				if was && !s.silent && rapid.Bool().Draw(t, "restart") {
 					w.start(s, members)
 				}
 				s.own = map[uint32]balance.SharedLoad{}
@@ -213,10 +213,10 @@
 
 // drawPace draws the pace that a process reports for a server. Half of the processes report none.
 func drawPace(t *rapid.T) balance.SharedPace {
-	if rapid.Bool().Draw(t, "silent of paces") {
+	if rapid.Bool().Draw(t, "no pace") {
 		return balance.SharedPace{}
 	}
-	return balance.SharedPace{ReportedSum: rapid.IntRange(0, 400).Draw(t, "told"), ReportedCount: 1, ObservedSum: rapid.IntRange(0, 900).Draw(t, "seen"), ObservedCount: 2}
+	return balance.SharedPace{ReportedSum: rapid.IntRange(0, 400).Draw(t, "reported"), ReportedCount: 1, ObservedSum: rapid.IntRange(0, 900).Draw(t, "observed"), ObservedCount: 2}
 }
 
 // keptRelays returns the name of one relay of each zone, by its number.
--- a/internal/loadshare/standby_test.go
+++ b/internal/loadshare/standby_test.go
@@ -144,18 +144,18 @@
 // silenceRelays draws the zones that lose all relays, and one more silent process per zone. Processes
 // that were silent return, some of them restarted.
 func (w *world) silenceRelays(t *rapid.T, members []loadshare.Member) {
-	headless, besides := make(map[string]bool), make(map[string]int)
+	withoutRelays, extra := make(map[string]bool), make(map[string]int)
 	for _, s := range w.processes {
 		zone := s.member.Zone()
-		if _, drawn := headless[zone]; !drawn {
-			headless[zone] = rapid.Bool().Draw(t, "headless")
-			besides[zone] = rapid.IntRange(0, 12).Draw(t, "besides")
+		if _, drawn := withoutRelays[zone]; !drawn {
+			withoutRelays[zone] = rapid.Bool().Draw(t, "without relays")
+			extra[zone] = rapid.IntRange(0, 12).Draw(t, "extra")
 		}
 		layout := loadshare.NewLayout(members, s.member.Name())
 		was := s.silent
-		s.silent = layout.IsRelay() && headless[zone] || besides[zone] == 0
-		besides[zone]--
-		if was && !s.silent && rapid.Bool().Draw(t, "anew") {
+		s.silent = layout.IsRelay() && withoutRelays[zone] || extra[zone] == 0
+		extra[zone]--
+		if was && !s.silent && rapid.Bool().Draw(t, "restart") {
 			w.start(s, members)
 		}
 	}
--- a/internal/loadshare/trigger_test.go
+++ b/internal/loadshare/trigger_test.go
@@ -16,7 +16,7 @@
 // countingSource has one load that a test changes, and passes on the digests it receives.
 type countingSource struct {
 	inflight atomic.Uint32
-	heard    chan *rockwindpb.LoadDigest
+	received chan *rockwindpb.LoadDigest
 }
 
 func (s *countingSource) digest() *rockwindpb.LoadDigest {
@@ -29,7 +29,7 @@
 	return &rockwindpb.LoadDigest{}
 }
 func (s *countingSource) Heard(string) bool                  { return true }
-func (s *countingSource) Take(digest *rockwindpb.LoadDigest) { s.heard <- digest }
+func (s *countingSource) Take(digest *rockwindpb.LoadDigest) { s.received <- digest }
 
 func open(t *testing.T, name string) (*loadshare.Sharer, netip.AddrPort) {
 	t.Helper()
@@ -59,19 +59,19 @@
 		members = append(members, loadshare.NewMember(fmt.Sprint("other-", i), "z", nowhere, 9))
 	}
 	sender.SetLayout(loadshare.NewLayout(members, "sender"))
-	told := &countingSource{heard: make(chan *rockwindpb.LoadDigest, 16)}
-	heard := &countingSource{heard: make(chan *rockwindpb.LoadDigest, 16)}
+	senderSource := &countingSource{received: make(chan *rockwindpb.LoadDigest, 16)}
+	receiverSource := &countingSource{received: make(chan *rockwindpb.LoadDigest, 16)}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go func() { _ = sender.Run(ctx, told) }()
-	go func() { _ = receiver.Run(ctx, heard) }()
+	go func() { _ = sender.Run(ctx, senderSource) }()
+	go func() { _ = receiver.Run(ctx, receiverSource) }()
 	for want := uint32(1); want <= 3; want++ {
-		told.inflight.Store(want)
+		senderSource.inflight.Store(want)
 		sender.TriggerSend()
 		limit := time.After(2 * time.Second)
 		for got := uint32(0); got != want; {
 			select {
-			case digest := <-heard.heard:
+			case digest := <-receiverSource.received:
 				got = digest.GetInflight()[0]
 			case <-limit:
 				t.Fatalf("the triggered digest with load %d was not received", want)
--- a/internal/rateclient/lossy_test.go
+++ b/internal/rateclient/lossy_test.go
@@ -15,7 +15,7 @@
 
 // lossyOwner is an owner some of whose requests and responses are lost.
 type lossyOwner struct {
-	counts *requestrate.Limiter
+	limiter *requestrate.Limiter
 	now    time.Duration
 	fate   func() fate
 }
@@ -24,9 +24,9 @@
 type fate int
 
 const (
-	answered fate = iota
-	questionLost
-	answerLost
+	delivered fate = iota
+	requestLost
+	responseLost
 )
 
 var errLost = errors.New("no response")
@@ -34,14 +34,14 @@
 // TakeRequest implements rateclient.Owners.
 func (o *lossyOwner) TakeRequest(_ context.Context, request *rockwindpb.TakeRequestsRequest) (*rockwindpb.TakeRequestsResponse, error) {
 	fate := o.fate()
-	if fate == questionLost {
+	if fate == requestLost {
 		return nil, errLost
 	}
 	limit := requestrate.NewLimit(request.GetRequestsPerSecond(), request.GetRequestBurst())
-	decided := o.counts.Take(requestrate.NewRequest(request.GetTenant(), limit, request.GetConfiguration()).
+	decided := o.limiter.Take(requestrate.NewRequest(request.GetTenant(), limit, request.GetConfiguration()).
 		FromRouter(request.GetRouter(), request.GetRouterStartedUnixMs(), request.GetQuestion()).
 		WithReturned(request.GetReturned()).WithUnanswered(request.GetPassed(), request.GetWithheld()), o.now)
-	if fate == answerLost {
+	if fate == responseLost {
 		return nil, errLost
 	}
 	return &rockwindpb.TakeRequestsResponse{
@@ -55,7 +55,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const burst, routers = 12, 2
 		limited := &rockwindpb.Tenant{Name: "tenant", Limits: &rockwindpb.Limits{RequestsPerSecond: 0.000001, RequestBurst: burst}}
-		owner := &lossyOwner{counts: requestrate.NewLimiter(requestrate.Tolerance{}, 0), now: 1e6 * time.Hour}
+		owner := &lossyOwner{limiter: requestrate.NewLimiter(requestrate.Tolerance{}, 0), now: 1e6 * time.Hour}
 		var clients []*rateclient.Client
 		for _, name := range []string{"router-1", "router-2"} {
 			clients = append(clients, rateclient.New(owner, name, func() int { return routers }))
@@ -67,12 +67,12 @@
 			}
 		}
 		owner.fate = func() fate {
-			return fate(rapid.SampledFrom([]int{int(answered), int(questionLost), int(answerLost)}).Draw(t, "fate"))
+			return fate(rapid.SampledFrom([]int{int(delivered), int(requestLost), int(responseLost)}).Draw(t, "fate"))
 		}
 		for range rapid.IntRange(0, 20).Draw(t, "lossy requests") {
 			ask(clients[rapid.IntRange(0, routers-1).Draw(t, "router")])
 		}
-		owner.fate = func() fate { return answered }
+		owner.fate = func() fate { return delivered }
 		for range 2 * burst {
 			for _, client := range clients {
 				ask(client)
--- a/internal/rateclient/rateclient.go
+++ b/internal/rateclient/rateclient.go
@@ -113,8 +113,8 @@
 	return tenant.GetLimits().GetRequestsPerSecond() > 0
 }
 
-// Take takes a request out of the tenant's rate, under the configuration with the given number, and
-// returns when it may be sent to a server. It fails with fault.LimitReached if the rate is
+// Take takes a request out of the tenant's rate, under the configuration with the given number. It
+// blocks until the request may be sent to a server. It fails with fault.LimitReached if the rate is
 // exhausted, and with fault.Unavailable if no owner responds within the timeout and the request
 // may not pass unchecked.
 func (c *Client) Take(ctx context.Context, tenant *rockwindpb.Tenant, configuration uint64, timeout time.Duration, options Options) error {
--- a/internal/rateclient/rateclient_test.go
+++ b/internal/rateclient/rateclient_test.go
@@ -91,13 +91,13 @@
 		if err := client.Take(t.Context(), tenant(), 1, timeout, rateclient.Options{}); err != nil {
 			t.Fatal(err)
 		}
-		if told := owner.asked[1].GetRefused(); told != 49 {
-			t.Fatalf("%d refusals were reported to the owner", told)
+		if reported := owner.asked[1].GetRefused(); reported != 49 {
+			t.Fatalf("%d refusals were reported to the owner", reported)
 		}
 	})
 }
 
-// TestOneRequestPassesWhileNoOwnerAnswers, and the next owner to respond is told of it.
+// TestOneRequestPassesWhileNoOwnerAnswers, and the next owner to respond is informed of it.
 func TestOneRequestPassesWhileNoOwnerAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		owner := &fakeOwner{answer: silent}
--- a/internal/requestrate/flood_test.go
+++ b/internal/requestrate/flood_test.go
@@ -11,7 +11,7 @@
 	"rockwind.example/rockwind/internal/requestrate"
 )
 
-// floodClient is a client of a tenant far above its limit. It retries as told, but no later than
+// floodClient is a client of a tenant far above its limit. It retries as advised, but no later than
 // after a third of its remaining time.
 type floodClient struct {
 	firstAttempt time.Duration
@@ -30,7 +30,7 @@
 }
 
 // simulateFlood sends 900 requests a second for 5 s for a tenant with a limit of 145. If informed,
-// the owner is told which requests are late and how long the others may wait.
+// the owner knows which requests are late and how long the others may wait.
 func simulateFlood(informed bool) floodOutcome {
 	const perSecond, burst = 145, 72
 	limit := requestrate.NewLimit(perSecond, burst)
--- a/internal/requestrate/requestrate.go
+++ b/internal/requestrate/requestrate.go
@@ -220,9 +220,9 @@
 }
 
 // Take decides on a request and charges it if granted.
-func (c *Limiter) Take(request Request, now time.Duration) Decision {
-	c.sweep(now)
-	found := c.bucket(request, now)
+func (l *Limiter) Take(request Request, now time.Duration) Decision {
+	l.sweep(now)
+	found := l.bucket(request, now)
 	found.advance(now)
 	found.reconcile(request)
 	if found.isCharged(request) {
@@ -240,10 +240,10 @@
 }
 
 // bucket returns the tenant's bucket, updated to the newest limit that a router has sent.
-func (c *Limiter) bucket(request Request, now time.Duration) *bucket {
-	found, known := c.buckets[request.tenant]
+func (l *Limiter) bucket(request Request, now time.Duration) *bucket {
+	found, known := l.buckets[request.tenant]
 	if !known {
-		initial := c.initialLevel(request, now)
+		initial := l.initialLevel(request, now)
 		found = &bucket{
 			limit: request.limit, configuration: request.configuration, level: initial, at: now,
 			began: now, initial: initial, reportedAt: now - request.age, sequences: make(map[string]*sequences),
@@ -251,9 +251,9 @@
 		if request.remaining < 0 {
 			found.reportedAt = now - handoverWindow
 		}
-		c.buckets[request.tenant] = found
+		l.buckets[request.tenant] = found
 	} else {
-		c.lowerInitial(found, request, now)
+		l.lowerInitial(found, request, now)
 	}
 	if request.configuration > found.configuration {
 		found.limit, found.configuration = request.limit, request.configuration
@@ -283,8 +283,8 @@
 }
 
 // initialLevel returns the level at which a tenant's bucket starts.
-func (c *Limiter) initialLevel(request Request, now time.Duration) float64 {
-	level := max(freshTokens, freshFraction*c.tolerance.excess(request.limit)) + request.limit.perSecond*(now-c.began).Seconds()
+func (l *Limiter) initialLevel(request Request, now time.Duration) float64 {
+	level := max(freshTokens, freshFraction*l.tolerance.excess(request.limit)) + request.limit.perSecond*(now-l.began).Seconds()
 	if request.remaining >= 0 && request.age <= handoverWindow {
 		level = max(level, request.remaining+request.limit.perSecond*request.age.Seconds())
 	}
@@ -293,13 +293,13 @@
 
 // lowerInitial applies a former owner's report that is newer than the one that the bucket started
 // with. Reports after the bucket was created are this owner's own.
-func (c *Limiter) lowerInitial(found *bucket, request Request, now time.Duration) {
+func (l *Limiter) lowerInitial(found *bucket, request Request, now time.Duration) {
 	reportedAt := now - request.age
 	if request.remaining < 0 || now-found.began > handoverWindow || reportedAt <= found.reportedAt || reportedAt >= found.began {
 		return
 	}
 	request.age = found.began - reportedAt
-	if initial := c.initialLevel(request, found.began); initial < found.initial {
+	if initial := l.initialLevel(request, found.began); initial < found.initial {
 		found.level -= found.initial - initial
 		found.initial = initial
 	}
@@ -326,14 +326,14 @@
 }
 
 // sweep removes idle tenants.
-func (c *Limiter) sweep(now time.Duration) {
-	if now-c.swept < sweepInterval {
+func (l *Limiter) sweep(now time.Duration) {
+	if now-l.swept < sweepInterval {
 		return
 	}
-	c.swept = now
-	for tenant, found := range c.buckets {
+	l.swept = now
+	for tenant, found := range l.buckets {
 		if now-found.at > idleTimeout {
-			delete(c.buckets, tenant)
+			delete(l.buckets, tenant)
 		}
 	}
 }
--- a/internal/returning/returning.go
+++ b/internal/returning/returning.go
@@ -56,14 +56,14 @@
 	return time.Duration(float64(r.holding) * float64(ahead+1) / float64(r.slots))
 }
 
-// PendingRetries holds the times at which clients were told to retry. They count as waiting
+// PendingRetries holds the times at which clients were advised to retry. They count as waiting
 // requests until then, so that the next client is given a later time. The zero value is empty. It
 // is not safe for concurrent use.
 type PendingRetries struct {
 	due []time.Time
 }
 
-// Add records that a client was told to retry at a time.
+// Add records that a client was advised to retry at a time.
 func (p *PendingRetries) Add(due time.Time) {
 	if len(p.due) == maxPendingRetries {
 		p.due = p.due[1:]
--- a/internal/returning/returning_test.go
+++ b/internal/returning/returning_test.go
@@ -49,7 +49,7 @@
 }
 
 // TestRetriesStayWithinCapacity: with 300 requests a second for a capacity of 200, refused
-// clients that retry as told must not exceed the capacity in any tenth of a second.
+// clients that retry as advised must not exceed the capacity in any tenth of a second.
 func TestRetriesStayWithinCapacity(t *testing.T) {
 	rate := returning.NewRate(20, 100*time.Millisecond)
 	var retries returning.PendingRetries
