--- a/internal/rateclient/lossy_test.go
+++ b/internal/rateclient/lossy_test.go
@@ -16,8 +16,8 @@
 // lossyOwner is an owner some of whose requests and responses are lost.
 type lossyOwner struct {
 	limiter *requestrate.Limiter
-	now    time.Duration
-	fate   func() fate
+	now     time.Duration
+	fate    func() fate
 }
 
 // fate is the outcome of a request to the owner.
