--- a/internal/continuation/continuation.go
+++ b/internal/continuation/continuation.go
@@ -1,10 +1,10 @@
-// Package continuation decides which runs are copied to a second server while they run, so
-// that they can go on there when their server ends. Only requests that may run once need it:
-// others run again. The package is pure: time comes in the calls.
+// Package continuation decides which running requests are copied to a second server, so that
+// they can continue there if their server fails. Only requests that must not run twice need a
+// copy; others are simply retried. The package does no I/O; the caller passes the time.
 //
-// A copy costs memory and transfers at servers that other requests use, and most runs never
-// need theirs. So the chance that a run ends with its server is estimated from the ends that
-// were seen lately, at the service and at the server's address.
+// A copy uses memory and bandwidth on servers, and most copies are never used. The chance that
+// a run's server fails is therefore estimated from the recent failures at the service and at
+// the server's address.
 package continuation
 
 import (
@@ -12,153 +12,151 @@
 	"time"
 )
 
-// Mode says which runs are copied.
+// Mode selects the runs to copy.
 type Mode int
 
-// The ways.
+// Modes.
 const (
-	// None copies no run.
+	// None disables copies.
 	None Mode = iota
-	// Selective copies the runs that are likely enough to end with their server.
+	// Selective copies the runs whose server is likely enough to fail.
 	Selective
 	// All copies every run.
 	All
 )
 
 const (
-	// window is for how long the end of a server counts: ends come in series, of servers that
-	// go down and up, of machines that are taken away one after the other.
+	// window is how long a server failure counts. Failures come in series, as of a crash loop
+	// or of machines that are removed one after the other.
 	window = 30 * time.Second
-	// leastChance is the chance to end with its server from which on a run is copied: callers
-	// that are served for 999 of 1,000 requests otherwise would lose as many again.
-	leastChance = 1.0 / 1000
-	// typicalRun is how long a run is taken to be before any has ended, and runWeight the
-	// weight of one run in the running mean.
-	typicalRun = time.Second
-	runWeight  = 0.05
-	// fewestOfZone and mostOfZone tell when a zone fails, not single servers: so many ends, and
-	// such a part of all.
-	fewestOfZone = 3
-	mostOfZone   = 2.0 / 3
+	// minCopyChance is the estimated chance of a server failure from which a run is copied.
+	minCopyChance = 1.0 / 1000
+	// initialRunTime is the assumed duration of a run before any has completed, and
+	// runTimeWeight the weight of one run in the moving average.
+	initialRunTime = time.Second
+	runTimeWeight  = 0.05
+	// A zone is failing, rather than single servers, if it has at least minZoneFailures recent
+	// failures and zoneFailureFraction of all of them.
+	minZoneFailures     = 3
+	zoneFailureFraction = 2.0 / 3
 )
 
-// Server is one incarnation of a server as the directory shows it.
+// Server is one incarnation of a server in the directory.
 type Server struct {
 	ID      string
 	Service string
 	Address string
 	Zone    string
-	// Ended tells that it ended without having said so.
+	// Ended reports whether the server went down without announcing it.
 	Ended bool
 }
 
-// end is the end of one server.
-type end struct {
+type failure struct {
 	at      time.Duration
 	address string
 	zone    string
 }
 
-// service is what is known of the servers of one service.
+// service holds the statistics of one service.
 type service struct {
-	serving int
-	ends    []end
-	run     time.Duration
+	serving     int
+	failures    []failure
+	meanRunTime time.Duration
 }
 
-// Tracker follows the servers of a site. It belongs to one goroutine at a time.
+// Tracker tracks the servers of a site. It is not safe for concurrent use.
 type Tracker struct {
-	way      Mode
+	mode     Mode
 	services map[string]*service
 }
 
-// NewTracker returns a watch that has seen no server.
-func NewTracker(way Mode) *Tracker {
-	return &Tracker{way: way, services: make(map[string]*service)}
+// NewTracker returns a tracker without servers.
+func NewTracker(mode Mode) *Tracker {
+	return &Tracker{mode: mode, services: make(map[string]*service)}
 }
 
-// Update takes that an incarnation in the directory is other than before; nil is one that it does
-// not hold.
-func (w *Tracker) Update(before, after *Server, now time.Duration) {
+// Update records a change of a server in the directory. A nil value means that the directory
+// does not list the server.
+func (t *Tracker) Update(before, after *Server, now time.Duration) {
 	if before != nil && !before.Ended {
-		w.service(before.Service).serving--
+		t.service(before.Service).serving--
 	}
 	if after == nil {
 		return
 	}
-	known := w.service(after.Service)
+	stats := t.service(after.Service)
 	if !after.Ended {
-		known.serving++
+		stats.serving++
 		return
 	}
 	if before == nil || !before.Ended {
-		known.ends = slices.DeleteFunc(known.ends, func(each end) bool { return now-each.at > window })
-		known.ends = append(known.ends, end{at: now, address: after.Address, zone: after.Zone})
+		stats.failures = slices.DeleteFunc(stats.failures, func(f failure) bool { return now-f.at > window })
+		stats.failures = append(stats.failures, failure{at: now, address: after.Address, zone: after.Zone})
 	}
 }
 
-func (w *Tracker) service(name string) *service {
-	known := w.services[name]
-	if known == nil {
-		known = &service{run: typicalRun}
-		w.services[name] = known
+func (t *Tracker) service(name string) *service {
+	stats := t.services[name]
+	if stats == nil {
+		stats = &service{meanRunTime: initialRunTime}
+		t.services[name] = stats
 	}
-	return known
+	return stats
 }
 
-// RecordRun takes how long a run of a service took that ended well.
-func (w *Tracker) RecordRun(name string, took time.Duration) {
-	known := w.service(name)
-	known.run += time.Duration(runWeight * float64(took-known.run))
+// RecordRun records the duration of a successful run.
+func (t *Tracker) RecordRun(name string, duration time.Duration) {
+	stats := t.service(name)
+	stats.meanRunTime += time.Duration(runTimeWeight * float64(duration-stats.meanRunTime))
 }
 
-// Run is a run that is about to begin.
+// Run is a run that is about to start.
 type Run struct {
 	Service string
-	// Address and Zone are those of its server.
+	// Address and Zone are those of the server.
 	Address string
 	Zone    string
 }
 
-// Plan is what is done about a run.
+// Plan is the decision about one run.
 type Plan struct {
 	copied    bool
 	otherZone bool
 	chance    float64
 }
 
-// Copied tells whether the run is copied.
+// Copied reports whether the run is copied.
 func (p Plan) Copied() bool { return p.copied }
 
-// OtherZone tells that the copy has to be in another zone than the run. Otherwise one in the
-// same zone is as good, and its way is shorter.
+// OtherZone reports whether the copy must be in another zone than the run. Otherwise the same
+// zone is preferred for its lower latency.
 func (p Plan) OtherZone() bool { return p.otherZone }
 
-// Chance is the estimated chance that the run ends with its server.
+// Chance returns the estimated chance that the run's server fails during the run.
 func (p Plan) Chance() float64 { return p.chance }
 
-// Plan decides about a run.
-func (w *Tracker) Plan(run Run, now time.Duration) Plan {
-	known := w.service(run.Service)
-	recent, here, inZone := 0, 0, 0
-	for _, each := range known.ends {
-		if now-each.at > window {
+// Plan decides whether a run is copied.
+func (t *Tracker) Plan(run Run, now time.Duration) Plan {
+	stats := t.service(run.Service)
+	recent, atAddress, inZone := 0, 0, 0
+	for _, f := range stats.failures {
+		if now-f.at > window {
 			continue
 		}
 		recent++
-		if each.address == run.Address {
-			here++
+		if f.address == run.Address {
+			atAddress++
 		}
-		if each.zone == run.Zone {
+		if f.zone == run.Zone {
 			inZone++
 		}
 	}
-	// How often a server ends: each of the service, and the one at this address.
-	ofService := float64(recent) / float64(max(1, known.serving))
-	chance := min(1, max(ofService, float64(here))*float64(known.run)/float64(window))
+	// Failure rate of the servers of the service, and of the one at this address.
+	failureRate := float64(recent) / float64(max(1, stats.serving))
+	chance := min(1, max(failureRate, float64(atAddress))*float64(stats.meanRunTime)/float64(window))
 	return Plan{
-		copied:    w.way == All || (w.way == Selective && chance >= leastChance),
-		otherZone: inZone >= fewestOfZone && float64(inZone) >= mostOfZone*float64(recent),
+		copied:    t.mode == All || (t.mode == Selective && chance >= minCopyChance),
+		otherZone: inZone >= minZoneFailures && float64(inZone) >= zoneFailureFraction*float64(recent),
 		chance:    chance,
 	}
 }
--- a/internal/jobstore/failures_test.go
+++ b/internal/jobstore/failures_test.go
@@ -19,9 +19,9 @@
 	return found
 }
 
-// TestFailuresOfItemsOutliveTheirLeader: each leader counted for itself, so that an item that
-// fails on each run came to servers again whenever leadership changed, beyond its attempts.
-func TestFailuresOfItemsOutliveTheirLeader(t *testing.T) {
+// TestFailureCountSurvivesLeaderChange: without replicated counts each new leader would run a
+// failing item again, beyond its attempts.
+func TestFailureCountSurvivesLeaderChange(t *testing.T) {
 	machine := jobstore.New()
 	apply(t, machine, submitted("job", "/p/", 1, 1, 1))
 	for _, item := range []uint32{1, 1, 2, 9} {
@@ -30,13 +30,13 @@
 	restored := restart(t, machine)
 	for name, each := range map[string]*jobstore.Machine{"leader": machine, "next leader": restored} {
 		if got := failures(each); got[0] != 0 || got[1] != 2 || got[2] != 1 || len(got) != 3 {
-			t.Errorf("the %s counts %v", name, got)
+			t.Errorf("failures on the %s: %v", name, got)
 		}
 	}
 }
 
-// TestFailuresOfItemsWithAResultAreForgotten, and none is counted afterwards.
-func TestFailuresOfItemsWithAResultAreForgotten(t *testing.T) {
+// TestResultDropsFailureCount: later failures of the item are ignored too.
+func TestResultDropsFailureCount(t *testing.T) {
 	machine := jobstore.New()
 	apply(t, machine, submitted("job", "/p/", 1, 1))
 	apply(t, machine, failure("job", 0))
@@ -45,7 +45,7 @@
 	apply(t, machine, &rockwindpb.JobStoreCommand{Command: &rockwindpb.JobStoreCommand_Record{Record: result}})
 	apply(t, machine, failure("job", 0))
 	if got := failures(machine); len(got) != 1 || got[1] != 1 {
-		t.Fatalf("counted are %v", got)
+		t.Fatalf("failures: %v", got)
 	}
 	snapshot, err := machine.Snapshot()
 	if err != nil {
@@ -56,6 +56,6 @@
 		t.Fatal(err)
 	}
 	if got := failures(decoded); len(got) != 1 || got[1] != 1 {
-		t.Fatalf("after a restart are counted %v", got)
+		t.Fatalf("failures after a restart: %v", got)
 	}
 }
--- a/internal/jobstore/jobstore_test.go
+++ b/internal/jobstore/jobstore_test.go
@@ -44,16 +44,16 @@
 	return created
 }
 
-func TestJobIsTakenOnceAndOtherContentIsRefused(t *testing.T) {
+func TestSubmitIsIdempotent(t *testing.T) {
 	m := New()
 	if got := apply(t, m, submit(testJob(t, "a", 2, "x"))); got.Fault != nil || got.Resent {
 		t.Fatalf("%+v", got)
 	}
 	if got := apply(t, m, submit(testJob(t, "a", 2, "x"))); got.Fault != nil || !got.Resent {
-		t.Fatalf("a resend got %+v", got)
+		t.Fatalf("resubmission: %+v", got)
 	}
 	if got := apply(t, m, submit(testJob(t, "a", 2, "y"))); got.Fault == nil || got.Fault.Kind != fault.Conflict {
-		t.Fatalf("another job under the identifier got %+v", got)
+		t.Fatalf("other content under the same identifier: %+v", got)
 	}
 }
 
@@ -64,49 +64,49 @@
 	if body, err := m.Body("a", "", "a-1"); err != nil || string(body) != "x" {
 		t.Fatalf("%q, %v", body, err)
 	}
-	for _, gone := range []string{"a-0", "a-9"} {
-		if _, err := m.Body("a", "", gone); !fault.Is(err, fault.NotFound) {
-			t.Errorf("the body of %s: %v", gone, err)
+	for _, missing := range []string{"a-0", "a-9"} {
+		if _, err := m.Body("a", "", missing); !fault.Is(err, fault.NotFound) {
+			t.Errorf("body of %s: %v", missing, err)
 		}
 	}
 	apply(t, m, end("a"))
 	if _, err := m.Body("a", "", "a-1"); !fault.Is(err, fault.NotFound) {
-		t.Errorf("the body of an ended job: %v", err)
+		t.Errorf("body of an ended job: %v", err)
 	}
 }
 
-// oracleJob is what a reader may rely on of one job.
+// oracleJob is the expected state of one job.
 type oracleJob struct {
-	items  int
-	listed []uint32
-	ended  bool
+	items    int
+	recorded []uint32
+	ended    bool
 }
 
-// TestResultsKeepTheirPlaces runs random commands, with restarts from snapshots,
-// against a simple list of what was recorded first.
-func TestResultsKeepTheirPlaces(t *testing.T) {
+// TestResultsKeepTheirPositions compares random commands and restarts from snapshots with the
+// expected state.
+func TestResultsKeepTheirPositions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New()
 		oracle := map[string]*oracleJob{}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "job")
-			known := oracle[id]
+			expected := oracle[id]
 			switch rapid.IntRange(0, 4).Draw(t, "command") {
 			case 0:
 				items := rapid.IntRange(1, 5).Draw(t, "items")
-				if got := apply(t, m, submit(testJob(t, id, items, "x"))); got.Fault == nil && known == nil {
+				if got := apply(t, m, submit(testJob(t, id, items, "x"))); got.Fault == nil && expected == nil {
 					oracle[id] = &oracleJob{items: items}
 				}
 			case 1, 2:
 				item := rapid.Uint32Range(0, 6).Draw(t, "item")
 				apply(t, m, record(id, &rockwindpb.StoredResult{Item: item, Outcome: rockwindpb.StoredOutcome_STORED_OUTCOME_DONE}))
-				if known != nil && int(item) < known.items && !contains(known.listed, item) {
-					known.listed = append(known.listed, item)
+				if expected != nil && int(item) < expected.items && !contains(expected.recorded, item) {
+					expected.recorded = append(expected.recorded, item)
 				}
 			case 3:
 				apply(t, m, end(id))
-				if known != nil {
-					known.ended = true
+				if expected != nil {
+					expected.ended = true
 				}
 			case 4:
 				snapshot, err := m.Snapshot()
@@ -124,8 +124,8 @@
 }
 
 func contains(list []uint32, wanted uint32) bool {
-	for _, each := range list {
-		if each == wanted {
+	for _, item := range list {
+		if item == wanted {
 			return true
 		}
 	}
@@ -133,23 +133,23 @@
 }
 
 func compare(t *rapid.T, m *Machine, oracle map[string]*oracleJob) {
-	for id, known := range oracle {
+	for id, expected := range oracle {
 		got, err := m.Read(id, "", 0, 1<<20)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if int(got.GetTotal()) != known.items || len(got.GetResults()) != len(known.listed) {
-			t.Fatalf("job %s: %v, want %+v", id, got, known)
+		if int(got.GetTotal()) != expected.items || len(got.GetResults()) != len(expected.recorded) {
+			t.Fatalf("job %s: %v, want %+v", id, got, expected)
 		}
-		for position, item := range known.listed {
+		for position, item := range expected.recorded {
 			if want := fmt.Sprintf("%s-%d", id, item); got.GetResults()[position].GetId() != want {
 				t.Fatalf("position %d of job %s holds %s, want %s", position, id, got.GetResults()[position].GetId(), want)
 			}
 		}
-		for index := range uint32(known.items) {
-			want := !known.ended && !contains(known.listed, index)
+		for index := range uint32(expected.items) {
+			want := !expected.ended && !contains(expected.recorded, index)
 			if m.Runnable(id, index) != want {
-				t.Fatalf("item %d of job %s may run: %v", index, id, !want)
+				t.Fatalf("item %d of job %s runnable: %v", index, id, !want)
 			}
 		}
 	}
@@ -167,6 +167,6 @@
 		}
 	}
 	if got, err := m.Read("a", "", 0, 1); err != nil || len(got.GetResults()) != 1 {
-		t.Errorf("a result larger than the bound: %v, %v", got, err)
+		t.Errorf("result larger than the limit: %v, %v", got, err)
 	}
 }
--- a/internal/jobstore/machine.go
+++ b/internal/jobstore/machine.go
@@ -1,8 +1,7 @@
-// Package jobstore is the state machine of one shard of a site's batch jobs. A
-// job is taken whole, with the bodies of its items; the results of its items are
-// appended in the order in which they are recorded, so that a position once
-// read never changes. The package is pure: time comes in the commands, and
-// replicas that apply the same commands hold the same state.
+// Package jobstore is the replicated state machine of one shard of a site's batch jobs. A job
+// is stored as a whole, with the bodies of its items. Results are appended in the order in
+// which they are recorded, so positions never change. The package is deterministic: times are
+// part of the commands, and replicas that apply the same commands have the same state.
 package jobstore
 
 import (
@@ -17,7 +16,7 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Shards have numbers from zero; ShardOf tells which one holds a job.
+// ShardOf returns the shard of a job, numbered from zero.
 func ShardOf(id string, shards int) uint32 {
 	if shards <= 1 {
 		return 0
@@ -25,76 +24,74 @@
 	return uint32(hash(id) % uint64(shards))
 }
 
-// job is a stored job with what is derived from it.
+// job is a stored job with derived indexes.
 type job struct {
 	stored *rockwindpb.StoredJob
-	// position is one more than the place of an item's result, by item; zero
-	// where the item has none.
-	position []uint32
-	// byID finds an item by its identifier.
-	byID map[string]uint32
-	// waiting is the tokens of the items without a result.
-	waiting uint64
+	// resultNumber is the position of an item's result plus one, by item; zero if there is no
+	// result.
+	resultNumber []uint32
+	indexByID    map[string]uint32
+	// waitingTokens is the sum of the tokens of the items without a result.
+	waitingTokens uint64
 }
 
 func newJob(stored *rockwindpb.StoredJob) *job {
 	created := &job{
-		stored:   stored,
-		position: make([]uint32, len(stored.GetItems())),
-		byID:     make(map[string]uint32, len(stored.GetItems())),
+		stored:       stored,
+		resultNumber: make([]uint32, len(stored.GetItems())),
+		indexByID:    make(map[string]uint32, len(stored.GetItems())),
 	}
 	for i, item := range stored.GetItems() {
-		created.byID[item.GetId()] = uint32(i)
-		created.waiting += item.GetTokens()
+		created.indexByID[item.GetId()] = uint32(i)
+		created.waitingTokens += item.GetTokens()
 	}
 	for i, result := range stored.GetResults() {
-		created.position[result.GetItem()] = uint32(i) + 1
-		created.waiting -= stored.GetItems()[result.GetItem()].GetTokens()
+		created.resultNumber[result.GetItem()] = uint32(i) + 1
+		created.waitingTokens -= stored.GetItems()[result.GetItem()].GetTokens()
 	}
-	created.cleanProgress()
+	created.dropStaleProgress()
 	return created
 }
 
-// failuresOf finds the count of an item's failures, nil where there is none.
+// failuresOf returns the failure count of an item, or nil.
 func (j *job) failuresOf(item uint32) *rockwindpb.ItemFailures {
-	for _, each := range j.stored.GetFailures() {
-		if each.GetItem() == item {
-			return each
+	for _, f := range j.stored.GetFailures() {
+		if f.GetItem() == item {
+			return f
 		}
 	}
 	return nil
 }
 
-// open tells whether items of the job may still run.
+// open reports whether any item of the job may still run.
 func (j *job) open() bool {
 	return !j.stored.GetEnded() && len(j.stored.GetResults()) < len(j.stored.GetItems())
 }
 
-// Machine is the replicated state of one shard. Its owner goroutine alone may
-// call it.
+// Machine is the replicated state of one shard. It is not safe for concurrent use.
 type Machine struct {
 	jobs map[string]*job
 }
 
-// New returns a shard without jobs.
+// New returns a state machine without jobs.
 func New() *Machine {
 	return &Machine{jobs: make(map[string]*job)}
 }
 
-// Outcome is the result of a command. Fault is set where it was refused.
+// Outcome is the result of a command.
 type Outcome struct {
-	// Resent tells that a submitted job had been taken before.
+	// Resent reports that the same job had been submitted before.
 	Resent bool
-	// Fault is nil where the command took effect.
+	// Fault is nil if the command was applied.
 	Fault *fault.Fault
 }
 
-// Apply implements replica.StateMachine. The command is an encoded
-// JobStoreCommand; the result is an Outcome.
+// Apply implements replica.StateMachine. The command is an encoded JobStoreCommand; the result
+// is an Outcome.
 func (m *Machine) Apply(_ uint64, command []byte) any {
 	decoded := &rockwindpb.JobStoreCommand{}
 	if err := proto.Unmarshal(command, decoded); err != nil {
-		return Outcome{Fault: fault.Newf(fault.Internal, "run the same version on all stores", "a command of a job shard cannot be read: %v", err)}
+		return Outcome{Fault: fault.Newf(fault.Internal, "run the same version on all stores", "cannot decode a command of a job shard: %v", err)}
 	}
 	switch content := decoded.GetCommand().(type) {
 	case *rockwindpb.JobStoreCommand_Submit:
@@ -104,7 +101,7 @@
 	case *rockwindpb.JobStoreCommand_Failure:
 		return m.fail(content.Failure)
 	case *rockwindpb.JobStoreCommand_Progress:
-		m.progress(content.Progress)
+		m.addProgress(content.Progress)
 	case *rockwindpb.JobStoreCommand_End:
 		return m.end(content.End)
 	case *rockwindpb.JobStoreCommand_Drop:
@@ -115,86 +112,87 @@
 	return Outcome{}
 }
 
-// submit takes a job once under its identifier. The same content again is
-// acknowledged; other content is refused.
+// submit stores a job. Submitting the same content again succeeds; other content under the same
+// identifier is refused.
 func (m *Machine) submit(submitted *rockwindpb.StoredJob) Outcome {
-	if known, taken := m.jobs[submitted.GetId()]; taken {
-		if bytes.Equal(known.stored.GetDigest(), submitted.GetDigest()) {
+	if j, taken := m.jobs[submitted.GetId()]; taken {
+		if bytes.Equal(j.stored.GetDigest(), submitted.GetDigest()) {
 			return Outcome{Resent: true}
 		}
-		return Outcome{Fault: fault.Newf(fault.Conflict, "give each job an identifier of its own",
-			"another job was taken as %q", submitted.GetId())}
+		return Outcome{Fault: fault.Newf(fault.Conflict, "use a unique identifier for each job",
+			"identifier %q is in use by another job", submitted.GetId())}
 	}
 	m.jobs[submitted.GetId()] = newJob(submitted)
 	return Outcome{}
 }
 
-// record appends results. An item keeps its first result.
+// record appends results. Only the first result of an item is kept.
 func (m *Machine) record(recorded *rockwindpb.RecordResults) Outcome {
-	known, found := m.jobs[recorded.GetJob()]
+	j, found := m.jobs[recorded.GetJob()]
 	if !found {
 		return Outcome{Fault: unknownJob(recorded.GetJob())}
 	}
 	for _, result := range recorded.GetResults() {
 		item := result.GetItem()
-		if int(item) >= len(known.position) || known.position[item] != 0 {
+		if int(item) >= len(j.resultNumber) || j.resultNumber[item] != 0 {
 			continue
 		}
-		known.stored.Results = append(known.stored.Results, result)
-		known.position[item] = uint32(len(known.stored.GetResults()))
-		known.waiting -= known.stored.GetItems()[item].GetTokens()
-		// The body has served its purpose, and so have the failures and the progress.
-		known.stored.Items[item].Body = nil
-		known.dropProgress(item)
-		known.stored.Failures = slices.DeleteFunc(known.stored.GetFailures(), func(each *rockwindpb.ItemFailures) bool { return each.GetItem() == item })
+		j.stored.Results = append(j.stored.Results, result)
+		j.resultNumber[item] = uint32(len(j.stored.GetResults()))
+		j.waitingTokens -= j.stored.GetItems()[item].GetTokens()
+		// An item with a result needs no body, failure count or progress.
+		j.stored.Items[item].Body = nil
+		j.dropProgress(item)
+		j.stored.Failures = slices.DeleteFunc(j.stored.GetFailures(), func(f *rockwindpb.ItemFailures) bool { return f.GetItem() == item })
 	}
 	return Outcome{}
 }
 
-// fail counts a failed try of an item, so that a later leader does not begin anew.
+// fail counts a failed attempt of an item in the replicated state, so that the count survives a
+// change of leader.
 func (m *Machine) fail(failed *rockwindpb.RecordFailure) Outcome {
-	known, found := m.jobs[failed.GetJob()]
+	j, found := m.jobs[failed.GetJob()]
 	if !found {
 		return Outcome{Fault: unknownJob(failed.GetJob())}
 	}
 	item := failed.GetItem()
-	if int(item) >= len(known.position) || known.position[item] != 0 {
+	if int(item) >= len(j.resultNumber) || j.resultNumber[item] != 0 {
 		return Outcome{}
 	}
-	// The output of a failed run is not gone on with.
-	known.dropProgress(item)
-	if counted := known.failuresOf(item); counted != nil {
+	// The next attempt starts over.
+	j.dropProgress(item)
+	if counted := j.failuresOf(item); counted != nil {
 		counted.Count++
 		return Outcome{}
 	}
-	known.stored.Failures = append(known.stored.Failures, &rockwindpb.ItemFailures{Item: item, Count: 1})
+	j.stored.Failures = append(j.stored.Failures, &rockwindpb.ItemFailures{Item: item, Count: 1})
 	return Outcome{}
 }
 
 func (m *Machine) end(request *rockwindpb.EndStoredJobRequest) Outcome {
-	known, failure := m.owned(request.GetId(), request.GetTenant())
+	j, failure := m.jobOfTenant(request.GetId(), request.GetTenant())
 	if failure != nil {
 		return Outcome{Fault: failure}
 	}
-	known.stored.Ended = true
-	known.stored.Progress = nil
-	for _, item := range known.stored.GetItems() {
+	j.stored.Ended = true
+	j.stored.Progress = nil
+	for _, item := range j.stored.GetItems() {
 		item.Body = nil
 	}
 	return Outcome{}
 }
 
 func unknownJob(id string) *fault.Fault {
-	return fault.Newf(fault.NotFound, "check the identifier; jobs are kept for a bounded time", "there is no job %q", id)
+	return fault.Newf(fault.NotFound, "check the identifier; jobs are deleted after their retention time", "job %q not found", id)
 }
 
 // Snapshot implements replica.StateMachine.
 func (m *Machine) Snapshot() ([]byte, error) {
 	snapshot := &rockwindpb.JobStoreSnapshot{}
-	for _, known := range slices.SortedFunc(maps.Values(m.jobs), func(a, b *job) int {
+	for _, j := range slices.SortedFunc(maps.Values(m.jobs), func(a, b *job) int {
 		return cmp.Compare(a.stored.GetId(), b.stored.GetId())
 	}) {
-		snapshot.Jobs = append(snapshot.Jobs, known.stored)
+		snapshot.Jobs = append(snapshot.Jobs, j.stored)
 	}
 	return proto.MarshalOptions{Deterministic: true}.Marshal(snapshot)
 }
@@ -203,7 +201,7 @@
 func (m *Machine) Restore(snapshot []byte) error {
 	decoded := &rockwindpb.JobStoreSnapshot{}
 	if err := proto.Unmarshal(snapshot, decoded); err != nil {
-		return fault.Newf(fault.Corrupt, "let the replica join again with an empty disk", "a snapshot of a job shard cannot be read: %v", err)
+		return fault.Newf(fault.Corrupt, "let the replica join again with an empty disk", "cannot decode a snapshot of a job shard: %v", err)
 	}
 	m.jobs = make(map[string]*job, len(decoded.GetJobs()))
 	for _, stored := range decoded.GetJobs() {
--- a/internal/jobstore/progress.go
+++ b/internal/jobstore/progress.go
@@ -7,113 +7,113 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// PartialOutput is what a shard holds of the output of an item without a result: its first events.
-// The zero value is nothing.
+// PartialOutput is the recorded beginning of the output of an item without a result. The zero
+// value is empty.
 type PartialOutput struct {
-	known   bool
-	last    uint64
-	text    []byte
-	hasText bool
+	hasEvents bool
+	last      uint64
+	text      []byte
+	hasText   bool
 }
 
-// LastEvent is the number of the last event that is held; known is false where none is.
-func (r PartialOutput) LastEvent() (last uint64, known bool) { return r.last, r.known }
+// LastEvent returns the number of the last recorded event; found is false if there is none.
+func (r PartialOutput) LastEvent() (last uint64, found bool) { return r.last, r.hasEvents }
 
-// Text is the data of the events, separated by line feeds; found is false where none had any.
-// It must not be changed.
+// Text returns the data of the events, separated by line feeds; found is false if no event had
+// data. The caller must not modify it.
 func (r PartialOutput) Text() (text []byte, found bool) { return r.text, r.hasText }
 
-// received is what is held of an item. The state may go on while the result is in use: it
-// appends to the text and does not change what it has.
-func (j *job) received(item uint32) PartialOutput {
-	place, found := j.progressOf(item)
+// partialOutput returns the recorded output of an item. The result stays valid while the state
+// changes, since recorded text is only appended to.
+func (j *job) partialOutput(item uint32) PartialOutput {
+	index, found := j.findProgress(item)
 	if !found {
 		return PartialOutput{}
 	}
-	held := j.stored.GetProgress()[place]
-	return PartialOutput{known: true, last: held.GetLast(), text: slices.Clip(held.GetText()), hasText: held.Text != nil}
+	current := j.stored.GetProgress()[index]
+	return PartialOutput{hasEvents: true, last: current.GetLast(), text: slices.Clip(current.GetText()), hasText: current.Text != nil}
 }
 
-// progressOf finds the place of an item's progress, or where it would be.
-func (j *job) progressOf(item uint32) (place int, found bool) {
-	return slices.BinarySearchFunc(j.stored.GetProgress(), item, func(each *rockwindpb.ItemProgress, wanted uint32) int {
-		return cmp.Compare(each.GetItem(), wanted)
+// findProgress returns the index of an item's progress, or the index to insert it at.
+func (j *job) findProgress(item uint32) (index int, found bool) {
+	return slices.BinarySearchFunc(j.stored.GetProgress(), item, func(p *rockwindpb.ItemProgress, wanted uint32) int {
+		return cmp.Compare(p.GetItem(), wanted)
 	})
 }
 
 func (j *job) dropProgress(item uint32) {
-	if place, found := j.progressOf(item); found {
-		j.stored.Progress = slices.Delete(j.stored.GetProgress(), place, place+1)
+	if index, found := j.findProgress(item); found {
+		j.stored.Progress = slices.Delete(j.stored.GetProgress(), index, index+1)
 	}
 }
 
-// wants tells whether progress of an item still counts: the item may run, and no try failed
-// after the run.
-func (j *job) wants(progress *rockwindpb.ItemProgress) bool {
+// acceptsProgress reports whether progress of an item is still relevant: the item may run, and
+// no attempt has failed since the progress was made.
+func (j *job) acceptsProgress(progress *rockwindpb.ItemProgress) bool {
 	item := progress.GetItem()
-	return !j.stored.GetEnded() && int(item) < len(j.position) && j.position[item] == 0 &&
+	return !j.stored.GetEnded() && int(item) < len(j.resultNumber) && j.resultNumber[item] == 0 &&
 		progress.GetFailures() >= j.failuresOf(item).GetCount()
 }
 
-// cleanProgress drops what does not count in a job that was read. A version that does not know
-// progress keeps it beside the results that it records.
-func (j *job) cleanProgress() {
-	j.stored.Progress = slices.DeleteFunc(j.stored.GetProgress(), func(each *rockwindpb.ItemProgress) bool { return !j.wants(each) })
+// dropStaleProgress removes irrelevant progress after decoding a job. A replica of a version
+// without progress records keeps it next to the results that it applies.
+func (j *job) dropStaleProgress() {
+	j.stored.Progress = slices.DeleteFunc(j.stored.GetProgress(), func(p *rockwindpb.ItemProgress) bool { return !j.acceptsProgress(p) })
 }
 
-// progress notes what was received of the outputs of items.
-func (m *Machine) progress(recorded *rockwindpb.RecordProgress) {
-	for _, of := range recorded.GetJobs() {
-		known, found := m.jobs[of.GetJob()]
+// addProgress adds received events of items.
+func (m *Machine) addProgress(recorded *rockwindpb.RecordProgress) {
+	for _, jobProgress := range recorded.GetJobs() {
+		j, found := m.jobs[jobProgress.GetJob()]
 		if !found {
 			continue
 		}
-		for _, received := range of.GetItems() {
-			known.receive(received)
+		for _, received := range jobProgress.GetItems() {
+			j.addEvents(received)
 		}
 	}
 }
 
-// receive notes events of an item's output. Those of one run follow each other without a gap.
-// A later run replaces what an earlier one left, once it tells its whole output; so replicas
-// that hold different progress, since one of them did not know of it, hold the same again.
-func (j *job) receive(received *rockwindpb.ReceivedEvents) {
-	given := received.GetProgress()
-	if given == nil || !j.wants(given) {
+// addEvents adds events of an item's output. The events of one run must follow each other
+// without a gap. The complete output of a later run replaces that of an earlier one. Replicas
+// whose progress differs, because one runs a version without progress records, agree again
+// after that.
+func (j *job) addEvents(received *rockwindpb.ReceivedEvents) {
+	next := received.GetProgress()
+	if next == nil || !j.acceptsProgress(next) {
 		return
 	}
-	whole := received.After == nil
-	place, found := j.progressOf(given.GetItem())
+	complete := received.After == nil
+	index, found := j.findProgress(next.GetItem())
 	if !found {
-		if whole {
-			j.stored.Progress = slices.Insert(j.stored.GetProgress(), place, given)
+		if complete {
+			j.stored.Progress = slices.Insert(j.stored.GetProgress(), index, next)
 		}
 		return
 	}
-	held := j.stored.GetProgress()[place]
-	order := compareRuns(given, held)
-	further := given.GetLast() > held.GetLast()
+	current := j.stored.GetProgress()[index]
+	order := compareRuns(next, current)
+	newer := next.GetLast() > current.GetLast()
 	switch {
-	case whole && (order > 0 || order == 0 && further):
-		j.stored.Progress[place] = given
-	case !whole && order == 0 && further && received.GetAfter() == held.GetLast():
-		extend(held, given)
+	case complete && (order > 0 || order == 0 && newer):
+		j.stored.Progress[index] = next
+	case !complete && order == 0 && newer && received.GetAfter() == current.GetLast():
+		appendEvents(current, next)
 	}
 }
 
-// extend adds the events that follow.
-func extend(held, given *rockwindpb.ItemProgress) {
-	held.Last = given.GetLast()
-	if given.Text == nil {
+func appendEvents(current, next *rockwindpb.ItemProgress) {
+	current.Last = next.GetLast()
+	if next.Text == nil {
 		return
 	}
-	if held.Text == nil {
-		held.Text = []byte{}
+	if current.Text == nil {
+		current.Text = []byte{}
 	}
-	held.Text = append(held.Text, given.GetText()...)
+	current.Text = append(current.Text, next.GetText()...)
 }
 
-// compareRuns orders runs of an item by the time when they were begun.
+// compareRuns orders runs of an item by the time they started.
 func compareRuns(a, b *rockwindpb.ItemProgress) int {
 	return cmp.Or(cmp.Compare(a.GetTerm(), b.GetTerm()), cmp.Compare(a.GetRun(), b.GetRun()))
 }
--- a/internal/jobstore/waiting_test.go
+++ b/internal/jobstore/waiting_test.go
@@ -28,8 +28,8 @@
 	return &rockwindpb.JobStoreCommand{Command: &rockwindpb.JobStoreCommand_Submit{Submit: job}}
 }
 
-// TestWaitingTokensAreThoseOfItemsWithoutAResult of open jobs, also after a restart from
-// a snapshot.
+// TestWaitingTokensAreThoseOfItemsWithoutAResult checks the tokens of open jobs, also after a
+// restart from a snapshot.
 func TestWaitingTokensAreThoseOfItemsWithoutAResult(t *testing.T) {
 	machine := jobstore.New()
 	of := func(m *jobstore.Machine, path string) uint64 {
@@ -46,17 +46,17 @@
 	apply(t, machine, result(1))
 	apply(t, machine, result(1))
 	if got := of(machine, "/p/"); got != 45 {
-		t.Errorf("%d tokens wait, want 45", got)
+		t.Errorf("%d waiting tokens, want 45", got)
 	}
 	restored := restart(t, machine)
 	if got := of(restored, "/p/"); got != 45 {
-		t.Errorf("%d tokens wait after the restart, want 45", got)
+		t.Errorf("%d waiting tokens after the restart, want 45", got)
 	}
 	apply(t, machine, &rockwindpb.JobStoreCommand{Command: &rockwindpb.JobStoreCommand_End{End: &rockwindpb.EndStoredJobRequest{Id: "one"}}})
 	if got := of(machine, "/p/"); got != 5 {
-		t.Errorf("%d tokens wait once a job is ended, want 5", got)
+		t.Errorf("%d waiting tokens after the end of a job, want 5", got)
 	}
 	if !machine.Has("one") || machine.Has("none") {
-		t.Error("the jobs that were taken are not known")
+		t.Error("Has does not match the submitted jobs")
 	}
 }
--- a/internal/leftbehind/survey.go
+++ b/internal/leftbehind/survey.go
@@ -1,10 +1,10 @@
-// Package leftbehind finds out what servers still run for callers that are gone. A machine
-// that loses power tells nobody; its servers go on with what it sent them, while the load
-// digests of its processes are forgotten or replaced by those of their next lives, which say
-// zero. So a process that has just started has a few servers asked for their load, counts
-// what no living process has there as left behind, tells the others of it, and has it asked
-// again until it is over. The package is pure: times are durations since an origin of the
-// caller's choice.
+// Package leftbehind estimates the requests that servers still run for callers that no longer
+// exist. After a power loss the servers continue with the requests of the failed machines,
+// while the load digests of their processes are lost or replaced by digests that report zero. A
+// process that has just started therefore queries some servers for their load, counts what no
+// live process accounts for as left behind, shares the result with the other processes, and
+// queries again until nothing is left. The package does no I/O; times are durations since an
+// origin that the caller chooses.
 package leftbehind
 
 import (
@@ -16,349 +16,346 @@
 	"rockwind.example/rockwind/internal/ownership"
 )
 
-// Tuning.
+// Limits and intervals of a survey.
 const (
-	// askers is how many processes ask each server: one may not have come back yet, or end
-	// before it has told the others.
-	askers = 2
-	// mostAsked bounds the servers that one process asks, where few processes have many.
-	mostAsked = 64
-	// freshFor is how far apart the starts of processes may be that lost power together:
-	// machines come back over some tenths of a second. In longer time those that are back send
-	// requests, which would count twice as left behind at servers that tell of them.
-	freshFor = 500 * time.Millisecond
-	// hearWithin is how long a process waits for word of any other before what servers tell
-	// counts without it. A process whose load has changed is heard within two turns of digests
-	// in a mesh (loadshare.meshInterval); one with the same load repeats its digest only after
-	// loadshare.repeatInterval and a turn, and what was counted is compared with its load then.
-	hearWithin = 160 * time.Millisecond
-	// settleFor is how soon a process that starts beside others takes what it has heard for
-	// what these have at the servers: their digests of the first tenths of a second. Where the
-	// stores lose power and the routers live on, 0.03 to 0.05 of the first events are late in
-	// virtual time instead of 0.07 to 0.13 (balance.TestRequestsAfterALossOfAllStores...).
-	settleFor = 400 * time.Millisecond
-	// tellFor is how long after its start a process tells others that some have lived on. One
-	// that starts by freshFor later takes it for new, and takes the word until settleFor after
-	// its own start; later ones see by themselves that others lived on.
-	tellFor = freshFor + settleFor
-	// unknownPart is the part of what servers tell that has to be unknown to the living where
-	// some lived on, and leastUnknown the least of it: reports and digests are of different
-	// moments, so that a few requests always differ.
-	unknownPart  = 0.25
-	leastUnknown = 4
-	// askAgain is the time between questions to a server at which something was left behind,
-	// and mostQuestions how many there are, beside one that is to make sure. The second one
-	// finds out where short runs were left, as of streams, or where too much was counted. Each
-	// further one takes what its answer counts too little for good: asked each 0.4 s until it
-	// was over, 0.02 to 0.03 of the first events were late in virtual time, with two questions
-	// 0.011 to 0.015 (balance.TestRequestsAfterALossOfAllProcessesGoWhereThereIsRoom).
-	askAgain      = time.Second
-	mostQuestions = 2
-	// leastLeft is how much a server must tell beyond what the living have there: reports and
-	// digests differ by one request as often as not.
-	leastLeft = 2
-	// leftFor is how long after its start a process counts what was left behind. Runs of
-	// batch work last for two to three seconds, on slow servers longer; a server that tells a
-	// high load for good must come back into use.
-	leftFor = 4 * time.Second
-	// mostPerSlot bounds what is believed: a server queues a few requests beside those that it
-	// runs, and what tells of more is no load.
-	mostPerSlot = 4
+	// queriersPerServer is the number of processes that query each server, so that one of them
+	// may still be down or fail.
+	queriersPerServer = 2
+	// maxServers limits the servers that one process queries where few processes share many
+	// servers.
+	maxServers = 64
+	// restartWindow is the maximum difference between the starts of processes that lost power
+	// together. A larger window would count twice the requests that the first processes have
+	// sent since their start.
+	restartWindow = 500 * time.Millisecond
+	// peerTimeout is how long a process waits for the load of any peer before it counts the
+	// reported load alone. It covers two rounds of load digests. Later digests are still
+	// compared with the counts.
+	peerTimeout = 160 * time.Millisecond
+	// settleTime is when the load digests of the surviving peers are taken to be complete,
+	// after the start.
+	settleTime = 400 * time.Millisecond
+	// survivorReportTime is how long after its start a process reports surviving peers. It
+	// reaches every process that starts within restartWindow, until that one's settleTime.
+	// Processes that start later detect the survivors themselves.
+	survivorReportTime = restartWindow + settleTime
+	// minExcessFraction is the fraction of the reported load that the surviving peers must not
+	// account for, and minTotalExcess its minimum in requests. Reports and digests are taken at
+	// different times, so they usually differ by a few requests.
+	minExcessFraction = 0.25
+	minTotalExcess    = 4
+	// queryInterval is the time between queries to a server with requests left behind, and
+	// maxQueries the number of queries, not counting the one that confirms an excess. The
+	// second query detects short runs that have ended and an initial count that was too high.
+	// More queries would add errors, since a count is never raised.
+	queryInterval = time.Second
+	maxQueries    = 2
+	// minServerExcess is the minimum difference between the reported load of a server and the
+	// load of its live callers; differences of one request are normal.
+	minServerExcess = 2
+	// maxDuration is when a process stops counting requests as left behind, after its start. It
+	// is longer than most batch runs, and it ensures that a server that always reports a high
+	// load is used again.
+	maxDuration = 4 * time.Second
+	// maxRequestsPerSlot is the largest plausible load: a server queues only a few requests
+	// beyond its slots.
+	maxRequestsPerSlot = 4
 )
 
-// Server is one that can be asked.
+// Server is a server that can be queried.
 type Server struct {
 	ID      string
 	Address string
 	Slots   int
 }
 
-// PeerStatus is what a process has heard of the others since its start.
+// PeerStatus is what a process has learned about its peers since its start.
 type PeerStatus struct {
-	// Heard tells that another process told its load.
+	// Heard reports whether any peer has sent its load.
 	Heard bool
-	// EarliestStart is the earliest start of those that did, in Unix milliseconds.
+	// EarliestStart is the earliest start time among those peers, in Unix milliseconds.
 	EarliestStart int64
-	// SurvivorsReported tells that another process which has just started said that it heard of some that
-	// have not: delegates that are new tell of the loads of others, not of their starts.
+	// SurvivorsReported reports whether a peer that has just started announced surviving peers.
+	// Start times are not forwarded with the load digests of others, so they do not show this.
 	SurvivorsReported bool
 }
 
-// Survey is what one process asks after its start, and what came of it. It belongs to one
-// goroutine at a time.
+// Survey is the state of one process's load queries after its start. It is not safe for
+// concurrent use.
 type Survey struct {
-	// started is this life's start in Unix milliseconds.
-	started int64
-	began   time.Duration
-	begun   bool
-	stage   stage
-	asked   map[string]*asked
-	counts  Counts
-	// lived tells that some others have lived on, compared that what they have was held against
-	// what servers told, and elapsed how long the survey runs.
-	lived    bool
-	compared bool
-	elapsed  time.Duration
+	// processStartUnixMs is when this process started.
+	processStartUnixMs int64
+	startedAt          time.Duration
+	started            bool
+	stage              stage
+	servers            map[string]*serverState
+	counts             Counts
+	// survivors is set once some peer is known to be older than the restart, and compared once
+	// the reported loads were compared with those of the peers. elapsed is the time since the
+	// survey started.
+	survivors bool
+	compared  bool
+	elapsed   time.Duration
 }
 
-// Counts are those of a survey since its start.
+// Counts are the totals of a survey.
 type Counts struct {
-	// Asked is how many questions were put, and Answered how many had an answer.
+	// Asked is the number of queries sent, and Answered the number of valid answers.
 	Asked    int
 	Answered int
-	// LeftBehind is how many requests were found left behind at first.
+	// LeftBehind is the number of requests initially counted as left behind.
 	LeftBehind int
 }
 
-// stage is how far a survey is.
 type stage int
 
 const (
-	// listening: nothing is known of the other processes.
+	// listening: no peer has been heard.
 	listening stage = iota
-	// beside: some others lived on, and what they have is still being heard.
-	beside
-	// counting: what is left behind is counted, and asked for again.
+	// awaitingLoads: some peers survived, and their loads are still arriving.
+	awaitingLoads
+	// counting: requests left behind are counted and queried again.
 	counting
-	// over: nothing is left.
-	over
+	// finished: no requests are left behind.
+	finished
 )
 
-// asked is a server that this process asks.
-type asked struct {
+// serverState is the state of a server that this process queries.
+type serverState struct {
 	Server
-	// told is what the server told first; known tells that it did.
-	told  int
-	known bool
-	// left is what was left behind there, and most what it may be at most. Where it is unsure
-	// the server is asked once more before anything counts.
-	left   int
-	most   int
-	unsure bool
-	// at is when it was asked last, and open that the answer is awaited.
-	at        time.Duration
-	questions int
-	open      bool
+	// reported is the load of the first valid answer, if hasReport is set.
+	reported  int
+	hasReport bool
+	// leftBehind is the current number of requests left behind, and maxLeft its upper bound.
+	// Where unconfirmed is set, another query is required before any are counted.
+	leftBehind  int
+	maxLeft     int
+	unconfirmed bool
+	// queriedAt is the time of the last query, and awaiting is set until it is answered.
+	queriedAt time.Duration
+	queries   int
+	awaiting  bool
 }
 
-// New returns the survey of a process whose life began at the given time in Unix milliseconds.
+// New returns the survey of a process that started at the given time.
 func New(startedUnixMs int64) *Survey {
-	return &Survey{started: startedUnixMs, asked: make(map[string]*asked)}
+	return &Survey{processStartUnixMs: startedUnixMs, servers: make(map[string]*serverState)}
 }
 
-// Start takes the servers of the first directory after the start, and the names of the
-// processes that ask. Servers that come later have nothing of earlier lives. Only the first
-// call counts.
+// Start selects the servers to query among those of the first directory view, given the names
+// of the processes that take part. Servers that appear later have no requests left behind. Only
+// the first call has an effect.
 func (s *Survey) Start(self string, processes []string, servers []Server, now time.Duration) {
-	if s.begun {
+	if s.started {
 		return
 	}
-	s.begun, s.began = true, now
+	s.started, s.startedAt = true, now
 	for _, server := range servers {
-		if server.Slots == 0 || len(s.asked) >= mostAsked {
+		if server.Slots == 0 || len(s.servers) >= maxServers {
 			continue
 		}
 		order := ownership.Order(processes, server.ID)
-		if slices.Contains(order[:min(askers, len(order))], self) {
-			s.asked[server.ID] = &asked{Server: server}
+		if slices.Contains(order[:min(queriersPerServer, len(order))], self) {
+			s.servers[server.ID] = &serverState{Server: server}
 		}
 	}
-	if len(s.asked) == 0 {
-		s.stage = over
+	if len(s.servers) == 0 {
+		s.stage = finished
 	}
 }
 
-// Due returns the servers to be asked now; they count as asked then. Each of them is answered
-// by Answered or Missed.
+// Due returns the servers to query now and marks them as queried. The caller reports each
+// answer with Answered or Failed.
 func (s *Survey) Due(now time.Duration) []Server {
 	var due []Server
-	for _, each := range s.asked {
-		if each.open || s.stage == over || (each.questions > 0 && !s.again(each, now)) {
+	for _, state := range s.servers {
+		if state.awaiting || s.stage == finished || (state.queries > 0 && !s.queryAgain(state, now)) {
 			continue
 		}
-		each.at, each.open = now, true
-		if !each.unsure {
-			each.questions++
+		state.queriedAt, state.awaiting = now, true
+		if !state.unconfirmed {
+			state.queries++
 		}
-		due = append(due, each.Server)
+		due = append(due, state.Server)
 		s.counts.Asked++
 	}
 	slices.SortFunc(due, func(a, b Server) int { return strings.Compare(a.ID, b.ID) })
 	return due
 }
 
-// again tells whether a server is to be asked once more.
-func (s *Survey) again(each *asked, now time.Duration) bool {
+// queryAgain reports whether another query to the server is due.
+func (s *Survey) queryAgain(state *serverState, now time.Duration) bool {
 	if s.stage != counting {
 		return false
 	}
-	return each.unsure || (each.left > 0 && each.questions < mostQuestions && now-each.at >= askAgain)
+	return state.unconfirmed || (state.leftBehind > 0 && state.queries < maxQueries && now-state.queriedAt >= queryInterval)
 }
 
-// Answered takes how many requests a server told to have, running and waiting, and how many
-// all living processes count there now. What was left behind at a server only ever falls,
-// unless others are heard later that lived on.
-func (s *Survey) Answered(id string, told, counted int) {
-	each := s.answering(id)
-	if each == nil {
+// Answered records how many requests a server reported, running and queued, and how many all
+// live processes have there. The number of requests left behind at a server only decreases,
+// unless surviving peers are heard later.
+func (s *Survey) Answered(id string, reported, liveLoad int) {
+	state := s.endQuery(id)
+	if state == nil {
 		return
 	}
-	if told < 0 || told > mostPerSlot*each.Slots {
-		each.unsure = false
+	if reported < 0 || reported > maxRequestsPerSlot*state.Slots {
+		state.unconfirmed = false
 		return
 	}
 	s.counts.Answered++
-	if !each.known {
-		each.told, each.known = told, true
+	if !state.hasReport {
+		state.reported, state.hasReport = reported, true
 		switch {
 		case s.stage != counting:
-		case s.lived:
-			s.count(each, unknown(told, counted))
+		case s.survivors:
+			s.setLeft(state, excess(reported, liveLoad))
 		default:
-			s.count(each, told)
+			s.setLeft(state, reported)
 		}
 		return
 	}
-	before := each.left
-	each.left = min(each.most, unknown(told, counted))
-	if each.unsure {
-		each.unsure = false
-		s.counts.LeftBehind += each.left
+	before := state.leftBehind
+	state.leftBehind = min(state.maxLeft, excess(reported, liveLoad))
+	if state.unconfirmed {
+		state.unconfirmed = false
+		s.counts.LeftBehind += state.leftBehind
 		return
 	}
-	each.left = min(before, each.left)
+	state.leftBehind = min(before, state.leftBehind)
 }
 
-// Failed takes that a server gave no answer that can be read. What it told before counts on,
-// less and less; where it was unsure nothing does.
+// Failed records that a server gave no valid answer. An earlier count stays and decays; an
+// unconfirmed one is discarded.
 func (s *Survey) Failed(id string) {
-	if each := s.answering(id); each != nil {
-		each.unsure = false
+	if state := s.endQuery(id); state != nil {
+		state.unconfirmed = false
 	}
 }
 
-func (s *Survey) answering(id string) *asked {
-	each := s.asked[id]
-	if each == nil || !each.open {
+func (s *Survey) endQuery(id string) *serverState {
+	state := s.servers[id]
+	if state == nil || !state.awaiting {
 		return nil
 	}
-	each.open = false
-	return each
+	state.awaiting = false
+	return state
 }
 
-// unknown is what a server tells beyond what the living have there; nothing where it is little.
-func unknown(told, counted int) int {
-	if told-counted < leastLeft {
+// excess returns the reported load that live processes do not account for, or zero if it is
+// within the tolerance.
+func excess(reported, liveLoad int) int {
+	if reported-liveLoad < minServerExcess {
 		return 0
 	}
-	return told - counted
+	return reported - liveLoad
 }
 
-// count has what a server told first count as left behind.
-func (s *Survey) count(each *asked, left int) {
-	each.left, each.most = left, left
+// setLeft sets the initial count of a server.
+func (s *Survey) setLeft(state *serverState, left int) {
+	state.leftBehind, state.maxLeft = left, left
 	s.counts.LeftBehind += left
 }
 
-// Evaluate takes what was heard of the others, and how many requests all living processes count
-// at a server. Call it some times a tenth of a second until Over.
+// Evaluate updates the survey with the status of the peers and the load that all live processes
+// have at each server. Call it several times per 100 ms until Done.
 //
-// Where all that are heard have just started too, all that servers told is left behind: it is
-// of a moment before any of them sent a request. Where some lived on, it is what they do not
-// know of, once their loads are heard, and by a second answer: the first one is of a moment
-// before that. It is nothing where that is little, as after the planned restart of a process.
+// If all known peers have just started too, the whole reported load is left behind, since it
+// was reported before any of them sent a request. If some peers survived, only the excess over
+// their loads is left behind, once those loads have arrived and a second answer confirms it. A
+// small excess is ignored, as after a planned restart of a single process.
 //
-// Others that lived on may be heard only after their loads should have been: what was counted
-// is compared with these then. The word of others that some lived on is no longer taken by that
-// time, as machines that are back later than the rest say so of the rest.
-func (s *Survey) Evaluate(sight PeerStatus, counted func(id string) int, now time.Duration) {
-	if !s.begun {
+// Surviving peers may be heard only after settleTime; the counts are then compared with their
+// loads. Reports of survivors by others are ignored by that time, since a machine that restarts
+// later than the rest takes the rest for survivors.
+func (s *Survey) Evaluate(peers PeerStatus, liveLoad func(id string) int, now time.Duration) {
+	if !s.started {
 		return
 	}
-	elapsed := now - s.began
-	settled := elapsed >= settleFor
-	older := sight.Heard && s.started-sight.EarliestStart > freshFor.Milliseconds()
-	old := older || (sight.SurvivorsReported && !settled)
-	s.elapsed, s.lived = elapsed, s.lived || old
-	if s.stage == over {
+	elapsed := now - s.startedAt
+	settled := elapsed >= settleTime
+	survivorHeard := peers.Heard && s.processStartUnixMs-peers.EarliestStart > restartWindow.Milliseconds()
+	survived := survivorHeard || (peers.SurvivorsReported && !settled)
+	s.elapsed, s.survivors = elapsed, s.survivors || survived
+	if s.stage == finished {
 		return
 	}
 	switch {
-	case elapsed >= leftFor:
+	case elapsed >= maxDuration:
 		s.end()
-	case old && !settled:
-		s.withdraw()
-		if s.toldLittle() {
+	case survived && !settled:
+		s.discardCounts()
+		if s.reportedLittle() {
 			s.end()
 		}
-	case settled && !s.compared && (older || s.stage == beside):
-		s.withdraw()
-		s.compare(counted)
-	case s.stage == listening && (sight.Heard || elapsed >= hearWithin):
+	case settled && !s.compared && (survivorHeard || s.stage == awaitingLoads):
+		s.discardCounts()
+		s.compareWithPeers(liveLoad)
+	case s.stage == listening && (peers.Heard || elapsed >= peerTimeout):
 		s.stage = counting
-		for _, each := range s.asked {
-			s.count(each, each.told)
+		for _, state := range s.servers {
+			s.setLeft(state, state.reported)
 		}
 	}
 	s.decay(elapsed)
-	s.finish(elapsed)
+	s.endIfDone(elapsed)
 }
 
-// decay has what was left behind end evenly over the time that runs may last.
+// decay lowers the counts linearly to zero over maxDuration.
 func (s *Survey) decay(elapsed time.Duration) {
-	rest := 1 - float64(elapsed)/float64(leftFor)
-	for _, each := range s.asked {
-		each.left = min(each.left, int(math.Ceil(float64(each.most)*rest)))
+	rest := 1 - float64(elapsed)/float64(maxDuration)
+	for _, state := range s.servers {
+		state.leftBehind = min(state.leftBehind, int(math.Ceil(float64(state.maxLeft)*rest)))
 	}
 }
 
-// withdraw takes back what was counted: some others live, and their loads are still to come.
-func (s *Survey) withdraw() {
+// discardCounts resets the counts because peers survived whose loads have yet to arrive.
+func (s *Survey) discardCounts() {
 	if s.stage == counting {
 		s.counts.LeftBehind = 0
 	}
-	s.stage = beside
-	for _, each := range s.asked {
-		each.left = 0
+	s.stage = awaitingLoads
+	for _, state := range s.servers {
+		state.leftBehind = 0
 	}
 }
 
-// toldLittle tells whether all servers were asked, none is awaited, and all that they told is
-// so little that what others have there changes nothing.
-func (s *Survey) toldLittle() bool {
+// reportedLittle reports whether all queries are answered and the total load is too small for a
+// comparison with the peers to matter.
+func (s *Survey) reportedLittle() bool {
 	sum := 0
-	for _, each := range s.asked {
-		if each.open || each.questions == 0 {
+	for _, state := range s.servers {
+		if state.awaiting || state.queries == 0 {
 			return false
 		}
-		sum += each.told
+		sum += state.reported
 	}
-	return sum < leastUnknown
+	return sum < minTotalExcess
 }
 
-// compare has those servers asked once more that told of requests which the living do not
-// know of, unless that is little.
-func (s *Survey) compare(counted func(id string) int) {
+// compareWithPeers requires another query to each server that reported more than its live
+// callers account for, unless the total excess is small.
+func (s *Survey) compareWithPeers(liveLoad func(id string) int) {
 	s.stage, s.compared = counting, true
-	told, sum := 0, 0
-	for id, each := range s.asked {
-		each.most = unknown(each.told, counted(id))
-		each.unsure = each.most > 0
-		told += each.told
-		sum += each.most
+	reported, sum := 0, 0
+	for id, state := range s.servers {
+		state.maxLeft = excess(state.reported, liveLoad(id))
+		state.unconfirmed = state.maxLeft > 0
+		reported += state.reported
+		sum += state.maxLeft
 	}
-	if sum < leastUnknown || float64(sum) < unknownPart*float64(told) {
+	if sum < minTotalExcess || float64(sum) < minExcessFraction*float64(reported) {
 		s.end()
 	}
 }
 
-// finish ends the survey once nothing is left and no answer is awaited.
-func (s *Survey) finish(elapsed time.Duration) {
-	if s.stage != counting || elapsed < settleFor {
+// endIfDone ends the survey once nothing is left behind and no answer is awaited.
+func (s *Survey) endIfDone(elapsed time.Duration) {
+	if s.stage != counting || elapsed < settleTime {
 		return
 	}
-	for _, each := range s.asked {
-		if each.open || each.left > 0 || each.unsure {
+	for _, state := range s.servers {
+		if state.awaiting || state.leftBehind > 0 || state.unconfirmed {
 			return
 		}
 	}
@@ -366,34 +363,37 @@
 }
 
 func (s *Survey) end() {
-	s.stage = over
-	for _, each := range s.asked {
-		each.left = 0
+	s.stage = finished
+	for _, state := range s.servers {
+		state.leftBehind = 0
 	}
 }
 
-// Done tells whether nothing is asked or told any more.
-func (s *Survey) Done() bool { return s.begun && s.stage == over && !s.ReportSurvivors() }
+// Done reports whether the survey needs no more queries or announcements.
+func (s *Survey) Done() bool { return s.started && s.stage == finished && !s.ReportSurvivors() }
 
-// ReportSurvivors tells whether the others are to be told that some have lived on: those that start at
-// about the same time take it.
-func (s *Survey) ReportSurvivors() bool { return s.lived && s.elapsed < tellFor }
+// ReportSurvivors reports whether to announce surviving peers to processes that start at about
+// the same time.
+func (s *Survey) ReportSurvivors() bool { return s.survivors && s.elapsed < survivorReportTime }
 
-// Pending tells whether it is not known yet what was left behind: work that can wait does.
-func (s *Survey) Pending() bool { return s.begun && (s.stage == listening || s.stage == beside) }
+// Pending reports whether the requests left behind are still unknown; work that can wait should
+// wait.
+func (s *Survey) Pending() bool {
+	return s.started && (s.stage == listening || s.stage == awaitingLoads)
+}
 
-// LeftBehind lists what was left behind at the servers that answered, in no order, also those where
-// that is nothing: another process may have been told more.
+// LeftBehind calls visit for each server that has answered, in no particular order. Zero counts
+// are included, because another process may have received a higher report.
 func (s *Survey) LeftBehind(visit func(id string, left int)) {
 	if s.stage != counting {
 		return
 	}
-	for id, each := range s.asked {
-		if each.known {
-			visit(id, each.left)
+	for id, state := range s.servers {
+		if state.hasReport {
+			visit(id, state.leftBehind)
 		}
 	}
 }
 
-// Counts tells what was asked and found since the start.
+// Counts returns the totals since the start.
 func (s *Survey) Counts() Counts { return s.counts }
--- a/internal/leftbehind/survey_test.go
+++ b/internal/leftbehind/survey_test.go
@@ -13,22 +13,22 @@
 	slots   = 8
 )
 
-// fresh is what a process hears where all others have just started too, and alive where one of
-// them has lived for a minute.
+// restartedPeers is the status where all peers have just started too, and survivingPeers where
+// one of them started a minute earlier.
 var (
-	fresh = leftbehind.PeerStatus{Heard: true, EarliestStart: started - 300}
-	alive = leftbehind.PeerStatus{Heard: true, EarliestStart: started - 60_000}
-	none  = func(string) int { return 0 }
+	restartedPeers = leftbehind.PeerStatus{Heard: true, EarliestStart: started - 300}
+	survivingPeers = leftbehind.PeerStatus{Heard: true, EarliestStart: started - 60_000}
+	noLoad         = func(string) int { return 0 }
 )
 
-// begun is the survey of the only process that asks, before the given number of servers.
-func begun(servers int) *leftbehind.Survey {
+// startSurvey starts the survey of the only process that sends queries.
+func startSurvey(servers int) *leftbehind.Survey {
 	survey := leftbehind.New(started)
-	survey.Start("store", []string{"store"}, list(servers), 0)
+	survey.Start("store", []string{"store"}, makeServers(servers), 0)
 	return survey
 }
 
-func list(servers int) []leftbehind.Server {
+func makeServers(servers int) []leftbehind.Server {
 	var all []leftbehind.Server
 	for i := range servers {
 		all = append(all, leftbehind.Server{ID: fmt.Sprint("server-", i), Address: "address", Slots: slots})
@@ -36,8 +36,8 @@
 	return all
 }
 
-// left is what the survey counts at a server; -1 where it tells nothing of it.
-func left(survey *leftbehind.Survey, id string) int {
+// leftAt returns the count of a server, or -1 if the survey has none.
+func leftAt(survey *leftbehind.Survey, id string) int {
 	found := -1
 	survey.LeftBehind(func(each string, count int) {
 		if each == id {
@@ -47,10 +47,9 @@
 	return found
 }
 
-// due is how many servers are asked now.
-func due(survey *leftbehind.Survey, now time.Duration) int { return len(survey.Due(now)) }
+func countDue(survey *leftbehind.Survey, now time.Duration) int { return len(survey.Due(now)) }
 
-func TestEachServerIsAskedByTwoProcesses(t *testing.T) {
+func TestEachServerIsQueriedByTwoProcesses(t *testing.T) {
 	var stores []string
 	for i := range 14 {
 		stores = append(stores, fmt.Sprint("store-", i))
@@ -58,82 +57,82 @@
 	asked := make(map[string]int)
 	for _, store := range stores {
 		survey := leftbehind.New(started)
-		survey.Start(store, stores, list(90), 0)
+		survey.Start(store, stores, makeServers(90), 0)
 		for _, server := range survey.Due(0) {
 			asked[server.ID]++
 		}
 	}
-	for _, server := range list(90) {
+	for _, server := range makeServers(90) {
 		if asked[server.ID] != 2 {
-			t.Errorf("%s is asked by %d processes", server.ID, asked[server.ID])
+			t.Errorf("%s is queried by %d processes", server.ID, asked[server.ID])
 		}
 	}
 	router := leftbehind.New(started)
-	router.Start("router", stores, list(90), 0)
-	if due(router, 0) != 0 || !router.Done() {
-		t.Error("a process that is none of those that ask asks")
+	router.Start("router", stores, makeServers(90), 0)
+	if countDue(router, 0) != 0 || !router.Done() {
+		t.Error("a process outside of the list sends queries")
 	}
 }
 
-func TestQuestionsOfOneProcessAreBounded(t *testing.T) {
-	survey, questions := begun(3000), 0
+func TestQueriesOfOneProcessAreBounded(t *testing.T) {
+	survey, queries := startSurvey(3000), 0
 	for now := time.Duration(0); now < 10*time.Second; now += 20 * time.Millisecond {
-		survey.Evaluate(fresh, none, now)
+		survey.Evaluate(restartedPeers, noLoad, now)
 		for _, server := range survey.Due(now) {
-			questions++
+			queries++
 			survey.Answered(server.ID, 30, 0)
 		}
 	}
-	if questions != 2*64 || !survey.Done() {
-		t.Errorf("%d questions, over %v", questions, survey.Done())
+	if queries != 2*64 || !survey.Done() {
+		t.Errorf("%d queries, done: %v", queries, survey.Done())
 	}
 }
 
-func TestAllThatServersTellIsLeftBehindWhereAllHaveJustStarted(t *testing.T) {
-	survey := begun(2)
-	if due(survey, 0) != 2 || !survey.Pending() {
-		t.Fatal("the servers are not asked at once")
+func TestWholeLoadIsLeftBehindAfterCommonRestart(t *testing.T) {
+	survey := startSurvey(2)
+	if countDue(survey, 0) != 2 || !survey.Pending() {
+		t.Fatal("the servers are not queried at once")
 	}
 	survey.Answered("server-0", 5, 3)
-	if left(survey, "server-0") != -1 {
-		t.Error("something is told before another process is heard")
+	if leftAt(survey, "server-0") != -1 {
+		t.Error("a count exists before a peer is heard")
 	}
-	survey.Evaluate(fresh, none, 40*time.Millisecond)
-	if survey.Pending() || left(survey, "server-0") != 5 {
-		t.Errorf("%d left behind, want 5", left(survey, "server-0"))
+	survey.Evaluate(restartedPeers, noLoad, 40*time.Millisecond)
+	if survey.Pending() || leftAt(survey, "server-0") != 5 {
+		t.Errorf("%d left behind, want 5", leftAt(survey, "server-0"))
 	}
 	survey.Answered("server-1", 7, 3)
-	if left(survey, "server-1") != 7 {
-		t.Errorf("%d left behind by a later answer, want 7", left(survey, "server-1"))
+	if leftAt(survey, "server-1") != 7 {
+		t.Errorf("%d left behind by a later answer, want 7", leftAt(survey, "server-1"))
 	}
 }
 
-// TestProcessThatHearsNobodyCountsAfterAWhile: it may be the first to be back.
-func TestProcessThatHearsNobodyCountsAfterAWhile(t *testing.T) {
-	survey := begun(1)
-	due(survey, 0)
+// TestProcessWithoutPeersCountsAfterTimeout: the first process that restarts has no peers yet.
+func TestProcessWithoutPeersCountsAfterTimeout(t *testing.T) {
+	survey := startSurvey(1)
+	countDue(survey, 0)
 	survey.Answered("server-0", 5, 0)
 	for now := time.Duration(0); now < 400*time.Millisecond; now += 20 * time.Millisecond {
-		survey.Evaluate(leftbehind.PeerStatus{}, none, now)
+		survey.Evaluate(leftbehind.PeerStatus{}, noLoad, now)
 	}
-	if left(survey, "server-0") != 5 {
-		t.Errorf("%d left behind, want 5", left(survey, "server-0"))
+	if leftAt(survey, "server-0") != 5 {
+		t.Errorf("%d left behind, want 5", leftAt(survey, "server-0"))
 	}
 }
 
-// TestPlannedRestartOfOneProcessCountsNothing: the others have what the servers tell, and it
-// is heard of them only after a while. Each server is asked once.
+// TestPlannedRestartOfOneProcessCountsNothing: the peers account for the reported loads, and
+// one query per server suffices.
 func TestPlannedRestartOfOneProcessCountsNothing(t *testing.T) {
-	survey, questions := begun(12), 0
-	counted := func(string) int { return 5 }
+	survey, queries := startSurvey(12), 0
+	liveLoad := func(string) int { return 5 }
 	for now := time.Duration(0); now < 5*time.Second; now += 20 * time.Millisecond {
-		sight := leftbehind.PeerStatus{}
+		peers := leftbehind.PeerStatus{}
 		if now >= 60*time.Millisecond {
-			sight = alive
+			peers = survivingPeers
 		}
-		survey.Evaluate(sight, counted, now)
+		survey.Evaluate(peers, liveLoad, now)
 		for _, server := range survey.Due(now) {
-			questions++
+			queries++
 			survey.Answered(server.ID, 6, 0)
 		}
 		survey.LeftBehind(func(id string, count int) {
@@ -142,155 +141,154 @@
 			}
 		})
 	}
-	if questions != 12 || !survey.Done() || survey.Counts().LeftBehind != 0 {
-		t.Errorf("%d questions, over %v, %d left behind", questions, survey.Done(), survey.Counts().LeftBehind)
+	if queries != 12 || !survey.Done() || survey.Counts().LeftBehind != 0 {
+		t.Errorf("%d queries, done: %v, %d left behind", queries, survey.Done(), survey.Counts().LeftBehind)
 	}
 }
 
-// TestWhatTheLivingDoNotKnowOfIsLeftBehind where some lived on.
-func TestWhatTheLivingDoNotKnowOfIsLeftBehind(t *testing.T) {
-	survey := begun(4)
-	counted := func(string) int { return 2 }
+// TestExcessOverPeerLoadIsLeftBehind covers a restart with surviving peers.
+func TestExcessOverPeerLoadIsLeftBehind(t *testing.T) {
+	survey := startSurvey(4)
+	liveLoad := func(string) int { return 2 }
 	for now := time.Duration(0); now < 800*time.Millisecond; now += 20 * time.Millisecond {
-		survey.Evaluate(alive, counted, now)
+		survey.Evaluate(survivingPeers, liveLoad, now)
 		for _, server := range survey.Due(now) {
-			survey.Answered(server.ID, 6, counted(server.ID))
+			survey.Answered(server.ID, 6, liveLoad(server.ID))
 		}
-		if now < 300*time.Millisecond && left(survey, "server-0") > 0 {
-			t.Fatalf("counted at %v, before the others are heard", now)
+		if now < 300*time.Millisecond && leftAt(survey, "server-0") > 0 {
+			t.Fatalf("counted at %v, before the peers are heard", now)
 		}
 	}
-	if got := left(survey, "server-0"); got < 3 || got > 4 {
-		t.Errorf("%d left behind, want 4 or a little less by then", got)
+	if got := leftAt(survey, "server-0"); got < 3 || got > 4 {
+		t.Errorf("%d left behind, want 3 or 4", got)
 	}
 }
 
-// TestWhatTheLivingTurnOutToHaveIsNotCounted: their loads were not all heard at the first look.
-func TestWhatTheLivingTurnOutToHaveIsNotCounted(t *testing.T) {
-	survey, questions := begun(4), 0
+// TestPeerLoadHeardLateIsNotCounted: not all peer loads have arrived at the first comparison.
+func TestPeerLoadHeardLateIsNotCounted(t *testing.T) {
+	survey, queries := startSurvey(4), 0
 	for now := time.Duration(0); now < 3*time.Second; now += 20 * time.Millisecond {
-		survey.Evaluate(alive, none, now)
+		survey.Evaluate(survivingPeers, noLoad, now)
 		for _, server := range survey.Due(now) {
-			questions++
+			queries++
 			survey.Answered(server.ID, 6, 5)
 		}
-		if left(survey, "server-0") > 0 {
-			t.Fatalf("%d counted at %v", left(survey, "server-0"), now)
+		if leftAt(survey, "server-0") > 0 {
+			t.Fatalf("%d counted at %v", leftAt(survey, "server-0"), now)
 		}
 	}
-	if questions != 8 || !survey.Done() {
-		t.Errorf("%d questions, over %v", questions, survey.Done())
+	if queries != 8 || !survey.Done() {
+		t.Errorf("%d queries, done: %v", queries, survey.Done())
 	}
 }
 
-// TestOtherThatIsHeardLateTakesTheCountBack: two processes that restart beside a living site
-// may hear each other first.
-func TestOtherThatIsHeardLateTakesTheCountBack(t *testing.T) {
-	survey := begun(1)
-	due(survey, 0)
+// TestSurvivorHeardLateDiscardsCounts: two processes that restart while others run may hear
+// each other first.
+func TestSurvivorHeardLateDiscardsCounts(t *testing.T) {
+	survey := startSurvey(1)
+	countDue(survey, 0)
 	survey.Answered("server-0", 6, 0)
-	survey.Evaluate(fresh, none, 20*time.Millisecond)
-	if left(survey, "server-0") != 6 {
+	survey.Evaluate(restartedPeers, noLoad, 20*time.Millisecond)
+	if leftAt(survey, "server-0") != 6 {
 		t.Fatal("nothing was counted")
 	}
-	survey.Evaluate(alive, none, 40*time.Millisecond)
-	if left(survey, "server-0") > 0 {
-		t.Errorf("%d is still counted", left(survey, "server-0"))
+	survey.Evaluate(survivingPeers, noLoad, 40*time.Millisecond)
+	if leftAt(survey, "server-0") > 0 {
+		t.Errorf("%d still counted", leftAt(survey, "server-0"))
 	}
 }
 
-// TestWorkIsNotHeldUpWhereTheOthersFallSilent after they were heard once.
-func TestWorkIsNotHeldUpWhereTheOthersFallSilent(t *testing.T) {
-	survey := begun(2)
-	due(survey, 0)
+// TestSilentPeersDoNotBlockSurvey covers peers that stop sending their loads.
+func TestSilentPeersDoNotBlockSurvey(t *testing.T) {
+	survey := startSurvey(2)
+	countDue(survey, 0)
 	survey.Answered("server-0", 5, 0)
 	survey.Answered("server-1", 5, 0)
-	survey.Evaluate(alive, none, 100*time.Millisecond)
+	survey.Evaluate(survivingPeers, noLoad, 100*time.Millisecond)
 	if !survey.Pending() {
-		t.Fatal("what the others have is not waited for")
+		t.Fatal("the survey does not wait for the peers' loads")
 	}
-	survey.Evaluate(leftbehind.PeerStatus{}, none, 500*time.Millisecond)
-	if survey.Pending() || due(survey, 500*time.Millisecond) != 2 {
-		t.Error("it is waited for without an end")
+	survey.Evaluate(leftbehind.PeerStatus{}, noLoad, 500*time.Millisecond)
+	if survey.Pending() || countDue(survey, 500*time.Millisecond) != 2 {
+		t.Error("the survey still waits for the peers' loads")
 	}
 }
 
-// TestWordThatOthersLivedOnIsTakenAndPassedOn: a delegate that has just started tells of loads,
-// not of the starts of those that have them.
-func TestWordThatOthersLivedOnIsTakenAndPassedOn(t *testing.T) {
-	survey := begun(1)
-	due(survey, 0)
+// TestSurvivorReportIsAcceptedAndForwarded: a relayed load digest does not contain start times.
+func TestSurvivorReportIsAcceptedAndForwarded(t *testing.T) {
+	survey := startSurvey(1)
+	countDue(survey, 0)
 	survey.Answered("server-0", 6, 0)
-	survey.Evaluate(fresh, none, 20*time.Millisecond)
+	survey.Evaluate(restartedPeers, noLoad, 20*time.Millisecond)
 	if survey.ReportSurvivors() {
-		t.Fatal("told without word of it")
+		t.Fatal("survivors are reported without a report of peers")
 	}
-	told := fresh
-	told.SurvivorsReported = true
-	survey.Evaluate(told, none, 60*time.Millisecond)
-	if left(survey, "server-0") > 0 || !survey.ReportSurvivors() || !survey.Pending() {
-		t.Error("the word is not taken")
+	report := restartedPeers
+	report.SurvivorsReported = true
+	survey.Evaluate(report, noLoad, 60*time.Millisecond)
+	if leftAt(survey, "server-0") > 0 || !survey.ReportSurvivors() || !survey.Pending() {
+		t.Error("the report of survivors is not accepted")
 	}
 	for now := 80 * time.Millisecond; now < 3*time.Second; now += 20 * time.Millisecond {
-		survey.Evaluate(fresh, func(string) int { return 6 }, now)
+		survey.Evaluate(restartedPeers, func(string) int { return 6 }, now)
 		if telling := now < 900*time.Millisecond; survey.ReportSurvivors() != telling || survey.Done() == telling {
-			t.Fatalf("at %v told: %v, over: %v", now, survey.ReportSurvivors(), survey.Done())
+			t.Fatalf("at %v survivors reported: %v, done: %v", now, survey.ReportSurvivors(), survey.Done())
 		}
 	}
 }
 
-func TestServersThatDoNotAnswerOrAnswerNonsenseCountNothing(t *testing.T) {
-	survey := begun(3)
-	due(survey, 0)
+func TestMissingAndImplausibleAnswersCountNothing(t *testing.T) {
+	survey := startSurvey(3)
+	countDue(survey, 0)
 	survey.Failed("server-0")
 	survey.Answered("server-1", 4*slots+1, 0)
 	survey.Answered("server-2", -1, 0)
 	survey.Answered("unknown", 5, 0)
 	for now := time.Duration(0); now < 700*time.Millisecond; now += 20 * time.Millisecond {
-		survey.Evaluate(fresh, none, now)
-		if due(survey, now) > 0 {
-			t.Fatalf("asked again at %v", now)
+		survey.Evaluate(restartedPeers, noLoad, now)
+		if countDue(survey, now) > 0 {
+			t.Fatalf("queried again at %v", now)
 		}
 		for i := range 3 {
-			if left(survey, fmt.Sprint("server-", i)) > 0 {
-				t.Fatalf("something is counted at server %d", i)
+			if leftAt(survey, fmt.Sprint("server-", i)) > 0 {
+				t.Fatalf("requests are counted at server %d", i)
 			}
 		}
 	}
 	if !survey.Done() || survey.Counts().Answered != 0 {
-		t.Error("the survey goes on")
+		t.Error("the survey is not done")
 	}
 }
 
-// TestSilentServerHoldsNothingUp: its answer never comes, and neither does word that it does not.
-func TestSilentServerHoldsNothingUp(t *testing.T) {
-	survey := begun(1)
-	due(survey, 0)
+// TestUnansweredQueryDoesNotBlockSurvey: neither an answer nor a failure is reported.
+func TestUnansweredQueryDoesNotBlockSurvey(t *testing.T) {
+	survey := startSurvey(1)
+	countDue(survey, 0)
 	for now := time.Duration(0); now <= 4*time.Second; now += 20 * time.Millisecond {
-		survey.Evaluate(fresh, none, now)
+		survey.Evaluate(restartedPeers, noLoad, now)
 		if survey.Pending() && now > 200*time.Millisecond {
-			t.Fatal("work waits for it")
+			t.Fatal("work waits for the answer")
 		}
 	}
 	if !survey.Done() {
-		t.Error("the survey goes on")
+		t.Error("the survey is not done")
 	}
 	survey.Answered("server-0", 5, 0)
-	if left(survey, "server-0") > 0 {
+	if leftAt(survey, "server-0") > 0 {
 		t.Error("a late answer counts")
 	}
 }
 
-// TestWhatWasLeftBehindFallsAndEnds: by what the server tells, and at the latest after some
-// seconds at one that tells a high load for good.
-func TestWhatWasLeftBehindFallsAndEnds(t *testing.T) {
-	survey := begun(2)
-	due(survey, 0)
+// TestLeftBehindOnlyFalls: the counts follow the reported loads, and end after maxDuration at a
+// server that always reports a high load.
+func TestLeftBehindOnlyFalls(t *testing.T) {
+	survey := startSurvey(2)
+	countDue(survey, 0)
 	survey.Answered("server-0", 8, 0)
 	survey.Answered("server-1", 8, 0)
-	last, over := 8, time.Duration(0)
+	last, doneAt := 8, time.Duration(0)
 	for now := time.Duration(0); now < 10*time.Second && !survey.Done(); now += 20 * time.Millisecond {
-		survey.Evaluate(fresh, none, now)
+		survey.Evaluate(restartedPeers, noLoad, now)
 		for _, server := range survey.Due(now) {
 			if server.ID == "server-0" {
 				survey.Answered(server.ID, 9, 8)
@@ -298,117 +296,118 @@
 				survey.Answered(server.ID, 30, 8)
 			}
 		}
-		if now > 1100*time.Millisecond && left(survey, "server-0") > 0 {
-			t.Fatalf("%d counted at %v, though the living have what the server tells", left(survey, "server-0"), now)
+		if now > 1100*time.Millisecond && leftAt(survey, "server-0") > 0 {
+			t.Fatalf("%d counted at %v, although live processes account for the reported load", leftAt(survey, "server-0"), now)
 		}
-		if next := max(0, left(survey, "server-1")); next > last {
-			t.Fatalf("what was left behind rises from %d to %d", last, next)
+		if next := max(0, leftAt(survey, "server-1")); next > last {
+			t.Fatalf("requests left behind rise from %d to %d", last, next)
 		} else {
 			last = next
 		}
-		over = now
+		doneAt = now
 	}
-	if over > 4*time.Second {
-		t.Errorf("a server that tells a high load for good is counted for %v", over)
+	if doneAt > 4*time.Second {
+		t.Errorf("a server that always reports a high load is counted for %v", doneAt)
 	}
 }
 
-// TestFirstAnswerThatIsLateIsHeldAgainstTheLiving, as those are that came before the look at
-// what the living have.
-func TestFirstAnswerThatIsLateIsHeldAgainstTheLiving(t *testing.T) {
-	survey := begun(2)
-	due(survey, 0)
+// TestLateFirstAnswerIsComparedWithPeers: a first answer after settleTime must not be counted
+// whole.
+func TestLateFirstAnswerIsComparedWithPeers(t *testing.T) {
+	survey := startSurvey(2)
+	countDue(survey, 0)
 	survey.Answered("server-0", 6, 0)
 	for now := time.Duration(0); now <= 420*time.Millisecond; now += 20 * time.Millisecond {
-		survey.Evaluate(alive, none, now)
+		survey.Evaluate(survivingPeers, noLoad, now)
 	}
 	survey.Answered("server-1", 6, 6)
-	if got := left(survey, "server-1"); got != 0 || survey.Counts().LeftBehind != 0 {
-		t.Errorf("%d counted of %d that the living have", got, 6)
+	if got := leftAt(survey, "server-1"); got != 0 || survey.Counts().LeftBehind != 0 {
+		t.Errorf("%d counted of %d that live processes account for", got, 6)
 	}
 }
 
-// TestOthersThatAreHeardLateTakeTheCountBack also after the time in which loads settle.
-func TestOthersThatAreHeardLateTakeTheCountBack(t *testing.T) {
-	for _, sight := range []leftbehind.PeerStatus{{}, fresh} {
-		survey := begun(2)
-		counted := none
+// TestSurvivorHeardAfterSettleTimeDiscardsCounts covers a surviving peer whose load arrives
+// late.
+func TestSurvivorHeardAfterSettleTimeDiscardsCounts(t *testing.T) {
+	for _, peers := range []leftbehind.PeerStatus{{}, restartedPeers} {
+		survey := startSurvey(2)
+		liveLoad := noLoad
 		for now := time.Duration(0); now < 2*time.Second; now += 20 * time.Millisecond {
 			if now == 420*time.Millisecond {
-				if left(survey, "server-0") < 5 {
-					t.Fatal("nothing was counted before")
+				if leftAt(survey, "server-0") < 5 {
+					t.Fatal("nothing was counted")
 				}
-				sight, counted = alive, func(string) int { return 6 }
+				peers, liveLoad = survivingPeers, func(string) int { return 6 }
 			}
-			survey.Evaluate(sight, counted, now)
+			survey.Evaluate(peers, liveLoad, now)
 			for _, server := range survey.Due(now) {
-				survey.Answered(server.ID, 6, counted(server.ID))
+				survey.Answered(server.ID, 6, liveLoad(server.ID))
 			}
-			if now >= 420*time.Millisecond && left(survey, "server-0") > 0 {
-				t.Fatalf("%d still counted at %v", left(survey, "server-0"), now)
+			if now >= 420*time.Millisecond && leftAt(survey, "server-0") > 0 {
+				t.Fatalf("%d still counted at %v", leftAt(survey, "server-0"), now)
 			}
 		}
 		if !survey.Done() || survey.Counts().LeftBehind != 0 {
-			t.Errorf("over %v, %d left behind", survey.Done(), survey.Counts().LeftBehind)
+			t.Errorf("done: %v, %d left behind", survey.Done(), survey.Counts().LeftBehind)
 		}
 	}
 }
 
-// TestWordOfOthersThatComesLateTakesNothingBack: a machine that is back later than the rest
-// takes these for such as lived on, and says so.
-func TestWordOfOthersThatComesLateTakesNothingBack(t *testing.T) {
-	survey := begun(1)
-	due(survey, 0)
+// TestLateSurvivorReportIsIgnored: a machine that restarts later than the rest reports the rest
+// as survivors.
+func TestLateSurvivorReportIsIgnored(t *testing.T) {
+	survey := startSurvey(1)
+	countDue(survey, 0)
 	survey.Answered("server-0", 8, 0)
-	word := fresh
-	word.SurvivorsReported = true
+	report := restartedPeers
+	report.SurvivorsReported = true
 	for now := time.Duration(0); now < 900*time.Millisecond; now += 20 * time.Millisecond {
-		sight := fresh
+		peers := restartedPeers
 		if now > 400*time.Millisecond {
-			sight = word
+			peers = report
 		}
-		survey.Evaluate(sight, func(string) int { return 8 }, now)
+		survey.Evaluate(peers, func(string) int { return 8 }, now)
 	}
-	if got := left(survey, "server-0"); got < 6 {
-		t.Errorf("%d left behind, want 6 or more by then", got)
+	if got := leftAt(survey, "server-0"); got < 6 {
+		t.Errorf("%d left behind, want at least 6", got)
 	}
 }
 
-// TestMachineThatIsBackLaterThanTheRestCountsNothingOfTheirs: what these have sent since is in
-// what servers tell. So it is where machines are restarted one after the other.
-func TestMachineThatIsBackLaterThanTheRestCountsNothingOfTheirs(t *testing.T) {
+// TestLateRestartCountsNoLoadOfPeers: requests that the peers have sent since their own restart
+// are part of the reported loads, as in a rolling restart.
+func TestLateRestartCountsNoLoadOfPeers(t *testing.T) {
 	for _, later := range []int64{600, 1000, 1500} {
-		survey := begun(4)
-		rest := leftbehind.PeerStatus{Heard: true, EarliestStart: started - later}
-		counted := func(string) int { return 6 }
+		survey := startSurvey(4)
+		laterPeers := leftbehind.PeerStatus{Heard: true, EarliestStart: started - later}
+		liveLoad := func(string) int { return 6 }
 		for now := time.Duration(0); now < 2*time.Second; now += 20 * time.Millisecond {
-			survey.Evaluate(rest, counted, now)
+			survey.Evaluate(laterPeers, liveLoad, now)
 			for _, server := range survey.Due(now) {
-				survey.Answered(server.ID, 6, counted(server.ID))
+				survey.Answered(server.ID, 6, liveLoad(server.ID))
 			}
-			if got := left(survey, "server-0"); got > 0 {
-				t.Fatalf("back %d ms after the rest: %d counted at %v", later, got, now)
+			if got := leftAt(survey, "server-0"); got > 0 {
+				t.Fatalf("restart %d ms after the peers: %d counted at %v", later, got, now)
 			}
 		}
 		if survey.Counts().LeftBehind != 0 {
-			t.Errorf("back %d ms after the rest: %d left behind", later, survey.Counts().LeftBehind)
+			t.Errorf("restart %d ms after the peers: %d left behind", later, survey.Counts().LeftBehind)
 		}
 	}
 }
 
-// TestWorkIsNotHeldUpWhereServersHaveNothing, beside others that lived on.
-func TestWorkIsNotHeldUpWhereServersHaveNothing(t *testing.T) {
-	survey := begun(3)
-	due(survey, 0)
+// TestLittleLoadEndsSurvey: a small reported load must not delay work.
+func TestLittleLoadEndsSurvey(t *testing.T) {
+	survey := startSurvey(3)
+	countDue(survey, 0)
 	survey.Answered("server-0", 0, 0)
 	survey.Answered("server-1", 3, 0)
-	survey.Evaluate(alive, none, 20*time.Millisecond)
+	survey.Evaluate(survivingPeers, noLoad, 20*time.Millisecond)
 	if !survey.Pending() {
-		t.Fatal("the last server is not waited for")
+		t.Fatal("the survey does not wait for the last answer")
 	}
 	survey.Failed("server-2")
-	survey.Evaluate(alive, none, 40*time.Millisecond)
-	if survey.Pending() || left(survey, "server-1") > 0 {
-		t.Error("work waits for loads that change nothing")
+	survey.Evaluate(survivingPeers, noLoad, 40*time.Millisecond)
+	if survey.Pending() || leftAt(survey, "server-1") > 0 {
+		t.Error("work waits although the loads are small")
 	}
 }
