--- a/internal/store/claims/claims_test.go
+++ b/internal/store/claims/claims_test.go
@@ -18,8 +18,8 @@
 	key := claims.NewKey("job", 3)
 	first, _ := table.Acquire(key, nothing)
 	table.Drop()
-	second, made := table.Acquire(key, nothing)
-	if !made {
+	second, ok := table.Acquire(key, nothing)
+	if !ok {
 		t.Fatal("a dropped item cannot be claimed again")
 	}
 	if table.Current(first) {
@@ -29,7 +29,7 @@
 	if !table.Current(second) || !table.Held(key) {
 		t.Fatal("the dropped claim released the current one")
 	}
-	if _, made := table.Acquire(key, nothing); made {
+	if _, ok := table.Acquire(key, nothing); ok {
 		t.Fatal("the item is claimed twice")
 	}
 }
--- a/internal/store/executor.go
+++ b/internal/store/executor.go
@@ -83,7 +83,8 @@
 // has to be retried.
 type attemptResult struct {
 	claim claims.Claim
-	// recorded reports that the result or the failure of the item was proposed to the log.
+	// recorded reports that the claim can be released: the result is applied, or the recording
+	// of the failure has ended.
 	recorded bool
 	// failed reports that the server answered that the item failed.
 	failed  bool
@@ -175,11 +176,11 @@
 			e.pendingHandovers = append(e.pendingHandovers, request)
 			e.recordForHandovers(ctx)
 		case <-applied:
-			// Batches a burst of commands into one scheduling pass.
+			// Handle a burst of commands in one scheduling pass.
 			retry.Pause(ctx, recordBatchDelay)
 			return
-		case end := <-e.ended:
-			e.finish(end)
+		case r := <-e.ended:
+			e.finish(r)
 			e.gatherResults(ctx)
 			e.recordPending(ctx)
 			return
@@ -260,39 +261,39 @@
 }
 
 // finish processes the result of an attempt.
-func (e *executor) finish(end attemptResult) {
-	if !e.claims.Current(end.claim) {
+func (e *executor) finish(r attemptResult) {
+	if !e.claims.Current(r.claim) {
 		return
 	}
-	active := e.active[end.claim.Key()]
-	delete(e.active, end.claim.Key())
+	active := e.active[r.claim.Key()]
+	delete(e.active, r.claim.Key())
 	if active != nil {
 		e.addEnded(e.backlogAttempt(active), time.Now())
 	}
-	if end.recorded {
-		e.claims.Release(end.claim)
+	if r.recorded {
+		e.claims.Release(r.claim)
 		return
 	}
-	if active != nil && end.outcome == rockwindpb.StoredOutcome_STORED_OUTCOME_DONE {
-		total := end.history.eventCount()
+	if active != nil && r.outcome == rockwindpb.StoredOutcome_STORED_OUTCOME_DONE {
+		total := r.history.eventCount()
 		e.pace(active.service).Ended(total-active.eventsBefore, total, active.choice.Usual(time.Since(active.began)))
 	}
-	logResult(end, active, e.term)
-	if end.outcome == rockwindpb.StoredOutcome_STORED_OUTCOME_UNSPECIFIED {
-		if end.failed {
-			e.failures = append(e.failures, end.claim)
+	logResult(r, active, e.term)
+	if r.outcome == rockwindpb.StoredOutcome_STORED_OUTCOME_UNSPECIFIED {
+		if r.failed {
+			e.failures = append(e.failures, r.claim)
 			return
 		}
-		e.claims.Release(end.claim)
+		e.claims.Release(r.claim)
 		return
 	}
-	key := end.claim.Key()
-	result := &rockwindpb.StoredResult{Item: key.Index(), Outcome: end.outcome}
-	if end.outcome == rockwindpb.StoredOutcome_STORED_OUTCOME_DONE {
-		result.Text = end.history.output.Text()
+	key := r.claim.Key()
+	result := &rockwindpb.StoredResult{Item: key.Index(), Outcome: r.outcome}
+	if r.outcome == rockwindpb.StoredOutcome_STORED_OUTCOME_DONE {
+		result.Text = r.history.output.Text()
 	}
 	if e.results == nil {
 		e.results = make(map[string][]pendingResult)
 	}
-	e.results[key.Job()] = append(e.results[key.Job()], pendingResult{claim: end.claim, result: result})
+	e.results[key.Job()] = append(e.results[key.Job()], pendingResult{claim: r.claim, result: result})
 }
--- a/internal/store/giveup.go
+++ b/internal/store/giveup.go
@@ -33,7 +33,7 @@
 // routeGoneAfter is how long an item's route must be absent before the item is given up.
 const routeGoneAfter = 3 * time.Second
 
-// updateRoute records since when the item's route has been absent.
+// updateRoute sets since when the item's route has been absent.
 func (h *history) updateRoute(status routeStatus, now time.Time) {
 	switch {
 	case status != routeAbsent:
--- a/internal/store/item.go
+++ b/internal/store/item.go
@@ -78,9 +78,9 @@
 	if a.history.failures >= a.maxAttempts {
 		return attemptResult{outcome: rockwindpb.StoredOutcome_STORED_OUTCOME_DEAD, history: a.history, reason: reason}
 	}
-	end := a.retryAfter(failureDelay, reason)
-	end.failed = true
-	return end
+	r := a.retryAfter(failureDelay, reason)
+	r.failed = true
+	return r
 }
 
 // run performs the attempt. If the context ends, the connection is closed, which stops the
@@ -105,11 +105,11 @@
 	case judgement.OtherServer:
 		response.Discard()
 		a.lease.Gone()
-		return a.retryAfter(0, "another server uses the address")
+		return a.retryAfter(0, "another server has the address")
 	case response.Status == http.StatusUnprocessableEntity:
 		response.Discard()
 		a.lease.Done(health.Success, latency)
-		return attemptResult{outcome: rockwindpb.StoredOutcome_STORED_OUTCOME_DEAD, history: a.history, reason: "the server rejected the item as unprocessable"}
+		return attemptResult{outcome: rockwindpb.StoredOutcome_STORED_OUTCOME_DEAD, history: a.history, reason: "the server says that it can never be done"}
 	case response.Status == http.StatusInternalServerError:
 		response.Discard()
 		a.lease.Done(health.Success, latency)
@@ -188,7 +188,7 @@
 			}
 			a.lease.Done(health.Failure, latency)
 			a.reportBroken(err)
-			return a.retryAfter(refusalDelay, "the stream was interrupted: "+err.Error())
+			return a.retryAfter(refusalDelay, "the stream broke off: "+err.Error())
 		}
 	}
 }
--- a/internal/store/order.go
+++ b/internal/store/order.go
@@ -69,12 +69,12 @@
 
 // pace returns the run time statistics of a service's items.
 func (e *executor) pace(service string) *backlog.Pace {
-	found, h := e.paces[service]
-	if !h {
-		found = &backlog.Pace{}
-		e.paces[service] = found
+	p, found := e.paces[service]
+	if !found {
+		p = &backlog.Pace{}
+		e.paces[service] = p
 	}
-	return found
+	return p
 }
 
 // backlogAttempt returns an attempt's attributes for the order of yielding. The progress since
--- a/internal/store/output/simulation_test.go
+++ b/internal/store/output/simulation_test.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// loseLease lets the lease lapse and be renewed in the same term.
+// loseLease makes the lease lapse and renews it in the same term.
 func (s *simulation) loseLease(*rapid.T) {
 	s.output.RevokeWriter()
 	s.revoked = append(s.revoked, s.writer)
--- a/internal/store/owner.go
+++ b/internal/store/owner.go
@@ -101,8 +101,8 @@
 	return current
 }
 
-// decide grants or refuses the tokens. It polls the shards first if the reports are too old to
-// grant them.
+// decide grants or refuses the tokens. Unless recent reports allow a grant, it polls the shards
+// first.
 func (l *limiter) decide(owned *ownedCount, request *rockwindpb.ReserveTokensRequest, limit, number uint64) error {
 	reservation := quota.NewRequest(request.GetJob(), request.GetShard(), request.GetTokens())
 	decided := l.tryReserve(owned, reservation, limit, maxReportAge)
@@ -162,16 +162,16 @@
 		l.mutex.Unlock()
 		ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
 		defer cancel()
-		asking, ctx := errgroup.WithContext(ctx)
+		group, ctx := errgroup.WithContext(ctx)
 		for shard := range owned.shards {
-			asking.Go(func() error {
+			group.Go(func() error {
 				request := proto.CloneOf(query)
 				request.Shard = uint32(shard)
 				l.pollShard(ctx, owned, poll, request)
 				return nil
 			})
 		}
-		return nil, asking.Wait()
+		return nil, group.Wait()
 	})
 }
 
--- a/internal/store/handover_test.go
+++ b/internal/store/parting_test.go
@@ -58,7 +58,7 @@
 	key := claims.NewKey("job", 0)
 	e.history[key] = &history{output: item}
 	e.active[key] = &activeAttempt{}
-	if _, made := e.claims.Acquire(key, func() {}); !made {
+	if _, ok := e.claims.Acquire(key, func() {}); !ok {
 		t.Fatal("the item is already claimed")
 	}
 	return &handoverShard{t: t, store: s, executor: e, group: group, machine: machine, writer: item.NewWriter(0)}
--- a/internal/store/progress.go
+++ b/internal/store/progress.go
@@ -108,7 +108,7 @@
 	defer cancel()
 	_, err := propose(ctx, e.group, &rockwindpb.JobStoreCommand{Command: &rockwindpb.JobStoreCommand_Progress{Progress: record.command}})
 	if err != nil {
-		log.WithError(err).WithField("items", len(record.parts)).Info("failed to record the progress of items")
+		log.WithError(err).WithField("items", len(record.parts)).Info("progress of items was not recorded")
 	}
 	for _, part := range record.parts {
 		if err != nil {
--- a/internal/store/rates.go
+++ b/internal/store/rates.go
@@ -69,15 +69,15 @@
 
 func (r *requestRates) decide(shard uint32, term uint64, request *rockwindpb.TakeRequestsRequest) requestrate.Decision {
 	limit := requestrate.NewLimit(request.GetRequestsPerSecond(), request.GetRequestBurst())
-	asked := requestrate.NewRequest(request.GetTenant(), limit, request.GetConfiguration()).
+	take := requestrate.NewRequest(request.GetTenant(), limit, request.GetConfiguration()).
 		From(request.GetRouter(), request.GetRouterStartedUnixMs(), request.GetQuestion()).
 		WithReturned(request.GetReturned()).WithUnanswered(request.GetPassed(), request.GetWithheld()).WithRefused(request.GetRefused())
 	if request.Remaining != nil {
-		asked = asked.WithRemaining(request.GetRemaining(), time.Duration(request.GetRemainingAgeMs())*time.Millisecond)
+		take = take.WithRemaining(request.GetRemaining(), time.Duration(request.GetRemainingAgeMs())*time.Millisecond)
 	}
-	asked = asked.WithWait(time.Duration(request.GetWaitMs()) * time.Millisecond)
+	take = take.WithWait(time.Duration(request.GetWaitMs()) * time.Millisecond)
 	if request.GetLate() {
-		asked = asked.Late()
+		take = take.Late()
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -87,5 +87,5 @@
 		current = &ratesOfTerm{term: term, counts: requestrate.NewCounts(r.tolerance, now)}
 		r.terms[shard] = current
 	}
-	return current.counts.Take(asked, now)
+	return current.counts.Take(take, now)
 }
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -20,26 +20,26 @@
 
 // logResult writes the result of an attempt to the decision log; attempt is nil if none was
 // started. Ordinary results are sampled by job.
-func logResult(end attemptResult, attempt *activeAttempt, term uint64) {
+func logResult(r attemptResult, attempt *activeAttempt, term uint64) {
 	kind := decision.ItemRecorded
 	switch {
-	case end.outcome == rockwindpb.StoredOutcome_STORED_OUTCOME_UNSPECIFIED:
+	case r.outcome == rockwindpb.StoredOutcome_STORED_OUTCOME_UNSPECIFIED:
 		kind = decision.ItemReturned
-	case end.outcome == rockwindpb.StoredOutcome_STORED_OUTCOME_DONE && !decision.Sampled(end.claim.Key().Job()):
+	case r.outcome == rockwindpb.StoredOutcome_STORED_OUTCOME_DONE && !decision.Sampled(r.claim.Key().Job()):
 		decision.Default.Skip(kind)
 		return
 	}
 	fields := log.Fields{
-		"item": end.claim.Key().Index(), "item_id": end.item, "outcome": outcomeName(end.outcome), "failures": end.history.failures,
-		"reason": end.reason, "server": end.server, "term": term, "events": end.history.eventCount(),
+		"item": r.claim.Key().Index(), "item_id": r.item, "outcome": outcomeName(r.outcome), "failures": r.history.failures,
+		"reason": r.reason, "server": r.server, "term": term, "events": r.history.eventCount(),
 	}
 	if attempt != nil {
 		fields["tenant"], fields["age_ms"] = attempt.tenant, time.Since(attempt.submitted).Milliseconds()
 	}
 	if kind == decision.ItemReturned {
-		fields["content"] = end.content.String()
+		fields["content"] = r.content.String()
 	}
-	decision.Default.Record(kind, end.claim.Key().Job(), fields)
+	decision.Default.Record(kind, r.claim.Key().Job(), fields)
 }
 
 func outcomeName(outcome rockwindpb.StoredOutcome) string {
@@ -57,8 +57,8 @@
 	retry.Pause(ctx, recordBatchDelay)
 	for {
 		select {
-		case end := <-e.ended:
-			e.finish(end)
+		case r := <-e.ended:
+			e.finish(r)
 		default:
 			return
 		}
@@ -128,8 +128,8 @@
 	}
 	e.lastDrop = now
 	retention := defaultRetention
-	if given := e.store.settings.GetResultRetentionS(); given > 0 {
-		retention = time.Duration(given*float64(time.Second)) + retentionMargin
+	if seconds := e.store.settings.GetResultRetentionS(); seconds > 0 {
+		retention = time.Duration(seconds*float64(time.Second)) + retentionMargin
 	}
 	var expired []string
 	_ = e.group.ReadLocal(ctx, func() { expired = e.machine.Expired(now.Add(-retention).UnixMilli()) })
--- a/internal/store/service.go
+++ b/internal/store/service.go
@@ -134,7 +134,7 @@
 		case <-limit.C:
 			waiting = false
 		case <-ctx.Done():
-			return nil, fault.ToTwirp(fault.New(fault.Unavailable, "the wait for results was interrupted", "retry the request"))
+			return nil, fault.ToTwirp(fault.New(fault.Unavailable, "the wait for results was interrupted", "ask again"))
 		}
 	}
 }
--- a/internal/store/share.go
+++ b/internal/store/share.go
@@ -53,8 +53,8 @@
 	for _, attempt := range e.active {
 		items = append(items, e.backlogAttempt(attempt))
 	}
-	for _, each := range e.recentlyEnded {
-		items = append(items, each.item)
+	for _, ended := range e.recentlyEnded {
+		items = append(items, ended.item)
 	}
 	return items
 }
@@ -68,7 +68,7 @@
 
 // dropOldEnded drops items that ended longer than backlog.Memory ago.
 func (e *executor) dropOldEnded(now time.Time) {
-	e.recentlyEnded = slices.DeleteFunc(e.recentlyEnded, func(each endedItem) bool { return now.Sub(each.at) >= backlog.Memory })
+	e.recentlyEnded = slices.DeleteFunc(e.recentlyEnded, func(ended endedItem) bool { return now.Sub(ended.at) >= backlog.Memory })
 }
 
 // endedItem is an item that ended at the given time.
@@ -153,9 +153,9 @@
 	}
 	e.heldBackLoggedAt = now
 	var most tenantService
-	for each, items := range counts {
-		if items > counts[most] || (items == counts[most] && each.tenant < most.tenant) {
-			most = each
+	for key, items := range counts {
+		if items > counts[most] || (items == counts[most] && key.tenant < most.tenant) {
+			most = key
 		}
 	}
 	decision.Default.Record(decision.TenantHeldBack, most.tenant, log.Fields{"service": most.service, "shard": e.shard, "items": counts[most]})
--- a/internal/store/share_test.go
+++ b/internal/store/share_test.go
@@ -36,7 +36,7 @@
 		t.Error("an item whose hold has ended is not startable")
 	}
 	e.history[key] = &history{}
-	if _, made := e.claims.Acquire(key, func() {}); !made || e.startable(item, now) {
+	if _, ok := e.claims.Acquire(key, func() {}); !ok || e.startable(item, now) {
 		t.Error("a running item is startable")
 	}
 }
--- a/internal/store/start.go
+++ b/internal/store/start.go
@@ -48,8 +48,8 @@
 
 // giveUp records an item as failed.
 func (e *executor) giveUp(item jobstore.OpenItem, h *history, reason string) {
-	claim, made := e.claims.Acquire(claims.NewKey(item.Job, item.Index), func() {})
-	if !made {
+	claim, ok := e.claims.Acquire(claims.NewKey(item.Job, item.Index), func() {})
+	if !ok {
 		return
 	}
 	e.finish(attemptResult{
@@ -62,8 +62,8 @@
 func (e *executor) start(ctx context.Context, item jobstore.OpenItem, route *rockwindpb.Route, h *history, now time.Time) bool {
 	key := claims.NewKey(item.Job, item.Index)
 	attemptCtx, cancel := context.WithCancelCause(ctx)
-	claim, made := e.claims.Acquire(key, func() { cancel(nil) })
-	if !made {
+	claim, ok := e.claims.Acquire(key, func() { cancel(nil) })
+	if !ok {
 		cancel(nil)
 		return true
 	}
@@ -84,10 +84,10 @@
 		lease: lease, route: route.GetName(), maxAttempts: max(1, int(route.GetAttempts())),
 	}
 	go func() {
-		end := attempt.run(attemptCtx)
+		r := attempt.run(attemptCtx)
 		cancel(nil)
-		end.claim, end.item, end.server, end.content = claim, item.Item.GetId(), lease.ID, attempt.content()
-		e.sendResult(ctx, end)
+		r.claim, r.item, r.server, r.content = claim, item.Item.GetId(), lease.ID, attempt.content()
+		e.sendResult(ctx, r)
 	}()
 	return true
 }
@@ -103,9 +103,9 @@
 }
 
 // sendResult sends the result of an attempt to the executor's goroutine.
-func (e *executor) sendResult(ctx context.Context, end attemptResult) {
+func (e *executor) sendResult(ctx context.Context, r attemptResult) {
 	select {
-	case e.ended <- end:
+	case e.ended <- r:
 	case <-ctx.Done():
 	}
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -135,7 +135,7 @@
 }
 
 func (s *Store) run(ctx context.Context, listener net.Listener) error {
-	log.WithField("machine", s.settings.GetName()).WithField("address", s.settings.GetInternalListen()).Info("store is serving")
+	log.WithField("machine", s.settings.GetName()).WithField("address", s.settings.GetInternalListen()).Info("store serves")
 	return site.RunHost(ctx, s.host, func(group *errgroup.Group, parts context.Context) {
 		group.Go(func() error { return s.watcher.Run(parts) })
 		group.Go(func() error { return s.metrics().Serve(parts, s.settings) })
--- a/internal/store/yield.go
+++ b/internal/store/yield.go
@@ -20,7 +20,7 @@
 
 // errYielded is the cancellation cause of an attempt that yields to online requests. The next
 // attempt resumes after the last received event.
-var errYielded = errors.New("yielded to online requests")
+var errYielded = errors.New("it gave way to online requests")
 
 // activeAttempt is an attempt in progress.
 type activeAttempt struct {
