--- a/internal/router/dispatcher.go
+++ b/internal/router/dispatcher.go
@@ -44,7 +44,7 @@
 	// behind there.
 	servers map[uint32]struct{}
 	lefts   map[uint32]struct{}
-	shares  *balance.Shares
+	shares  *balance.SharedLoads
 	order   uint64
 	// stores is how many processes start batch work, and viewAge how old the loads of
 	// other processes may be.
@@ -67,7 +67,7 @@
 // NewDispatcher returns a dispatcher without servers, for a process in a zone with the given
 // gates.
 func NewDispatcher(zone string, gates gate.Set) *Dispatcher {
-	shares := balance.NewShares()
+	shares := balance.NewSharedLoads()
 	shares.SetZone(zone)
 	if !gates.On(gate.LeftBehind) {
 		shares.IgnoreLeftBehind()
@@ -127,7 +127,7 @@
 		needHashes: backlog.NeedHashes(name),
 	}
 	if d.gates.On(gate.FairShare) {
-		created.waiting.Share(func(place waiting.Place) float64 { return created.virtual(place, d.now()) })
+		created.waiting.EnableFairShare(func(place waiting.SortKey) float64 { return created.virtual(place, d.now()) })
 	}
 	return created
 }
@@ -151,7 +151,7 @@
 // fails with fault.Overloaded, which says when to come back, at once where those that go
 // before it need longer than its patience, or with fault.Unavailable where the service has
 // no server that was not tried.
-func (d *Dispatcher) Acquire(ctx context.Context, ask Ask) (*Lease, error) {
+func (d *Dispatcher) Acquire(ctx context.Context, ask AcquireRequest) (*Lease, error) {
 	d.mutex.Lock()
 	pool := d.service(ask.Service)
 	pool.judgeRoom(d.now())
@@ -159,7 +159,7 @@
 	d.order++
 	place := ask.place(d.order, now)
 	pool.class(ask.Priority).note(ask.Tenant)
-	before := pool.waiting.Ahead(place, now)
+	before := pool.waiting.CountAhead(place, now)
 	if before == 0 {
 		if given, found := d.choose(pool, ask); found {
 			d.mutex.Unlock()
@@ -171,7 +171,7 @@
 		return nil, fault.Newf(fault.Unavailable, "come back later", "service %s has no server that can take the request", ask.Service).
 			WithRan(fault.NotRun).WithRetryAfter(typicalHolding / 4)
 	}
-	if ahead := before + pool.elsewhere(place, d.now()); pool.expected(ask, ahead, d.now()) > ask.Patience {
+	if ahead := before + pool.elsewhere(place, d.now()); pool.expected(ask, ahead, d.now()) > ask.MaxWait {
 		refusal := pool.crowded(ask, ahead, now, d.now())
 		d.mutex.Unlock()
 		return nil, refusal
@@ -189,14 +189,14 @@
 
 // choose returns a server with room for a request that goes first, or beyond what is there for
 // one that may go beyond it. The mutex is held.
-func (d *Dispatcher) choose(pool *servicePool, ask Ask) (grant, bool) {
+func (d *Dispatcher) choose(pool *servicePool, ask AcquireRequest) (grant, bool) {
 	if d.gates.On(gate.Returns) {
 		pool.pool.SetWaiting(pool.waiting.Len())
 	}
 	choice, found := pool.pool.Choose(ask.Demand, ask.Tried, d.now(), d.random)
 	if !found && pool.modest(ask, d.now()) {
 		beyond := ask.Demand
-		beyond.Beyond = true
+		beyond.Overcommit = true
 		choice, found = pool.pool.Choose(beyond, ask.Tried, d.now(), d.random)
 	}
 	if !found {
@@ -223,26 +223,26 @@
 	return d.lease(service, grant{choice: choice})
 }
 
-// Yield visits the servers of a service at which batch work of this process should
+// PreemptBatch visits the servers of a service at which batch work of this process should
 // give way to online requests, with how many of its requests. The visitor returns how many
 // gave way; it must not use the dispatcher.
-func (d *Dispatcher) Yield(service string, visit func(server string, requests int) int) {
+func (d *Dispatcher) PreemptBatch(service string, visit func(server string, requests int) int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	pool := d.service(service)
-	pool.pool.Yield(pool.waiting.Len(), d.now(), d.random, visit)
+	pool.pool.PreemptBatch(pool.waiting.Len(), d.now(), d.random, visit)
 }
 
 // nudge tells the others at once what has changed here. The mutex is held.
 func (d *Dispatcher) nudge() {
 	if d.sharer != nil {
-		d.sharer.Nudge()
+		d.sharer.TriggerSend()
 	}
 }
 
-// Pressed returns a channel that is closed when online requests next wait for a server
+// OnlineWaiting returns a channel that is closed when online requests next wait for a server
 // somewhere.
-func (d *Dispatcher) Pressed() <-chan struct{} {
+func (d *Dispatcher) OnlineWaiting() <-chan struct{} {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.pressed
@@ -281,7 +281,7 @@
 }
 
 func (d *Dispatcher) await(ctx context.Context, entry *waiting.Entry[*waiter]) (*Lease, error) {
-	limit := time.NewTimer(entry.Value().ask.Patience)
+	limit := time.NewTimer(entry.Value().ask.MaxWait)
 	defer limit.Stop()
 	select {
 	case given := <-entry.Value().granted:
@@ -299,17 +299,17 @@
 	defer d.mutex.Unlock()
 	service := entry.Value().ask.Service
 	pool := d.service(service)
-	if entry.Left() {
+	if entry.Removed() {
 		return d.lease(service, <-entry.Value().granted), nil
 	}
 	pool.waiting.Remove(entry)
 	now, waiter := time.Now(), entry.Value()
 	ask := waiter.ask
-	ask.Final = ask.Final || ctx.Err() != nil
+	ask.LastAttempt = ask.LastAttempt || ctx.Err() != nil
 	if ask.Remaining > 0 {
 		ask.Remaining = max(time.Millisecond, ask.Remaining-now.Sub(waiter.began))
 	}
-	ahead := pool.waiting.Ahead(waiter.place, now) + pool.elsewhere(waiter.place, d.now())
+	ahead := pool.waiting.CountAhead(waiter.place, now) + pool.elsewhere(waiter.place, d.now())
 	return nil, pool.busy(ask, ahead, now, d.now())
 }
 
@@ -352,7 +352,7 @@
 		return served, given
 	}
 	priority := pool.waiting.First(now).Value().ask.Priority
-	modest := pool.waiting.FirstOf(now, func(each *waiter) bool {
+	modest := pool.waiting.FirstMatching(now, func(each *waiter) bool {
 		return each.ask.Priority == priority && pool.modest(each.ask, d.now())
 	})
 	if modest != nil {
@@ -372,17 +372,17 @@
 	d.recordHeldBack()
 }
 
-// Told takes the load that the server told with an answer.
-func (l *Lease) Told(load balance.Load) {
+// RecordLoad takes the load that the server told with an answer.
+func (l *Lease) RecordLoad(load balance.LoadReport) {
 	l.told = load.Pace
 	d := l.dispatcher
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.service(l.service).pool.Told(l.ID, load, d.now())
+	d.service(l.service).pool.RecordReport(l.ID, load, d.now())
 }
 
-// Read tells that the first event, or the whole answer, came.
-func (l *Lease) Read() { l.noteRead(true) }
+// RecordFirstOutput tells that the first event, or the whole answer, came.
+func (l *Lease) RecordFirstOutput() { l.noteRead(true) }
 
 func (l *Lease) noteRead(came bool) {
 	if l.read {
@@ -392,7 +392,7 @@
 	d := l.dispatcher
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.service(l.service).pool.Read(l.Choice, came, d.now())
+	d.service(l.service).pool.RecordFirstEvent(l.Choice, came, d.now())
 }
 
 // Done ends the lease with what the exchange showed of the server.
@@ -403,7 +403,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	pool := d.service(l.service)
-	pool.pool.Ended(l.Choice, outcome, latency, d.now(), d.random)
+	pool.pool.RecordOutcome(l.Choice, outcome, latency, d.now(), d.random)
 	// One whose time was over held its slot for at least as long.
 	if outcome == health.Success || (outcome == health.Timeout && d.gates.On(gate.Returns)) {
 		pool.learn(time.Since(l.began))
@@ -411,17 +411,17 @@
 	d.serveWaiting(l.service)
 }
 
-// Wrote tells how many events the answer had.
-func (l *Lease) Wrote(events uint64) {
+// RecordEvents tells how many events the answer had.
+func (l *Lease) RecordEvents(events uint64) {
 	d := l.dispatcher
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.service(l.service).wrote(events)
 }
 
-// NotRun tells, before the lease ends, that the request did not run at the server: its tenant is
+// MarkNotRun tells, before the lease ends, that the request did not run at the server: its tenant is
 // not charged for it.
-func (l *Lease) NotRun() {
+func (l *Lease) MarkNotRun() {
 	d := l.dispatcher
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -429,11 +429,11 @@
 	l.charge = charge{}
 }
 
-// Gone ends the lease of an exchange in which another server answered at the address.
-func (l *Lease) Gone() { l.release((*balance.Pool).Gone) }
+// DoneMisdirected ends the lease of an exchange in which another server answered at the address.
+func (l *Lease) DoneMisdirected() { l.release((*balance.Pool).RecordReplaced) }
 
 // Abandon ends the lease of an exchange that shows nothing of the server.
-func (l *Lease) Abandon() { l.release((*balance.Pool).Abandoned) }
+func (l *Lease) Abandon() { l.release((*balance.Pool).Abandon) }
 
 // release ends the lease of an exchange that gave no answer of the server, and hands on
 // what it has left free.
--- a/internal/router/sharing.go
+++ b/internal/router/sharing.go
@@ -11,10 +11,10 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Share tells the other routers and stores what this process has at servers, and
+// ShareLoads tells the other routers and stores what this process has at servers, and
 // takes what they tell, until the context ends. The settings give the address; a
 // process without one shares nothing.
-func (d *Dispatcher) Share(ctx context.Context, settings *rockwindpb.SiteSettings) error {
+func (d *Dispatcher) ShareLoads(ctx context.Context, settings *rockwindpb.SiteSettings) error {
 	if settings.GetInternalListen() == "" {
 		<-ctx.Done()
 		return nil
@@ -61,11 +61,11 @@
 	return loadshare.SumDigest(s.dispatcher.shares, names, s.dispatcher.ownLoads())
 }
 
-// Elsewhere implements loadshare.Source.
-func (s loadSource) Elsewhere(group string) *rockwindpb.LoadDigest {
+// SumOtherGroups implements loadshare.Source.
+func (s loadSource) SumOtherGroups(group string) *rockwindpb.LoadDigest {
 	s.dispatcher.mutex.Lock()
 	defer s.dispatcher.mutex.Unlock()
-	return loadshare.NewDigest(s.dispatcher.shares.SumElsewhere(group))
+	return loadshare.NewDigest(s.dispatcher.shares.SumOtherGroups(group))
 }
 
 // Heard implements loadshare.Source.
@@ -75,17 +75,17 @@
 	return s.dispatcher.shares.Heard(name, s.dispatcher.now())
 }
 
-// Sparing implements loadshare.Source. What is not known here is taken for a tenant.
-func (s loadSource) Sparing(hash uint32) loadshare.Sparing {
+// DropPriority implements loadshare.Source. What is not known here is taken for a tenant.
+func (s loadSource) DropPriority(hash uint32) loadshare.DropPriority {
 	s.dispatcher.mutex.Lock()
 	defer s.dispatcher.mutex.Unlock()
 	if s.dispatcher.names(hash) {
-		return loadshare.NeverSpared
+		return loadshare.NeverDrop
 	}
 	if _, isLeft := s.dispatcher.lefts[hash]; isLeft {
-		return loadshare.SparedFirst
+		return loadshare.DropFirst
 	}
-	return loadshare.SparedNext
+	return loadshare.DropSecond
 }
 
 // names tells whether a hash is that of a server, of a queue, or of a class. The mutex is held.
@@ -117,7 +117,7 @@
 	loads := make(map[uint32]balance.SharedLoad)
 	add := func(hash uint32, load balance.SharedLoad) { loads[hash] = loads[hash].Plus(load) }
 	for _, pool := range d.pools {
-		pool.pool.Own(d.now(), add)
+		pool.pool.OwnLoads(d.now(), add)
 		pool.queued(time.Now(), d.now(), add)
 	}
 	d.batchLoads(add)
@@ -128,7 +128,7 @@
 func (d *Dispatcher) takeLoads(digest *rockwindpb.LoadDigest, loads map[uint32]balance.SharedLoad) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	loadshare.TakeInto(d.shares, digest, loads, d.now())
+	loadshare.ApplyDigest(d.shares, digest, loads, d.now())
 	pressed := false
 	for service, pool := range d.pools {
 		if pool.waiting.Len() > 0 {
@@ -141,7 +141,7 @@
 	}
 	d.press()
 	if digest.GetGroup() == "" && d.sharer != nil {
-		d.sharer.PassOn()
+		d.sharer.TriggerForward()
 	}
 }
 
@@ -177,5 +177,5 @@
 	}
 	layout := loadshare.NewLayout(members, d.name)
 	d.sharer.SetLayout(layout)
-	d.viewAge = layout.Age()
+	d.viewAge = layout.MaxAge()
 }
--- a/internal/store/executor.go
+++ b/internal/store/executor.go
@@ -161,7 +161,7 @@
 // handles handovers.
 func (e *executor) wait(ctx context.Context, wake <-chan time.Time, applied <-chan struct{}) {
 	for {
-		pressed := e.store.dispatcher.Pressed()
+		pressed := e.store.dispatcher.OnlineWaiting()
 		select {
 		case <-ctx.Done():
 			return
@@ -276,7 +276,7 @@
 	}
 	if active != nil && r.outcome == rockwindpb.StoredOutcome_STORED_OUTCOME_DONE {
 		total := r.history.eventCount()
-		e.pace(active.service).Ended(total-active.eventsBefore, total, active.choice.Usual(time.Since(active.began)))
+		e.pace(active.service).Ended(total-active.eventsBefore, total, active.choice.NormalizeDuration(time.Since(active.began)))
 	}
 	logResult(r, active, e.term)
 	if r.outcome == rockwindpb.StoredOutcome_STORED_OUTCOME_UNSPECIFIED {
--- a/internal/store/item.go
+++ b/internal/store/item.go
@@ -59,9 +59,9 @@
 // reportBroken reports to the witness that the connection broke before the response was
 // complete.
 func (a *itemAttempt) reportBroken(cause error) {
-	a.store.witness.Broke(router.Attempt{
-		Content: a.content(), Server: a.lease.ID, Address: a.lease.Address, Began: a.began,
-		Route: a.route, Tenant: a.item.Tenant, Item: true,
+	a.store.witness.ConnectionLost(router.Attempt{
+		Content: a.content(), Server: a.lease.ID, Address: a.lease.Address, SentAt: a.began,
+		Route: a.route, Tenant: a.item.Tenant, BatchItem: true,
 	}, cause)
 }
 
@@ -92,9 +92,9 @@
 	if err != nil {
 		return a.handleNoResponse(ctx, err)
 	}
-	judgement := a.store.protocol.Judge(response.Status, response.Header)
+	judgement := a.store.protocol.ParseResponse(response.Status, response.Header)
 	if judgement.Load != nil {
-		a.lease.Told(*judgement.Load)
+		a.lease.RecordLoad(*judgement.Load)
 	}
 	latency := time.Since(a.began)
 	switch {
@@ -102,9 +102,9 @@
 		response.Discard()
 		a.lease.Done(health.Refused, 0)
 		return a.retryAfter(refusalDelay, "")
-	case judgement.OtherServer:
+	case judgement.Misdirected:
 		response.Discard()
-		a.lease.Gone()
+		a.lease.DoneMisdirected()
 		return a.retryAfter(0, "another server has the address")
 	case response.Status == http.StatusUnprocessableEntity:
 		response.Discard()
@@ -124,7 +124,7 @@
 
 func (a *itemAttempt) request() *upstream.Request {
 	header := itemHeader(a.item)
-	a.store.protocol.Prepare(header, router.Try{
+	a.store.protocol.Prepare(header, router.AttemptInfo{
 		RequestID: a.item.Item.GetId(), ServerID: a.lease.ID, ResumeAfter: a.writer.ResumeAfter(), Tenant: a.item.Tenant,
 	})
 	return &upstream.Request{
--- a/internal/store/order.go
+++ b/internal/store/order.go
@@ -25,7 +25,7 @@
 	if status != routeFound {
 		return "", backlog.NewItem(submitted, time.Time{}, 0), false
 	}
-	service = router.ServiceOf(route, item.Item.GetId())
+	service = router.ChooseService(route, item.Item.GetId())
 	remaining := e.pace(service).Remaining(e.receivedEvents(item))
 	return service, backlog.NewItem(submitted, dueTime(route, submitted), remaining).Of(item.Tenant, e.tenantWeight(item.Tenant)), true
 }
@@ -80,6 +80,6 @@
 // backlogAttempt returns an attempt's attributes for the order of yielding. The progress since
 // the attempt began is estimated from the pace of the service.
 func (e *executor) backlogAttempt(attempt *activeAttempt) backlog.Item {
-	remaining := attempt.choice.There(e.pace(attempt.service).Remaining(attempt.eventsBefore)) - time.Since(attempt.began)
+	remaining := attempt.choice.ScaleDuration(e.pace(attempt.service).Remaining(attempt.eventsBefore)) - time.Since(attempt.began)
 	return backlog.NewItem(attempt.submitted, dueTime(attempt.route, attempt.submitted), max(0, remaining)).Of(attempt.tenant, e.tenantWeight(attempt.tenant))
 }
--- a/internal/store/rates.go
+++ b/internal/store/rates.go
@@ -24,7 +24,7 @@
 // ratesOfTerm holds the counts of one term of a shard.
 type ratesOfTerm struct {
 	term   uint64
-	counts *requestrate.Counts
+	counts *requestrate.Limiter
 }
 
 func newRequestRates(s *Store) *requestRates {
@@ -56,7 +56,7 @@
 		return nil, fault.ToTwirp(err)
 	}
 	return &rockwindpb.TakeRequestsResponse{
-		Granted: decided.Granted(), RetryAfterMs: uint32(decided.ComeBack().Milliseconds()), Remaining: decided.Remaining(),
+		Granted: decided.Granted(), RetryAfterMs: uint32(decided.RetryAfter().Milliseconds()), Remaining: decided.Remaining(),
 		WaitMs: uint32((decided.Wait() + time.Millisecond - 1).Milliseconds()),
 	}, nil
 }
@@ -70,12 +70,12 @@
 func (r *requestRates) decide(shard uint32, term uint64, request *rockwindpb.TakeRequestsRequest) requestrate.Decision {
 	limit := requestrate.NewLimit(request.GetRequestsPerSecond(), request.GetRequestBurst())
 	take := requestrate.NewRequest(request.GetTenant(), limit, request.GetConfiguration()).
-		From(request.GetRouter(), request.GetRouterStartedUnixMs(), request.GetQuestion()).
+		FromRouter(request.GetRouter(), request.GetRouterStartedUnixMs(), request.GetQuestion()).
 		WithReturned(request.GetReturned()).WithUnanswered(request.GetPassed(), request.GetWithheld()).WithRefused(request.GetRefused())
 	if request.Remaining != nil {
 		take = take.WithRemaining(request.GetRemaining(), time.Duration(request.GetRemainingAgeMs())*time.Millisecond)
 	}
-	take = take.WithWait(time.Duration(request.GetWaitMs()) * time.Millisecond)
+	take = take.WithMaxWait(time.Duration(request.GetWaitMs()) * time.Millisecond)
 	if request.GetLate() {
 		take = take.Late()
 	}
@@ -84,7 +84,7 @@
 	now := time.Since(r.origin)
 	current := r.terms[shard]
 	if current == nil || current.term != term {
-		current = &ratesOfTerm{term: term, counts: requestrate.NewCounts(r.tolerance, now)}
+		current = &ratesOfTerm{term: term, counts: requestrate.NewLimiter(r.tolerance, now)}
 		r.terms[shard] = current
 	}
 	return current.counts.Take(take, now)
--- a/internal/store/share.go
+++ b/internal/store/share.go
@@ -94,7 +94,7 @@
 	entry := e.backlogItem(item)
 	demand := balance.Demand{
 		Parts: e.promptParts(item), Batch: true,
-		Reserved: e.shares.use.Reserved(service, entry), First: e.shares.use.First(service, entry),
+		Reserved: e.shares.use.Reserved(service, entry), Prioritized: e.shares.use.First(service, entry),
 	}
 	lease = e.store.dispatcher.TryAcquire(service, demand)
 	if lease != nil {
--- a/internal/store/start.go
+++ b/internal/store/start.go
@@ -67,7 +67,7 @@
 		cancel(nil)
 		return true
 	}
-	service := router.ServiceOf(route, item.Item.GetId())
+	service := router.ChooseService(route, item.Item.GetId())
 	lease, tryNext := e.acquire(service, item)
 	if lease == nil {
 		cancel(nil)
@@ -95,7 +95,7 @@
 // promptParts returns the parts of the item's prompt, or nil if the headers are invalid, which
 // the server will report.
 func (e *executor) promptParts(item jobstore.OpenItem) []balance.Part {
-	facts, err := e.store.protocol.Facts(itemHeader(item))
+	facts, err := e.store.protocol.ParseRequest(itemHeader(item))
 	if err != nil {
 		return nil
 	}
@@ -126,7 +126,7 @@
 // onHold reports whether the item must wait because servers failed while running the same
 // content. It logs the start of a hold.
 func (e *executor) onHold(item jobstore.OpenItem, h *history, now time.Time) bool {
-	remaining := e.store.witness.HeldFor(func() fingerprint.Fingerprint { return h.content(item) })
+	remaining := e.store.witness.QuarantinedFor(func() fingerprint.Fingerprint { return h.content(item) })
 	if remaining == 0 {
 		h.held, h.heldUntil = false, time.Time{}
 		return false
--- a/internal/store/yield.go
+++ b/internal/store/yield.go
@@ -54,7 +54,7 @@
 		}
 	}
 	for service := range services {
-		e.store.dispatcher.Yield(service, func(server string, requests int) int {
+		e.store.dispatcher.PreemptBatch(service, func(server string, requests int) int {
 			attempts := byServer[server]
 			backlog.Yielding(attempts, now, e.backlogAttempt)
 			yielded := min(requests, len(attempts))
