--- a/internal/jobstore/progress_test.go
+++ b/internal/jobstore/progress_test.go
@@ -37,8 +37,8 @@
 	return &rockwindpb.JobStoreCommand{Command: &rockwindpb.JobStoreCommand_End{End: &rockwindpb.EndStoredJobRequest{Id: job}}}
 }
 
-// checkHeld compares the recorded output of an open item; last is zero if none is expected.
-func checkHeld(t *testing.T, machine *jobstore.Machine, item uint32, last uint64, text string) {
+// checkRecorded compares the recorded output of an open item; last is zero if none is expected.
+func checkRecorded(t *testing.T, machine *jobstore.Machine, item uint32, last uint64, text string) {
 	t.Helper()
 	for _, open := range machine.OpenItems(func(string, uint32) bool { return true }) {
 		if open.Index != item {
@@ -75,9 +75,9 @@
 	apply(t, machine, progress("job", newEvents(2, 1, 2, 1, "x"), newEvents(0, 1, 1, 2, "a\nb")))
 	apply(t, machine, progress("job", after(2, newEvents(0, 1, 1, 4, "\nc\nd"))))
 	for range 2 {
-		checkHeld(t, machine, 0, 4, "a\nb\nc\nd")
-		checkHeld(t, machine, 1, 0, "")
-		checkHeld(t, machine, 2, 1, "x")
+		checkRecorded(t, machine, 0, 4, "a\nb\nc\nd")
+		checkRecorded(t, machine, 1, 0, "")
+		checkRecorded(t, machine, 2, 1, "x")
 		machine = restart(t, machine)
 	}
 }
@@ -100,7 +100,7 @@
 	if text, found := received().Text(); !found || len(text) != 0 {
 		t.Fatalf("text after an event with empty data: %q, %v", text, found)
 	}
-	checkHeld(t, machine, 0, 4, "")
+	checkRecorded(t, machine, 0, 4, "")
 }
 
 // TestStaleProgressIsIgnored covers duplicates, gaps, and earlier terms and runs.
@@ -123,7 +123,7 @@
 			apply(t, machine, submitted("job", "/p/", 1))
 			apply(t, machine, progress("job", newEvents(0, 2, 5, 3, "a\nb\nc")))
 			apply(t, machine, progress("job", late))
-			checkHeld(t, machine, 0, 3, "a\nb\nc")
+			checkRecorded(t, machine, 0, 3, "a\nb\nc")
 		})
 	}
 }
@@ -135,10 +135,10 @@
 	apply(t, machine, submitted("job", "/p/", 1))
 	apply(t, machine, progress("job", newEvents(0, 2, 5, 3, "a\nb\nc")))
 	apply(t, machine, progress("job", newEvents(0, 3, 1, 1, "A")))
-	checkHeld(t, machine, 0, 1, "A")
+	checkRecorded(t, machine, 0, 1, "A")
 	apply(t, machine, progress("job", after(3, newEvents(0, 2, 5, 4, "\nd"))))
 	apply(t, machine, progress("job", after(1, newEvents(0, 3, 1, 2, "\nB"))))
-	checkHeld(t, machine, 0, 2, "A\nB")
+	checkRecorded(t, machine, 0, 2, "A\nB")
 }
 
 // TestResultDropsProgress: progress is dropped with a result and with the end of the job, and
@@ -172,7 +172,7 @@
 	if err != nil || len(read.GetResults()) != 1 || string(read.GetResults()[0].GetText()) != "whole" {
 		t.Fatalf("results: %v, %v", read, err)
 	}
-	checkHeld(t, machine, 1, 3, "late")
+	checkRecorded(t, machine, 1, 3, "late")
 }
 
 // TestFailureDropsProgress: late progress of the failed run is ignored too.
@@ -181,13 +181,13 @@
 	apply(t, machine, submitted("job", "/p/", 1))
 	apply(t, machine, progress("job", newEvents(0, 1, 1, 2, "a\nb")))
 	apply(t, machine, failure("job", 0))
-	checkHeld(t, machine, 0, 0, "")
+	checkRecorded(t, machine, 0, 0, "")
 	apply(t, machine, progress("job", newEvents(0, 1, 1, 3, "a\nb\nc")))
-	checkHeld(t, machine, 0, 0, "")
+	checkRecorded(t, machine, 0, 0, "")
 	next := newEvents(0, 1, 2, 1, "A")
 	next.Progress.Failures = 1
 	apply(t, machine, progress("job", next))
-	checkHeld(t, machine, 0, 1, "A")
+	checkRecorded(t, machine, 0, 1, "A")
 }
 
 // TestRestoreDropsStaleProgress: a replica of a version without progress records keeps progress
@@ -210,8 +210,8 @@
 	if err := machine.Restore(snapshot); err != nil {
 		t.Fatal(err)
 	}
-	checkHeld(t, machine, 1, 0, "")
-	checkHeld(t, machine, 2, 2, "a\nb")
+	checkRecorded(t, machine, 1, 0, "")
+	checkRecorded(t, machine, 2, 2, "a\nb")
 	// Replicas that differ in their progress agree after the first record of the next leader.
 	other := jobstore.New()
 	stale.Progress = nil
@@ -224,6 +224,6 @@
 	for _, each := range []*jobstore.Machine{machine, other} {
 		apply(t, each, progress("job", after(2, newEvents(2, 1, 1, 3, "\nc"))))
 		apply(t, each, progress("job", newEvents(2, 2, 1, 1, "A")))
-		checkHeld(t, each, 2, 1, "A")
+		checkRecorded(t, each, 2, 1, "A")
 	}
 }
--- a/internal/store/executor.go
+++ b/internal/store/executor.go
@@ -114,7 +114,8 @@
 	active map[claims.Key]*activeAttempt
 	// paces holds statistics of item run times, by service.
 	paces map[string]*backlog.Pace
-	// recentlyEnded holds the items that ended within backlog.Memory.
+	// recentlyEnded holds items that still count as running, since other leaders learn of their
+	// end with a delay.
 	recentlyEnded []endedItem
 	// shares is the result of the last scheduling pass, and heldBackLoggedAt is when a tenant
 	// with items held back was last logged.
@@ -157,18 +158,18 @@
 	e.claims.Drop()
 }
 
-// wait blocks until the next scheduling pass is due. Meanwhile it yields to online requests and
-// handles handovers.
+// wait blocks until the next scheduling pass is due. Meanwhile it preempts attempts for online
+// requests and handles handovers.
 func (e *executor) wait(ctx context.Context, wake <-chan time.Time, applied <-chan struct{}) {
 	for {
-		pressed := e.store.dispatcher.OnlineWaiting()
+		onlineWaiting := e.store.dispatcher.OnlineWaiting()
 		select {
 		case <-ctx.Done():
 			return
 		case <-wake:
 			return
-		case <-pressed:
-			e.yield(time.Now())
+		case <-onlineWaiting:
+			e.preempt(time.Now())
 		case <-e.progressDone:
 			e.recordingProgress = false
 			e.recordForHandovers(ctx)
@@ -216,7 +217,7 @@
 	slices.SortFunc(open, func(a, b jobstore.OpenItem) int {
 		return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Index, b.Index))
 	})
-	e.yield(now)
+	e.preempt(now)
 	ordered, short := e.order(open, now)
 	for _, item := range ordered {
 		if e.cannotFit(item) {
--- a/internal/store/history.go
+++ b/internal/store/history.go
@@ -22,10 +22,10 @@
 	routeAbsentSince time.Time
 	// retryAt is the earliest time of the next attempt.
 	retryAt time.Time
-	// held reports whether the item was last on hold because of its content, and heldUntil is
-	// the latest end of that hold.
-	held      bool
-	heldUntil time.Time
+	// quarantined reports whether the item's content was quarantined at the last check, and
+	// quarantinedUntil is the latest end of the quarantine.
+	quarantined      bool
+	quarantinedUntil time.Time
 	// fingerprint is the fingerprint of the item's request, computed on first use.
 	fingerprint *fingerprint.Fingerprint
 }
--- a/internal/store/item.go
+++ b/internal/store/item.go
@@ -56,10 +56,10 @@
 
 func (a *itemAttempt) content() fingerprint.Fingerprint { return a.history.content(a.item) }
 
-// reportBroken reports to the witness that the connection broke before the response was
+// reportBroken tells the crash reporter that the connection broke before the response was
 // complete.
 func (a *itemAttempt) reportBroken(cause error) {
-	a.store.witness.ConnectionLost(router.Attempt{
+	a.store.crashReporter.ConnectionLost(router.Attempt{
 		Content: a.content(), Server: a.lease.ID, Address: a.lease.Address, SentAt: a.began,
 		Route: a.route, Tenant: a.item.Tenant, BatchItem: true,
 	}, cause)
@@ -92,17 +92,17 @@
 	if err != nil {
 		return a.handleNoResponse(ctx, err)
 	}
-	judgement := a.store.protocol.ParseResponse(response.Status, response.Header)
-	if judgement.Load != nil {
-		a.lease.RecordLoad(*judgement.Load)
+	parsed := a.store.protocol.ParseResponse(response.Status, response.Header)
+	if parsed.Load != nil {
+		a.lease.RecordLoad(*parsed.Load)
 	}
 	latency := time.Since(a.began)
 	switch {
-	case judgement.NotRun:
+	case parsed.NotRun:
 		response.Discard()
 		a.lease.Done(health.Refused, 0)
 		return a.retryAfter(refusalDelay, "")
-	case judgement.Misdirected:
+	case parsed.Misdirected:
 		response.Discard()
 		a.lease.DoneMisdirected()
 		return a.retryAfter(0, "another server has the address")
@@ -157,8 +157,8 @@
 // handleCanceled ends an attempt that this store canceled.
 func (a *itemAttempt) handleCanceled(ctx context.Context) attemptResult {
 	a.lease.Abandon()
-	if errors.Is(context.Cause(ctx), errYielded) {
-		return a.retryAfter(yieldDelay, errYielded.Error())
+	if errors.Is(context.Cause(ctx), errPreempted) {
+		return a.retryAfter(preemptDelay, errPreempted.Error())
 	}
 	return a.retryAfter(0, "")
 }
@@ -178,7 +178,7 @@
 		case err == nil:
 		case errors.Is(err, io.EOF):
 			response.Finish()
-			a.store.witness.Answered(a.content())
+			a.store.crashReporter.Answered(a.content())
 			a.lease.Done(health.Success, latency)
 			return attemptResult{outcome: rockwindpb.StoredOutcome_STORED_OUTCOME_DONE, history: a.history}
 		default:
--- a/internal/store/order.go
+++ b/internal/store/order.go
@@ -77,8 +77,8 @@
 	return p
 }
 
-// backlogAttempt returns an attempt's attributes for the order of yielding. The progress since
-// the attempt began is estimated from the pace of the service.
+// backlogAttempt returns an attempt's attributes for the order of preemption. The progress
+// since the attempt began is estimated from the pace of the service.
 func (e *executor) backlogAttempt(attempt *activeAttempt) backlog.Item {
 	remaining := attempt.choice.ScaleDuration(e.pace(attempt.service).Remaining(attempt.eventsBefore)) - time.Since(attempt.began)
 	return backlog.NewItem(attempt.submitted, dueTime(attempt.route, attempt.submitted), max(0, remaining)).Of(attempt.tenant, e.tenantWeight(attempt.tenant))
--- a/internal/store/rates.go
+++ b/internal/store/rates.go
@@ -21,10 +21,10 @@
 	terms map[uint32]*ratesOfTerm
 }
 
-// ratesOfTerm holds the counts of one term of a shard.
+// ratesOfTerm holds the request limiter of one term of a shard.
 type ratesOfTerm struct {
-	term   uint64
-	counts *requestrate.Limiter
+	term    uint64
+	limiter *requestrate.Limiter
 }
 
 func newRequestRates(s *Store) *requestRates {
@@ -84,8 +84,8 @@
 	now := time.Since(r.origin)
 	current := r.terms[shard]
 	if current == nil || current.term != term {
-		current = &ratesOfTerm{term: term, counts: requestrate.NewLimiter(r.tolerance, now)}
+		current = &ratesOfTerm{term: term, limiter: requestrate.NewLimiter(r.tolerance, now)}
 		r.terms[shard] = current
 	}
-	return current.counts.Take(take, now)
+	return current.limiter.Take(take, now)
 }
--- a/internal/store/share.go
+++ b/internal/store/share.go
@@ -66,7 +66,7 @@
 	e.recentlyEnded = append(e.recentlyEnded, endedItem{item: item, at: now})
 }
 
-// dropOldEnded drops items that ended longer than backlog.Memory ago.
+// dropOldEnded drops items that no longer count as running.
 func (e *executor) dropOldEnded(now time.Time) {
 	e.recentlyEnded = slices.DeleteFunc(e.recentlyEnded, func(ended endedItem) bool { return now.Sub(ended.at) >= backlog.Memory })
 }
@@ -111,10 +111,10 @@
 }
 
 // startable reports whether an item waits for a slot only. No slots are reserved for items that
-// are on hold or to be retried later.
+// are quarantined or to be retried later.
 func (e *executor) startable(item jobstore.OpenItem, now time.Time) bool {
 	h := e.history[claims.NewKey(item.Job, item.Index)]
-	return e.unclaimed(item.Job, item.Index) && (h == nil || (!now.Before(h.heldUntil) && !now.Before(h.retryAt)))
+	return e.unclaimed(item.Job, item.Index) && (h == nil || (!now.Before(h.quarantinedUntil) && !now.Before(h.retryAt)))
 }
 
 // publishBatchLoad tells the other leaders which items run in this shard, and which short items
--- a/internal/store/share_test.go
+++ b/internal/store/share_test.go
@@ -25,15 +25,15 @@
 	if !e.startable(item, now) {
 		t.Error("a new item is not startable")
 	}
-	for name, h := range map[string]*history{"held": {held: true, heldUntil: now.Add(time.Millisecond)}, "to be retried later": {retryAt: now.Add(time.Second)}} {
+	for name, h := range map[string]*history{"quarantined": {quarantined: true, quarantinedUntil: now.Add(time.Millisecond)}, "to be retried later": {retryAt: now.Add(time.Second)}} {
 		e.history[key] = h
 		if e.startable(item, now) {
 			t.Errorf("an item that is %s is startable", name)
 		}
 	}
-	e.history[key] = &history{held: true, heldUntil: now}
+	e.history[key] = &history{quarantined: true, quarantinedUntil: now}
 	if !e.startable(item, now) {
-		t.Error("an item whose hold has ended is not startable")
+		t.Error("an item whose quarantine has ended is not startable")
 	}
 	e.history[key] = &history{}
 	if _, ok := e.claims.Acquire(key, func() {}); !ok || e.startable(item, now) {
@@ -46,10 +46,10 @@
 	now := time.UnixMilli(1_000_000)
 	e := &executor{recentlyEnded: []endedItem{{item: backlog.NewItem(now, time.Time{}, 0).Of("tenant", 1), at: now}}}
 	if count := len(e.runningItems(now.Add(backlog.Memory - time.Millisecond))); count != 1 {
-		t.Errorf("%d items count just before backlog.Memory has passed", count)
+		t.Errorf("%d items count shortly after the end, want 1", count)
 	}
 	if count := len(e.runningItems(now.Add(backlog.Memory))); count != 0 {
-		t.Errorf("%d items count after backlog.Memory has passed", count)
+		t.Errorf("%d items count later, want none", count)
 	}
 }
 
--- a/internal/store/start.go
+++ b/internal/store/start.go
@@ -28,7 +28,7 @@
 		e.giveUp(item, h, reason)
 		return true
 	}
-	if status != routeFound || e.onHold(item, h, now) {
+	if status != routeFound || e.quarantined(item, h, now) {
 		return true
 	}
 	return e.start(ctx, item, route, h, now)
@@ -123,19 +123,19 @@
 	})
 }
 
-// onHold reports whether the item must wait because servers failed while running the same
-// content. It logs the start of a hold.
-func (e *executor) onHold(item jobstore.OpenItem, h *history, now time.Time) bool {
-	remaining := e.store.witness.QuarantinedFor(func() fingerprint.Fingerprint { return h.content(item) })
+// quarantined reports whether the item must wait because servers failed while running the same
+// content. It logs the start of a quarantine.
+func (e *executor) quarantined(item jobstore.OpenItem, h *history, now time.Time) bool {
+	remaining := e.store.crashReporter.QuarantinedFor(func() fingerprint.Fingerprint { return h.content(item) })
 	if remaining == 0 {
-		h.held, h.heldUntil = false, time.Time{}
+		h.quarantined, h.quarantinedUntil = false, time.Time{}
 		return false
 	}
-	if !h.held {
+	if !h.quarantined {
 		decision.Default.Record(decision.ItemHeld, item.Job, log.Fields{
 			"item": item.Index, "item_id": item.Item.GetId(), "content": h.content(item).String(), "held_ms": remaining.Milliseconds(),
 		})
 	}
-	h.held, h.heldUntil = true, now.Add(remaining)
+	h.quarantined, h.quarantinedUntil = true, now.Add(remaining)
 	return true
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -40,17 +40,17 @@
 
 // Store is a running store daemon.
 type Store struct {
-	settings   *rockwindpb.SiteSettings
-	gates      gate.Set
-	client     *http.Client
-	host       *replica.Host
-	watcher    *site.Watcher
-	dispatcher *router.Dispatcher
-	upstream   *upstream.Client
-	witness    *router.CrashReporter
-	protocol   router.Protocol
-	limiter    *limiter
-	rates      *requestRates
+	settings      *rockwindpb.SiteSettings
+	gates         gate.Set
+	client        *http.Client
+	host          *replica.Host
+	watcher       *site.Watcher
+	dispatcher    *router.Dispatcher
+	upstream      *upstream.Client
+	crashReporter *router.CrashReporter
+	protocol      router.Protocol
+	limiter       *limiter
+	rates         *requestRates
 
 	mutex    sync.Mutex
 	machines map[uint32]*jobstore.Machine
@@ -88,7 +88,7 @@
 	if s.watcher, err = site.NewWatcher(settings, s.client, filepath.Join(settings.GetDataFolder(), configurationFolder)); err != nil {
 		return err
 	}
-	s.witness = router.NewCrashReporter(s.watcher, s.upstream, s.protocol)
+	s.crashReporter = router.NewCrashReporter(s.watcher, s.upstream, s.protocol)
 	s.limiter = newLimiter(s)
 	s.rates = newRequestRates(s)
 	listener, err := site.Listen("internal_listen", settings.GetInternalListen())
@@ -141,7 +141,7 @@
 		group.Go(func() error { return s.metrics().Serve(parts, s.settings) })
 		group.Go(func() error { return site.Serve(parts, site.NewServer(s.handler()), listener, stopTimeout) })
 		group.Go(func() error { s.announce(parts); return nil })
-		group.Go(func() error { s.witness.Run(parts); return nil })
+		group.Go(func() error { s.crashReporter.Run(parts); return nil })
 		group.Go(func() error { router.FollowDirectory(parts, s.watcher, s.dispatcher, s.upstream); return nil })
 		group.Go(func() error {
 			s.dispatcher.Survey(parts, s.settings, s.watcher, s.protocol, s.upstream)
@@ -159,7 +159,7 @@
 	set.Paces(s.dispatcher.Paces)
 	set.DrainedZones(s.dispatcher.DrainedZones)
 	set.LeftBehind(s.dispatcher.LeftBehind)
-	set.Held(s.witness.QuarantinedCount)
+	set.Held(s.crashReporter.QuarantinedCount)
 	set.ShortItems(s.dispatcher.ShortItems)
 	set.Coordinators(s.watcher.Silence)
 	return set
--- a/internal/store/yield.go
+++ b/internal/store/yield.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// minAttemptTime is how long an attempt runs before it may yield, since a restart evaluates
-	// the prompt again.
+	// minAttemptTime is how long an attempt runs before it may be preempted, since a restart
+	// evaluates the prompt again.
 	minAttemptTime = 250 * time.Millisecond
-	// yieldDelay is the delay before an item that yielded is retried.
-	yieldDelay = 50 * time.Millisecond
+	// preemptDelay is the delay before a preempted item is retried.
+	preemptDelay = 50 * time.Millisecond
 )
 
-// errYielded is the cancellation cause of an attempt that yields to online requests. The next
-// attempt resumes after the last received event.
-var errYielded = errors.New("it gave way to online requests")
+// errPreempted is the cancellation cause of an attempt that is preempted by online requests. The
+// next attempt resumes after the last received event.
+var errPreempted = errors.New("it gave way to online requests")
 
 // activeAttempt is an attempt in progress.
 type activeAttempt struct {
@@ -33,23 +33,23 @@
 	// eventsBefore is the number of events received by earlier attempts.
 	eventsBefore int
 	// choice is the choice of the server, which includes its speed.
-	choice   balance.Choice
-	cancel   context.CancelCauseFunc
-	yielding bool
+	choice    balance.Choice
+	cancel    context.CancelCauseFunc
+	preempted bool
 }
 
-// mayYield reports whether the attempt may yield now.
-func (a *activeAttempt) mayYield(now time.Time) bool {
-	return !a.yielding && now.Sub(a.began) >= minAttemptTime
+// preemptible reports whether the attempt may be preempted now.
+func (a *activeAttempt) preemptible(now time.Time) bool {
+	return !a.preempted && now.Sub(a.began) >= minAttemptTime
 }
 
-// yield cancels attempts on servers that online requests need, in backlog order.
-func (e *executor) yield(now time.Time) {
+// preempt cancels attempts on servers that online requests need, in backlog order.
+func (e *executor) preempt(now time.Time) {
 	services := make(map[string]bool)
 	byServer := make(map[string][]*activeAttempt)
 	for _, attempt := range e.active {
 		services[attempt.service] = true
-		if attempt.mayYield(now) {
+		if attempt.preemptible(now) {
 			byServer[attempt.server] = append(byServer[attempt.server], attempt)
 		}
 	}
@@ -57,13 +57,13 @@
 		e.store.dispatcher.PreemptBatch(service, func(server string, requests int) int {
 			attempts := byServer[server]
 			backlog.Yielding(attempts, now, e.backlogAttempt)
-			yielded := min(requests, len(attempts))
-			for _, attempt := range attempts[:yielded] {
-				attempt.yielding = true
-				attempt.cancel(errYielded)
+			count := min(requests, len(attempts))
+			for _, attempt := range attempts[:count] {
+				attempt.preempted = true
+				attempt.cancel(errPreempted)
 			}
-			byServer[server] = attempts[yielded:]
-			return yielded
+			byServer[server] = attempts[count:]
+			return count
 		})
 	}
 }
