--- a/internal/store/owner.go
+++ b/internal/store/owner.go
@@ -90,13 +90,13 @@
 }
 
 // countOf returns the count of an account in a term. It replaces the count of an earlier term.
-func (l *limiter) countOf(route string, term uint64, shards int) *ownedCount {
+func (l *limiter) countOf(account string, term uint64, shards int) *ownedCount {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	current := l.counts[route]
+	current := l.counts[account]
 	if current == nil || current.term < term {
 		current = &ownedCount{term: term, shards: shards, count: quota.NewCount(shards)}
-		l.counts[route] = current
+		l.counts[account] = current
 	}
 	return current
 }
