--- a/internal/store/parting_test.go
+++ b/internal/store/parting_test.go
@@ -18,8 +18,9 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// leavingShard is a shard with one item that runs, whose progress is not due for an hour.
-type leavingShard struct {
+// handoverShard is a shard with one running item, whose next periodic progress record is far in
+// the future.
+type handoverShard struct {
 	t        *testing.T
 	store    *Store
 	executor *executor
@@ -28,12 +29,12 @@
 	writer   output.Writer
 }
 
-func newLeavingShard(t *testing.T, switchedOff ...string) *leavingShard {
+func newHandoverShard(t *testing.T, switchedOff ...string) *handoverShard {
 	t.Helper()
 	gates := gate.NewSet(switchedOff)
 	s := &Store{
 		gates: gates, settings: &rockwindpb.SiteSettings{}, dispatcher: router.NewDispatcher("zone", gates),
-		machines: make(map[uint32]*jobstore.Machine), partings: make(map[uint32]chan parting), created: make(chan uint32, 1),
+		machines: make(map[uint32]*jobstore.Machine), handovers: make(map[uint32]chan handover), created: make(chan uint32, 1),
 	}
 	machine := s.create(1).(*jobstore.Machine)
 	group := replica.NewLocal(machine)
@@ -49,105 +50,106 @@
 	}
 	e := &executor{
 		store: s, group: group, machine: machine, claims: claims.NewTable(),
-		history: make(map[claims.Key]*history), active: make(map[claims.Key]*activeTry), paces: make(map[string]*backlog.Pace),
-		ended: make(chan itemEnd, endBuffer), notes: make(chan struct{}, 1), partings: s.partingsOf(1),
-		term: 1, historyTerm: 1, noted: time.Now().Add(time.Hour),
+		history: make(map[claims.Key]*history), active: make(map[claims.Key]*activeAttempt), paces: make(map[string]*backlog.Pace),
+		ended: make(chan attemptResult, resultBuffer), progressDone: make(chan struct{}, 1), handovers: s.handoversOf(1),
+		term: 1, historyTerm: 1, lastProgress: time.Now().Add(time.Hour),
 	}
-	received := output.New(&e.runs, jobstore.PartialOutput{})
+	item := output.New(&e.runs, jobstore.PartialOutput{})
 	key := claims.NewKey("job", 0)
-	e.history[key] = &history{output: received}
-	e.active[key] = &activeTry{}
-	if _, made := e.claims.Acquire(key, func() {}); !made {
-		t.Fatal("the item runs already")
+	e.history[key] = &history{output: item}
+	e.active[key] = &activeAttempt{}
+	if _, ok := e.claims.Acquire(key, func() {}); !ok {
+		t.Fatal("the item is already claimed")
 	}
-	return &leavingShard{t: t, store: s, executor: e, group: group, machine: machine, writer: received.NewWriter(0)}
+	return &handoverShard{t: t, store: s, executor: e, group: group, machine: machine, writer: item.NewWriter(0)}
 }
 
-// run has the executor work until the test ends.
-func (l *leavingShard) run() {
+// run runs the executor until the test ends.
+func (s *handoverShard) run() {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		l.executor.run(ctx)
+		s.executor.run(ctx)
 	}()
-	l.t.Cleanup(func() { cancel(); <-ended })
+	s.t.Cleanup(func() { cancel(); <-ended })
 }
 
-func (l *leavingShard) receive(number uint64, data string) {
-	l.writer.Add([]upstream.Event{{Sequence: number, HasSequence: true, Data: []byte(data), HasData: true}})
+func (s *handoverShard) receive(number uint64, data string) {
+	s.writer.Add([]upstream.Event{{Sequence: number, HasSequence: true, Data: []byte(data), HasData: true}})
 }
 
-// holds is the last event that the shard holds of the item, and the text up to it.
-func (l *leavingShard) holds() (last uint64, text string) {
-	l.t.Helper()
-	err := l.group.Read(l.t.Context(), func() {
-		received := l.machine.OpenItems(func(string, uint32) bool { return true })[0].PartialOutput
-		last, _ = received.LastEvent()
-		found, _ := received.Text()
+// recorded returns the last recorded event of the item and its recorded text.
+func (s *handoverShard) recorded() (last uint64, text string) {
+	s.t.Helper()
+	err := s.group.Read(s.t.Context(), func() {
+		item := s.machine.OpenItems(func(string, uint32) bool { return true })[0].PartialOutput
+		last, _ = item.LastEvent()
+		found, _ := item.Text()
 		text = string(found)
 	})
 	if err != nil {
-		l.t.Fatal(err)
+		s.t.Fatal(err)
 	}
 	return last, text
 }
 
-// partWithin tells how long a hand-over waits that allows some time.
-func (l *leavingShard) partWithin(limit time.Duration) time.Duration {
-	ctx, cancel := context.WithTimeout(l.t.Context(), limit)
+// handOverWithin returns how long a handover took, with a time limit.
+func (s *handoverShard) handOverWithin(limit time.Duration) time.Duration {
+	ctx, cancel := context.WithTimeout(s.t.Context(), limit)
 	defer cancel()
 	began := time.Now()
-	l.store.part(ctx, 1)
+	s.store.prepareHandover(ctx, 1)
 	return time.Since(began)
 }
 
-// TestPlannedHandOverRecordsWhatWasReceived: a shard that was handed over on plan held what the
-// last record told, up to 500 ms ago, and the next leader had that much made again.
-func TestPlannedHandOverRecordsWhatWasReceived(t *testing.T) {
-	l := newLeavingShard(t)
-	l.receive(1, "a")
-	l.receive(2, "b")
-	l.run()
-	l.partWithin(10 * time.Second)
-	if last, text := l.holds(); last != 2 || text != "a\nb" {
-		t.Fatalf("the shard holds %q up to event %d at the hand-over; 2 events were received", text, last)
+// TestHandoverRecordsReceivedEvents: without a record at the handover the next leader runs
+// again what was received since the last one.
+func TestHandoverRecordsReceivedEvents(t *testing.T) {
+	s := newHandoverShard(t)
+	s.receive(1, "a")
+	s.receive(2, "b")
+	s.run()
+	s.handOverWithin(10 * time.Second)
+	if last, text := s.recorded(); last != 2 || text != "a\nb" {
+		t.Fatalf("recorded %q up to event %d at the handover, want 2 events", text, last)
 	}
-	l.receive(3, "c")
-	l.partWithin(10 * time.Second)
-	if last, text := l.holds(); last != 3 || text != "a\nb\nc" {
-		t.Fatalf("the shard holds %q up to event %d at the second hand-over", text, last)
+	s.receive(3, "c")
+	s.handOverWithin(10 * time.Second)
+	if last, text := s.recorded(); last != 3 || text != "a\nb\nc" {
+		t.Fatalf("recorded %q up to event %d at the second handover, want 3 events", text, last)
 	}
 }
 
-// TestHandOverWaitsForTheRecordUnderWay, and records what came since; it waits no longer than its
-// limit where that record does not end.
-func TestHandOverWaitsForTheRecordUnderWay(t *testing.T) {
-	l := newLeavingShard(t)
-	l.receive(1, "a")
-	l.executor.noting = true
-	l.run()
+// TestHandoverWaitsForPendingRecord: events received during a record in flight need another
+// record. The handover waits no longer than its limit.
+func TestHandoverWaitsForPendingRecord(t *testing.T) {
+	s := newHandoverShard(t)
+	s.receive(1, "a")
+	s.executor.recordingProgress = true
+	s.run()
 	const limit = 50 * time.Millisecond
-	if took := l.partWithin(limit); took < limit {
-		t.Fatalf("the hand-over went on after %v, beside a record under way", took)
+	if took := s.handOverWithin(limit); took < limit {
+		t.Fatalf("the handover returned after %v, with a record in flight", took)
 	}
-	if last, _ := l.holds(); last != 0 {
-		t.Fatalf("event %d was recorded beside a record under way", last)
+	if last, _ := s.recorded(); last != 0 {
+		t.Fatalf("event %d was recorded with a record in flight", last)
 	}
-	l.executor.notes <- struct{}{}
-	l.partWithin(10 * time.Second)
-	if last, _ := l.holds(); last != 1 {
-		t.Fatalf("the shard holds the events up to %d; 1 was received", last)
+	s.executor.progressDone <- struct{}{}
+	s.handOverWithin(10 * time.Second)
+	if last, _ := s.recorded(); last != 1 {
+		t.Fatalf("events up to %d are recorded, want 1", last)
 	}
 }
 
-// TestHandOverRecordsNothingWhereThatIsSwitchedOff, and goes on at once.
-func TestHandOverRecordsNothingWhereThatIsSwitchedOff(t *testing.T) {
-	l := newLeavingShard(t, string(gate.ItemProgress))
-	l.receive(1, "a")
-	l.run()
-	l.partWithin(10 * time.Second)
-	if last, _ := l.holds(); last != 0 {
-		t.Fatalf("the shard holds the events up to %d", last)
+// TestHandoverRecordsNothingWithGateOff checks that the handover returns at once with progress
+// records switched off.
+func TestHandoverRecordsNothingWithGateOff(t *testing.T) {
+	s := newHandoverShard(t, string(gate.ItemProgress))
+	s.receive(1, "a")
+	s.run()
+	s.handOverWithin(10 * time.Second)
+	if last, _ := s.recorded(); last != 0 {
+		t.Fatalf("events up to %d are recorded, want none", last)
 	}
 }
