--- a/internal/balance/leftbehind_test.go
+++ b/internal/balance/leftbehind_test.go
@@ -130,14 +130,14 @@
 	for _, member := range l.members() {
 		servers = append(servers, leftbehind.Server{ID: member.ID, Address: member.Address, Slots: member.Slots})
 	}
-	survey.Begin(name, l.storeNames(), servers, now)
+	survey.Start(name, l.storeNames(), servers, now)
 	l.survey(created, survey, now)
 	l.schedule(now+pollInterval, func(now time.Duration) { l.runItemsAfterSurvey(created, survey, now) })
 }
 
 // runItemsAfterSurvey starts items once the survey knows the requests left behind.
 func (l *loss) runItemsAfterSurvey(store *process, survey *leftbehind.Survey, now time.Duration) {
-	if survey.Open() {
+	if survey.Pending() {
 		l.schedule(now+pollInterval, func(now time.Duration) { l.runItemsAfterSurvey(store, survey, now) })
 		return
 	}
@@ -163,7 +163,7 @@
 // survey has a store query servers until its survey is over.
 func (l *loss) survey(store *process, survey *leftbehind.Survey, now time.Duration) {
 	earliest, heard := store.sharedLoads.EarliestStart()
-	survey.Judge(leftbehind.Sight{Heard: heard, Earliest: earliest, LivedOn: store.sharedLoads.SurvivorsReported()}, store.pool.LiveInflight, now)
+	survey.Evaluate(leftbehind.PeerStatus{Heard: heard, EarliestStart: earliest, SurvivorsReported: store.sharedLoads.SurvivorsReported()}, store.pool.LiveInflight, now)
 	l.reportLeftBehind(store, survey)
 	for _, server := range survey.Due(now) {
 		l.queried++
@@ -173,15 +173,15 @@
 			l.reportLeftBehind(store, survey)
 		})
 	}
-	if !survey.Over() {
+	if !survey.Done() {
 		l.schedule(now+pollInterval, func(now time.Duration) { l.survey(store, survey, now) })
 	}
 }
 
 func (l *loss) reportLeftBehind(store *process, survey *leftbehind.Survey) {
 	left := make(map[string]int)
-	survey.Left(func(id string, count int) { left[id] = count })
-	store.sharedLoads.SetLeftBehind(left, survey.LivedOn())
+	survey.LeftBehind(func(id string, count int) { left[id] = count })
+	store.sharedLoads.SetLeftBehind(left, survey.ReportSurvivors())
 }
 
 // runScenario runs heavy load before the failure and normal load after it, starting with the
--- a/internal/rateclient/lossy_test.go
+++ b/internal/rateclient/lossy_test.go
@@ -13,73 +13,72 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// lossyOwner counts as an owner does. Some questions do not reach it, and some of its answers
-// are lost.
+// lossyOwner is an owner some of whose requests and responses are lost.
 type lossyOwner struct {
-	counts *requestrate.Counts
-	now    time.Duration
-	fate   func() fate
+	limiter *requestrate.Limiter
+	now     time.Duration
+	fate    func() fate
 }
 
-// fate is what becomes of a question.
+// fate is the outcome of a request to the owner.
 type fate int
 
 const (
-	answered fate = iota
-	questionLost
-	answerLost
+	delivered fate = iota
+	requestLost
+	responseLost
 )
 
-var errLost = errors.New("nobody answered")
+var errLost = errors.New("no response")
 
 // TakeRequest implements rateclient.Owners.
 func (o *lossyOwner) TakeRequest(_ context.Context, request *rockwindpb.TakeRequestsRequest) (*rockwindpb.TakeRequestsResponse, error) {
 	fate := o.fate()
-	if fate == questionLost {
+	if fate == requestLost {
 		return nil, errLost
 	}
 	limit := requestrate.NewLimit(request.GetRequestsPerSecond(), request.GetRequestBurst())
-	decided := o.counts.Take(requestrate.NewRequest(request.GetTenant(), limit, request.GetConfiguration()).
-		From(request.GetRouter(), request.GetRouterStartedUnixMs(), request.GetQuestion()).
+	decided := o.limiter.Take(requestrate.NewRequest(request.GetTenant(), limit, request.GetConfiguration()).
+		FromRouter(request.GetRouter(), request.GetRouterStartedUnixMs(), request.GetQuestion()).
 		WithReturned(request.GetReturned()).WithUnanswered(request.GetPassed(), request.GetWithheld()), o.now)
-	if fate == answerLost {
+	if fate == responseLost {
 		return nil, errLost
 	}
 	return &rockwindpb.TakeRequestsResponse{
-		Granted: decided.Granted(), RetryAfterMs: uint32(decided.ComeBack().Milliseconds()), Remaining: decided.Remaining(),
+		Granted: decided.Granted(), RetryAfterMs: uint32(decided.RetryAfter().Milliseconds()), Remaining: decided.Remaining(),
 	}, nil
 }
 
-// TestLostAnswersCostATenantNothing: whatever questions and answers are lost, a tenant gets its
-// burst, and no more than that and what its routers may let through unasked.
+// TestLostAnswersCostATenantNothing: with any losses a tenant gets its burst, and no more than that and
+// what its routers may pass unchecked.
 func TestLostAnswersCostATenantNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const burst, routers = 12, 2
 		limited := &rockwindpb.Tenant{Name: "tenant", Limits: &rockwindpb.Limits{RequestsPerSecond: 0.000001, RequestBurst: burst}}
-		owner := &lossyOwner{counts: requestrate.NewCounts(requestrate.Tolerance{}, 0), now: 1e6 * time.Hour}
+		owner := &lossyOwner{limiter: requestrate.NewLimiter(requestrate.Tolerance{}, 0), now: 1e6 * time.Hour}
 		var clients []*rateclient.Client
 		for _, name := range []string{"router-1", "router-2"} {
 			clients = append(clients, rateclient.New(owner, name, func() int { return routers }))
 		}
 		passed := 0
 		ask := func(client *rateclient.Client) {
-			if client.Take(context.Background(), limited, 1, time.Second, rateclient.Turn{}) == nil {
+			if client.Take(context.Background(), limited, 1, time.Second, rateclient.Options{}) == nil {
 				passed++
 			}
 		}
 		owner.fate = func() fate {
-			return fate(rapid.SampledFrom([]int{int(answered), int(questionLost), int(answerLost)}).Draw(t, "fate"))
+			return fate(rapid.SampledFrom([]int{int(delivered), int(requestLost), int(responseLost)}).Draw(t, "fate"))
 		}
 		for range rapid.IntRange(0, 20).Draw(t, "lossy requests") {
 			ask(clients[rapid.IntRange(0, routers-1).Draw(t, "router")])
 		}
-		owner.fate = func() fate { return answered }
+		owner.fate = func() fate { return delivered }
 		for range 2 * burst {
 			for _, client := range clients {
 				ask(client)
 			}
 		}
-		// Each router lets one through at any time, and its part of what the tenant has left.
+		// Each router may pass one unchecked, and its share of the remaining requests.
 		if passed < burst || passed > 2*burst+routers {
 			t.Fatalf("%d requests passed with a burst of %d", passed, burst)
 		}
--- a/internal/requestrate/questions.go
+++ b/internal/requestrate/questions.go
@@ -1,116 +1,115 @@
 package requestrate
 
-// rememberedQuestions is how many of a router's latest questions about a tenant are
-// remembered. A router has fewer without an answer at a time.
-const rememberedQuestions = 64
+// sequenceWindow is how many of a router's latest sequence numbers for a tenant are remembered.
+// Routers have fewer requests in flight per tenant.
+const sequenceWindow = 64
 
-// questions remembers which of a router's questions about a tenant were counted, and which
-// came. It costs some tens of bytes for each router at which the tenant was seen within idleFor.
-type questions struct {
-	life    int64
-	counted numbers
-	came    numbers
+// sequences records which of a router's sequence numbers for a tenant were received and which of
+// them were charged. It takes some tens of bytes per router that used the tenant within idleTimeout.
+type sequences struct {
+	routerStarted int64
+	charged       sequenceSet
+	received      sequenceSet
 }
 
-// numbers is a set of the latest numbers.
-type numbers struct {
-	// newest is the highest number added; bit i of mask tells whether newest - i was.
+// sequenceSet is a set of the latest sequence numbers.
+type sequenceSet struct {
+	// newest is the highest number added. Bit i of mask is set if newest - i is in the set.
 	newest uint64
 	mask   uint64
 }
 
-// has tells whether a number was added. Of one that is too old to be remembered it is not
-// known, and false.
-func (q *numbers) has(number uint64) bool {
-	return number <= q.newest && !q.forgotten(number) && q.mask&(1<<(q.newest-number)) != 0
+// contains reports whether a number was added. It is false for expired numbers.
+func (s *sequenceSet) contains(number uint64) bool {
+	return number <= s.newest && !s.expired(number) && s.mask&(1<<(s.newest-number)) != 0
 }
 
-// forgotten tells whether a number is too old to be remembered.
-func (q *numbers) forgotten(number uint64) bool {
-	return number <= q.newest && q.newest-number >= rememberedQuestions
+// expired reports whether a number is too old to be in the set.
+func (s *sequenceSet) expired(number uint64) bool {
+	return number <= s.newest && s.newest-number >= sequenceWindow
 }
 
-func (q *numbers) add(number uint64) {
-	if number > q.newest {
-		q.mask = shifted(q.mask, number-q.newest)
-		q.newest = number
+func (s *sequenceSet) add(number uint64) {
+	if number > s.newest {
+		s.mask = shiftLeft(s.mask, number-s.newest)
+		s.newest = number
 	}
-	if age := q.newest - number; age < rememberedQuestions {
-		q.mask |= 1 << age
+	if age := s.newest - number; age < sequenceWindow {
+		s.mask |= 1 << age
 	}
 }
 
-func (q *numbers) remove(number uint64) {
-	q.mask &^= 1 << (q.newest - number)
+func (s *sequenceSet) remove(number uint64) {
+	s.mask &^= 1 << (s.newest - number)
 }
 
-func shifted(mask, by uint64) uint64 {
-	if by >= rememberedQuestions {
+func shiftLeft(mask, by uint64) uint64 {
+	if by >= sequenceWindow {
 		return 0
 	}
 	return mask << by
 }
 
-// questionsOf returns what is remembered of the router that asks; a new life of its process
-// numbers its questions anew.
-func (b *bucket) questionsOf(request Request) *questions {
-	known := b.asked[request.router]
-	if known == nil || known.life != request.life {
-		known = &questions{life: request.life}
-		b.asked[request.router] = known
+// sequencesOf returns the state of the router that sent a request. A restarted router starts a new
+// sequence.
+func (b *bucket) sequencesOf(request Request) *sequences {
+	known := b.sequences[request.router]
+	if known == nil || known.routerStarted != request.routerStarted {
+		known = &sequences{routerStarted: request.routerStarted}
+		b.sequences[request.router] = known
 	}
 	return known
 }
 
-// comes tells whether the question comes for the first time, and notes that it came. One that
-// is too old to be remembered is taken for one that came.
-func (b *bucket) comes(request Request) bool {
-	if request.question == 0 {
+// firstReceipt records that a sequence number was received and reports whether that was the first
+// time. An expired number counts as received before.
+func (b *bucket) firstReceipt(request Request) bool {
+	if request.sequence == 0 {
 		return true
 	}
-	came := &b.questionsOf(request).came
-	if came.has(request.question) || came.forgotten(request.question) {
+	received := &b.sequencesOf(request).received
+	if received.contains(request.sequence) || received.expired(request.sequence) {
 		return false
 	}
-	came.add(request.question)
+	received.add(request.sequence)
 	return true
 }
 
-// counted tells whether the question was counted already. One that is too old to be
-// remembered is taken for one that was not, so that the limit holds.
-func (b *bucket) counted(request Request) bool {
-	return request.question > 0 && b.questionsOf(request).counted.has(request.question)
+// isCharged reports whether the request was charged before. An expired number counts as not
+// charged, so that the limit holds.
+func (b *bucket) isCharged(request Request) bool {
+	return request.sequence > 0 && b.sequencesOf(request).charged.contains(request.sequence)
 }
 
-// count counts the question of a request.
-func (b *bucket) count(request Request) {
+// charge charges a request.
+func (b *bucket) charge(request Request) {
 	b.level--
-	if request.question > 0 {
-		b.questionsOf(request).counted.add(request.question)
+	if request.sequence > 0 {
+		b.sequencesOf(request).charged.add(request.sequence)
 	}
 }
 
-// settle takes what the router tells of earlier questions: a request that it let through
-// counts once, whether its question was granted here or never came; one that was granted and
-// did not run counts nothing. What it gives back, and what it refused itself, is told with one
-// question and counts with the first that comes of it.
-func (b *bucket) settle(request Request) {
-	if b.comes(request) {
+// reconcile applies what the router reports about earlier requests. One that it passed is charged
+// once, whether it was granted here or never arrived; one that was granted but withheld is
+// refunded. Returned and refused counts are applied only at the first receipt of the request
+// that carries them.
+func (b *bucket) reconcile(request Request) {
+	if b.firstReceipt(request) {
 		b.refused += float64(request.refused)
 		b.level = min(b.limit.burst, b.level+float64(request.returned))
 	}
 	if len(request.passed)+len(request.withheld) == 0 {
 		return
 	}
-	known := &b.questionsOf(request).counted
+	known := &b.sequencesOf(request).charged
 	for _, number := range request.passed {
-		if !known.has(number) {
+		if !known.contains(number) {
 			b.level--
 			known.add(number)
 		}
 	}
 	for _, number := range request.withheld {
-		if known.has(number) {
+		if known.contains(number) {
 			b.level = min(b.limit.burst, b.level+1)
 			known.remove(number)
 		}
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -25,10 +25,10 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.view = view
-	if change.Machines() || before == nil {
+	if change.MachinesChanged() || before == nil {
 		d.setPeers(view)
 	}
-	for _, left := range change.Left() {
+	for _, left := range change.Removed() {
 		d.drop(left)
 	}
 	for _, server := range change.Servers() {
@@ -46,9 +46,9 @@
 	}
 }
 
-// DrainZones takes which zones are drained. Servers of a drained zone leave their pools, so that
+// SetZoneDrains takes which zones are drained. Servers of a drained zone leave their pools, so that
 // no request, item, trial or copy is begun there, and finish what they have.
-func (d *Dispatcher) DrainZones(drains *zonedrain.List) {
+func (d *Dispatcher) SetZoneDrains(drains *zonedrain.List) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if drains.Revision() == d.drains.Revision() {
@@ -126,7 +126,7 @@
 // there. The mutex is held.
 func (d *Dispatcher) nameServers(view *directory.View, change directory.Change) {
 	news := change.Servers()
-	if len(change.Left()) > 0 {
+	if len(change.Removed()) > 0 {
 		// Servers may share a short name.
 		d.servers, d.lefts, news = make(map[uint32]struct{}), make(map[uint32]struct{}), view.Servers()
 	}
--- a/internal/router/survey.go
+++ b/internal/router/survey.go
@@ -30,14 +30,14 @@
 	mostReport = 64 << 10
 )
 
-// Inquiry is what servers and processes agree on to ask a server for its load. A Protocol that
+// LoadQuery is what servers and processes agree on to ask a server for its load. A Protocol that
 // has none gives nothing to ask.
-type Inquiry interface {
-	// Question writes what asks a server into a header, and returns the path that a GET asks.
+type LoadQuery interface {
+	// PrepareLoadRequest writes what asks a server into a header, and returns the path that a GET asks.
 	// A server answers it without a slot.
-	Question(header http.Header, serverID string) (path string)
-	// Report reads the answer: how many requests the server has, running and waiting.
-	Report(status int, body []byte) (requests int, err error)
+	PrepareLoadRequest(header http.Header, serverID string) (path string)
+	// ParseLoad reads the answer: how many requests the server has, running and waiting.
+	ParseLoad(status int, body []byte) (requests int, err error)
 }
 
 // survey is what a dispatcher found out after its start, with the service of each server that
@@ -50,7 +50,7 @@
 // Survey has servers asked after the start what processes that are gone left behind there, and
 // returns once that is over or the context ends.
 func (d *Dispatcher) Survey(ctx context.Context, settings *rockwindpb.SiteSettings, watcher *site.Watcher, protocol Protocol, client *upstream.Client) {
-	inquiry, offered := protocol.(Inquiry)
+	inquiry, offered := protocol.(LoadQuery)
 	if !offered || !d.gates.On(gate.LeftBehind) || !d.AwaitReady(ctx) || !watcher.AwaitKnown(ctx) {
 		return
 	}
@@ -58,7 +58,7 @@
 }
 
 // runSurvey has the servers of a directory asked until that is over or the context ends.
-func (d *Dispatcher) runSurvey(ctx context.Context, self string, view *directory.View, index *configuration.Index, inquiry Inquiry, client *upstream.Client) {
+func (d *Dispatcher) runSurvey(ctx context.Context, self string, view *directory.View, index *configuration.Index, inquiry LoadQuery, client *upstream.Client) {
 	d.beginSurvey(self, view, index)
 	ticker := time.NewTicker(surveyInterval)
 	defer ticker.Stop()
@@ -109,7 +109,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.survey = &survey{Survey: leftbehind.New(d.origin.UnixMilli()), services: services}
-	d.survey.Begin(self, surveyors(view), servers, d.now())
+	d.survey.Start(self, surveyors(view), servers, d.now())
 }
 
 // judgeSurvey takes what was heard of the others, and returns the servers to be asked now.
@@ -118,9 +118,9 @@
 	defer d.mutex.Unlock()
 	now := d.now()
 	earliest, heard := d.shares.EarliestStart()
-	d.survey.Judge(leftbehind.Sight{Heard: heard, Earliest: earliest, LivedOn: d.shares.SurvivorsReported()}, d.living, now)
+	d.survey.Evaluate(leftbehind.PeerStatus{Heard: heard, EarliestStart: earliest, SurvivorsReported: d.shares.SurvivorsReported()}, d.living, now)
 	d.tellLeftBehind()
-	return d.survey.Due(now), d.survey.Over()
+	return d.survey.Due(now), d.survey.Done()
 }
 
 // living is how many requests the living processes have at a server. The mutex is held.
@@ -132,20 +132,20 @@
 // where it has changed. The mutex is held.
 func (d *Dispatcher) tellLeftBehind() {
 	left := make(map[string]int)
-	d.survey.Left(func(id string, count int) { left[id] = count })
-	if d.shares.SetLeftBehind(left, d.survey.LivedOn()) {
+	d.survey.LeftBehind(func(id string, count int) { left[id] = count })
+	if d.shares.SetLeftBehind(left, d.survey.ReportSurvivors()) {
 		d.nudge()
 	}
 }
 
 // ask asks a server for its load.
-func (d *Dispatcher) ask(ctx context.Context, server leftbehind.Server, inquiry Inquiry, client *upstream.Client) {
+func (d *Dispatcher) ask(ctx context.Context, server leftbehind.Server, inquiry LoadQuery, client *upstream.Client) {
 	requests, err := question(ctx, server, inquiry, client)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if err != nil {
 		log.WithError(fault.From(err)).WithField("server", server.ID).Debug("a server does not tell its load")
-		d.survey.Missed(server.ID)
+		d.survey.Failed(server.ID)
 		return
 	}
 	d.survey.Answered(server.ID, requests, d.living(server.ID))
@@ -153,11 +153,11 @@
 }
 
 // question puts a question to a server.
-func question(ctx context.Context, server leftbehind.Server, inquiry Inquiry, client *upstream.Client) (requests int, err error) {
+func question(ctx context.Context, server leftbehind.Server, inquiry LoadQuery, client *upstream.Client) (requests int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, questionTime)
 	defer cancel()
 	header := make(http.Header)
-	path := inquiry.Question(header, server.ID)
+	path := inquiry.PrepareLoadRequest(header, server.ID)
 	response, err := client.Do(ctx, server.Address, &upstream.Request{
 		Kind: upstream.Relayed, Method: http.MethodGet, Path: path, Header: header, Repeatable: true,
 		Timeouts: upstream.Timeouts{Connect: questionTime, FirstByte: questionTime},
@@ -171,7 +171,7 @@
 		return 0, fault.Newf(fault.Unavailable, "look at the server", "the report of a server was not read whole: %v", err)
 	}
 	response.Finish()
-	return inquiry.Report(response.Status, body)
+	return inquiry.ParseLoad(response.Status, body)
 }
 
 // endSurvey writes what was asked and found.
@@ -183,13 +183,13 @@
 		return
 	}
 	decision.Default.Record(decision.ServersAsked, self, log.Fields{
-		"asked": counts.Asked, "answered": counts.Answered, "left_behind": counts.Left, "after_ms": d.now().Milliseconds(),
+		"asked": counts.Asked, "answered": counts.Answered, "left_behind": counts.LeftBehind, "after_ms": d.now().Milliseconds(),
 	})
 }
 
 // surveyOpen tells whether it is not known yet what was left behind: batch work waits for that. The
 // mutex is held.
-func (d *Dispatcher) surveyOpen() bool { return d.survey != nil && d.survey.Open() }
+func (d *Dispatcher) surveyOpen() bool { return d.survey != nil && d.survey.Pending() }
 
 // LeftBehind tells how many requests of processes that are gone the servers are taken to have,
 // as all processes tell, and how many questions this one put since its start.
