--- a/internal/balance/fleet_test.go
+++ b/internal/balance/fleet_test.go
@@ -31,8 +31,8 @@
 }
 
 type process struct {
-	name   string
-	pool   *balance.Pool
+	name        string
+	pool        *balance.Pool
 	sharedLoads *balance.SharedLoads
 	// started is the start time in Unix milliseconds. gone is set once the process has ended without
 	// notice.
