--- a/internal/balance/shared.go
+++ b/internal/balance/shared.go
@@ -14,7 +14,8 @@
 // clients that were told to retry, and for a tenant's use of a class (fairshare.Hash).
 type SharedLoad struct {
 	Inflight int
-	Unread   int
+	// Unread is the number of prompt tokens sent whose first event has not arrived.
+	Unread int
 	// Batch counts the requests in flight that are batch work.
 	Batch int
 	// Suspects is the number of processes that consider the server failing.
