--- a/internal/directory/change.go
+++ b/internal/directory/change.go
@@ -7,56 +7,56 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Change is what is different in a view from one before. Entries that are the same messages
-// in both are the same; a watcher keeps those that it is told nothing new of.
+// Change is the difference between two views. Entries are compared by pointer: Merge keeps
+// the messages of entries that a response does not mention.
 type Change struct {
-	servers  []*rockwindpb.Server
-	left     []*rockwindpb.Server
-	machines bool
+	servers         []*rockwindpb.Server
+	removed         []*rockwindpb.Server
+	machinesChanged bool
 }
 
-// Servers lists the entries that are new or other than before, by identifier.
+// Servers lists new and changed entries by identifier.
 func (c Change) Servers() []*rockwindpb.Server { return c.servers }
 
-// Removed lists the entries of before that are no more, by identifier.
-func (c Change) Removed() []*rockwindpb.Server { return c.left }
+// Removed lists the entries that the previous view had and this one lacks, by identifier.
+func (c Change) Removed() []*rockwindpb.Server { return c.removed }
 
-// MachinesChanged tells whether any machine is new, other than before or no more.
-func (c Change) MachinesChanged() bool { return c.machines }
+// MachinesChanged reports whether any machine was added, changed or removed.
+func (c Change) MachinesChanged() bool { return c.machinesChanged }
 
-// ChangeFrom compares the view with one before that the same watcher held, nil for an empty
-// one. It looks at what has changed; where entries may have left meanwhile, at each of them.
-func (v *View) ChangeFrom(before *View) Change {
-	if before == nil {
-		before = newView()
+// ChangeFrom compares the view with an earlier one of the same watcher; nil is an empty view.
+// It visits only changed entries, or all of them if some may have been removed in between.
+func (v *View) ChangeFrom(previous *View) Change {
+	if previous == nil {
+		previous = newView()
 	}
-	if before.revision >= v.whole && before.revision <= v.revision {
-		change := Change{servers: byID(slices.Collect(v.servers.since(before.revision)))}
-		for range v.machines.since(before.revision) {
-			change.machines = true
+	if previous.revision >= v.completeSince && previous.revision <= v.revision {
+		change := Change{servers: sortByID(slices.Collect(v.servers.since(previous.revision)))}
+		for range v.machines.since(previous.revision) {
+			change.machinesChanged = true
 		}
 		return change
 	}
 	change := Change{
-		servers: unlike(&v.servers.entries, &before.servers.entries), left: missing(&before.servers.entries, &v.servers.entries),
-		machines: v.machines.size() != before.machines.size(),
+		servers: changedEntries(&v.servers.entries, &previous.servers.entries), removed: removedEntries(&previous.servers.entries, &v.servers.entries),
+		machinesChanged: v.machines.size() != previous.machines.size(),
 	}
-	change.machines = change.machines || len(unlike(&v.machines, &before.machines)) > 0
+	change.machinesChanged = change.machinesChanged || len(changedEntries(&v.machines, &previous.machines)) > 0
 	return change
 }
 
-// unlike lists the entries that are not the same messages in the others, by name.
-func unlike[M message](of, others *entries[M]) []M {
-	return slices.DeleteFunc(of.list(), func(entry M) bool { return others.get(of.name(entry)) == entry })
+// changedEntries lists the current entries that are not the same message in previous, by name.
+func changedEntries[M message](current, previous *entries[M]) []M {
+	return slices.DeleteFunc(current.list(), func(entry M) bool { return previous.get(current.name(entry)) == entry })
 }
 
-// missing lists the entries that the others lack, by name.
-func missing[M message](of, others *entries[M]) []M {
+// removedEntries lists the previous entries that current lacks, by name.
+func removedEntries[M message](previous, current *entries[M]) []M {
 	var none M
-	return slices.DeleteFunc(of.list(), func(entry M) bool { return others.get(of.name(entry)) != none })
+	return slices.DeleteFunc(previous.list(), func(entry M) bool { return current.get(previous.name(entry)) != none })
 }
 
-func byID(servers []*rockwindpb.Server) []*rockwindpb.Server {
+func sortByID(servers []*rockwindpb.Server) []*rockwindpb.Server {
 	slices.SortFunc(servers, func(one, other *rockwindpb.Server) int { return cmp.Compare(one.GetId(), other.GetId()) })
 	return servers
 }
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,18 +1,17 @@
-// Package directory is the state machine that holds the servers and the
-// machines of a site. It is part of the root group's state: what is committed
-// here survives the process that acknowledged it. The package is pure: time
-// comes in the commands.
+// Package directory is the replicated state machine of a site's servers and machines. It is
+// part of the state of the root group. Commands carry the time, so that applying them is
+// deterministic.
 //
 // Invariants:
-//   - the state of one incarnation of a server never goes back from draining or
-//     gone, whatever reports arrive late; a later start under the same identifier is another
-//     incarnation, and what comes late from an earlier one changes nothing;
-//   - of several incarnations at one address, one is gone only where it left, or the address
-//     was asked and another one answered; a report of a version that did not ask ends all
-//     others there;
-//   - every change raises the revision, and an entry carries the revision at
-//     which it last changed, so that a watcher learns what is new from one number;
-//   - the founding of the stores' cluster is decided once.
+//   - An incarnation never returns from draining or gone, however late its reports arrive. A
+//     later start under the same identifier is a new incarnation, and delayed messages of the
+//     earlier one have no effect.
+//   - Of several incarnations at one address, one becomes gone only if it left, or if the
+//     address was probed and another incarnation answered. A report from a version that does
+//     not probe marks all others at its address as gone.
+//   - Every change increments the revision, and each entry carries the revision of its last
+//     change, so that a watcher needs a single number to request what is new.
+//   - The store cluster is founded at most once.
 package directory
 
 import (
@@ -23,31 +22,30 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// goneRetention is how long the entry of a server that left is kept, so that a
-// late report cannot revive it.
+// goneRetention is how long the entry of a gone server is kept, so that late reports cannot
+// revive it.
 const goneRetention = 5 * time.Minute
 
-// Directory is the replicated state. Its owner goroutine alone may call Apply
-// and Load; the View that it hands out is immutable.
+// Directory is the replicated state. Only its owner goroutine may call its methods; the
+// View that it returns is immutable.
 type Directory struct {
 	revision     uint64
-	dropped      uint64
+	lastRemoval  uint64
 	servers      servers
 	machines     entries[*rockwindpb.Machine]
 	storeCluster *rockwindpb.FoundRequest
-	// view is nil where the state has changed since the last call of View.
+	// view is nil if the state has changed since the last call of View.
 	view *View
 }
 
-// New returns an empty directory.
 func New() *Directory {
 	return &Directory{servers: newServers(), machines: newEntries((*rockwindpb.Machine).GetName)}
 }
 
-// View is the directory at one moment. Only the owner goroutine may call it.
+// View returns a snapshot of the directory. Only the owner goroutine may call it.
 func (d *Directory) View() *View {
 	if d.view == nil {
-		d.publish()
+		d.rebuildView()
 	}
 	return d.view
 }
@@ -56,37 +54,37 @@
 func (d *Directory) Apply(command *rockwindpb.DirectoryCommand) {
 	now := command.GetNowUnixMs()
 	before := d.revision
-	d.succeed(command.GetSuccession().GetEnded(), now)
+	d.markEnded(command.GetSuccession().GetEnded(), now)
 	switch content := command.GetCommand().(type) {
 	case *rockwindpb.DirectoryCommand_Report:
 		d.report(content.Report, command.GetSuccession() == nil, now)
 	case *rockwindpb.DirectoryCommand_Leave:
-		d.leaveOf(content.Leave, now)
+		d.applyLeave(content.Leave, now)
 	case *rockwindpb.DirectoryCommand_Silence:
-		d.silence(content.Silence.GetIds(), now)
+		d.markSilent(content.Silence.GetIds(), now)
 	case *rockwindpb.DirectoryCommand_Announce:
 		d.announce(content.Announce, now)
 	case *rockwindpb.DirectoryCommand_FoundStores:
-		d.foundStores(content.FoundStores)
+		d.foundStoreCluster(content.FoundStores)
 	case *rockwindpb.DirectoryCommand_Forget:
 		d.forget(content.Forget.GetName())
 	case *rockwindpb.DirectoryCommand_Retire:
 		d.retire(content.Retire.GetName(), now)
 	}
-	d.dropOld(now)
+	d.dropExpired(now)
 	if d.revision != before {
 		d.view = nil
 	}
 }
 
-// WouldChange tells whether a report would change the directory. A report that
-// would not needs no entry in the log.
+// WouldChange reports whether a report would change the directory. A report that would not
+// needs no log entry.
 func (v *View) WouldChange(report *rockwindpb.Server) bool {
-	return changes(v.servers.get(report.GetId()), report)
+	return wouldChange(v.servers.get(report.GetId()), report)
 }
 
-func changes(known, report *rockwindpb.Server) bool {
-	if known == nil || startedAgain(known, report) {
+func wouldChange(known, report *rockwindpb.Server) bool {
+	if known == nil || restarted(known, report) {
 		return true
 	}
 	if report.GetBornUnixMs() != 0 && report.GetBornUnixMs() < known.GetBornUnixMs() {
@@ -101,44 +99,43 @@
 	if report.GetSequence() < known.GetSequence() {
 		return false
 	}
-	learnsStart := known.GetBornUnixMs() == 0 && report.GetBornUnixMs() != 0
-	return learnsStart || known.GetState() != report.GetState() || known.GetAddress() != report.GetAddress() ||
+	learnsStartTime := known.GetBornUnixMs() == 0 && report.GetBornUnixMs() != 0
+	return learnsStartTime || known.GetState() != report.GetState() || known.GetAddress() != report.GetAddress() ||
 		known.GetService() != report.GetService() || known.GetZone() != report.GetZone() ||
 		known.GetVersion() != report.GetVersion() || known.GetSlots() != report.GetSlots()
 }
 
-// startedAgain tells whether a report is of a later start under the identifier of a known server,
-// whose state and sequence tell nothing of it.
-func startedAgain(known, report *rockwindpb.Server) bool {
+// restarted reports whether a report comes from a later start under the identifier of a
+// known server. Its state and sequence number are then unrelated to the known ones.
+func restarted(known, report *rockwindpb.Server) bool {
 	return known.GetBornUnixMs() != 0 && report.GetBornUnixMs() > known.GetBornUnixMs()
 }
 
-// report takes a report. Where the newest one counts, as in the logs of earlier versions, an
-// unknown incarnation has ended all others at its address.
-func (d *Directory) report(report *rockwindpb.Server, newest bool, now int64) {
-	if !changes(d.servers.get(report.GetId()), report) {
+// report applies a report. endOthers marks the other incarnations at the address of an
+// unknown one as gone, as log entries of earlier versions require.
+func (d *Directory) report(report *rockwindpb.Server, endOthers bool, now int64) {
+	if !wouldChange(d.servers.get(report.GetId()), report) {
 		return
 	}
-	if newest {
-		d.retireAddress(report, now)
+	if endOthers {
+		d.replaceAtAddress(report, now)
 	}
 	d.putServer(proto.CloneOf(report), now)
 }
 
-// retireAddress marks the earlier incarnations at the address of a new one as
-// gone: an address belongs to one server at a time.
-func (d *Directory) retireAddress(report *rockwindpb.Server, now int64) {
+// replaceAtAddress marks the other incarnations at the address of an unknown one as gone.
+func (d *Directory) replaceAtAddress(report *rockwindpb.Server, now int64) {
 	if d.servers.get(report.GetId()) != nil {
 		return
 	}
-	// In the order of identifiers, since replicas must number the changes alike.
+	// The order by identifier is the same on all replicas, and so are the revisions.
 	for _, earlier := range d.servers.at(report.GetAddress()) {
-		d.goneServer(earlier.GetId(), earlier.GetState() == rockwindpb.ServerState_SERVER_STATE_READY, now)
+		d.markGone(earlier.GetId(), earlier.GetState() == rockwindpb.ServerState_SERVER_STATE_READY, now)
 	}
 }
 
-// leaveOf takes a leave, unless it comes late from an earlier start.
-func (d *Directory) leaveOf(leaving *rockwindpb.LeaveServerRequest, now int64) {
+// applyLeave applies a leave unless it belongs to an earlier start.
+func (d *Directory) applyLeave(leaving *rockwindpb.LeaveServerRequest, now int64) {
 	known := d.servers.get(leaving.GetId())
 	if leaving.GetBornUnixMs() != 0 && leaving.GetBornUnixMs() < known.GetBornUnixMs() {
 		return
@@ -146,10 +143,10 @@
 	d.leave(leaving.GetId(), now)
 }
 
-func (d *Directory) leave(id string, now int64) { d.goneServer(id, false, now) }
+func (d *Directory) leave(id string, now int64) { d.markGone(id, false, now) }
 
-// goneServer marks an incarnation as gone, one that was replaced while it was ready as such.
-func (d *Directory) goneServer(id string, replaced bool, now int64) {
+// markGone marks an incarnation as gone; replaced tells that it was ready and lost its address.
+func (d *Directory) markGone(id string, replaced bool, now int64) {
 	known := d.servers.get(id)
 	if known.GetState() == rockwindpb.ServerState_SERVER_STATE_GONE {
 		return
@@ -163,7 +160,7 @@
 	d.putServer(gone, now)
 }
 
-func (d *Directory) silence(ids []string, now int64) {
+func (d *Directory) markSilent(ids []string, now int64) {
 	for _, id := range ids {
 		known := d.servers.get(id)
 		switch known.GetState() {
@@ -184,7 +181,7 @@
 	d.servers.put(server)
 }
 
-// KnowsMachine tells whether an announcement would change nothing.
+// KnowsMachine reports whether an announcement would change nothing.
 func (v *View) KnowsMachine(announced *rockwindpb.Machine) bool {
 	return sameMachine(v.machines.get(announced.GetName()), announced)
 }
@@ -210,7 +207,7 @@
 	d.machines.put(machine)
 }
 
-// retire marks a machine for good.
+// retire marks a machine as retiring. The mark is permanent.
 func (d *Directory) retire(name string, now int64) {
 	known := d.machines.get(name)
 	if known == nil || known.GetRetiring() {
@@ -221,8 +218,8 @@
 	d.putMachine(retiring, now)
 }
 
-// foundStores decides the founding; a second decision has no effect.
-func (d *Directory) foundStores(founding *rockwindpb.FoundRequest) {
+// foundStoreCluster records the founding of the store cluster; later ones are ignored.
+func (d *Directory) foundStoreCluster(founding *rockwindpb.FoundRequest) {
 	if d.storeCluster != nil {
 		return
 	}
@@ -236,33 +233,33 @@
 	}
 	d.machines.drop(name)
 	d.revision++
-	d.dropped = d.revision
+	d.lastRemoval = d.revision
 }
 
-// dropOld removes entries of servers that left long ago.
-func (d *Directory) dropOld(now int64) {
+// dropExpired removes the entries of servers that have been gone for goneRetention.
+func (d *Directory) dropExpired(now int64) {
 	for _, server := range d.servers.goneBefore(now - goneRetention.Milliseconds() + 1) {
 		d.servers.drop(server.GetId())
 		d.revision++
-		d.dropped = d.revision
+		d.lastRemoval = d.revision
 	}
 }
 
-// Save returns the whole state, sorted.
+// Save returns the complete state in a deterministic order.
 func (d *Directory) Save() *rockwindpb.DirectorySnapshot {
 	return &rockwindpb.DirectorySnapshot{
 		Revision:     d.revision,
-		Dropped:      d.dropped,
+		Dropped:      d.lastRemoval,
 		Servers:      d.servers.list(),
 		Machines:     d.machines.list(),
 		StoreCluster: d.storeCluster,
 	}
 }
 
-// Load replaces the whole state with one that Save returned.
+// Load replaces the state with one returned by Save.
 func (d *Directory) Load(snapshot *rockwindpb.DirectorySnapshot) {
 	d.revision = snapshot.GetRevision()
-	d.dropped = snapshot.GetDropped()
+	d.lastRemoval = snapshot.GetDropped()
 	d.storeCluster = snapshot.GetStoreCluster()
 	d.servers, d.machines = newServers(), newEntries((*rockwindpb.Machine).GetName)
 	for _, server := range snapshot.GetServers() {
@@ -274,13 +271,13 @@
 	d.view = nil
 }
 
-func (d *Directory) publish() {
+func (d *Directory) rebuildView() {
 	d.view = &View{
-		revision:     d.revision,
-		dropped:      d.dropped,
-		whole:        d.dropped,
-		servers:      d.servers.copy(),
-		machines:     d.machines.copy(),
-		storeCluster: d.storeCluster,
+		revision:      d.revision,
+		lastRemoval:   d.lastRemoval,
+		completeSince: d.lastRemoval,
+		servers:       d.servers.copy(),
+		machines:      d.machines.copy(),
+		storeCluster:  d.storeCluster,
 	}
 }
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -51,17 +51,17 @@
 	d.Apply(report("a", "x", ready, 3))
 	d.Apply(report("a", "x", ready, 5))
 	if got := state(d, "a"); got != draining {
-		t.Fatalf("a draining server is %v", got)
+		t.Fatalf("draining server became %v", got)
 	}
 	d.Apply(leave("a"))
 	d.Apply(report("a", "x", ready, 9))
 	if got := state(d, "a"); got != gone {
-		t.Fatalf("a server that left is %v", got)
+		t.Fatalf("server that left became %v", got)
 	}
 	d.Apply(leave("never-seen"))
 	d.Apply(report("never-seen", "y", ready, 1))
 	if got := state(d, "never-seen"); got != gone {
-		t.Fatalf("a server whose leave came before its first report is %v", got)
+		t.Fatalf("server whose leave preceded its first report became %v", got)
 	}
 }
 
@@ -70,7 +70,7 @@
 	d.Apply(report("old", "x", ready, 9))
 	d.Apply(report("new", "x", ready, 1))
 	if state(d, "old") != gone || state(d, "new") != ready {
-		t.Fatalf("old is %v, new is %v", state(d, "old"), state(d, "new"))
+		t.Fatalf("old incarnation is %v, new one is %v", state(d, "old"), state(d, "new"))
 	}
 }
 
@@ -94,7 +94,7 @@
 	d.Apply(&rockwindpb.DirectoryCommand{Command: &rockwindpb.DirectoryCommand_Retire{Retire: &rockwindpb.RetireMachine{Name: "s"}}})
 	d.Apply(announce("s", rockwindpb.SiteRole_SITE_ROLE_STORE, 2, 0))
 	if machine, _ := d.View().Machine("s"); !machine.GetRetiring() || machine.GetDiskId() != 2 {
-		t.Fatalf("%v", machine)
+		t.Fatalf("unexpected machine: %v", machine)
 	}
 }
 
@@ -105,20 +105,20 @@
 	for i := range 3 {
 		d.Apply(announce(fmt.Sprintf("s%d", i), role, uint64(i+1), start.UnixMilli()))
 		if directory.PlanStoreCluster(d.View(), 3, start.Add(directory.FoundingQuietPeriod-time.Millisecond)) != nil {
-			t.Fatal("founded before the stores have settled")
+			t.Fatal("founded before the quiet period was over")
 		}
 	}
 	founding := directory.PlanStoreCluster(d.View(), 3, start.Add(directory.FoundingQuietPeriod))
 	if len(founding.GetGroups()) != 3 {
-		t.Fatalf("%v", founding)
+		t.Fatalf("unexpected founding: %v", founding)
 	}
 	for _, group := range founding.GetGroups() {
 		if len(group.GetMembership().GetMembers()) != 3 {
-			t.Fatalf("%v", group)
+			t.Fatalf("unexpected members: %v", group)
 		}
 	}
 	if !proto.Equal(founding, directory.PlanStoreCluster(d.View(), 3, start.Add(time.Hour))) {
-		t.Fatal("the same stores make another cluster")
+		t.Fatal("the same stores yield a different founding")
 	}
 	found := &rockwindpb.DirectoryCommand{Command: &rockwindpb.DirectoryCommand_FoundStores{FoundStores: founding}}
 	d.Apply(found)
@@ -126,7 +126,7 @@
 	other.ClusterId = "other"
 	d.Apply(&rockwindpb.DirectoryCommand{Command: &rockwindpb.DirectoryCommand_FoundStores{FoundStores: other}})
 	if got := d.View().StoreCluster().GetClusterId(); got != founding.GetClusterId() {
-		t.Fatalf("a second founding made %s", got)
+		t.Fatalf("a second founding changed the cluster to %s", got)
 	}
 	if directory.PlanStoreCluster(d.View(), 3, start.Add(time.Hour)) != nil {
 		t.Fatal("founded twice")
@@ -138,16 +138,16 @@
 	start := time.UnixMilli(10_000)
 	d.Apply(announce("s0", rockwindpb.SiteRole_SITE_ROLE_STORE, 1, start.UnixMilli()))
 	if directory.PlanStoreCluster(d.View(), 3, start.Add(directory.FoundingTimeout-time.Millisecond)) != nil {
-		t.Fatal("founded with one store of three at once")
+		t.Fatal("founded with one store of three before the timeout")
 	}
 	if directory.PlanStoreCluster(d.View(), 3, start.Add(directory.FoundingTimeout)) == nil {
-		t.Fatal("never founded")
+		t.Fatal("not founded after the timeout")
 	}
 }
 
-// TestWatchersAndReplicasAgree runs random commands on two replicas, one of which
-// is restored from snapshots, and follows them with a watcher that misses some
-// revisions. All must hold the same servers.
+// TestWatchersAndReplicasAgree applies random commands to two replicas, one of which is
+// restored from snapshots, and to a watcher that misses some revisions. All must hold the
+// same servers.
 func TestWatchersAndReplicasAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first, second := directory.New(), directory.New()
@@ -191,26 +191,26 @@
 					revision, cluster = held.Revision(), held.StoreCluster().GetClusterId()
 				}
 				held = directory.Merge(held, first.View().Since(revision, cluster))
-				same(t, "watcher", held, first.View())
+				requireSameServers(t, "watcher", held, first.View())
 			}
-			same(t, "replica", second.View(), first.View())
+			requireSameServers(t, "replica", second.View(), first.View())
 		}
 	})
 }
 
-func same(t *rapid.T, who string, got, want *directory.View) {
+func requireSameServers(t *rapid.T, who string, got, want *directory.View) {
 	if got.Revision() != want.Revision() || len(got.Servers()) != len(want.Servers()) {
-		t.Fatalf("the %s is at %d with %d servers, not %d with %d", who, got.Revision(), len(got.Servers()), want.Revision(), len(want.Servers()))
+		t.Fatalf("%s is at revision %d with %d servers, want revision %d with %d", who, got.Revision(), len(got.Servers()), want.Revision(), len(want.Servers()))
 	}
 	for _, server := range want.Servers() {
 		if held, _ := got.Server(server.GetId()); !proto.Equal(held, server) {
-			t.Fatalf("the %s holds %v, not %v", who, held, server)
+			t.Fatalf("%s holds %v, want %v", who, held, server)
 		}
 	}
 }
 
-// TestFoundingIsToldOnce: the founding of a large cluster is most of what a watcher would
-// be told at each change.
+// TestFoundingIsToldOnce guards against resending the founding with each change: for a large
+// cluster it is most of the response.
 func TestFoundingIsToldOnce(t *testing.T) {
 	d := directory.New()
 	start := time.UnixMilli(10_000)
@@ -223,11 +223,11 @@
 	d.Apply(report("a", "x", ready, 1))
 	news := d.View().Since(held.Revision(), held.StoreCluster().GetClusterId())
 	if news.GetStoreCluster() != nil {
-		t.Error("the founding is told again")
+		t.Error("the founding is sent again")
 	}
 	held = directory.Merge(held, news)
 	if held.StoreCluster().GetClusterId() != founding.GetClusterId() || len(held.Servers()) != 1 {
-		t.Errorf("the watcher holds founding %q and %d servers", held.StoreCluster().GetClusterId(), len(held.Servers()))
+		t.Errorf("watcher holds founding %q and %d servers", held.StoreCluster().GetClusterId(), len(held.Servers()))
 	}
 }
 
@@ -244,17 +244,17 @@
 	d.Apply(silence("silent"))
 	for id, want := range map[string]bool{"left": false, "drained": false, "replaced": true, "silent": true, "serves": false, "unknown": false} {
 		if got := d.View().Lost(id); got != want {
-			t.Errorf("%s ended without leaving: %v", id, got)
+			t.Errorf("Lost(%s) = %v", id, got)
 		}
 	}
 	for id, want := range map[string]bool{"left": false, "drained": false, "replaced": true, "silent": false, "serves": false, "unknown": false} {
 		if got := d.View().Replaced(id); got != want {
-			t.Errorf("%s was replaced: %v", id, got)
+			t.Errorf("Replaced(%s) = %v", id, got)
 		}
 	}
 	for id, want := range map[string]bool{"left": true, "drained": true, "replaced": true, "silent": true, "serves": false, "unknown": false} {
 		if got := d.View().Absent(id); got != want {
-			t.Errorf("%s is absent: %v", id, got)
+			t.Errorf("Absent(%s) = %v", id, got)
 		}
 	}
 }
--- a/internal/directory/ending.go
+++ b/internal/directory/ending.go
@@ -2,78 +2,76 @@
 
 import "rockwind.example/rockwind/internal/rockwindpb"
 
-// unansweredToEnd is how many questions to the address of a silent server stay without its
-// answer before it counts as ended: one may be lost.
-const unansweredToEnd = 2
+// minUnansweredProbes is how many probes of a silent server must fail before it is considered
+// terminated. It tolerates one lost probe.
+const minUnansweredProbes = 2
 
-// Termination is what is known of the end of an incarnation whose connection broke off.
+// Termination tells whether an incarnation whose connection broke has terminated.
 type Termination int
 
-// What can be known.
 const (
-	// TerminationUnknown: nothing shows yet that it has ended, or that it lives.
+	// TerminationUnknown means that there is no evidence either way.
 	TerminationUnknown Termination = iota
-	// TerminationSuspected: it is silent, or another one is known at its address, which is to be asked.
+	// TerminationSuspected means that the address should be probed: the incarnation is silent
+	// or another one is known at its address.
 	TerminationSuspected
-	// TerminationConfirmed: it has ended without having said that it leaves.
+	// TerminationConfirmed means that the incarnation terminated without a leave.
 	TerminationConfirmed
-	// TerminationRefuted: it lives, and the connection broke off for another reason.
+	// TerminationRefuted means that the incarnation is running.
 	TerminationRefuted
 )
 
-// ProbeHistory is what the address of an incarnation answered since its connection broke off. The
-// zero value tells that it was not asked.
+// ProbeHistory sums up the probes of an incarnation's address since its connection broke. The
+// zero value means that there were none.
 type ProbeHistory struct {
-	itself     bool
-	denied     bool
+	confirmed  bool
+	rejected   bool
 	unanswered int
 }
 
-// With returns the inquiry after one more question about an incarnation. An answer that names
-// another one without denying this one counts as none: it may be damaged, or somebody else's
-// who takes connections in its place.
-func (i ProbeHistory) With(id string, identity Identity) ProbeHistory {
+// With adds the result of a probe. An answer that names another incarnation without rejecting
+// this one counts as unanswered: it may be corrupt or come from a proxy.
+func (h ProbeHistory) With(id string, identity Identity) ProbeHistory {
 	switch {
 	case identity.Rejected == id:
-		i.denied = true
+		h.rejected = true
 	case identity.Found == id:
-		i.itself = true
+		h.confirmed = true
 	default:
-		i.unanswered++
+		h.unanswered++
 	}
-	return i
+	return h
 }
 
-// Termination judges by the directory, and by the answers of its address, whether an incarnation
-// has ended whose connection broke off. It has where another one has its address. Silence
-// alone shows no end: reports are late where processors or the coordinators are busy. A silent
-// incarnation has ended where its address does not answer for it either, as with a proxy that
-// goes on to take connections, unless most other servers are silent too: then it is the way to
-// them that is disturbed, and only an answer decides.
-func (v *View) Termination(id string, asked ProbeHistory) Termination {
+// Termination tells whether an incarnation whose connection broke has terminated. Another
+// incarnation at its address proves it. Silence alone does not, since reports are delayed under
+// load. A silent incarnation is considered terminated if its address does not answer for it
+// either, unless most other servers are silent too: the network is then more likely at fault,
+// and only an answer decides.
+func (v *View) Termination(id string, probes ProbeHistory) Termination {
 	switch {
-	case v.Replaced(id) || asked.denied:
+	case v.Replaced(id) || probes.rejected:
 		return TerminationConfirmed
-	case asked.itself:
+	case probes.confirmed:
 		return TerminationRefuted
-	case v.contested(id):
+	case v.hasAddressConflict(id):
 		return TerminationSuspected
 	case !v.Lost(id):
 		return TerminationUnknown
-	case asked.unanswered < unansweredToEnd || v.othersSilent():
+	case probes.unanswered < minUnansweredProbes || v.mostOthersSilent():
 		return TerminationSuspected
 	}
 	return TerminationConfirmed
 }
 
-// contested tells whether another incarnation is known at the address of one that is not gone:
-// one of the two has ended.
-func (v *View) contested(id string) bool {
+// hasAddressConflict reports whether an incarnation is not gone and shares its address with
+// another one that is not gone.
+func (v *View) hasAddressConflict(id string) bool {
 	server, known := v.Server(id)
 	return known && server.GetState() != rockwindpb.ServerState_SERVER_STATE_GONE && len(v.servers.at(server.GetAddress())) > 1
 }
 
-// othersSilent tells whether most of the servers beside one that is silent are so too.
-func (v *View) othersSilent() bool {
-	return 2*(v.servers.silent-1) > v.servers.here.Len()-1
+// mostOthersSilent reports whether more than half of the servers other than a silent one are silent.
+func (v *View) mostOthersSilent() bool {
+	return 2*(v.servers.silent-1) > v.servers.present.Len()-1
 }
--- a/internal/directory/entries.go
+++ b/internal/directory/entries.go
@@ -10,35 +10,33 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// message is an entry of the directory.
+// message is a directory entry.
 type message interface {
 	comparable
 	GetRevision() uint64
 }
 
-// entries holds messages by name and in the order of their revisions. A copy shares all with
-// its original until one of them changes, and a change costs the logarithm of their number: at
-// a watcher of 10,000 servers, each change of the directory copied 0.9 MB of maps before. A
-// published copy is not changed any more, and may be read by any goroutine.
+// entries indexes messages by name and by revision. Copies are copy-on-write, so that a change
+// takes logarithmic time. A published copy is never modified and is safe for concurrent reads.
 type entries[M message] struct {
 	name func(M) string
-	// copying guards the originals of copies, which are marked as shared.
-	copying    *sync.Mutex
+	// copyLock serializes copies: copying a tree marks the original's nodes as shared.
+	copyLock   *sync.Mutex
 	byName     *btree.Map[string, M]
 	byRevision *btree.Map[string, M]
 }
 
 func newEntries[M message](name func(M) string) entries[M] {
-	return entries[M]{name: name, copying: &sync.Mutex{}, byName: &btree.Map[string, M]{}, byRevision: &btree.Map[string, M]{}}
+	return entries[M]{name: name, copyLock: &sync.Mutex{}, byName: &btree.Map[string, M]{}, byRevision: &btree.Map[string, M]{}}
 }
 
 func (e *entries[M]) copy() entries[M] {
-	e.copying.Lock()
-	defer e.copying.Unlock()
-	return entries[M]{name: e.name, copying: &sync.Mutex{}, byName: e.byName.Copy(), byRevision: e.byRevision.Copy()}
+	e.copyLock.Lock()
+	defer e.copyLock.Unlock()
+	return entries[M]{name: e.name, copyLock: &sync.Mutex{}, byName: e.byName.Copy(), byRevision: e.byRevision.Copy()}
 }
 
-// get returns the entry of a name, nil where there is none.
+// get returns the entry with a name, or nil.
 func (e *entries[M]) get(name string) M {
 	found, _ := e.byName.Get(name)
 	return found
@@ -46,69 +44,68 @@
 
 func (e *entries[M]) size() int { return e.byName.Len() }
 
-// put enters a message in place of the one with its name, which is returned.
-func (e *entries[M]) put(added M) (before M) {
+// put inserts a message and returns the one that it replaces.
+func (e *entries[M]) put(added M) (replaced M) {
 	name := e.name(added)
-	before, known := e.byName.Set(name, added)
+	replaced, known := e.byName.Set(name, added)
 	if known {
-		e.byRevision.Delete(orderedKey(before.GetRevision(), name))
+		e.byRevision.Delete(orderedKey(replaced.GetRevision(), name))
 	}
 	e.byRevision.Set(orderedKey(added.GetRevision(), name), added)
-	return before
+	return replaced
 }
 
-// drop removes the entry of a name, which is returned.
-func (e *entries[M]) drop(name string) (before M) {
-	before, known := e.byName.Delete(name)
+// drop removes the entry with a name and returns it.
+func (e *entries[M]) drop(name string) (removed M) {
+	removed, known := e.byName.Delete(name)
 	if known {
-		e.byRevision.Delete(orderedKey(before.GetRevision(), name))
+		e.byRevision.Delete(orderedKey(removed.GetRevision(), name))
 	}
-	return before
+	return removed
 }
 
-// list lists all entries by name.
 func (e *entries[M]) list() []M { return e.byName.Values() }
 
-// since iterates over the entries that are newer than a revision, in the order of their changes.
+// since iterates over the entries newer than a revision, in the order of their revisions.
 func (e *entries[M]) since(revision uint64) iter.Seq[M] {
 	return func(yield func(M) bool) {
 		e.byRevision.Ascend(orderedKey(revision+1, ""), func(_ string, entry M) bool { return yield(entry) })
 	}
 }
 
-// orderedKey is a key that sorts by a number, and by name where numbers are the same.
+// orderedKey returns a key that sorts by number, then by name.
 func orderedKey(number uint64, name string) string {
 	return string(binary.BigEndian.AppendUint64(make([]byte, 0, 8+len(name)), number)) + name
 }
 
-// servers are the incarnations of servers, with what is asked of all of them at once.
+// servers holds the server incarnations with secondary indexes.
 type servers struct {
 	entries[*rockwindpb.Server]
-	// here holds those that are not gone by address, and gone the others by the time of their
-	// last change.
-	here *btree.Map[string, *rockwindpb.Server]
-	gone *btree.Map[string, *rockwindpb.Server]
-	// silent counts those that are silent.
+	// present indexes incarnations that are not gone by address; gone indexes the others by the
+	// time of their last change.
+	present *btree.Map[string, *rockwindpb.Server]
+	gone    *btree.Map[string, *rockwindpb.Server]
+	// silent is the number of silent incarnations.
 	silent int
 }
 
 func newServers() servers {
 	return servers{
 		entries: newEntries((*rockwindpb.Server).GetId),
-		here:    &btree.Map[string, *rockwindpb.Server]{}, gone: &btree.Map[string, *rockwindpb.Server]{},
+		present: &btree.Map[string, *rockwindpb.Server]{}, gone: &btree.Map[string, *rockwindpb.Server]{},
 	}
 }
 
 func (s *servers) copy() servers {
 	copied := servers{entries: s.entries.copy(), silent: s.silent}
-	s.copying.Lock()
-	defer s.copying.Unlock()
-	copied.here, copied.gone = s.here.Copy(), s.gone.Copy()
+	s.copyLock.Lock()
+	defer s.copyLock.Unlock()
+	copied.present, copied.gone = s.present.Copy(), s.gone.Copy()
 	return copied
 }
 
 func (s *servers) put(added *rockwindpb.Server) {
-	s.forget(s.entries.put(added))
+	s.unindex(s.entries.put(added))
 	switch added.GetState() {
 	case rockwindpb.ServerState_SERVER_STATE_GONE:
 		s.gone.Set(goneKey(added), added)
@@ -116,20 +113,20 @@
 	case rockwindpb.ServerState_SERVER_STATE_SILENT:
 		s.silent++
 	}
-	s.here.Set(hereKey(added.GetAddress(), added.GetId()), added)
+	s.present.Set(presentKey(added.GetAddress(), added.GetId()), added)
 }
 
-func (s *servers) drop(id string) { s.forget(s.entries.drop(id)) }
+func (s *servers) drop(id string) { s.unindex(s.entries.drop(id)) }
 
-// forget takes an entry that is no more out of the orders beside the names; nil is none.
-func (s *servers) forget(before *rockwindpb.Server) {
+// unindex removes an entry from the secondary indexes; nil is ignored.
+func (s *servers) unindex(removed *rockwindpb.Server) {
 	switch {
-	case before == nil:
-	case before.GetState() == rockwindpb.ServerState_SERVER_STATE_GONE:
-		s.gone.Delete(goneKey(before))
+	case removed == nil:
+	case removed.GetState() == rockwindpb.ServerState_SERVER_STATE_GONE:
+		s.gone.Delete(goneKey(removed))
 	default:
-		s.here.Delete(hereKey(before.GetAddress(), before.GetId()))
-		if before.GetState() == rockwindpb.ServerState_SERVER_STATE_SILENT {
+		s.present.Delete(presentKey(removed.GetAddress(), removed.GetId()))
+		if removed.GetState() == rockwindpb.ServerState_SERVER_STATE_SILENT {
 			s.silent--
 		}
 	}
@@ -138,7 +135,7 @@
 // at lists the incarnations at an address that are not gone, by identifier.
 func (s *servers) at(address string) []*rockwindpb.Server {
 	var found []*rockwindpb.Server
-	s.here.Ascend(hereKey(address, ""), func(_ string, server *rockwindpb.Server) bool {
+	s.present.Ascend(presentKey(address, ""), func(_ string, server *rockwindpb.Server) bool {
 		if server.GetAddress() != address {
 			return false
 		}
@@ -148,11 +145,11 @@
 	return found
 }
 
-// goneBefore lists those that are gone and did not change since a time, in Unix milliseconds.
-func (s *servers) goneBefore(limit int64) []*rockwindpb.Server {
+// goneBefore lists the gone incarnations last changed before a time in Unix milliseconds.
+func (s *servers) goneBefore(before int64) []*rockwindpb.Server {
 	var found []*rockwindpb.Server
 	s.gone.Scan(func(_ string, server *rockwindpb.Server) bool {
-		if server.GetChangedUnixMs() >= limit {
+		if server.GetChangedUnixMs() >= before {
 			return false
 		}
 		found = append(found, server)
@@ -161,8 +158,8 @@
 	return found
 }
 
-// hereKey sorts by address, then by identifier. No address holds the separator.
-func hereKey(address, id string) string { return address + "\x00" + id }
+// presentKey sorts by address, then by identifier. Addresses contain no NUL byte.
+func presentKey(address, id string) string { return address + "\x00" + id }
 
 func goneKey(server *rockwindpb.Server) string {
 	return orderedKey(uint64(max(0, server.GetChangedUnixMs())), server.GetId())
--- a/internal/directory/export_test.go
+++ b/internal/directory/export_test.go
@@ -1,7 +1,6 @@
 package directory
 
-// Its figures that the tests use.
 const (
-	FoundingTimeout     = foundingPatience
-	FoundingQuietPeriod = foundingSettle
+	FoundingTimeout     = foundingTimeout
+	FoundingQuietPeriod = foundingQuietPeriod
 )
--- a/internal/directory/incarnations.go
+++ b/internal/directory/incarnations.go
@@ -6,20 +6,19 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Identity is what was found out about the incarnation at an address. The zero value tells
-// that nothing was.
+// Identity is the result of probing an address. The zero value means that nothing was learnt.
 type Identity struct {
-	// Found is the identifier of the incarnation that answered, empty where none told it.
+	// Found is the identifier of the incarnation that answered, empty if unknown.
 	Found string
-	// Rejected is the identifier of one that the address was asked for and does not have,
-	// empty where no other one answered.
+	// Rejected is the identifier of the probed incarnation if another one answered in its
+	// place, empty otherwise.
 	Rejected string
 }
 
-// ended returns which of the incarnations at an address have ended. All of them were there
-// before the address was asked, so that those have ended which it is not now. An answer of
-// one that is not among them shows nothing: it may be a damaged one.
-func (i Identity) ended(incarnations []*rockwindpb.Server) []string {
+// endedAmong returns the incarnations that have ended, given all that were known at the address
+// before the probe. A Found identifier that is not among them is ignored, since the answer may
+// be corrupt.
+func (i Identity) endedAmong(incarnations []*rockwindpb.Server) []string {
 	found := slices.ContainsFunc(incarnations, func(each *rockwindpb.Server) bool { return each.GetId() == i.Found })
 	var ended []string
 	for _, each := range incarnations {
@@ -30,9 +29,9 @@
 	return ended
 }
 
-// ConflictingWith returns the incarnations that may live at the address of a report, by identifier,
-// where the report is of an unknown one: whether it is newer or older than they are has to be
-// asked at the address.
+// ConflictingWith returns the incarnations that are not gone at the address of a report, by
+// identifier. It returns nil for a report of a known incarnation. Only a probe of the address
+// tells which incarnation is the latest.
 func (v *View) ConflictingWith(report *rockwindpb.Server) []*rockwindpb.Server {
 	if v.servers.get(report.GetId()) != nil {
 		return nil
@@ -40,10 +39,10 @@
 	return v.servers.at(report.GetAddress())
 }
 
-// ReportCommand returns the command for a report. The holders are those from before the address was
-// asked. Where nothing was found out, the reported incarnation is entered beside them.
-func ReportCommand(report *rockwindpb.Server, holders []*rockwindpb.Server, identity Identity) *rockwindpb.DirectoryCommand {
-	ended := identity.ended(append(slices.Clone(holders), report))
+// ReportCommand returns the command for a report. The conflicting incarnations are those known
+// before the address was probed. If the probe learnt nothing, the reported one is added.
+func ReportCommand(report *rockwindpb.Server, conflicting []*rockwindpb.Server, identity Identity) *rockwindpb.DirectoryCommand {
+	ended := identity.endedAmong(append(slices.Clone(conflicting), report))
 	if slices.Contains(ended, report.GetId()) {
 		return &rockwindpb.DirectoryCommand{Command: &rockwindpb.DirectoryCommand_Leave{
 			Leave: &rockwindpb.LeaveServerRequest{Id: report.GetId()},
@@ -55,41 +54,41 @@
 	}
 }
 
-// AddressConflicts returns the addresses of which several incarnations are not gone, those of each by
-// identifier. Addresses at which none reports any more are left out.
+// AddressConflicts returns the incarnations at each address that has several that are not gone,
+// by identifier. Addresses without a ready or draining incarnation are omitted.
 func (v *View) AddressConflicts() [][]*rockwindpb.Server {
-	var contests [][]*rockwindpb.Server
-	var before *rockwindpb.Server
-	v.servers.here.Scan(func(_ string, server *rockwindpb.Server) bool {
-		again := before != nil && before.GetAddress() == server.GetAddress()
-		counted := len(contests) > 0 && contests[len(contests)-1][0].GetAddress() == server.GetAddress()
-		if again && !counted {
-			contests = append(contests, v.servers.at(server.GetAddress()))
+	var conflicts [][]*rockwindpb.Server
+	var previous *rockwindpb.Server
+	v.servers.present.Scan(func(_ string, server *rockwindpb.Server) bool {
+		sameAddress := previous != nil && previous.GetAddress() == server.GetAddress()
+		listed := len(conflicts) > 0 && conflicts[len(conflicts)-1][0].GetAddress() == server.GetAddress()
+		if sameAddress && !listed {
+			conflicts = append(conflicts, v.servers.at(server.GetAddress()))
 		}
-		before = server
+		previous = server
 		return true
 	})
-	return slices.DeleteFunc(contests, func(contest []*rockwindpb.Server) bool { return !slices.ContainsFunc(contest, reports) })
+	return slices.DeleteFunc(conflicts, func(conflict []*rockwindpb.Server) bool { return !slices.ContainsFunc(conflict, reports) })
 }
 
-// reports tells whether a server was heard lately.
+// reports tells whether a server is ready or draining.
 func reports(server *rockwindpb.Server) bool {
 	return server.GetState() == rockwindpb.ServerState_SERVER_STATE_READY || server.GetState() == rockwindpb.ServerState_SERVER_STATE_DRAINING
 }
 
-// ResolveConflict returns the command that ends those of a contest which were found to have ended, or
-// nil where none was.
-func ResolveConflict(contest []*rockwindpb.Server, identity Identity) *rockwindpb.DirectoryCommand {
-	ended := identity.ended(contest)
+// ResolveConflict returns the command that marks the incarnations of a conflict as gone that a
+// probe found to have ended, or nil if there are none.
+func ResolveConflict(conflict []*rockwindpb.Server, identity Identity) *rockwindpb.DirectoryCommand {
+	ended := identity.endedAmong(conflict)
 	if len(ended) == 0 {
 		return nil
 	}
 	return &rockwindpb.DirectoryCommand{Succession: &rockwindpb.Succession{Ended: ended}}
 }
 
-// succeed marks incarnations as gone that were found to have ended.
-func (d *Directory) succeed(ended []string, now int64) {
+// markEnded marks incarnations that a probe found to have ended as gone.
+func (d *Directory) markEnded(ended []string, now int64) {
 	for _, id := range ended {
-		d.goneServer(id, d.servers.get(id).GetState() == rockwindpb.ServerState_SERVER_STATE_READY, now)
+		d.markGone(id, d.servers.get(id).GetState() == rockwindpb.ServerState_SERVER_STATE_READY, now)
 	}
 }
--- a/internal/directory/incarnations_test.go
+++ b/internal/directory/incarnations_test.go
@@ -16,8 +16,8 @@
 	return &rockwindpb.Server{Id: id, Service: "s", Address: address, State: ready, Sequence: sequence}
 }
 
-// admit applies a report as a coordinator does that got the given answer.
-func admit(d *directory.Directory, report *rockwindpb.Server, identity directory.Identity) {
+// applyReport applies a report as a coordinator does after a probe with the given result.
+func applyReport(d *directory.Directory, report *rockwindpb.Server, identity directory.Identity) {
 	d.Apply(directory.ReportCommand(report, d.View().ConflictingWith(report), identity))
 }
 
@@ -28,24 +28,24 @@
 
 func TestLateReportOfAnUnknownIncarnationEndsNobody(t *testing.T) {
 	d := directory.New()
-	admit(d, reportOf("new", "x", 1), directory.Identity{})
+	applyReport(d, reportOf("new", "x", 1), directory.Identity{})
 	for sequence := range uint64(3) {
-		admit(d, reportOf("old", "x", sequence+1), directory.Identity{Found: "new", Rejected: "old"})
+		applyReport(d, reportOf("old", "x", sequence+1), directory.Identity{Found: "new", Rejected: "old"})
 	}
 	if stateOf(d, "new") != ready || stateOf(d, "old") != gone {
-		t.Fatalf("the new one is %v, the old one %v", stateOf(d, "new"), stateOf(d, "old"))
+		t.Fatalf("new incarnation is %v, old one is %v", stateOf(d, "new"), stateOf(d, "old"))
 	}
 	if changes := d.View().WouldChange(reportOf("old", "x", 9)); changes {
-		t.Error("a further report of the old one needs a question")
+		t.Error("a further report of the old incarnation would need a probe")
 	}
 }
 
 func TestRestartedServerTakesItsAddress(t *testing.T) {
 	d := directory.New()
-	admit(d, reportOf("old", "x", 9), directory.Identity{})
-	admit(d, reportOf("new", "x", 1), directory.Identity{Found: "new"})
+	applyReport(d, reportOf("old", "x", 9), directory.Identity{})
+	applyReport(d, reportOf("new", "x", 1), directory.Identity{Found: "new"})
 	if stateOf(d, "new") != ready || stateOf(d, "old") != gone || !d.View().Lost("old") {
-		t.Fatalf("the new one is %v, the old one %v", stateOf(d, "new"), stateOf(d, "old"))
+		t.Fatalf("new incarnation is %v, old one is %v", stateOf(d, "new"), stateOf(d, "old"))
 	}
 }
 
@@ -56,22 +56,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := directory.New()
-			admit(d, reportOf("a", "x", 1), directory.Identity{})
-			admit(d, reportOf("b", "x", 1), directory.Identity{})
-			admit(d, reportOf("c", "y", 1), directory.Identity{})
+			applyReport(d, reportOf("a", "x", 1), directory.Identity{})
+			applyReport(d, reportOf("b", "x", 1), directory.Identity{})
+			applyReport(d, reportOf("c", "y", 1), directory.Identity{})
 			if stateOf(d, "a") != ready || stateOf(d, "b") != ready {
 				t.Fatalf("a is %v, b is %v", stateOf(d, "a"), stateOf(d, "b"))
 			}
-			contests := d.View().AddressConflicts()
-			if len(contests) != 1 || len(contests[0]) != 2 {
-				t.Fatalf("contests are %v", contests)
+			conflicts := d.View().AddressConflicts()
+			if len(conflicts) != 1 || len(conflicts[0]) != 2 {
+				t.Fatalf("unexpected conflicts: %v", conflicts)
 			}
 			for _, nothing := range []directory.Identity{{}, {Found: "never-seen"}} {
-				if command := directory.ResolveConflict(contests[0], nothing); command != nil {
-					t.Fatalf("%v settles by %v", nothing, command)
+				if command := directory.ResolveConflict(conflicts[0], nothing); command != nil {
+					t.Fatalf("probe result %v led to command %v", nothing, command)
 				}
 			}
-			d.Apply(directory.ResolveConflict(contests[0], settled))
+			d.Apply(directory.ResolveConflict(conflicts[0], settled))
 			if stateOf(d, "a") != gone || stateOf(d, "b") != ready || len(d.View().AddressConflicts()) != 0 {
 				t.Errorf("a is %v, b is %v", stateOf(d, "a"), stateOf(d, "b"))
 			}
@@ -79,38 +79,38 @@
 	}
 }
 
-// TestSuccessionOutlivesItsQuestion: another incarnation reports between the question and its
-// commit. It was not asked about, and is kept.
-func TestSuccessionOutlivesItsQuestion(t *testing.T) {
+// TestLaterIncarnationSurvivesEarlierProbe guards against ending an incarnation that reported
+// between a probe and the commit of its result.
+func TestLaterIncarnationSurvivesEarlierProbe(t *testing.T) {
 	d := directory.New()
-	admit(d, reportOf("a", "x", 1), directory.Identity{})
+	applyReport(d, reportOf("a", "x", 1), directory.Identity{})
 	late := directory.ReportCommand(reportOf("b", "x", 1), d.View().ConflictingWith(reportOf("b", "x", 1)), directory.Identity{Found: "b"})
-	admit(d, reportOf("c", "x", 1), directory.Identity{Found: "c"})
+	applyReport(d, reportOf("c", "x", 1), directory.Identity{Found: "c"})
 	d.Apply(late)
 	if stateOf(d, "a") != gone || stateOf(d, "c") != ready {
 		t.Fatalf("a is %v, c is %v", stateOf(d, "a"), stateOf(d, "c"))
 	}
 }
 
-// fleet is a model of servers at two addresses, their messages on the way, and coordinators
-// with views of different age.
+// fleet models servers at two addresses, their messages in flight, and coordinators with views
+// of different age.
 type fleet struct {
 	directory *directory.Directory
 	views     []*directory.View
-	// living has the incarnation at each address, and left those that said so.
-	living   map[string]string
+	// live maps addresses to the running incarnation; left holds those that announced a leave.
+	live     map[string]string
 	left     map[string]bool
 	sequence map[string]uint64
-	born     int
-	// mail is what was sent and may arrive at any time, more than once; pending is what
-	// coordinators are about to commit.
-	mail    []*rockwindpb.DirectoryCommand
-	pending []*rockwindpb.DirectoryCommand
-	now     int64
+	started  int
+	// inFlight holds sent messages, which may arrive at any time and repeatedly; pending holds
+	// commands that coordinators are about to commit.
+	inFlight []*rockwindpb.DirectoryCommand
+	pending  []*rockwindpb.DirectoryCommand
+	now      int64
 }
 
 func newFleet() *fleet {
-	f := &fleet{directory: directory.New(), living: map[string]string{}, left: map[string]bool{}, sequence: map[string]uint64{}}
+	f := &fleet{directory: directory.New(), live: map[string]string{}, left: map[string]bool{}, sequence: map[string]uint64{}}
 	f.views = append(f.views, f.directory.View())
 	return f
 }
@@ -122,17 +122,17 @@
 	f.views = append(f.views, f.directory.View())
 }
 
-func (f *fleet) birth(address string) {
-	if f.living[address] != "" {
+func (f *fleet) startServer(address string) {
+	if f.live[address] != "" {
 		return
 	}
-	f.born++
-	f.living[address] = fmt.Sprintf("i%02d", f.born)
-	f.beat(address, ready)
+	f.started++
+	f.live[address] = fmt.Sprintf("i%02d", f.started)
+	f.sendReport(address, ready)
 }
 
-func (f *fleet) beat(address string, state rockwindpb.ServerState) {
-	id := f.living[address]
+func (f *fleet) sendReport(address string, state rockwindpb.ServerState) {
+	id := f.live[address]
 	if id == "" {
 		return
 	}
@@ -143,45 +143,46 @@
 		report.State = draining
 	}
 	f.left[id] = f.left[id] || state == draining
-	f.mail = append(f.mail, &rockwindpb.DirectoryCommand{Command: &rockwindpb.DirectoryCommand_Report{Report: report}})
+	f.inFlight = append(f.inFlight, &rockwindpb.DirectoryCommand{Command: &rockwindpb.DirectoryCommand_Report{Report: report}})
 }
 
 func (f *fleet) leave(address string) {
-	if id := f.living[address]; id != "" {
+	if id := f.live[address]; id != "" {
 		f.left[id] = true
-		f.mail = append(f.mail, &rockwindpb.DirectoryCommand{Command: &rockwindpb.DirectoryCommand_Leave{Leave: &rockwindpb.LeaveServerRequest{Id: id}}})
+		f.inFlight = append(f.inFlight, &rockwindpb.DirectoryCommand{Command: &rockwindpb.DirectoryCommand_Leave{Leave: &rockwindpb.LeaveServerRequest{Id: id}}})
 	}
 }
 
-// ask is the answer of an address now, as far as it tells.
-func (f *fleet) ask(expected *rockwindpb.Server, tells int) directory.Identity {
-	found := f.living[expected.GetAddress()]
+// probe returns the answer of an address. detail selects how much it reveals: 0 nothing, 1 a
+// rejection, 2 also the identifier of the running incarnation.
+func (f *fleet) probe(expected *rockwindpb.Server, detail int) directory.Identity {
+	found := f.live[expected.GetAddress()]
 	switch {
-	case found == "" || tells == 0:
+	case found == "" || detail == 0:
 		return directory.Identity{}
 	case found == expected.GetId():
 		return directory.Identity{Found: found}
-	case tells == 1:
+	case detail == 1:
 		return directory.Identity{Rejected: expected.GetId()}
 	}
 	return directory.Identity{Found: found, Rejected: expected.GetId()}
 }
 
-// receive has a coordinator with the given view take a message and ask.
-func (f *fleet) receive(view *directory.View, message *rockwindpb.DirectoryCommand, tells int) {
+// receive has a coordinator with the given view handle a message and probe the address.
+func (f *fleet) receive(view *directory.View, message *rockwindpb.DirectoryCommand, detail int) {
 	report := message.GetReport()
 	switch {
 	case report == nil:
 		f.pending = append(f.pending, message)
 	case view.WouldChange(report):
-		f.pending = append(f.pending, directory.ReportCommand(report, view.ConflictingWith(report), f.ask(report, tells)))
+		f.pending = append(f.pending, directory.ReportCommand(report, view.ConflictingWith(report), f.probe(report, detail)))
 	}
 }
 
-// settle has a leader with the given view ask about contests.
-func (f *fleet) settle(view *directory.View, tells int) {
-	for _, contest := range view.AddressConflicts() {
-		if command := directory.ResolveConflict(contest, f.ask(contest[0], tells)); command != nil {
+// resolveConflicts has a leader with the given view probe the addresses in conflict.
+func (f *fleet) resolveConflicts(view *directory.View, detail int) {
+	for _, conflict := range view.AddressConflicts() {
+		if command := directory.ResolveConflict(conflict, f.probe(conflict[0], detail)); command != nil {
 			f.pending = append(f.pending, command)
 		}
 	}
@@ -194,47 +195,45 @@
 	f.pending = nil
 }
 
-// step does one thing that may happen at any time. All are equally likely, which draws of
-// rapid's own are not.
+// step performs a random action. It uses its own generator because rapid's draws are not uniform.
 func (f *fleet) step(random *rand.Rand) {
 	address := []string{"x", "y"}[random.IntN(2)]
-	tells := random.IntN(3)
+	detail := random.IntN(3)
 	view := f.views[max(0, len(f.views)-1-random.IntN(4))]
 	switch random.IntN(16) {
 	case 0, 1:
-		f.birth(address)
+		f.startServer(address)
 	case 2, 3:
-		f.beat(address, ready)
+		f.sendReport(address, ready)
 	case 4:
-		delete(f.living, address)
+		delete(f.live, address)
 	case 5:
 		if random.IntN(4) == 0 {
-			f.goAway(address, random.IntN(2) == 0)
+			f.sendLeave(address, random.IntN(2) == 0)
 		}
 	case 6:
-		f.silence(random)
+		f.silenceSome(random)
 	case 7:
-		f.settle(view, tells)
+		f.resolveConflicts(view, detail)
 	case 8, 9, 10, 11:
-		if len(f.mail) > 0 {
-			f.receive(view, f.mail[random.IntN(len(f.mail))], tells)
+		if len(f.inFlight) > 0 {
+			f.receive(view, f.inFlight[random.IntN(len(f.inFlight))], detail)
 		}
 	default:
 		f.commitOne(random)
 	}
 }
 
-// goAway has a server say that it leaves.
-func (f *fleet) goAway(address string, drains bool) {
+// sendLeave announces that a server leaves, by a draining report or a leave.
+func (f *fleet) sendLeave(address string, drains bool) {
 	if drains {
-		f.beat(address, draining)
+		f.sendReport(address, draining)
 		return
 	}
 	f.leave(address)
 }
 
-// commitOne takes one of the commands that are under way. It may be lost with its
-// coordinator, and come again.
+// commitOne commits a random pending command, which may also be lost or remain pending.
 func (f *fleet) commitOne(random *rand.Rand) {
 	if len(f.pending) == 0 {
 		return
@@ -249,7 +248,7 @@
 	}
 }
 
-func (f *fleet) silence(random *rand.Rand) {
+func (f *fleet) silenceSome(random *rand.Rand) {
 	var ids []string
 	for _, server := range f.directory.View().Servers() {
 		if random.IntN(2) == 0 {
@@ -259,41 +258,41 @@
 	f.apply(&rockwindpb.DirectoryCommand{Command: &rockwindpb.DirectoryCommand_Silence{Silence: &rockwindpb.SilenceServers{Ids: ids}}})
 }
 
-// check: no incarnation that lives and has not said that it leaves is gone.
+// check verifies that no running incarnation that has not announced a leave is gone.
 func (f *fleet) check(t *rapid.T) {
-	for address, id := range f.living {
+	for address, id := range f.live {
 		if !f.left[id] && stateOf(f.directory, id) == gone {
-			t.Fatalf("%s lives at %s and is gone", id, address)
+			t.Fatalf("%s runs at %s and is gone", id, address)
 		}
 	}
 }
 
-// end has all that was sent arrive, all addresses answer, and checks who has them.
-func (f *fleet) end(t *rapid.T) {
-	const whole = 2
+// settleAndCheck delivers all messages, probes all addresses and checks the final state.
+func (f *fleet) settleAndCheck(t *rapid.T) {
+	const fullAnswer = 2
 	f.commitAll()
-	for address := range f.living {
-		f.beat(address, ready)
+	for address := range f.live {
+		f.sendReport(address, ready)
 	}
-	for _, message := range f.mail {
-		f.receive(f.directory.View(), message, whole)
+	for _, message := range f.inFlight {
+		f.receive(f.directory.View(), message, fullAnswer)
 		f.commitAll()
 		f.check(t)
 	}
-	f.settle(f.directory.View(), whole)
+	f.resolveConflicts(f.directory.View(), fullAnswer)
 	f.commitAll()
 	f.check(t)
-	for address, id := range f.living {
+	for address, id := range f.live {
 		if !f.left[id] {
 			f.checkAlone(t, address, id)
 		}
 	}
 }
 
-// checkAlone: the incarnation that lives at an address is ready, and all others are gone.
+// checkAlone verifies that the incarnation running at an address is ready and all others are gone.
 func (f *fleet) checkAlone(t *rapid.T, address, id string) {
 	if state := stateOf(f.directory, id); state != ready {
-		t.Errorf("%s lives at %s and is %v", id, address, state)
+		t.Errorf("%s runs at %s and is %v", id, address, state)
 	}
 	for _, server := range f.directory.View().Servers() {
 		if server.GetAddress() == address && server.GetId() != id && server.GetState() != gone {
@@ -302,11 +301,10 @@
 	}
 }
 
-// TestTheIncarnationThatLivesHasTheAddress plays servers that start, end and leave, reports
-// that arrive late, again and in any order at coordinators whose views are old, answers that
-// are lost or tell little, and commands that are lost, late or repeated with their leader.
-// Nobody that lives may be forgotten; and once all has arrived and addresses answer, the one
-// that lives has its address alone.
+// TestTheIncarnationThatLivesHasTheAddress simulates starts, ends and leaves with reports and
+// commands that are delayed, lost, repeated and reordered, stale views, and partial or lost
+// probe answers. A running incarnation must never become gone, and once all messages have
+// arrived and addresses answer, it must be the only one at its address.
 func TestTheIncarnationThatLivesHasTheAddress(t *testing.T) {
 	const fleets, mostSteps = 50, 150
 	rapid.Check(t, func(t *rapid.T) {
@@ -318,12 +316,12 @@
 				f.step(random)
 				f.check(t)
 			}
-			f.end(t)
+			f.settleAndCheck(t)
 		}
 	})
 }
 
-// TestQuestionsLeaveTheViewAsItIs: others read the same view meanwhile.
+// TestQuestionsLeaveTheViewAsItIs guards against modifying a view that other goroutines read.
 func TestQuestionsLeaveTheViewAsItIs(t *testing.T) {
 	d := directory.New()
 	for _, id := range []string{"a", "b", "c"} {
@@ -332,11 +330,11 @@
 	view := d.View()
 	before := fmt.Sprint(view.Servers())
 	unknown := &rockwindpb.Server{Id: "d", Address: "at-c", State: ready, Sequence: 1}
-	holders := view.ConflictingWith(unknown)
+	conflicting := view.ConflictingWith(unknown)
 	view.ConflictingWith(&rockwindpb.Server{Id: "e", Address: "at-e", State: ready, Sequence: 1})
-	directory.ResolveConflict(append(holders, unknown), directory.Identity{Found: "d"})
+	directory.ResolveConflict(append(conflicting, unknown), directory.Identity{Found: "d"})
 	view.AddressConflicts()
 	if after := fmt.Sprint(view.Servers()); after != before {
-		t.Fatalf("the view has %s after the questions, %s before", after, before)
+		t.Fatalf("the view is %s after the queries, %s before", after, before)
 	}
 }
--- a/internal/directory/plan.go
+++ b/internal/directory/plan.go
@@ -11,25 +11,23 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Bounds of the founding of the stores' cluster.
 const (
-	// foundingSettle is how long no further store must have appeared before the
-	// cluster is founded with those that have.
-	foundingSettle = 700 * time.Millisecond
-	// foundingPatience is how long fewer stores than are wanted are waited for.
-	foundingPatience = 4 * time.Second
-	// largestShard is how many stores hold a replica of one shard.
-	largestShard = 5
+	// foundingQuietPeriod is how long no store must have appeared or changed before the
+	// cluster is founded.
+	foundingQuietPeriod = 700 * time.Millisecond
+	// foundingTimeout is how long to wait for the wanted number of stores.
+	foundingTimeout = 4 * time.Second
+	// maxShardReplicas is the maximum number of replicas of a shard.
+	maxShardReplicas = 5
 )
 
-// PlanStoreCluster decides whether the stores' cluster is to be founded now, and of
-// which machines. Wanted is how many stores a shard needs to bear the losses
-// that the site tolerates. It returns nil where nothing is to be done.
+// PlanStoreCluster returns the founding of the store cluster if it is due, nil otherwise.
+// wanted is the number of replicas that a shard needs for the site's fault tolerance.
 func PlanStoreCluster(view *View, wanted int, now time.Time) *rockwindpb.FoundRequest {
 	if view.StoreCluster() != nil {
 		return nil
 	}
-	stores := founders(view)
+	stores := bootstrapStores(view)
 	if len(stores) == 0 {
 		return nil
 	}
@@ -38,16 +36,16 @@
 		first = min(first, store.GetChangedUnixMs())
 		last = max(last, store.GetChangedUnixMs())
 	}
-	settled := now.UnixMilli()-last >= foundingSettle.Milliseconds()
-	patient := now.UnixMilli()-first >= foundingPatience.Milliseconds()
-	if !settled || (len(stores) < wanted && !patient) {
+	settled := now.UnixMilli()-last >= foundingQuietPeriod.Milliseconds()
+	timedOut := now.UnixMilli()-first >= foundingTimeout.Milliseconds()
+	if !settled || (len(stores) < wanted && !timedOut) {
 		return nil
 	}
-	return foundingOf(stores)
+	return newFounding(stores)
 }
 
-// founders lists the stores that started with the site, by name.
-func founders(view *View) []*rockwindpb.Machine {
+// bootstrapStores lists the stores with the bootstrap flag and a disk, by name.
+func bootstrapStores(view *View) []*rockwindpb.Machine {
 	var stores []*rockwindpb.Machine
 	for _, machine := range view.Machines() {
 		if machine.GetRole() == rockwindpb.SiteRole_SITE_ROLE_STORE && machine.GetBootstrap() && machine.GetDiskId() != 0 {
@@ -57,17 +55,16 @@
 	return stores
 }
 
-// foundingOf makes a shard for each store, so that every store leads one in
-// ordinary times. A shard's replicas follow those of the one before it, round
-// and round.
-func foundingOf(stores []*rockwindpb.Machine) *rockwindpb.FoundRequest {
+// newFounding returns a founding with one shard for each store, so that each store can lead
+// one. The replicas of successive shards are assigned round-robin.
+func newFounding(stores []*rockwindpb.Machine) *rockwindpb.FoundRequest {
 	stores = slices.SortedFunc(slices.Values(stores), func(a, b *rockwindpb.Machine) int { return cmp.Compare(a.GetName(), b.GetName()) })
 	digest := sha256.New()
 	for _, store := range stores {
 		_, _ = fmt.Fprintf(digest, "%q %x\n", store.GetName(), store.GetDiskId())
 	}
 	request := &rockwindpb.FoundRequest{ClusterId: hex.EncodeToString(digest.Sum(nil)[:8])}
-	replicas := min(len(stores), largestShard)
+	replicas := min(len(stores), maxShardReplicas)
 	for shard := range stores {
 		membership := &rockwindpb.Membership{}
 		for offset := range replicas {
--- a/internal/directory/report_test.go
+++ b/internal/directory/report_test.go
@@ -10,16 +10,16 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-func bornReport(born int64, state rockwindpb.ServerState, sequence uint64) *rockwindpb.DirectoryCommand {
+func reportWithStart(born int64, state rockwindpb.ServerState, sequence uint64) *rockwindpb.DirectoryCommand {
 	command := report("a", "x", state, sequence)
 	command.GetReport().BornUnixMs = born
-	// As coordinators that ask addresses commit it.
+	// Coordinators that probe addresses commit reports with a succession.
 	command.Succession = &rockwindpb.Succession{}
 	return command
 }
 
-// TestServerThatStartsAgainUnderItsIdentifier: its counts begin anew, and what it was before, silent,
-// draining or gone, tells nothing of it. What comes late from before changes nothing.
+// TestServerThatStartsAgainUnderItsIdentifier guards against judging a new start by the state or
+// sequence number of the earlier one, and against late messages of the earlier one.
 func TestServerThatStartsAgainUnderItsIdentifier(t *testing.T) {
 	leaveOf := func(born int64) *rockwindpb.DirectoryCommand {
 		return &rockwindpb.DirectoryCommand{Command: &rockwindpb.DirectoryCommand_Leave{
@@ -27,51 +27,51 @@
 		}}
 	}
 	for name, before := range map[string]*rockwindpb.DirectoryCommand{
-		"ready": bornReport(1000, ready, 90), "draining": bornReport(1000, draining, 90), "silent": silence("a"), "gone": leaveOf(1000),
+		"ready": reportWithStart(1000, ready, 90), "draining": reportWithStart(1000, draining, 90), "silent": silence("a"), "gone": leaveOf(1000),
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := directory.New()
-			d.Apply(bornReport(1000, ready, 80))
+			d.Apply(reportWithStart(1000, ready, 80))
 			d.Apply(before)
-			d.Apply(bornReport(2000, ready, 1))
+			d.Apply(reportWithStart(2000, ready, 1))
 			if got := state(d, "a"); got != ready {
-				t.Fatalf("a server that started again is %v", got)
+				t.Fatalf("restarted server is %v", got)
 			}
 			revision := d.View().Revision()
-			for _, late := range []*rockwindpb.DirectoryCommand{bornReport(1000, draining, 99), leaveOf(1000)} {
+			for _, late := range []*rockwindpb.DirectoryCommand{reportWithStart(1000, draining, 99), leaveOf(1000)} {
 				if d.Apply(late); state(d, "a") != ready || d.View().Revision() != revision {
-					t.Fatalf("%v from before the start makes it %v", late, state(d, "a"))
+					t.Fatalf("late %v changed the server to %v", late, state(d, "a"))
 				}
 			}
-			d.Apply(bornReport(2000, draining, 2))
-			d.Apply(bornReport(2000, ready, 3))
+			d.Apply(reportWithStart(2000, draining, 2))
+			d.Apply(reportWithStart(2000, ready, 3))
 			if got := state(d, "a"); got != draining {
-				t.Fatalf("a draining server is %v", got)
+				t.Fatalf("draining server became %v", got)
 			}
 			if d.Apply(leaveOf(2000)); state(d, "a") != gone {
-				t.Fatalf("a server that left is %v", state(d, "a"))
+				t.Fatalf("server that left became %v", state(d, "a"))
 			}
 		})
 	}
 }
 
-// TestStartIsLearnt: a version that did not know of starts has entered the server, or it did not tell.
-func TestStartIsLearnt(t *testing.T) {
+// TestStartTimeIsRecorded covers servers first recorded without a start time, as by older versions.
+func TestStartTimeIsRecorded(t *testing.T) {
 	d := directory.New()
 	d.Apply(report("a", "x", ready, 80))
-	d.Apply(bornReport(1000, ready, 81))
-	d.Apply(bornReport(2000, ready, 1))
+	d.Apply(reportWithStart(1000, ready, 81))
+	d.Apply(reportWithStart(2000, ready, 1))
 	if server, _ := d.View().Server("a"); server.GetBornUnixMs() != 2000 || server.GetSequence() != 1 {
-		t.Fatalf("the entry is %v", server)
+		t.Fatalf("unexpected entry: %v", server)
 	}
 	d = directory.New()
 	d.Apply(leave("a"))
-	if d.Apply(bornReport(1000, ready, 9)); state(d, "a") != gone {
-		t.Fatalf("a server that left before it told its start is %v", state(d, "a"))
+	if d.Apply(reportWithStart(1000, ready, 9)); state(d, "a") != gone {
+		t.Fatalf("server that left without a start time became %v", state(d, "a"))
 	}
 }
 
-// TestReportsThatNameNoServer come from other writers.
+// TestReportsThatNameNoServer covers reports of foreign clients.
 func TestReportsThatNameNoServer(t *testing.T) {
 	good := &rockwindpb.Server{Id: "a", Service: "s", Address: "10.0.0.1:80", State: ready}
 	if err := directory.ValidateReport(good); err != nil {
--- a/internal/directory/size_test.go
+++ b/internal/directory/scaling_test.go
@@ -9,7 +9,7 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// sizes are how many servers the directories of the benchmarks have.
+// sizes are the numbers of servers in the benchmarks.
 var sizes = []int{300, 1000, 3000, 10_000, 20_000}
 
 func serverAt(place int, revision uint64) *rockwindpb.Server {
@@ -19,8 +19,8 @@
 	}
 }
 
-// watched is what a watcher of so many servers holds.
-func watched(size int) *directory.View {
+// newWatcherView returns the view of a watcher that knows size servers.
+func newWatcherView(size int) *directory.View {
 	full := &rockwindpb.WatchDirectoryResponse{Revision: uint64(size), Full: true}
 	for place := range size {
 		full.Servers = append(full.Servers, serverAt(place, uint64(place)+1))
@@ -28,53 +28,53 @@
 	return directory.Merge(nil, full)
 }
 
-// follow has a watcher take a change of one server, and look what is other than before.
-func follow(held *directory.View, place int) *directory.View {
+// applyChange merges a change of one server into a watcher's view and computes the difference.
+func applyChange(held *directory.View, place int) *directory.View {
 	revision := held.Revision() + 1
 	news := &rockwindpb.WatchDirectoryResponse{Revision: revision, Servers: []*rockwindpb.Server{serverAt(place, revision)}}
 	merged := directory.Merge(held, news)
 	if len(merged.ChangeFrom(held).Servers()) != 1 {
-		panic("a change of one server is not seen as one")
+		panic("expected one changed server")
 	}
 	return merged
 }
 
-// TestAChangeCostsAWatcherTheSameAtAnySize: a site of 1,000 processes has each change of its
-// servers taken by all of them, so that what each spends must not grow with the servers.
+// TestAChangeCostsAWatcherTheSameAtAnySize guards against watcher cost per change that grows
+// with the number of servers.
 func TestAChangeCostsAWatcherTheSameAtAnySize(t *testing.T) {
 	const changes = 200
 	bytesOf := func(size int) uint64 {
-		held := watched(size)
+		held := newWatcherView(size)
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		for change := range changes {
-			held = follow(held, change*size/changes)
+			held = applyChange(held, change*size/changes)
 		}
 		runtime.ReadMemStats(&after)
 		return (after.TotalAlloc - before.TotalAlloc) / changes
 	}
 	small, large := bytesOf(1000), bytesOf(20_000)
-	t.Logf("bytes a change: %d at 1,000 servers, %d at 20,000", small, large)
+	t.Logf("bytes allocated per change: %d at 1,000 servers, %d at 20,000", small, large)
 	if large > 2*small {
 		t.Errorf("a change allocates %d bytes at 1,000 servers and %d at 20,000", small, large)
 	}
 }
 
-// BenchmarkChangeAtWatcher is a change of one server at a watcher.
+// BenchmarkChangeAtWatcher measures a change of one server at a watcher.
 func BenchmarkChangeAtWatcher(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("servers=%d", size), func(b *testing.B) {
-			held := watched(size)
+			held := newWatcherView(size)
 			b.ReportAllocs()
 			for place := 0; b.Loop(); place++ {
-				held = follow(held, place%size)
+				held = applyChange(held, place%size)
 			}
 		})
 	}
 }
 
-// BenchmarkChangeAtCoordinator is a report that changes a server, the view of it, and what one
-// watcher is told.
+// BenchmarkChangeAtCoordinator measures a report that changes a server, the resulting view, and
+// the response to one watcher.
 func BenchmarkChangeAtCoordinator(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("servers=%d", size), func(b *testing.B) {
@@ -89,8 +89,8 @@
 				command.GetReport().Slots = uint32(change) + 1
 				d.Apply(command)
 				next := d.View()
-				if told := next.Since(view.Revision(), ""); len(told.GetServers()) != 1 {
-					b.Fatalf("a watcher is told %d servers", len(told.GetServers()))
+				if response := next.Since(view.Revision(), ""); len(response.GetServers()) != 1 {
+					b.Fatalf("the response has %d servers, want 1", len(response.GetServers()))
 				}
 				view = next
 			}
@@ -98,16 +98,15 @@
 	}
 }
 
-// TestReplicaThatIsBehindTellsNothing: watchers that look for a nearer coordinator ask several, of which
-// some are a commit behind while servers come and go. Each of them told the whole directory, which the
-// watcher did not take: 1 MB at 10,000 servers.
+// TestReplicaThatIsBehindTellsNothing guards against a lagging replica sending the whole
+// directory to a watcher that knows a newer revision.
 func TestReplicaThatIsBehindTellsNothing(t *testing.T) {
-	behind, held := watched(100), follow(watched(100), 7)
-	told := behind.Since(held.Revision(), "")
-	if told.GetFull() || len(told.GetServers()) > 0 || told.GetRevision() != behind.Revision() {
-		t.Errorf("a replica at revision %d tells a watcher at %d: full %v, %d servers", behind.Revision(), held.Revision(), told.GetFull(), len(told.GetServers()))
+	behind, held := newWatcherView(100), applyChange(newWatcherView(100), 7)
+	response := behind.Since(held.Revision(), "")
+	if response.GetFull() || len(response.GetServers()) > 0 || response.GetRevision() != behind.Revision() {
+		t.Errorf("replica at revision %d sends a watcher at revision %d: full %v, %d servers", behind.Revision(), held.Revision(), response.GetFull(), len(response.GetServers()))
 	}
-	if directory.Merge(held, told) != held {
-		t.Error("a watcher takes what is older than what it holds")
+	if directory.Merge(held, response) != held {
+		t.Error("the watcher accepted an older revision")
 	}
 }
