--- a/internal/zonedrain/zonedrain.go
+++ b/internal/zonedrain/zonedrain.go
@@ -1,11 +1,10 @@
-// Package zonedrain is the state machine of the zones that operators drain: their servers get
-// nothing new, and finish what they have. It is part of the root group's state, so that a drain
-// outlives the process that acknowledged it. The package is pure: time comes in the commands.
+// Package zonedrain is the replicated state machine of drained zones. Servers in a drained zone
+// receive no new work and finish what they have. The state is part of the root group. Commands
+// carry the time, so that applying them is deterministic.
 //
 // Invariants:
-//   - a command that is repeated changes nothing;
-//   - the revision rises with each change, so that a watcher learns from one number whether it
-//     knows all drains.
+//   - Repeated commands have no effect.
+//   - Every change increments the revision, so that a watcher can compare a single number.
 package zonedrain
 
 import (
@@ -18,13 +17,13 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Register is the replicated state. Its owner goroutine alone may call Apply and Load; the List
-// that it hands out is immutable.
+// Register is the replicated state. Only its owner goroutine may call its methods; the List that
+// it returns is immutable.
 type Register struct {
 	list *List
 }
 
-// New returns a register without drains.
+// New returns an empty register.
 func New() *Register { return &Register{list: &List{}} }
 
 // Apply executes a committed command.
@@ -53,27 +52,27 @@
 	r.list = NewList(r.list.revision+1, drains)
 }
 
-// List is the drains at this moment.
+// List returns the current drains.
 func (r *Register) List() *List { return r.list }
 
-// Save returns the whole state, sorted.
+// Save returns the complete state, sorted by zone.
 func (r *Register) Save() *rockwindpb.ZoneDrainSnapshot {
 	return &rockwindpb.ZoneDrainSnapshot{Revision: r.list.revision, Drains: r.list.Drains()}
 }
 
-// Load replaces the whole state with one that Save returned, nil for none.
+// Load replaces the state with one returned by Save; nil is empty.
 func (r *Register) Load(snapshot *rockwindpb.ZoneDrainSnapshot) {
 	r.list = NewList(snapshot.GetRevision(), snapshot.GetDrains())
 }
 
-// List is the zones that are drained. It is immutable and may be used by any goroutine; a nil
-// list is empty. The messages that it returns must not be changed.
+// List is an immutable set of drained zones, safe for concurrent use. A nil List is empty. The
+// returned messages must not be modified.
 type List struct {
 	revision uint64
 	drains   map[string]*rockwindpb.ZoneDrain
 }
 
-// NewList returns the drains of a register at a revision.
+// NewList returns a list of the drains at a revision.
 func NewList(revision uint64, drains []*rockwindpb.ZoneDrain) *List {
 	list := &List{revision: revision, drains: make(map[string]*rockwindpb.ZoneDrain, len(drains))}
 	for _, drain := range drains {
@@ -82,7 +81,7 @@
 	return list
 }
 
-// Revision is that of the register which the list was taken from.
+// Revision returns the revision of the register that the list was taken from.
 func (l *List) Revision() uint64 {
 	if l == nil {
 		return 0
@@ -90,7 +89,7 @@
 	return l.revision
 }
 
-// Drained tells whether the servers of a zone get nothing new.
+// Drained reports whether a zone is drained.
 func (l *List) Drained(zone string) bool {
 	if l == nil {
 		return false
@@ -107,7 +106,7 @@
 	return slices.SortedFunc(maps.Values(l.drains), func(a, b *rockwindpb.ZoneDrain) int { return cmp.Compare(a.GetZone(), b.GetZone()) })
 }
 
-// Equal tells whether two lists drain the same zones.
+// Equal reports whether two lists hold the same drains; revisions are not compared.
 func (l *List) Equal(other *List) bool {
 	return slices.EqualFunc(l.Drains(), other.Drains(), func(a, b *rockwindpb.ZoneDrain) bool { return proto.Equal(a, b) })
 }
--- a/internal/zonedrain/zonedrain_test.go
+++ b/internal/zonedrain/zonedrain_test.go
@@ -23,19 +23,19 @@
 	r.Apply(start("a", 7))
 	r.Apply(start("a", 9))
 	if list := r.List(); !list.Drained("a") || list.Revision() != 1 || list.Drains()[0].GetSinceUnixMs() != 7 {
-		t.Fatalf("a drain that is asked for twice is %v at revision %d", list.Drains(), list.Revision())
+		t.Fatalf("after a repeated start the drains are %v at revision %d", list.Drains(), list.Revision())
 	}
 	r.Apply(end("a"))
 	r.Apply(end("a"))
 	r.Apply(end("never drained"))
 	if list := r.List(); list.Drained("a") || list.Revision() != 2 {
-		t.Fatalf("drains that have ended are %v at revision %d", list.Drains(), list.Revision())
+		t.Fatalf("after a repeated end the drains are %v at revision %d", list.Drains(), list.Revision())
 	}
 }
 
-// TestReplicasAndWatchersAgree runs random commands at a register, at one that is restored from
-// snapshots, and at a watcher, and compares them with a set.
-func TestReplicasAndWatchersAgree(t *testing.T) {
+// TestReplicasAgree applies random commands to a register and to one that is restored
+// from snapshots, and compares both with a set.
+func TestReplicasAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first, second := zonedrain.New(), zonedrain.New()
 		oracle := map[string]bool{}
@@ -50,7 +50,7 @@
 			first.Apply(command)
 			second.Apply(command)
 			if first.List().Equal(before) != (first.List().Revision() == before.Revision()) {
-				t.Fatalf("the revision goes from %d to %d", before.Revision(), first.List().Revision())
+				t.Fatalf("a change and the revision disagree: revision %d became %d", before.Revision(), first.List().Revision())
 			}
 			if rapid.Bool().Draw(t, "restart") {
 				restored := zonedrain.New()
@@ -58,11 +58,11 @@
 				second = restored
 			}
 			if !proto.Equal(first.Save(), second.Save()) {
-				t.Fatalf("replicas hold %v and %v", first.Save(), second.Save())
+				t.Fatalf("replicas differ: %v and %v", first.Save(), second.Save())
 			}
 			for name, drained := range oracle {
 				if first.List().Drained(name) != drained {
-					t.Fatalf("zone %s is drained: %v", name, !drained)
+					t.Fatalf("Drained(%s) = %v", name, !drained)
 				}
 			}
 		}
