--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -1,10 +1,9 @@
-// Package coordinator is the daemon that keeps a site together: it replicates
-// the configuration and the directory of servers and machines, and hands both to
-// the routers and stores that watch it. Any coordinator takes any call; what
-// changes state is carried to the leader of the root group. A coordinator that
-// does not hear the leader answers that it is unavailable, so that nobody takes
-// an old state for the newest. A coordinator without a replica of the root group passes
-// calls on to those that have one.
+// Package coordinator implements the coordinator daemon. Coordinators replicate the site's
+// configuration and its directory of servers and machines, and serve both to the routers and
+// stores that watch them. Any coordinator accepts any call; changes go to the leader of the root
+// group. A coordinator without contact to the leader fails calls with fault.Unavailable instead
+// of answering from stale state. A non-member, a coordinator without a replica of the root group,
+// forwards calls to the members.
 package coordinator
 
 import (
@@ -34,60 +33,58 @@
 )
 
 const (
-	// foundingPause is the time between attempts to found the cluster.
-	foundingPause = 100 * time.Millisecond
-	// leaderPause is the time between attempts to reach a leader.
-	leaderPause = 30 * time.Millisecond
-	// startRecheck is how often it looks meanwhile; entries that are applied wake it.
-	startRecheck = 10 * time.Millisecond
-	// stopTimeout bounds the calls in progress at a planned stop.
+	// foundingInterval is the time between attempts to found the cluster.
+	foundingInterval = 100 * time.Millisecond
+	// leaderRetryInterval is the time between attempts to reach a leader.
+	leaderRetryInterval = 30 * time.Millisecond
+	// startPollInterval is the polling interval of awaitCurrentState.
+	startPollInterval = 10 * time.Millisecond
+	// stopTimeout bounds the calls in progress at a graceful shutdown.
 	stopTimeout = 2 * time.Second
-	// rootPlaces is how many coordinators hold a replica of the root group, where
-	// there are so many. Others pass calls on.
-	rootPlaces = 5
+	// maxRootMembers is the number of coordinators that hold a replica of the root group, unless
+	// the site settings ask for more. Further coordinators are non-members.
+	maxRootMembers = 5
 )
 
-// Coordinator is a running coordinator. Its methods may be called by any
-// goroutine.
+// Coordinator is a running coordinator. Its methods are safe for concurrent use.
 type Coordinator struct {
-	settings *rockwindpb.SiteSettings
-	client   *http.Client
-	host     *replica.Host
-	root     atomic.Pointer[rootMachine]
-	live     *liveness
-	// identifier is nil where addresses can't be asked who is there.
+	settings  *rockwindpb.SiteSettings
+	client    *http.Client
+	host      *replica.Host
+	rootState atomic.Pointer[rootStateMachine]
+	liveness  *liveness
+	// identifier is nil if addresses cannot be probed.
 	identifier site.Identifier
-	identities identities
-	// members is used by a coordinator that is outside; see passOn.
-	members memberOrder
-	// following is used by a coordinator that is outside.
-	following following
-	// watchers counts the calls for news of the directory that are held here.
+	prober     addressProber
+	// memberSelector orders the members that a non-member forwards calls to.
+	memberSelector memberSelector
+	// follower holds the state that a non-member watches at members.
+	follower rootFollower
+	// watchers is the number of directory watches in progress.
 	watchers atomic.Int64
-	// wasCurrent tells that this coordinator was up to date with its leader once since its
-	// start: it has answered from its state.
-	wasCurrent atomic.Bool
+	// wasUpToDate is set once this coordinator has been up to date with its leader since its start.
+	wasUpToDate atomic.Bool
 }
 
-// Handler makes the handler of the calls of operators and servers.
+// Handler returns the handler for calls of operators and servers.
 type Handler func(*Coordinator) http.Handler
 
-// Run serves until the context ends, and then stops as planned: it hands over
-// leadership and finishes the calls in progress. The handler answers on
-// settings.Listen, or on the internal address where that is empty; it may be nil.
+// Run serves until the context ends, then hands over leadership and finishes the calls in
+// progress. The handler is served on settings.Listen, or on the internal address if that is
+// empty; it may be nil.
 func Run(ctx context.Context, settings *rockwindpb.SiteSettings, handler Handler, options ...Option) error {
 	site.BoundMemory(settings)
-	c := &Coordinator{settings: settings, client: dial.NewClient(), live: newLiveness()}
+	c := &Coordinator{settings: settings, client: dial.NewClient(), liveness: newLiveness()}
 	for _, option := range options {
 		option(c)
 	}
 	host, release, err := site.OpenHost(settings, c.client, site.HostOptions{
 		Discover: c.peers,
-		Places:   max(rootPlaces, site.Places(settings)),
+		Places:   max(maxRootMembers, site.Places(settings)),
 		StateMachines: func(uint32) replica.StateMachine {
-			created := newRootMachine()
-			c.root.Store(created)
-			return created
+			machine := newRootStateMachine()
+			c.rootState.Store(machine)
+			return machine
 		},
 	})
 	if err != nil {
@@ -98,7 +95,7 @@
 	return c.run(ctx, handler)
 }
 
-// peers lists the machines that may let this one join.
+// peers lists the machines to contact for joining the cluster.
 func (c *Coordinator) peers() []*rockwindpb.ControlMachine {
 	var peers []*rockwindpb.ControlMachine
 	for _, seed := range c.settings.GetSeeds() {
@@ -108,34 +105,34 @@
 }
 
 func (c *Coordinator) run(ctx context.Context, handler Handler) error {
-	internal, err := site.Listen("internal_listen", c.settings.GetInternalListen())
+	internalListener, err := site.Listen("internal_listen", c.settings.GetInternalListen())
 	if err != nil {
 		return err
 	}
-	var outer net.Listener
+	var publicListener net.Listener
 	if handler != nil && c.settings.GetListen() != "" {
-		if outer, err = site.Listen("listen", c.settings.GetListen()); err != nil {
-			return errors.CombineErrors(err, internal.Close())
+		if publicListener, err = site.Listen("listen", c.settings.GetListen()); err != nil {
+			return errors.CombineErrors(err, internalListener.Close())
 		}
 	}
 	log.WithField("machine", c.settings.GetName()).WithField("address", c.settings.GetInternalListen()).Info("coordinator serves")
-	// Callers are served until leadership is handed over, and other coordinators
-	// until the replicas have stopped.
+	// Public calls are served until leadership is handed over, internal calls until the replicas
+	// have stopped.
 	stopServing := func() {}
-	return site.RunHost(ctx, c.host, func(group *errgroup.Group, parts context.Context) {
+	return site.RunHost(ctx, c.host, func(group *errgroup.Group, groupCtx context.Context) {
 		group.Go(func() error {
-			return site.Serve(parts, site.NewServer(c.internalHandler(handler)), internal, stopTimeout)
+			return site.Serve(groupCtx, site.NewServer(c.internalHandler(handler)), internalListener, stopTimeout)
 		})
-		group.Go(func() error { return sitemetrics.New("coordinator", decision.Default).Serve(parts, c.settings) })
-		group.Go(func() error { c.found(parts); return nil })
-		group.Go(func() error { c.keep(parts); return nil })
-		group.Go(func() error { c.follow(parts); return nil })
-		if outer == nil {
+		group.Go(func() error { return sitemetrics.New("coordinator", decision.Default).Serve(groupCtx, c.settings) })
+		group.Go(func() error { c.foundCluster(groupCtx); return nil })
+		group.Go(func() error { c.runMaintenance(groupCtx); return nil })
+		group.Go(func() error { c.followMembers(groupCtx); return nil })
+		if publicListener == nil {
 			return
 		}
-		var serving context.Context
-		serving, stopServing = context.WithCancel(parts)
-		group.Go(func() error { return site.Serve(serving, site.NewServer(handler(c)), outer, stopTimeout) })
+		var servingCtx context.Context
+		servingCtx, stopServing = context.WithCancel(groupCtx)
+		group.Go(func() error { return site.Serve(servingCtx, site.NewServer(handler(c)), publicListener, stopTimeout) })
 	}, func() { stopServing() })
 }
 
@@ -153,12 +150,12 @@
 	} {
 		mux.Handle(server.PathPrefix(), server)
 	}
-	return markPassedOn(mux)
+	return markForwarded(mux)
 }
 
-// found makes the seeds a cluster when the site starts for the first time. All
-// seeds may do so at once: the same machines always make the same cluster.
-func (c *Coordinator) found(ctx context.Context) {
+// foundCluster founds the cluster from the seeds at the first start of the site. All seeds may
+// do so concurrently, since the result depends only on the seeds.
+func (c *Coordinator) foundCluster(ctx context.Context) {
 	seeded := slices.Contains(c.settings.GetSeeds(), site.Advertised(c.settings))
 	if !c.settings.GetBootstrap() || !seeded {
 		return
@@ -169,110 +166,108 @@
 			return
 		default:
 		}
-		calling, cancel := context.WithTimeout(ctx, time.Second)
-		err := replica.Found(calling, c.client, c.settings.GetSeeds(), 0)
+		callCtx, cancel := context.WithTimeout(ctx, time.Second)
+		err := replica.Found(callCtx, c.client, c.settings.GetSeeds(), 0)
 		cancel()
 		if err != nil {
-			log.WithError(err).Debug("the cluster of coordinators is not founded yet")
+			log.WithError(err).Debug("coordinator cluster is not founded yet; retrying")
 		}
-		if !retry.Pause(ctx, foundingPause) {
+		if !retry.Pause(ctx, foundingInterval) {
 			return
 		}
 	}
 }
 
-// group returns the root group and its state machine, once they run here.
-func (c *Coordinator) group() (replica.Group, *rootMachine, error) {
+// rootGroup returns the root group and its state machine if they run on this machine.
+func (c *Coordinator) rootGroup() (replica.Group, *rootStateMachine, error) {
 	group, running := c.host.Group(sharding.RootGroup)
-	machine := c.root.Load()
+	machine := c.rootState.Load()
 	if !running || machine == nil {
-		return nil, nil, fault.New(fault.Unavailable, "this coordinator belongs to no cluster yet",
-			"try again, at another coordinator too").WithRan(fault.NotRun)
+		return nil, nil, fault.New(fault.Unavailable, "this coordinator has not joined a cluster yet",
+			"retry, also with another coordinator").WithRan(fault.NotRun)
 	}
 	return group, machine, nil
 }
 
-// current returns the state as applied here, where this replica hears the leader. It has then
-// applied all that was committed before that leader was elected and, until the first answer
-// since the start, all that the leader had committed when it was first heard: a replica that
-// was away hears the leader of its last term before it holds what it missed.
-func (c *Coordinator) current() (replica.Group, *rootView, error) {
-	group, machine, err := c.group()
+// currentState returns the applied state if this replica is in contact with the leader and has
+// applied an entry of its term. Until the first success after a start, the replica must also have
+// applied everything committed when it first heard the leader: after a restart it may be in
+// contact with the leader of an unchanged term before it has caught up.
+func (c *Coordinator) currentState() (replica.Group, *rootView, error) {
+	group, machine, err := c.rootGroup()
 	if err != nil {
 		return nil, nil, err
 	}
-	if !upToDate(group.Status(), c.wasCurrent.Load()) {
-		return nil, nil, fault.New(fault.Unavailable, "this coordinator does not hear the leader of the root group",
+	if !upToDate(group.Status(), c.wasUpToDate.Load()) {
+		return nil, nil, fault.New(fault.Unavailable, "this coordinator is not in contact with the leader of the root group",
 			"ask another coordinator").WithRan(fault.NotRun)
 	}
-	c.wasCurrent.Store(true)
+	c.wasUpToDate.Store(true)
 	return group, machine.view(), nil
 }
 
-// upToDate tells whether a replica may answer from what it has applied. Before is set once it
-// has answered since its start.
-func upToDate(status *rockwindpb.GroupStatus, before bool) bool {
+// upToDate reports whether a replica may serve its applied state. wasUpToDate tells that it has
+// done so since its start.
+func upToDate(status *rockwindpb.GroupStatus, wasUpToDate bool) bool {
 	if !status.GetHearsLeader() || status.GetAppliedTerm() != status.GetTerm() {
 		return false
 	}
-	known := status.GetLeaderCommit()
-	return before || (known != 0 && status.GetApplied() >= known)
+	leaderCommit := status.GetLeaderCommit()
+	return wasUpToDate || (leaderCommit != 0 && status.GetApplied() >= leaderCommit)
 }
 
-// awaitCurrent is current, and waits for it where this coordinator has just started: those
-// who ask would only come again. They get their answer with the first entry of the new
-// leader, and not with their next call. A coordinator that loses its leader later says so at
-// once, as another one may hear it.
-func (c *Coordinator) awaitCurrent(ctx context.Context) (replica.Group, *rootView, error) {
+// awaitCurrentState is currentState, but waits up to site.StartHold after a start, so that callers
+// need not retry. A coordinator that loses its leader later fails immediately, since another one
+// may be in contact with it.
+func (c *Coordinator) awaitCurrentState(ctx context.Context) (replica.Group, *rootView, error) {
 	for began := time.Now(); ; {
-		group, view, err := c.current()
-		if err == nil || c.wasCurrent.Load() || time.Since(began) > site.StartHold {
+		group, view, err := c.currentState()
+		if err == nil || c.wasUpToDate.Load() || time.Since(began) > site.StartHold {
 			return group, view, err
 		}
-		applied, failure := c.applied()
-		if failure != nil {
-			return nil, nil, failure
+		applied, groupErr := c.applied()
+		if groupErr != nil {
+			return nil, nil, groupErr
 		}
 		select {
 		case <-applied:
-		case <-time.After(startRecheck):
+		case <-time.After(startPollInterval):
 		case <-ctx.Done():
 			return nil, nil, err
 		}
 	}
 }
 
-// applied returns a channel that is closed at the next change of the state. It is
-// taken before the state is looked at, so that no change is missed.
+// applied returns a channel that is closed at the next change of the state. Obtain it before
+// reading the state so as not to miss a change.
 func (c *Coordinator) applied() (<-chan struct{}, error) {
-	group, _, err := c.group()
+	group, _, err := c.rootGroup()
 	if err != nil {
 		return nil, err
 	}
 	return group.Applied(), nil
 }
 
-// atLeader performs a call at the leader of the root group, here or elsewhere.
-// The call must have the same effect when it is performed twice: it is repeated
-// while the leader changes, until the context ends.
-func (c *Coordinator) atLeader(ctx context.Context, here func() error, elsewhere func(ctx context.Context, base string) error) error {
+// runOnLeader runs a call on the leader of the root group, locally or remotely. It retries while
+// the leader changes, until the context ends; the call must be idempotent.
+func (c *Coordinator) runOnLeader(ctx context.Context, here func() error, elsewhere func(ctx context.Context, base string) error) error {
 	for {
-		err := c.onceAtLeader(ctx, here, elsewhere)
-		if err == nil || !passing(err) {
+		err := c.tryOnLeader(ctx, here, elsewhere)
+		if err == nil || !isTransient(err) {
 			return err
 		}
-		if !retry.Pause(ctx, leaderPause) {
+		if !retry.Pause(ctx, leaderRetryInterval) {
 			return err
 		}
 	}
 }
 
-// fromLeader is atLeader for a call that is answered with something.
-func fromLeader[Response any](
+// callOnLeader is runOnLeader for a call with a response.
+func callOnLeader[Response any](
 	ctx context.Context, c *Coordinator, here func() (Response, error), elsewhere func(ctx context.Context, base string) (Response, error),
 ) (Response, error) {
 	var response Response
-	err := c.atLeader(ctx, func() (err error) {
+	err := c.runOnLeader(ctx, func() (err error) {
 		response, err = here()
 		return err
 	}, func(ctx context.Context, base string) (err error) {
@@ -282,10 +277,10 @@
 	return response, err
 }
 
-// onceAtLeader is one try of atLeader. A call elsewhere is marked as passed on: the machine at the
-// leader's address may be another one by now, which belongs to no root group and would pass it on.
-func (c *Coordinator) onceAtLeader(ctx context.Context, here func() error, elsewhere func(ctx context.Context, base string) error) error {
-	group, _, err := c.group()
+// tryOnLeader is one attempt of runOnLeader. A remote call is marked as forwarded: the machine at
+// the leader's address may have become a non-member, which would forward it back.
+func (c *Coordinator) tryOnLeader(ctx context.Context, here func() error, elsewhere func(ctx context.Context, base string) error) error {
+	group, _, err := c.rootGroup()
 	if err != nil {
 		return err
 	}
@@ -294,17 +289,17 @@
 	}
 	leader := group.Status().GetLeaderAddress()
 	if leader == "" || leader == site.Advertised(c.settings) {
-		return fault.New(fault.Unavailable, "the root group has no leader that is known here", "try again, at another coordinator too")
+		return fault.New(fault.Unavailable, "the root group has no known leader", "retry, also with another coordinator")
 	}
-	marked, err := withPassedOn(ctx)
+	markedCtx, err := withForwardedHeader(ctx)
 	if err != nil {
 		return err
 	}
-	return elsewhere(marked, "http://"+leader)
+	return elsewhere(markedCtx, "http://"+leader)
 }
 
-// passing tells whether a fault may be over soon.
-func passing(err error) bool {
+// isTransient reports whether a retry may succeed.
+func isTransient(err error) bool {
 	switch fault.From(err).Kind {
 	case fault.NotLeader, fault.Unavailable, fault.OutcomeUnknown:
 		return true
@@ -312,19 +307,18 @@
 	return false
 }
 
-func (c *Coordinator) carrier() twirphttp.Client { return twirphttp.Client{Carrier: c.client} }
+func (c *Coordinator) twirpClient() twirphttp.Client { return twirphttp.Client{Carrier: c.client} }
 
-// Apply accepts or refuses a whole configuration. See catalog.Service.Submit for
-// its faults.
+// Apply submits a complete configuration. See catalog.Service.Submit for its faults.
 func (c *Coordinator) Apply(ctx context.Context, request *rockwindpb.ApplyConfigurationRequest) (*rockwindpb.ApplyConfigurationResponse, error) {
 	elsewhere := func(ctx context.Context, base string) (*rockwindpb.ApplyConfigurationResponse, error) {
 		return c.configurationAt(base).Apply(ctx, request)
 	}
-	if c.outside() {
-		return passOnToLeader(ctx, c, toCommit, elsewhere)
+	if c.isNonMember() {
+		return forwardToLeader(ctx, c, untilCommitted, elsewhere)
 	}
-	return fromLeader(ctx, c, func() (*rockwindpb.ApplyConfigurationResponse, error) {
-		group, machine, err := c.group()
+	return callOnLeader(ctx, c, func() (*rockwindpb.ApplyConfigurationResponse, error) {
+		group, machine, err := c.rootGroup()
 		if err != nil {
 			return nil, err
 		}
@@ -332,17 +326,17 @@
 	}, elsewhere)
 }
 
-// LatestConfiguration returns a configuration that holds everything accepted before the call.
+// LatestConfiguration returns a configuration that includes everything accepted before the call.
 func (c *Coordinator) LatestConfiguration(ctx context.Context) (*rockwindpb.GetConfigurationResponse, error) {
 	request := &rockwindpb.GetConfigurationRequest{Newest: true}
 	elsewhere := func(ctx context.Context, base string) (*rockwindpb.GetConfigurationResponse, error) {
 		return c.configurationAt(base).Get(ctx, request)
 	}
-	if c.outside() {
-		return passOnToLeader(ctx, c, passTimeout, elsewhere)
+	if c.isNonMember() {
+		return forwardToLeader(ctx, c, forwardTimeout, elsewhere)
 	}
-	return fromLeader(ctx, c, func() (*rockwindpb.GetConfigurationResponse, error) {
-		group, machine, err := c.group()
+	return callOnLeader(ctx, c, func() (*rockwindpb.GetConfigurationResponse, error) {
+		group, machine, err := c.rootGroup()
 		if err != nil {
 			return nil, err
 		}
@@ -350,51 +344,51 @@
 	}, elsewhere)
 }
 
-// Report takes a server's report. It returns once what is new in it is committed. It fails with
-// fault.InvalidArgument for a report that names no server to use.
-func (c *Coordinator) Report(ctx context.Context, server *rockwindpb.Server) error {
-	if err := directory.ValidateReport(server); err != nil {
+// Report handles a server report and returns once any change is committed. It returns
+// fault.InvalidArgument for an invalid report.
+func (c *Coordinator) Report(ctx context.Context, report *rockwindpb.Server) error {
+	if err := directory.ValidateReport(report); err != nil {
 		return err
 	}
-	if c.outside() {
-		if known := c.followed(); known != nil && !known.directory.WouldChange(server) {
-			c.live.note(server.GetId(), time.Now())
+	if c.isNonMember() {
+		if known := c.recentState(); known != nil && !known.directory.WouldChange(report) {
+			c.liveness.record(report.GetId(), time.Now())
 			return nil
 		}
-		_, err := passOn(ctx, c, toCommit, func(ctx context.Context, base string) (*rockwindpb.ReportServerResponse, error) {
-			return c.directoryAt(base).Report(ctx, &rockwindpb.ReportServerRequest{Server: server})
+		_, err := forward(ctx, c, untilCommitted, func(ctx context.Context, base string) (*rockwindpb.ReportServerResponse, error) {
+			return c.directoryAt(base).Report(ctx, &rockwindpb.ReportServerRequest{Server: report})
 		})
 		return err
 	}
-	_, view, err := c.awaitCurrent(ctx)
+	_, view, err := c.awaitCurrentState(ctx)
 	if err != nil {
 		return err
 	}
-	if view.directory.WouldChange(server) {
-		command := c.admission(view, server)
-		if err := c.change(ctx, command); err != nil {
+	if view.directory.WouldChange(report) {
+		command := c.reportCommand(view, report)
+		if err := c.commitOnLeader(ctx, command); err != nil {
 			return err
 		}
 		if command.GetReport() == nil {
-			log.WithField("server", server.GetId()).WithField("address", server.GetAddress()).Info("a late report of a server that has ended")
+			log.WithField("server", report.GetId()).WithField("address", report.GetAddress()).Info("ignored a late report of a server that has ended")
 			return nil
 		}
-		log.WithField("server", server.GetId()).WithField("service", server.GetService()).WithField("address", server.GetAddress()).
-			WithField("state", server.GetState().String()).WithField("sequence", server.GetSequence()).Info("server reported")
+		log.WithField("server", report.GetId()).WithField("service", report.GetService()).WithField("address", report.GetAddress()).
+			WithField("state", report.GetState().String()).WithField("sequence", report.GetSequence()).Info("server reported")
 	}
-	c.live.note(server.GetId(), time.Now())
+	c.liveness.record(report.GetId(), time.Now())
 	return nil
 }
 
-// Leave takes a server's leave. It returns once the leave is committed.
+// Leave handles a server's leave and returns once it is committed.
 func (c *Coordinator) Leave(ctx context.Context, leaving *rockwindpb.LeaveServerRequest) error {
-	if c.outside() {
-		_, err := passOn(ctx, c, toCommit, func(ctx context.Context, base string) (*rockwindpb.LeaveServerResponse, error) {
+	if c.isNonMember() {
+		_, err := forward(ctx, c, untilCommitted, func(ctx context.Context, base string) (*rockwindpb.LeaveServerResponse, error) {
 			return c.directoryAt(base).Leave(ctx, leaving)
 		})
 		return err
 	}
-	err := c.change(ctx, &rockwindpb.DirectoryCommand{
+	err := c.commitOnLeader(ctx, &rockwindpb.DirectoryCommand{
 		Command: &rockwindpb.DirectoryCommand_Leave{Leave: leaving},
 	})
 	if err == nil {
@@ -403,25 +397,25 @@
 	return err
 }
 
-// change has the leader commit a command of the directory.
-func (c *Coordinator) change(ctx context.Context, command *rockwindpb.DirectoryCommand) error {
-	return c.atLeader(ctx, func() error {
-		return c.commit(ctx, command)
+// commitOnLeader has the leader commit a directory command.
+func (c *Coordinator) commitOnLeader(ctx context.Context, command *rockwindpb.DirectoryCommand) error {
+	return c.runOnLeader(ctx, func() error {
+		return c.commitDirectory(ctx, command)
 	}, func(ctx context.Context, base string) error {
 		_, err := c.directoryAt(base).Change(ctx, command)
 		return err
 	})
 }
 
-// commit proposes a command of the directory as the leader.
-func (c *Coordinator) commit(ctx context.Context, command *rockwindpb.DirectoryCommand) error {
+// commitDirectory proposes a directory command; this coordinator must be the leader.
+func (c *Coordinator) commitDirectory(ctx context.Context, command *rockwindpb.DirectoryCommand) error {
 	command.NowUnixMs = time.Now().UnixMilli()
 	return c.propose(ctx, &rockwindpb.RootCommand{Command: &rockwindpb.RootCommand_Directory{Directory: command}})
 }
 
-// propose proposes a command of the root group as the leader.
+// propose proposes a root group command; this coordinator must be the leader.
 func (c *Coordinator) propose(ctx context.Context, command *rockwindpb.RootCommand) error {
-	group, _, err := c.group()
+	group, _, err := c.rootGroup()
 	if err != nil {
 		return err
 	}
--- a/internal/coordinator/incarnations.go
+++ b/internal/coordinator/incarnations.go
@@ -17,128 +17,125 @@
 )
 
 const (
-	// askTimeout bounds a question to an address: a server that has just started answers
-	// within a few milliseconds, and one whose report waits for the answer is not in use
-	// before.
-	askTimeout = 250 * time.Millisecond
-	// askInterval is the time between questions to an address that has not told who is
-	// there. Nobody waits for the answer: requests for the incarnation that has ended are
-	// turned away at the address, and go on elsewhere.
-	askInterval = time.Second
-	// mostAsked bounds the addresses that are asked in one round. More are contested only
-	// where many servers start again out of reach, and each round takes a part of them.
-	mostAsked = 32
+	// probeTimeout bounds a probe of an address. Servers answer within milliseconds of their
+	// start, and a new one receives no requests until the probe for its report is over.
+	probeTimeout = 250 * time.Millisecond
+	// probeInterval is the time between probes of an address in conflict. Requests for a
+	// terminated incarnation are rejected at the address and retried elsewhere, so that nothing
+	// waits for the probe.
+	probeInterval = time.Second
+	// maxProbesPerRound bounds the probes of one maintenance round.
+	maxProbesPerRound = 32
 )
 
-// Option adjusts a coordinator.
+// Option configures a coordinator.
 type Option func(*Coordinator)
 
-// WithIdentifier has addresses asked where it is in doubt which incarnation has them. Without
-// it the one that reports last counts as the newest.
+// WithIdentifier sets the function that probes an address for its incarnation. Without it, the
+// last incarnation to report replaces the others.
 func WithIdentifier(identifier site.Identifier) Option {
 	return func(c *Coordinator) { c.identifier = identifier }
 }
 
-// identities asks addresses which incarnation is there.
-type identities struct {
-	asks singleflight.Group
-	// asked is when the addresses of contests were last asked, zero for those that were not;
-	// the keeper's own.
-	asked map[string]time.Time
+// addressProber probes addresses for the incarnation that is there.
+type addressProber struct {
+	inFlight singleflight.Group
+	// lastProbed holds the times of the last probes of addresses in conflict, zero for those not
+	// yet probed. Only the maintenance goroutine uses it.
+	lastProbed map[string]time.Time
 }
 
-// admission returns the command for a report that would change the directory. An unknown
-// incarnation at an address that another one may have is entered once the address was asked.
-func (c *Coordinator) admission(view *rootView, report *rockwindpb.Server) *rockwindpb.DirectoryCommand {
+// reportCommand returns the command for a report that changes the directory. It probes the address
+// if another incarnation may be there.
+func (c *Coordinator) reportCommand(view *rootView, report *rockwindpb.Server) *rockwindpb.DirectoryCommand {
 	if c.identifier == nil {
 		return &rockwindpb.DirectoryCommand{Command: &rockwindpb.DirectoryCommand_Report{Report: report}}
 	}
-	holders := view.directory.ConflictingWith(report)
-	if len(holders) == 0 {
+	conflicting := view.directory.ConflictingWith(report)
+	if len(conflicting) == 0 {
 		return directory.ReportCommand(report, nil, directory.Identity{})
 	}
-	// Reports that were held back arrive together: one question serves them all. It tells of
-	// the holders from before it was asked, and not of those that a later caller knows.
-	shared, _, _ := c.identities.asks.Do(report.GetId(), func() (any, error) {
-		return answered{identity: c.identify(view, report), holders: holders}, nil
+	// Concurrent reports share one probe. Its result applies to the incarnations known before
+	// the probe, not to those that a later caller knows.
+	shared, _, _ := c.prober.inFlight.Do(report.GetId(), func() (any, error) {
+		return probeResult{identity: c.probe(view, report), conflicting: conflicting}, nil
 	})
-	answer, _ := shared.(answered)
-	command := directory.ReportCommand(report, answer.holders, answer.identity)
-	recordIdentity(append(slices.Clone(answer.holders), report), answer.identity, command)
+	result, _ := shared.(probeResult)
+	command := directory.ReportCommand(report, result.conflicting, result.identity)
+	recordProbe(append(slices.Clone(result.conflicting), report), result.identity, command)
 	return command
 }
 
-// answered is what a question to an address found out, and about whom it was asked beside the
-// incarnation that reported.
-type answered struct {
-	identity directory.Identity
-	holders  []*rockwindpb.Server
+// probeResult is the result of a probe and the other incarnations known before it.
+type probeResult struct {
+	identity    directory.Identity
+	conflicting []*rockwindpb.Server
 }
 
-// identify asks the address of a server who is there. It does not depend on the call that
-// brought the report, since others may wait for the same answer.
-func (c *Coordinator) identify(view *rootView, expected *rockwindpb.Server) directory.Identity {
-	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
+// probe asks the address of a server which incarnation is there. It is independent of the
+// caller's context, since concurrent callers share the result.
+func (c *Coordinator) probe(view *rootView, expected *rockwindpb.Server) directory.Identity {
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	service, _ := view.catalog.Index().Service(expected.GetService())
 	identity, err := c.identifier(ctx, expected, service.GetHealthPath())
 	if err != nil {
 		log.WithError(fault.From(err)).WithField("address", expected.GetAddress()).WithField("server", expected.GetId()).
-			Debug("an address did not tell which server is there")
+			Debug("probe of a server address failed")
 	}
 	return identity
 }
 
-// settle asks, as the leader, the addresses of which several incarnations are not gone, and
-// marks those as gone that were found to have ended.
-func (c *Coordinator) settle(ctx context.Context, view *rootView, now time.Time) {
+// resolveConflicts probes, as the leader, the addresses with several incarnations that are not
+// gone, and marks those that have ended as gone.
+func (c *Coordinator) resolveConflicts(ctx context.Context, view *rootView, now time.Time) {
 	if c.identifier == nil {
 		return
 	}
-	var asks sync.WaitGroup
-	for _, contest := range c.identities.due(view.directory.AddressConflicts(), now) {
-		asks.Go(func() {
-			identity := c.identify(view, contest[0])
-			command := directory.ResolveConflict(contest, identity)
-			recordIdentity(contest, identity, command)
+	var probes sync.WaitGroup
+	for _, conflict := range c.prober.takeDue(view.directory.AddressConflicts(), now) {
+		probes.Go(func() {
+			identity := c.probe(view, conflict[0])
+			command := directory.ResolveConflict(conflict, identity)
+			recordProbe(conflict, identity, command)
 			if command == nil {
 				return
 			}
-			calling, cancel := context.WithTimeout(ctx, keepTimeout)
+			callCtx, cancel := context.WithTimeout(ctx, maintenanceCallTimeout)
 			defer cancel()
-			if err := c.change(calling, command); err != nil {
-				log.WithError(fault.From(err)).WithField("address", contest[0].GetAddress()).Info("the end of a server was not committed; the address is asked again")
+			if err := c.commitOnLeader(callCtx, command); err != nil {
+				log.WithError(fault.From(err)).WithField("address", conflict[0].GetAddress()).Info("failed to commit the end of a server; the address will be probed again")
 			}
 		})
 	}
-	asks.Wait()
+	probes.Wait()
 }
 
-// due returns the contests whose addresses are to be asked now, and remembers that they are.
-// Where they are too many for one round, those go first that were not asked for longest.
-func (i *identities) due(contests [][]*rockwindpb.Server, now time.Time) [][]*rockwindpb.Server {
-	kept := make(map[string]time.Time)
+// takeDue returns the conflicts to probe now and records the time of the probe. The least recently
+// probed go first.
+func (p *addressProber) takeDue(conflicts [][]*rockwindpb.Server, now time.Time) [][]*rockwindpb.Server {
+	probedAt := make(map[string]time.Time)
 	var due [][]*rockwindpb.Server
-	for _, contest := range contests {
-		address := contest[0].GetAddress()
-		kept[address] = i.asked[address]
-		if now.Sub(kept[address]) >= askInterval {
-			due = append(due, contest)
+	for _, conflict := range conflicts {
+		address := conflict[0].GetAddress()
+		probedAt[address] = p.lastProbed[address]
+		if now.Sub(probedAt[address]) >= probeInterval {
+			due = append(due, conflict)
 		}
 	}
 	slices.SortStableFunc(due, func(a, b []*rockwindpb.Server) int {
-		return kept[a[0].GetAddress()].Compare(kept[b[0].GetAddress()])
+		return probedAt[a[0].GetAddress()].Compare(probedAt[b[0].GetAddress()])
 	})
-	due = due[:min(len(due), mostAsked)]
-	for _, contest := range due {
-		kept[contest[0].GetAddress()] = now
+	due = due[:min(len(due), maxProbesPerRound)]
+	for _, conflict := range due {
+		probedAt[conflict[0].GetAddress()] = now
 	}
-	i.asked = kept
+	p.lastProbed = probedAt
 	return due
 }
 
-// recordIdentity writes what an address was asked for and what followed.
-func recordIdentity(incarnations []*rockwindpb.Server, identity directory.Identity, command *rockwindpb.DirectoryCommand) {
+// recordProbe records a probe and its effect in the decision log.
+func recordProbe(incarnations []*rockwindpb.Server, identity directory.Identity, command *rockwindpb.DirectoryCommand) {
 	var known []string
 	for _, each := range incarnations {
 		known = append(known, each.GetId())
--- a/internal/coordinator/liveness.go
+++ b/internal/coordinator/liveness.go
@@ -5,80 +5,79 @@
 	"time"
 )
 
-// liveness notes when servers reported. Every coordinator notes those that
-// report to it and tells the leader, which alone judges silence. It is soft
-// state: a new leader gives every server a full period.
+// liveness records when servers reported. Every coordinator records the reports that it receives
+// and relays them to the leader, which alone detects silence. The state is not replicated: a new
+// leader gives every server a full timeout.
 type liveness struct {
-	mutex sync.Mutex
-	heard map[string]time.Time
-	// untold holds the servers that reported here since the leader was last told.
-	untold map[string]bool
+	mutex     sync.Mutex
+	lastHeard map[string]time.Time
+	// pending holds the servers that reported here since the leader was last told.
+	pending map[string]bool
 }
 
 func newLiveness() *liveness {
-	return &liveness{heard: make(map[string]time.Time), untold: make(map[string]bool)}
+	return &liveness{lastHeard: make(map[string]time.Time), pending: make(map[string]bool)}
 }
 
-// note records a report of a server to this coordinator.
-func (l *liveness) note(id string, now time.Time) {
+// record records a report received by this coordinator.
+func (l *liveness) record(id string, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.heard[id] = now
-	l.untold[id] = true
+	l.lastHeard[id] = now
+	l.pending[id] = true
 }
 
-// noteTold records reports that another coordinator took.
-func (l *liveness) noteTold(ids []string, now time.Time) {
+// recordRelayed records reports received by other coordinators.
+func (l *liveness) recordRelayed(ids []string, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, id := range ids {
-		l.heard[id] = now
+		l.lastHeard[id] = now
 	}
 }
 
-// take returns the servers that the leader has not been told of.
-func (l *liveness) take() []string {
+// takePending returns and clears the servers not yet relayed to the leader.
+func (l *liveness) takePending() []string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	ids := make([]string, 0, len(l.untold))
-	for id := range l.untold {
+	ids := make([]string, 0, len(l.pending))
+	for id := range l.pending {
 		ids = append(ids, id)
 	}
-	clear(l.untold)
+	clear(l.pending)
 	return ids
 }
 
-// heardSince tells whether a server or machine was heard after a time.
+// heardSince reports whether a server or machine was heard after a time.
 func (l *liveness) heardSince(id string, since time.Time) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.heard[id].After(since)
+	return l.lastHeard[id].After(since)
 }
 
-// silent returns those of the given servers that were not heard for the patience, and
-// forgets servers that are not among them. One that was never heard here counts as heard
-// now: it is in the directory since it reported to another coordinator, which tells the
-// leader a little later.
-func (l *liveness) silent(ids []string, patience time.Duration, now time.Time) []string {
+// silentServers returns the given servers not heard for longer than the timeout and drops the
+// records of all others. A server without a record counts as heard now: it may have reported to
+// another coordinator that has not yet relayed the report.
+func (l *liveness) silentServers(ids []string, timeout time.Duration, now time.Time) []string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	kept := make(map[string]time.Time, len(l.heard))
-	for id, heard := range l.heard {
+	kept := make(map[string]time.Time, len(l.lastHeard))
+	for id, heard := range l.lastHeard {
 		if isMachineKey(id) {
 			kept[id] = heard
 		}
 	}
 	var silent []string
 	for _, id := range ids {
-		heard, known := l.heard[id]
+		heard, known := l.lastHeard[id]
 		if !known {
 			heard = now
 		}
 		kept[id] = heard
-		if now.Sub(heard) > patience {
+		if now.Sub(heard) > timeout {
 			silent = append(silent, id)
 		}
 	}
-	l.heard = kept
+	l.lastHeard = kept
 	return silent
 }
--- a/internal/coordinator/liveness_test.go
+++ b/internal/coordinator/liveness_test.go
@@ -8,38 +8,37 @@
 	"rockwind.example/rockwind/internal/coordinator"
 )
 
-const patience = 4 * time.Second
+const silenceTimeout = 4 * time.Second
 
-// TestNewServerIsNotSilent: a server that reported to another coordinator is in the
-// directory before the leader is told that it was heard. So is one that was silent and
-// reports again: the leader had forgotten it.
+// TestNewServerIsNotSilent guards against marking a server as silent whose report to another
+// coordinator has not yet been relayed, also after it was silent before.
 func TestNewServerIsNotSilent(t *testing.T) {
 	l := coordinator.NewLiveness()
 	now := time.Unix(1000, 0)
 	for round := range 3 {
-		if silent := l.Silent([]string{"new"}, patience, now); len(silent) > 0 {
-			t.Fatalf("round %d: %v is silent as soon as it is known", round, silent)
+		if silent := l.Silent([]string{"new"}, silenceTimeout, now); len(silent) > 0 {
+			t.Fatalf("round %d: %v is silent immediately", round, silent)
 		}
-		l.NoteTold([]string{"new"}, now.Add(200*time.Millisecond))
-		now = now.Add(patience + 300*time.Millisecond)
-		if silent := l.Silent([]string{"new"}, patience, now); !slices.Equal(silent, []string{"new"}) {
-			t.Fatalf("round %d: %v is silent", round, silent)
+		l.RecordRelayed([]string{"new"}, now.Add(200*time.Millisecond))
+		now = now.Add(silenceTimeout + 300*time.Millisecond)
+		if silent := l.Silent([]string{"new"}, silenceTimeout, now); !slices.Equal(silent, []string{"new"}) {
+			t.Fatalf("round %d: silent servers are %v", round, silent)
 		}
-		// It is marked as silent, so that the next look does not ask for it.
-		l.Silent(nil, patience, now)
+		// Once marked as silent, the server is not passed in the next call.
+		l.Silent(nil, silenceTimeout, now)
 	}
 }
 
-// TestServerThatNeverReportsToTheLeaderBecomesSilent: what is known of it only through the
-// directory counts for one period.
+// TestServerThatNeverReportsToTheLeaderBecomesSilent guards against keeping a server forever that is
+// known only from the directory.
 func TestServerThatNeverReportsToTheLeaderBecomesSilent(t *testing.T) {
 	l := coordinator.NewLiveness()
 	now := time.Unix(1000, 0)
-	l.Silent([]string{"quiet"}, patience, now)
-	if silent := l.Silent([]string{"quiet"}, patience, now.Add(patience)); len(silent) > 0 {
+	l.Silent([]string{"quiet"}, silenceTimeout, now)
+	if silent := l.Silent([]string{"quiet"}, silenceTimeout, now.Add(silenceTimeout)); len(silent) > 0 {
 		t.Fatalf("%v is silent too early", silent)
 	}
-	if silent := l.Silent([]string{"quiet"}, patience, now.Add(patience+time.Millisecond)); len(silent) != 1 {
-		t.Fatal("it never becomes silent")
+	if silent := l.Silent([]string{"quiet"}, silenceTimeout, now.Add(silenceTimeout+time.Millisecond)); len(silent) != 1 {
+		t.Fatal("the server never becomes silent")
 	}
 }
--- a/internal/coordinator/retiring.go
+++ b/internal/coordinator/machines.go
@@ -16,54 +16,54 @@
 )
 
 const (
-	// machinePrefix marks machines among what was heard.
+	// machinePrefix distinguishes machines from servers in liveness records.
 	machinePrefix = "machine/"
-	// forgetPatience is how long a machine must be silent before it is forgotten. It
-	// announces itself again when it is back.
-	forgetPatience = 12 * time.Second
-	// livePatience is how long a machine may be silent and still count as alive.
-	livePatience = 7 * time.Second
-	// identityTimeout bounds the question to one store about its groups.
+	// forgetTimeout is how long a machine must be silent before its entry is removed. It
+	// announces itself again when it returns.
+	forgetTimeout = 12 * time.Second
+	// aliveTimeout is how long a machine may be silent and still count as alive.
+	aliveTimeout = 7 * time.Second
+	// identityTimeout bounds the query of all stores for their groups.
 	identityTimeout = 400 * time.Millisecond
 )
 
 func machineKey(name string) string { return machinePrefix + name }
 
-// forgetMachines removes the entries of machines that were not heard for long.
-func (c *Coordinator) forgetMachines(ctx context.Context, view *directory.View, ledSince, now time.Time) {
-	if now.Sub(ledSince) < forgetPatience {
+// forgetMachines removes the entries of machines not heard for forgetTimeout.
+func (c *Coordinator) forgetMachines(ctx context.Context, view *directory.View, leaderSince, now time.Time) {
+	if now.Sub(leaderSince) < forgetTimeout {
 		return
 	}
 	for _, machine := range view.Machines() {
-		if machine.GetRetiring() || c.live.heardSince(machineKey(machine.GetName()), now.Add(-forgetPatience)) {
+		if machine.GetRetiring() || c.liveness.heardSince(machineKey(machine.GetName()), now.Add(-forgetTimeout)) {
 			continue
 		}
-		calling, cancel := context.WithTimeout(ctx, keepTimeout)
-		err := c.change(calling, &rockwindpb.DirectoryCommand{
+		callCtx, cancel := context.WithTimeout(ctx, maintenanceCallTimeout)
+		err := c.commitOnLeader(callCtx, &rockwindpb.DirectoryCommand{
 			Command: &rockwindpb.DirectoryCommand_Forget{Forget: &rockwindpb.ForgetMachine{Name: machine.GetName()}},
 		})
 		cancel()
-		log.WithField("machine", machine.GetName()).WithField("patience", forgetPatience.String()).WithField("committed", err == nil).Info("machine is forgotten")
+		log.WithField("machine", machine.GetName()).WithField("patience", forgetTimeout.String()).WithField("committed", err == nil).Info("machine is forgotten")
 	}
 }
 
-// Retire has a store hand over all it keeps. It fails with fault.NotFound for a
-// store that is not known, and with fault.Conflict where too few would be left to
-// bear the losses that the site tolerates. It may be repeated.
+// Retire marks a store as retiring, so that it hands over its data. It returns fault.NotFound
+// for an unknown store and fault.Conflict if too few stores would remain for the site's fault
+// tolerance. It is idempotent.
 func (c *Coordinator) Retire(ctx context.Context, name string) error {
-	if c.outside() {
-		_, err := passOnToLeader(ctx, c, toCommit, func(ctx context.Context, base string) (*rockwindpb.RetireMachineResponse, error) {
+	if c.isNonMember() {
+		_, err := forwardToLeader(ctx, c, untilCommitted, func(ctx context.Context, base string) (*rockwindpb.RetireMachineResponse, error) {
 			return c.directoryAt(base).Retire(ctx, &rockwindpb.RetireMachine{Name: name})
 		})
 		return err
 	}
-	group, view, err := c.current()
+	group, view, err := c.currentState()
 	if err != nil {
 		return err
 	}
 	if _, leading := group.Leading(); !leading {
 		// Only the leader knows which stores are alive.
-		return c.elsewhere(ctx, func(ctx context.Context, service rockwindpb.DirectoryService) error {
+		return c.callLeaderDirectory(ctx, func(ctx context.Context, service rockwindpb.DirectoryService) error {
 			_, err := service.Retire(ctx, &rockwindpb.RetireMachine{Name: name})
 			return err
 		})
@@ -75,27 +75,27 @@
 	if machine.GetRetiring() {
 		return nil
 	}
-	left := 0
+	remaining := 0
 	for _, other := range stores(view.directory) {
-		alive := c.live.heardSince(machineKey(other.GetName()), time.Now().Add(-livePatience))
+		alive := c.liveness.heardSince(machineKey(other.GetName()), time.Now().Add(-aliveTimeout))
 		if other.GetName() != name && !other.GetRetiring() && alive {
-			left++
+			remaining++
 		}
 	}
-	if wanted := site.Places(c.settings); left < wanted {
-		return fault.Newf(fault.Conflict, "add a store first", "%d stores would be left, and the site needs %d", left, wanted)
+	if wanted := site.Places(c.settings); remaining < wanted {
+		return fault.Newf(fault.Conflict, "add a store first", "only %d stores would remain, but the site needs %d", remaining, wanted)
 	}
-	err = c.change(ctx, &rockwindpb.DirectoryCommand{
+	err = c.commitOnLeader(ctx, &rockwindpb.DirectoryCommand{
 		Command: &rockwindpb.DirectoryCommand_Retire{Retire: &rockwindpb.RetireMachine{Name: name}},
 	})
-	log.WithField("machine", name).WithField("left", left).WithField("committed", err == nil).Info("store retires")
+	log.WithField("machine", name).WithField("left", remaining).WithField("committed", err == nil).Info("store retires")
 	return err
 }
 
-// elsewhere makes a call at the leader of the root group, which is another machine.
-func (c *Coordinator) elsewhere(ctx context.Context, call func(context.Context, rockwindpb.DirectoryService) error) error {
-	return c.atLeader(ctx, func() error {
-		return fault.New(fault.Conflict, "leadership has changed", "send the order again")
+// callLeaderDirectory calls the directory service of a remote leader of the root group.
+func (c *Coordinator) callLeaderDirectory(ctx context.Context, call func(context.Context, rockwindpb.DirectoryService) error) error {
+	return c.runOnLeader(ctx, func() error {
+		return fault.New(fault.Conflict, "leadership has changed", "retry the request")
 	}, func(ctx context.Context, base string) error {
 		return call(ctx, c.directoryAt(base))
 	})
@@ -105,8 +105,8 @@
 	return view.WithRole(rockwindpb.SiteRole_SITE_ROLE_STORE)
 }
 
-// Retired tells whether a store that retires keeps nothing any more: the leaders
-// of all shards say that it is no member.
+// Retired reports whether a retiring store holds no data any more: the leaders of all shards are
+// known, and none lists it as a member.
 func (c *Coordinator) Retired(ctx context.Context, name string) (bool, error) {
 	view, err := c.currentDirectory(ctx)
 	if err != nil {
@@ -114,7 +114,7 @@
 	}
 	machine, known := view.Machine(name)
 	if !known || !machine.GetRetiring() {
-		return false, fault.Newf(fault.NotFound, "ask the store to retire first", "no store named %q retires", name)
+		return false, fault.Newf(fault.NotFound, "ask the store to retire first", "no store named %q is retiring", name)
 	}
 	led := c.ledShards(ctx, stores(view))
 	for _, group := range view.StoreCluster().GetGroups() {
@@ -126,11 +126,10 @@
 	return true, nil
 }
 
-// currentDirectory returns the directory as it is known here, or by a member of the root group
-// where this coordinator is outside.
+// currentDirectory returns the local directory, or that of a member on a non-member.
 func (c *Coordinator) currentDirectory(ctx context.Context) (*directory.View, error) {
-	if c.outside() {
-		response, err := passOn(ctx, c, passTimeout, func(ctx context.Context, base string) (*rockwindpb.WatchDirectoryResponse, error) {
+	if c.isNonMember() {
+		response, err := forward(ctx, c, forwardTimeout, func(ctx context.Context, base string) (*rockwindpb.WatchDirectoryResponse, error) {
 			return c.directoryAt(base).Watch(ctx, &rockwindpb.WatchDirectoryRequest{})
 		})
 		if err != nil {
@@ -138,7 +137,7 @@
 		}
 		return directory.Merge(nil, response), nil
 	}
-	_, view, err := c.current()
+	_, view, err := c.currentState()
 	if err != nil {
 		return nil, err
 	}
@@ -151,17 +150,17 @@
 	})
 }
 
-// ledShards asks all stores for the shards that they lead, and returns what the
-// leader of the highest term says of each.
-func (c *Coordinator) ledShards(ctx context.Context, asked []*rockwindpb.Machine) map[uint32]*rockwindpb.GroupStatus {
+// ledShards queries all stores and returns, for each shard, the status from the leader with the
+// highest term.
+func (c *Coordinator) ledShards(ctx context.Context, stores []*rockwindpb.Machine) map[uint32]*rockwindpb.GroupStatus {
 	ctx, cancel := context.WithTimeout(ctx, identityTimeout)
 	defer cancel()
 	var mutex sync.Mutex
 	var answers sync.WaitGroup
 	led := make(map[uint32]*rockwindpb.GroupStatus)
-	for _, store := range asked {
+	for _, store := range stores {
 		answers.Go(func() {
-			service := rockwindpb.NewReplicaServiceProtobufClient("http://"+store.GetAddress(), c.carrier())
+			service := rockwindpb.NewReplicaServiceProtobufClient("http://"+store.GetAddress(), c.twirpClient())
 			identity, err := service.Identity(ctx, &rockwindpb.IdentityRequest{})
 			if err != nil {
 				return
@@ -180,5 +179,5 @@
 	return led
 }
 
-// isMachineKey tells machines from servers among what was heard.
+// isMachineKey reports whether a liveness key belongs to a machine.
 func isMachineKey(key string) bool { return strings.HasPrefix(key, machinePrefix) }
--- a/internal/coordinator/members.go
+++ b/internal/coordinator/members.go
@@ -22,35 +22,34 @@
 )
 
 const (
-	// passTries bounds how many members a call is passed on to, one after the other: as many
-	// as the root group has.
-	passTries = rootPlaces
-	// memberAvoidance is how long a member that failed to answer comes after the others.
-	memberAvoidance = 10 * time.Second
-	// passTimeout bounds one try of a call that changes nothing, and is longer than an election: a member that hangs is left for
-	// another one while the caller, with its some seconds, still waits.
-	passTimeout = time.Second
-	// toCommit stands for the time of a try that changes something: it lasts as long as its caller
-	// waits, while the member shows that it lives. A commit may take longer than passTimeout where
-	// disks are slow; cut and made again it would take longer still.
-	toCommit time.Duration = 0
-	// aliveLook is the time between looks at a member that has a change and does not answer, and the
-	// longest that a look may take: one that hangs is left after passTimeout.
-	aliveLook = passTimeout / 2
-	// holdGrace is how much longer than its hold a member's answer to a call that waits for news may
-	// take. Callers give 0.5 s themselves.
-	holdGrace = 300 * time.Millisecond
-	// leaderlessPause is the time between rounds of calls for the leader while members name none:
-	// elections take 0.3 s and more, and a round costs a call at each member.
-	leaderlessPause = 100 * time.Millisecond
-	// passedOnHeader marks a call that a coordinator passed on, or that a member took to the leader.
-	// A coordinator outside never passes it on.
-	passedOnHeader = "Rockwind-Passed-On"
+	// maxForwardAttempts bounds the members that a call is forwarded to in sequence.
+	maxForwardAttempts = maxRootMembers
+	// memberAvoidTime is how long a failed member is ordered behind the others.
+	memberAvoidTime = 10 * time.Second
+	// forwardTimeout bounds one attempt of a read. It is longer than an election and short
+	// enough for another attempt before the caller gives up.
+	forwardTimeout = time.Second
+	// untilCommitted is the timeout of an attempt that changes state: it lasts until the caller
+	// gives up or the member becomes unresponsive. Commits may exceed forwardTimeout on slow
+	// disks, and a retry would delay them further.
+	untilCommitted time.Duration = 0
+	// unresponsiveCheckInterval is the interval and timeout of checks of a member that has not
+	// yet answered a change. An unresponsive member is abandoned after forwardTimeout.
+	unresponsiveCheckInterval = forwardTimeout / 2
+	// watchGracePeriod is how much longer than its wait a watch at a member may take. It is
+	// below the 0.5 s that watchers allow.
+	watchGracePeriod = 300 * time.Millisecond
+	// noLeaderRetryInterval is the time between rounds of calls while members know no leader.
+	// An election takes at least 0.3 s.
+	noLeaderRetryInterval = 100 * time.Millisecond
+	// forwardedHeader marks a call that a coordinator forwarded. A non-member does not forward
+	// it again.
+	forwardedHeader = "Rockwind-Passed-On"
 )
 
-// outside tells whether this coordinator belongs to a cluster whose root group has no replica
-// here: there are more coordinators than the group has places. It passes calls on to members.
-func (c *Coordinator) outside() bool {
+// isNonMember reports whether this coordinator belongs to a cluster but holds no replica of the
+// root group, as the group already has enough members.
+func (c *Coordinator) isNonMember() bool {
 	select {
 	case <-c.host.Founded():
 	default:
@@ -60,9 +59,9 @@
 	return !running
 }
 
-// rootMembers are the addresses of the machines that may hold the root group, as the last
-// answer to an offer to join named them, and the seeds.
-func (c *Coordinator) rootMembers() []string {
+// memberAddresses lists the machines that may be members of the root group: those named in the
+// last answer to a join request, and the seeds.
+func (c *Coordinator) memberAddresses() []string {
 	self := site.Advertised(c.settings)
 	var addresses []string
 	add := func(address string) {
@@ -79,22 +78,21 @@
 	return addresses
 }
 
-// memberOrder decides which member a call is passed on to. The zero value is ready for use; its
-// methods may be called by any goroutine.
-type memberOrder struct {
+// memberSelector orders the members that calls are forwarded to. The zero value is ready to use,
+// and its methods are safe for concurrent use.
+type memberSelector struct {
 	mutex sync.Mutex
-	// failed holds when members failed to answer.
-	failed map[string]time.Time
+	// lastFailed holds the time of the last failure of each failed member.
+	lastFailed map[string]time.Time
 }
 
-// order lists at most passTries of the addresses. Each coordinator, named self, has them in an
-// order of its own; those that failed lately come last, the one that failed first before the
-// others.
-func (o *memberOrder) order(self string, addresses []string, now time.Time) []string {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
+// order returns at most maxForwardAttempts addresses. Each coordinator, named self, has its own
+// pseudo-random order. Recently failed members come last, the earliest failure first.
+func (s *memberSelector) order(self string, addresses []string, now time.Time) []string {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	failedAt := func(address string) int64 {
-		if at, known := o.failed[address]; known && now.Sub(at) < memberAvoidance {
+		if at, known := s.lastFailed[address]; known && now.Sub(at) < memberAvoidTime {
 			return at.UnixNano()
 		}
 		return 0
@@ -104,167 +102,165 @@
 	slices.SortFunc(ordered, func(a, b string) int {
 		return cmp.Or(cmp.Compare(failedAt(a), failedAt(b)), cmp.Compare(rank(a), rank(b)))
 	})
-	return ordered[:min(len(ordered), passTries)]
+	return ordered[:min(len(ordered), maxForwardAttempts)]
 }
 
-// note notes whether a member has answered.
-func (o *memberOrder) note(address string, answered bool, now time.Time) {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
+// recordResult records whether a member has answered.
+func (s *memberSelector) recordResult(address string, answered bool, now time.Time) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	if answered {
-		delete(o.failed, address)
+		delete(s.lastFailed, address)
 		return
 	}
-	if o.failed == nil {
-		o.failed = make(map[string]time.Time)
+	if s.lastFailed == nil {
+		s.lastFailed = make(map[string]time.Time)
 	}
-	o.failed[address] = now
+	s.lastFailed[address] = now
 }
 
-// passOn makes a call at one member of the root group after the other until one takes it, for
-// a coordinator that is outside. The call must have the same effect when it is performed
-// twice. It goes to a leader that a member names, and is never passed on twice, so that
-// coordinators that take each other for members do not pass calls round. One try takes no longer
-// than the given time, or is toCommit. Such a call fails with fault.OutcomeUnknown once a member
-// that may have carried it out did not say so, whatever others say.
-func passOn[Response any](ctx context.Context, c *Coordinator, within time.Duration, call func(ctx context.Context, base string) (Response, error)) (Response, error) {
+// forward makes a call at the members of the root group in turn until one accepts it, and follows
+// their hints to the leader. The call must be idempotent. Calls that were already forwarded fail,
+// to avoid loops between non-members. timeout bounds one attempt or is untilCommitted; then the
+// error is fault.OutcomeUnknown if any member may have carried out the change.
+func forward[Response any](ctx context.Context, c *Coordinator, timeout time.Duration, call func(ctx context.Context, base string) (Response, error)) (Response, error) {
 	var none Response
-	var last error = fault.New(fault.Unavailable, "this coordinator holds no replica of the root group, and reaches no member of it",
+	var lastErr error = fault.New(fault.Unavailable, "this coordinator is not a member of the root group and cannot reach one",
 		"ask another coordinator").WithRan(fault.NotRun)
-	if ctx.Value(passedOn{}) != nil {
-		return none, last
+	if ctx.Value(forwardedKey{}) != nil {
+		return none, lastErr
 	}
-	ctx, err := withPassedOn(ctx)
+	ctx, err := withForwardedHeader(ctx)
 	if err != nil {
 		return none, err
 	}
-	var unknown error
-	asked := c.members.order(c.settings.GetName(), c.rootMembers(), time.Now())
-	for tries := 0; tries < passTries && len(asked) > 0 && ctx.Err() == nil; tries++ {
-		address := asked[0]
-		response, connected, err := passOnce(ctx, c, address, within, call)
+	var outcomeErr error
+	remaining := c.memberSelector.order(c.settings.GetName(), c.memberAddresses(), time.Now())
+	for tries := 0; tries < maxForwardAttempts && len(remaining) > 0 && ctx.Err() == nil; tries++ {
+		address := remaining[0]
+		response, connected, err := forwardOnce(ctx, c, address, timeout, call)
 		if err == nil {
-			c.members.note(address, true, time.Now())
+			c.memberSelector.recordResult(address, true, time.Now())
 			return response, nil
 		}
 		failure := fault.From(err)
-		if !passing(failure) {
+		if !isTransient(failure) {
 			return none, failure
 		}
-		if within == toCommit && (failure.Kind == fault.OutcomeUnknown || (connected && !fault.Told(err))) {
-			unknown = outcomeUnknown(address)
+		if timeout == untilCommitted && (failure.Kind == fault.OutcomeUnknown || (connected && !fault.Told(err))) {
+			outcomeErr = outcomeUnknown(address)
 		}
-		asked = asked[1:]
-		if !fault.Is(last, fault.NotLeader) {
-			// That a member answers, and knows no leader, tells more than that another is gone.
-			last = failure
+		remaining = remaining[1:]
+		if !fault.Is(lastErr, fault.NotLeader) {
+			// A member that knows no leader is more informative than one that is down.
+			lastErr = failure
 		}
 		switch {
 		case ctx.Err() != nil:
-			// The caller's time is over, which tells nothing of the member.
+			// The caller's context ended, which says nothing about the member.
 		case failure.Kind != fault.NotLeader:
-			c.members.note(address, false, time.Now())
+			c.memberSelector.recordResult(address, false, time.Now())
 		case failure.Leader != "" && failure.Leader != site.Advertised(c.settings):
-			asked = slices.Insert(asked, 0, failure.Leader)
+			remaining = slices.Insert(remaining, 0, failure.Leader)
 		}
 	}
-	return none, cmp.Or(unknown, last)
+	return none, cmp.Or(outcomeErr, lastErr)
 }
 
-// outcomeUnknown is the fault of a change that the member at an address may have made.
+// outcomeUnknown returns the fault for a change that a member may have carried out.
 func outcomeUnknown(address string) error {
-	return fault.Newf(fault.OutcomeUnknown, "send it again, or look whether it is in force",
-		"the member of the root group at %s took the change and did not tell what came of it", address).WithRan(fault.RanUnknown)
+	return fault.Newf(fault.OutcomeUnknown, "retry, or check whether the change is in effect",
+		"the member of the root group at %s accepted the change, but its outcome is unknown", address).WithRan(fault.RanUnknown)
 }
 
-// passOnToLeader is passOn for a call that only the leader takes. Where members answer that there is
-// none, or do not tell what came of a change, it is repeated until the context ends, as at members.
-func passOnToLeader[Response any](ctx context.Context, c *Coordinator, within time.Duration, call func(ctx context.Context, base string) (Response, error)) (Response, error) {
-	var unknown error
+// forwardToLeader is forward for a call that only the leader accepts. It retries while members know
+// no leader or the outcome of a change is unknown, until the context ends.
+func forwardToLeader[Response any](ctx context.Context, c *Coordinator, timeout time.Duration, call func(ctx context.Context, base string) (Response, error)) (Response, error) {
+	var outcomeErr error
 	for {
-		response, err := passOn(ctx, c, within, call)
-		if err == nil || !passing(err) {
+		response, err := forward(ctx, c, timeout, call)
+		if err == nil || !isTransient(err) {
 			return response, err
 		}
 		if fault.Is(err, fault.OutcomeUnknown) {
-			unknown = err
+			outcomeErr = err
 		}
-		if fault.Is(err, fault.Unavailable) || !retry.Pause(ctx, leaderlessPause) {
-			return response, cmp.Or(unknown, err)
+		if fault.Is(err, fault.Unavailable) || !retry.Pause(ctx, noLeaderRetryInterval) {
+			return response, cmp.Or(outcomeErr, err)
 		}
 	}
 }
 
-// holdOf is how long a member may take for a call that waits for news for the given time.
-func holdOf(waitMs uint32) time.Duration {
-	return min(time.Duration(waitMs)*time.Millisecond, maximumWait) + holdGrace
+// watchTimeout returns the timeout of a forwarded watch with the given wait.
+func watchTimeout(waitMs uint32) time.Duration {
+	return min(time.Duration(waitMs)*time.Millisecond, maxWatchWait) + watchGracePeriod
 }
 
-// passOnce makes a call at one address, and gives up where there is no connection soon, or no
-// answer within the given time. It tells whether there was a connection.
-func passOnce[Response any](ctx context.Context, c *Coordinator, address string, within time.Duration, call func(ctx context.Context, base string) (Response, error)) (Response, bool, error) {
-	limited, cancel := context.WithCancel(ctx)
+// forwardOnce makes a call at one address. It fails without a prompt connection or without an answer
+// within the timeout. It also reports whether there was a connection.
+func forwardOnce[Response any](ctx context.Context, c *Coordinator, address string, timeout time.Duration, call func(ctx context.Context, base string) (Response, error)) (Response, bool, error) {
+	attemptCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	base := "http://" + address
-	if within == toCommit {
-		go c.leaveHanging(limited, base, cancel)
+	if timeout == untilCommitted {
+		go c.cancelIfUnresponsive(attemptCtx, base, cancel)
 	} else {
-		defer time.AfterFunc(within, cancel).Stop()
+		defer time.AfterFunc(timeout, cancel).Stop()
 	}
 	var connected atomic.Bool
-	traced, release := site.WithConnectLimit(limited, site.ConnectPatience)
+	tracedCtx, release := site.WithConnectLimit(attemptCtx, site.ConnectPatience)
 	defer release()
-	traced = httptrace.WithClientTrace(traced, &httptrace.ClientTrace{
+	tracedCtx = httptrace.WithClientTrace(tracedCtx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
-	response, err := call(traced, base)
+	response, err := call(tracedCtx, base)
 	return response, connected.Load(), err
 }
 
-// leaveHanging has a try at a member end once the member does not answer anything else either.
-func (c *Coordinator) leaveHanging(ctx context.Context, base string, leave func()) {
-	for retry.Pause(ctx, aliveLook) {
-		looking, cancel := context.WithTimeout(ctx, aliveLook)
-		// A note of no servers is answered at once, and changes nothing.
-		_, err := c.directoryAt(base).Note(looking, &rockwindpb.NoteServersRequest{})
+// cancelIfUnresponsive aborts an attempt at a member that stops answering other calls too.
+func (c *Coordinator) cancelIfUnresponsive(ctx context.Context, base string, abort func()) {
+	for retry.Pause(ctx, unresponsiveCheckInterval) {
+		checkCtx, cancel := context.WithTimeout(ctx, unresponsiveCheckInterval)
+		// A note without servers has no effect and is answered immediately.
+		_, err := c.directoryAt(base).Note(checkCtx, &rockwindpb.NoteServersRequest{})
 		cancel()
 		if err != nil && !fault.Told(err) && ctx.Err() == nil {
-			log.WithError(err).WithField("address", base).Warn("a member has a change, and hangs")
-			leave()
+			log.WithError(err).WithField("address", base).Warn("a member of the root group does not answer a change and is unresponsive")
+			abort()
 			return
 		}
 	}
 }
 
-// passedOn is the key under which a call's context tells that a coordinator passed it on.
-type passedOn struct{}
+// forwardedKey is the context key of calls that a coordinator forwarded.
+type forwardedKey struct{}
 
-// withPassedOn returns a context whose calls are marked as passed on.
-func withPassedOn(ctx context.Context) (context.Context, error) {
-	return twirp.WithHTTPRequestHeaders(ctx, http.Header{passedOnHeader: {"1"}})
+// withForwardedHeader returns a context whose calls carry the forwarded header.
+func withForwardedHeader(ctx context.Context) (context.Context, error) {
+	return twirp.WithHTTPRequestHeaders(ctx, http.Header{forwardedHeader: {"1"}})
 }
 
-// markPassedOn has the contexts of calls that were passed on tell so.
-func markPassedOn(next http.Handler) http.Handler {
+// markForwarded sets forwardedKey in the contexts of calls with the forwarded header.
+func markForwarded(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		if request.Header.Get(passedOnHeader) != "" {
-			request = request.WithContext(context.WithValue(request.Context(), passedOn{}, true))
+		if request.Header.Get(forwardedHeader) != "" {
+			request = request.WithContext(context.WithValue(request.Context(), forwardedKey{}, true))
 		}
 		next.ServeHTTP(writer, request)
 	})
 }
 
-// configurationAt is the configuration as the coordinator at a base address serves it.
+// configurationAt returns a client of the configuration service at a base address.
 func (c *Coordinator) configurationAt(base string) rockwindpb.ConfigurationService {
-	return rockwindpb.NewConfigurationServiceProtobufClient(base, c.carrier())
+	return rockwindpb.NewConfigurationServiceProtobufClient(base, c.twirpClient())
 }
 
-// directoryAt is the directory as the coordinator at a base address serves it.
+// directoryAt returns a client of the directory service at a base address.
 func (c *Coordinator) directoryAt(base string) rockwindpb.DirectoryService {
-	return rockwindpb.NewDirectoryServiceProtobufClient(base, c.carrier())
+	return rockwindpb.NewDirectoryServiceProtobufClient(base, c.twirpClient())
 }
 
-// quarantineAt is the quarantine as the coordinator at a base address serves it.
+// quarantineAt returns a client of the quarantine service at a base address.
 func (c *Coordinator) quarantineAt(base string) rockwindpb.QuarantineService {
-	return rockwindpb.NewQuarantineServiceProtobufClient(base, c.carrier())
+	return rockwindpb.NewQuarantineServiceProtobufClient(base, c.twirpClient())
 }
--- a/internal/coordinator/members_test.go
+++ b/internal/coordinator/members_test.go
@@ -18,32 +18,31 @@
 	"rockwind.example/rockwind/internal/wal/faultfs"
 )
 
-// callPatience is how long servers and operators wait for a call.
-const callPatience = 3 * time.Second
+// callTimeout is the timeout of calls of servers and operators.
+const callTimeout = 3 * time.Second
 
-// startOutside adds coordinators to a site whose root group has all its places taken, and
-// waits until they belong to the cluster.
-func (s *virtualSite) startOutside(count int) []*process {
+// startNonMembers adds coordinators to a site whose root group is full and waits until they have
+// joined the cluster.
+func (s *virtualSite) startNonMembers(count int) []*process {
 	s.t.Helper()
 	var added []*process
 	for place := range count {
 		p := &process{name: fmt.Sprintf("late%d", place), disk: faultfs.New()}
-		p.disk.DelaySync(func() { time.Sleep(syncTime) })
+		p.disk.DelaySync(func() { time.Sleep(diskSyncTime) })
 		s.start(p)
 		s.processes = append(s.processes, p)
 		added = append(added, p)
 	}
 	time.Sleep(2 * time.Second)
 	for _, p := range added {
-		if !p.coordinator.outside() {
-			s.t.Fatalf("%s holds a replica of a full group, or belongs to no cluster", p.name)
+		if !p.coordinator.isNonMember() {
+			s.t.Fatalf("%s is a member of a full group or has not joined the cluster", p.name)
 		}
 	}
 	return added
 }
 
-// callAll makes the calls of servers, operators, routers and stores at a coordinator, and
-// returns the longest that one took.
+// callAll makes each kind of call at a coordinator and returns the longest duration.
 func (s *virtualSite) callAll(p *process, number uint64) time.Duration {
 	s.t.Helper()
 	c := p.coordinator
@@ -87,17 +86,17 @@
 			return err
 		},
 		"retire": func(ctx context.Context) error {
-			// What the leader says of an unknown store, and no refusal of the coordinator's own.
+			// The error must come from the leader.
 			if err := c.Retire(ctx, "nobody"); !fault.Is(err, fault.NotFound) {
-				return fmt.Errorf("an unknown store retires: %w", err)
+				return fmt.Errorf("retiring an unknown store: %w", err)
 			}
 			if _, err := c.Retired(ctx, "nobody"); !fault.Is(err, fault.NotFound) {
-				return fmt.Errorf("an unknown store is retired: %w", err)
+				return fmt.Errorf("querying an unknown store: %w", err)
 			}
 			return nil
 		},
 	} {
-		ctx, cancel := context.WithTimeout(s.t.Context(), callPatience)
+		ctx, cancel := context.WithTimeout(s.t.Context(), callTimeout)
 		began := time.Now()
 		if err := call(ctx); err != nil {
 			s.t.Errorf("%s at %s: %v", name, p.name, err)
@@ -108,15 +107,15 @@
 	return longest
 }
 
-// TestCoordinatorsOutsideOfTheRootGroupServe starts a sixth and a seventh coordinator: they take the
-// calls of all others as the members do, and watchers that know only them find the site.
-func TestCoordinatorsOutsideOfTheRootGroupServe(t *testing.T) {
-	inSiteThatAdmits(t, coordinators, func(s *virtualSite) {
-		for place, p := range s.startOutside(2) {
+// TestNonMembersServe verifies that non-members answer all calls as members do, and that watchers
+// can start with non-members only.
+func TestNonMembersServe(t *testing.T) {
+	inOpenVirtualSite(t, coordinators, func(s *virtualSite) {
+		for place, p := range s.startNonMembers(2) {
 			took := s.callAll(p, uint64(place+2))
-			s.t.Logf("the longest call at %s takes %v", p.name, took)
+			s.t.Logf("longest call at %s: %v", p.name, took)
 			if took > 100*time.Millisecond {
-				s.t.Errorf("a call at %s takes %v", p.name, took)
+				s.t.Errorf("a call at %s took %v", p.name, took)
 			}
 		}
 		s.seeds = []string{"late0", "late1", "late0"}
@@ -125,93 +124,90 @@
 		s.processes = append(s.processes, watching)
 		s.awaitReady([]*process{watching})
 		if watching.ready > 100*time.Millisecond {
-			s.t.Errorf("a process that knows only coordinators outside is ready after %v", watching.ready)
+			s.t.Errorf("a watcher that knows only non-members is ready after %v", watching.ready)
 		}
 	})
 }
 
-// TestDirectoryNamesCoordinatorsOutside has a coordinator outside do what it does unasked:
-// others find it in the directory.
-func TestDirectoryNamesCoordinatorsOutside(t *testing.T) {
-	inSiteThatAdmits(t, coordinators+1, func(s *virtualSite) {
-		outside := s.startOutside(1)[0]
+// TestNonMemberIsListedInDirectory verifies that a non-member announces itself.
+func TestNonMemberIsListedInDirectory(t *testing.T) {
+	inOpenVirtualSite(t, coordinators+1, func(s *virtualSite) {
+		nonMember := s.startNonMembers(1)[0]
 		ctx, cancel := context.WithCancel(s.t.Context())
 		var kept sync.WaitGroup
-		kept.Go(func() { outside.coordinator.keep(ctx) })
+		kept.Go(func() { nonMember.coordinator.runMaintenance(ctx) })
 		time.Sleep(time.Second)
-		if _, known := s.processes[coordinators].watcher.Directory().Machine(outside.name); !known {
-			s.t.Errorf("the directory does not name %s", outside.name)
+		if _, known := s.processes[coordinators].watcher.Directory().Machine(nonMember.name); !known {
+			s.t.Errorf("the directory does not list %s", nonMember.name)
 		}
 		cancel()
 		kept.Wait()
 	})
 }
 
-// TestCoordinatorsOutsideGoOnWithoutTheLeader ends the leader under calls at a coordinator
-// outside: they are served once another leads, as they are at members.
-func TestCoordinatorsOutsideGoOnWithoutTheLeader(t *testing.T) {
-	inSiteThatAdmits(t, coordinators, func(s *virtualSite) {
-		outside := s.startOutside(1)[0]
+// TestNonMemberServesAfterLeaderLoss verifies that calls at a non-member succeed after an election.
+func TestNonMemberServesAfterLeaderLoss(t *testing.T) {
+	inOpenVirtualSite(t, coordinators, func(s *virtualSite) {
+		nonMember := s.startNonMembers(1)[0]
 		s.leader().stop()
-		took := s.callAll(outside, 2)
-		s.t.Logf("the longest call takes %v", took)
+		took := s.callAll(nonMember, 2)
+		s.t.Logf("longest call: %v", took)
 		if took > 1500*time.Millisecond {
-			s.t.Errorf("a call takes %v", took)
+			s.t.Errorf("a call took %v", took)
 		}
 	})
 }
 
-// TestCoordinatorsOutsideLeaveMembersThatHang has two followers take calls and never answer. Calls
-// at a coordinator outside wait for them once, and go to others afterwards.
-func TestCoordinatorsOutsideLeaveMembersThatHang(t *testing.T) {
-	inSiteThatAdmits(t, coordinators, func(s *virtualSite) {
-		outside := s.startOutside(1)[0]
+// TestNonMemberAvoidsUnresponsiveMembers guards against waiting repeatedly for members that accept
+// calls and never answer.
+func TestNonMemberAvoidsUnresponsiveMembers(t *testing.T) {
+	inOpenVirtualSite(t, coordinators, func(s *virtualSite) {
+		nonMember := s.startNonMembers(1)[0]
 		leader, hanging := s.leader(), 0
-		for _, name := range outside.coordinator.members.order(outside.name, s.seeds, time.Now()) {
+		for _, name := range nonMember.coordinator.memberSelector.order(nonMember.name, s.seeds, time.Now()) {
 			if name != leader.name && hanging < 2 {
 				hanging++
-				s.links.serve(s.t.Context(), name, http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) {
+				s.network.serve(s.t.Context(), name, http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) {
 					<-request.Context().Done()
 				}))
 			}
 		}
-		first := s.callAll(outside, 2)
-		later := s.callAll(outside, 3)
-		s.t.Logf("the longest call takes %v, later %v", first, later)
-		if first > 2*passTimeout+100*time.Millisecond || later > 100*time.Millisecond {
-			t.Errorf("a call takes %v, later %v", first, later)
+		first := s.callAll(nonMember, 2)
+		later := s.callAll(nonMember, 3)
+		s.t.Logf("longest call: %v, later %v", first, later)
+		if first > 2*forwardTimeout+100*time.Millisecond || later > 100*time.Millisecond {
+			t.Errorf("a call took %v, later %v", first, later)
 		}
 	})
 }
 
-// TestCoordinatorsOutsideDoNotPassCallsRound ends all members. Two coordinators outside that
-// know each other refuse then, soon and after few calls.
-func TestCoordinatorsOutsideDoNotPassCallsRound(t *testing.T) {
-	inSiteThatAdmits(t, coordinators, func(s *virtualSite) {
-		outside := s.startOutside(2)
-		for _, p := range outside {
+// TestNonMembersDoNotForwardInLoops guards against non-members forwarding calls to each other when
+// there are no members.
+func TestNonMembersDoNotForwardInLoops(t *testing.T) {
+	inOpenVirtualSite(t, coordinators, func(s *virtualSite) {
+		nonMembers := s.startNonMembers(2)
+		for _, p := range nonMembers {
 			p.coordinator.settings.Seeds = []string{"late0", "late1"}
 		}
 		for _, p := range s.processes[:coordinators] {
 			p.stop()
 		}
-		s.links.takeCalls()
-		ctx, cancel := context.WithTimeout(s.t.Context(), callPatience)
+		s.network.takeCalls()
+		ctx, cancel := context.WithTimeout(s.t.Context(), callTimeout)
 		defer cancel()
 		began := time.Now()
-		_, err := outside[0].coordinator.LatestConfiguration(ctx)
-		took, calls := time.Since(began), s.links.takeCalls()
+		_, err := nonMembers[0].coordinator.LatestConfiguration(ctx)
+		took, calls := time.Since(began), s.network.takeCalls()
 		s.t.Logf("refused after %v and %d calls: %v", took, calls, err)
-		if !fault.Is(err, fault.Unavailable) || took > time.Second || calls > 2*passTries {
-			s.t.Errorf("the call ends after %v and %d calls with %v", took, calls, err)
+		if !fault.Is(err, fault.Unavailable) || took > time.Second || calls > 2*maxForwardAttempts {
+			s.t.Errorf("the call ended after %v and %d calls with %v", took, calls, err)
 		}
 	})
 }
 
-// TestCoordinatorsOutsideDoNotPassOnWhatMembersTakeToTheLeader has a coordinator outside serve the
-// address of a leader that has ended, as where its machine was replaced. Members that still take
-// that one for the leader do not get their calls back from there.
-func TestCoordinatorsOutsideDoNotPassOnWhatMembersTakeToTheLeader(t *testing.T) {
+// TestNonMemberDoesNotForwardCallsForLeader guards against forwarding loops when a non-member has
+// taken over the address of the leader, as after its machine was replaced.
+func TestNonMemberDoesNotForwardCallsForLeader(t *testing.T) {
 	content := make([]byte, fingerprint.Size)
 	end := &rockwindpb.ServerEnd{Content: content, Server: "server", Route: "route"}
 	for method, call := range map[string]func(ctx context.Context, c *Coordinator) error{
@@ -229,64 +225,62 @@
 		},
 	} {
 		t.Run(method, func(t *testing.T) {
-			inSiteThatAdmits(t, coordinators, func(s *virtualSite) {
-				outside := s.startOutside(1)[0]
+			inOpenVirtualSite(t, coordinators, func(s *virtualSite) {
+				nonMember := s.startNonMembers(1)[0]
 				leader := s.leader()
 				leader.stop()
-				s.links.alias(leader.name, outside.name)
-				ctx, cancel := context.WithTimeout(s.t.Context(), callPatience)
+				s.network.alias(leader.name, nonMember.name)
+				ctx, cancel := context.WithTimeout(s.t.Context(), callTimeout)
 				defer cancel()
-				before, began := s.links.callsOf(method), time.Now()
-				err := call(ctx, outside.coordinator)
-				took, calls := time.Since(began), s.links.callsOf(method)-before
+				before, began := s.network.callsOf(method), time.Now()
+				err := call(ctx, nonMember.coordinator)
+				took, calls := time.Since(began), s.network.callsOf(method)-before
 				s.t.Logf("served after %v and %d calls: %v", took, calls, err)
-				// A member asks anew after each pause, or each of them is asked in rounds.
-				if err != nil || took > 1500*time.Millisecond || calls > int(2*took/leaderPause)+passTries {
-					s.t.Errorf("the call ends after %v and %d calls with %v", took, calls, err)
+				// Either a member retries, or the non-member tries the members in rounds.
+				if err != nil || took > 1500*time.Millisecond || calls > int(2*took/leaderRetryInterval)+maxForwardAttempts {
+					s.t.Errorf("the call ended after %v and %d calls with %v", took, calls, err)
 				}
 			})
 		})
 	}
 }
 
-// TestCoordinatorsOutsideWaitForCommits has the leader take longer for a commit than a member may
-// for other calls: the call is not cut, nor made again elsewhere, nor is a member avoided.
-func TestCoordinatorsOutsideWaitForCommits(t *testing.T) {
-	const slowCommit = passTimeout + passTimeout/2
-	inSiteThatAdmits(t, coordinators, func(s *virtualSite) {
-		outside := s.startOutside(1)[0]
+// TestNonMemberWaitsForSlowCommit guards against aborting, repeating or avoiding a member for a
+// commit that takes longer than forwardTimeout.
+func TestNonMemberWaitsForSlowCommit(t *testing.T) {
+	const slowCommit = forwardTimeout + forwardTimeout/2
+	inOpenVirtualSite(t, coordinators, func(s *virtualSite) {
+		nonMember := s.startNonMembers(1)[0]
 		leader := s.leader()
 		serving := leader.coordinator.internalHandler(nil)
-		s.links.serve(s.t.Context(), leader.name, http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
+		s.network.serve(s.t.Context(), leader.name, http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 			if path.Base(request.URL.Path) == "Change" {
 				retry.Pause(request.Context(), slowCommit)
 			}
 			serving.ServeHTTP(writer, request)
 		}))
-		// Followers take it to the leader.
-		outside.coordinator.members.note(leader.name, false, time.Now())
-		ctx, cancel := context.WithTimeout(s.t.Context(), callPatience)
+		// The non-member tries a follower first, which forwards to the leader.
+		nonMember.coordinator.memberSelector.recordResult(leader.name, false, time.Now())
+		ctx, cancel := context.WithTimeout(s.t.Context(), callTimeout)
 		defer cancel()
-		made := func() int { return s.links.callsOf("Leave") + s.links.callsOf("Change") }
+		made := func() int { return s.network.callsOf("Leave") + s.network.callsOf("Change") }
 		before, began := made(), time.Now()
-		err := outside.coordinator.Leave(ctx, &rockwindpb.LeaveServerRequest{Id: "nobody"})
+		err := nonMember.coordinator.Leave(ctx, &rockwindpb.LeaveServerRequest{Id: "nobody"})
 		took, calls := time.Since(began), made()-before
 		s.t.Logf("committed after %v with %d calls: %v", took, calls, err)
-		// One call at a follower, and one at the leader.
+		// One call to a follower and one to the leader.
 		if err != nil || took < slowCommit || took > slowCommit+100*time.Millisecond || calls != 2 {
-			s.t.Errorf("the call ends after %v and %d calls with %v", took, calls, err)
+			s.t.Errorf("the call ended after %v and %d calls with %v", took, calls, err)
 		}
-		if failed := len(outside.coordinator.members.failed); failed != 1 {
-			s.t.Errorf("%d members are avoided, and one was before", failed)
+		if failed := len(nonMember.coordinator.memberSelector.lastFailed); failed != 1 {
+			s.t.Errorf("%d members are avoided, want 1", failed)
 		}
 	})
 }
 
-// TestCoordinatorsOutsideSayThatAChangeMayBeInForce has one member take changes and not tell
-// what came of them, while the others know no leader, wherever it comes in the order. A caller
-// is not told then that nothing led, which it takes for a change that was not made. Reads change
-// nothing.
-func TestCoordinatorsOutsideSayThatAChangeMayBeInForce(t *testing.T) {
+// TestNonMemberReportsUnknownOutcome guards against answering NotLeader, which callers take for a
+// change that was not made, if one member may have made it. Reads are not affected.
+func TestNonMemberReportsUnknownOutcome(t *testing.T) {
 	refuse := func(kind fault.Kind) http.Handler {
 		return http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 			if err := twirp.WriteError(writer, fault.ToTwirp(fault.New(kind, "refused", "ask again"))); err != nil {
@@ -322,20 +316,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for place := range coordinators {
-				inSiteThatAdmits(t, coordinators, func(s *virtualSite) {
-					outside := s.startOutside(1)[0].coordinator
-					ordered := outside.members.order(outside.settings.GetName(), outside.rootMembers(), time.Now())
+				inOpenVirtualSite(t, coordinators, func(s *virtualSite) {
+					nonMember := s.startNonMembers(1)[0].coordinator
+					ordered := nonMember.memberSelector.order(nonMember.settings.GetName(), nonMember.memberAddresses(), time.Now())
 					for other, address := range ordered {
 						handler := refuse(fault.NotLeader)
 						if other == place {
 							handler = test.one
 						}
-						s.links.serve(s.t.Context(), address, handler)
+						s.network.serve(s.t.Context(), address, handler)
 					}
-					ctx, cancel := context.WithTimeout(s.t.Context(), callPatience)
+					ctx, cancel := context.WithTimeout(s.t.Context(), callTimeout)
 					defer cancel()
-					if err := test.call(ctx, outside); !fault.Is(err, test.want) {
-						s.t.Errorf("place %d: the call ends with %v, want %v", place, err, test.want)
+					if err := test.call(ctx, nonMember); !fault.Is(err, test.want) {
+						s.t.Errorf("position %d: the call ended with %v, want %v", place, err, test.want)
 					}
 				})
 			}
@@ -343,25 +337,25 @@
 	}
 }
 
-// TestMembersAreAskedInOrder keeps the order in which a coordinator outside asks members: its
-// own, with those that failed lately at the end, and no more of them than there are tries.
+// TestMembersAreAskedInOrder verifies the order and number of the members that a call is forwarded
+// to, and that recently failed members come last.
 func TestMembersAreAskedInOrder(t *testing.T) {
-	var members memberOrder
+	var members memberSelector
 	addresses := []string{"a", "b", "c", "d", "e", "f", "g"}
 	now := time.Unix(1000, 0)
 	first := members.order("self", addresses, now)
-	if len(first) != passTries {
-		t.Fatalf("%d members are asked", len(first))
+	if len(first) != maxForwardAttempts {
+		t.Fatalf("%d members are returned", len(first))
 	}
-	members.note(first[0], false, now)
+	members.recordResult(first[0], false, now)
 	if again := members.order("self", addresses, now); again[0] != first[1] {
-		t.Errorf("%s is asked first after %s has failed, want %s", again[0], first[0], first[1])
+		t.Errorf("%s is first after %s failed, want %s", again[0], first[0], first[1])
 	}
-	if later := members.order("self", addresses, now.Add(memberAvoidance)); later[0] != first[0] {
-		t.Errorf("%s is asked first later, want %s", later[0], first[0])
+	if later := members.order("self", addresses, now.Add(memberAvoidTime)); later[0] != first[0] {
+		t.Errorf("%s is first after the avoidance time, want %s", later[0], first[0])
 	}
-	members.note(first[0], true, now)
+	members.recordResult(first[0], true, now)
 	if back := members.order("self", addresses, now); back[0] != first[0] {
-		t.Errorf("%s is asked first after %s has answered", back[0], first[0])
+		t.Errorf("%s is first after %s answered", back[0], first[0])
 	}
 }
--- a/internal/coordinator/quarantine.go
+++ b/internal/coordinator/quarantine.go
@@ -14,8 +14,8 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// quarantineService takes what routers and stores saw of requests under which servers ended,
-// and shows operators which of them are held.
+// quarantineService accepts reports of requests during which servers ended, and lists the
+// suspects for operators.
 type quarantineService struct{ coordinator *Coordinator }
 
 // Report implements rockwindpb.QuarantineService. It returns once the report is committed.
@@ -23,39 +23,39 @@
 	elsewhere := func(ctx context.Context, base string) (*rockwindpb.ReportQuarantineResponse, error) {
 		return s.coordinator.quarantineAt(base).Report(ctx, request)
 	}
-	if s.coordinator.outside() {
-		response, err := passOn(ctx, s.coordinator, toCommit, elsewhere)
+	if s.coordinator.isNonMember() {
+		response, err := forward(ctx, s.coordinator, untilCommitted, elsewhere)
 		return response, fault.ToTwirp(err)
 	}
-	response, err := fromLeader(ctx, s.coordinator, func() (*rockwindpb.ReportQuarantineResponse, error) {
-		return &rockwindpb.ReportQuarantineResponse{}, s.coordinator.commitReport(ctx, request)
+	response, err := callOnLeader(ctx, s.coordinator, func() (*rockwindpb.ReportQuarantineResponse, error) {
+		return &rockwindpb.ReportQuarantineResponse{}, s.coordinator.commitQuarantineReport(ctx, request)
 	}, elsewhere)
 	return response, fault.ToTwirp(err)
 }
 
-// List implements rockwindpb.QuarantineService. The leader answers, which knows what was reported a moment ago;
-// while there is none this coordinator tells what it knows itself.
+// List implements rockwindpb.QuarantineService. The leader answers, since it has all committed
+// reports. If no leader answers, this coordinator returns its own list.
 func (s quarantineService) List(ctx context.Context, request *rockwindpb.ListQuarantineRequest) (*rockwindpb.ListQuarantineResponse, error) {
 	elsewhere := func(ctx context.Context, base string) (*rockwindpb.ListQuarantineResponse, error) {
 		return s.coordinator.quarantineAt(base).List(ctx, request)
 	}
-	if s.coordinator.outside() {
-		response, err := passOn(ctx, s.coordinator, passTimeout, elsewhere)
+	if s.coordinator.isNonMember() {
+		response, err := forward(ctx, s.coordinator, forwardTimeout, elsewhere)
 		return response, fault.ToTwirp(err)
 	}
-	asking, cancel := context.WithTimeout(ctx, passTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
-	response, err := fromLeader(asking, s.coordinator, s.listed, elsewhere)
+	response, err := callOnLeader(callCtx, s.coordinator, s.localList, elsewhere)
 	if err != nil {
-		log.WithError(err).Warn("the quarantine is listed as this coordinator knows it: no leader answers")
-		response, err = s.listed()
+		log.WithError(err).Warn("no leader answered; listing the quarantine from local state")
+		response, err = s.localList()
 	}
 	return response, fault.ToTwirp(err)
 }
 
-// listed is the list as this coordinator knows it.
-func (s quarantineService) listed() (*rockwindpb.ListQuarantineResponse, error) {
-	_, view, err := s.coordinator.current()
+// localList returns the list from the local replica.
+func (s quarantineService) localList() (*rockwindpb.ListQuarantineResponse, error) {
+	_, view, err := s.coordinator.currentState()
 	if err != nil {
 		return nil, err
 	}
@@ -67,24 +67,24 @@
 	elsewhere := func(ctx context.Context, base string) (*rockwindpb.ReleaseContentResponse, error) {
 		return s.coordinator.quarantineAt(base).Release(ctx, request)
 	}
-	if s.coordinator.outside() {
-		response, err := passOn(ctx, s.coordinator, toCommit, elsewhere)
+	if s.coordinator.isNonMember() {
+		response, err := forward(ctx, s.coordinator, untilCommitted, elsewhere)
 		return response, fault.ToTwirp(err)
 	}
 	content, ok := fingerprint.FromBytes(request.GetContent())
 	if !ok {
-		return nil, fault.ToTwirp(fault.Newf(fault.InvalidArgument, "take the content from the list of the quarantine",
-			"a content has %d bytes, not %d", fingerprint.Size, len(request.GetContent())))
+		return nil, fault.ToTwirp(fault.Newf(fault.InvalidArgument, "use a content fingerprint from the quarantine list",
+			"a content fingerprint has %d bytes, not %d", fingerprint.Size, len(request.GetContent())))
 	}
-	response, err := fromLeader(ctx, s.coordinator, func() (*rockwindpb.ReleaseContentResponse, error) {
-		return s.coordinator.release(ctx, content)
+	response, err := callOnLeader(ctx, s.coordinator, func() (*rockwindpb.ReleaseContentResponse, error) {
+		return s.coordinator.releaseContent(ctx, content)
 	}, elsewhere)
 	return response, fault.ToTwirp(err)
 }
 
-// release forgets a content as the leader, whose state shows whether it was known.
-func (c *Coordinator) release(ctx context.Context, content fingerprint.Fingerprint) (*rockwindpb.ReleaseContentResponse, error) {
-	_, view, err := c.current()
+// releaseContent releases a content from the quarantine; this coordinator must be the leader.
+func (c *Coordinator) releaseContent(ctx context.Context, content fingerprint.Fingerprint) (*rockwindpb.ReleaseContentResponse, error) {
+	_, view, err := c.currentState()
 	if err != nil {
 		return nil, err
 	}
@@ -99,21 +99,21 @@
 	return &rockwindpb.ReleaseContentResponse{Known: known}, nil
 }
 
-// commitReport proposes a report as the leader, and writes what was decided by it. Answers to
-// contents of which nothing is known need no entry in the log.
-func (c *Coordinator) commitReport(ctx context.Context, told *rockwindpb.ReportQuarantineRequest) error {
-	_, before, err := c.current()
+// commitQuarantineReport commits a report as the leader and records the resulting decisions. Answers
+// to unknown contents are dropped, since they change nothing.
+func (c *Coordinator) commitQuarantineReport(ctx context.Context, reported *rockwindpb.ReportQuarantineRequest) error {
+	_, view, err := c.currentState()
 	if err != nil {
 		return err
 	}
-	report := &rockwindpb.ReportQuarantineRequest{Ends: told.GetEnds(), Answered: knownContents(before.quarantine, told.GetAnswered())}
+	report := &rockwindpb.ReportQuarantineRequest{Ends: reported.GetEnds(), Answered: knownContents(view.quarantine, reported.GetAnswered())}
 	if len(report.GetEnds())+len(report.GetAnswered()) == 0 {
 		return nil
 	}
 	if err := c.commitQuarantine(ctx, &rockwindpb.QuarantineCommand{Command: &rockwindpb.QuarantineCommand_Report{Report: report}}); err != nil {
 		return err
 	}
-	_, machine, err := c.group()
+	_, machine, err := c.rootGroup()
 	if err != nil {
 		return err
 	}
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// knownContents returns those of the encoded contents of which something is known.
+// knownContents returns the encoded contents that the quarantine knows.
 func knownContents(view *quarantine.View, encoded [][]byte) [][]byte {
 	return slices.DeleteFunc(slices.Clone(encoded), func(each []byte) bool {
 		content, ok := fingerprint.FromBytes(each)
@@ -140,7 +140,7 @@
 	})
 }
 
-// recordEnd writes that a server ended under a content, and what follows.
+// recordEnd records the end of a server under a content in the decision log.
 func recordEnd(view *quarantine.View, end *rockwindpb.ServerEnd) {
 	content, ok := fingerprint.FromBytes(end.GetContent())
 	if !ok {
@@ -154,7 +154,7 @@
 	})
 }
 
-// commitQuarantine proposes a command of the quarantine as the leader.
+// commitQuarantine proposes a quarantine command; this coordinator must be the leader.
 func (c *Coordinator) commitQuarantine(ctx context.Context, command *rockwindpb.QuarantineCommand) error {
 	command.NowUnixMs = time.Now().UnixMilli()
 	return c.propose(ctx, &rockwindpb.RootCommand{Command: &rockwindpb.RootCommand_Quarantine{Quarantine: command}})
--- a/internal/coordinator/replay_test.go
+++ b/internal/coordinator/replay_test.go
@@ -9,7 +9,7 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// reports returns the commands of servers that report for the first time.
+// reports returns the commands for the first reports of servers.
 func reports(count int) [][]byte {
 	commands := make([][]byte, count)
 	for i := range commands {
@@ -25,18 +25,17 @@
 	return commands
 }
 
-// BenchmarkReplay applies what a coordinator of a site of 3,000 servers finds in its log as it
-// starts.
+// BenchmarkReplay measures replaying the log of a site with 3,000 servers.
 func BenchmarkReplay(b *testing.B) {
 	commands := reports(3000)
 	for b.Loop() {
-		replay(newRootMachine(), commands)
+		replay(newRootStateMachine(), commands)
 	}
 }
 
-// BenchmarkWatchAnswer makes the answer that a watcher of such a site gets for one change.
+// BenchmarkWatchAnswer measures the answer to a watcher of such a site after one change.
 func BenchmarkWatchAnswer(b *testing.B) {
-	machine := newRootMachine()
+	machine := newRootStateMachine()
 	replay(machine, reports(3000))
 	view := machine.view()
 	request := &rockwindpb.WatchDirectoryRequest{HaveRevision: view.directory.Revision() - 1}
@@ -45,7 +44,7 @@
 	}
 }
 
-func replay(machine *rootMachine, commands [][]byte) {
+func replay(machine *rootStateMachine, commands [][]byte) {
 	for i, command := range commands {
 		machine.Apply(uint64(i+1), command)
 	}
--- a/internal/coordinator/return_test.go
+++ b/internal/coordinator/restart_test.go
@@ -9,12 +9,12 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// startSpread is how far apart processes start that come back together.
-const startSpread = 200 * time.Millisecond
+// startWindow is the period over which restarted processes start.
+const startWindow = 200 * time.Millisecond
 
-// slowest is the longest time that a watcher took from the start of the last coordinator, or
-// its own if that was later, until it was ready.
-func slowest(among []*process) time.Duration {
+// slowestStart returns the longest time a watcher took to become ready after its own start or that of
+// the last coordinator, whichever was later.
+func slowestStart(among []*process) time.Duration {
 	var last time.Time
 	for _, p := range among {
 		if p.coordinator != nil && p.started.After(last) {
@@ -35,27 +35,26 @@
 	return longest
 }
 
-// sizes are how many processes the sites of the tests have. Short tests, which run with the race
-// detector, have fewer: on the events of a hundred processes within one bubble the detector
-// itself fails ("ThreadSanitizer: CHECK failed", in its count of epochs).
-func sizes() []int {
+// siteSizes returns the numbers of processes to test with. Short tests, which run with the race
+// detector, use a small site: with a hundred processes in one bubble the detector itself fails with
+// "ThreadSanitizer: CHECK failed".
+func siteSizes() []int {
 	if testing.Short() {
 		return []int{24}
 	}
 	return []int{96, 300, 1000}
 }
 
-// TestSiteIsBackSoonAfterEverythingStopped ends all processes of a site at once. From the
-// start of the last coordinator on, each process knows the configuration and the directory
-// within 0.15 s, however many there are, and what was known is in the answers.
+// TestSiteIsBackSoonAfterEverythingStopped guards against slow recovery or lost state after a restart
+// of all processes.
 func TestSiteIsBackSoonAfterEverythingStopped(t *testing.T) {
-	for _, size := range sizes() {
+	for _, size := range siteSizes() {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			inVirtualSite(t, size, func(s *virtualSite) {
-				s.restart(s.processes, startSpread)
+				s.restart(s.processes, startWindow)
 				s.awaitReady(s.processes)
-				took := slowest(s.processes)
-				s.t.Logf("%d processes: ready %v after the last coordinator's start, %d calls", size, took, s.links.takeCalls())
+				took := slowestStart(s.processes)
+				s.t.Logf("%d processes: ready %v after the start of the last coordinator, %d calls", size, took, s.network.takeCalls())
 				if took > 150*time.Millisecond {
 					s.t.Errorf("the last process is ready after %v", took)
 				}
@@ -69,10 +68,9 @@
 	}
 }
 
-// TestSiteIsBackAfterAPartStopped ends half of all processes with three of the five
-// coordinators, a zone with two of them, or the coordinators alone. Where some live on, promises to a leader that may
-// still lead are waited for. Afterwards all coordinators are current, and all watchers that
-// had ended know what they need.
+// TestSiteIsBackAfterAPartStopped restarts half of the processes, a zone or all coordinators. Replicas
+// that kept running have promised not to elect another leader for a while, so recovery includes
+// that delay.
 func TestSiteIsBackAfterAPartStopped(t *testing.T) {
 	for name, part := range map[string]func(s *virtualSite) []*process{
 		"half": func(s *virtualSite) []*process { return s.processes[2 : len(s.processes)/2] },
@@ -85,76 +83,75 @@
 		"coordinators": func(s *virtualSite) []*process { return s.processes[:coordinators] },
 	} {
 		t.Run(name, func(t *testing.T) {
-			inVirtualSite(t, sizes()[0], func(s *virtualSite) {
+			inVirtualSite(t, siteSizes()[0], func(s *virtualSite) {
 				s.restart(part(s), 0)
 				began := time.Now()
 				s.awaitCoordinators()
 				s.awaitReady(s.processes)
 				took := time.Since(began)
-				s.t.Logf("back %v after the last start", took)
+				s.t.Logf("recovered %v after the last start", took)
 				if took > time.Second {
-					s.t.Errorf("the site is back after %v", took)
+					s.t.Errorf("the site recovered only after %v", took)
 				}
 			})
 		})
 	}
 }
 
-// TestLivingProcessesHearAtOnceThatCoordinatorsAreBack ends the coordinators alone. The others
-// have nothing to learn, and know soon after the start that a coordinator hears them: what
-// they deny or let in rests on when one was heard last.
+// TestLivingProcessesHearAtOnceThatCoordinatorsAreBack guards against watchers without pending changes
+// noticing late that coordinators are reachable again.
 func TestLivingProcessesHearAtOnceThatCoordinatorsAreBack(t *testing.T) {
-	inVirtualSite(t, sizes()[0], func(s *virtualSite) {
+	inVirtualSite(t, siteSizes()[0], func(s *virtualSite) {
 		s.restart(s.processes[:coordinators], 0)
 		s.awaitCoordinators()
 		began := time.Now()
 		time.Sleep(300 * time.Millisecond)
 		for _, p := range s.processes {
 			if p.watcher != nil && p.watcher.LastHeard().Before(began.Add(-100*time.Millisecond)) {
-				s.t.Fatalf("%s heard a coordinator %v before they were back", p.name, began.Sub(p.watcher.LastHeard()))
+				s.t.Fatalf("%s last heard a coordinator %v before their recovery", p.name, began.Sub(p.watcher.LastHeard()))
 			}
 		}
 	})
 }
 
-// TestCoordinatorThatWasAwayDoesNotAnswerItsOldState restarts one coordinator alone. Leader
-// and term stay, and what was committed meanwhile it must hold before it answers.
+// TestCoordinatorThatWasAwayDoesNotAnswerItsOldState guards against stale answers of a coordinator that
+// restarts within an unchanged term.
 func TestCoordinatorThatWasAwayDoesNotAnswerItsOldState(t *testing.T) {
 	inVirtualSite(t, coordinators, func(s *virtualSite) {
 		s.awaitCoordinators()
 		away := s.processes[1]
-		if _, leads := s.rootOf(away).Leading(); leads {
+		if _, leads := s.rootGroupOf(away).Leading(); leads {
 			away = s.processes[2]
 		}
-		term := s.rootOf(away).Status().GetTerm()
+		term := s.rootGroupOf(away).Status().GetTerm()
 		away.stop()
-		machine := storeNamed("late")
-		if err := s.processes[0].coordinator.change(s.t.Context(), announcing(machine)); err != nil {
+		machine := newStore("late")
+		if err := s.processes[0].coordinator.commitOnLeader(s.t.Context(), announceCommand(machine)); err != nil {
 			s.t.Fatal(err)
 		}
-		// Longer than any call to the coordinator that is away is under way.
+		// Longer than any call to the stopped coordinator is in progress.
 		time.Sleep(5 * time.Second)
 		s.start(away)
 		for deadline := time.Now().Add(time.Minute); ; time.Sleep(100 * time.Microsecond) {
-			if _, view, err := away.coordinator.current(); err == nil {
+			if _, view, err := away.coordinator.currentState(); err == nil {
 				if !view.directory.KnowsMachine(machine) {
-					s.t.Errorf("%v after its start it answers the state from before it was away", time.Since(away.started))
+					s.t.Errorf("%v after its start it serves the state from before its stop", time.Since(away.started))
 				}
 				break
 			} else if time.Now().After(deadline) {
-				s.t.Fatalf("not current a minute after its start: %v", err)
+				s.t.Fatalf("not up to date a minute after its start: %v", err)
 			}
 		}
-		if now := s.rootOf(away).Status().GetTerm(); now != term {
-			s.t.Fatalf("term %d became %d: the test shows nothing", term, now)
+		if now := s.rootGroupOf(away).Status().GetTerm(); now != term {
+			s.t.Fatalf("term %d became %d, so the test is inconclusive", term, now)
 		}
 	})
 }
 
-// TestHoldAfterAStartCountsWithinTheWait: whoever asks for news sets how long it waits for an
-// answer, which a coordinator that has just started and hears no leader must not exceed.
-func TestHoldAfterAStartCountsWithinTheWait(t *testing.T) {
-	const wait, until = time.Second, 300 * time.Millisecond
+// TestStartupWaitCountsTowardsWatchWait guards against a watch that exceeds its wait because the
+// coordinator has just started and has no leader.
+func TestStartupWaitCountsTowardsWatchWait(t *testing.T) {
+	const wait, outage = time.Second, 300 * time.Millisecond
 	for name, watch := range map[string]func(ctx context.Context, c *Coordinator, held *rootView) error{
 		"directory": func(ctx context.Context, c *Coordinator, held *rootView) error {
 			_, err := directoryService{c}.Watch(ctx, &rockwindpb.WatchDirectoryRequest{
@@ -174,7 +171,7 @@
 			inVirtualSite(t, coordinators, func(s *virtualSite) {
 				s.awaitCoordinators()
 				first, others := s.processes[0], s.processes[1:]
-				_, held, err := first.coordinator.current()
+				_, held, err := first.coordinator.currentState()
 				if err != nil {
 					s.t.Fatal(err)
 				}
@@ -185,15 +182,15 @@
 				time.Sleep(20 * time.Millisecond)
 				began, ended := time.Now(), make(chan error, 1)
 				go func() { ended <- watch(s.t.Context(), first.coordinator, held) }()
-				time.Sleep(until)
+				time.Sleep(outage)
 				for _, p := range others {
 					s.start(p)
 				}
 				if err := <-ended; err != nil {
 					s.t.Fatal(err)
 				}
-				if took := time.Since(began); took < until || took > wait+freshnessInterval/5 {
-					s.t.Errorf("a call that waits for %v is answered after %v", wait, took)
+				if took := time.Since(began); took < outage || took > wait+leaderCheckInterval/5 {
+					s.t.Errorf("a watch with a wait of %v was answered after %v", wait, took)
 				}
 			})
 		})
--- a/internal/coordinator/services.go
+++ b/internal/coordinator/services.go
@@ -12,14 +12,13 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// configurationService hands the configuration to routers and stores, and takes
-// what other coordinators carry to the leader.
+// configurationService serves the configuration to routers, stores and other coordinators.
 type configurationService struct{ coordinator *Coordinator }
 
 // Apply implements rockwindpb.ConfigurationService.
 func (s configurationService) Apply(ctx context.Context, request *rockwindpb.ApplyConfigurationRequest) (*rockwindpb.ApplyConfigurationResponse, error) {
-	if s.coordinator.outside() {
-		response, err := passOn(ctx, s.coordinator, toCommit, func(ctx context.Context, base string) (*rockwindpb.ApplyConfigurationResponse, error) {
+	if s.coordinator.isNonMember() {
+		response, err := forward(ctx, s.coordinator, untilCommitted, func(ctx context.Context, base string) (*rockwindpb.ApplyConfigurationResponse, error) {
 			return s.coordinator.configurationAt(base).Apply(ctx, request)
 		})
 		return response, fault.ToTwirp(err)
@@ -33,8 +32,8 @@
 
 // Get implements rockwindpb.ConfigurationService.
 func (s configurationService) Get(ctx context.Context, request *rockwindpb.GetConfigurationRequest) (*rockwindpb.GetConfigurationResponse, error) {
-	if s.coordinator.outside() {
-		response, err := passOn(ctx, s.coordinator, passTimeout, func(ctx context.Context, base string) (*rockwindpb.GetConfigurationResponse, error) {
+	if s.coordinator.isNonMember() {
+		response, err := forward(ctx, s.coordinator, forwardTimeout, func(ctx context.Context, base string) (*rockwindpb.GetConfigurationResponse, error) {
 			return s.coordinator.configurationAt(base).Get(ctx, request)
 		})
 		return response, fault.ToTwirp(err)
@@ -46,18 +45,18 @@
 	return service.Get(ctx, request)
 }
 
-// Watch implements rockwindpb.ConfigurationService. It fails at a replica that does not hear
-// the leader when the call comes; one that has just started waits until it is up to date with
-// its leader first, as a part of the call's wait.
+// Watch implements rockwindpb.ConfigurationService. It fails if the replica is not in contact with
+// the leader. After a start it first waits until it is up to date, which counts towards the
+// call's wait.
 func (s configurationService) Watch(ctx context.Context, request *rockwindpb.WatchConfigurationRequest) (*rockwindpb.WatchConfigurationResponse, error) {
-	if s.coordinator.outside() {
-		response, err := passOn(ctx, s.coordinator, holdOf(request.GetWaitMs()), func(ctx context.Context, base string) (*rockwindpb.WatchConfigurationResponse, error) {
+	if s.coordinator.isNonMember() {
+		response, err := forward(ctx, s.coordinator, watchTimeout(request.GetWaitMs()), func(ctx context.Context, base string) (*rockwindpb.WatchConfigurationResponse, error) {
 			return s.coordinator.configurationAt(base).Watch(ctx, request)
 		})
 		return response, fault.ToTwirp(err)
 	}
 	began := time.Now()
-	if _, _, err := s.coordinator.awaitCurrent(ctx); err != nil {
+	if _, _, err := s.coordinator.awaitCurrentState(ctx); err != nil {
 		return nil, fault.ToTwirp(err)
 	}
 	service, err := s.service()
@@ -70,15 +69,14 @@
 }
 
 func (s configurationService) service() (*catalog.Service, error) {
-	group, machine, err := s.coordinator.group()
+	group, machine, err := s.coordinator.rootGroup()
 	if err != nil {
 		return nil, err
 	}
 	return catalog.NewService(catalogGroup{Group: group, machine: machine}, machine.catalog, time.Now), nil
 }
 
-// directoryService is the directory towards routers, stores and other
-// coordinators.
+// directoryService serves the directory to routers, stores and other coordinators.
 type directoryService struct{ coordinator *Coordinator }
 
 // Report implements rockwindpb.DirectoryService.
@@ -95,31 +93,31 @@
 
 // Announce implements rockwindpb.DirectoryService.
 func (s directoryService) Announce(ctx context.Context, request *rockwindpb.AnnounceMachineRequest) (*rockwindpb.AnnounceMachineResponse, error) {
-	if s.coordinator.outside() {
-		if known := s.coordinator.followed(); known != nil && known.directory.KnowsMachine(request.GetMachine()) {
+	if s.coordinator.isNonMember() {
+		if known := s.coordinator.recentState(); known != nil && known.directory.KnowsMachine(request.GetMachine()) {
 			return s.coordinator.knownMachine(known.directory, request), nil
 		}
-		response, err := passOn(ctx, s.coordinator, toCommit, func(ctx context.Context, base string) (*rockwindpb.AnnounceMachineResponse, error) {
+		response, err := forward(ctx, s.coordinator, untilCommitted, func(ctx context.Context, base string) (*rockwindpb.AnnounceMachineResponse, error) {
 			return s.coordinator.directoryAt(base).Announce(ctx, request)
 		})
 		return response, fault.ToTwirp(err)
 	}
-	_, view, err := s.coordinator.awaitCurrent(ctx)
+	_, view, err := s.coordinator.awaitCurrentState(ctx)
 	if err != nil {
 		return nil, fault.ToTwirp(err)
 	}
 	if !view.directory.KnowsMachine(request.GetMachine()) {
 		command := &rockwindpb.DirectoryCommand{Command: &rockwindpb.DirectoryCommand_Announce{Announce: request.GetMachine()}}
-		if err := s.coordinator.change(ctx, command); err != nil {
+		if err := s.coordinator.commitOnLeader(ctx, command); err != nil {
 			return nil, fault.ToTwirp(err)
 		}
 	}
 	return s.coordinator.knownMachine(view.directory, request), nil
 }
 
-// knownMachine notes that a machine lives which a directory holds, and answers its announcement.
+// knownMachine records that a machine is alive and answers its announcement.
 func (c *Coordinator) knownMachine(view *directory.View, request *rockwindpb.AnnounceMachineRequest) *rockwindpb.AnnounceMachineResponse {
-	c.live.note(machineKey(request.GetMachine().GetName()), time.Now())
+	c.liveness.record(machineKey(request.GetMachine().GetName()), time.Now())
 	response := &rockwindpb.AnnounceMachineResponse{}
 	if request.GetWantStoreCluster() {
 		response.StoreCluster = view.StoreCluster()
@@ -129,25 +127,25 @@
 
 // Note implements rockwindpb.DirectoryService.
 func (s directoryService) Note(_ context.Context, request *rockwindpb.NoteServersRequest) (*rockwindpb.NoteServersResponse, error) {
-	s.coordinator.live.noteTold(request.GetIds(), time.Now())
+	s.coordinator.liveness.recordRelayed(request.GetIds(), time.Now())
 	return &rockwindpb.NoteServersResponse{}, nil
 }
 
-// Change implements rockwindpb.DirectoryService. Only the leader takes it.
+// Change implements rockwindpb.DirectoryService. Only the leader accepts it.
 func (s directoryService) Change(ctx context.Context, command *rockwindpb.DirectoryCommand) (*rockwindpb.AnnounceMachineResponse, error) {
-	err := s.coordinator.commit(ctx, command)
+	err := s.coordinator.commitDirectory(ctx, command)
 	return &rockwindpb.AnnounceMachineResponse{}, fault.ToTwirp(err)
 }
 
 // Retire implements rockwindpb.DirectoryService.
 func (s directoryService) Retire(ctx context.Context, request *rockwindpb.RetireMachine) (*rockwindpb.RetireMachineResponse, error) {
-	if s.coordinator.outside() {
-		response, err := passOn(ctx, s.coordinator, toCommit, func(ctx context.Context, base string) (*rockwindpb.RetireMachineResponse, error) {
+	if s.coordinator.isNonMember() {
+		response, err := forward(ctx, s.coordinator, untilCommitted, func(ctx context.Context, base string) (*rockwindpb.RetireMachineResponse, error) {
 			return s.coordinator.directoryAt(base).Retire(ctx, request)
 		})
 		return response, fault.ToTwirp(err)
 	}
-	if group, _, err := s.coordinator.group(); err == nil {
+	if group, _, err := s.coordinator.rootGroup(); err == nil {
 		if _, leading := group.Leading(); !leading {
 			refused := fault.New(fault.NotLeader, "this coordinator does not lead the root group", "ask the leader")
 			return nil, fault.ToTwirp(refused.WithLeader(group.Status().GetLeaderAddress()))
@@ -156,32 +154,31 @@
 	return &rockwindpb.RetireMachineResponse{}, fault.ToTwirp(s.coordinator.Retire(ctx, request.GetName()))
 }
 
-// Watch implements rockwindpb.DirectoryService: it answers soon after this replica
-// knows something newer, at once where that is urgent or the watcher knows
-// nothing yet, or without news after the wait. It fails as soon as the replica no
-// longer hears the leader; one that has just started waits until it is up to date with its
-// leader first, as a part of the call's wait.
+// Watch implements rockwindpb.DirectoryService. It answers shortly after a change, immediately if
+// the change is urgent or the watcher has no state yet, or without changes after the wait. It
+// fails once the replica loses contact with the leader. After a start it first waits until it is up
+// to date, which counts towards the call's wait.
 func (s directoryService) Watch(ctx context.Context, request *rockwindpb.WatchDirectoryRequest) (*rockwindpb.WatchDirectoryResponse, error) {
-	outside := s.coordinator.outside()
-	if outside && s.coordinator.followed() == nil {
-		response, err := passOn(ctx, s.coordinator, holdOf(request.GetWaitMs()), func(ctx context.Context, base string) (*rockwindpb.WatchDirectoryResponse, error) {
+	nonMember := s.coordinator.isNonMember()
+	if nonMember && s.coordinator.recentState() == nil {
+		response, err := forward(ctx, s.coordinator, watchTimeout(request.GetWaitMs()), func(ctx context.Context, base string) (*rockwindpb.WatchDirectoryResponse, error) {
 			return s.coordinator.directoryAt(base).Watch(ctx, request)
 		})
 		return response, fault.ToTwirp(err)
 	}
-	wait := time.NewTimer(min(time.Duration(request.GetWaitMs())*time.Millisecond, maximumWait))
+	wait := time.NewTimer(min(time.Duration(request.GetWaitMs())*time.Millisecond, maxWatchWait))
 	defer wait.Stop()
-	if !outside {
-		if _, _, err := s.coordinator.awaitCurrent(ctx); err != nil {
+	if !nonMember {
+		if _, _, err := s.coordinator.awaitCurrentState(ctx); err != nil {
 			return nil, fault.ToTwirp(err)
 		}
 	}
-	view, err := s.coordinator.awaitNews(ctx, request, wait)
+	view, err := s.coordinator.awaitChanges(ctx, request, wait)
 	if err != nil {
 		return nil, fault.ToTwirp(err)
 	}
 	response := answerWatch(view, request, time.Now())
-	if group, _, err := s.coordinator.group(); err == nil && request.GetWantLeader() {
+	if group, _, err := s.coordinator.rootGroup(); err == nil && request.GetWantLeader() {
 		response.LeaderAddress = group.Status().GetLeaderAddress()
 	}
 	return response, nil
--- a/internal/coordinator/slowdisk_test.go
+++ b/internal/coordinator/slowdisk_test.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	// submitters write one after the other, each with submitPause between two writes: the
-	// disks are under way nearly all of the time.
+	// submitters write concurrently, each with submitPause between two writes, so that the disks
+	// are busy nearly all of the time.
 	submitters  = 4
 	submitPause = 30 * time.Millisecond
-	// submitPatience is how long a submitter waits for one write.
-	submitPatience = 4 * time.Second
-	// harmLength is how long the disks are harmed, and settled the time after which
-	// leadership has to be where it stays.
-	harmLength = 6 * time.Second
-	settled    = 1200 * time.Millisecond
-	// electionsAtWorst is two elections of 0.3 to 0.6 s: the replica with the harmed disk may
-	// stand first, and can't lead.
-	electionsAtWorst = 1500 * time.Millisecond
+	// submitTimeout bounds one write.
+	submitTimeout = 4 * time.Second
+	// slowdownTime is how long the disks are slow; settleTime is the time by which leadership must
+	// be stable.
+	slowdownTime = 6 * time.Second
+	settleTime   = 1200 * time.Millisecond
+	// maxElectionTime allows for two elections of 0.3 to 0.6 s, since the replica with the slow
+	// disk may be the first candidate.
+	maxElectionTime = 1500 * time.Millisecond
 )
 
-// written is a write that was acknowledged.
-type written struct{ asked, acknowledged time.Time }
+// write is an acknowledged write.
+type write struct{ submitted, acknowledged time.Time }
 
-// harmed plays five coordinators under writes, and harms the disks as wanted from one moment
-// on; the first of them is the leader's. It returns the writes from that moment on and how
-// often leadership changed.
-func harmed(t *testing.T, harm func(disks []func(delay func()))) (began time.Time, writes []written, terms uint64) {
-	return underWrites(t, func(s *virtualSite) {
+// writesWithSlowDisks runs writes on five coordinators with disks slowed down by slowDown, which
+// gets the leader's disk first. It returns the start of the slowdown, the writes since then and
+// the number of new terms.
+func writesWithSlowDisks(t *testing.T, slowDown func(disks []func(delay func()))) (began time.Time, writes []write, terms uint64) {
+	return runWrites(t, func(s *virtualSite) {
 		leader := s.leader()
 		ordered := []func(func()){leader.disk.DelaySync}
 		for _, p := range s.processes {
@@ -40,15 +40,15 @@
 				ordered = append(ordered, p.disk.DelaySync)
 			}
 		}
-		harm(ordered)
+		slowDown(ordered)
 	})
 }
 
-// harmedWhoLeads is harmed where each sync of a process that leads takes the given time.
-func harmedWhoLeads(t *testing.T, took time.Duration) (began time.Time, writes []written, terms uint64) {
-	return underWrites(t, func(s *virtualSite) {
+// writesWithSlowLeaderDisk is writesWithSlowDisks with a slow disk on whichever process is leader.
+func writesWithSlowLeaderDisk(t *testing.T, took time.Duration) (began time.Time, writes []write, terms uint64) {
+	return runWrites(t, func(s *virtualSite) {
 		for _, p := range s.processes {
-			group, _, err := p.coordinator.group()
+			group, _, err := p.coordinator.rootGroup()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -57,30 +57,30 @@
 					time.Sleep(took)
 					return
 				}
-				time.Sleep(syncTime)
+				time.Sleep(diskSyncTime)
 			})
 		}
 	})
 }
 
-// underWrites plays five coordinators under writes that begin as harm has run.
-func underWrites(t *testing.T, harm func(s *virtualSite)) (began time.Time, writes []written, terms uint64) {
+// runWrites runs writes on five coordinators, beginning with a call of slowDown.
+func runWrites(t *testing.T, slowDown func(s *virtualSite)) (began time.Time, writes []write, terms uint64) {
 	inVirtualSite(t, coordinators, func(s *virtualSite) {
 		before := s.term()
-		ctx, cancel := context.WithTimeout(s.t.Context(), harmLength)
+		ctx, cancel := context.WithTimeout(s.t.Context(), slowdownTime)
 		defer cancel()
 		began = time.Now()
-		harm(s)
+		slowDown(s)
 		var mutex sync.Mutex
 		var submitting sync.WaitGroup
 		for place := range submitters {
 			submitting.Go(func() {
 				through := s.processes[place%coordinators]
 				for ctx.Err() == nil {
-					asked := time.Now()
-					if s.write(ctx, through) == nil {
+					submitted := time.Now()
+					if s.commitWrite(ctx, through) == nil {
 						mutex.Lock()
-						writes = append(writes, written{asked, time.Now()})
+						writes = append(writes, write{submitted, time.Now()})
 						mutex.Unlock()
 					}
 					time.Sleep(submitPause)
@@ -90,19 +90,19 @@
 		submitting.Wait()
 		terms = s.term() - before
 		for _, p := range s.processes {
-			p.disk.DelaySync(func() { time.Sleep(syncTime) })
+			p.disk.DelaySync(func() { time.Sleep(diskSyncTime) })
 		}
 		time.Sleep(time.Second)
 	})
-	slices.SortFunc(writes, func(a, b written) int { return a.acknowledged.Compare(b.acknowledged) })
+	slices.SortFunc(writes, func(a, b write) int { return a.acknowledged.Compare(b.acknowledged) })
 	return began, writes, terms
 }
 
-// leader is the process that leads the root group.
+// leader returns the process that leads the root group.
 func (s *virtualSite) leader() *process {
 	s.t.Helper()
 	for _, p := range s.processes {
-		if group, _, err := p.coordinator.group(); err == nil {
+		if group, _, err := p.coordinator.rootGroup(); err == nil {
 			if _, leading := group.Leading(); leading {
 				return p
 			}
@@ -112,115 +112,113 @@
 	return nil
 }
 
-// term is the newest term of the root group.
+// term returns the highest term of the root group.
 func (s *virtualSite) term() uint64 {
 	newest := uint64(0)
 	for _, p := range s.processes {
-		if group, _, err := p.coordinator.group(); err == nil {
+		if group, _, err := p.coordinator.rootGroup(); err == nil {
 			newest = max(newest, group.Status().GetTerm())
 		}
 	}
 	return newest
 }
 
-// write has a command of the directory committed that the given process takes.
-func (s *virtualSite) write(ctx context.Context, through *process) error {
-	ctx, cancel := context.WithTimeout(ctx, submitPatience)
+// commitWrite commits a directory command through the given process.
+func (s *virtualSite) commitWrite(ctx context.Context, through *process) error {
+	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
-	return through.coordinator.change(ctx, announcing(storeNamed("store")))
+	return through.coordinator.commitOnLeader(ctx, announceCommand(newStore("store")))
 }
 
-// longestGap is the longest time without an acknowledged write.
-func longestGap(began time.Time, writes []written) time.Duration {
+// longestGap returns the longest time without an acknowledged write.
+func longestGap(began time.Time, writes []write) time.Duration {
 	longest, last := time.Duration(0), began
 	for _, w := range writes {
 		longest = max(longest, w.acknowledged.Sub(last))
 		last = w.acknowledged
 	}
-	return max(longest, began.Add(harmLength).Sub(last))
+	return max(longest, began.Add(slowdownTime).Sub(last))
 }
 
-// median is how long a write takes that was asked for after leadership has settled.
-func median(began time.Time, writes []written) time.Duration {
+// medianLatency returns the median latency of the writes submitted after settleTime.
+func medianLatency(began time.Time, writes []write) time.Duration {
 	var took []time.Duration
 	for _, w := range writes {
-		if w.asked.Sub(began) > settled {
-			took = append(took, w.acknowledged.Sub(w.asked))
+		if w.submitted.Sub(began) > settleTime {
+			took = append(took, w.acknowledged.Sub(w.submitted))
 		}
 	}
 	if len(took) == 0 {
-		return harmLength
+		return slowdownTime
 	}
 	slices.Sort(took)
 	return took[len(took)/2]
 }
 
-// slow makes each sync of a disk take the given time.
-func slow(took time.Duration) func() { return func() { time.Sleep(took) } }
+// fixedDelay returns a delay for each sync of a disk.
+func fixedDelay(took time.Duration) func() { return func() { time.Sleep(took) } }
 
-// TestLeaderWithAStalledDiskIsReplaced stalls the leader's disk under writes: the others go on
-// after an election or two, and nothing waits for it.
+// TestLeaderWithAStalledDiskIsReplaced guards against writes waiting for a leader whose disk stalls.
 func TestLeaderWithAStalledDiskIsReplaced(t *testing.T) {
-	began, writes, terms := harmed(t, func(disks []func(func())) { disks[0](slow(harmLength)) })
-	gap, took := longestGap(began, writes), median(began, writes)
-	t.Logf("no write for %v, then %v a write, %d terms", gap, took, terms)
-	if gap > electionsAtWorst || took > 50*time.Millisecond {
-		t.Errorf("no write is acknowledged for %v, and one takes %v later", gap, took)
+	began, writes, terms := writesWithSlowDisks(t, func(disks []func(func())) { disks[0](fixedDelay(slowdownTime)) })
+	gap, took := longestGap(began, writes), medianLatency(began, writes)
+	t.Logf("longest gap %v, then %v per write, %d new terms", gap, took, terms)
+	if gap > maxElectionTime || took > 50*time.Millisecond {
+		t.Errorf("no write was acknowledged for %v, and one took %v later", gap, took)
 	}
 }
 
-// TestLeaderWithASlowDiskHandsOver makes each sync of the leader's disk slow, yet not so slow
-// that heartbeats are missed. Within 1.2 s writes take what they take with good disks.
+// TestLeaderWithASlowDiskHandsOver guards against a leader that stays although its disk is slow, but
+// not slow enough to miss heartbeats.
 func TestLeaderWithASlowDiskHandsOver(t *testing.T) {
 	for _, took := range []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 280 * time.Millisecond, 400 * time.Millisecond} {
 		t.Run(took.String(), func(t *testing.T) {
-			began, writes, terms := harmed(t, func(disks []func(func())) { disks[0](slow(took)) })
-			gap, later := longestGap(began, writes), median(began, writes)
-			t.Logf("no write for %v, then %v a write, %d terms", gap, later, terms)
-			if gap > electionsAtWorst || later > 50*time.Millisecond {
-				t.Errorf("no write is acknowledged for %v, and one takes %v later", gap, later)
+			began, writes, terms := writesWithSlowDisks(t, func(disks []func(func())) { disks[0](fixedDelay(took)) })
+			gap, later := longestGap(began, writes), medianLatency(began, writes)
+			t.Logf("longest gap %v, then %v per write, %d new terms", gap, later, terms)
+			if gap > maxElectionTime || later > 50*time.Millisecond {
+				t.Errorf("no write was acknowledged for %v, and one took %v later", gap, later)
 			}
 		})
 	}
 }
 
-// TestSlowVotersAreNotWaitedFor harms the disks of two followers of five: writes take what
-// they take with good disks, and leadership stays.
+// TestSlowVotersAreNotWaitedFor guards against slow disks of two followers delaying writes or changing
+// the leader.
 func TestSlowVotersAreNotWaitedFor(t *testing.T) {
-	for name, delay := range map[string]func(){"stalled": slow(harmLength), "slow": slow(200 * time.Millisecond)} {
+	for name, delay := range map[string]func(){"stalled": fixedDelay(slowdownTime), "slow": fixedDelay(200 * time.Millisecond)} {
 		t.Run(name, func(t *testing.T) {
-			began, writes, terms := harmed(t, func(disks []func(func())) {
+			began, writes, terms := writesWithSlowDisks(t, func(disks []func(func())) {
 				disks[1](delay)
 				disks[2](delay)
 			})
-			gap, took := longestGap(began, writes), median(began, writes)
-			t.Logf("no write for %v, then %v a write, %d terms", gap, took, terms)
+			gap, took := longestGap(began, writes), medianLatency(began, writes)
+			t.Logf("longest gap %v, then %v per write, %d new terms", gap, took, terms)
 			if gap > 100*time.Millisecond || took > 50*time.Millisecond || terms > 0 {
-				t.Errorf("no write is acknowledged for %v, one takes %v, %d terms", gap, took, terms)
+				t.Errorf("no write was acknowledged for %v, one took %v, %d new terms", gap, took, terms)
 			}
 		})
 	}
 }
 
-// TestLeadershipStaysWhereAllDisksAreSlow makes all disks slow, evenly and unevenly, and the
-// leader's with a majority of the others. Another leader would do no better: none is made. Where
-// each sync takes what chance gives it, one may be made by chance, and no second one soon.
+// TestLeadershipStaysWhereAllDisksAreSlow guards against useless leadership transfers when the disks of
+// a majority are slow. With random delays a single transfer may happen.
 func TestLeadershipStaysWhereAllDisksAreSlow(t *testing.T) {
 	for name, delays := range map[string][]func(){
-		"evenly":          {slow(200 * time.Millisecond)},
-		"by chance":       {byChance(1, 250*time.Millisecond), byChance(2, 250*time.Millisecond), byChance(3, 250*time.Millisecond), byChance(4, 250*time.Millisecond), byChance(5, 250*time.Millisecond)},
-		"leader slowest":  {slow(250 * time.Millisecond), slow(120 * time.Millisecond)},
-		"majority slow":   {slow(200 * time.Millisecond), slow(180 * time.Millisecond), slow(180 * time.Millisecond), slow(180 * time.Millisecond), slow(syncTime)},
-		"one hiccup each": {hiccup(250 * time.Millisecond)},
+		"evenly":          {fixedDelay(200 * time.Millisecond)},
+		"by chance":       {randomDelay(1, 250*time.Millisecond), randomDelay(2, 250*time.Millisecond), randomDelay(3, 250*time.Millisecond), randomDelay(4, 250*time.Millisecond), randomDelay(5, 250*time.Millisecond)},
+		"leader slowest":  {fixedDelay(250 * time.Millisecond), fixedDelay(120 * time.Millisecond)},
+		"majority slow":   {fixedDelay(200 * time.Millisecond), fixedDelay(180 * time.Millisecond), fixedDelay(180 * time.Millisecond), fixedDelay(180 * time.Millisecond), fixedDelay(diskSyncTime)},
+		"one hiccup each": {occasionalDelay(250 * time.Millisecond)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			began, writes, terms := harmed(t, func(disks []func(func())) {
+			began, writes, terms := writesWithSlowDisks(t, func(disks []func(func())) {
 				for place, delay := range disks {
 					delay(delays[min(place, len(delays)-1)])
 				}
 			})
-			gap, took := longestGap(began, writes), median(began, writes)
-			t.Logf("no write for %v, then %v a write, %d terms", gap, took, terms)
+			gap, took := longestGap(began, writes), medianLatency(began, writes)
+			t.Logf("longest gap %v, then %v per write, %d new terms", gap, took, terms)
 			most, longest := uint64(0), time.Second
 			if name == "by chance" {
 				most, longest = 1, 2*time.Second
@@ -232,19 +230,19 @@
 	}
 }
 
-// TestLeadershipGoesRoundBoundedly makes the disk of whoever leads slow, and no other. Each
-// replica hands over at most once in nine seconds, so leadership comes to rest.
-func TestLeadershipGoesRoundBoundedly(t *testing.T) {
-	began, writes, terms := harmedWhoLeads(t, 200*time.Millisecond)
+// TestLeadershipTransfersAreBounded slows the disk of whichever process is leader. Each replica
+// transfers leadership at most once in nine seconds, so the transfers must end.
+func TestLeadershipTransfersAreBounded(t *testing.T) {
+	began, writes, terms := writesWithSlowLeaderDisk(t, 200*time.Millisecond)
 	gap := longestGap(began, writes)
-	t.Logf("no write for %v, %d terms", gap, terms)
+	t.Logf("longest gap %v, %d new terms", gap, terms)
 	if terms > coordinators+2 || gap > time.Second {
 		t.Errorf("%d new terms, no write for %v", terms, gap)
 	}
 }
 
-// byChance makes each sync of a disk take up to a time.
-func byChance(seed uint64, most time.Duration) func() {
+// randomDelay returns a random delay up to most for each sync of a disk.
+func randomDelay(seed uint64, most time.Duration) func() {
 	var mutex sync.Mutex
 	random := rand.New(rand.NewPCG(seed, seed))
 	return func() {
@@ -255,8 +253,8 @@
 	}
 }
 
-// hiccup makes one sync of a disk in forty slow.
-func hiccup(took time.Duration) func() {
+// occasionalDelay returns a delay for every fortieth sync of a disk.
+func occasionalDelay(took time.Duration) func() {
 	var mutex sync.Mutex
 	count := 0
 	return func() {
@@ -268,6 +266,6 @@
 			time.Sleep(took)
 			return
 		}
-		time.Sleep(syncTime)
+		time.Sleep(diskSyncTime)
 	}
 }
--- a/internal/coordinator/root.go
+++ b/internal/coordinator/statemachine.go
@@ -15,22 +15,22 @@
 	"rockwind.example/rockwind/internal/zonedrain"
 )
 
-// rootMachine is the replicated state of the root group: the configuration, the
-// directory, the quarantine and the drains of zones.
-type rootMachine struct {
+// rootStateMachine is the replicated state of the root group: the configuration, the directory,
+// the quarantine and the drained zones.
+type rootStateMachine struct {
 	catalog    *catalog.Machine
 	directory  *directory.Directory
 	quarantine *quarantine.Register
 	zoneDrains *zonedrain.Register
-	// views is what other goroutines read.
-	views atomic.Pointer[rootView]
-	// urgent is raised at changes that watchers are told at once: of the configuration and of
-	// the drains of zones. Other changes come hundreds of times a second at a large site, and
-	// would wake each of its held calls.
+	// published is the view for other goroutines.
+	published atomic.Pointer[rootView]
+	// urgent is notified at changes that watchers receive immediately: those of the configuration
+	// and of zone drains. A large site has hundreds of other changes per second, which must not
+	// wake every watch.
 	urgent signal
 }
 
-// rootView is the root group's state as applied here.
+// rootView is an immutable view of the applied state.
 type rootView struct {
 	catalog    *catalog.View
 	directory  *directory.View
@@ -38,8 +38,8 @@
 	zoneDrains *zonedrain.List
 }
 
-func newRootMachine() *rootMachine {
-	created := &rootMachine{
+func newRootStateMachine() *rootStateMachine {
+	created := &rootStateMachine{
 		catalog: catalog.NewWithPolicy(catalog.HighestNumber), directory: directory.New(), quarantine: quarantine.New(), zoneDrains: zonedrain.New(),
 	}
 	created.Publish()
@@ -47,24 +47,24 @@
 }
 
 // Publish implements replica.Publisher.
-func (m *rootMachine) Publish() {
+func (m *rootStateMachine) Publish() {
 	next := &rootView{
 		catalog: m.catalog.View(), directory: m.directory.View(), quarantine: m.quarantine.View(), zoneDrains: m.zoneDrains.List(),
 	}
-	before := m.views.Swap(next)
-	if before == nil || before.catalog != next.catalog || before.zoneDrains != next.zoneDrains {
-		m.urgent.raise()
+	previous := m.published.Swap(next)
+	if previous == nil || previous.catalog != next.catalog || previous.zoneDrains != next.zoneDrains {
+		m.urgent.notify()
 	}
 }
 
-// view is the state as applied on this replica.
-func (m *rootMachine) view() *rootView { return m.views.Load() }
+// view returns the last published view.
+func (m *rootStateMachine) view() *rootView { return m.published.Load() }
 
 // Apply implements replica.StateMachine. The command is an encoded RootCommand.
-func (m *rootMachine) Apply(_ uint64, command []byte) any {
+func (m *rootStateMachine) Apply(_ uint64, command []byte) any {
 	decoded := &rockwindpb.RootCommand{}
 	if err := proto.Unmarshal(command, decoded); err != nil {
-		return catalog.Outcome{Fault: fault.Newf(fault.Internal, "run the same version on all coordinators", "a command of the root group cannot be read: %v", err)}
+		return catalog.Outcome{Fault: fault.Newf(fault.Internal, "run the same version on all coordinators", "cannot decode a root group command: %v", err)}
 	}
 	if accepted := decoded.GetCatalog(); accepted != nil {
 		return m.catalog.Accept(accepted)
@@ -82,7 +82,7 @@
 }
 
 // Snapshot implements replica.StateMachine.
-func (m *rootMachine) Snapshot() ([]byte, error) {
+func (m *rootStateMachine) Snapshot() ([]byte, error) {
 	snapshot := &rockwindpb.RootSnapshot{
 		Catalog: m.catalog.Save(), Directory: m.directory.Save(), Quarantine: m.quarantine.Save(), ZoneDrains: m.zoneDrains.Save(),
 	}
@@ -90,10 +90,10 @@
 }
 
 // Restore implements replica.StateMachine.
-func (m *rootMachine) Restore(snapshot []byte) error {
+func (m *rootStateMachine) Restore(snapshot []byte) error {
 	decoded := &rockwindpb.RootSnapshot{}
 	if err := proto.Unmarshal(snapshot, decoded); err != nil {
-		return fault.Newf(fault.Corrupt, "let the replica join again with an empty disk", "a snapshot of the root group cannot be read: %v", err)
+		return fault.Newf(fault.Corrupt, "let the replica join again with an empty disk", "cannot decode a root group snapshot: %v", err)
 	}
 	if err := m.catalog.Load(decoded.GetCatalog()); err != nil {
 		return err
@@ -105,16 +105,15 @@
 	return nil
 }
 
-// catalogGroup lets the catalog's service propose to the root group, whose
-// commands have an envelope.
+// catalogGroup wraps the commands that the catalog service proposes in root group commands.
 type catalogGroup struct {
 	replica.Group
-	machine *rootMachine
+	machine *rootStateMachine
 }
 
-// Applied implements replica.Group for calls that wait for a configuration: it is closed at urgent
-// changes alone.
-func (g catalogGroup) Applied() <-chan struct{} { return g.machine.urgent.next() }
+// Applied implements replica.Group. The channel is closed at urgent changes only, which include
+// those of the configuration.
+func (g catalogGroup) Applied() <-chan struct{} { return g.machine.urgent.wait() }
 
 // Propose implements replica.Group.
 func (g catalogGroup) Propose(ctx context.Context, command []byte) (any, error) {
--- a/internal/coordinator/virtualsite_test.go
+++ b/internal/coordinator/virtualsite_test.go
@@ -23,33 +23,33 @@
 
 const (
 	coordinators = 5
-	// linkDelay is the time of a message between zones, and syncTime that of a disk.
-	linkDelay = 900 * time.Microsecond
-	syncTime  = 2 * time.Millisecond
+	// linkDelay is the one-way network delay between zones, diskSyncTime that of a disk sync.
+	linkDelay    = 900 * time.Microsecond
+	diskSyncTime = 2 * time.Millisecond
 )
 
-// links carries the calls of a site in memory. A process that does not run refuses, and one
-// that ends breaks the calls off that it has.
-type links struct {
+// network carries the calls of a site in memory. Calls to a stopped process are refused, and calls
+// in progress fail when the process stops.
+type network struct {
 	mutex   sync.Mutex
-	serving map[string]listening
+	serving map[string]listener
 	calls   int
-	// methods counts calls by method, with those of the replicas.
+	// methods counts calls by method, including those between replicas.
 	methods map[string]int
-	// unanswered counts calls to addresses where no process runs. They hang where silent is
-	// set, as those to a machine without power, and are refused otherwise.
-	unanswered int
-	silent     bool
+	// unanswered counts calls to addresses without a process. They hang if dropUnanswered is set,
+	// like those to a machine without power, and are refused otherwise.
+	unanswered     int
+	dropUnanswered bool
 }
 
-// listening is a process that takes calls, until its context ends.
-type listening struct {
+// listener is a process that accepts calls until its context ends.
+type listener struct {
 	ctx     context.Context
 	handler http.Handler
 }
 
 // RoundTrip implements http.RoundTripper.
-func (l *links) RoundTrip(request *http.Request) (*http.Response, error) {
+func (l *network) RoundTrip(request *http.Request) (*http.Response, error) {
 	time.Sleep(linkDelay)
 	l.mutex.Lock()
 	l.calls++
@@ -61,7 +61,7 @@
 	}
 	l.mutex.Unlock()
 	if !runs {
-		if l.silent {
+		if l.dropUnanswered {
 			<-request.Context().Done()
 		}
 		return nil, errors.Newf("no process at %s", request.URL.Host)
@@ -69,7 +69,7 @@
 	if trace := httptrace.ContextClientTrace(request.Context()); trace != nil && trace.GotConn != nil {
 		trace.GotConn(httptrace.GotConnInfo{})
 	}
-	// Nothing of the caller's context comes over but its end.
+	// Only the cancellation of the caller's context carries over.
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	defer context.AfterFunc(called.ctx, cancel)()
@@ -78,13 +78,13 @@
 	called.handler.ServeHTTP(recorder, request.WithContext(ctx))
 	time.Sleep(linkDelay)
 	if ctx.Err() != nil {
-		return nil, errors.Newf("the call to %s broke off", request.URL.Host)
+		return nil, errors.Newf("the call to %s was interrupted", request.URL.Host)
 	}
 	return recorder.Result(), nil
 }
 
-// takeCalls returns how many calls there were, and begins to count anew.
-func (l *links) takeCalls() int {
+// takeCalls returns and resets the number of calls.
+func (l *network) takeCalls() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	calls := l.calls
@@ -92,15 +92,15 @@
 	return calls
 }
 
-// callsOf returns how many calls of a method there were.
-func (l *links) callsOf(method string) int {
+// callsOf returns the number of calls of a method.
+func (l *network) callsOf(method string) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.methods[method]
 }
 
-// takeUnanswered returns how many calls nobody answered, and begins to count anew.
-func (l *links) takeUnanswered() int {
+// takeUnanswered returns and resets the number of unanswered calls.
+func (l *network) takeUnanswered() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	unanswered := l.unanswered
@@ -108,18 +108,18 @@
 	return unanswered
 }
 
-// alias has the process at an address take the calls to another one, too.
-func (l *links) alias(added, address string) {
+// alias has the process at address also accept calls to another address.
+func (l *network) alias(added, address string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.serving[added] = l.serving[address]
 }
 
-// serve has a process take calls until the context ends.
-func (l *links) serve(ctx context.Context, address string, handler http.Handler) {
+// serve accepts calls to an address until the context ends.
+func (l *network) serve(ctx context.Context, address string, handler http.Handler) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.serving[address] = listening{ctx: ctx, handler: handler}
+	l.serving[address] = listener{ctx: ctx, handler: handler}
 }
 
 // process is a coordinator or a watcher of a site in virtual time.
@@ -129,41 +129,41 @@
 	coordinator *Coordinator
 	watcher     *site.Watcher
 	stop        func()
-	// started is when it started last, and ready how long after that it had a
+	// started is the time of the last start; ready is how long after it the process had a
 	// configuration and a directory.
 	started time.Time
 	ready   time.Duration
 }
 
-// virtualSite is the coordinators and watchers of a site.
+// virtualSite is a site of coordinators and watchers in virtual time.
 type virtualSite struct {
 	t         *testing.T
-	links     *links
+	network   *network
 	client    *http.Client
 	random    *rand.Rand
 	seeds     []string
 	processes []*process
-	// admits tells that machines with new names may take places in the root group.
-	admits bool
+	// admitsNew tells that machines with new names may join the root group.
+	admitsNew bool
 }
 
-// inVirtualSite runs a test with a site of the given size that knows a configuration.
+// inVirtualSite runs a test with a site of size processes and an initial configuration.
 func inVirtualSite(t *testing.T, size int, run func(s *virtualSite)) {
 	inSite(t, size, false, run)
 }
 
-// inSiteThatAdmits is inVirtualSite where machines with new names may take places.
-func inSiteThatAdmits(t *testing.T, size int, run func(s *virtualSite)) { inSite(t, size, true, run) }
+// inOpenVirtualSite is inVirtualSite for a site that machines with new names may join.
+func inOpenVirtualSite(t *testing.T, size int, run func(s *virtualSite)) { inSite(t, size, true, run) }
 
 func inSite(t *testing.T, size int, admits bool, run func(s *virtualSite)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &virtualSite{t: t, admits: admits, links: &links{serving: map[string]listening{}, methods: map[string]int{}}, random: rand.New(rand.NewPCG(3, 3))}
-		s.client = &http.Client{Transport: s.links}
+		s := &virtualSite{t: t, admitsNew: admits, network: &network{serving: map[string]listener{}, methods: map[string]int{}}, random: rand.New(rand.NewPCG(3, 3))}
+		s.client = &http.Client{Transport: s.network}
 		for position := range size {
 			added := &process{name: fmt.Sprintf("p%d", position)}
 			if position < coordinators {
 				added.disk = faultfs.New()
-				added.disk.DelaySync(func() { time.Sleep(syncTime) })
+				added.disk.DelaySync(func() { time.Sleep(diskSyncTime) })
 				s.seeds = append(s.seeds, added.name)
 			}
 			s.processes = append(s.processes, added)
@@ -179,13 +179,13 @@
 		if err := replica.Found(t.Context(), s.client, s.seeds, 0); err != nil {
 			t.Fatal(err)
 		}
-		s.apply()
+		s.commitInitialState()
 		s.awaitReady(s.processes)
 		run(s)
 	})
 }
 
-// start runs a process anew; its disk stays.
+// start starts a process, with its previous disk if it has one.
 func (s *virtualSite) start(p *process) {
 	ctx, cancel := context.WithCancel(context.Background())
 	p.started, p.ready = time.Now(), 0
@@ -193,25 +193,25 @@
 		s.watch(ctx, cancel, p)
 		return
 	}
-	c := &Coordinator{settings: &rockwindpb.SiteSettings{Name: p.name, Seeds: s.seeds, InternalListen: p.name}, client: s.client, live: newLiveness()}
+	c := &Coordinator{settings: &rockwindpb.SiteSettings{Name: p.name, Seeds: s.seeds, InternalListen: p.name}, client: s.client, liveness: newLiveness()}
 	options := replica.Options{
 		Machine: p.name, Address: p.name, Folder: "data", FileSystem: p.disk, Client: s.client,
 		Tick: 30 * time.Millisecond, HeartbeatTicks: 2, Random: s.random.Uint64(),
 		StateMachines: func(uint32) replica.StateMachine {
-			created := newRootMachine()
-			c.root.Store(created)
+			created := newRootStateMachine()
+			c.rootState.Store(created)
 			return created
 		},
 	}
-	if s.admits {
-		options.Discover, options.AdmitNew, options.Places = c.peers, true, rootPlaces
+	if s.admitsNew {
+		options.Discover, options.AdmitNew, options.Places = c.peers, true, maxRootMembers
 	}
 	host, err := replica.NewHost(options)
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	c.host, p.coordinator = host, c
-	s.links.serve(ctx, p.name, c.internalHandler(nil))
+	s.network.serve(ctx, p.name, c.internalHandler(nil))
 	ended := make(chan error, 1)
 	go func() { ended <- host.Run(ctx) }()
 	p.stop = func() {
@@ -222,7 +222,7 @@
 	}
 }
 
-// watch runs a watcher, and notes when it is ready.
+// watch runs a watcher and records when it is ready.
 func (s *virtualSite) watch(ctx context.Context, cancel func(), p *process) {
 	watcher, err := site.NewWatcher(&rockwindpb.SiteSettings{Name: p.name, Seeds: s.seeds[:3]}, s.client, "")
 	if err != nil {
@@ -249,15 +249,15 @@
 	}
 }
 
-// apply has a configuration and an entry of the directory accepted.
-func (s *virtualSite) apply() {
+// commitInitialState commits a configuration and a directory entry.
+func (s *virtualSite) commitInitialState() {
 	s.t.Helper()
 	c := s.processes[0].coordinator
 	request := &rockwindpb.ApplyConfigurationRequest{Configuration: &rockwindpb.Configuration{Number: 1}}
 	if _, err := c.Apply(s.t.Context(), request); err != nil {
 		s.t.Fatalf("the configuration is not accepted: %v", err)
 	}
-	if err := c.change(s.t.Context(), announcing(storeNamed("store"))); err != nil {
+	if err := c.commitOnLeader(s.t.Context(), announceCommand(newStore("store"))); err != nil {
 		s.t.Fatalf("the directory is not changed: %v", err)
 	}
 }
@@ -269,56 +269,56 @@
 	defer cancel()
 	for _, p := range among {
 		if p.watcher != nil && !p.watcher.AwaitKnown(ctx) {
-			s.t.Fatalf("%s knows nothing a minute after its start", p.name)
+			s.t.Fatalf("%s has no state a minute after its start", p.name)
 		}
 	}
 	synctest.Wait()
 }
 
-// restart ends processes at once and starts them after a while, in any order, over the given
-// time.
+// restart stops processes simultaneously and restarts them after a pause, in random order and spread
+// over the given time.
 func (s *virtualSite) restart(among []*process, over time.Duration) {
 	for _, p := range among {
 		p.stop()
 	}
 	time.Sleep(600 * time.Millisecond)
-	s.links.takeCalls()
+	s.network.takeCalls()
 	for _, place := range s.random.Perm(len(among)) {
 		s.start(among[place])
 		time.Sleep(over / time.Duration(len(among)))
 	}
 }
 
-// awaitCoordinators waits until all coordinators hear their leader and are up to date.
+// awaitCoordinators waits until all coordinators are up to date with their leader.
 func (s *virtualSite) awaitCoordinators() {
 	s.t.Helper()
 	for _, p := range s.processes[:coordinators] {
 		for deadline := time.Now().Add(time.Minute); ; time.Sleep(time.Millisecond) {
-			if _, _, err := p.coordinator.current(); err == nil {
+			if _, _, err := p.coordinator.currentState(); err == nil {
 				break
 			} else if time.Now().After(deadline) {
-				s.t.Fatalf("%s is not current a minute after its start: %v", p.name, err)
+				s.t.Fatalf("%s is not up to date a minute after its start: %v", p.name, err)
 			}
 		}
 	}
 }
 
-// rootOf returns the root group at a coordinator.
-func (s *virtualSite) rootOf(p *process) replica.Group {
+// rootGroupOf returns the root group at a coordinator.
+func (s *virtualSite) rootGroupOf(p *process) replica.Group {
 	s.t.Helper()
-	group, _, err := p.coordinator.group()
+	group, _, err := p.coordinator.rootGroup()
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	return group
 }
 
-// storeNamed is a store whose address is its name.
-func storeNamed(name string) *rockwindpb.Machine {
+// newStore returns a store whose address is its name.
+func newStore(name string) *rockwindpb.Machine {
 	return &rockwindpb.Machine{Name: name, Role: rockwindpb.SiteRole_SITE_ROLE_STORE, Address: name}
 }
 
-// announcing is the command that enters a machine in the directory.
-func announcing(machine *rockwindpb.Machine) *rockwindpb.DirectoryCommand {
+// announceCommand returns the command that adds a machine to the directory.
+func announceCommand(machine *rockwindpb.Machine) *rockwindpb.DirectoryCommand {
 	return &rockwindpb.DirectoryCommand{Command: &rockwindpb.DirectoryCommand_Announce{Announce: machine}}
 }
--- a/internal/coordinator/zonedrain.go
+++ b/internal/coordinator/zonedrain.go
@@ -10,7 +10,7 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// zoneDrainService is the drains of zones towards operators and other coordinators.
+// zoneDrainService serves zone drains to operators and other coordinators.
 type zoneDrainService struct{ coordinator *Coordinator }
 
 // Start implements rockwindpb.ZoneDrainService.
@@ -23,18 +23,18 @@
 	return &rockwindpb.EndZoneDrainResponse{}, fault.ToTwirp(s.coordinator.EndZoneDrain(ctx, request.GetZone()))
 }
 
-// List implements rockwindpb.ZoneDrainService. The leader answers, which knows what was committed a
-// moment ago.
+// List implements rockwindpb.ZoneDrainService. The leader answers, since it has all committed
+// changes.
 func (s zoneDrainService) List(ctx context.Context, request *rockwindpb.ListZoneDrainsRequest) (*rockwindpb.ListZoneDrainsResponse, error) {
 	elsewhere := func(ctx context.Context, base string) (*rockwindpb.ListZoneDrainsResponse, error) {
 		return s.coordinator.zoneDrainsAt(base).List(ctx, request)
 	}
-	if s.coordinator.outside() {
-		response, err := passOnToLeader(ctx, s.coordinator, passTimeout, elsewhere)
+	if s.coordinator.isNonMember() {
+		response, err := forwardToLeader(ctx, s.coordinator, forwardTimeout, elsewhere)
 		return response, fault.ToTwirp(err)
 	}
-	response, err := fromLeader(ctx, s.coordinator, func() (*rockwindpb.ListZoneDrainsResponse, error) {
-		_, view, err := s.coordinator.current()
+	response, err := callOnLeader(ctx, s.coordinator, func() (*rockwindpb.ListZoneDrainsResponse, error) {
+		_, view, err := s.coordinator.currentState()
 		if err != nil {
 			return nil, err
 		}
@@ -43,9 +43,9 @@
 	return response, fault.ToTwirp(err)
 }
 
-// StartZoneDrain has the servers of a zone get nothing new. It returns once that is committed;
-// processes that watch learn of it as of a change of the directory. It may be repeated, and
-// fails with fault.NotFound for a zone without machines and servers.
+// StartZoneDrain drains a zone: its servers receive no new work. It returns once the drain is
+// committed; watchers are notified of it as an urgent change. It is idempotent and returns
+// fault.NotFound for a zone without machines and servers.
 func (c *Coordinator) StartZoneDrain(ctx context.Context, zone string) error {
 	return c.changeZoneDrain(ctx, zone, &rockwindpb.ZoneDrainCommand{
 		Command: &rockwindpb.ZoneDrainCommand_Start{Start: &rockwindpb.StartZoneDrainRequest{Zone: zone}},
@@ -55,7 +55,7 @@
 	})
 }
 
-// EndZoneDrain takes StartZoneDrain back, with the same faults. It may be repeated.
+// EndZoneDrain ends the drain of a zone. It is idempotent and has the same faults.
 func (c *Coordinator) EndZoneDrain(ctx context.Context, zone string) error {
 	return c.changeZoneDrain(ctx, zone, &rockwindpb.ZoneDrainCommand{
 		Command: &rockwindpb.ZoneDrainCommand_End{End: &rockwindpb.EndZoneDrainRequest{Zone: zone}},
@@ -65,29 +65,29 @@
 	})
 }
 
-// changeZoneDrain has the leader commit a command, here or by a call elsewhere.
+// changeZoneDrain has the leader commit a command, locally or remotely.
 func (c *Coordinator) changeZoneDrain(
 	ctx context.Context, zone string, command *rockwindpb.ZoneDrainCommand, call func(context.Context, rockwindpb.ZoneDrainService) error,
 ) error {
 	elsewhere := func(ctx context.Context, base string) (struct{}, error) {
 		return struct{}{}, call(ctx, c.zoneDrainsAt(base))
 	}
-	if c.outside() {
-		_, err := passOnToLeader(ctx, c, toCommit, elsewhere)
+	if c.isNonMember() {
+		_, err := forwardToLeader(ctx, c, untilCommitted, elsewhere)
 		return err
 	}
-	_, err := fromLeader(ctx, c, func() (struct{}, error) { return struct{}{}, c.commitZoneDrain(ctx, zone, command) }, elsewhere)
+	_, err := callOnLeader(ctx, c, func() (struct{}, error) { return struct{}{}, c.commitZoneDrain(ctx, zone, command) }, elsewhere)
 	return err
 }
 
-// commitZoneDrain proposes a command as the leader.
+// commitZoneDrain proposes a command; this coordinator must be the leader.
 func (c *Coordinator) commitZoneDrain(ctx context.Context, zone string, command *rockwindpb.ZoneDrainCommand) error {
-	_, view, err := c.current()
+	_, view, err := c.currentState()
 	if err != nil {
 		return err
 	}
 	if zone != c.settings.GetZone() && !view.zoneDrains.Drained(zone) && !view.directory.HasZone(zone) {
-		return fault.Newf(fault.NotFound, "name a zone of the site", "no machine and no server is in a zone named %q", zone)
+		return fault.Newf(fault.NotFound, "name a zone of the site", "no machine or server is in zone %q", zone)
 	}
 	command.NowUnixMs = time.Now().UnixMilli()
 	err = c.propose(ctx, &rockwindpb.RootCommand{Command: &rockwindpb.RootCommand_ZoneDrain{ZoneDrain: command}})
@@ -95,7 +95,7 @@
 	return err
 }
 
-// zoneDrainsAt is the drains of zones as the coordinator at a base address serves them.
+// zoneDrainsAt returns a client of the zone drain service at a base address.
 func (c *Coordinator) zoneDrainsAt(base string) rockwindpb.ZoneDrainService {
-	return rockwindpb.NewZoneDrainServiceProtobufClient(base, c.carrier())
+	return rockwindpb.NewZoneDrainServiceProtobufClient(base, c.twirpClient())
 }
