--- a/internal/store/executor.go
+++ b/internal/store/executor.go
@@ -121,7 +121,7 @@
 	heldAt time.Time
 	ended  chan itemEnd
 	// runs numbers the runs whose progress is recorded.
-	runs output.Runs
+	runs output.RunCounter
 	// historyTerm is the term in which the histories were made.
 	historyTerm uint64
 	// noted is when the progress of items was last recorded, and noting tells that a record is
@@ -274,7 +274,7 @@
 	}
 	if active != nil && end.outcome == rockwindpb.StoredOutcome_STORED_OUTCOME_DONE {
 		whole := end.history.made()
-		e.pace(active.service).Ended(whole-active.madeBefore, whole, active.choice.Usual(time.Since(active.began)))
+		e.pace(active.service).Ended(whole-active.madeBefore, whole, active.choice.NormalizeDuration(time.Since(active.began)))
 	}
 	recordEnd(end, active, e.term)
 	if end.outcome == rockwindpb.StoredOutcome_STORED_OUTCOME_UNSPECIFIED {
