--- a/internal/coordinator/follower.go
+++ b/internal/coordinator/follower.go
@@ -39,8 +39,8 @@
 	receivedAt time.Time
 }
 
-// rootFollower holds the state of the root group at a non-member, so that watches and unchanged
-// reports there do not load the members.
+// rootFollower holds the state of the root group at a non-member, so that directory watches and
+// unchanged reports there do not load the members.
 type rootFollower struct {
 	state atomic.Pointer[followedState]
 	// changed is notified at each change, urgent at those that watchers receive immediately.
--- a/internal/coordinator/follower_test.go
+++ b/internal/coordinator/follower_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestNonMemberServesWatchersWithoutLoadingMembers guards against watches at a non-member loading
-// the members, and against more answers than the linger allows.
+// TestNonMemberServesWatchersWithoutLoadingMembers guards against directory watches at a non-member
+// loading the members, and against more answers than the linger allows.
 func TestNonMemberServesWatchersWithoutLoadingMembers(t *testing.T) {
 	const (
 		watchers = 40
--- a/internal/coordinator/liveness.go
+++ b/internal/coordinator/liveness.go
@@ -11,7 +11,7 @@
 type liveness struct {
 	mutex     sync.Mutex
 	lastHeard map[string]time.Time
-	// pending holds the servers that reported here since the leader was last told.
+	// pending holds the servers that reported here since the last relay to the leader.
 	pending map[string]bool
 }
 
--- a/internal/coordinator/machines.go
+++ b/internal/coordinator/machines.go
@@ -152,13 +152,13 @@
 
 // ledShards queries all stores and returns, for each shard, the status from the leader with the
 // highest term.
-func (c *Coordinator) ledShards(ctx context.Context, stores []*rockwindpb.Machine) map[uint32]*rockwindpb.GroupStatus {
+func (c *Coordinator) ledShards(ctx context.Context, machines []*rockwindpb.Machine) map[uint32]*rockwindpb.GroupStatus {
 	ctx, cancel := context.WithTimeout(ctx, identityTimeout)
 	defer cancel()
 	var mutex sync.Mutex
 	var answers sync.WaitGroup
 	led := make(map[uint32]*rockwindpb.GroupStatus)
-	for _, store := range stores {
+	for _, store := range machines {
 		answers.Go(func() {
 			service := rockwindpb.NewReplicaServiceProtobufClient("http://"+store.GetAddress(), c.twirpClient())
 			identity, err := service.Identity(ctx, &rockwindpb.IdentityRequest{})
