--- a/internal/rateclient/rateclient.go
+++ b/internal/rateclient/rateclient.go
@@ -97,9 +97,9 @@
 	return now.Before(r.until) && waitMs <= r.waitMs
 }
 
-// Turn is how a request goes before others of its tenant. The zero value has it go by its
+// Options is how a request goes before others of its tenant. The zero value has it go by its
 // arrival.
-type Turn struct {
+type Options struct {
 	// Late tells that its answer cannot be in time any more.
 	Late bool
 	// Wait is how long it may wait for its turn once it is granted.
@@ -120,7 +120,7 @@
 // number. It fails with fault.LimitReached where the tenant has used it up, and with
 // fault.Unavailable where no owner answers within the patience and the request may not be
 // let through unasked. It returns when the request may go to a server.
-func (c *Client) Take(ctx context.Context, tenant *rockwindpb.Tenant, number uint64, patience time.Duration, turn Turn) error {
+func (c *Client) Take(ctx context.Context, tenant *rockwindpb.Tenant, number uint64, patience time.Duration, turn Options) error {
 	if !limited(tenant) {
 		return nil
 	}
@@ -154,7 +154,7 @@
 	if wait == 0 || retry.Pause(ctx, wait) {
 		return nil
 	}
-	c.GiveBack(tenant)
+	c.Refund(tenant)
 	return fault.New(fault.Unavailable, "come back later", "the request's time ended before its turn").
 		WithRan(fault.NotRun).WithRetryAfter(shortestReturn)
 }
@@ -274,8 +274,8 @@
 	return xxhash.Sum64String(tenant+" at "+c.router)%routers < unaskedRouters
 }
 
-// GiveBack returns a request that was taken and has not run.
-func (c *Client) GiveBack(tenant *rockwindpb.Tenant) {
+// Refund returns a request that was taken and has not run.
+func (c *Client) Refund(tenant *rockwindpb.Tenant) {
 	if !limited(tenant) {
 		return
 	}
