--- a/internal/balance/accused.go
+++ b/internal/balance/accused.go
@@ -1,21 +1,22 @@
 package balance
 
-// On a large site a process meets a server so rarely that each would have to lose a request to
-// learn that it has gone dark: some servers are avoided on the word of other processes.
+// On a large site a process sends to each server so rarely that it would have to lose a request to
+// each failed server to detect it. Servers are therefore also avoided when other processes suspect
+// them.
 const (
-	// accusers is how many other processes must take a server for failing before this one
-	// avoids it: one may be wrong, or have bad luck with its own connections.
-	accusers = 2
-	// maximumAccused is the largest part of the servers that is avoided on the word of
-	// others. Where more are accused all of them are slow, and avoiding some would only
-	// press the rest.
-	maximumAccused = 0.3
+	// suspicionQuorum is how many other processes must consider a server failing before this
+	// one avoids it. A single process may have trouble with its own connections.
+	suspicionQuorum = 2
+	// maxSuspectedFraction is the largest fraction of the servers that is avoided because of other
+	// processes' suspicion. Above it all servers are likely slow, and avoiding some would overload
+	// the rest.
+	maxSuspectedFraction = 0.3
 )
 
-// fewAccused tells whether some of the members are accused, and few enough to be avoided.
-func fewAccused(count, members int) bool {
-	return count > 0 && float64(count) <= maximumAccused*float64(members)
+// fewSuspected reports whether some of the members are suspected, but few enough to be avoided.
+func fewSuspected(count, members int) bool {
+	return count > 0 && float64(count) <= maxSuspectedFraction*float64(members)
 }
 
-// accused tells whether enough other processes take the server for failing.
-func (l SharedLoad) accused() bool { return l.Suspects >= accusers }
+// suspectedByPeers reports whether enough other processes consider the server failing.
+func (l SharedLoad) suspectedByPeers() bool { return l.Suspects >= suspicionQuorum }
--- a/internal/balance/keepers.go
+++ b/internal/balance/keepers.go
@@ -1,38 +1,38 @@
 package balance
 
 const (
-	// keeperCount is how many servers are remembered for a part of a prompt, the newest ones.
-	keeperCount = 3
-	// maximumKeepers bounds the parts remembered in one of two generations: each request adds
-	// one of its own at least, so that the two hold those of partFor at 200 requests a second.
-	maximumKeepers = 4096
+	// placesPerPart is how many servers are remembered for a prompt part, the most recent ones.
+	placesPerPart = 3
+	// partsPerGeneration bounds the parts of one of the two generations. Each request adds at least
+	// one part of its own, so that both generations together cover partTTL at 200 requests a second.
+	partsPerGeneration = 4096
 )
 
-// keeperPlaces are the places of the servers that a part was sent to last, the newest first,
-// one more than the place so that zero is none.
-type keeperPlaces [keeperCount]int32
+// partPlaces are the places of the servers that a part was last sent to, the most recent first.
+// They are stored plus one, so that zero means none.
+type partPlaces [placesPerPart]int32
 
-// keepers remembers where this process sent the parts of prompts, so that a choice finds these
-// servers among many. The older generation is dropped as the newer one is full.
-type keepers struct {
-	newer, older map[uint64]keeperPlaces
+// partLocations remembers which servers this process sent prompt parts to, so that a choice finds
+// these servers among many. The older generation is dropped when the newer one is full.
+type partLocations struct {
+	newer, older map[uint64]partPlaces
 }
 
-// note remembers that the parts were sent to the server at a place.
-func (k *keepers) note(parts []Part, place int) {
+// record remembers that the parts were sent to the server at a place.
+func (l *partLocations) record(parts []Part, place int) {
 	for _, part := range parts {
-		places := k.places(part.ID)
+		places := l.places(part.ID)
 		if places[0] == int32(place)+1 {
-			if _, newest := k.newer[part.ID]; newest {
+			if _, newest := l.newer[part.ID]; newest {
 				continue
 			}
 		}
-		k.put(part.ID, places.first(int32(place)+1))
+		l.put(part.ID, places.moveToFront(int32(place)+1))
 	}
 }
 
-// first returns the places with the given one before all others.
-func (p keeperPlaces) first(newest int32) keeperPlaces {
+// moveToFront returns the places with the given one first.
+func (p partPlaces) moveToFront(newest int32) partPlaces {
 	moved := newest
 	for i, each := range p {
 		p[i], moved = moved, each
@@ -43,16 +43,16 @@
 	return p
 }
 
-func (k *keepers) put(part uint64, places keeperPlaces) {
-	if k.newer == nil || len(k.newer) >= maximumKeepers {
-		k.older, k.newer = k.newer, make(map[uint64]keeperPlaces)
+func (l *partLocations) put(part uint64, places partPlaces) {
+	if l.newer == nil || len(l.newer) >= partsPerGeneration {
+		l.older, l.newer = l.newer, make(map[uint64]partPlaces)
 	}
-	k.newer[part] = places
+	l.newer[part] = places
 }
 
-func (k *keepers) places(part uint64) keeperPlaces {
-	if found, newer := k.newer[part]; newer {
+func (l *partLocations) places(part uint64) partPlaces {
+	if found, newer := l.newer[part]; newer {
 		return found
 	}
-	return k.older[part]
+	return l.older[part]
 }
--- a/internal/balance/sight.go
+++ b/internal/balance/sight.go
@@ -2,66 +2,65 @@
 
 import "time"
 
-// sight is what a process takes a server to have in hand at a moment.
-type sight struct {
+// serverView is a server with the load estimated for it at a moment.
+type serverView struct {
 	*server
-	// others is what all other processes tell of it.
-	others SharedLoad
-	// counted is how many requests all processes together have there, with what those that are
-	// gone left behind, and load the estimate that covers what the server told itself.
-	counted int
-	load    int
-	// batch is how much batch work it has, of all processes.
+	// peers is the load of all other processes.
+	peers SharedLoad
+	// totalInflight is the number of requests of all processes, including those left behind. load is
+	// the estimate that also includes the server's own report.
+	totalInflight int
+	load          int
+	// batch is the number of batch requests of all processes.
 	batch int
-	// online is the load as an online request counts it.
+	// online is the load that counts for an online request.
 	online int
 }
 
-// see looks at a server. What the server told itself counts beside what processes tell while
-// it is new, and for longer where no other process tells anything.
+// viewOf estimates the load of a server. The server's own report counts only while it is recent,
+// and for longer if no other process shares its loads.
 //
-// Where requests are paced, an online request leaves out the batch work, which gives way: a
-// request that goes to a server full of batch work begins as soon as some of it is cut. Where
-// loads are new the request waits for that in the router, and finds a server that others have
-// left as well.
-func (p *Pool) see(s *server, now time.Duration) sight {
-	others := p.shares.At(s.hash)
-	seen := sight{server: s, others: others, counted: s.inflight + others.Inflight + p.shares.leftBehind(s.left), batch: s.batch + others.Batch}
-	seen.load = seen.counted
-	valid := reportFor
-	if p.shares.HasPeers() {
-		valid = reportBeside
+// Where requests are paced, batch work doesn't count for online requests: a request sent to a
+// server full of batch work starts once some of that is preempted. Otherwise the request waits in
+// the router for the preemption.
+func (p *Pool) viewOf(s *server, now time.Duration) serverView {
+	peers := p.loads.At(s.hash)
+	view := serverView{server: s, peers: peers, totalInflight: s.inflight + peers.Inflight + p.loads.leftBehind(s.leftBehindHash), batch: s.batch + peers.Batch}
+	view.load = view.totalInflight
+	ttl := reportTTL
+	if p.loads.HasPeers() {
+		ttl = reportTTLWithPeers
 	}
-	if s.known && now-s.toldAt <= valid {
-		seen.load = max(seen.load, s.told+s.since)
+	if s.hasReport && now-s.reportedAt <= ttl {
+		view.load = max(view.load, s.reportedLoad+s.inflightDelta)
 	}
-	seen.online = seen.load
+	view.online = view.load
 	if p.paced() {
-		seen.online = max(0, seen.load-seen.batch)
+		view.online = max(0, view.load-view.batch)
 	}
-	return seen
+	return view
 }
 
-// room tells whether the server can take a request at once, or where online requests may count
-// on so many slots beyond those that it has.
-func (s sight) room(batch bool, beyond int, now time.Duration) bool {
-	if s.gone || now < s.fullUntil {
+// hasRoom reports whether the server can start a request immediately. An online request may exceed
+// the slots by overcommit.
+func (s serverView) hasRoom(batch bool, overcommit int, now time.Duration) bool {
+	if s.replaced || now < s.fullUntil {
 		return false
 	}
 	if s.Slots == 0 {
 		return true
 	}
 	if batch {
-		// What servers tell is new and old by turns; added to the counts it would keep
-		// slots empty. It only tells of requests that wait at the server.
-		return s.counted < s.Slots && s.load <= s.Slots
+		// Reports alternate between new and old; adding them to the counts would leave slots empty.
+		// They only tell whether requests wait at the server.
+		return s.totalInflight < s.Slots && s.load <= s.Slots
 	}
-	return s.online < s.Slots+beyond
+	return s.online < s.Slots+overcommit
 }
 
-// free is how many more requests the server is taken to have room for; where its slots are
-// not known, the less the more it has.
-func (s sight) free(batch bool) float64 {
+// freeEstimate returns the estimated number of free slots. If the slots are not known, the result
+// falls with the load.
+func (s serverView) freeEstimate(batch bool) float64 {
 	load := float64(s.online)
 	if batch {
 		load = float64(s.load)
@@ -69,5 +68,5 @@
 	if s.Slots == 0 {
 		return 1 / (1 + load)
 	}
-	return max(leastFree, float64(s.Slots)-load)
+	return max(minFreeSlots, float64(s.Slots)-load)
 }
--- a/internal/balance/vacated.go
+++ b/internal/balance/vacated.go
@@ -5,42 +5,39 @@
 	"time"
 )
 
-// seenPart is how much a free slot that all processes see counts beside one that only this
-// process knows of. All of them see the same ones as old as the loads are, and meet there:
-// while some requests queue at full servers, other slots stay empty. With 64 processes before
-// 90 uneven servers at all that these can do, taking the slots that own requests have left
-// first has the first event come after 90 ms instead of 230 in the mean, and 0.04 of them
-// after 300 ms instead of 0.29 (pace.BenchmarkRegret). A part of 0.03 gives 136 ms and 0.11.
-const seenPart = 0.001
+// sharedSlotWeight is the weight of a free slot that all processes see, relative to one that only
+// this process knows of. As loads of other processes are delayed, many processes choose the same
+// visible slots, and requests queue there while other slots stay empty (pace.BenchmarkRegret).
+const sharedSlotWeight = 0.001
 
-// surely is how many of the free slots of a server count. A slot that a request of this
-// process has left is known to nobody else until the loads show it.
-func (p *Pool) surely(candidate *server, free float64, now time.Duration) float64 {
-	left := min(free, float64(candidate.vacated.count(p.viewAge, now)))
-	return left + (free-left)*seenPart
+// weighFreeSlots returns the weighted number of a server's free slots. Slots freed by requests of
+// this process are not known to other processes until the loads show them.
+func (p *Pool) weighFreeSlots(candidate *server, free float64, now time.Duration) float64 {
+	left := min(free, float64(candidate.freedSlots.countWithin(p.maxLoadAge, now)))
+	return left + (free-left)*sharedSlotWeight
 }
 
-// vacate notes that a request of this process has left its slot.
-func (p *Pool) vacate(s *server, place int, now time.Duration) {
-	s.vacated.add(1, now)
-	if p.large() && p.paced() && !slices.Contains(p.leavers, place) {
-		p.leavers = append(p.leavers, place)
+// recordFreedSlot records that a request of this process freed its slot.
+func (p *Pool) recordFreedSlot(s *server, place int, now time.Duration) {
+	s.freedSlots.add(1, now)
+	if p.large() && p.paced() && !slices.Contains(p.freedPlaces, place) {
+		p.freedPlaces = append(p.freedPlaces, place)
 	}
 }
 
-// leftSlots lists the places of the servers of a large pool where own requests have left slots
-// that none has taken since, and that the loads may not show yet: the newest ones of many.
-func (p *Pool) leftSlots(now time.Duration) []int {
-	p.leavers = slices.DeleteFunc(p.leavers, func(place int) bool {
-		known := p.servers[place]
-		return known == nil || known.vacated.count(p.viewAge, now) == 0
+// placesWithFreedSlots returns the places in a large pool where this process freed slots recently
+// and has not reused them, at most the newest sampleSize ones.
+func (p *Pool) placesWithFreedSlots(now time.Duration) []int {
+	p.freedPlaces = slices.DeleteFunc(p.freedPlaces, func(place int) bool {
+		srv := p.servers[place]
+		return srv == nil || srv.freedSlots.countWithin(p.maxLoadAge, now) == 0
 	})
-	return p.leavers[max(0, len(p.leavers)-sampleSize):]
+	return p.freedPlaces[max(0, len(p.freedPlaces)-sampleSize):]
 }
 
-// occupy notes that a request of this process takes a slot, one that was left if there is any.
-func (s *server) occupy() {
-	if len(s.vacated) > 0 {
-		s.vacated = s.vacated[1:]
+// takeFreedSlot records that a request of this process takes a slot, preferably a freed one.
+func (s *server) takeFreedSlot() {
+	if len(s.freedSlots) > 0 {
+		s.freedSlots = s.freedSlots[1:]
 	}
 }
