--- a/internal/router/answers.go
+++ b/internal/router/answers.go
@@ -8,65 +8,65 @@
 )
 
 const (
-	// answersFor is for how long an answered content is remembered at least, and twice that
-	// at most: long enough that a router has answered before what is asked all the time.
-	answersFor = 15 * time.Second
-	// mostAnswers bounds the contents that are remembered twice over, at some 100 bytes each.
-	mostAnswers = 2048
-	// tellInterval is the least time between two reports of answers to one content.
-	tellInterval = 50 * time.Millisecond
+	// answerLifetime is the shortest time for which an answered fingerprint is remembered; the
+	// longest is twice that. It is long enough to remember requests that are sent all the time.
+	answerLifetime = 15 * time.Second
+	// maxAnswers bounds the fingerprints of one generation, at about 100 bytes each.
+	maxAnswers = 2048
+	// answerReportInterval is the shortest time between two reports about the same fingerprint.
+	answerReportInterval = 50 * time.Millisecond
 )
 
-// recentAnswers remembers which contents were answered here lately, and when that was told to
-// the coordinators last. It keeps two generations, of which the older one is dropped as a
-// whole. It is safe for concurrent use.
+// recentAnswers remembers which fingerprints were answered recently and when each was last
+// reported to the coordinators. It keeps two generations and drops the older one as a whole. It
+// is safe for concurrent use.
 type recentAnswers struct {
 	mutex             sync.Mutex
 	current, previous map[fingerprint.Fingerprint]time.Time
-	began             time.Time
+	rotatedAt         time.Time
 }
 
 func newRecentAnswers(now time.Time) *recentAnswers {
-	return &recentAnswers{current: make(map[fingerprint.Fingerprint]time.Time), began: now}
+	return &recentAnswers{current: make(map[fingerprint.Fingerprint]time.Time), rotatedAt: now}
 }
 
-// add remembers an answer, and decides whether to tell of it: where the content is suspected,
-// unless another answer to it has just been told.
-func (r *recentAnswers) add(content fingerprint.Fingerprint, suspected bool, now time.Time) (tell bool) {
+// add remembers an answer. It returns true if the answer should be reported: the fingerprint is
+// suspected and was not reported within answerReportInterval.
+func (r *recentAnswers) add(content fingerprint.Fingerprint, suspected bool, now time.Time) (report bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.turn(now)
-	told, known := r.current[content]
+	r.rotate(now)
+	reportedAt, known := r.current[content]
 	if !known {
-		told = r.previous[content]
+		reportedAt = r.previous[content]
 	}
-	tell = suspected && now.Sub(told) >= tellInterval
-	if tell {
-		told = now
+	report = suspected && now.Sub(reportedAt) >= answerReportInterval
+	if report {
+		reportedAt = now
 	}
-	r.current[content] = told
-	return tell
+	r.current[content] = reportedAt
+	return report
 }
 
-// has tells whether a content was answered lately.
+// has reports whether a fingerprint was answered recently.
 func (r *recentAnswers) has(content fingerprint.Fingerprint, now time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.turn(now)
+	r.rotate(now)
 	_, current := r.current[content]
 	_, previous := r.previous[content]
 	return current || previous
 }
 
-// turn begins another generation where this one is old or full. The mutex is held.
-func (r *recentAnswers) turn(now time.Time) {
-	age := now.Sub(r.began)
-	if age < answersFor && len(r.current) < mostAnswers {
+// rotate starts a new generation if the current one is too old or full. The caller holds r.mutex.
+func (r *recentAnswers) rotate(now time.Time) {
+	age := now.Sub(r.rotatedAt)
+	if age < answerLifetime && len(r.current) < maxAnswers {
 		return
 	}
 	r.previous = r.current
-	if age >= 2*answersFor {
+	if age >= 2*answerLifetime {
 		r.previous = nil
 	}
-	r.current, r.began = make(map[fingerprint.Fingerprint]time.Time), now
+	r.current, r.rotatedAt = make(map[fingerprint.Fingerprint]time.Time), now
 }
--- a/internal/router/batchshare.go
+++ b/internal/router/batchshare.go
@@ -6,57 +6,58 @@
 	"rockwind.example/rockwind/internal/sitemetrics"
 )
 
-// BatchUse is what the given tenants have running in all shards, with what waits elsewhere, for
-// the leader of a shard in which the given items run.
+// BatchUse returns what the given tenants have running in all shards and what waits at other
+// processes, for the leader of a shard that runs the given items.
 func (d *Dispatcher) BatchUse(shard uint32, running []backlog.Item, tenants map[string]struct{}) backlog.Use {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	elsewhere := make(map[string]float64, len(tenants))
 	for tenant := range tenants {
-		told := d.shares.At(backlog.UseHash(tenant)).Inflight
-		elsewhere[tenant] = float64(told) + d.batch.Running(tenant, shard)
+		shared := d.shares.At(backlog.UseHash(tenant)).Inflight
+		elsewhere[tenant] = float64(shared) + d.batch.Running(tenant, shard)
 	}
 	use := backlog.NewUse(running, elsewhere)
 	for name, pool := range d.pools {
-		need := pool.toldNeed()
+		need := pool.needElsewhere()
 		need.Plus(d.batch.Need(name, shard))
 		use.SetNeed(name, need)
 	}
 	return use
 }
 
-// SetBatchLoad takes what runs and waits in a shard that this process leads, to be told to the
-// others.
+// SetBatchLoad sets the running and waiting load of a shard that this process leads. It is shared
+// with other processes.
 func (d *Dispatcher) SetBatchLoad(shard uint32, load backlog.ShardLoad) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.batch.Set(shard, load)
 }
 
-// DropBatchLoad forgets a shard that this process does not lead.
+// DropBatchLoad removes a shard that this process no longer leads.
 func (d *Dispatcher) DropBatchLoad(shard uint32) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.batch.Drop(shard)
 }
 
-// ShortItems lists the batch items that wait and cannot all be on time, for the metrics.
+// ShortItems counts by service the waiting batch items that cannot all meet their deadline, for
+// metrics.
 func (d *Dispatcher) ShortItems() []sitemetrics.ShortItems {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var all []sitemetrics.ShortItems
 	for name, pool := range d.pools {
-		own, told := d.batch.Need(name, noShard), pool.toldNeed()
-		all = append(all, sitemetrics.ShortItems{Service: name, Here: own.Len(), Elsewhere: told.Len(), HeldBack: d.batch.Held(name)})
+		own, elsewhere := d.batch.Need(name, noShard), pool.needElsewhere()
+		all = append(all, sitemetrics.ShortItems{Service: name, Here: own.Len(), Elsewhere: elsewhere.Len(), HeldBack: d.batch.Held(name)})
 	}
 	return all
 }
 
-// noShard is the number of no shard.
+// noShard is a number that no shard has.
 const noShard = ^uint32(0)
 
-// toldNeed is what waits for the service at other processes, as they tell.
-func (p *servicePool) toldNeed() backlog.Need {
+// needElsewhere returns what other processes report as waiting for the service.
+func (p *servicePool) needElsewhere() backlog.Need {
 	var need backlog.Need
 	for level, hash := range p.needHashes {
 		need[level] = p.shares.At(hash).Inflight
@@ -64,30 +65,30 @@
 	return need
 }
 
-// startableNeed is what waits for a service in the shards of this process, none while it holds
-// batch work back until servers have told what was left behind there: others would leave room
-// that is not taken. The mutex is held.
+// startableNeed returns what waits for a service in the shards of this process. It is zero while
+// the survey of servers is pending, because this process starts no batch work then and others
+// would reserve capacity for nothing. The caller holds d.mutex.
 func (d *Dispatcher) startableNeed(service string) backlog.Need {
-	if d.surveyOpen() {
+	if d.surveyPending() {
 		return backlog.Need{}
 	}
 	return d.batch.Need(service, noShard)
 }
 
-// batchLoads visits what this process tells of batch items: what waits and, while some wait here
-// or elsewhere, what tenants have running. The mutex is held.
-func (d *Dispatcher) batchLoads(visit func(hash uint32, load balance.SharedLoad)) {
-	wanted := false
+// visitBatchLoads visits the batch loads that this process shares: its waiting items and, while
+// items wait anywhere, the running items of its tenants. The caller holds d.mutex.
+func (d *Dispatcher) visitBatchLoads(visit func(hash uint32, load balance.SharedLoad)) {
+	anyWaiting := false
 	for name, pool := range d.pools {
-		own, told := d.startableNeed(name), pool.toldNeed()
-		wanted = wanted || own.Len()+told.Len() > 0
+		own, elsewhere := d.startableNeed(name), pool.needElsewhere()
+		anyWaiting = anyWaiting || own.Len()+elsewhere.Len() > 0
 		for level, waiting := range own {
 			if waiting > 0 {
 				visit(pool.needHashes[level], balance.SharedLoad{Inflight: waiting})
 			}
 		}
 	}
-	if !wanted {
+	if !anyWaiting {
 		return
 	}
 	for _, entry := range d.batch.Tenants() {
--- a/internal/router/batchshare_test.go
+++ b/internal/router/batchshare_test.go
@@ -15,7 +15,7 @@
 	"rockwind.example/rockwind/internal/router"
 )
 
-// itemsOf are so many items of a tenant.
+// itemsOf returns items of a tenant.
 func itemsOf(tenant string, count int) []backlog.Item {
 	var items []backlog.Item
 	for range count {
@@ -24,17 +24,17 @@
 	return items
 }
 
-// shortOf is the load of a shard with items running and so many short of a tenant that has so many
-// running in all shards.
-func shortOf(running []backlog.Item, short int, use float64) backlog.ShardLoad {
+// shardLoadOf returns the load of a shard with running items and a number of waiting items of a
+// tenant with the given usage in all shards.
+func shardLoadOf(running []backlog.Item, waiting int, use float64) backlog.ShardLoad {
 	load := backlog.NewShardLoad(running)
-	for range short {
+	for range waiting {
 		load.Wait("app", use, false)
 	}
 	return load
 }
 
-// digestOf is what a store tells of itself.
+// digestOf returns the load digest of a store.
 func digestOf(store *router.Dispatcher, name string, sequence uint64) *rockwindpb.LoadDigest {
 	digest := store.LoadSource().Own()
 	digest.Sender, digest.StartedUnixMs, digest.Sequence = name, 1, sequence
@@ -49,12 +49,12 @@
 	return set
 }
 
-// TestLeaderKnowsTheUseOfTenantsInAllShards: in other shards of its own store and at other stores.
-// An item of the tenant that has much leaves room to one that waits elsewhere, which goes first.
-func TestLeaderKnowsTheUseOfTenantsInAllShards(t *testing.T) {
+// TestBatchUseCountsAllShards checks that usage counts other shards of the same store and other
+// stores, and that an item of a tenant with high usage leaves capacity to one with none.
+func TestBatchUseCountsAllShards(t *testing.T) {
 	here, there := newDispatcher(8, gate.Set{}), newDispatcher(8, gate.Set{})
-	here.SetBatchLoad(1, shortOf(itemsOf("everywhere", 30), 50, 42))
-	there.SetBatchLoad(2, shortOf(itemsOf("everywhere", 10), 6, 0))
+	here.SetBatchLoad(1, shardLoadOf(itemsOf("everywhere", 30), 50, 42))
+	there.SetBatchLoad(2, shardLoadOf(itemsOf("everywhere", 10), 6, 0))
 	here.LoadSource().Take(digestOf(there, "there", 1))
 	there.LoadSource().Take(digestOf(here, "here", 1))
 	everywhere, one := itemsOf("everywhere", 1)[0], itemsOf("one", 1)[0]
@@ -76,8 +76,9 @@
 	}
 }
 
-// TestNothingIsToldOfTenantsWhileNoItemIsShort.
-func TestNothingIsToldOfTenantsWhileNoItemIsShort(t *testing.T) {
+// TestTenantsAreNotSharedWithoutWaitingItems checks that running items alone add nothing to the
+// digest.
+func TestTenantsAreNotSharedWithoutWaitingItems(t *testing.T) {
 	store := newDispatcher(8, gate.Set{})
 	before := len(digestOf(store, "store", 1).GetServers())
 	store.SetBatchLoad(1, backlog.NewShardLoad(itemsOf("tenant", 40)))
@@ -86,9 +87,9 @@
 	}
 }
 
-// TestSharesOfItemsFitInADatagram: the sum of the stores of two of three zones, where no two tell of
-// the same tenants and items wait at all levels.
-func TestSharesOfItemsFitInADatagram(t *testing.T) {
+// TestBatchLoadsFitInADatagram checks the largest sum of the stores of two of three zones, where
+// no two share the same tenants and items wait at all levels.
+func TestBatchLoadsFitInADatagram(t *testing.T) {
 	const mostBytes, tenants = 16 << 10, 11_000
 	for _, stores := range []int{11, 45, 300} {
 		loads := make(map[uint32]balance.SharedLoad)
--- a/internal/router/charge_test.go
+++ b/internal/router/charge_test.go
@@ -10,19 +10,19 @@
 	"rockwind.example/rockwind/internal/router"
 )
 
-// acquire returns a lease for a request of a tenant that finds room at once.
-func (c *crowd) acquire(tenant string) *router.Lease {
+// acquire returns a lease for a request of a tenant that need not wait.
+func (c *queueTest) acquire(tenant string) *router.Lease {
 	c.t.Helper()
-	lease, err := c.dispatcher.Acquire(c.t.Context(), asks(tenant, time.Minute))
+	lease, err := c.dispatcher.Acquire(c.t.Context(), requestOf(tenant, time.Minute))
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	return lease
 }
 
-// TestTriesThatNeverReachedAServerAreNotCharged: a tenant had more tries than another one, and
-// less that has run. It goes first where it is known that its tries did not run.
-func TestTriesThatNeverReachedAServerAreNotCharged(t *testing.T) {
+// TestAttemptsThatDidNotRunAreNotCharged checks that a tenant goes first if its attempts are
+// known not to have run.
+func TestAttemptsThatDidNotRunAreNotCharged(t *testing.T) {
 	for _, each := range []struct {
 		end   func(lease *router.Lease)
 		order string
@@ -32,16 +32,16 @@
 		{(*router.Lease).Abandon, "[busy unlucky]"},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			c := &crowd{t: t, dispatcher: newDispatcher(1, gate.Set{})}
+			c := &queueTest{t: t, dispatcher: newDispatcher(1, gate.Set{})}
 			for range 3 {
 				each.end(c.acquire("unlucky"))
 			}
 			c.acquire("busy").Abandon()
 			c.leases = append(c.leases, c.acquire("flood"))
-			c.add(asks("busy", time.Minute))
-			c.add(asks("unlucky", time.Minute))
-			time.Sleep(300 * time.Millisecond) // how long requests hold the slot is learned from this one
-			c.end()
+			c.addWaiter(requestOf("busy", time.Minute))
+			c.addWaiter(requestOf("unlucky", time.Minute))
+			time.Sleep(300 * time.Millisecond) // sets the average hold time
+			c.endFirst()
 			if order := fmt.Sprint(c.served); order != each.order {
 				t.Fatalf("they are served as %v, want %v", order, each.order)
 			}
--- a/internal/router/class.go
+++ b/internal/router/class.go
@@ -11,44 +11,45 @@
 	"rockwind.example/rockwind/internal/waiting"
 )
 
-// leastWork is the work of a request that reads no prompt and writes no events, in tokens.
-const leastWork = 1.0
+// minWork is the work of a request without a prompt or events, in tokens.
+const minWork = 1.0
 
-// writtenWeight and workWeight are the weights of one request in the running means.
+// eventsWeight and workWeight are the weights of one request in the moving averages.
 const (
-	writtenWeight = 0.05
-	workWeight    = 0.05
+	eventsWeight = 0.05
+	workWeight   = 0.05
 )
 
-// class is the requests of one priority for a service, among which tenants share.
-type class struct {
-	// name is that of the service and the priority.
+// priorityClass is the requests of one priority for a service, among which tenants share
+// capacity.
+type priorityClass struct {
+	// name is made of the service and the priority.
 	name   string
 	ledger *fairshare.Ledger
-	// weights are those of the tenants that have one.
+	// weights are the configured weights of tenants.
 	weights map[string]uint32
 }
 
-// class returns the class of a priority. There are as many as the configurations so far had
-// priorities.
-func (p *servicePool) class(priority waiting.Priority) *class {
+// class returns the class of a priority and creates it if needed. Classes are never removed;
+// their number is bounded by the configured priorities.
+func (p *servicePool) class(priority waiting.Priority) *priorityClass {
 	found, known := p.classes[priority]
 	if !known {
 		name := fmt.Sprintf("%s at %d.%d", p.name, priority.Tenant, priority.Route)
-		found = &class{name: name, weights: make(map[string]uint32), ledger: fairshare.NewLedger(name, p.told)}
+		found = &priorityClass{name: name, weights: make(map[string]uint32), ledger: fairshare.NewLedger(name, p.loadElsewhere)}
 		p.classes[priority] = found
 	}
 	return found
 }
 
-// told is what the other processes tell of a tenant of a class.
-func (p *servicePool) told(hash uint32) fairshare.Told {
+// loadElsewhere returns the load of a tenant at other processes, by its hash.
+func (p *servicePool) loadElsewhere(hash uint32) fairshare.Told {
 	load := p.shares.At(hash)
 	return fairshare.Told{Waiting: load.Inflight, Work: load.Unread}
 }
 
-// note keeps the weight of a tenant that asks.
-func (c *class) note(tenant waiting.Tenant) {
+// setWeight updates the weight of a tenant.
+func (c *priorityClass) setWeight(tenant waiting.Tenant) {
 	if tenant.Weight > 0 {
 		c.weights[tenant.Name] = tenant.Weight
 		return
@@ -56,87 +57,88 @@
 	delete(c.weights, tenant.Name)
 }
 
-func (c *class) weight(tenant string) uint32 { return c.weights[tenant] }
+func (c *priorityClass) weight(tenant string) uint32 { return c.weights[tenant] }
 
-func (c *class) virtual(tenant waiting.Tenant, now time.Duration) float64 {
+func (c *priorityClass) weightedUsage(tenant waiting.Tenant, now time.Duration) float64 {
 	return c.ledger.Virtual(tenant.Name, tenant.Weight, now)
 }
 
-// judgeRoom judges whether there is too little room for what waits at all processes. Where the
-// servers do not say how many requests they run, what waits tells that. After a Memory without
-// a look it is not known whether there was too little room all the while.
-func (p *servicePool) judgeRoom(now time.Duration) {
-	waits := p.waiting.Len() + p.shares.At(balance.QueueHash(p.name)).Inflight
-	before := p.scarce
-	p.scarce = waits > 0 && (p.pool.Slots() == 0 || fairshare.Scarce(p.room().After(waits)))
-	if p.scarce && (!before || now-p.judgedAt > fairshare.Memory) {
+// updateScarcity checks whether capacity is short for the requests that wait at all processes. If
+// the servers do not report their slots, any waiting request means that it is. A gap between
+// checks longer than fairshare.Memory restarts scarceSince, since capacity may have sufficed
+// meanwhile.
+func (p *servicePool) updateScarcity(now time.Duration) {
+	total := p.waiting.Len() + p.shares.At(balance.QueueHash(p.name)).Inflight
+	wasScarce := p.scarce
+	p.scarce = total > 0 && (p.pool.Slots() == 0 || fairshare.Scarce(p.turnover().After(total)))
+	if p.scarce && (!wasScarce || now-p.scarcityCheckedAt > fairshare.Memory) {
 		p.scarceSince = now
 	}
-	p.judgedAt = now
+	p.scarcityCheckedAt = now
 }
 
-// virtual is what the order of a request among others of its priority rests on: how much its
-// tenant had, where there is too little room.
-func (p *servicePool) virtual(place waiting.Place, now time.Duration) float64 {
+// orderingUsage returns the weighted usage by which requests of one priority are ordered; zero if
+// capacity is not short.
+func (p *servicePool) orderingUsage(place waiting.Place, now time.Duration) float64 {
 	if !p.scarce {
 		return 0
 	}
-	return p.class(place.Priority()).virtual(place.Tenant(), now)
+	return p.class(place.Priority()).weightedUsage(place.Tenant(), now)
 }
 
-// behind is how many requests wait elsewhere of tenants that had more than the given one.
-func (c *class) behind(tenant waiting.Tenant, now time.Duration) int {
-	return c.ledger.Behind(c.virtual(tenant, now), c.weight, now)
+// waitingBehind returns how many requests wait at other processes for tenants with a higher
+// weighted usage.
+func (c *priorityClass) waitingBehind(tenant waiting.Tenant, now time.Duration) int {
+	return c.ledger.Behind(c.weightedUsage(tenant, now), c.weight, now)
 }
 
-// charge is the work that a tenant was charged for a request that goes to a server. The zero
-// value is none.
+// charge is the work charged to a tenant for a request. The zero value is no charge.
 type charge struct {
-	class  *class
-	tenant string
-	work   float64
-	began  time.Duration
+	class     *priorityClass
+	tenant    string
+	work      float64
+	chargedAt time.Duration
 }
 
-// giveBack takes the charge back: the request did not run.
-func (c charge) giveBack(now time.Duration) {
+// refund takes back the charge of a request that did not run.
+func (c charge) refund(now time.Duration) {
 	if c.class != nil {
-		c.class.ledger.GiveBack(c.tenant, c.work, c.began, now)
+		c.class.ledger.GiveBack(c.tenant, c.work, c.chargedAt, now)
 	}
 }
 
-// begin notes the work of a request that goes to a server.
-func (p *servicePool) begin(ask AcquireRequest, choice balance.Choice, now time.Duration) charge {
+// chargeRequest charges the estimated work of a request to its tenant.
+func (p *servicePool) chargeRequest(request AcquireRequest, choice balance.Choice, now time.Duration) charge {
 	if !p.gates.On(gate.FairShare) {
 		return charge{}
 	}
-	work := max(leastWork, float64(choice.Uncached)+p.written)
-	if p.work == 0 {
-		p.work = work
+	work := max(minWork, float64(choice.Uncached)+p.meanEvents)
+	if p.meanWork == 0 {
+		p.meanWork = work
 	}
-	p.work += workWeight * (work - p.work)
-	class := p.class(ask.Priority)
-	class.ledger.Begin(ask.Tenant.Name, work, now)
-	return charge{class: class, tenant: ask.Tenant.Name, work: work, began: now}
+	p.meanWork += workWeight * (work - p.meanWork)
+	class := p.class(request.Priority)
+	class.ledger.Begin(request.Tenant.Name, work, now)
+	return charge{class: class, tenant: request.Tenant.Name, work: work, chargedAt: now}
 }
 
-// modest tells whether the tenant of a request had so little beside another one that the request
-// may go to a server beyond its slots.
-func (p *servicePool) modest(ask AcquireRequest, now time.Duration) bool {
-	if ask.Tenant.Name == "" || !p.gates.On(gate.FairShare) || !p.pool.Paced() {
+// mayExceedSlots reports whether the tenant has used so little compared with another one that its
+// request may exceed the slots of a server.
+func (p *servicePool) mayExceedSlots(request AcquireRequest, now time.Duration) bool {
+	if request.Tenant.Name == "" || !p.gates.On(gate.FairShare) || !p.pool.Paced() {
 		return false
 	}
-	class := p.class(ask.Priority)
-	return class.ledger.Modest(ask.Tenant.Name, class.weight, now)
+	class := p.class(request.Priority)
+	return class.ledger.Modest(request.Tenant.Name, class.weight, now)
 }
 
-// wrote takes how many events an answer had.
-func (p *servicePool) wrote(events uint64) {
-	p.written += writtenWeight * (float64(events) - p.written)
+// recordEvents updates the moving average of events in a response.
+func (p *servicePool) recordEvents(events uint64) {
+	p.meanEvents += eventsWeight * (float64(events) - p.meanEvents)
 }
 
-// waitsOf counts the requests that wait here, by class and tenant.
-func (p *servicePool) waitsOf() map[waiting.Priority]map[string]int {
+// waitingCounts counts the requests that wait here by priority and tenant.
+func (p *servicePool) waitingCounts() map[waiting.Priority]map[string]int {
 	waits := make(map[waiting.Priority]map[string]int)
 	p.waiting.Each(func(place waiting.Place) {
 		if waits[place.Priority()] == nil {
@@ -147,9 +149,9 @@
 	return waits
 }
 
-// queued visits what this process tells of its queue: all that wait and who was told to come
-// back, what waits by priority, and the tenants that had most.
-func (p *servicePool) queued(now time.Time, elapsed time.Duration, visit func(hash uint32, load balance.SharedLoad)) {
+// visitQueueLoads visits the loads of the queue that this process shares: the total with the
+// expected retries, the requests by priority, and the tenants with the highest usage.
+func (p *servicePool) visitQueueLoads(now time.Time, elapsed time.Duration, visit func(hash uint32, load balance.SharedLoad)) {
 	total := balance.SharedLoad{Inflight: p.waiting.Len()}
 	if p.gates.On(gate.Returns) {
 		total.Unread = p.promises.Open(now)
@@ -157,10 +159,10 @@
 	if total != (balance.SharedLoad{}) {
 		visit(balance.QueueHash(p.name), total)
 	}
-	waits := p.waitsOf()
+	waits := p.waitingCounts()
 	for priority, class := range p.classes {
 		waiting := waits[priority]
-		if sum := sumOf(waiting); sum > 0 && p.gates.On(gate.Returns) {
+		if sum := sumCounts(waiting); sum > 0 && p.gates.On(gate.Returns) {
 			visit(balance.QueueHash(class.name), balance.SharedLoad{Inflight: sum})
 		}
 		if !p.gates.On(gate.FairShare) {
@@ -172,7 +174,7 @@
 	}
 }
 
-func sumOf(counts map[string]int) int {
+func sumCounts(counts map[string]int) int {
 	sum := 0
 	for count := range maps.Values(counts) {
 		sum += count
--- a/internal/router/coldstart.go
+++ b/internal/router/coldstart.go
@@ -6,35 +6,37 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// clockSlack is by how much the clock of the coordinator that entered a server may be ahead of this
-// machine's. A server that is taken for cold for so much longer gets fewer requests than it could
-// have, and one that is not taken for cold falls over.
-const clockSlack = 2 * time.Second
+// maxClockSkew is how far the clock of the coordinator that registered a server may be ahead of
+// this machine's. Treating a server as cold for too long costs some throughput; treating a cold
+// one as warm overloads it.
+const maxClockSkew = 2 * time.Second
 
-// coldLeft is for how much longer a server is cold, by what it told when it was entered.
-func coldLeft(server *rockwindpb.Server, now time.Time) time.Duration {
-	told := time.Duration(server.GetColdMs()) * time.Millisecond
-	if told == 0 {
+// coldRemaining returns how much longer a server is cold, from what it reported at its
+// registration.
+func coldRemaining(server *rockwindpb.Server, now time.Time) time.Duration {
+	reported := time.Duration(server.GetColdMs()) * time.Millisecond
+	if reported == 0 {
 		return 0
 	}
 	entered := time.UnixMilli(server.GetChangedUnixMs())
-	return max(0, min(told, told+clockSlack-now.Sub(entered)))
+	return max(0, min(reported, reported+maxClockSkew-now.Sub(entered)))
 }
 
-// coldRate is how many requests a second a cold server of a service bears, zero where it bears as
-// many as any other. The mutex is held.
+// coldRate returns the rate, in requests per second, that a cold server of a service can take;
+// zero is no limit. The caller holds d.mutex.
 func (d *Dispatcher) coldRate(service string) float64 {
-	return d.configured(service).GetColdRequestsPerSecond()
+	return d.serviceConfig(service).GetColdRequestsPerSecond()
 }
 
-// coldTime is how long servers of a service are cold that do not tell it: those of a zone that was
-// drained may have turned cold meanwhile. The mutex is held.
-func (d *Dispatcher) coldTime(service string) time.Duration {
-	return time.Duration(d.configured(service).GetColdMs()) * time.Millisecond
+// defaultColdTime returns how long servers of a service are cold that do not report it
+// themselves, such as servers of a zone whose drain ended. The caller holds d.mutex.
+func (d *Dispatcher) defaultColdTime(service string) time.Duration {
+	return time.Duration(d.serviceConfig(service).GetColdMs()) * time.Millisecond
 }
 
-// configured is a service of the configuration, nil for one that it does not hold. The mutex is held.
-func (d *Dispatcher) configured(service string) *rockwindpb.Service {
+// serviceConfig returns the configuration of a service, or nil if there is none. The caller holds
+// d.mutex.
+func (d *Dispatcher) serviceConfig(service string) *rockwindpb.Service {
 	if d.index == nil {
 		return nil
 	}
--- a/internal/router/continuation.go
+++ b/internal/router/continuation.go
@@ -16,60 +16,59 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// copies decides which runs are copied. Its methods may be called by any goroutine.
-type copies struct {
+// copyPlanner decides which runs are copied to a second server. It is safe for concurrent use.
+type copyPlanner struct {
 	origin time.Time
 
 	mutex sync.Mutex
 	watch *continuation.Watch
-	// seen is the directory that the watch has seen.
-	seen *directory.View
+	// view is the last directory that the watch has processed.
+	view *directory.View
 }
 
-func newCopies() *copies {
-	return &copies{origin: time.Now(), watch: continuation.NewWatch(continuation.Selective)}
+func newCopyPlanner() *copyPlanner {
+	return &copyPlanner{origin: time.Now(), watch: continuation.NewWatch(continuation.Selective)}
 }
 
-// plan decides about a run at the server of a lease.
-func (c *copies) plan(view *directory.View, service string, lease *Lease) continuation.Plan {
+// plan decides whether a run at the leased server is copied.
+func (c *copyPlanner) plan(view *directory.View, service string, lease *Lease) continuation.Plan {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := time.Since(c.origin)
-	if view != c.seen {
-		c.follow(view, now)
+	if view != c.view {
+		c.updateView(view, now)
 	}
 	known, _ := view.Server(lease.ID)
 	return c.watch.Plan(continuation.Run{Service: service, Address: lease.Address, Zone: known.GetZone()}, now)
 }
 
-func (c *copies) ran(service string, took time.Duration) {
+func (c *copyPlanner) recordDuration(service string, took time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.watch.Ran(service, took)
 }
 
-// follow has the watch take what is other in a view than in the one that it has seen. The mutex
-// is held.
-func (c *copies) follow(view *directory.View, now time.Duration) {
-	change := view.ChangeFrom(c.seen)
+// updateView passes the changes since the last directory to the watch. The caller holds c.mutex.
+func (c *copyPlanner) updateView(view *directory.View, now time.Duration) {
+	change := view.ChangeFrom(c.view)
 	for _, server := range change.Servers() {
-		c.watch.Take(incarnation(c.seen, server.GetId()), incarnation(view, server.GetId()), now)
+		c.watch.Take(incarnation(c.view, server.GetId()), incarnation(view, server.GetId()), now)
 	}
 	for _, left := range change.Left() {
-		c.watch.Take(incarnation(c.seen, left.GetId()), nil, now)
+		c.watch.Take(incarnation(c.view, left.GetId()), nil, now)
 	}
-	c.seen = view
+	c.view = view
 }
 
-// ran notes how long a stream was at its server.
-func (e *exchange) ran() {
+// recordRunDuration records how long a stream ran at its server.
+func (e *exchange) recordRunDuration() {
 	if e.route.GetKind() == rockwindpb.RouteKind_ROUTE_KIND_STREAM && e.router.gates.On(gate.Continuation) {
-		e.router.copies.ran(e.service, time.Since(e.trySent))
+		e.router.copyPlanner.recordDuration(e.service, time.Since(e.attemptSentAt))
 	}
 }
 
-// incarnation is a server of a directory that serves or has ended without leaving, nil for any
-// other; a nil view has none.
+// incarnation returns a server that serves or has ended without leaving, nil for any other server
+// or a nil view.
 func incarnation(view *directory.View, id string) *continuation.Server {
 	if view == nil {
 		return nil
@@ -84,21 +83,21 @@
 	}
 }
 
-// copied is a run that a second server keeps a copy of.
-type copied struct {
+// runCopy is the copy of a run at a second server.
+type runCopy struct {
 	holder balance.Member
-	// began tells that an event of it was relayed, and unnumbered that one had no number: the
-	// run can't go on after it.
-	began      bool
+	// started is set once an event was relayed, and unnumbered if one had no number: the run
+	// cannot be continued then.
+	started    bool
 	unnumbered bool
-	// continued tells that it goes on at the holder; torn, that it did not go on after the
-	// last event.
+	// continued is set once the run continues at the holder, and gap if its first event there is
+	// not the next one.
 	continued bool
-	torn      bool
+	gap       bool
 }
 
-// mayCopy tells whether the request is one that a copy can help: it may run once, and its
-// servers keep copies.
+// mayCopy reports whether the request benefits from a copy: it must not run twice, and its
+// servers support copies.
 func (e *exchange) mayCopy() bool {
 	if e.repeatable() || e.sent > 0 || e.route.GetKind() != rockwindpb.RouteKind_ROUTE_KIND_STREAM || !e.router.gates.On(gate.Continuation) {
 		return false
@@ -107,16 +106,16 @@
 	return found && service.GetEngine().GetCopiesRuns()
 }
 
-// copyRun decides whether the run that begins at the server of the lease is copied, and where.
-func (e *exchange) copyRun(lease *Lease) {
-	if e.copy != nil && e.copy.continued {
+// planCopy decides whether a run that starts at the leased server is copied, and to which server.
+func (e *exchange) planCopy(lease *Lease) {
+	if e.runCopy != nil && e.runCopy.continued {
 		return
 	}
-	e.copy = nil
+	e.runCopy = nil
 	if !e.mayCopy() {
 		return
 	}
-	plan := e.router.copies.plan(e.router.watcher.Directory(), e.service, lease)
+	plan := e.router.copyPlanner.plan(e.router.watcher.Directory(), e.service, lease)
 	if !plan.Copied() {
 		return
 	}
@@ -124,91 +123,91 @@
 	if !found {
 		return
 	}
-	e.copy = &copied{holder: holder}
-	decision.Default.Record(decision.RunCopied, e.facts.ID, log.Fields{
+	e.runCopy = &runCopy{holder: holder}
+	decision.Default.Record(decision.RunCopied, e.info.ID, log.Fields{
 		"service": e.service, "server": lease.ID, "holder": holder.ID, "other_zone": plan.OtherZone(), "chance": plan.Chance(),
 	})
 }
 
-// address tells the fields of a try about the copy.
-func (c *copied) address(try AttemptInfo) AttemptInfo {
+// addTo adds the addresses of the copy to the data of an attempt.
+func (c *runCopy) addTo(info AttemptInfo) AttemptInfo {
 	switch {
 	case c == nil:
 	case c.continued:
-		try.ContinueFrom = c.holder.Address
+		info.ContinueFrom = c.holder.Address
 	default:
-		try.CopyTo = c.holder.Address
+		info.CopyTo = c.holder.Address
 	}
-	return try
+	return info
 }
 
-// numbered returns those of the events of a copied run that go to the client: all of them
-// at the first server, whose last number is noted. Where the run went on, the first one has to
-// be the next one.
-func (e *exchange) numbered(whole []byte) []byte {
-	run := e.copy
+// filterCopiedRun returns the events of a copied run to relay. The first server's events are all
+// relayed and their last number recorded. After a continuation, the first event must have the
+// next number.
+func (e *exchange) filterCopiedRun(whole []byte) []byte {
+	run := e.runCopy
 	for _, event := range upstream.Events(whole) {
-		if run.continued && event.HasSequence && !run.began {
-			run.torn = event.Sequence != e.relayed.Last()+1
-			run.began = true
+		if run.continued && event.HasSequence && !run.started {
+			run.gap = event.Sequence != e.relayedEvents.Last()+1
+			run.started = true
 		}
 		run.unnumbered = run.unnumbered || !event.HasSequence
 		if !run.continued {
-			run.began = true
-			e.relayed.Take(event)
+			run.started = true
+			e.relayedEvents.Take(event)
 		}
 	}
 	switch {
-	case run.torn:
+	case run.gap:
 		return nil
 	case run.continued:
-		return e.newEvents(whole)
+		return e.unrelayedEvents(whole)
 	}
 	return whole
 }
 
-// torn tells that the run did not go on after its last event.
-func (e *exchange) torn() bool { return e.copy != nil && e.copy.torn }
+// hasGap reports whether the continued run skipped or repeated events.
+func (e *exchange) hasGap() bool { return e.runCopy != nil && e.runCopy.gap }
 
-// notRelayed is the verdict on a stream of which a piece was not passed on.
-func (e *exchange) notRelayed() verdict {
-	if !e.torn() {
-		return verdictGone
+// verdictNotRelayed returns the verdict on a stream of which a chunk could not be relayed.
+func (e *exchange) verdictNotRelayed() verdict {
+	if !e.hasGap() {
+		return verdictClientGone
 	}
 	e.reason = "the server with the copy did not go on after the last event"
 	return verdictBroken
 }
 
-// mayContinue tells whether a run that broke off goes on at the server with its copy. The
-// server before has to be known to have ended, or to be out of reach: one that only closed
-// the connection may still work on it.
+// mayContinue reports whether a broken run may continue at the server with its copy. The first
+// server must have ended or be unreachable: one that only closed the connection may still be
+// working on the run.
 func (e *exchange) mayContinue(ctx context.Context, lease *Lease) bool {
-	run := e.copy
-	if !e.hasCopy() || !run.began || run.unnumbered || ctx.Err() != nil || time.Until(e.ends) <= 0 || e.held() != nil {
+	run := e.runCopy
+	if !e.hasCopy() || !run.started || run.unnumbered || ctx.Err() != nil || time.Until(e.deadline) <= 0 || e.quarantined() != nil {
 		return false
 	}
-	if e.dark() {
+	if e.serverUnreachable() {
 		return true
 	}
 	return ServerStopped(ctx, e.router.client, e.router.watcher.Directory, lease.ID, lease.Address)
 }
 
-// goOn has the run go on at the server with its copy, and returns the lease of that server
-// and what came of it.
-func (e *exchange) goOn(ctx context.Context, before *Lease) (*Lease, verdict) {
-	run := e.copy
-	lease := e.router.dispatcher.AcquireAt(e.service, run.holder.ID, e.ask().Demand)
+// continueRun continues the run at the server with its copy and returns the lease of that server
+// and the verdict.
+func (e *exchange) continueRun(ctx context.Context, previous *Lease) (*Lease, verdict) {
+	run := e.runCopy
+	lease := e.router.dispatcher.AcquireAt(e.service, run.holder.ID, e.acquireRequest().Demand)
 	if lease == nil {
 		e.reason = "the server with the copy of the run has left"
-		e.recordLost(before)
-		return before, verdictBroken
-	}
-	fields := e.fields()
-	fields["server"], fields["holder"], fields["last_event"], fields["reason"] = before.ID, lease.ID, e.relayed.Last(), e.reason
-	decision.Default.Record(decision.RunContinued, e.facts.ID, fields)
-	run.continued, run.began = true, false
-	outcome := e.try(ctx, lease)
-	if outcome == verdictElsewhere {
+		e.recordLost(previous)
+		return previous, verdictBroken
+	}
+	fields := e.logFields()
+	fields["server"], fields["holder"], fields["last_event"], fields["reason"] = previous.ID, lease.ID, e.relayedEvents.Last(), e.reason
+	decision.Default.Record(decision.RunContinued, e.info.ID, fields)
+	run.continued, run.started = true, false
+	outcome := e.sendTo(ctx, lease)
+	if outcome == verdictRetry {
 		outcome = verdictBroken
 	}
 	if outcome == verdictBroken {
@@ -218,23 +217,24 @@
 }
 
 func (e *exchange) recordLost(lease *Lease) {
-	fields := e.fields()
+	fields := e.logFields()
 	fields["server"], fields["reason"] = lease.ID, e.reason
-	decision.Default.Record(decision.RunLost, e.facts.ID, fields)
+	decision.Default.Record(decision.RunLost, e.info.ID, fields)
 }
 
-// ChooseCopyHolder returns a server that keeps the copy of a run, where one is well and has room.
+// ChooseCopyHolder chooses a healthy server with capacity to keep the copy of a run.
 func (d *Dispatcher) ChooseCopyHolder(service, first string, otherZone bool) (balance.Member, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.service(service).pool.Second(first, otherZone, d.now(), d.random)
+	return d.poolOf(service).pool.Second(first, otherZone, d.now(), d.random)
 }
 
-// AcquireAt returns a lease of a given server, whatever its load, or nil where it has left.
+// AcquireAt returns a lease of a given server regardless of its load, or nil if the server has
+// left.
 func (d *Dispatcher) AcquireAt(service, id string, demand balance.Demand) *Lease {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	choice, found := d.service(service).pool.At(id, demand, d.now())
+	choice, found := d.poolOf(service).pool.At(id, demand, d.now())
 	if !found {
 		return nil
 	}
--- a/internal/router/daemon.go
+++ b/internal/router/daemon.go
@@ -22,35 +22,34 @@
 )
 
 const (
-	// clientIdleTimeout closes connections of clients on which nothing comes.
+	// clientIdleTimeout is how long idle client connections are kept.
 	clientIdleTimeout = 30 * time.Second
-	// clientHeaderTimeout bounds how long a client may take to send its headers.
+	// clientHeaderTimeout is how long a client may take to send its headers.
 	clientHeaderTimeout = 5 * time.Second
-	// leaveNotice is how long a router that leaves still takes new connections,
-	// until nobody sends any.
-	leaveNotice = 3 * time.Second
-	// stopMargin is how long before the end of the grace the router stops.
+	// shutdownDelay is how long a router that shuts down still accepts connections, until clients
+	// have noticed.
+	shutdownDelay = 3 * time.Second
+	// stopMargin is how long before the end of the grace period the router stops.
 	stopMargin = 700 * time.Millisecond
-	// defaultGrace is the grace where the settings give none.
+	// defaultGrace is the grace period if the settings give none.
 	defaultGrace = 8 * time.Second
 )
 
-// HandlerFactory makes the handler of the clients' address around a router.
+// HandlerFactory returns the HTTP handler for clients of a router.
 type HandlerFactory func(*Router) http.Handler
 
-// daemon is a router with what it runs beside it.
+// daemon runs a router and its background tasks.
 type daemon struct {
 	settings *rockwindpb.SiteSettings
 	router   *Router
-	reliever *reliever
-	// clients is the listener of the clients' address, and ready that of the address at which
-	// the router says whether it wants connections.
+	relief   *reliefController
+	// clients is the listener for clients, and ready that of the readiness check.
 	clients, ready net.Listener
-	leaving        atomic.Bool
+	shuttingDown   atomic.Bool
 }
 
-// Run serves until the context ends. Then it says that it is not ready, takes
-// what still comes for a while, finishes the requests in progress and stops.
+// Run runs a router until the context ends. It then reports that it is not ready, accepts
+// connections for a while, finishes running requests and returns.
 func Run(ctx context.Context, settings *rockwindpb.SiteSettings, protocol Protocol, handler HandlerFactory) error {
 	site.BoundMemory(settings)
 	client := dial.NewClient()
@@ -59,7 +58,7 @@
 		return err
 	}
 	router := New(settings, watcher, protocol, jobclient.New(watcher, client))
-	d := &daemon{settings: settings, router: router, reliever: newReliever(router, settings)}
+	d := &daemon{settings: settings, router: router, relief: newReliefController(router, settings)}
 	router.metrics = d.metrics()
 	if err := d.listen(); err != nil {
 		return err
@@ -67,24 +66,24 @@
 	return d.run(ctx, d.server(handler(router)))
 }
 
-// metrics are those that the router shows.
+// metrics returns the metrics of the router.
 func (d *daemon) metrics() *sitemetrics.Set {
 	router := d.router
 	set := sitemetrics.New("router", decision.Default)
 	set.LoadTraffic(router.dispatcher.LoadTraffic)
-	set.Start(func() time.Duration { return time.Duration(router.startTook.Load()) })
+	set.Start(func() time.Duration { return time.Duration(router.startupTime.Load()) })
 	set.Paces(router.dispatcher.Paces)
-	set.Held(router.witness.QuarantinedCount)
+	set.Held(router.crashes.QuarantinedCount)
 	set.DrainedZones(router.dispatcher.DrainedZones)
 	set.ClientBuffers(router.buffers.Usage)
 	set.Waiting(router.dispatcher.Waiting)
 	set.LeftBehind(router.dispatcher.LeftBehind)
 	set.Coordinators(router.watcher.Silence)
-	set.Relief(d.reliever.state)
+	set.Relief(d.relief.state)
 	return set
 }
 
-// listen opens the addresses of the settings.
+// listen opens the listeners of the settings.
 func (d *daemon) listen() error {
 	listener, err := site.Listen("listen", d.settings.GetListen())
 	if err != nil {
@@ -95,10 +94,10 @@
 	return err
 }
 
-// server answers clients.
+// server returns the HTTP server for clients.
 func (d *daemon) server(handler http.Handler) *http.Server {
 	return &http.Server{
-		Handler:           clientconn.Handler(closeWhile(&d.leaving, d.reliever.handler(handler))),
+		Handler:           clientconn.Handler(closeConnectionsWhile(&d.shuttingDown, d.relief.handler(handler))),
 		ReadHeaderTimeout: clientHeaderTimeout,
 		IdleTimeout:       clientIdleTimeout,
 		ErrorLog:          logring.ServerLog(log.Log),
@@ -106,22 +105,22 @@
 	}
 }
 
-// run serves until the context ends. All else that the router runs goes on until the last
-// request has ended.
+// run serves until the context ends. The background tasks continue until the last request has
+// ended.
 func (d *daemon) run(ctx context.Context, server *http.Server) error {
-	parts, stopParts := context.WithCancel(context.WithoutCancel(ctx))
-	defer stopParts()
-	group, parts := errgroup.WithContext(parts)
-	d.start(group, parts)
-	serving, stopServing := context.WithCancel(parts)
+	background, stopBackground := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopBackground()
+	group, background := errgroup.WithContext(background)
+	d.start(group, background)
+	serving, stopServing := context.WithCancel(background)
 	defer stopServing()
-	grace := graceOf(d.settings)
+	grace := shutdownGrace(d.settings)
 	group.Go(func() error {
-		defer stopParts()
-		return d.router.serveClients(serving, server, d.clients, grace-leaveNotice-stopMargin)
+		defer stopBackground()
+		return d.router.serveClients(serving, server, d.clients, grace-shutdownDelay-stopMargin)
 	})
 	group.Go(func() error {
-		d.leave(ctx, parts)
+		d.awaitShutdown(ctx, background)
 		stopServing()
 		return nil
 	})
@@ -129,46 +128,46 @@
 	return group.Wait()
 }
 
-// start runs what the router does beside serving clients.
-func (d *daemon) start(group *errgroup.Group, parts context.Context) {
+// start starts the background tasks.
+func (d *daemon) start(group *errgroup.Group, background context.Context) {
 	router, settings := d.router, d.settings
-	group.Go(func() error { return router.watcher.Run(parts) })
-	group.Go(func() error { return router.metrics.Serve(parts, settings) })
-	group.Go(func() error { router.FollowDirectory(parts); return nil })
-	group.Go(func() error { router.noteStart(parts, settings.GetName()); return nil })
-	group.Go(func() error { router.witness.Run(parts); return nil })
-	group.Go(func() error { return router.dispatcher.ShareLoads(parts, settings) })
+	group.Go(func() error { return router.watcher.Run(background) })
+	group.Go(func() error { return router.metrics.Serve(background, settings) })
+	group.Go(func() error { router.FollowDirectory(background); return nil })
+	group.Go(func() error { router.recordStart(background, settings.GetName()); return nil })
+	group.Go(func() error { router.crashes.Run(background); return nil })
+	group.Go(func() error { return router.dispatcher.ShareLoads(background, settings) })
 	group.Go(func() error {
-		router.dispatcher.Survey(parts, settings, router.watcher, router.protocol, router.client)
+		router.dispatcher.Survey(background, settings, router.watcher, router.protocol, router.client)
 		return nil
 	})
-	group.Go(func() error { router.announce(parts, settings); return nil })
-	group.Go(func() error { d.reliever.run(parts); return nil })
+	group.Go(func() error { router.announce(background, settings); return nil })
+	group.Go(func() error { d.relief.run(background); return nil })
 	group.Go(func() error {
-		ready := readiness(router.acts, &d.leaving, &d.reliever.unready)
-		return site.Serve(parts, site.NewServer(ready), d.ready, 0)
+		ready := readinessHandler(router.ready, &d.shuttingDown, &d.relief.unready)
+		return site.Serve(background, site.NewServer(ready), d.ready, 0)
 	})
 }
 
-// leave waits until the context ends, and then until clients had time to hear that the router
-// leaves. It returns early where a part has failed.
-func (d *daemon) leave(ctx, parts context.Context) {
+// awaitShutdown waits until the context ends and clients have had time to notice the shutdown. It
+// returns early if a background task fails.
+func (d *daemon) awaitShutdown(ctx, background context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-parts.Done():
+	case <-background.Done():
 		return
 	}
-	d.leaving.Store(true)
+	d.shuttingDown.Store(true)
 	log.WithField("machine", d.settings.GetName()).Info("router leaves")
 	select {
-	case <-time.After(leaveNotice):
-	case <-parts.Done():
+	case <-time.After(shutdownDelay):
+	case <-background.Done():
 	}
 	d.router.jobs.Leave()
 }
 
-// serveClients serves until the context ends. Then the requests in progress have the given
-// time, and the clients to read what is kept for them a little more.
+// serveClients serves until the context ends. Running requests then get the given grace period,
+// and clients a little more to read their buffered responses.
 func (r *Router) serveClients(ctx context.Context, server *http.Server, listener net.Listener, grace time.Duration) error {
 	stopped := make(chan time.Time, 1)
 	context.AfterFunc(ctx, func() { stopped <- time.Now() })
@@ -182,15 +181,14 @@
 	return err
 }
 
-// announceInterval is the time between this router's announcements, and
-// announceRetry the time until the next one where no coordinator took one: until
-// then nobody tells this router of loads, nor hears its own.
+// announceInterval is the time between announcements, and announceRetry the time after a failed
+// one: until it is announced, a router shares no loads.
 const (
 	announceInterval = 3 * time.Second
 	announceRetry    = 250 * time.Millisecond
 )
 
-// announce makes this router known to the others.
+// announce registers this router with the coordinators periodically.
 func (r *Router) announce(ctx context.Context, settings *rockwindpb.SiteSettings) {
 	if settings.GetInternalListen() == "" {
 		return
@@ -204,7 +202,7 @@
 	for {
 		pause := announceInterval
 		if _, err := r.watcher.Announce(ctx, self, false); err != nil {
-			log.WithError(err).Debug("no coordinator took the announcement")
+			log.WithError(err).Debug("no coordinator accepted the announcement")
 			pause = announceRetry
 		}
 		if !retry.Pause(ctx, pause) {
@@ -213,29 +211,29 @@
 	}
 }
 
-func graceOf(settings *rockwindpb.SiteSettings) time.Duration {
+func shutdownGrace(settings *rockwindpb.SiteSettings) time.Duration {
 	grace := time.Duration(settings.GetGraceS() * float64(time.Second))
 	if grace <= 0 {
 		grace = defaultGrace
 	}
-	return max(grace, leaveNotice+2*stopMargin)
+	return max(grace, shutdownDelay+2*stopMargin)
 }
 
-// closeWhile tells clients to close their connections while the router leaves.
-func closeWhile(leaving *atomic.Bool, next http.Handler) http.Handler {
+// closeConnectionsWhile tells clients to close their connections while the router shuts down.
+func closeConnectionsWhile(shuttingDown *atomic.Bool, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		if leaving.Load() {
+		if shuttingDown.Load() {
 			writer.Header().Set("Connection", "close")
 		}
 		next.ServeHTTP(writer, request)
 	})
 }
 
-// readiness answers 200 while the router wants connections: it can serve, does not leave, and
-// is not so short that clients should go to others.
-func readiness(acts func() bool, leaving, unready *atomic.Bool) http.Handler {
+// readinessHandler responds with 200 while the router accepts clients: it is ready, not shutting
+// down, and not so overloaded that clients should use other routers.
+func readinessHandler(canServe func() bool, shuttingDown, unready *atomic.Bool) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
-		if leaving.Load() || unready.Load() || !acts() {
+		if shuttingDown.Load() || unready.Load() || !canServe() {
 			writer.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
--- a/internal/router/deadlines.go
+++ b/internal/router/deadlines.go
@@ -7,25 +7,25 @@
 	"rockwind.example/rockwind/internal/returning"
 )
 
-// mostRoutes bounds the routes whose deadlines are remembered, beyond which all are learned
-// anew: configurations add and remove routes for as long as a router runs.
-const mostRoutes = 1024
+// maxRoutes bounds the remembered routes. All are dropped beyond it, because configuration
+// changes keep adding names.
+const maxRoutes = 1024
 
-// routeDeadlines learns by route how long clients wait. Its methods may be called by any
-// goroutine. The zero value knows nothing.
-type routeDeadlines struct {
+// routeTimeouts learns how long the clients of each route wait. It is safe for concurrent use,
+// and its zero value is ready to use.
+type routeTimeouts struct {
 	mutex  sync.Mutex
 	routes map[string]*returning.Deadlines
 }
 
-// whole is how long a client waits in all that asks a route with so much of its time left.
-func (d *routeDeadlines) whole(route string, left time.Duration) time.Duration {
-	if left <= 0 {
+// totalTimeout estimates the whole timeout of a client of a route from the time that it has left.
+func (d *routeTimeouts) totalTimeout(route string, remaining time.Duration) time.Duration {
+	if remaining <= 0 {
 		return 0
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.routes == nil || len(d.routes) > mostRoutes {
+	if d.routes == nil || len(d.routes) > maxRoutes {
 		d.routes = make(map[string]*returning.Deadlines)
 	}
 	known := d.routes[route]
@@ -33,6 +33,6 @@
 		known = &returning.Deadlines{}
 		d.routes[route] = known
 	}
-	known.Note(left)
-	return known.Whole(left)
+	known.Note(remaining)
+	return known.Whole(remaining)
 }
--- a/internal/router/dispatcher.go
+++ b/internal/router/dispatcher.go
@@ -19,53 +19,52 @@
 	"rockwind.example/rockwind/internal/zonedrain"
 )
 
-// Dispatcher holds the servers of all services as one process sees them, and the
-// requests that wait for room. Its methods may be called by any goroutine.
+// Dispatcher assigns requests to the servers of all services and queues those that find no
+// capacity. It is safe for concurrent use.
 type Dispatcher struct {
 	zone   string
 	gates  gate.Set
 	origin time.Time
 
 	mutex sync.Mutex
-	// sharer tells other processes of this one's load; nil before Share.
+	// sharer shares loads with other processes; nil before ShareLoads.
 	sharer *loadshare.Sharer
 	name   string
 	random *rand.Rand
 	pools  map[string]*servicePool
-	// view is the directory that was taken last, nil before the first one.
+	// view is the current directory, nil before the first one.
 	view *directory.View
-	// drains are the zones whose servers get nothing new.
-	drains *zonedrain.List
-	// index is the configuration in force, nil before the first one, and processes the names of
-	// those that send to servers.
-	index     *configuration.Index
-	processes []string
-	// servers are the hashes of all servers of the directory, and lefts those of what was left
-	// behind there.
-	servers map[uint32]struct{}
-	lefts   map[uint32]struct{}
-	shares  *balance.Shares
-	order   uint64
-	// stores is how many processes start batch work, and viewAge how old the loads of
-	// other processes may be.
-	stores  int
-	viewAge time.Duration
-	// routers is how many processes start online requests.
-	routers int
+	// zoneDrains are the zones whose servers get no new work.
+	zoneDrains *zonedrain.List
+	// index is the current configuration, nil before the first one. processNames are the
+	// processes that send requests to servers.
+	index        *configuration.Index
+	processNames []string
+	// serverHashes are the hashes of all servers of the directory, and leftBehindHashes those of
+	// the requests left behind there.
+	serverHashes     map[uint32]struct{}
+	leftBehindHashes map[uint32]struct{}
+	shares           *balance.Shares
+	lastArrival      uint64
+	// storeCount is the number of processes that start batch work, and viewAge how old the shared
+	// loads may be.
+	storeCount int
+	viewAge    time.Duration
+	// routerCount is the number of processes that start online requests.
+	routerCount int
 	// ready is closed by the first Update.
 	ready chan struct{}
-	// pressed is closed when online requests wait, and replaced.
-	pressed chan struct{}
-	// heldAt is when it was last written which tenants others go before.
-	heldAt time.Duration
-	// batch is what runs and waits of the shards that this process leads.
+	// onlineWaiting is closed and replaced when online requests wait.
+	onlineWaiting chan struct{}
+	// heldBackRecordedAt is when held-back tenants were last recorded.
+	heldBackRecordedAt time.Duration
+	// batch holds what runs and waits in the shards that this process leads.
 	batch *backlog.Ledger
-	// survey is what this process asked servers after its start; nil before.
+	// survey is the survey of servers after the start; nil before.
 	survey *survey
 }
 
-// NewDispatcher returns a dispatcher without servers, for a process in a zone with the given
-// gates.
+// NewDispatcher returns a dispatcher without servers for a process in the given zone.
 func NewDispatcher(zone string, gates gate.Set) *Dispatcher {
 	shares := balance.NewShares()
 	shares.SetZone(zone)
@@ -81,17 +80,17 @@
 		shares: shares,
 		batch:  backlog.NewLedger(),
 
-		servers: make(map[uint32]struct{}),
-		lefts:   make(map[uint32]struct{}),
+		serverHashes:     make(map[uint32]struct{}),
+		leftBehindHashes: make(map[uint32]struct{}),
 
-		ready:   make(chan struct{}),
-		pressed: make(chan struct{}),
+		ready:         make(chan struct{}),
+		onlineWaiting: make(chan struct{}),
 	}
 }
 
 func (d *Dispatcher) now() time.Duration { return time.Since(d.origin) }
 
-// Ready tells whether the dispatcher has taken a directory.
+// Ready reports whether the dispatcher has a directory.
 func (d *Dispatcher) Ready() bool {
 	select {
 	case <-d.ready:
@@ -101,7 +100,8 @@
 	}
 }
 
-// AwaitReady waits until Ready, and returns false where the context ends before.
+// AwaitReady waits until the dispatcher has a directory. It returns false if the context ends
+// first.
 func (d *Dispatcher) AwaitReady(ctx context.Context) bool {
 	select {
 	case <-d.ready:
@@ -111,7 +111,7 @@
 	}
 }
 
-func (d *Dispatcher) service(name string) *servicePool {
+func (d *Dispatcher) poolOf(name string) *servicePool {
 	found, known := d.pools[name]
 	if !known {
 		found = d.newServicePool(name)
@@ -123,94 +123,94 @@
 func (d *Dispatcher) newServicePool(name string) *servicePool {
 	created := &servicePool{
 		name: name, gates: d.gates, pool: d.newPool(name), shares: d.shares,
-		classes: make(map[waiting.Priority]*class), holding: typicalHolding,
+		classes: make(map[waiting.Priority]*priorityClass), holdTime: defaultHoldTime,
 		needHashes: backlog.NeedHashes(name),
 	}
 	if d.gates.On(gate.FairShare) {
-		created.waiting.Share(func(place waiting.Place) float64 { return created.virtual(place, d.now()) })
+		created.waiting.Share(func(place waiting.Place) float64 { return created.orderingUsage(place, d.now()) })
 	}
 	return created
 }
 
-// Lease is a server that a request may use. It ends with Done or Abandon.
+// Lease allows a request to use a server. It is released with Done, DoneMisdirected or Abandon.
 type Lease struct {
 	balance.Choice
 	dispatcher *Dispatcher
 	service    string
-	began      time.Time
-	// charge is what its tenant was charged for the request.
-	charge charge
-	read   bool
-	// told is the pace that the server told with its answer, zero where it told none.
-	told float64
-	// sighting follows how fast the events of the run come.
-	sighting pace.Sighting
+	startedAt  time.Time
+	// charge is the work charged to the tenant for the request.
+	charge      charge
+	firstOutput bool
+	// reportedPace is the pace that the server reported with its response, zero if none.
+	reportedPace float64
+	// paceSample measures the pace of the run by its events.
+	paceSample pace.Sighting
 }
 
-// Acquire waits for a server with room, at most until the patience or the context ends. It
-// fails with fault.Overloaded, which says when to come back, at once where those that go
-// before it need longer than its patience, or with fault.Unavailable where the service has
-// no server that was not tried.
-func (d *Dispatcher) Acquire(ctx context.Context, ask AcquireRequest) (*Lease, error) {
+// Acquire waits for a server with capacity until the maximum wait is over or the context ends. It
+// fails with fault.Overloaded, which has a Retry-After, at once if the requests ahead need longer
+// than the maximum wait, or with fault.Unavailable if the service has no server that was not
+// tried.
+func (d *Dispatcher) Acquire(ctx context.Context, request AcquireRequest) (*Lease, error) {
 	d.mutex.Lock()
-	pool := d.service(ask.Service)
-	pool.judgeRoom(d.now())
+	pool := d.poolOf(request.Service)
+	pool.updateScarcity(d.now())
 	now := time.Now()
-	d.order++
-	place := ask.place(d.order, now)
-	pool.class(ask.Priority).note(ask.Tenant)
-	before := pool.waiting.Ahead(place, now)
-	if before == 0 {
-		if given, found := d.choose(pool, ask); found {
+	d.lastArrival++
+	place := request.place(d.lastArrival, now)
+	pool.class(request.Priority).setWeight(request.Tenant)
+	aheadHere := pool.waiting.Ahead(place, now)
+	if aheadHere == 0 {
+		if given, found := d.choose(pool, request); found {
 			d.mutex.Unlock()
-			return d.lease(ask.Service, given), nil
+			return d.lease(request.Service, given), nil
 		}
 	}
-	if pool.pool.Size() <= len(ask.Tried) {
+	if pool.pool.Size() <= len(request.Tried) {
 		d.mutex.Unlock()
-		return nil, fault.Newf(fault.Unavailable, "come back later", "service %s has no server that can take the request", ask.Service).
-			WithRan(fault.NotRun).WithRetryAfter(typicalHolding / 4)
+		return nil, fault.Newf(fault.Unavailable, "come back later", "service %s has no server that can take the request", request.Service).
+			WithRan(fault.NotRun).WithRetryAfter(defaultHoldTime / 4)
 	}
-	if ahead := before + pool.elsewhere(place, d.now()); pool.expected(ask, ahead, d.now()) > ask.MaxWait {
-		refusal := pool.crowded(ask, ahead, now, d.now())
+	if ahead := aheadHere + pool.aheadElsewhere(place, d.now()); pool.expectedWait(request, ahead, d.now()) > request.MaxWait {
+		refusal := pool.queueFullFault(request, ahead, now, d.now())
 		d.mutex.Unlock()
 		return nil, refusal
 	}
-	entry := pool.waiting.Add(place, &waiter{ask: ask, place: place, began: now, granted: make(chan grant, 1)})
-	if pool.someTried() || pool.modest(ask, d.now()) {
-		// Those before it may be such as find no room where it does.
-		d.serveWaiting(ask.Service)
+	entry := pool.waiting.Add(place, &waiter{request: request, place: place, waitingSince: now, granted: make(chan grant, 1)})
+	if pool.anyTried() || pool.mayExceedSlots(request, d.now()) {
+		// Requests ahead may have tried the servers that have capacity for this one.
+		d.serveWaiting(request.Service)
 	}
-	d.recheckSoon(pool)
-	d.nudge()
+	d.scheduleRecheck(pool)
+	d.shareLoadsNow()
 	d.mutex.Unlock()
-	return d.await(ctx, entry)
+	return d.awaitGrant(ctx, entry)
 }
 
-// choose returns a server with room for a request that goes first, or beyond what is there for
-// one that may go beyond it. The mutex is held.
-func (d *Dispatcher) choose(pool *servicePool, ask AcquireRequest) (grant, bool) {
+// choose returns a server with capacity for the next request. A request that may exceed the slots
+// gets a server beyond its slots if there is none. The caller holds d.mutex.
+func (d *Dispatcher) choose(pool *servicePool, request AcquireRequest) (grant, bool) {
 	if d.gates.On(gate.Returns) {
 		pool.pool.SetWaiting(pool.waiting.Len())
 	}
-	choice, found := pool.pool.Choose(ask.Demand, ask.Tried, d.now(), d.random)
-	if !found && pool.modest(ask, d.now()) {
-		beyond := ask.Demand
+	choice, found := pool.pool.Choose(request.Demand, request.Tried, d.now(), d.random)
+	if !found && pool.mayExceedSlots(request, d.now()) {
+		beyond := request.Demand
 		beyond.Beyond = true
-		choice, found = pool.pool.Choose(beyond, ask.Tried, d.now(), d.random)
+		choice, found = pool.pool.Choose(beyond, request.Tried, d.now(), d.random)
 	}
 	if !found {
 		return grant{}, false
 	}
-	return grant{choice: choice, charge: pool.begin(ask, choice, d.now())}, true
+	return grant{choice: choice, charge: pool.chargeRequest(request, choice, d.now())}, true
 }
 
-// TryAcquire returns a server with room now, or nil. Requests that wait go first.
+// TryAcquire returns a server with capacity, or nil if there is none or requests wait.
 func (d *Dispatcher) TryAcquire(service string, demand balance.Demand) *Lease {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	pool := d.service(service)
-	if pool.waiting.Len() > 0 || (demand.Batch && d.surveyOpen()) {
+	pool := d.poolOf(service)
+	if pool.waiting.Len() > 0 || (demand.Batch && d.surveyPending()) {
 		return nil
 	}
 	choice, found := pool.pool.Choose(demand, nil, d.now(), d.random)
@@ -218,55 +218,55 @@
 		return nil
 	}
 	if demand.Batch {
-		d.nudge()
+		d.shareLoadsNow()
 	}
 	return d.lease(service, grant{choice: choice})
 }
 
-// PreemptBatch visits the servers of a service at which batch work of this process should
-// give way to online requests, with how many of its requests. The visitor returns how many
-// gave way; it must not use the dispatcher.
+// PreemptBatch visits the servers of a service at which batch work of this process should yield
+// to online requests, with the number of requests. The visitor returns how many yielded; it must
+// not use the dispatcher.
 func (d *Dispatcher) PreemptBatch(service string, visit func(server string, requests int) int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	pool := d.service(service)
+	pool := d.poolOf(service)
 	pool.pool.Yield(pool.waiting.Len(), d.now(), d.random, visit)
 }
 
-// nudge tells the others at once what has changed here. The mutex is held.
-func (d *Dispatcher) nudge() {
+// shareLoadsNow shares a change of loads without delay. The caller holds d.mutex.
+func (d *Dispatcher) shareLoadsNow() {
 	if d.sharer != nil {
 		d.sharer.Nudge()
 	}
 }
 
-// OnlineWaiting returns a channel that is closed when online requests next wait for a server
-// somewhere.
+// OnlineWaiting returns a channel that is closed when online requests next wait for a server at
+// any process.
 func (d *Dispatcher) OnlineWaiting() <-chan struct{} {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.pressed
+	return d.onlineWaiting
 }
 
-// press wakes those who look after batch work. The mutex is held.
-func (d *Dispatcher) press() {
-	close(d.pressed)
-	d.pressed = make(chan struct{})
+// signalOnlineWaiting wakes the receivers of OnlineWaiting. The caller holds d.mutex.
+func (d *Dispatcher) signalOnlineWaiting() {
+	close(d.onlineWaiting)
+	d.onlineWaiting = make(chan struct{})
 }
 
 func (d *Dispatcher) lease(service string, given grant) *Lease {
-	return &Lease{Choice: given.choice, charge: given.charge, dispatcher: d, service: service, began: time.Now()}
+	return &Lease{Choice: given.choice, charge: given.charge, dispatcher: d, service: service, startedAt: time.Now()}
 }
 
-// recheckInterval is how often what waits for a service is looked at again although nothing
-// ended: a server that refused as full may have room again. There is one look for all that
-// wait, which costs 24 ms of a processor a second where 2,000 do (BenchmarkWaiting); one for
-// each of them would cost 1 s, and keep others from the dispatcher.
+// recheckInterval is how often waiting requests are retried although no request has ended: a
+// server that refused a request as full may have capacity again. One timer serves all requests of
+// a service, since a timer for each would cost much CPU and block the dispatcher: see
+// BenchmarkWaiting.
 const recheckInterval = 25 * time.Millisecond
 
-// recheckSoon has the requests that wait for a service looked at again until none does. The
-// mutex is held.
-func (d *Dispatcher) recheckSoon(pool *servicePool) {
+// scheduleRecheck retries the waiting requests of a service periodically until none waits. The
+// caller holds d.mutex.
+func (d *Dispatcher) scheduleRecheck(pool *servicePool) {
 	if pool.rechecking || pool.waiting.Len() == 0 {
 		return
 	}
@@ -276,55 +276,56 @@
 		defer d.mutex.Unlock()
 		pool.rechecking = false
 		d.serveWaiting(pool.name)
-		d.recheckSoon(pool)
+		d.scheduleRecheck(pool)
 	})
 }
 
-func (d *Dispatcher) await(ctx context.Context, entry *waiting.Entry[*waiter]) (*Lease, error) {
-	limit := time.NewTimer(entry.Value().ask.MaxWait)
+func (d *Dispatcher) awaitGrant(ctx context.Context, entry *waiting.Entry[*waiter]) (*Lease, error) {
+	limit := time.NewTimer(entry.Value().request.MaxWait)
 	defer limit.Stop()
 	select {
 	case given := <-entry.Value().granted:
-		return d.lease(entry.Value().ask.Service, given), nil
+		return d.lease(entry.Value().request.Service, given), nil
 	case <-limit.C:
 	case <-ctx.Done():
 	}
-	return d.giveUp(ctx, entry)
+	return d.stopWaiting(ctx, entry)
 }
 
-// giveUp ends the wait of a request. One whose client has left or waits no longer does not
-// come back.
-func (d *Dispatcher) giveUp(ctx context.Context, entry *waiting.Entry[*waiter]) (*Lease, error) {
+// stopWaiting removes a request from the queue. One whose client has disconnected or timed out is
+// not expected to retry.
+func (d *Dispatcher) stopWaiting(ctx context.Context, entry *waiting.Entry[*waiter]) (*Lease, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	service := entry.Value().ask.Service
-	pool := d.service(service)
+	service := entry.Value().request.Service
+	pool := d.poolOf(service)
 	if entry.Left() {
 		return d.lease(service, <-entry.Value().granted), nil
 	}
 	pool.waiting.Remove(entry)
 	now, waiter := time.Now(), entry.Value()
-	ask := waiter.ask
-	ask.LastAttempt = ask.LastAttempt || ctx.Err() != nil
-	if ask.Remaining > 0 {
-		ask.Remaining = max(time.Millisecond, ask.Remaining-now.Sub(waiter.began))
+	request := waiter.request
+	request.LastAttempt = request.LastAttempt || ctx.Err() != nil
+	if request.Remaining > 0 {
+		request.Remaining = max(time.Millisecond, request.Remaining-now.Sub(waiter.waitingSince))
 	}
-	ahead := pool.waiting.Ahead(waiter.place, now) + pool.elsewhere(waiter.place, d.now())
-	return nil, pool.busy(ask, ahead, now, d.now())
+	ahead := pool.waiting.Ahead(waiter.place, now) + pool.aheadElsewhere(waiter.place, d.now())
+	return nil, pool.busyFault(request, ahead, now, d.now())
 }
 
-// serveWaiting gives servers with room to those that wait, in their order.
+// serveWaiting assigns servers with capacity to waiting requests in queue order. The caller holds
+// d.mutex.
 func (d *Dispatcher) serveWaiting(service string) {
-	pool := d.service(service)
-	pool.judgeRoom(d.now())
+	pool := d.poolOf(service)
+	pool.updateScarcity(d.now())
 	for d.serveNext(pool) {
 	}
 }
 
-// serveNext gives a server to the first of those that wait which finds room, and tells whether
-// one did.
+// serveNext assigns a server to the first waiting request that finds capacity and reports whether
+// there was one. The caller holds d.mutex.
 func (d *Dispatcher) serveNext(pool *servicePool) bool {
-	served, given := d.firstWithRoom(pool)
+	served, given := d.firstWithCapacity(pool)
 	if served == nil {
 		return false
 	}
@@ -333,35 +334,35 @@
 	return true
 }
 
-// firstWithRoom is the first of those that wait which finds room. One that must not go to the
-// servers with room, which it has tried, does not hold up those behind it, and none holds up the
-// first of its own priority that may go beyond the slots.
-func (d *Dispatcher) firstWithRoom(pool *servicePool) (served *waiting.Entry[*waiter], given grant) {
+// firstWithCapacity returns the first waiting request that finds capacity. A request that has
+// tried the servers with capacity does not block those behind it, and no request blocks the first
+// of the same priority that may exceed the slots. The caller holds d.mutex.
+func (d *Dispatcher) firstWithCapacity(pool *servicePool) (served *waiting.Entry[*waiter], given grant) {
 	now := time.Now()
 	try := func(entry *waiting.Entry[*waiter]) bool {
 		var found bool
-		if given, found = d.choose(pool, entry.Value().ask); found {
+		if given, found = d.choose(pool, entry.Value().request); found {
 			served = entry
 		}
 		return found
 	}
 	pool.waiting.Walk(now, func(entry *waiting.Entry[*waiter]) bool {
-		return !try(entry) && len(entry.Value().ask.Tried) > 0
+		return !try(entry) && len(entry.Value().request.Tried) > 0
 	})
 	if served != nil || pool.waiting.Len() == 0 || !pool.pool.Paced() {
 		return served, given
 	}
-	priority := pool.waiting.First(now).Value().ask.Priority
-	modest := pool.waiting.FirstOf(now, func(each *waiter) bool {
-		return each.ask.Priority == priority && pool.modest(each.ask, d.now())
+	priority := pool.waiting.First(now).Value().request.Priority
+	exceeding := pool.waiting.FirstOf(now, func(each *waiter) bool {
+		return each.request.Priority == priority && pool.mayExceedSlots(each.request, d.now())
 	})
-	if modest != nil {
-		try(modest)
+	if exceeding != nil {
+		try(exceeding)
 	}
 	return served, given
 }
 
-// Evaluate runs the judgements that depend on time. Call it about once a second.
+// Evaluate updates everything that depends on time. It is called every evaluateInterval.
 func (d *Dispatcher) Evaluate() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -372,79 +373,80 @@
 	d.recordHeldBack()
 }
 
-// RecordLoad takes the load that the server told with an answer.
+// RecordLoad records the load that the server reported with its response.
 func (l *Lease) RecordLoad(load balance.Load) {
-	l.told = load.Pace
+	l.reportedPace = load.Pace
 	d := l.dispatcher
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.service(l.service).pool.Told(l.ID, load, d.now())
+	d.poolOf(l.service).pool.Told(l.ID, load, d.now())
 }
 
-// RecordFirstOutput tells that the first event, or the whole answer, came.
-func (l *Lease) RecordFirstOutput() { l.noteRead(true) }
+// RecordFirstOutput records that the first event or the complete response arrived.
+func (l *Lease) RecordFirstOutput() { l.recordFirstOutput(true) }
 
-func (l *Lease) noteRead(came bool) {
-	if l.read {
+func (l *Lease) recordFirstOutput(arrived bool) {
+	if l.firstOutput {
 		return
 	}
-	l.read = true
+	l.firstOutput = true
 	d := l.dispatcher
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.service(l.service).pool.Read(l.Choice, came, d.now())
+	d.poolOf(l.service).pool.Read(l.Choice, arrived, d.now())
 }
 
-// Done ends the lease with what the exchange showed of the server.
+// Done releases the lease with the outcome of the exchange.
 func (l *Lease) Done(outcome health.Outcome, latency time.Duration) {
-	l.noteRead(outcome == health.Success || outcome == health.Refused)
-	l.look()
+	l.recordFirstOutput(outcome == health.Success || outcome == health.Refused)
+	l.reportPace()
 	d := l.dispatcher
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	pool := d.service(l.service)
+	pool := d.poolOf(l.service)
 	pool.pool.Ended(l.Choice, outcome, latency, d.now(), d.random)
-	// One whose time was over held its slot for at least as long.
+	// A request that timed out held its slot for at least this long.
 	if outcome == health.Success || (outcome == health.Timeout && d.gates.On(gate.Returns)) {
-		pool.learn(time.Since(l.began))
+		pool.recordHoldTime(time.Since(l.startedAt))
 	}
 	d.serveWaiting(l.service)
 }
 
-// RecordEvents tells how many events the answer had.
+// RecordEvents records the number of events in the response.
 func (l *Lease) RecordEvents(events uint64) {
 	d := l.dispatcher
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.service(l.service).wrote(events)
+	d.poolOf(l.service).recordEvents(events)
 }
 
-// MarkNotRun tells, before the lease ends, that the request did not run at the server: its tenant is
-// not charged for it.
+// MarkNotRun records, before the lease is released, that the server did not run the request. The
+// charge to its tenant is refunded.
 func (l *Lease) MarkNotRun() {
 	d := l.dispatcher
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	l.charge.giveBack(d.now())
+	l.charge.refund(d.now())
 	l.charge = charge{}
 }
 
-// DoneMisdirected ends the lease of an exchange in which another server answered at the address.
+// DoneMisdirected releases the lease of an exchange in which another server answered at the
+// address.
 func (l *Lease) DoneMisdirected() { l.release((*balance.Pool).Gone) }
 
-// Abandon ends the lease of an exchange that shows nothing of the server.
+// Abandon releases the lease of an exchange that says nothing about the server.
 func (l *Lease) Abandon() { l.release((*balance.Pool).Abandoned) }
 
-// release ends the lease of an exchange that gave no answer of the server, and hands on
-// what it has left free.
+// release releases the lease of an exchange without a response of the server and assigns the
+// freed capacity.
 func (l *Lease) release(end func(*balance.Pool, balance.Choice)) {
-	l.noteRead(false)
+	l.recordFirstOutput(false)
 	d := l.dispatcher
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	end(d.service(l.service).pool, l.Choice)
+	end(d.poolOf(l.service).pool, l.Choice)
 	if l.Batch {
-		d.nudge()
+		d.shareLoadsNow()
 	}
 	d.serveWaiting(l.service)
 }
--- a/internal/router/dispatcher_test.go
+++ b/internal/router/dispatcher_test.go
@@ -14,7 +14,7 @@
 	"rockwind.example/rockwind/internal/router"
 )
 
-// oneServer is a dispatcher with a server that runs so many requests at once.
+// oneServer returns a dispatcher for a server with the given slots.
 func oneServer(slots uint32) *router.Dispatcher { return newDispatcher(slots, gate.Set{}) }
 
 func newDispatcher(slots uint32, gates gate.Set) *router.Dispatcher {
@@ -27,13 +27,13 @@
 	return dispatcher
 }
 
-func acquire(dispatcher *router.Dispatcher, patience time.Duration) (*router.Lease, error) {
-	return dispatcher.Acquire(context.Background(), router.AcquireRequest{Service: "app", StartBy: time.Now().Add(time.Second), MaxWait: patience})
+func acquire(dispatcher *router.Dispatcher, maxWait time.Duration) (*router.Lease, error) {
+	return dispatcher.Acquire(context.Background(), router.AcquireRequest{Service: "app", StartBy: time.Now().Add(time.Second), MaxWait: maxWait})
 }
 
-// TestFirstTryWaitsWhileItCanBeServed: a request that finds all servers busy is served as
-// soon as one has room, and is not sent away before.
-func TestFirstTryWaitsWhileItCanBeServed(t *testing.T) {
+// TestRequestWaitsForBusyServer checks that a request waits for a free slot instead of being
+// refused.
+func TestRequestWaitsForBusyServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dispatcher := oneServer(1)
 		running, err := acquire(dispatcher, 4*time.Second)
@@ -50,7 +50,8 @@
 	})
 }
 
-// TestRequestBehindTooManyIsRefusedAtOnce: the queue needs longer than it may wait.
+// TestRequestBehindTooManyIsRefusedAtOnce checks that a request is refused without waiting if the
+// queue takes longer than its maximum wait.
 func TestRequestBehindTooManyIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dispatcher := oneServer(2)
@@ -74,7 +75,7 @@
 		if time.Since(began) != 0 || failure == nil || failure.Kind != fault.Overloaded || failure.Ran != fault.NotRun || failure.RetryAfter < time.Second {
 			t.Fatalf("%v after %v", err, time.Since(began))
 		}
-		// One that may wait for longer than the queue needs does wait.
+		// A request with a longer maximum wait is queued.
 		if _, err := acquire(dispatcher, 10*time.Second); time.Since(began) != 10*time.Second {
 			t.Fatalf("%v after %v", err, time.Since(began))
 		}
@@ -84,9 +85,9 @@
 	})
 }
 
-// TestProcessLearnsAtOnceHowLongRequestsTake: a process that has just started takes requests
-// for long ones until the first has ended, and not until dozens have.
-func TestProcessLearnsAtOnceHowLongRequestsTake(t *testing.T) {
+// TestNewProcessLearnsHoldTimeFromFirstRequest guards against refusing short requests until
+// dozens of them have ended.
+func TestNewProcessLearnsHoldTimeFromFirstRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dispatcher := oneServer(1)
 		first, err := acquire(dispatcher, time.Second)
--- a/internal/router/modest_test.go
+++ b/internal/router/exceedslots_test.go
@@ -10,20 +10,20 @@
 	"rockwind.example/rockwind/internal/router"
 )
 
-// pacedRouter is one of ten routers before a server of eight slots.
-func pacedRouter(t *testing.T, off ...string) *crowd {
+// pacedRouter returns one of ten routers that share a server with eight slots.
+func pacedRouter(t *testing.T, off ...string) *queueTest {
 	t.Helper()
-	c := &crowd{t: t, dispatcher: newDispatcher(8, gate.NewSet(off))}
-	c.dispatcher.Pace("app", 10, 300*time.Millisecond)
+	c := &queueTest{t: t, dispatcher: newDispatcher(8, gate.NewSet(off))}
+	c.dispatcher.SetProcesses("app", 10, 300*time.Millisecond)
 	return c
 }
 
-// flood has requests of one tenant take all that this router may start for some seconds, and
-// more of them wait.
-func (c *crowd) flood() {
+// startFlood fills this router's share of the slots with requests of one tenant for some seconds
+// and queues more of them.
+func (c *queueTest) startFlood() {
 	for range 8 {
 		go func() {
-			if lease, err := c.dispatcher.Acquire(c.t.Context(), asks("flood", time.Second)); err == nil {
+			if lease, err := c.dispatcher.Acquire(c.t.Context(), requestOf("flood", time.Second)); err == nil {
 				time.Sleep(3 * time.Second)
 				lease.Done(health.Success, 0)
 			}
@@ -32,9 +32,9 @@
 	time.Sleep(500 * time.Millisecond)
 }
 
-// TestRequestOfAModestTenantDoesNotWaitForAFlood: it goes to a server beyond what is there, one
-// at a time; more of the flood waits, and so does anyone where tenants do not share.
-func TestRequestOfAModestTenantDoesNotWaitForAFlood(t *testing.T) {
+// TestSmallTenantMayExceedSlots checks that one request at a time of a small tenant exceeds the
+// router's share of the slots. Others wait, as do all if the gate is off.
+func TestSmallTenantMayExceedSlots(t *testing.T) {
 	for _, each := range []struct {
 		tenants []string
 		off     []string
@@ -48,12 +48,12 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			c := pacedRouter(t, each.off...)
-			c.flood()
+			c.startFlood()
 			var lease *router.Lease
 			var err error
 			began := time.Now()
 			for _, tenant := range each.tenants {
-				if lease, err = c.dispatcher.Acquire(t.Context(), asks(tenant, 100*time.Millisecond)); err == nil {
+				if lease, err = c.dispatcher.Acquire(t.Context(), requestOf(tenant, 100*time.Millisecond)); err == nil {
 					defer lease.Done(health.Success, 0)
 				}
 			}
@@ -65,19 +65,19 @@
 	}
 }
 
-// TestLessUrgentRequestDoesNotGoBeyondUrgentOnes that wait, although its tenant is modest among
-// those of its priority.
-func TestLessUrgentRequestDoesNotGoBeyondUrgentOnes(t *testing.T) {
+// TestLowPriorityRequestDoesNotExceedSlotsBeforeUrgentOnes covers a tenant that is small among
+// those of its own priority.
+func TestLowPriorityRequestDoesNotExceedSlotsBeforeUrgentOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := pacedRouter(t)
-		lower := lowerFor(100 * time.Millisecond)
+		lower := lowPriorityRequest(100 * time.Millisecond)
 		lower.Tenant.Name = "large"
 		lease, err := c.dispatcher.Acquire(t.Context(), lower)
 		if err != nil {
 			t.Fatal(err)
 		}
 		lease.Done(health.Success, 0)
-		c.flood()
+		c.startFlood()
 		lower.Tenant.Name = "small"
 		if lease, err := c.dispatcher.Acquire(t.Context(), lower); err == nil {
 			lease.Done(health.Success, 0)
--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -23,93 +23,91 @@
 )
 
 const (
-	// connectLimit bounds a connection attempt to a server.
-	connectLimit = 400 * time.Millisecond
-	// refusalLimit bounds the servers that a request is offered to beyond its
-	// attempts because others refused it.
-	refusalLimit = 3
-	// misdirectedLimit bounds the servers beyond them at whose address another one
-	// answered: after a crash of many servers the directory may name as many that are gone.
-	misdirectedLimit = 12
-	// patiencePart is the part of the remaining time that a request may wait for room. One
-	// that is not expected to get any within it does not wait at all.
-	patiencePart = 0.5
-	// onTimePart is the part of its goal within which a request has to begin at a server to
-	// be answered in time: the rest is the reading of its prompt and the way back.
-	onTimePart = 0.85
-	// ownerPatiencePart is the part of its goal that a request may wait for the owner of its
-	// tenant's rate, and leastOwnerPatience the least time: an owner in another zone answers
-	// within a few milliseconds, and a machine that is busy within some tens.
-	ownerPatiencePart  = 0.2
-	leastOwnerPatience = 50 * time.Millisecond
-	// turnWait is how long a request waits at most for its tenant's rate to earn it: a fifth of
-	// the shortest goals. It is the same for all routes: where those of a longer goal could
-	// wait for longer, they took all the room of a flood's tenant, 0.99 of their worth was
-	// served and 0.88 of that of the others.
-	turnWait = 60 * time.Millisecond
+	// connectTimeout bounds a connection attempt to a server.
+	connectTimeout = 400 * time.Millisecond
+	// maxRefusals bounds the servers that may refuse a request. They do not count as attempts.
+	maxRefusals = 3
+	// maxMisdirected bounds the servers at whose address another one answers. After a crash of
+	// many servers the directory may list as many that are gone.
+	maxMisdirected = 12
+	// maxWaitFraction is the fraction of the remaining time that a request may wait for capacity.
+	// A request with a longer expected wait is refused at once.
+	maxWaitFraction = 0.5
+	// startByFraction is the fraction of the route's goal within which a request has to start at
+	// a server. The rest is for reading the prompt and for the response.
+	startByFraction = 0.85
+	// ownerWaitFraction is the fraction of the goal that a request may wait for the owner of its
+	// tenant's rate limit, and minOwnerWait the shortest wait: an owner in another zone responds
+	// within a few milliseconds, a busy one within some tens.
+	ownerWaitFraction = 0.2
+	minOwnerWait      = 50 * time.Millisecond
+	// maxTurnWait is how long a request may wait at the owner of its tenant's rate limit. It does
+	// not depend on the route, because routes with long goals would otherwise take most of the
+	// tenant's rate.
+	maxTurnWait = 60 * time.Millisecond
 )
 
-// exchange is one client request on its way through the servers.
+// exchange is the handling of one client request.
 type exchange struct {
 	router *Router
 	writer http.ResponseWriter
-	// client is the connection of the client, nil where it keeps nothing.
+	// client is the connection of the client, nil if it is not tracked.
 	client  *clientconn.Conn
 	route   *rockwindpb.Route
 	service string
-	facts   RequestInfo
+	info    RequestInfo
 	tenant  *rockwindpb.Tenant
 	request upstream.Request
 	header  http.Header
-	// whole is how long the client waits in all, which has less left if it has come back.
-	whole time.Duration
-	// ends is when the client or the route no longer waits.
-	ends    time.Time
-	tried   []string
-	refused int
-	// misdirected counts the tries at servers that are gone.
+	// totalTimeout is the client's timeout counted from its first attempt.
+	totalTimeout time.Duration
+	// deadline is when the client's or the route's timeout ends.
+	deadline time.Time
+	tried    []string
+	refused  int
+	// misdirected counts the attempts at servers that are gone.
 	misdirected int
-	// sent counts the tries that may have run.
-	sent     int
-	received time.Time
-	number   uint64
-	waited   time.Duration
-	// firstAfter is when the head of the answer went to the client, counted from the
-	// receipt of the request; zero before.
-	firstAfter time.Duration
-	// started tells that the head of the answer went to the client.
-	started bool
-	// reason says why the last try gave no whole answer.
+	// sent counts the attempts that may have run.
+	sent         int
+	received     time.Time
+	configNumber uint64
+	waited       time.Duration
+	// headAfter is the time from the receipt of the request until the response head was sent;
+	// zero before.
+	headAfter time.Duration
+	// headSent is set once the response head was sent to the client.
+	headSent bool
+	// reason says why the last attempt gave no complete response.
 	reason string
-	// relayed holds which events were relayed.
-	relayed upstream.Sequence
-	// fingerprint is that of the content, nil before it was needed.
+	// relayedEvents tracks the relayed events.
+	relayedEvents upstream.Sequence
+	// fingerprint is computed when first needed; nil before.
 	fingerprint *fingerprint.Fingerprint
-	// trySent is when the last try was sent.
-	trySent time.Time
-	// copy is that of the run, nil where there is none.
-	copy *copied
-	// lookout watches the server of the last try, nil where its silence ends nothing.
-	lookout *Watchdog
+	// attemptSentAt is when the last attempt was sent.
+	attemptSentAt time.Time
+	// runCopy is the copy of the run, nil if there is none.
+	runCopy *runCopy
+	// watchdog watches the server of the last attempt, nil if it is not watched.
+	watchdog *Watchdog
 }
 
-// verdict tells what becomes of the request after a try.
+// verdict is the result of an attempt.
 type verdict int
 
 const (
-	// verdictFinished: the client has its answer.
+	// verdictFinished: the response was relayed.
 	verdictFinished verdict = iota
-	// verdictElsewhere: another server may be tried.
-	verdictElsewhere
-	// verdictBroken: the answer had begun and cannot be completed.
+	// verdictRetry: another server may be tried.
+	verdictRetry
+	// verdictBroken: the response was partly sent and cannot be completed.
 	verdictBroken
-	// verdictGone: the client has left.
-	verdictGone
-	// verdictContinue: the run goes on at the server that has a copy of it.
+	// verdictClientGone: the client has disconnected.
+	verdictClientGone
+	// verdictContinue: the run continues at the server that has its copy.
 	verdictContinue
 )
 
-// repeatable tells whether the request may run more than once.
+// repeatable reports whether the request may run more than once.
 func (e *exchange) repeatable() bool {
 	switch e.route.GetKind() {
 	case rockwindpb.RouteKind_ROUTE_KIND_SAFE:
@@ -120,82 +118,82 @@
 	return false
 }
 
-// run tries servers until the client has an answer or nothing more may be tried.
-// It panics with http.ErrAbortHandler where an answer that had begun cannot be
-// completed, so that it never looks whole.
+// run tries servers until the request is answered or may not be tried again. It panics with
+// http.ErrAbortHandler if a partly sent response cannot be completed, so that it never looks
+// complete to the client.
 func (e *exchange) run(ctx context.Context) {
-	ctx, cancel := context.WithDeadline(ctx, e.ends)
+	ctx, cancel := context.WithDeadline(ctx, e.deadline)
 	defer cancel()
 	e.client = clientconn.FromContext(ctx)
-	e.client.Begin(e.facts.ID, e.ends)
-	if held := e.held(); held != nil {
-		e.recordHeld(held)
-		refuse(e.writer, held.Kind.HTTPStatus(), held)
+	e.client.Begin(e.info.ID, e.deadline)
+	if refusal := e.quarantined(); refusal != nil {
+		e.recordQuarantined(refusal)
+		writeErrorStatus(e.writer, refusal.Kind.HTTPStatus(), refusal)
 		return
 	}
 	if err := e.takeRate(ctx); err != nil {
-		e.refuseUncounted(fault.From(err))
+		e.refuseByRate(fault.From(err))
 		return
 	}
-	for e.offer(ctx) {
+	for e.attempt(ctx) {
 	}
 }
 
-// offer brings the request to one server. It returns false once the client has an answer or
-// nothing more may be tried.
-func (e *exchange) offer(ctx context.Context) (again bool) {
+// attempt tries one server. It returns false if the request is done.
+func (e *exchange) attempt(ctx context.Context) (again bool) {
 	lease, err := e.acquire(ctx)
 	if err != nil {
-		e.fail(ctx, err)
+		e.refuseRequest(ctx, err)
 		return false
 	}
-	outcome := e.try(ctx, lease)
+	outcome := e.sendTo(ctx, lease)
 	if outcome == verdictContinue {
-		lease, outcome = e.goOn(ctx, lease)
+		lease, outcome = e.continueRun(ctx, lease)
 	}
-	if e.over(lease, outcome) {
+	if e.conclude(lease, outcome) {
 		return false
 	}
 	e.record(decision.RequestTriedAgain, lease, e.reason)
 	e.tried = append(e.tried, lease.ID)
-	if held := e.held(); held != nil {
-		e.fail(ctx, held)
+	if refusal := e.quarantined(); refusal != nil {
+		e.refuseRequest(ctx, refusal)
 		return false
 	}
-	if !e.mayTryAgain() {
-		e.fail(ctx, fault.New(fault.Unavailable, "no server answered the request", "come back later").WithRetryAfter(shortestReturn))
+	if !e.mayRetry() {
+		e.refuseRequest(ctx, fault.New(fault.Unavailable, "no server answered the request", "come back later").WithRetryAfter(minRetryAfter))
 		return false
 	}
 	return true
 }
 
-// acquire waits for a server with room.
+// acquire waits for a server with capacity.
 func (e *exchange) acquire(ctx context.Context) (*Lease, error) {
 	asked := time.Now()
-	lease, err := e.router.dispatcher.Acquire(ctx, e.ask())
+	lease, err := e.router.dispatcher.Acquire(ctx, e.acquireRequest())
 	e.waited += time.Since(asked)
 	if err != nil {
 		return nil, err
 	}
-	if held := e.held(); held != nil {
-		// It became known while the request waited for room.
+	if refusal := e.quarantined(); refusal != nil {
+		// The fingerprint may have been quarantined while the request waited.
 		lease.MarkNotRun()
 		lease.Abandon()
-		return nil, held
+		return nil, refusal
 	}
 	return lease, nil
 }
 
-// over ends a request of which the client has all that it will get, and tells whether it has.
-func (e *exchange) over(lease *Lease, outcome verdict) bool {
+// conclude ends a request whose response is complete or broken. It returns false if another
+// server may be tried.
+func (e *exchange) conclude(lease *Lease, outcome verdict) bool {
 	switch outcome {
 	case verdictFinished:
-		lease.RecordEvents(e.relayed.Last())
+		lease.RecordEvents(e.relayedEvents.Last())
 		e.record(decision.RequestFinished, lease, "")
 		return true
-	case verdictGone:
-		e.recordGone(lease)
-		// Nobody reads the answer, but it must not end as if it were whole.
+	case verdictClientGone:
+		e.recordClientGone(lease)
+		// An incomplete response must not look complete, even if the client is gone.
 		panic(http.ErrAbortHandler)
 	case verdictBroken:
 		e.record(decision.RequestBroken, lease, e.reason)
@@ -204,143 +202,143 @@
 	return false
 }
 
-// ask is what the request wants of its service now.
-func (e *exchange) ask() AcquireRequest {
-	ask := AcquireRequest{
-		Service: e.service, Demand: balance.Demand{Parts: e.facts.Parts}, Priority: e.priority(),
+// acquireRequest returns the current request for a server.
+func (e *exchange) acquireRequest() AcquireRequest {
+	request := AcquireRequest{
+		Service: e.service, Demand: balance.Demand{Parts: e.info.Parts}, Priority: e.priority(),
 		Tenant:  waiting.Tenant{Name: e.tenant.GetName(), Weight: e.tenant.GetWeight()},
-		StartBy: e.onTimeUntil(), Tried: e.tried, MaxWait: e.patience(),
-		Remaining: time.Until(e.ends), LastAttempt: e.sent > 0 || !returning.AsksFirst(e.whole, e.facts.Timeout),
+		StartBy: e.startBy(), Tried: e.tried, MaxWait: e.maxWait(),
+		Remaining: time.Until(e.deadline), LastAttempt: e.sent > 0 || !returning.AsksFirst(e.totalTimeout, e.info.Timeout),
 	}
 	if e.router.gates.On(gate.Returns) {
-		ask.FirstAsked = e.firstTry()
+		request.FirstAsked = e.firstAsked()
 	}
-	return ask
+	return request
 }
 
-// firstTry is since when the client has been asking, as far as it shows.
-func (e *exchange) firstTry() time.Time {
+// firstAsked estimates when the client first sent the request.
+func (e *exchange) firstAsked() time.Time {
 	if !e.router.gates.On(gate.Returns) {
 		return e.received
 	}
-	return returning.FirstTry(e.received, e.whole, e.facts.Timeout)
+	return returning.FirstTry(e.received, e.totalTimeout, e.info.Timeout)
 }
 
 func (e *exchange) priority() waiting.Priority {
 	return waiting.Priority{Tenant: e.tenant.GetPriority(), Route: e.route.GetPriority()}
 }
 
-// patience is how long the request may wait at most now.
-func (e *exchange) patience() time.Duration {
-	return time.Duration(patiencePart * float64(time.Until(e.ends)))
+// maxWait returns how long the request may wait from now.
+func (e *exchange) maxWait() time.Duration {
+	return time.Duration(maxWaitFraction * float64(time.Until(e.deadline)))
 }
 
-// ofGoal is a part of the route's goal.
-func (e *exchange) ofGoal(part float64) time.Duration {
-	return time.Duration(part * float64(time.Duration(e.route.GetGoalMs())*time.Millisecond))
+// goalFraction returns a fraction of the route's goal.
+func (e *exchange) goalFraction(fraction float64) time.Duration {
+	return time.Duration(fraction * float64(time.Duration(e.route.GetGoalMs())*time.Millisecond))
 }
 
-// onTimeUntil is until when the request may begin at a server and be answered in time.
-func (e *exchange) onTimeUntil() time.Time {
-	return e.firstTry().Add(e.ofGoal(onTimePart))
+// startBy returns the latest start at a server that still meets the goal.
+func (e *exchange) startBy() time.Time {
+	return e.firstAsked().Add(e.goalFraction(startByFraction))
 }
 
-// takeRate takes the request out of its tenant's rate. Where no owner answers soon, a client
-// that may come back is told to; for one that has come back the owner is asked on.
+// takeRate takes the request from its tenant's rate limit. If the owner does not respond soon, a
+// client that may retry is refused; otherwise the owner is asked again.
 func (e *exchange) takeRate(ctx context.Context) error {
 	began := time.Now()
 	defer func() { e.waited += time.Since(began) }()
-	err := e.router.rates.Take(ctx, e.tenant, e.number, max(leastOwnerPatience, e.ofGoal(ownerPatiencePart)), e.turn())
-	for err != nil && !e.mayComeBack() && e.awaitRate(ctx, fault.From(err)) {
-		err = e.router.rates.Take(ctx, e.tenant, e.number, e.patience(), e.turn())
+	err := e.router.rates.Take(ctx, e.tenant, e.configNumber, max(minOwnerWait, e.goalFraction(ownerWaitFraction)), e.rateTurn())
+	for err != nil && !e.clientMayRetry() && e.awaitRate(ctx, fault.From(err)) {
+		err = e.router.rates.Take(ctx, e.tenant, e.configNumber, e.maxWait(), e.rateTurn())
 	}
 	return err
 }
 
-// turn is how the request goes before others of its tenant now.
-func (e *exchange) turn() rateclient.Turn {
+// rateTurn returns the order of the request among others of its tenant.
+func (e *exchange) rateTurn() rateclient.Turn {
 	if e.route.GetGoalMs() == 0 || !e.router.gates.On(gate.Returns) {
 		return rateclient.Turn{}
 	}
-	left := time.Until(e.onTimeUntil())
-	return rateclient.Turn{Late: left <= 0, Wait: max(0, min(left, turnWait))}
+	left := time.Until(e.startBy())
+	return rateclient.Turn{Late: left <= 0, Wait: max(0, min(left, maxTurnWait))}
 }
 
-// awaitRate waits for as long as the refusal of a request says that its tenant's rate needs,
-// and tells whether to ask again: not where that is longer than the request may wait.
+// awaitRate waits until the tenant's rate limit allows the request and reports whether to ask
+// again, which is not the case if the request may not wait that long.
 func (e *exchange) awaitRate(ctx context.Context, refusal *fault.Fault) bool {
 	if refusal.Kind == fault.LimitReached {
-		return refusal.RetryAfter <= e.patience() && retry.Pause(ctx, refusal.RetryAfter)
+		return refusal.RetryAfter <= e.maxWait() && retry.Pause(ctx, refusal.RetryAfter)
 	}
-	return e.patience() > leastOwnerPatience && retry.Pause(ctx, shortestReturn)
+	return e.maxWait() > minOwnerWait && retry.Pause(ctx, minRetryAfter)
 }
 
-// refuseUncounted answers a request that its tenant's rate has no room for, or whose owner
-// did not answer. Nothing was taken that could be given back.
-func (e *exchange) refuseUncounted(failure *fault.Fault) {
+// refuseByRate refuses a request that exceeds its tenant's rate limit or whose owner did not
+// respond. There is nothing to give back to the limit.
+func (e *exchange) refuseByRate(failure *fault.Fault) {
 	status := failure.Kind.HTTPStatus()
 	if failure.Kind == fault.Unavailable {
-		failure = failure.WithRetryAfter(boundReturn(failure.RetryAfter, time.Until(e.ends)))
+		failure = failure.WithRetryAfter(boundRetryAfter(failure.RetryAfter, time.Until(e.deadline)))
 	}
 	e.recordRefusal(status, failure)
-	refuse(e.writer, status, failure)
+	writeErrorStatus(e.writer, status, failure)
 }
 
-// mayComeBack tells whether the client has all of its time left: it is told early
-// to come back, and is in time then. One that has come back waits instead.
-func (e *exchange) mayComeBack() bool {
-	return e.facts.Timeout > 0 && returning.AsksFirst(e.whole, e.facts.Timeout)
+// clientMayRetry reports whether the client has all of its time left, so that a retry is still in
+// time. A client that is retrying already has to wait instead.
+func (e *exchange) clientMayRetry() bool {
+	return e.info.Timeout > 0 && returning.AsksFirst(e.totalTimeout, e.info.Timeout)
 }
 
-// mayTryAgain tells whether another server may be tried.
-func (e *exchange) mayTryAgain() bool {
+// mayRetry reports whether another server may be tried.
+func (e *exchange) mayRetry() bool {
 	attempts := max(1, int(e.route.GetAttempts()))
 	if e.sent > 0 && !e.repeatable() {
 		return false
 	}
-	return e.sent < attempts && e.refused <= refusalLimit && e.misdirected <= misdirectedLimit && time.Until(e.ends) > 0
+	return e.sent < attempts && e.refused <= maxRefusals && e.misdirected <= maxMisdirected && time.Until(e.deadline) > 0
 }
 
-// try sends the request to one server.
-func (e *exchange) try(ctx context.Context, lease *Lease) verdict {
-	e.copyRun(lease)
+// sendTo sends the request to a server and handles the response.
+func (e *exchange) sendTo(ctx context.Context, lease *Lease) verdict {
+	e.planCopy(lease)
 	e.request.Header = e.header.Clone()
-	e.router.protocol.Prepare(e.request.Header, e.copy.address(AttemptInfo{
-		ServerID: lease.ID, Remaining: time.Until(e.ends), ResumeAfter: e.relayed.String(), Tenant: e.tenant.GetName(),
+	e.router.protocol.Prepare(e.request.Header, e.runCopy.addTo(AttemptInfo{
+		ServerID: lease.ID, Remaining: time.Until(e.deadline), ResumeAfter: e.relayedEvents.String(), Tenant: e.tenant.GetName(),
 	}))
-	trying, end := e.watched(ctx, lease)
+	attemptContext, end := e.watchAttempt(ctx, lease)
 	defer end()
 	began := time.Now()
-	e.trySent = began
-	response, err := e.router.client.Do(trying, lease.Address, &e.request, 0)
+	e.attemptSentAt = began
+	response, err := e.router.client.Do(attemptContext, lease.Address, &e.request, 0)
 	if err != nil {
-		return e.tryFailed(ctx, lease, err)
+		return e.handleSendError(ctx, lease, err)
 	}
-	judgement := e.router.protocol.ParseResponse(response.Status, response.Header)
-	if judgement.Load != nil {
-		lease.RecordLoad(*judgement.Load)
+	info := e.router.protocol.ParseResponse(response.Status, response.Header)
+	if info.Load != nil {
+		lease.RecordLoad(*info.Load)
 	}
-	if judgement.Misdirected {
+	if info.Misdirected {
 		e.misdirected++
 		e.reason = "another server has the address"
 		response.Discard()
 		lease.MarkNotRun()
 		lease.DoneMisdirected()
-		return verdictElsewhere
+		return verdictRetry
 	}
-	if judgement.NotRun {
+	if info.NotRun {
 		e.refused++
 		e.reason = "the server says that it did not run the request, status " + strconv.Itoa(response.Status)
 		response.Discard()
 		lease.MarkNotRun()
 		lease.Done(health.Refused, 0)
-		return verdictElsewhere
+		return verdictRetry
 	}
 	e.sent++
-	return e.answer(ctx, lease, response, time.Since(began))
+	return e.handleResponse(ctx, lease, response, time.Since(began))
 }
 
-func (e *exchange) tryFailed(ctx context.Context, lease *Lease, err error) verdict {
+func (e *exchange) handleSendError(ctx context.Context, lease *Lease, err error) verdict {
 	e.reason = err.Error()
 	var failure *upstream.AttemptError
 	notRun := errors.As(err, &failure) && failure.Ran() == fault.NotRun
@@ -354,71 +352,71 @@
 	case ctx.Err() == nil:
 		lease.Done(health.Failure, 0)
 		if !notRun {
-			e.broke(lease, err)
+			e.reportConnectionLost(lease, err)
 		}
 	case notRun, errors.Is(ctx.Err(), context.Canceled):
 		lease.Abandon()
 	default:
 		lease.Done(health.Timeout, 0)
 	}
-	if e.started && !e.mayTryAgain() {
+	if e.headSent && !e.mayRetry() {
 		return verdictBroken
 	}
-	return verdictElsewhere
+	return verdictRetry
 }
 
-// answer passes an answer on.
-func (e *exchange) answer(ctx context.Context, lease *Lease, response *upstream.Response, latency time.Duration) verdict {
+// handleResponse relays a response or decides to try another server.
+func (e *exchange) handleResponse(ctx context.Context, lease *Lease, response *upstream.Response, latency time.Duration) verdict {
 	failed := response.Status >= http.StatusInternalServerError
-	if failed && e.repeatable() && e.mayTryAgain() {
+	if failed && e.repeatable() && e.mayRetry() {
 		e.reason = "the server answered " + strconv.Itoa(response.Status)
 		response.Discard()
 		lease.Done(health.Failure, latency)
-		return verdictElsewhere
+		return verdictRetry
 	}
-	if e.started && (response.Status != http.StatusOK || !isEventStream(response.Header)) {
+	if e.headSent && (response.Status != http.StatusOK || !isEventStream(response.Header)) {
 		response.Abandon()
 		lease.Done(health.Failure, latency)
-		return e.afterBreak()
+		return e.verdictAfterBreak()
 	}
 	if isEventStream(response.Header) && !failed {
-		return e.relayEvents(ctx, lease, response, latency)
+		return e.relayStream(ctx, lease, response, latency)
 	}
-	return e.relayWhole(ctx, lease, response, latency)
+	return e.relayResponse(ctx, lease, response, latency)
 }
 
-// afterBreak decides about a request whose answer broke off.
-func (e *exchange) afterBreak() verdict {
+// verdictAfterBreak returns the verdict on a request whose response broke.
+func (e *exchange) verdictAfterBreak() verdict {
 	switch {
-	case e.mayTryAgain():
-		return verdictElsewhere
-	case e.started:
+	case e.mayRetry():
+		return verdictRetry
+	case e.headSent:
 		return verdictBroken
 	}
-	return verdictElsewhere
+	return verdictRetry
 }
 
-// fail ends the request with an answer of the router's own, at once.
-func (e *exchange) fail(ctx context.Context, err error) {
-	if e.started {
+// refuseRequest ends the request with an error of the router itself.
+func (e *exchange) refuseRequest(ctx context.Context, err error) {
+	if e.headSent {
 		panic(http.ErrAbortHandler)
 	}
-	status, failure := e.failure(ctx, fault.From(err))
+	status, failure := e.refusal(ctx, fault.From(err))
 	if e.sent == 0 {
 		e.router.rates.GiveBack(e.tenant)
 	}
 	e.recordRefusal(status, failure)
-	refuse(e.writer, status, failure)
+	writeErrorStatus(e.writer, status, failure)
 }
 
-// failure is the answer to a request that no server has answered: what may have
-// run is never said to have not run.
-func (e *exchange) failure(ctx context.Context, cause *fault.Fault) (int, *fault.Fault) {
+// refusal returns the error for a request without a response. A request that may have run is
+// never reported as not run.
+func (e *exchange) refusal(ctx context.Context, cause *fault.Fault) (int, *fault.Fault) {
 	switch {
 	case e.sent > 0 && errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return http.StatusGatewayTimeout, fault.New(fault.OutcomeUnknown, "the time for the request is over", "ask for more time").WithRan(fault.RanUnknown)
+		return http.StatusGatewayTimeout, fault.New(fault.OutcomeUnknown, "the request timed out", "use a longer timeout").WithRan(fault.RanUnknown)
 	case e.sent > 0 && !e.repeatable():
-		// It may have run: nobody is asked to send it again.
+		// It may have run, so the client must not retry it.
 		return http.StatusBadGateway, cause.WithRan(fault.RanUnknown).WithRetryAfter(0)
 	case e.sent > 0:
 		return http.StatusBadGateway, cause.WithRan(fault.RanUnknown)
@@ -426,6 +424,6 @@
 	if cause.Kind == fault.Quarantined {
 		return cause.Kind.HTTPStatus(), cause
 	}
-	comeBack := boundReturn(cause.RetryAfter, time.Until(e.ends))
-	return http.StatusServiceUnavailable, cause.WithRan(fault.NotRun).WithRetryAfter(comeBack)
+	retryAfter := boundRetryAfter(cause.RetryAfter, time.Until(e.deadline))
+	return http.StatusServiceUnavailable, cause.WithRan(fault.NotRun).WithRetryAfter(retryAfter)
 }
--- a/internal/router/export_test.go
+++ b/internal/router/export_test.go
@@ -8,44 +8,44 @@
 	"rockwind.example/rockwind/internal/loadshare"
 )
 
-// LoadSource is what the dispatcher tells other processes, and takes from them.
+// LoadSource returns the source of the loads that the dispatcher shares.
 func (d *Dispatcher) LoadSource() loadshare.Source { return loadSource{d} }
 
-// RunSurvey has the servers of a directory asked as after a start.
+// RunSurvey surveys the servers of a directory as after a start.
 var RunSurvey = (*Dispatcher).runSurvey
 
-// QueueLen is how many requests wait for a service.
+// QueueLen returns how many requests wait for a service.
 func (d *Dispatcher) QueueLen(service string) int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.service(service).waiting.Len()
+	return d.poolOf(service).waiting.Len()
 }
 
-// Pace has the dispatcher be one of so many processes whose loads are so old.
-func (d *Dispatcher) Pace(service string, processes int, viewAge time.Duration) {
+// SetProcesses sets the number of online processes and the age of their shared loads.
+func (d *Dispatcher) SetProcesses(service string, processes int, viewAge time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	pool := d.service(service).pool
+	pool := d.poolOf(service).pool
 	pool.SetOnlineProcesses(processes)
 	pool.SetViewAge(viewAge)
 }
 
-// SubmissionEnds is when the stores' time for a job ends that was received at a time from a
-// client that waits for so long, and whether it does.
-func SubmissionEnds(received time.Time, deadline time.Duration) (time.Time, bool) {
-	submitted := &submission{facts: RequestInfo{Timeout: deadline}, received: received}
-	ctx, cancel := submitted.untilDeadline(context.Background())
+// SubmissionEnds returns the deadline for submitting a job to the stores, if there is one, for a
+// client with the given timeout.
+func SubmissionEnds(received time.Time, timeout time.Duration) (time.Time, bool) {
+	submitted := &submission{info: RequestInfo{Timeout: timeout}, received: received}
+	ctx, cancel := submitted.withDeadline(context.Background())
 	defer cancel()
 	return ctx.Deadline()
 }
 
-// AnswerMargin is the least time that stores have for a job.
+// AnswerMargin is the least time that the stores have for a submission.
 const AnswerMargin = answerMargin
 
-// SubmissionComesBack is when a client is told to come back whose job was received at a time and
-// is refused with the given time to come back.
-func SubmissionComesBack(received time.Time, deadline, told time.Duration) time.Duration {
-	submitted := &submission{facts: RequestInfo{Timeout: deadline}, received: received}
-	refusal := fault.New(fault.Unavailable, "no store", "come back").WithRetryAfter(told)
-	return fault.From(submitted.withinReach(refusal)).RetryAfter
+// SubmissionRetryAfter returns the Retry-After of a refused submission whose refusal had the
+// given one.
+func SubmissionRetryAfter(received time.Time, timeout, refusalRetryAfter time.Duration) time.Duration {
+	submitted := &submission{info: RequestInfo{Timeout: timeout}, received: received}
+	refusal := fault.New(fault.Unavailable, "no store", "come back").WithRetryAfter(refusalRetryAfter)
+	return fault.From(submitted.withBoundedRetryAfter(refusal)).RetryAfter
 }
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -11,16 +11,16 @@
 	"rockwind.example/rockwind/internal/sitemetrics"
 )
 
-// heldBackInterval is the time between lines about tenants that others go before.
+// heldBackInterval is the time between log records about held-back tenants.
 const heldBackInterval = time.Second
 
-// recordHeldBack writes which tenants others go before. The mutex is held; writing does not
-// block.
+// recordHeldBack records which tenants are held back in favor of others. The caller holds
+// d.mutex; recording does not block.
 func (d *Dispatcher) recordHeldBack() {
-	if !d.gates.On(gate.FairShare) || d.now()-d.heldAt < heldBackInterval {
+	if !d.gates.On(gate.FairShare) || d.now()-d.heldBackRecordedAt < heldBackInterval {
 		return
 	}
-	d.heldAt = d.now()
+	d.heldBackRecordedAt = d.now()
 	for _, pool := range d.pools {
 		for _, held := range pool.heldBack(d.now()) {
 			held.record()
@@ -28,7 +28,7 @@
 	}
 }
 
-// Waiting lists what waits here for the servers of each service, for the metrics.
+// Waiting lists the requests that wait at this process for each service, for metrics.
 func (d *Dispatcher) Waiting() []sitemetrics.Waiting {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -47,46 +47,46 @@
 	return all
 }
 
-// heldTenant is a tenant whose requests wait behind those of others.
-type heldTenant struct {
+// heldBackTenant is a tenant whose requests wait behind those of other tenants.
+type heldBackTenant struct {
 	service string
 	tenant  string
-	// waiting is how many of its requests wait here, and virtual how much it had lately,
-	// here and elsewhere, over its weight.
-	waiting int
-	virtual float64
-	// others is how many requests of other tenants wait here.
+	// waiting counts its requests that wait here. weightedUsage is its recent usage at all
+	// processes divided by its weight.
+	waiting       int
+	weightedUsage float64
+	// others counts the waiting requests of other tenants.
 	others int
 }
 
-// heldBack lists the tenants that others go before here: of each class in which several wait,
-// the one that had most.
-func (p *servicePool) heldBack(now time.Duration) []heldTenant {
+// heldBack lists the tenants with the highest weighted usage, one for each priority at which
+// several tenants wait.
+func (p *servicePool) heldBack(now time.Duration) []heldBackTenant {
 	if !p.scarce {
 		return nil
 	}
-	var held []heldTenant
-	for priority, waits := range p.waitsOf() {
+	var held []heldBackTenant
+	for priority, waits := range p.waitingCounts() {
 		if len(waits) < 2 {
 			continue
 		}
 		class := p.class(priority)
-		most := heldTenant{service: p.name, virtual: -1}
+		most := heldBackTenant{service: p.name, weightedUsage: -1}
 		for tenant, waiting := range waits {
-			virtual := class.ledger.Virtual(tenant, class.weight(tenant), now)
-			if virtual > most.virtual || (virtual == most.virtual && tenant < most.tenant) {
-				most.tenant, most.waiting, most.virtual = tenant, waiting, virtual
+			usage := class.ledger.Virtual(tenant, class.weight(tenant), now)
+			if usage > most.weightedUsage || (usage == most.weightedUsage && tenant < most.tenant) {
+				most.tenant, most.waiting, most.weightedUsage = tenant, waiting, usage
 			}
 		}
-		most.others = sumOf(waits) - most.waiting
+		most.others = sumCounts(waits) - most.waiting
 		held = append(held, most)
 	}
 	return held
 }
 
-// record writes that others go before the tenant.
-func (h heldTenant) record() {
+// record writes a decision record about the tenant.
+func (h heldBackTenant) record() {
 	decision.Default.Record(decision.TenantHeldBack, h.tenant, log.Fields{
-		"service": h.service, "waiting": h.waiting, "others_waiting": h.others, "tokens_lately": int(h.virtual),
+		"service": h.service, "waiting": h.waiting, "others_waiting": h.others, "tokens_lately": int(h.weightedUsage),
 	})
 }
--- a/internal/router/lookout.go
+++ b/internal/router/lookout.go
@@ -11,69 +11,69 @@
 )
 
 const (
-	// quietPart is the part of the longest good pause of a stream after which its server is
-	// looked at: what is left is for the look, and for the way to another server, so that the
-	// client sees no pause beyond the good one.
-	quietPart = 0.5
-	// latePart is the same for a stream that can go on nowhere, so that servers that keep to the
-	// good pause are never looked at. With lookPart the client knows within twice that pause.
-	latePart = 1
-	// lookPart is the part of that pause within which a server that is in reach takes a
-	// connection, and leastLook the least time for it: machines in another zone that are busy
+	// silenceFraction is the fraction of the stream's pause goal after which a silent server is
+	// probed. The rest is left for the probe and for continuing at another server, so that the
+	// client sees no pause longer than the goal.
+	silenceFraction = 0.5
+	// lateSilenceFraction is the same for a stream that cannot continue elsewhere. Servers that
+	// keep to the pause goal are never probed, and with probeFraction the client learns of a
+	// failure within twice the goal.
+	lateSilenceFraction = 1
+	// probeFraction is the fraction of the pause goal within which a reachable server accepts a
+	// connection, and minProbeTimeout the shortest time for it: busy machines in another zone
 	// take some tens of milliseconds.
-	lookPart  = 0.25
-	leastLook = 100 * time.Millisecond
-	// lookAgain is the time between looks at a server that says nothing but is in reach, or
-	// finishes what it has: it is slow, and each look costs it a connection.
-	lookAgain = time.Second
-	// neverYet is longer than any request, for a timer that is not to run yet.
-	neverYet = time.Hour
+	probeFraction   = 0.25
+	minProbeTimeout = 100 * time.Millisecond
+	// probeInterval is the time between probes of a server that is silent but reachable: each
+	// probe costs it a connection.
+	probeInterval = time.Second
+	// disarmed is longer than any request, for a timer that is stopped right after its creation.
+	disarmed = time.Hour
 )
 
-// errServerDark ends a try whose server is out of reach.
-var errServerDark = errors.New("the server says nothing and is out of reach")
+// errServerUnreachable cancels an attempt whose server is unreachable.
+var errServerUnreachable = errors.New("server is silent and unreachable")
 
-// Watchdog watches the server of a stream that may run once. It ends the context of the
-// try once the server says nothing and is out of reach, or has ended. A server that says nothing
-// but takes connections may be slow, and is waited for.
+// Watchdog watches the server of a stream that must not run twice. It cancels the context of the
+// attempt once the server is silent and either unreachable or known to have ended. A server that
+// is silent but accepts connections may be slow and is waited for.
 type Watchdog struct {
-	client  *upstream.Client
-	address string
-	pause   time.Duration
-	// quiet is the part of the pause after which the server is looked at.
-	quiet float64
-	// ended tells whether a server that is in reach has ended, by what a look shows.
+	client    *upstream.Client
+	address   string
+	pauseGoal time.Duration
+	// silence is the fraction of pauseGoal after which the server is probed.
+	silence float64
+	// ended reports whether a reachable server has ended, given the result of a probe.
 	ended  func(reach upstream.Reach) bool
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 	timer  *time.Timer
 
 	mutex sync.Mutex
-	// heard counts the calls of Heard and Hold: a look that spans one shows nothing.
-	heard uint64
+	// resets counts the calls of Reset and Suspend: a probe that overlaps one proves nothing.
+	resets uint64
 }
 
-// NewWatchdog returns a lookout for the server at an address, whose longest good pause is
-// given; zero is none, and then nothing is looked at. It looks at the server from the first
-// call of Heard on.
-func NewWatchdog(ctx context.Context, client *upstream.Client, address string, pause time.Duration) *Watchdog {
-	trying, cancel := context.WithCancelCause(ctx)
-	created := &Watchdog{client: client, address: address, pause: pause, quiet: quietPart, ended: refuses, ctx: trying, cancel: cancel}
-	created.timer = time.AfterFunc(neverYet, created.look)
+// NewWatchdog returns a watchdog for the server at an address. The server is probed when it is
+// silent after the first call of Reset; a zero pause goal disables probing.
+func NewWatchdog(ctx context.Context, client *upstream.Client, address string, pauseGoal time.Duration) *Watchdog {
+	attemptContext, cancel := context.WithCancelCause(ctx)
+	created := &Watchdog{client: client, address: address, pauseGoal: pauseGoal, silence: silenceFraction, ended: isRefused, ctx: attemptContext, cancel: cancel}
+	created.timer = time.AfterFunc(disarmed, created.probe)
 	created.timer.Stop()
 	return created
 }
 
-// refuses tells whether nobody listens at the address any more.
-func refuses(reach upstream.Reach) bool { return reach == upstream.ReachRefused }
+// isRefused reports whether the server refused the connection.
+func isRefused(reach upstream.Reach) bool { return reach == upstream.ReachRefused }
 
-// NewLateWatchdog is NewLookout for a stream that can go on nowhere: its server, an incarnation of
-// the directory, is looked at only after the whole good pause. A planned stop closes the
-// listener and finishes the open streams, so that a refusal ends nothing unless the directory
-// calls the server ended. The view may be nil: nothing is known then.
-func NewLateWatchdog(ctx context.Context, client *upstream.Client, view func() *directory.View, id, address string, pause time.Duration) *Watchdog {
-	created := NewWatchdog(ctx, client, address, pause)
-	created.quiet = latePart
+// NewLateWatchdog returns a watchdog for a stream that cannot continue elsewhere. It probes the
+// server, an incarnation of the directory, only after the full pause goal. A planned stop closes
+// the listener and finishes the open streams, so a refused connection counts only if the
+// directory says that the server has ended. The view may be nil while no directory is known.
+func NewLateWatchdog(ctx context.Context, client *upstream.Client, view func() *directory.View, id, address string, pauseGoal time.Duration) *Watchdog {
+	created := NewWatchdog(ctx, client, address, pauseGoal)
+	created.silence = lateSilenceFraction
 	created.ended = func(reach upstream.Reach) bool {
 		known := view()
 		switch {
@@ -87,59 +87,62 @@
 	return created
 }
 
-// Context is that of the try.
-func (l *Watchdog) Context() context.Context { return l.ctx }
-
-// Reset notes that the server has sent something. A look in progress is void by it.
-func (l *Watchdog) Reset() {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.heard++
-	if l.pause > 0 {
-		l.timer.Reset(l.of(l.quiet))
+// Context returns the context of the attempt.
+func (w *Watchdog) Context() context.Context { return w.ctx }
+
+// Reset restarts the silence timer after the server has sent something, and voids a probe in
+// progress.
+func (w *Watchdog) Reset() {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	w.resets++
+	if w.pauseGoal > 0 {
+		w.timer.Reset(w.ofGoal(w.silence))
 	}
 }
 
-// Suspend has the server not be looked at until Heard: the router does not read from it, so that
-// its silence shows nothing. A look in progress is void by it.
-func (l *Watchdog) Suspend() {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.heard++
-	l.timer.Stop()
+// Suspend stops probing until the next Reset, while the router does not read from the server. It
+// voids a probe in progress.
+func (w *Watchdog) Suspend() {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	w.resets++
+	w.timer.Stop()
 }
 
-func (l *Watchdog) of(part float64) time.Duration { return time.Duration(part * float64(l.pause)) }
-
-// look ends the try where the server is out of reach, and has not spoken since the look began.
-func (l *Watchdog) look() {
-	l.mutex.Lock()
-	before := l.heard
-	l.mutex.Unlock()
-	reach := l.client.Reach(l.ctx, l.address, max(leastLook, l.of(lookPart)))
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+func (w *Watchdog) ofGoal(f float64) time.Duration { return time.Duration(f * float64(w.pauseGoal)) }
+
+// probe cancels the attempt if the server has ended or is unreachable and has sent nothing since
+// the probe began.
+func (w *Watchdog) probe() {
+	w.mutex.Lock()
+	resets := w.resets
+	w.mutex.Unlock()
+	reach := w.client.Reach(w.ctx, w.address, max(minProbeTimeout, w.ofGoal(probeFraction)))
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
 	switch {
-	case l.heard != before || l.ctx.Err() != nil:
-	case l.shows(reach):
-		l.cancel(errServerDark)
+	case w.resets != resets || w.ctx.Err() != nil:
+	case w.showsServerEnded(reach):
+		w.cancel(errServerUnreachable)
 	default:
-		l.timer.Reset(lookAgain)
+		w.timer.Reset(probeInterval)
 	}
 }
 
-// shows tells whether a look shows that nothing more comes of the server.
-func (l *Watchdog) shows(reach upstream.Reach) bool {
-	return reach == upstream.ReachSilent || l.ended(reach)
+// showsServerEnded reports whether the result of a probe means that the server sends nothing
+// more.
+func (w *Watchdog) showsServerEnded(reach upstream.Reach) bool {
+	return reach == upstream.ReachSilent || w.ended(reach)
 }
 
-// Unreachable tells whether the server was found out of reach.
-func (l *Watchdog) Unreachable() bool { return errors.Is(context.Cause(l.ctx), errServerDark) }
+// Unreachable reports whether the watchdog has canceled the attempt.
+func (w *Watchdog) Unreachable() bool { return errors.Is(context.Cause(w.ctx), errServerUnreachable) }
 
-// Stop ends the watch, and the context.
-func (l *Watchdog) Stop() {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.timer.Stop()
-	l.cancel(nil)
+// Stop stops the watchdog and cancels the context.
+func (w *Watchdog) Stop() {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	w.timer.Stop()
+	w.cancel(nil)
 }
--- a/internal/router/lookout_test.go
+++ b/internal/router/lookout_test.go
@@ -13,13 +13,13 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// lookedAt returns a lookout for a server that answers connections in the given way.
-func lookedAt(ctx context.Context, dial upstream.DialFunc) *router.Watchdog {
+// watchdogFor returns a watchdog for a server with the given dial function.
+func watchdogFor(ctx context.Context, dial upstream.DialFunc) *router.Watchdog {
 	return router.NewWatchdog(ctx, upstream.NewClientWithDial(dial), "10.0.0.1:1", 300*time.Millisecond)
 }
 
-// outOfReach answers nothing.
-func outOfReach(ctx context.Context, _ string) (net.Conn, error) {
+// unreachable never connects.
+func unreachable(ctx context.Context, _ string) (net.Conn, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
@@ -33,29 +33,29 @@
 	return near, nil
 }
 
-func broken(context.Context, string) (net.Conn, error) { return nil, errors.New("no descriptors") }
+func dialFails(context.Context, string) (net.Conn, error) { return nil, errors.New("no descriptors") }
 
-func TestTryEndsWhereItsServerIsOutOfReach(t *testing.T) {
+func TestWatchdogCancelsAttemptOfUnreachableServer(t *testing.T) {
 	for name, test := range map[string]struct {
-		dial upstream.DialFunc
-		dark bool
+		dial     upstream.DialFunc
+		canceled bool
 	}{
-		"out of reach": {outOfReach, true}, "refuses": {refuses, true}, "listens": {listens, false}, "unclear": {broken, false},
+		"out of reach": {unreachable, true}, "refuses": {refuses, true}, "listens": {listens, false}, "unclear": {dialFails, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				lookout := lookedAt(t.Context(), test.dial)
-				defer lookout.Stop()
+				watchdog := watchdogFor(t.Context(), test.dial)
+				defer watchdog.Stop()
 				began := time.Now()
-				lookout.Reset()
+				watchdog.Reset()
 				select {
-				case <-lookout.Context().Done():
+				case <-watchdog.Context().Done():
 				case <-time.After(5 * time.Second):
 				}
-				if lookout.Unreachable() != test.dark {
-					t.Fatalf("dark: %v after %v", lookout.Unreachable(), time.Since(began))
+				if watchdog.Unreachable() != test.canceled {
+					t.Fatalf("unreachable: %v after %v", watchdog.Unreachable(), time.Since(began))
 				}
-				if took := time.Since(began); test.dark && took > 250*time.Millisecond {
+				if took := time.Since(began); test.canceled && took > 250*time.Millisecond {
 					t.Errorf("it took %v; the client sees a pause of 300 ms", took)
 				}
 			})
@@ -63,48 +63,48 @@
 	}
 }
 
-func TestServerThatIsHeardIsNotLookedAt(t *testing.T) {
+func TestWatchdogDoesNotProbeActiveServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		looks := 0
-		lookout := lookedAt(t.Context(), func(ctx context.Context, address string) (net.Conn, error) {
-			looks++
+		probes := 0
+		watchdog := watchdogFor(t.Context(), func(ctx context.Context, address string) (net.Conn, error) {
+			probes++
 			return refuses(ctx, address)
 		})
-		// Nothing is looked at before the first piece, in time or not.
+		// There is no probe before the first Reset.
 		time.Sleep(time.Second)
 		for range 20 {
-			lookout.Reset()
+			watchdog.Reset()
 			time.Sleep(100 * time.Millisecond)
 		}
-		lookout.Stop()
+		watchdog.Stop()
 		time.Sleep(time.Second)
-		if looks != 0 || lookout.Unreachable() {
-			t.Errorf("%d looks", looks)
+		if probes != 0 || watchdog.Unreachable() {
+			t.Errorf("%d probes", probes)
 		}
 	})
 }
 
-// TestLookOfARequestThatIsOverShowsNothing: the client leaves during the look.
-func TestLookOfARequestThatIsOverShowsNothing(t *testing.T) {
+// TestWatchdogIgnoresProbeOfCanceledRequest cancels the request during a probe.
+func TestWatchdogIgnoresProbeOfCanceledRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, leave := context.WithCancel(t.Context())
-		lookout := lookedAt(ctx, outOfReach)
-		defer lookout.Stop()
-		lookout.Reset()
+		ctx, cancel := context.WithCancel(t.Context())
+		watchdog := watchdogFor(ctx, unreachable)
+		defer watchdog.Stop()
+		watchdog.Reset()
 		time.Sleep(160 * time.Millisecond)
-		leave()
+		cancel()
 		synctest.Wait()
-		if lookout.Unreachable() {
-			t.Error("the server is taken for one that is out of reach")
+		if watchdog.Unreachable() {
+			t.Error("the server counts as unreachable")
 		}
 	})
 }
 
-// TestLookIsVoidWhereTheServerSpeaksMeanwhile: the connection of the look gets no answer, but
-// the stream goes on, so that the server may still work on it.
-func TestLookIsVoidWhereTheServerSpeaksMeanwhile(t *testing.T) {
+// TestWatchdogIgnoresProbeDuringActivity checks that a failed probe does not count if the server
+// sends something meanwhile.
+func TestWatchdogIgnoresProbeDuringActivity(t *testing.T) {
 	for name, dial := range map[string]upstream.DialFunc{
-		"silent": outOfReach,
+		"silent": unreachable,
 		"refused": func(ctx context.Context, address string) (net.Conn, error) {
 			time.Sleep(50 * time.Millisecond)
 			return refuses(ctx, address)
@@ -112,19 +112,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				lookout := lookedAt(t.Context(), dial)
-				defer lookout.Stop()
-				// Each pause is longer than half of the good one, and the look in it ends after it.
+				watchdog := watchdogFor(t.Context(), dial)
+				defer watchdog.Stop()
+				// Each pause triggers a probe, which ends after it.
 				for range 5 {
-					lookout.Reset()
+					watchdog.Reset()
 					time.Sleep(170 * time.Millisecond)
 				}
-				if lookout.Unreachable() {
-					t.Fatal("a server that speaks is taken for one that is out of reach")
+				if watchdog.Unreachable() {
+					t.Fatal("a server that sends data counts as unreachable")
 				}
 				time.Sleep(time.Second)
-				if !lookout.Unreachable() {
-					t.Error("the server is silent now and is not looked at")
+				if !watchdog.Unreachable() {
+					t.Error("the silent server is not probed")
 				}
 			})
 		})
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -11,9 +11,8 @@
 	"rockwind.example/rockwind/internal/zonedrain"
 )
 
-// Update takes the servers of the directory. Only what is other than in the one before is
-// looked at closely: a site's directory holds thousands of servers, of which some change
-// many times a second.
+// Update applies a new directory. Only changes are processed: a directory may hold thousands of
+// servers and change many times a second.
 func (d *Dispatcher) Update(view *directory.View) {
 	d.mutex.Lock()
 	before := d.view
@@ -29,15 +28,15 @@
 		d.setPeers(view)
 	}
 	for _, left := range change.Left() {
-		d.drop(left)
+		d.dropServer(left)
 	}
 	for _, server := range change.Servers() {
-		d.take(server, before)
+		d.applyServer(server, before)
 	}
-	d.nameServers(view, change)
+	d.updateServerHashes(view, change)
 	for name, service := range d.pools {
-		service.pool.SetBatchProcesses(d.stores)
-		service.pool.SetOnlineProcesses(d.routers)
+		service.pool.SetBatchProcesses(d.storeCount)
+		service.pool.SetOnlineProcesses(d.routerCount)
 		service.pool.SetViewAge(d.viewAge)
 		d.serveWaiting(name)
 	}
@@ -46,63 +45,63 @@
 	}
 }
 
-// SetZoneDrains takes which zones are drained. Servers of a drained zone leave their pools, so that
-// no request, item, trial or copy is begun there, and finish what they have.
+// SetZoneDrains sets the drained zones. Servers of a drained zone leave their pools, so that no
+// request, batch item, trial or run copy starts there; running work finishes.
 func (d *Dispatcher) SetZoneDrains(drains *zonedrain.List) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if drains.Revision() == d.drains.Revision() {
+	if drains.Revision() == d.zoneDrains.Revision() {
 		return
 	}
-	before := d.drains
-	d.drains = drains
+	before := d.zoneDrains
+	d.zoneDrains = drains
 	if d.view == nil {
 		return
 	}
 	for _, server := range d.view.Servers() {
-		cold := coldLeft(server, time.Now())
+		cold := coldRemaining(server, time.Now())
 		if before.Drained(server.GetZone()) {
-			cold = max(cold, d.coldTime(server.GetService()))
+			cold = max(cold, d.defaultColdTime(server.GetService()))
 		}
-		d.put(server, cold)
+		d.putServer(server, cold)
 	}
 	for name := range d.pools {
 		d.serveWaiting(name)
 	}
 }
 
-// DrainedZones counts the zones that are known to be drained.
+// DrainedZones counts the drained zones.
 func (d *Dispatcher) DrainedZones() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return len(d.drains.Drains())
+	return len(d.zoneDrains.Drains())
 }
 
-// Configure takes the configuration in force.
+// Configure sets the configuration in force.
 func (d *Dispatcher) Configure(index *configuration.Index) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.index = index
 }
 
-// take has the pool of a server's service know it as the directory describes it. The mutex is
-// held.
-func (d *Dispatcher) take(server *rockwindpb.Server, before *directory.View) {
+// applyServer updates the pools from a directory entry, which may have moved to another service.
+// The caller holds d.mutex.
+func (d *Dispatcher) applyServer(server *rockwindpb.Server, before *directory.View) {
 	if before != nil {
 		if old, known := before.Server(server.GetId()); known && old.GetService() != server.GetService() {
-			d.drop(old)
+			d.dropServer(old)
 		}
 	}
-	d.put(server, coldLeft(server, time.Now()))
+	d.putServer(server, coldRemaining(server, time.Now()))
 }
 
-// put has the pool of a server's service know a server that serves, which is cold for the given time,
-// and drops any other. The mutex is held.
-func (d *Dispatcher) put(server *rockwindpb.Server, cold time.Duration) {
+// putServer adds or updates a server in the pool of its service, cold for the given time, or
+// removes it if it does not serve. The caller holds d.mutex.
+func (d *Dispatcher) putServer(server *rockwindpb.Server, cold time.Duration) {
 	silent := server.GetState() == rockwindpb.ServerState_SERVER_STATE_SILENT
 	serves := silent || server.GetState() == rockwindpb.ServerState_SERVER_STATE_READY
-	if !serves || d.drains.Drained(server.GetZone()) {
-		d.drop(server)
+	if !serves || d.zoneDrains.Drained(server.GetZone()) {
+		d.dropServer(server)
 		return
 	}
 	member := balance.Member{
@@ -110,28 +109,28 @@
 	}
 	if rate := d.coldRate(server.GetService()); cold > 0 && rate > 0 {
 		member.ColdUntil = d.now() + cold
-		member.ColdSpacing, _ = coldstart.Spacing(server.GetId(), d.name, d.processes, rate)
+		member.ColdSpacing, _ = coldstart.Spacing(server.GetId(), d.name, d.processNames, rate)
 	}
-	d.service(server.GetService()).pool.Put(member)
+	d.poolOf(server.GetService()).pool.Put(member)
 }
 
-// drop takes a server out of the pool of its service. The mutex is held.
-func (d *Dispatcher) drop(server *rockwindpb.Server) {
+// dropServer removes a server from the pool of its service. The caller holds d.mutex.
+func (d *Dispatcher) dropServer(server *rockwindpb.Server) {
 	if service, known := d.pools[server.GetService()]; known {
 		service.pool.Drop(server.GetId())
 	}
 }
 
-// nameServers keeps the short names of all servers of the directory, and of what was left behind
-// there. The mutex is held.
-func (d *Dispatcher) nameServers(view *directory.View, change directory.Change) {
-	news := change.Servers()
+// updateServerHashes updates the hashes of all servers of the directory and of the requests left
+// behind there. The caller holds d.mutex.
+func (d *Dispatcher) updateServerHashes(view *directory.View, change directory.Change) {
+	added := change.Servers()
 	if len(change.Left()) > 0 {
-		// Servers may share a short name.
-		d.servers, d.lefts, news = make(map[uint32]struct{}), make(map[uint32]struct{}), view.Servers()
+		// Several servers may have the same hash, so a removal rebuilds the sets.
+		d.serverHashes, d.leftBehindHashes, added = make(map[uint32]struct{}), make(map[uint32]struct{}), view.Servers()
 	}
-	for _, server := range news {
-		d.servers[balance.ServerHash(server.GetId())] = struct{}{}
-		d.lefts[balance.LeftHash(server.GetId())] = struct{}{}
+	for _, server := range added {
+		d.serverHashes[balance.ServerHash(server.GetId())] = struct{}{}
+		d.leftBehindHashes[balance.LeftHash(server.GetId())] = struct{}{}
 	}
 }
--- a/internal/router/memory.go
+++ b/internal/router/memory.go
@@ -17,35 +17,34 @@
 )
 
 const (
-	// defaultBodyBytes bounds a request's body where the configuration does not.
+	// defaultBodyBytes bounds a request body if the configuration does not.
 	defaultBodyBytes = 4 << 20
-	// bodyTime is how long a body may take to come where its route sets no time, as those of
-	// batch jobs: one of defaultBodyBytes takes it on 1.1 Mbit/s.
-	bodyTime = 30 * time.Second
-	// relayMemoryPart is the part of the process's memory that is kept for others at most:
-	// with 144 MB that is 36 MB beside some 30 MB of the program's own and 20 KB for each of
-	// three thousand connections.
-	relayMemoryPart = 0.25
-	// defaultMemory is the process's memory where the settings give none.
+	// defaultBodyTimeout is how long a body may take to arrive if its route has no timeout, like
+	// those of batch jobs. A body of defaultBodyBytes arrives in time at 1.1 Mbit/s.
+	defaultBodyTimeout = 30 * time.Second
+	// relayMemoryFraction is the fraction of the process memory that buffers for clients may use.
+	// Of 144 MB that is 36 MB, beside some 30 MB for the program and 20 KB for each of three
+	// thousand connections.
+	relayMemoryFraction = 0.25
+	// defaultMemory is the process memory if the settings give none.
 	defaultMemory = 256 << 20
 	megabyte      = 1 << 20
-	// memoryReturn is when a request comes back that was refused since bodies fill the
-	// memory: the time in which a machine with the narrowest link of 22 Mbit/s passes on 1 MB
-	// of them.
-	memoryReturn = 400 * time.Millisecond
+	// memoryRetryAfter is the Retry-After of a request refused because request bodies fill the
+	// memory: the time in which a link of 22 Mbit/s forwards 1 MB of them.
+	memoryRetryAfter = 400 * time.Millisecond
 )
 
-// relayMemory is how many bytes the settings let a router keep for others.
-func relayMemory(settings *rockwindpb.SiteSettings) int64 {
+// relayMemoryBytes returns how many bytes a router may buffer for clients.
+func relayMemoryBytes(settings *rockwindpb.SiteSettings) int64 {
 	memory := int64(settings.GetMemoryMb()) * megabyte
 	if memory == 0 {
 		memory = defaultMemory
 	}
-	return int64(relayMemoryPart * float64(memory))
+	return int64(relayMemoryFraction * float64(memory))
 }
 
-// recordEnded writes that the answer of a client was ended.
-func recordEnded(ended clientconn.Ended) {
+// recordResponseEnded records that the response to a client was cut off.
+func recordResponseEnded(ended clientconn.Ended) {
 	fields := log.Fields{
 		"reason": string(ended.Reason), "unread_bytes": ended.Kept, "taken_bytes": ended.Taken,
 		"behind_ms": ended.Behind.Milliseconds(),
@@ -56,68 +55,70 @@
 	decision.Default.Record(decision.AnswerEnded, ended.Exchange, fields)
 }
 
-// readBody reads the body of a request into its memory until the given time.
-func readBody(writer http.ResponseWriter, request *http.Request, limits *rockwindpb.ClientLimits, memory *clientconn.Body, ends time.Time) ([]byte, error) {
-	most := int64(defaultBodyBytes)
+// readBody reads the body of a request into its buffer until the deadline.
+func readBody(writer http.ResponseWriter, request *http.Request, limits *rockwindpb.ClientLimits, memory *clientconn.Body, deadline time.Time) ([]byte, error) {
+	limit := int64(defaultBodyBytes)
 	if limits.GetMaxBodyBytes() > 0 {
-		most = int64(limits.GetMaxBodyBytes())
+		limit = int64(limits.GetMaxBodyBytes())
 	}
 	controller := http.NewResponseController(writer)
 	if request.ContentLength != 0 {
-		// A writer without deadlines, as in tests, has no client that stalls.
-		_ = controller.SetReadDeadline(ends)
+		// Writers of tests may not support deadlines.
+		_ = controller.SetReadDeadline(deadline)
 	}
-	body, err := memory.Read(http.MaxBytesReader(writer, request.Body, most), min(request.ContentLength, most))
+	body, err := memory.Read(http.MaxBytesReader(writer, request.Body, limit), min(request.ContentLength, limit))
 	if err == nil {
 		if request.ContentLength != 0 {
 			_ = controller.SetReadDeadline(time.Time{})
 		}
 		return body, nil
 	}
-	// The deadline stays for what the server still reads of the body before it answers.
+	// The deadline stays set, because the HTTP server reads the rest of the body before it
+	// answers.
 	if errors.Is(err, clientconn.ErrFull) {
-		return nil, memoryFull()
+		return nil, memoryFullFault()
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return nil, &statusError{status: http.StatusRequestTimeout,
-			fault: fault.New(fault.Unavailable, "the body did not come in time", "send the whole body at once").WithRan(fault.NotRun)}
+			fault: fault.New(fault.Unavailable, "the request body did not arrive in time", "send the whole body without pauses").WithRan(fault.NotRun)}
 	}
 	if _, tooLarge := err.(*http.MaxBytesError); tooLarge {
 		return nil, &statusError{status: http.StatusRequestEntityTooLarge,
-			fault: fault.Newf(fault.InvalidArgument, "send a smaller body", "the body is larger than %d bytes", most).WithRan(fault.NotRun)}
+			fault: fault.Newf(fault.InvalidArgument, "send a smaller body", "the body is larger than %d bytes", limit).WithRan(fault.NotRun)}
 	}
 	return nil, fault.New(fault.InvalidArgument, "the body could not be read", "send the whole body").WithRan(fault.NotRun)
 }
 
-// memoryFull is the refusal of a request whose body there is no memory for.
-func memoryFull() error {
-	return fault.New(fault.Overloaded, "come back after the time given", "the bodies of requests fill the memory of this router").
-		WithRan(fault.NotRun).WithRetryAfter(memoryReturn)
+// memoryFullFault returns the refusal of a request whose body does not fit into the buffer
+// memory.
+func memoryFullFault() error {
+	return fault.New(fault.Overloaded, "retry after the given time", "request bodies fill the memory of this router").
+		WithRan(fault.NotRun).WithRetryAfter(memoryRetryAfter)
 }
 
-// refuseBody answers a request whose body was not read.
-func (r *Router) refuseBody(writer http.ResponseWriter, facts RequestInfo, route *rockwindpb.Route, err error) {
+// refuseBody writes the error for a request whose body could not be read.
+func (r *Router) refuseBody(writer http.ResponseWriter, info RequestInfo, route *rockwindpb.Route, err error) {
 	var full *fault.Fault
 	if !errors.As(err, &full) || full.Kind != fault.Overloaded {
-		refuseFault(writer, err)
+		writeError(writer, err)
 		return
 	}
-	full = full.WithRetryAfter(boundReturn(full.RetryAfter, facts.Timeout))
+	full = full.WithRetryAfter(boundRetryAfter(full.RetryAfter, info.Timeout))
 	usage := r.buffers.Usage()
-	decision.Default.Record(decision.BodyRefused, facts.ID, log.Fields{
+	decision.Default.Record(decision.BodyRefused, info.ID, log.Fields{
 		"route": route.GetName(), "bodies_bytes": usage.Bodies, "unread_bytes": usage.Unread, "limit_bytes": usage.Limit,
 	})
-	refuse(writer, http.StatusServiceUnavailable, full)
+	writeErrorStatus(writer, http.StatusServiceUnavailable, full)
 }
 
-// readAnswer reads the beginning of an answer, up to bufferedAnswer, and tells whether that is
-// all of it. Where memory is short less is read: the answer goes on as it comes.
-func (e *exchange) readAnswer(response *upstream.Response) (body []byte, whole bool, err error) {
+// readResponseStart reads up to maxBufferedResponse bytes of a response and reports whether that
+// is all of it. It reads less if the buffer memory is full; the rest is then streamed.
+func (e *exchange) readResponseStart(response *upstream.Response) (body []byte, whole bool, err error) {
 	memory := e.router.buffers.NewBody()
 	defer memory.GiveBack()
-	body, err = memory.Read(io.LimitReader(response.Body(0), bufferedAnswer+1), min(response.Length, bufferedAnswer+1))
+	body, err = memory.Read(io.LimitReader(response.Body(0), maxBufferedResponse+1), min(response.Length, maxBufferedResponse+1))
 	if errors.Is(err, clientconn.ErrFull) {
 		return body, false, nil
 	}
-	return body, len(body) <= bufferedAnswer, err
+	return body, len(body) <= maxBufferedResponse, err
 }
--- a/internal/router/memory_test.go
+++ b/internal/router/memory_test.go
@@ -16,25 +16,25 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// beyondBody is for how long the request of a bodyServer goes on after the time for its body.
+// beyondBody is how long a request of bodyServer continues after the deadline of its body.
 const beyondBody = 250 * time.Millisecond
 
-// bodyServer reads bodies for as long as its route lets them take.
+// bodyServer starts a server that reads bodies with a deadline.
 func bodyServer(t *testing.T, buffers *clientconn.Buffers) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		memory := buffers.NewBody()
 		defer memory.GiveBack()
 		route := &rockwindpb.Route{TimeoutMs: new(uint32(250))}
-		ends := waitsUntil(route, RequestInfo{}, time.Now())
-		body, err := readBody(writer, request, nil, &memory, ends)
+		deadline := requestDeadline(route, RequestInfo{}, time.Now())
+		body, err := readBody(writer, request, nil, &memory, deadline)
 		if err != nil {
-			refuseFault(writer, err)
+			writeError(writer, err)
 			return
 		}
-		// A request may go on for longer than its body may take.
+		// A request may take longer than its body.
 		select {
-		case <-time.After(time.Until(ends) + beyondBody):
+		case <-time.After(time.Until(deadline) + beyondBody):
 			_, _ = fmt.Fprint(writer, len(body))
 		case <-request.Context().Done():
 		}
@@ -43,9 +43,8 @@
 	return server.Listener.Addr().String()
 }
 
-// TestBodyThatStallsIsRefusedInTime: its client does not hold memory for longer than its
-// request may take.
-func TestBodyThatStallsIsRefusedInTime(t *testing.T) {
+// TestStalledBodyTimesOut checks that a stalled body does not hold memory beyond its deadline.
+func TestStalledBodyTimesOut(t *testing.T) {
 	buffers := clientconn.NewBuffers(8<<20, func(clientconn.Ended) {})
 	conn, err := net.Dial("tcp", bodyServer(t, buffers))
 	if err != nil {
@@ -63,12 +62,13 @@
 	}
 	_ = response.Body.Close()
 	if usage := buffers.Usage(); usage.Bodies != 0 {
-		t.Errorf("kept are %+v", usage)
+		t.Errorf("memory in use: %+v", usage)
 	}
 }
 
-// TestTimeOfABodyDoesNotBindItsAnswer, nor the next request of the connection.
-func TestTimeOfABodyDoesNotBindItsAnswer(t *testing.T) {
+// TestBodyDeadlineDoesNotLimitResponse checks that the deadline of a body limits neither its
+// response nor the next request on the connection.
+func TestBodyDeadlineDoesNotLimitResponse(t *testing.T) {
 	address := bodyServer(t, clientconn.NewBuffers(8<<20, func(clientconn.Ended) {}))
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -88,29 +88,29 @@
 	}
 }
 
-// deadlineWriter notes the deadlines for what is read of a client.
+// deadlineWriter records the last read deadline.
 type deadlineWriter struct {
 	*httptest.ResponseRecorder
 	last time.Time
 }
 
-// SetReadDeadline is what http.ResponseController calls.
+// SetReadDeadline is called by http.ResponseController.
 func (w *deadlineWriter) SetReadDeadline(deadline time.Time) error {
 	w.last = deadline
 	return nil
 }
 
-// TestDeadlineOfABodyIsClearedOnceItIsWhole, and kept where it is not: the server still reads
-// the rest before it answers. The HTTP server clears deadlines too as it goes on to read, so
-// that a whole exchange does not show this.
-func TestDeadlineOfABodyIsClearedOnceItIsWhole(t *testing.T) {
-	ends := time.Now().Add(time.Minute)
+// TestBodyDeadlineIsClearedAfterCompleteBody checks that the deadline is cleared after a complete
+// body and kept otherwise, because the server reads the rest before it responds. A whole exchange
+// would not show this, since net/http clears deadlines too.
+func TestBodyDeadlineIsClearedAfterCompleteBody(t *testing.T) {
+	deadline := time.Now().Add(time.Minute)
 	for name, test := range map[string]struct {
 		body io.Reader
 		want time.Time
 	}{
 		"whole": {strings.NewReader("whole"), time.Time{}},
-		"cut":   {iotest.ErrReader(io.ErrUnexpectedEOF), ends},
+		"cut":   {iotest.ErrReader(io.ErrUnexpectedEOF), deadline},
 	} {
 		t.Run(name, func(t *testing.T) {
 			writer := &deadlineWriter{ResponseRecorder: httptest.NewRecorder()}
@@ -118,7 +118,7 @@
 			request.ContentLength = 5
 			memory := clientconn.NewBuffers(8<<20, func(clientconn.Ended) {}).NewBody()
 			defer memory.GiveBack()
-			if _, err := readBody(writer, request, nil, &memory, ends); (err == nil) != test.want.IsZero() {
+			if _, err := readBody(writer, request, nil, &memory, deadline); (err == nil) != test.want.IsZero() {
 				t.Fatal(err)
 			}
 			if !writer.last.Equal(test.want) {
--- a/internal/router/memorynet_test.go
+++ b/internal/router/memorynet_test.go
@@ -11,13 +11,12 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// memoryNetwork has HTTP servers that are reached in memory, so that a test with them can run
-// in a bubble of virtual time.
+// memoryNetwork connects HTTP servers in memory, so that they can be used in a synctest bubble.
 type memoryNetwork struct {
 	listeners map[string]*memoryListener
 }
 
-// serve has a handler answer at an address until the test ends.
+// serve runs a handler at an address until the test ends.
 func (n *memoryNetwork) serve(t *testing.T, address string, handler http.Handler) {
 	listener := &memoryListener{conns: make(chan net.Conn), closed: make(chan struct{})}
 	if n.listeners == nil {
@@ -37,7 +36,7 @@
 	})
 }
 
-// client returns a client of these servers.
+// client returns a client for the servers.
 func (n *memoryNetwork) client() *upstream.Client {
 	return upstream.NewClientWithDial(func(ctx context.Context, address string) (net.Conn, error) {
 		listener, found := n.listeners[address]
--- a/internal/router/over.go
+++ b/internal/router/over.go
@@ -10,28 +10,27 @@
 )
 
 const (
-	// endedLook is how long a server may take to show, by refusing connections, that it has
-	// ended: it shows at once, or its machine is gone.
-	endedLook = 100 * time.Millisecond
-	// secondLook is the time from the beginning of a look that got no answer to the next one.
-	// A connection whose first packet was lost is only tried again by the kernel after a
-	// second, so that a new one is needed; and a reset that broke the run off and the loss of
-	// that packet are over by then where they had one short cause.
-	secondLook = 200 * time.Millisecond
+	// probeTimeout bounds a probe: a server that has ended refuses connections at once, unless
+	// its machine is gone.
+	probeTimeout = 100 * time.Millisecond
+	// secondProbeDelay is the time between the starts of two probes if the first got no answer.
+	// The kernel resends a lost SYN only after a second, so a new connection is needed; a short
+	// network fault that broke the stream and lost the SYN is over by then.
+	secondProbeDelay = 200 * time.Millisecond
 )
 
-// ServerStopped tells whether a server whose connection broke off works on nothing any more that it
-// was sent, or is out of reach. Nobody listens at its address, or another incarnation has it;
-// or it answers nothing, and the directory says that it is gone or silent, or it answers
-// nothing a second time. A silent server that takes connections may still work.
+// ServerStopped reports whether a server whose connection broke can no longer work on the request
+// or is unreachable: it refuses connections, another incarnation has its address, or it does not
+// answer and either the directory lists it as gone or silent or a second probe gets no answer. A
+// silent server that accepts connections may still be working.
 func ServerStopped(ctx context.Context, client *upstream.Client, view func() *directory.View, id, address string) bool {
 	began := time.Now()
-	reach := client.Reach(ctx, address, endedLook)
+	reach := client.Reach(ctx, address, probeTimeout)
 	if reach == upstream.ReachSilent && !view().Absent(id) {
-		if !retry.Pause(ctx, secondLook-time.Since(began)) {
+		if !retry.Pause(ctx, secondProbeDelay-time.Since(began)) {
 			return false
 		}
-		reach = client.Reach(ctx, address, endedLook)
+		reach = client.Reach(ctx, address, probeTimeout)
 	}
 	switch reach {
 	case upstream.ReachRefused, upstream.ReachSilent:
--- a/internal/router/pace.go
+++ b/internal/router/pace.go
@@ -8,11 +8,12 @@
 	"rockwind.example/rockwind/internal/gate"
 )
 
-// sightInterval is how often a run that goes on is looked at: a server that has turned eight
-// times slower shows with the first events that it sends, not only at the end of a run.
-const sightInterval = 500 * time.Millisecond
+// paceInterval is how often the pace of a running request is reported, so that a slowdown of a
+// server shows before its requests end.
+const paceInterval = 500 * time.Millisecond
 
-// newPool returns the pool of a service, which chooses by paces where the gate is on.
+// newPool returns the pool of a service. It takes the pace of servers into account if the gate is
+// on.
 func (d *Dispatcher) newPool(service string) *balance.Pool {
 	created := balance.NewPool(service, d.zone, d.shares)
 	if d.gates.On(gate.Pace) {
@@ -21,8 +22,8 @@
 	return created
 }
 
-// Paces lists how long work is expected to take at the servers of each service that tell
-// their pace, as multiples of what is usual.
+// Paces lists for each service the expected duration of work at its servers as multiples of the
+// usual, for servers that report their pace.
 func (d *Dispatcher) Paces() map[string][]float64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -35,24 +36,24 @@
 	return paces
 }
 
-// Received takes a piece of the stream that the server sends.
+// Received records a chunk of the stream from the server.
 func (l *Lease) Received(piece []byte) {
 	l.RecordFirstOutput()
-	l.sighting.Add(piece, l.dispatcher.now())
-	if l.sighting.Took() >= sightInterval {
-		l.look()
+	l.paceSample.Add(piece, l.dispatcher.now())
+	if l.paceSample.Took() >= paceInterval {
+		l.reportPace()
 	}
 }
 
-// look tells the pool how the run went since the last look.
-func (l *Lease) look() {
-	if l.sighting.Events() == 0 {
+// reportPace reports the events since the last report to the pool.
+func (l *Lease) reportPace() {
+	if l.paceSample.Events() == 0 {
 		return
 	}
 	d := l.dispatcher
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.service(l.service).pool.Seen(l.Choice, l.sighting.Events(), l.sighting.Took(), l.told, d.now()) {
-		l.sighting.Restart()
+	if d.poolOf(l.service).pool.Seen(l.Choice, l.paceSample.Events(), l.paceSample.Took(), l.reportedPace, d.now()) {
+		l.paceSample.Restart()
 	}
 }
--- a/internal/router/plain.go
+++ b/internal/router/plain.go
@@ -13,64 +13,64 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// Headers of the product's own protocol, beside those of package upstream.
+// Headers of the plain protocol, in addition to those of package upstream.
 const (
-	// HeaderTimeLeft is how long the client waits, in milliseconds.
+	// HeaderTimeLeft is the remaining time of the client in milliseconds.
 	HeaderTimeLeft = "X-Time-Left-Ms"
-	// HeaderServer names the incarnation that is meant, and in an answer on the health path
-	// the one that gave it.
+	// HeaderServer names the incarnation that a request is addressed to and, in a health
+	// response, the one that sent it.
 	HeaderServer = "X-Server"
-	// HeaderLastEvent is the last event that was received.
+	// HeaderLastEvent is the ID of the last event that the client has received.
 	HeaderLastEvent = "Last-Event-ID"
-	// HeaderTenant tells a server the tenant of the client.
+	// HeaderTenant names the tenant of the client to the server.
 	HeaderTenant = "X-Tenant"
 	// headerKey carries the client's API key, after keyScheme.
 	headerKey = "Authorization"
 	keyScheme = "Bearer "
 )
 
-// PlainProtocol is the product's own protocol of routes: see docs/API.md.
+// PlainProtocol is the default protocol, described in docs/API.md.
 type PlainProtocol struct{}
 
 var _ Protocol = PlainProtocol{}
 
 // ParseRequest implements Protocol.
 func (PlainProtocol) ParseRequest(header http.Header) (RequestInfo, error) {
-	facts := RequestInfo{ID: header.Get(upstream.HeaderRequestID), ResumeAfter: header.Get(HeaderLastEvent)}
-	facts.APIKey, _ = strings.CutPrefix(header.Get(headerKey), keyScheme)
+	info := RequestInfo{ID: header.Get(upstream.HeaderRequestID), ResumeAfter: header.Get(HeaderLastEvent)}
+	info.APIKey, _ = strings.CutPrefix(header.Get(headerKey), keyScheme)
 	if text := header.Get(HeaderTimeLeft); text != "" {
 		milliseconds, err := strconv.ParseUint(text, 10, 32)
 		if err != nil {
-			return facts, fault.Newf(fault.InvalidArgument, "send a number of milliseconds", "the header %s is %q", HeaderTimeLeft, text).WithRan(fault.NotRun)
+			return info, fault.Newf(fault.InvalidArgument, "send a number of milliseconds", "the header %s is %q", HeaderTimeLeft, text).WithRan(fault.NotRun)
 		}
-		facts.Timeout = time.Duration(milliseconds) * time.Millisecond
+		info.Timeout = time.Duration(milliseconds) * time.Millisecond
 	}
-	return facts, nil
+	return info, nil
 }
 
 // Prepare implements Protocol.
-func (PlainProtocol) Prepare(header http.Header, try AttemptInfo) {
-	header.Set(HeaderServer, try.ServerID)
+func (PlainProtocol) Prepare(header http.Header, attempt AttemptInfo) {
+	header.Set(HeaderServer, attempt.ServerID)
 	header.Del(headerKey)
 	header.Del(HeaderTenant)
-	if try.Tenant != "" {
-		header.Set(HeaderTenant, try.Tenant)
+	if attempt.Tenant != "" {
+		header.Set(HeaderTenant, attempt.Tenant)
 	}
-	if try.RequestID != "" {
-		header.Set(upstream.HeaderRequestID, try.RequestID)
+	if attempt.RequestID != "" {
+		header.Set(upstream.HeaderRequestID, attempt.RequestID)
 	}
-	if try.Remaining > 0 {
-		header.Set(HeaderTimeLeft, strconv.FormatInt(max(1, try.Remaining.Milliseconds()), 10))
+	if attempt.Remaining > 0 {
+		header.Set(HeaderTimeLeft, strconv.FormatInt(max(1, attempt.Remaining.Milliseconds()), 10))
 	}
-	if try.ResumeAfter != "" {
-		header.Set(HeaderLastEvent, try.ResumeAfter)
+	if attempt.ResumeAfter != "" {
+		header.Set(HeaderLastEvent, attempt.ResumeAfter)
 	}
 }
 
-// Belongs implements Protocol. Servers that do not name the request are believed.
+// Belongs implements Protocol. A response without a request ID is accepted.
 func (PlainProtocol) Belongs(request, answer http.Header) bool {
-	named := answer.Get(upstream.HeaderRequestID)
-	return named == "" || named == request.Get(upstream.HeaderRequestID)
+	id := answer.Get(upstream.HeaderRequestID)
+	return id == "" || id == request.Get(upstream.HeaderRequestID)
 }
 
 // IdentityHeaders implements Protocol.
@@ -81,7 +81,7 @@
 	return ResponseInfo{NotRun: answer.Get(upstream.HeaderNotRun) == "true", Misdirected: status == http.StatusMisdirectedRequest}
 }
 
-// ParseJob implements Protocol: the submission is a StoredJob in protobuf's JSON.
+// ParseJob implements Protocol: the body is a StoredJob in protobuf JSON.
 func (PlainProtocol) ParseJob(header http.Header, body []byte) (*rockwindpb.StoredJob, error) {
 	job := &rockwindpb.StoredJob{}
 	if err := protojson.Unmarshal(body, job); err != nil {
@@ -93,7 +93,7 @@
 	if job.GetId() == "" {
 		return nil, fault.New(fault.InvalidArgument, "the job has no identifier", "give it one").WithRan(fault.NotRun)
 	}
-	// Only what a client decides is taken over.
+	// Fields that only the store may set are cleared.
 	job.Results, job.Ended, job.SubmittedUnixMs = nil, false, 0
 	return job, nil
 }
--- a/internal/router/plain_test.go
+++ b/internal/router/plain_test.go
@@ -15,9 +15,9 @@
 	header := http.Header{}
 	header.Set(upstream.HeaderRequestID, "r1")
 	header.Set(router.HeaderTimeLeft, "1500")
-	facts, err := router.PlainProtocol{}.ParseRequest(header)
-	if err != nil || facts.ID != "r1" || facts.Timeout != 1500*time.Millisecond {
-		t.Fatalf("%+v, %v", facts, err)
+	info, err := router.PlainProtocol{}.ParseRequest(header)
+	if err != nil || info.ID != "r1" || info.Timeout != 1500*time.Millisecond {
+		t.Fatalf("%+v, %v", info, err)
 	}
 	router.PlainProtocol{}.Prepare(header, router.AttemptInfo{ServerID: "s1", Remaining: 700 * time.Millisecond, ResumeAfter: "4"})
 	for name, want := range map[string]string{router.HeaderServer: "s1", router.HeaderTimeLeft: "700", router.HeaderLastEvent: "4", upstream.HeaderRequestID: "r1"} {
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestPlainProtocolBelievesOnlyProof(t *testing.T) {
+func TestPlainProtocolNeedsNotRunHeader(t *testing.T) {
 	refused := http.Header{upstream.HeaderNotRun: {"true"}}
 	if !(router.PlainProtocol{}).ParseResponse(http.StatusServiceUnavailable, refused).NotRun {
 		t.Error("a server's word that it did not run the request is passed over")
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestPlainJobsTakeOverOnlyWhatAClientDecides(t *testing.T) {
+func TestPlainJobIgnoresStoreFields(t *testing.T) {
 	body := []byte(`{"id":"j1","ended":true,"items":[{"id":"i1","path":"/x"}],"results":[{"item":0,"outcome":"STORED_OUTCOME_DONE"}]}`)
 	job, err := router.PlainProtocol{}.ParseJob(http.Header{}, body)
 	if err != nil || job.GetId() != "j1" || len(job.GetItems()) != 1 || job.GetEnded() || len(job.GetResults()) != 0 {
--- a/internal/router/promise_test.go
+++ b/internal/router/promise_test.go
@@ -11,50 +11,51 @@
 	"rockwind.example/rockwind/internal/loadshare"
 )
 
-// promised is how many clients the process expects to come back.
-func (c *crowd) promised() int {
+// promisedRetries returns how many clients the process expects to retry.
+func (c *queueTest) promisedRetries() int {
 	return loadshare.Loads(c.dispatcher.LoadSource().Own())[balance.QueueHash("app")].Unread
 }
 
-// newFullCrowd is a crowd whose servers need seven seconds for those that wait.
-func newFullCrowd(t *testing.T) *crowd {
-	c := newCrowd(t, 2)
+// newFullQueueTest returns a queueTest whose queue takes seven seconds.
+func newFullQueueTest(t *testing.T) *queueTest {
+	c := newQueueTest(t, 2)
 	for range 12 {
-		c.add(asks("", time.Minute))
+		c.addWaiter(requestOf("", time.Minute))
 	}
 	return c
 }
 
-// TestPromisesAreOfTheTimeThatIsTold, and of clients that come back.
-func TestPromisesAreOfTheTimeThatIsTold(t *testing.T) {
+// TestPromisesExpireAfterRetryAfter checks that a promise ends after the Retry-After, and that
+// none is made to a client on its last attempt.
+func TestPromisesExpireAfterRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newFullCrowd(t)
-		ask := asks("", 4*time.Second)
-		ask.Remaining = 8 * time.Second
-		_, err := c.dispatcher.Acquire(t.Context(), ask)
-		told := fault.From(err).RetryAfter
-		if told > 2*time.Second || c.promised() != 1 {
-			t.Fatalf("it is told %v, %d are promised", told, c.promised())
+		c := newFullQueueTest(t)
+		request := requestOf("", 4*time.Second)
+		request.Remaining = 8 * time.Second
+		_, err := c.dispatcher.Acquire(t.Context(), request)
+		retryAfter := fault.From(err).RetryAfter
+		if retryAfter > 2*time.Second || c.promisedRetries() != 1 {
+			t.Fatalf("Retry-After is %v, %d retries are promised", retryAfter, c.promisedRetries())
 		}
-		time.Sleep(told)
-		if c.promised() != 0 {
-			t.Fatal("it is expected still after the time that it was told")
+		time.Sleep(retryAfter)
+		if c.promisedRetries() != 0 {
+			t.Fatal("a retry is still expected after the Retry-After")
 		}
-		ask.LastAttempt = true
-		if _, err := c.dispatcher.Acquire(t.Context(), ask); err == nil || c.promised() != 0 {
-			t.Fatalf("%v, and one that does not come back is expected", err)
+		request.LastAttempt = true
+		if _, err := c.dispatcher.Acquire(t.Context(), request); err == nil || c.promisedRetries() != 0 {
+			t.Fatalf("%v, and a retry after the last attempt is expected", err)
 		}
 	})
 }
 
-// TestNothingIsPromisedToAClientThatLeft while it waited.
-func TestNothingIsPromisedToAClientThatLeft(t *testing.T) {
+// TestNoPromiseForDisconnectedClient cancels a request while it waits.
+func TestNoPromiseForDisconnectedClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newFullCrowd(t)
-		ctx, leave := context.WithCancel(t.Context())
-		time.AfterFunc(time.Second, leave)
-		if _, err := c.dispatcher.Acquire(ctx, asks("", time.Minute)); err == nil || c.promised() != 0 {
-			t.Fatalf("%v, %d are expected", err, c.promised())
+		c := newFullQueueTest(t)
+		ctx, disconnect := context.WithCancel(t.Context())
+		time.AfterFunc(time.Second, disconnect)
+		if _, err := c.dispatcher.Acquire(ctx, requestOf("", time.Minute)); err == nil || c.promisedRetries() != 0 {
+			t.Fatalf("%v, %d retries are expected", err, c.promisedRetries())
 		}
 	})
 }
--- a/internal/router/protocol.go
+++ b/internal/router/protocol.go
@@ -8,66 +8,65 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// RequestInfo is what a request tells about itself.
+// RequestInfo is the protocol data of a client request.
 type RequestInfo struct {
-	// ID is the request's own identifier.
+	// ID is the request ID.
 	ID string
-	// Timeout is how long the client waits; zero means that it does not say.
+	// Timeout is how long the client waits; zero is unknown.
 	Timeout time.Duration
-	// Parts of its prompt, in order.
+	// Parts are the parts of the prompt in order.
 	Parts []balance.Part
 	// ResumeAfter is the last event that the client has, empty for a new stream.
 	ResumeAfter string
-	// APIKey is the key that the client sent, empty where it sent none.
+	// APIKey is the client's key, empty if it sent none.
 	APIKey string
 }
 
-// AttemptInfo is one attempt of a request at a server.
+// AttemptInfo is the protocol data of one attempt at a server.
 type AttemptInfo struct {
-	// RequestID is the identifier of the request; empty where the headers have it
-	// already.
+	// RequestID is the request ID; empty if the headers have it already.
 	RequestID string
-	// ServerID is the incarnation that is meant.
+	// ServerID is the incarnation that the attempt is addressed to.
 	ServerID string
-	// Remaining is how long the client still waits; zero means without a limit.
+	// Remaining is how long the client still waits; zero is no limit.
 	Remaining time.Duration
-	// ResumeAfter is the last event that was relayed, empty for a new stream.
+	// ResumeAfter is the last relayed event, empty for a new stream.
 	ResumeAfter string
-	// CopyTo is the address of the server that keeps a copy of the run's memory, empty where
-	// none does.
+	// CopyTo is the address of the server that keeps a copy of the run's state, empty if none
+	// does.
 	CopyTo string
-	// ContinueFrom is the address that had the copy from which the run goes on, empty for a
-	// run that begins. ResumeAfter is set beside it.
+	// ContinueFrom is the address of the copy from which the run continues, empty for a new run.
+	// ResumeAfter is set as well.
 	ContinueFrom string
-	// Tenant is the one that the client's key belongs to, empty where there is none.
+	// Tenant is the tenant of the client's key, empty if there is none.
 	Tenant string
 }
 
-// ResponseInfo is what an answer's head says.
+// ResponseInfo is the protocol data in the head of a response.
 type ResponseInfo struct {
-	// NotRun tells that the server proves that it did not run the request.
+	// NotRun is set if the server guarantees that it did not run the request.
 	NotRun bool
-	// Misdirected tells that another incarnation has the address.
+	// Misdirected is set if another incarnation has the address.
 	Misdirected bool
-	// Load is what the server told of its load; nil where it told nothing.
+	// Load is the load that the server reported, nil if none.
 	Load *balance.Load
 }
 
-// Protocol is what clients and servers agree on beside plain HTTP. It only
-// translates; what is done about it is the router's business.
+// Protocol encodes and decodes what clients and servers exchange beyond plain HTTP. It makes no
+// routing decisions.
 type Protocol interface {
-	// ParseRequest reads the headers of a client's request. Its errors are faults.
+	// ParseRequest parses the headers of a client's request. Its errors are faults.
 	ParseRequest(header http.Header) (RequestInfo, error)
-	// Prepare writes the headers of one try into a copy of the request's. The client's key
-	// and what the client says of its tenant do not reach a server.
+	// Prepare sets the headers of one attempt in a copy of the request's headers. It must not
+	// forward the client's key or a tenant claimed by the client.
 	Prepare(header http.Header, try AttemptInfo)
-	// Belongs tells whether an answer belongs to the request.
+	// Belongs reports whether a response belongs to the request.
 	Belongs(request, answer http.Header) bool
-	// ParseResponse reads an answer's head.
+	// ParseResponse parses the head of a response.
 	ParseResponse(status int, answer http.Header) ResponseInfo
-	// IdentityHeaders names the headers of the health path by which a server tells which
-	// incarnation it is: see site.AskOverHTTP.
+	// IdentityHeaders returns the headers by which a server identifies its incarnation on the
+	// health path: see site.AskOverHTTP.
 	IdentityHeaders() (expected, found string)
-	// ParseJob reads the submission of a batch job. Its errors are faults.
+	// ParseJob parses a submitted batch job. Its errors are faults.
 	ParseJob(header http.Header, body []byte) (*rockwindpb.StoredJob, error)
 }
--- /dev/null
+++ b/internal/router/quarantine.go
@@ -0,0 +1,55 @@
+package router
+
+import (
+	"time"
+
+	"rockwind.example/rockwind/internal/decision"
+	"rockwind.example/rockwind/internal/fault"
+	"rockwind.example/rockwind/internal/fingerprint"
+)
+
+// content returns the fingerprint of the request, which is the same when a client retries it.
+func (e *exchange) content() fingerprint.Fingerprint {
+	if e.fingerprint == nil {
+		computed := fingerprint.Of(fingerprint.Content{
+			Tenant: e.tenant.GetName(), Method: e.request.Method, Host: e.request.Host, Target: e.request.Path, Body: e.request.Body,
+		})
+		e.fingerprint = &computed
+	}
+	return *e.fingerprint
+}
+
+// quarantined returns the refusal of a request whose fingerprint is quarantined, or nil if it may
+// run.
+func (e *exchange) quarantined() *fault.Fault {
+	remaining := e.router.crashes.QuarantinedFor(e.content)
+	if remaining == 0 {
+		return nil
+	}
+	return quarantineFault(e.content(), remaining)
+}
+
+// quarantineFault returns the refusal of a quarantined fingerprint.
+func quarantineFault(content fingerprint.Fingerprint, remaining time.Duration) *fault.Fault {
+	return fault.Newf(fault.Quarantined, "change the request; an operator can release its content, "+content.String(),
+		"servers crashed while running this request, so it is not sent to another server for now").
+		WithRan(fault.NotRun).WithRetryAfter(remaining)
+}
+
+// recordQuarantined records that the request was refused because of a quarantine.
+func (e *exchange) recordQuarantined(refusal *fault.Fault) {
+	e.recordMetrics(decision.RequestHeld)
+	fields := e.logFields()
+	fields["content"] = e.content().String()
+	fields["retry_after_ms"] = refusal.RetryAfter.Milliseconds()
+	decision.Default.Record(decision.RequestHeld, e.info.ID, fields)
+}
+
+// reportConnectionLost reports that the connection of the last attempt broke before the response
+// was complete.
+func (e *exchange) reportConnectionLost(lease *Lease, cause error) {
+	e.router.crashes.ConnectionLost(Attempt{
+		Content: e.content(), Server: lease.ID, Address: lease.Address, SentAt: e.attemptSentAt,
+		Route: e.route.GetName(), Tenant: e.tenant.GetName(),
+	}, cause)
+}
--- a/internal/router/queue.go
+++ b/internal/router/queue.go
@@ -13,123 +13,122 @@
 )
 
 const (
-	// typicalHolding is how long requests are taken to hold a server before any has
-	// ended.
-	typicalHolding = time.Second
-	// holdingWeight is the weight of one request in the running mean.
-	holdingWeight = 0.05
-	// shortestReturn is the shortest time to come back that is told.
-	shortestReturn = 50 * time.Millisecond
-	// longestExpected bounds the wait that is expected, in times of fairshare.Memory: no
-	// client waits for longer.
-	longestExpected = 60.0
-	// leastStarts is on how many requests of one tenant, begun within a Memory, the share of
-	// each rests at least: with fewer, what it has decayed to since the last start says more of
-	// the time since then than of what the tenants get.
-	leastStarts = 3.0
-	// returnsWithin is within how many times its patience a client comes back: it has so much
-	// time left (patiencePart).
-	returnsWithin = 2
+	// defaultHoldTime is the assumed hold time of a slot before any request has ended.
+	defaultHoldTime = time.Second
+	// holdTimeWeight is the weight of one request in the moving average of hold times.
+	holdTimeWeight = 0.05
+	// minRetryAfter is the shortest Retry-After.
+	minRetryAfter = 50 * time.Millisecond
+	// maxExpectedMemories bounds the expected wait in multiples of fairshare.Memory: no client
+	// waits longer.
+	maxExpectedMemories = 60.0
+	// minShareStarts is the minimum number of requests that a tenant must have started within
+	// fairshare.Memory for its share to be known. With fewer, the decayed value depends mostly on
+	// the time since the last start.
+	minShareStarts = 3.0
+	// maxRetryWaits bounds the Retry-After after which a client is expected back, in multiples of
+	// its maximum wait: it has that much time left (see maxWaitFraction).
+	maxRetryWaits = 2
 )
 
-// AcquireRequest is what a request wants of a service.
+// AcquireRequest describes a request for a server of a service.
 type AcquireRequest struct {
 	Service  string
 	Demand   balance.Demand
 	Priority waiting.Priority
 	Tenant   waiting.Tenant
-	// FirstAsked is since when its client has been asking; zero is not known.
+	// FirstAsked is when the client first sent the request, including earlier refusals; zero is
+	// unknown.
 	FirstAsked time.Time
-	// StartBy is until when it may begin at a server and be answered in time.
+	// StartBy is the latest start at a server that still meets the goal of the route.
 	StartBy time.Time
-	// Tried are servers that it must not go to again.
+	// Tried are servers that the request must not be sent to again.
 	Tried []string
-	// MaxWait is how long it may wait.
+	// MaxWait is how long the request may wait.
 	MaxWait time.Duration
-	// Remaining is how long its client waits for the answer; zero is not known.
+	// Remaining is how long the client still waits for the response; zero is unknown.
 	Remaining time.Duration
-	// LastAttempt tells that its client does not come back where it is refused: it has come back
-	// already, or what it gets is not a refusal, as a try was sent.
+	// LastAttempt is set if the client is not expected to retry after a refusal, because it is
+	// retrying already or gets another error after a sent attempt.
 	LastAttempt bool
 }
 
-// place is what the order of the request rests on, which is the given arrival.
+// place returns the position of the request in the queue order.
 func (a AcquireRequest) place(arrival uint64, now time.Time) waiting.Place {
 	return waiting.NewPlace(a.Priority, arrival, a.StartBy, now.Add(a.MaxWait)).Of(a.Tenant).AskedAt(a.FirstAsked)
 }
 
-// servicePool is the pool of one service with the requests that wait for it.
+// servicePool is the pool of one service with its queue.
 type servicePool struct {
 	name    string
 	gates   gate.Set
 	pool    *balance.Pool
 	shares  *balance.Shares
 	waiting waiting.Queue[*waiter]
-	// rechecking tells that what waits is looked at again soon.
+	// rechecking is set while a recheck of the queue is scheduled.
 	rechecking bool
-	// classes are the requests by priority, among which tenants share.
-	classes map[waiting.Priority]*class
-	// scarce tells whether there is too little room, so that tenants share, and scarceSince
-	// since when, as judged last at judgedAt.
-	scarce      bool
-	scarceSince time.Duration
-	judgedAt    time.Duration
-	// promises are the clients that were told to come back.
+	// classes are the priority classes, within which tenants share capacity.
+	classes map[waiting.Priority]*priorityClass
+	// scarce is set if capacity is short, so that tenants share it. scarceSince is when that
+	// began, and scarcityCheckedAt when it was last checked.
+	scarce            bool
+	scarceSince       time.Duration
+	scarcityCheckedAt time.Duration
+	// promises are the times at which refused clients were told to retry.
 	promises returning.Promises
-	// holding is how long requests held a server lately, for the time to come back, and
-	// ended how many that rests on.
-	holding time.Duration
-	ended   int
-	// needHashes are the names in digests of the batch items that wait.
+	// holdTime is the moving average of slot hold times, and holdTimeSamples the number of
+	// samples in it.
+	holdTime        time.Duration
+	holdTimeSamples int
+	// needHashes are the hashes of waiting batch items in load digests.
 	needHashes *[backlog.NeedLevels]uint32
-	// written is how many events answers had lately, and work what requests took, in tokens.
-	written float64
-	work    float64
+	// meanEvents is the moving average of events in a response, and meanWork that of the work of
+	// a request, in tokens.
+	meanEvents float64
+	meanWork   float64
 }
 
-// learn takes how long a request held a server. The first ones count evenly: a process that
-// has just started knows nothing, and would refuse for want of room as if short requests took
-// typicalHolding, until dozens of them had ended here.
-func (p *servicePool) learn(held time.Duration) {
-	p.ended++
-	weight := max(holdingWeight, 1/float64(p.ended))
-	p.holding += time.Duration(weight * float64(held-p.holding))
+// recordHoldTime adds a sample to the average hold time. The first samples have equal weight, so
+// that a new process does not refuse short requests because of defaultHoldTime.
+func (p *servicePool) recordHoldTime(held time.Duration) {
+	p.holdTimeSamples++
+	weight := max(holdTimeWeight, 1/float64(p.holdTimeSamples))
+	p.holdTime += time.Duration(weight * float64(held-p.holdTime))
 }
 
-// waiter is a request that waits for room.
+// waiter is a waiting request.
 type waiter struct {
-	ask     AcquireRequest
-	place   waiting.Place
-	began   time.Time
-	granted chan grant
+	request      AcquireRequest
+	place        waiting.Place
+	waitingSince time.Time
+	granted      chan grant
 }
 
-// grant is a server that a request may use, and what its tenant was charged for that.
+// grant is a server assigned to a request, and the charge to its tenant.
 type grant struct {
 	choice balance.Choice
 	charge charge
 }
 
-// someTried tells whether a request waits that has tried servers.
-func (p *servicePool) someTried() bool {
-	return p.waiting.Any(func(waiter *waiter) bool { return len(waiter.ask.Tried) > 0 })
+// anyTried reports whether a waiting request has tried servers.
+func (p *servicePool) anyTried() bool {
+	return p.waiting.Any(func(waiter *waiter) bool { return len(waiter.request.Tried) > 0 })
 }
 
-// elsewhere is how many requests go before one with the given place at the other processes, as
-// they tell.
-func (p *servicePool) elsewhere(place waiting.Place, elapsed time.Duration) int {
+// aheadElsewhere estimates how many requests at other processes are ahead of the given place.
+func (p *servicePool) aheadElsewhere(place waiting.Place, elapsed time.Duration) int {
 	count := p.shares.At(balance.QueueHash(p.name)).Inflight
 	if p.gates.On(gate.Returns) {
-		count -= p.lower(place.Priority())
+		count -= p.lowerElsewhere(place.Priority())
 	}
 	if p.scarce && p.gates.On(gate.FairShare) {
-		count -= p.class(place.Priority()).behind(place.Tenant(), elapsed)
+		count -= p.class(place.Priority()).waitingBehind(place.Tenant(), elapsed)
 	}
 	return max(0, count)
 }
 
-// lower is how many requests wait at other processes whose priority is known here and lower.
-func (p *servicePool) lower(priority waiting.Priority) int {
+// lowerElsewhere returns how many requests of known lower priorities wait at other processes.
+func (p *servicePool) lowerElsewhere(priority waiting.Priority) int {
 	count := 0
 	for other, class := range p.classes {
 		if priority.Before(other) {
@@ -139,69 +138,68 @@
 	return count
 }
 
-// room is how fast servers become free.
-func (p *servicePool) room() returning.Room { return returning.NewRoom(p.pool.Slots(), p.holding) }
+// turnover is the rate at which slots become free.
+func (p *servicePool) turnover() returning.Room { return returning.NewRoom(p.pool.Slots(), p.holdTime) }
 
-// expected is how long a request waits that has so many others before it: until the servers
-// have taken those; and while room has been too little for long enough to show what a tenant
-// gets, until its tenant gets room for it behind its others.
-func (p *servicePool) expected(ask AcquireRequest, ahead int, elapsed time.Duration) time.Duration {
-	expected := p.room().After(ahead)
+// expectedWait estimates the wait of a request behind the given number of others. If capacity has
+// been short for long enough to know the shares of the tenants, it also considers the other
+// requests of its tenant.
+func (p *servicePool) expectedWait(request AcquireRequest, ahead int, elapsed time.Duration) time.Duration {
+	expected := p.turnover().After(ahead)
 	if p.gates.On(gate.Returns) && p.scarce && elapsed-p.scarceSince >= fairshare.Memory {
-		expected = max(expected, p.ofShare(ask, elapsed))
+		expected = max(expected, p.expectedShareWait(request, elapsed))
 	}
 	return expected
 }
 
-// ofShare is how long a request waits that its tenant's others go before, by what the tenants
-// that ask for more than their share get. It is zero where that is not known: for a request
-// without a tenant, at servers that do not say how many they run, and after too few starts.
-func (p *servicePool) ofShare(ask AcquireRequest, elapsed time.Duration) time.Duration {
-	if ask.Tenant.Name == "" || p.pool.Slots() == 0 {
+// expectedShareWait estimates the wait of a request behind the others of its tenant from the
+// share of the tenants that want more than they get. It is zero if unknown: for a request without
+// a tenant, for servers that do not report their slots, and after too few starts.
+func (p *servicePool) expectedShareWait(request AcquireRequest, elapsed time.Duration) time.Duration {
+	if request.Tenant.Name == "" || p.pool.Slots() == 0 {
 		return 0
 	}
-	class, waits := p.class(ask.Priority), p.waitsOf()[ask.Priority]
-	highest, work := class.ledger.Highest(waits, class.weight, elapsed)
-	share := highest * float64(max(1, ask.Tenant.Weight))
-	if share <= 0 || work < leastStarts*p.work {
+	class, counts := p.class(request.Priority), p.waitingCounts()[request.Priority]
+	highest, work := class.ledger.Highest(counts, class.weight, elapsed)
+	share := highest * float64(max(1, request.Tenant.Weight))
+	if share <= 0 || work < minShareStarts*p.meanWork {
 		return 0
 	}
-	before := waits[ask.Tenant.Name] + class.ledger.Waiting(ask.Tenant.Name)
-	memories := float64(before+1) * p.work / share
-	return time.Duration(min(memories, longestExpected) * float64(fairshare.Memory))
+	before := counts[request.Tenant.Name] + class.ledger.Waiting(request.Tenant.Name)
+	memories := float64(before+1) * p.meanWork / share
+	return time.Duration(min(memories, maxExpectedMemories) * float64(fairshare.Memory))
 }
 
-// comeBack is when a request that is refused now will find room, no later than its client
-// would come back in time. That is what the client is told, but for the little that chance
-// adds (returnSpread), and it is promised where the client is expected then. Clients that
-// were told to come back are before it as if they waited, here and elsewhere.
-func (p *servicePool) comeBack(ask AcquireRequest, ahead int, now time.Time, elapsed time.Duration) time.Duration {
+// retryAfter returns when a request that is refused now is expected to find capacity, bounded by
+// the client's remaining time. Refused clients that are expected back count as ahead of it. The
+// time is added to the promises if the client is expected to retry.
+func (p *servicePool) retryAfter(request AcquireRequest, ahead int, now time.Time, elapsed time.Duration) time.Duration {
 	promised := p.promises.Open(now) + p.shares.At(balance.QueueHash(p.name)).Unread
-	comeBack := max(shortestReturn, p.expected(ask, ahead, elapsed), p.room().After(ahead+promised))
-	comeBack = boundReturn(comeBack, ask.Remaining)
-	if !ask.LastAttempt && comeBack <= returnsWithin*ask.MaxWait {
-		p.promises.Add(now.Add(comeBack))
+	retryAfter := max(minRetryAfter, p.expectedWait(request, ahead, elapsed), p.turnover().After(ahead+promised))
+	retryAfter = boundRetryAfter(retryAfter, request.Remaining)
+	if !request.LastAttempt && retryAfter <= maxRetryWaits*request.MaxWait {
+		p.promises.Add(now.Add(retryAfter))
 	}
-	return comeBack
+	return retryAfter
 }
 
-// crowded is the refusal of a request behind so many others that it would wait for too long.
-func (p *servicePool) crowded(ask AcquireRequest, ahead int, now time.Time, elapsed time.Duration) error {
-	comeBack := max(shortestReturn, p.room().After(ahead)-ask.MaxWait)
+// queueFullFault returns the refusal of a request whose expected wait is too long.
+func (p *servicePool) queueFullFault(request AcquireRequest, ahead int, now time.Time, elapsed time.Duration) error {
+	retryAfter := max(minRetryAfter, p.turnover().After(ahead)-request.MaxWait)
 	if p.gates.On(gate.Returns) {
-		comeBack = p.comeBack(ask, ahead, now, elapsed)
+		retryAfter = p.retryAfter(request, ahead, now, elapsed)
 	}
-	return fault.Newf(fault.Overloaded, "come back after the time given",
-		"all servers of service %s are busy, and more requests wait than they take in time", p.name).
-		WithRan(fault.NotRun).WithRetryAfter(comeBack)
+	return fault.Newf(fault.Overloaded, "retry after the given time",
+		"all servers of service %s are busy, and the queue is too long", p.name).
+		WithRan(fault.NotRun).WithRetryAfter(retryAfter)
 }
 
-// busy is the refusal of a request for which no server has room in time.
-func (p *servicePool) busy(ask AcquireRequest, ahead int, now time.Time, elapsed time.Duration) error {
-	comeBack := max(shortestReturn, p.holding/2)
+// busyFault returns the refusal of a request that found no capacity in time.
+func (p *servicePool) busyFault(request AcquireRequest, ahead int, now time.Time, elapsed time.Duration) error {
+	retryAfter := max(minRetryAfter, p.holdTime/2)
 	if p.gates.On(gate.Returns) {
-		comeBack = p.comeBack(ask, ahead, now, elapsed)
+		retryAfter = p.retryAfter(request, ahead, now, elapsed)
 	}
-	return fault.Newf(fault.Overloaded, "come back after the time given", "all servers of service %s are busy", p.name).
-		WithRan(fault.NotRun).WithRetryAfter(comeBack)
+	return fault.Newf(fault.Overloaded, "retry after the given time", "all servers of service %s are busy", p.name).
+		WithRan(fault.NotRun).WithRetryAfter(retryAfter)
 }
--- /dev/null
+++ b/internal/router/queue_test.go
@@ -0,0 +1,266 @@
+package router_test
+
+import (
+	"fmt"
+	"slices"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"rockwind.example/rockwind/internal/balance"
+	"rockwind.example/rockwind/internal/fault"
+	"rockwind.example/rockwind/internal/gate"
+	"rockwind.example/rockwind/internal/health"
+	"rockwind.example/rockwind/internal/loadshare"
+	"rockwind.example/rockwind/internal/router"
+	"rockwind.example/rockwind/internal/waiting"
+)
+
+// requestOf returns a request of a tenant with the given maximum wait.
+func requestOf(tenant string, maxWait time.Duration) router.AcquireRequest {
+	return router.AcquireRequest{
+		Service: "app", Tenant: waiting.Tenant{Name: tenant}, StartBy: time.Now().Add(time.Second), MaxWait: maxWait,
+	}
+}
+
+// queueTest is a dispatcher with a queue that records the order in which tenants are served.
+type queueTest struct {
+	t          *testing.T
+	dispatcher *router.Dispatcher
+	leases     []*router.Lease
+	// mutex guards served.
+	mutex  sync.Mutex
+	served []string
+}
+
+func newQueueTest(t *testing.T, slots int, off ...string) *queueTest {
+	c := &queueTest{t: t, dispatcher: newDispatcher(uint32(slots), gate.NewSet(off))}
+	for range slots {
+		lease, err := c.dispatcher.Acquire(t.Context(), requestOf("flood", time.Minute))
+		if err != nil {
+			t.Fatal(err)
+		}
+		c.leases = append(c.leases, lease)
+	}
+	return c
+}
+
+// addWaiter queues a request that ends as soon as it is served.
+func (c *queueTest) addWaiter(request router.AcquireRequest) {
+	go func() {
+		lease, err := c.dispatcher.Acquire(c.t.Context(), request)
+		if err != nil {
+			return
+		}
+		c.mutex.Lock()
+		c.served = append(c.served, request.Tenant.Name)
+		c.mutex.Unlock()
+		lease.Done(health.Success, 0)
+	}()
+	synctest.Wait()
+}
+
+func (c *queueTest) endFirst() {
+	c.leases[0].Done(health.Success, 0)
+	synctest.Wait()
+}
+
+// TestSmallTenantGoesBeforeFlood checks the order by usage, and by arrival if the gate is off.
+func TestSmallTenantGoesBeforeFlood(t *testing.T) {
+	for _, each := range []struct {
+		off   []string
+		place int
+	}{{nil, 0}, {[]string{"fair_share"}, 20}} {
+		synctest.Test(t, func(t *testing.T) {
+			c := newQueueTest(t, 1, each.off...)
+			// Sets the average hold time.
+			time.Sleep(time.Second)
+			for range 20 {
+				c.addWaiter(requestOf("flood", time.Minute))
+			}
+			c.addWaiter(requestOf("small", time.Minute))
+			c.endFirst()
+			if len(c.served) != 21 || slices.Index(c.served, "small") != each.place {
+				t.Fatalf("with %v off they are served as %v", each.off, c.served)
+			}
+		})
+	}
+}
+
+// TestFloodIsRefusedAndOthersAreNot checks that a queue that is too long for the flood does not
+// refuse another tenant.
+func TestFloodIsRefusedAndOthersAreNot(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		c := newQueueTest(t, 2)
+		for range 12 {
+			c.addWaiter(requestOf("flood", time.Minute))
+		}
+		_, err := c.dispatcher.Acquire(t.Context(), requestOf("flood", 4*time.Second))
+		if failure := fault.From(err); failure == nil || failure.Kind != fault.Overloaded || failure.Ran != fault.NotRun {
+			t.Fatalf("one more of the flood: %v", err)
+		}
+		c.addWaiter(requestOf("small", 4*time.Second))
+		c.endFirst()
+		if !slices.Contains(c.served, "small") {
+			t.Fatal("the other tenant's request is not served")
+		}
+	})
+}
+
+// TestFloodElsewhereDoesNotRefuseOthers checks that a flood queued at another process does not
+// refuse a tenant with less usage.
+func TestFloodElsewhereDoesNotRefuseOthers(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		here, there := newQueueTest(t, 2), newQueueTest(t, 2)
+		for range 12 {
+			there.addWaiter(requestOf("flood", time.Minute))
+		}
+		shareQueue(t, there.dispatcher, here.dispatcher)
+		time.Sleep(10 * time.Millisecond) // outlasts the caching of loads
+		if _, err := here.dispatcher.Acquire(t.Context(), requestOf("flood", 4*time.Second)); err == nil {
+			t.Fatal("one more of the flood is not refused")
+		}
+		here.addWaiter(requestOf("small", 4*time.Second))
+		here.endFirst()
+		if !slices.Contains(here.served, "small") {
+			t.Fatal("the other tenant's request is not served")
+		}
+	})
+}
+
+// TestRetryAfterIsStaggered checks that refused requests get successive Retry-After times, and
+// equal ones if the gate is off.
+func TestRetryAfterIsStaggered(t *testing.T) {
+	for _, each := range []struct {
+		off   []string
+		apart time.Duration
+	}{{nil, 500 * time.Millisecond}, {[]string{"returns"}, 0}} {
+		synctest.Test(t, func(t *testing.T) {
+			c := newQueueTest(t, 2, each.off...)
+			for range 12 {
+				c.addWaiter(requestOf("", time.Minute))
+			}
+			var retryAfters []time.Duration
+			for range 4 {
+				_, err := c.dispatcher.Acquire(t.Context(), requestOf("", 4*time.Second))
+				retryAfters = append(retryAfters, fault.From(err).RetryAfter)
+			}
+			for i := range retryAfters[1:] {
+				if retryAfters[i+1]-retryAfters[i] != each.apart {
+					t.Fatalf("with %v off the Retry-After times are %v", each.off, retryAfters)
+				}
+			}
+			for range 12 {
+				c.endFirst()
+			}
+		})
+	}
+}
+
+// TestUrgentRequestIsNotRefusedForLessUrgentOnes covers requests that wait here and at another
+// process.
+func TestUrgentRequestIsNotRefusedForLessUrgentOnes(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		here, there := newQueueTest(t, 2), newQueueTest(t, 2)
+		lower := requestOf("", time.Minute)
+		lower.Priority = waiting.Priority{Route: 1}
+		for range 6 {
+			here.addWaiter(lower)
+			there.addWaiter(lower)
+			there.addWaiter(lower)
+		}
+		shareQueue(t, there.dispatcher, here.dispatcher)
+		if _, err := here.dispatcher.Acquire(t.Context(), lowPriorityRequest(4*time.Second)); err == nil || fault.From(err).RetryAfter < 6*time.Second {
+			t.Fatalf("a less urgent request behind 18 others: %v", err)
+		}
+		here.addWaiter(requestOf("", 4*time.Second))
+		here.endFirst()
+		if len(here.served) != 7 {
+			t.Fatalf("%d requests are served", len(here.served))
+		}
+	})
+}
+
+func lowPriorityRequest(maxWait time.Duration) router.AcquireRequest {
+	request := requestOf("", maxWait)
+	request.Priority = waiting.Priority{Route: 1}
+	return request
+}
+
+// shareQueue passes the queue loads of one process to another one. Their servers are distinct.
+func shareQueue(t *testing.T, from, to *router.Dispatcher) {
+	t.Helper()
+	loads := loadshare.Loads(from.LoadSource().Own())
+	delete(loads, balance.ServerHash("server"))
+	digest := loadshare.NewDigest(loads)
+	digest.Sender, digest.Sequence, digest.StartedUnixMs = "there", 1, 1
+	to.LoadSource().Take(digest)
+}
+
+// TestUsageAtOtherProcessesCounts checks that a flood goes behind a tenant with more local usage,
+// as long as digests report its usage at another process.
+func TestUsageAtOtherProcessesCounts(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		here, there := newQueueTest(t, 1), newQueueTest(t, 8)
+		there.addWaiter(requestOf("flood", time.Minute))
+		request := requestOf("small", time.Minute)
+		for range 3 {
+			here.addWaiter(request)
+		}
+		here.endFirst()
+		here = &queueTest{t: t, dispatcher: here.dispatcher, served: nil}
+		lease, err := here.dispatcher.Acquire(t.Context(), requestOf("small", time.Minute))
+		if err != nil {
+			t.Fatal(err)
+		}
+		here.leases = append(here.leases, lease)
+		here.addWaiter(requestOf("small", time.Minute))
+		here.addWaiter(requestOf("flood", time.Minute))
+		shareQueue(t, there.dispatcher, here.dispatcher)
+		// Outlasts the caching of loads and sets the average hold time.
+		time.Sleep(400 * time.Millisecond)
+		here.endFirst()
+		if fmt.Sprint(here.served) != "[small flood]" {
+			t.Fatalf("they are served as %v", here.served)
+		}
+	})
+}
+
+// TestRetryAfterFollowsTenantShare checks that a tenant with a fifth of the capacity is refused
+// at once if its share does not suffice, although the servers would serve the whole queue in half
+// of the time.
+func TestRetryAfterFollowsTenantShare(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		dispatcher := newDispatcher(1, gate.Set{})
+		serve := func(ask router.AcquireRequest) {
+			lease, err := dispatcher.Acquire(t.Context(), ask)
+			if err != nil {
+				return
+			}
+			time.Sleep(100 * time.Millisecond)
+			lease.Done(health.Success, 0)
+		}
+		for range 12 {
+			go serve(requestOf("light", time.Minute))
+		}
+		heavy := requestOf("heavy", time.Minute)
+		heavy.Tenant.Weight = 4
+		for range 24 {
+			go serve(heavy)
+			time.Sleep(125 * time.Millisecond)
+		}
+		began := time.Now()
+		_, err := dispatcher.Acquire(t.Context(), requestOf("light", 2*time.Second))
+		failure := fault.From(err)
+		if time.Since(began) != 0 || failure == nil || failure.Ran != fault.NotRun {
+			t.Fatalf("%v after %v", err, time.Since(began))
+		}
+		if failure.RetryAfter < 2*time.Second || failure.RetryAfter > 6*time.Second {
+			t.Fatalf("Retry-After is %v", failure.RetryAfter)
+		}
+		if _, err := dispatcher.Acquire(t.Context(), heavy); err != nil {
+			t.Fatal(err)
+		}
+	})
+}
--- a/internal/router/recheck_test.go
+++ b/internal/router/recheck_test.go
@@ -8,10 +8,10 @@
 	"rockwind.example/rockwind/internal/health"
 )
 
-// TestWhatWaitsIsLookedAtAgainThoughNothingEnds: a server that refused as full may have room some
-// tens of milliseconds later, and nothing tells so. The look begins with the first request that
-// waits, goes on while one does, and begins again later.
-func TestWhatWaitsIsLookedAtAgainThoughNothingEnds(t *testing.T) {
+// TestWaitingRequestsAreRechecked checks that waiting requests are retried although no request
+// ends: a server that refused one as full may soon have capacity. The recheck has to start again
+// after an empty queue.
+func TestWaitingRequestsAreRechecked(t *testing.T) {
 	const soon, rest = 100 * time.Millisecond, 3 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		dispatcher := oneServer(2)
