--- a/internal/loadshare/protocol_test.go
+++ b/internal/loadshare/protocol_test.go
@@ -23,7 +23,7 @@
 type station struct {
 	member   loadshare.Member
 	protocol *loadshare.Protocol
-	shares   *balance.Shares
+	shares   *balance.SharedLoads
 	own      map[uint32]balance.SharedLoad
 	silent   bool
 	// deaf has what others send to the process lost.
@@ -39,22 +39,22 @@
 	return loadshare.SumDigest(s.shares, names, s.own)
 }
 
-func (s *station) Elsewhere(group string) *rockwindpb.LoadDigest {
-	return loadshare.NewDigest(s.shares.SumElsewhere(group))
+func (s *station) SumOtherGroups(group string) *rockwindpb.LoadDigest {
+	return loadshare.NewDigest(s.shares.SumOtherGroups(group))
 }
 
 func (s *station) Heard(name string) bool { return s.shares.Heard(name, s.now) }
 
-// Sparing implements loadshare.Source: the hashes of tenants have the highest bit, those of
+// DropPriority implements loadshare.Source: the hashes of tenants have the highest bit, those of
 // what was left behind the next one.
-func (s *station) Sparing(hash uint32) loadshare.Sparing {
+func (s *station) DropPriority(hash uint32) loadshare.DropPriority {
 	switch {
 	case hash >= firstTenant:
-		return loadshare.SparedNext
+		return loadshare.DropSecond
 	case hash >= firstLeft:
-		return loadshare.SparedFirst
+		return loadshare.DropFirst
 	default:
-		return loadshare.NeverSpared
+		return loadshare.NeverDrop
 	}
 }
 
@@ -66,7 +66,7 @@
 )
 
 func (s *station) Take(digest *rockwindpb.LoadDigest) {
-	loadshare.TakeInto(s.shares, digest, loadshare.Loads(digest), s.now)
+	loadshare.ApplyDigest(s.shares, digest, loadshare.Loads(digest), s.now)
 }
 
 // world plays the processes of a site in virtual time, step by step of 5 ms. Datagrams
@@ -101,7 +101,7 @@
 func (w *world) start(s *station, members []loadshare.Member) {
 	s.protocol = loadshare.NewProtocol(s.member.Name(), int64(w.now/time.Millisecond)+1)
 	s.protocol.SetLayout(loadshare.NewLayout(members, s.member.Name()))
-	s.shares = balance.NewShares()
+	s.shares = balance.NewSharedLoads()
 	s.shares.SetZone(s.member.Zone())
 	w.next[s] = w.now + time.Duration(w.random.Int64N(int64(100*time.Millisecond)))
 }
@@ -118,7 +118,7 @@
 				continue
 			}
 			w.next[s] = w.now + s.protocol.Layout().Interval()
-			for _, datagram := range s.protocol.Turn(s, w.now) {
+			for _, datagram := range s.protocol.Tick(s, w.now) {
 				w.deliver(t, s, datagram)
 			}
 		}
@@ -216,7 +216,7 @@
 	if rapid.Bool().Draw(t, "silent of paces") {
 		return balance.SharedPace{}
 	}
-	return balance.SharedPace{Told: rapid.IntRange(0, 400).Draw(t, "told"), ToldVoices: 1, Seen: rapid.IntRange(0, 900).Draw(t, "seen"), SeenVoices: 2}
+	return balance.SharedPace{ReportedSum: rapid.IntRange(0, 400).Draw(t, "told"), ReportedCount: 1, ObservedSum: rapid.IntRange(0, 900).Draw(t, "seen"), ObservedCount: 2}
 }
 
 // sparedRelays names a relay of each zone, by its number among them.
--- a/internal/router/class.go
+++ b/internal/router/class.go
@@ -43,9 +43,9 @@
 }
 
 // loadElsewhere returns the load of a tenant at other processes, by its hash.
-func (p *servicePool) loadElsewhere(hash uint32) fairshare.Told {
+func (p *servicePool) loadElsewhere(hash uint32) fairshare.RemoteUsage {
 	load := p.shares.At(hash)
-	return fairshare.Told{Waiting: load.Inflight, Work: load.Unread}
+	return fairshare.RemoteUsage{Waiting: load.Inflight, Work: load.Unread}
 }
 
 // setWeight updates the weight of a tenant.
@@ -60,7 +60,7 @@
 func (c *priorityClass) weight(tenant string) uint32 { return c.weights[tenant] }
 
 func (c *priorityClass) weightedUsage(tenant waiting.Tenant, now time.Duration) float64 {
-	return c.ledger.Virtual(tenant.Name, tenant.Weight, now)
+	return c.ledger.VirtualTime(tenant.Name, tenant.Weight, now)
 }
 
 // updateScarcity checks whether capacity is short for the requests that wait at all processes. If
@@ -70,8 +70,8 @@
 func (p *servicePool) updateScarcity(now time.Duration) {
 	total := p.waiting.Len() + p.shares.At(balance.QueueHash(p.name)).Inflight
 	wasScarce := p.scarce
-	p.scarce = total > 0 && (p.pool.Slots() == 0 || fairshare.Scarce(p.turnover().After(total)))
-	if p.scarce && (!wasScarce || now-p.scarcityCheckedAt > fairshare.Memory) {
+	p.scarce = total > 0 && (p.pool.Slots() == 0 || fairshare.Overloaded(p.turnover().EstimateWait(total)))
+	if p.scarce && (!wasScarce || now-p.scarcityCheckedAt > fairshare.DecayTime) {
 		p.scarceSince = now
 	}
 	p.scarcityCheckedAt = now
@@ -79,7 +79,7 @@
 
 // orderingUsage returns the weighted usage by which requests of one priority are ordered; zero if
 // capacity is not short.
-func (p *servicePool) orderingUsage(place waiting.Place, now time.Duration) float64 {
+func (p *servicePool) orderingUsage(place waiting.SortKey, now time.Duration) float64 {
 	if !p.scarce {
 		return 0
 	}
@@ -89,7 +89,7 @@
 // waitingBehind returns how many requests wait at other processes for tenants with a higher
 // weighted usage.
 func (c *priorityClass) waitingBehind(tenant waiting.Tenant, now time.Duration) int {
-	return c.ledger.Behind(c.weightedUsage(tenant, now), c.weight, now)
+	return c.ledger.RemoteWaitingBehind(c.weightedUsage(tenant, now), c.weight, now)
 }
 
 // charge is the work charged to a tenant for a request. The zero value is no charge.
@@ -103,7 +103,7 @@
 // refund takes back the charge of a request that did not run.
 func (c charge) refund(now time.Duration) {
 	if c.class != nil {
-		c.class.ledger.GiveBack(c.tenant, c.work, c.chargedAt, now)
+		c.class.ledger.Refund(c.tenant, c.work, c.chargedAt, now)
 	}
 }
 
@@ -118,7 +118,7 @@
 	}
 	p.meanWork += workWeight * (work - p.meanWork)
 	class := p.class(request.Priority)
-	class.ledger.Begin(request.Tenant.Name, work, now)
+	class.ledger.Charge(request.Tenant.Name, work, now)
 	return charge{class: class, tenant: request.Tenant.Name, work: work, chargedAt: now}
 }
 
@@ -129,7 +129,7 @@
 		return false
 	}
 	class := p.class(request.Priority)
-	return class.ledger.Modest(request.Tenant.Name, class.weight, now)
+	return class.ledger.IsLight(request.Tenant.Name, class.weight, now)
 }
 
 // recordEvents updates the moving average of events in a response.
@@ -140,7 +140,7 @@
 // waitingCounts counts the requests that wait here by priority and tenant.
 func (p *servicePool) waitingCounts() map[waiting.Priority]map[string]int {
 	waits := make(map[waiting.Priority]map[string]int)
-	p.waiting.Each(func(place waiting.Place) {
+	p.waiting.Each(func(place waiting.SortKey) {
 		if waits[place.Priority()] == nil {
 			waits[place.Priority()] = make(map[string]int)
 		}
@@ -154,7 +154,7 @@
 func (p *servicePool) visitQueueLoads(now time.Time, elapsed time.Duration, visit func(hash uint32, load balance.SharedLoad)) {
 	total := balance.SharedLoad{Inflight: p.waiting.Len()}
 	if p.gates.On(gate.Returns) {
-		total.Unread = p.promises.Open(now)
+		total.Unread = p.promises.Count(now)
 	}
 	if total != (balance.SharedLoad{}) {
 		visit(balance.QueueHash(p.name), total)
--- a/internal/router/continuation.go
+++ b/internal/router/continuation.go
@@ -21,13 +21,13 @@
 	origin time.Time
 
 	mutex sync.Mutex
-	watch *continuation.Watch
+	watch *continuation.Tracker
 	// view is the last directory that the watch has processed.
 	view *directory.View
 }
 
 func newCopyPlanner() *copyPlanner {
-	return &copyPlanner{origin: time.Now(), watch: continuation.NewWatch(continuation.Selective)}
+	return &copyPlanner{origin: time.Now(), watch: continuation.NewTracker(continuation.Selective)}
 }
 
 // plan decides whether a run at the leased server is copied.
@@ -45,17 +45,17 @@
 func (c *copyPlanner) recordDuration(service string, took time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.watch.Ran(service, took)
+	c.watch.RecordRun(service, took)
 }
 
 // updateView passes the changes since the last directory to the watch. The caller holds c.mutex.
 func (c *copyPlanner) updateView(view *directory.View, now time.Duration) {
 	change := view.ChangeFrom(c.view)
 	for _, server := range change.Servers() {
-		c.watch.Take(incarnation(c.view, server.GetId()), incarnation(view, server.GetId()), now)
+		c.watch.Update(incarnation(c.view, server.GetId()), incarnation(view, server.GetId()), now)
 	}
-	for _, left := range change.Left() {
-		c.watch.Take(incarnation(c.view, left.GetId()), nil, now)
+	for _, left := range change.Removed() {
+		c.watch.Update(incarnation(c.view, left.GetId()), nil, now)
 	}
 	c.view = view
 }
@@ -74,7 +74,7 @@
 		return nil
 	}
 	server, known := view.Server(id)
-	ended := view.Ended(id)
+	ended := view.Lost(id)
 	if !known || (server.GetState() == rockwindpb.ServerState_SERVER_STATE_GONE && !ended) {
 		return nil
 	}
@@ -226,7 +226,7 @@
 func (d *Dispatcher) ChooseCopyHolder(service, first string, otherZone bool) (balance.Member, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.poolOf(service).pool.Second(first, otherZone, d.now(), d.random)
+	return d.poolOf(service).pool.ChooseCopyServer(first, otherZone, d.now(), d.random)
 }
 
 // AcquireAt returns a lease of a given server regardless of its load, or nil if the server has
@@ -234,7 +234,7 @@
 func (d *Dispatcher) AcquireAt(service, id string, demand balance.Demand) *Lease {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	choice, found := d.poolOf(service).pool.At(id, demand, d.now())
+	choice, found := d.poolOf(service).pool.StartAt(id, demand, d.now())
 	if !found {
 		return nil
 	}
--- a/internal/router/deadlines.go
+++ b/internal/router/deadlines.go
@@ -15,7 +15,7 @@
 // and its zero value is ready to use.
 type routeTimeouts struct {
 	mutex  sync.Mutex
-	routes map[string]*returning.Deadlines
+	routes map[string]*returning.TimeoutEstimator
 }
 
 // totalTimeout estimates the whole timeout of a client of a route from the time that it has left.
@@ -26,13 +26,13 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.routes == nil || len(d.routes) > maxRoutes {
-		d.routes = make(map[string]*returning.Deadlines)
+		d.routes = make(map[string]*returning.TimeoutEstimator)
 	}
 	known := d.routes[route]
 	if known == nil {
-		known = &returning.Deadlines{}
+		known = &returning.TimeoutEstimator{}
 		d.routes[route] = known
 	}
-	known.Note(remaining)
-	return known.Whole(remaining)
+	known.Observe(remaining)
+	return known.Estimate(remaining)
 }
--- a/internal/router/dispatcher.go
+++ b/internal/router/dispatcher.go
@@ -44,7 +44,7 @@
 	// the requests left behind there.
 	serverHashes     map[uint32]struct{}
 	leftBehindHashes map[uint32]struct{}
-	shares           *balance.Shares
+	shares           *balance.SharedLoads
 	lastArrival      uint64
 	// storeCount is the number of processes that start batch work, and viewAge how old the shared
 	// loads may be.
@@ -66,7 +66,7 @@
 
 // NewDispatcher returns a dispatcher without servers for a process in the given zone.
 func NewDispatcher(zone string, gates gate.Set) *Dispatcher {
-	shares := balance.NewShares()
+	shares := balance.NewSharedLoads()
 	shares.SetZone(zone)
 	if !gates.On(gate.LeftBehind) {
 		shares.IgnoreLeftBehind()
@@ -127,7 +127,7 @@
 		needHashes: backlog.NeedHashes(name),
 	}
 	if d.gates.On(gate.FairShare) {
-		created.waiting.Share(func(place waiting.Place) float64 { return created.orderingUsage(place, d.now()) })
+		created.waiting.EnableFairShare(func(place waiting.SortKey) float64 { return created.orderingUsage(place, d.now()) })
 	}
 	return created
 }
@@ -159,7 +159,7 @@
 	d.lastArrival++
 	place := request.place(d.lastArrival, now)
 	pool.class(request.Priority).setWeight(request.Tenant)
-	aheadHere := pool.waiting.Ahead(place, now)
+	aheadHere := pool.waiting.CountAhead(place, now)
 	if aheadHere == 0 {
 		if given, found := d.choose(pool, request); found {
 			d.mutex.Unlock()
@@ -196,7 +196,7 @@
 	choice, found := pool.pool.Choose(request.Demand, request.Tried, d.now(), d.random)
 	if !found && pool.mayExceedSlots(request, d.now()) {
 		beyond := request.Demand
-		beyond.Beyond = true
+		beyond.Overcommit = true
 		choice, found = pool.pool.Choose(beyond, request.Tried, d.now(), d.random)
 	}
 	if !found {
@@ -230,13 +230,13 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	pool := d.poolOf(service)
-	pool.pool.Yield(pool.waiting.Len(), d.now(), d.random, visit)
+	pool.pool.PreemptBatch(pool.waiting.Len(), d.now(), d.random, visit)
 }
 
 // shareLoadsNow shares a change of loads without delay. The caller holds d.mutex.
 func (d *Dispatcher) shareLoadsNow() {
 	if d.sharer != nil {
-		d.sharer.Nudge()
+		d.sharer.TriggerSend()
 	}
 }
 
@@ -299,7 +299,7 @@
 	defer d.mutex.Unlock()
 	service := entry.Value().request.Service
 	pool := d.poolOf(service)
-	if entry.Left() {
+	if entry.Removed() {
 		return d.lease(service, <-entry.Value().granted), nil
 	}
 	pool.waiting.Remove(entry)
@@ -309,7 +309,7 @@
 	if request.Remaining > 0 {
 		request.Remaining = max(time.Millisecond, request.Remaining-now.Sub(waiter.waitingSince))
 	}
-	ahead := pool.waiting.Ahead(waiter.place, now) + pool.aheadElsewhere(waiter.place, d.now())
+	ahead := pool.waiting.CountAhead(waiter.place, now) + pool.aheadElsewhere(waiter.place, d.now())
 	return nil, pool.busyFault(request, ahead, now, d.now())
 }
 
@@ -353,7 +353,7 @@
 		return served, given
 	}
 	priority := pool.waiting.First(now).Value().request.Priority
-	exceeding := pool.waiting.FirstOf(now, func(each *waiter) bool {
+	exceeding := pool.waiting.FirstMatching(now, func(each *waiter) bool {
 		return each.request.Priority == priority && pool.mayExceedSlots(each.request, d.now())
 	})
 	if exceeding != nil {
@@ -374,12 +374,12 @@
 }
 
 // RecordLoad records the load that the server reported with its response.
-func (l *Lease) RecordLoad(load balance.Load) {
+func (l *Lease) RecordLoad(load balance.LoadReport) {
 	l.reportedPace = load.Pace
 	d := l.dispatcher
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.poolOf(l.service).pool.Told(l.ID, load, d.now())
+	d.poolOf(l.service).pool.RecordReport(l.ID, load, d.now())
 }
 
 // RecordFirstOutput records that the first event or the complete response arrived.
@@ -393,7 +393,7 @@
 	d := l.dispatcher
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.poolOf(l.service).pool.Read(l.Choice, arrived, d.now())
+	d.poolOf(l.service).pool.RecordFirstEvent(l.Choice, arrived, d.now())
 }
 
 // Done releases the lease with the outcome of the exchange.
@@ -404,7 +404,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	pool := d.poolOf(l.service)
-	pool.pool.Ended(l.Choice, outcome, latency, d.now(), d.random)
+	pool.pool.RecordOutcome(l.Choice, outcome, latency, d.now(), d.random)
 	// A request that timed out held its slot for at least this long.
 	if outcome == health.Success || (outcome == health.Timeout && d.gates.On(gate.Returns)) {
 		pool.recordHoldTime(time.Since(l.startedAt))
@@ -432,10 +432,10 @@
 
 // DoneMisdirected releases the lease of an exchange in which another server answered at the
 // address.
-func (l *Lease) DoneMisdirected() { l.release((*balance.Pool).Gone) }
+func (l *Lease) DoneMisdirected() { l.release((*balance.Pool).RecordReplaced) }
 
 // Abandon releases the lease of an exchange that says nothing about the server.
-func (l *Lease) Abandon() { l.release((*balance.Pool).Abandoned) }
+func (l *Lease) Abandon() { l.release((*balance.Pool).Abandon) }
 
 // release releases the lease of an exchange without a response of the server and assigns the
 // freed capacity.
--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -208,7 +208,7 @@
 		Service: e.service, Demand: balance.Demand{Parts: e.info.Parts}, Priority: e.priority(),
 		Tenant:  waiting.Tenant{Name: e.tenant.GetName(), Weight: e.tenant.GetWeight()},
 		StartBy: e.startBy(), Tried: e.tried, MaxWait: e.maxWait(),
-		Remaining: time.Until(e.deadline), LastAttempt: e.sent > 0 || !returning.AsksFirst(e.totalTimeout, e.info.Timeout),
+		Remaining: time.Until(e.deadline), LastAttempt: e.sent > 0 || !returning.IsFirstAttempt(e.totalTimeout, e.info.Timeout),
 	}
 	if e.router.gates.On(gate.Returns) {
 		request.FirstAsked = e.firstAsked()
@@ -221,7 +221,7 @@
 	if !e.router.gates.On(gate.Returns) {
 		return e.received
 	}
-	return returning.FirstTry(e.received, e.totalTimeout, e.info.Timeout)
+	return returning.FirstAttempt(e.received, e.totalTimeout, e.info.Timeout)
 }
 
 func (e *exchange) priority() waiting.Priority {
@@ -256,12 +256,12 @@
 }
 
 // rateTurn returns the order of the request among others of its tenant.
-func (e *exchange) rateTurn() rateclient.Turn {
+func (e *exchange) rateTurn() rateclient.Options {
 	if e.route.GetGoalMs() == 0 || !e.router.gates.On(gate.Returns) {
-		return rateclient.Turn{}
+		return rateclient.Options{}
 	}
 	left := time.Until(e.startBy())
-	return rateclient.Turn{Late: left <= 0, Wait: max(0, min(left, maxTurnWait))}
+	return rateclient.Options{Late: left <= 0, Wait: max(0, min(left, maxTurnWait))}
 }
 
 // awaitRate waits until the tenant's rate limit allows the request and reports whether to ask
@@ -287,7 +287,7 @@
 // clientMayRetry reports whether the client has all of its time left, so that a retry is still in
 // time. A client that is retrying already has to wait instead.
 func (e *exchange) clientMayRetry() bool {
-	return e.info.Timeout > 0 && returning.AsksFirst(e.totalTimeout, e.info.Timeout)
+	return e.info.Timeout > 0 && returning.IsFirstAttempt(e.totalTimeout, e.info.Timeout)
 }
 
 // mayRetry reports whether another server may be tried.
@@ -403,7 +403,7 @@
 	}
 	status, failure := e.refusal(ctx, fault.From(err))
 	if e.sent == 0 {
-		e.router.rates.GiveBack(e.tenant)
+		e.router.rates.Refund(e.tenant)
 	}
 	e.recordRefusal(status, failure)
 	writeErrorStatus(e.writer, status, failure)
--- a/internal/router/export_test.go
+++ b/internal/router/export_test.go
@@ -27,7 +27,7 @@
 	defer d.mutex.Unlock()
 	pool := d.poolOf(service).pool
 	pool.SetOnlineProcesses(processes)
-	pool.SetViewAge(viewAge)
+	pool.SetMaxLoadAge(viewAge)
 }
 
 // SubmissionEnds returns the deadline for submitting a job to the stores, if there is one, for a
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -41,7 +41,7 @@
 			}
 		}
 		elsewhere := d.shares.At(balance.QueueHash(pool.name)).Inflight
-		promised := pool.promises.Open(time.Now())
+		promised := pool.promises.Count(time.Now())
 		all = append(all, sitemetrics.NewWaiting(pool.name, pool.waiting.Len(), elsewhere, promised, pool.scarce, held))
 	}
 	return all
@@ -73,7 +73,7 @@
 		class := p.class(priority)
 		most := heldBackTenant{service: p.name, weightedUsage: -1}
 		for tenant, waiting := range waits {
-			usage := class.ledger.Virtual(tenant, class.weight(tenant), now)
+			usage := class.ledger.VirtualTime(tenant, class.weight(tenant), now)
 			if usage > most.weightedUsage || (usage == most.weightedUsage && tenant < most.tenant) {
 				most.tenant, most.waiting, most.weightedUsage = tenant, waiting, usage
 			}
--- a/internal/router/lookout.go
+++ b/internal/router/lookout.go
@@ -80,7 +80,7 @@
 		case known == nil:
 			return false
 		case reach == upstream.ReachRefused:
-			return known.Ended(id)
+			return known.Lost(id)
 		}
 		return reach == upstream.ReachListens && known.Replaced(id)
 	}
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -24,10 +24,10 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.view = view
-	if change.Machines() || before == nil {
+	if change.MachinesChanged() || before == nil {
 		d.setPeers(view)
 	}
-	for _, left := range change.Left() {
+	for _, left := range change.Removed() {
 		d.dropServer(left)
 	}
 	for _, server := range change.Servers() {
@@ -37,7 +37,7 @@
 	for name, service := range d.pools {
 		service.pool.SetBatchProcesses(d.storeCount)
 		service.pool.SetOnlineProcesses(d.routerCount)
-		service.pool.SetViewAge(d.viewAge)
+		service.pool.SetMaxLoadAge(d.viewAge)
 		d.serveWaiting(name)
 	}
 	if !d.Ready() {
@@ -125,12 +125,12 @@
 // behind there. The caller holds d.mutex.
 func (d *Dispatcher) updateServerHashes(view *directory.View, change directory.Change) {
 	added := change.Servers()
-	if len(change.Left()) > 0 {
+	if len(change.Removed()) > 0 {
 		// Several servers may have the same hash, so a removal rebuilds the sets.
 		d.serverHashes, d.leftBehindHashes, added = make(map[uint32]struct{}), make(map[uint32]struct{}), view.Servers()
 	}
 	for _, server := range added {
 		d.serverHashes[balance.ServerHash(server.GetId())] = struct{}{}
-		d.leftBehindHashes[balance.LeftHash(server.GetId())] = struct{}{}
+		d.leftBehindHashes[balance.LeftBehindHash(server.GetId())] = struct{}{}
 	}
 }
--- a/internal/router/pace.go
+++ b/internal/router/pace.go
@@ -17,7 +17,7 @@
 func (d *Dispatcher) newPool(service string) *balance.Pool {
 	created := balance.NewPool(service, d.zone, d.shares)
 	if d.gates.On(gate.Pace) {
-		created.SetPacer(pace.New())
+		created.SetPaceEstimator(pace.New())
 	}
 	return created
 }
@@ -53,7 +53,7 @@
 	d := l.dispatcher
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.poolOf(l.service).pool.Seen(l.Choice, l.paceSample.Events(), l.paceSample.Took(), l.reportedPace, d.now()) {
+	if d.poolOf(l.service).pool.RecordRun(l.Choice, l.paceSample.Events(), l.paceSample.Took(), l.reportedPace, d.now()) {
 		l.paceSample.Restart()
 	}
 }
--- a/internal/router/protocol.go
+++ b/internal/router/protocol.go
@@ -49,7 +49,7 @@
 	// Misdirected is set if another incarnation has the address.
 	Misdirected bool
 	// Load is the load that the server reported, nil if none.
-	Load *balance.Load
+	Load *balance.LoadReport
 }
 
 // Protocol encodes and decodes what clients and servers exchange beyond plain HTTP. It makes no
--- a/internal/router/queue.go
+++ b/internal/router/queue.go
@@ -54,8 +54,8 @@
 }
 
 // place returns the position of the request in the queue order.
-func (a AcquireRequest) place(arrival uint64, now time.Time) waiting.Place {
-	return waiting.NewPlace(a.Priority, arrival, a.StartBy, now.Add(a.MaxWait)).Of(a.Tenant).AskedAt(a.FirstAsked)
+func (a AcquireRequest) place(arrival uint64, now time.Time) waiting.SortKey {
+	return waiting.NewSortKey(a.Priority, arrival, a.StartBy, now.Add(a.MaxWait)).WithTenant(a.Tenant).WithFirstAttempt(a.FirstAsked)
 }
 
 // servicePool is the pool of one service with its queue.
@@ -63,7 +63,7 @@
 	name    string
 	gates   gate.Set
 	pool    *balance.Pool
-	shares  *balance.Shares
+	shares  *balance.SharedLoads
 	waiting waiting.Queue[*waiter]
 	// rechecking is set while a recheck of the queue is scheduled.
 	rechecking bool
@@ -75,7 +75,7 @@
 	scarceSince       time.Duration
 	scarcityCheckedAt time.Duration
 	// promises are the times at which refused clients were told to retry.
-	promises returning.Promises
+	promises returning.PendingRetries
 	// holdTime is the moving average of slot hold times, and holdTimeSamples the number of
 	// samples in it.
 	holdTime        time.Duration
@@ -99,7 +99,7 @@
 // waiter is a waiting request.
 type waiter struct {
 	request      AcquireRequest
-	place        waiting.Place
+	place        waiting.SortKey
 	waitingSince time.Time
 	granted      chan grant
 }
@@ -116,7 +116,7 @@
 }
 
 // aheadElsewhere estimates how many requests at other processes are ahead of the given place.
-func (p *servicePool) aheadElsewhere(place waiting.Place, elapsed time.Duration) int {
+func (p *servicePool) aheadElsewhere(place waiting.SortKey, elapsed time.Duration) int {
 	count := p.shares.At(balance.QueueHash(p.name)).Inflight
 	if p.gates.On(gate.Returns) {
 		count -= p.lowerElsewhere(place.Priority())
@@ -139,14 +139,14 @@
 }
 
 // turnover is the rate at which slots become free.
-func (p *servicePool) turnover() returning.Room { return returning.NewRoom(p.pool.Slots(), p.holdTime) }
+func (p *servicePool) turnover() returning.Rate { return returning.NewRate(p.pool.Slots(), p.holdTime) }
 
 // expectedWait estimates the wait of a request behind the given number of others. If capacity has
 // been short for long enough to know the shares of the tenants, it also considers the other
 // requests of its tenant.
 func (p *servicePool) expectedWait(request AcquireRequest, ahead int, elapsed time.Duration) time.Duration {
-	expected := p.turnover().After(ahead)
-	if p.gates.On(gate.Returns) && p.scarce && elapsed-p.scarceSince >= fairshare.Memory {
+	expected := p.turnover().EstimateWait(ahead)
+	if p.gates.On(gate.Returns) && p.scarce && elapsed-p.scarceSince >= fairshare.DecayTime {
 		expected = max(expected, p.expectedShareWait(request, elapsed))
 	}
 	return expected
@@ -160,22 +160,22 @@
 		return 0
 	}
 	class, counts := p.class(request.Priority), p.waitingCounts()[request.Priority]
-	highest, work := class.ledger.Highest(counts, class.weight, elapsed)
+	highest, work := class.ledger.MaxVirtualTime(counts, class.weight, elapsed)
 	share := highest * float64(max(1, request.Tenant.Weight))
 	if share <= 0 || work < minShareStarts*p.meanWork {
 		return 0
 	}
-	before := counts[request.Tenant.Name] + class.ledger.Waiting(request.Tenant.Name)
+	before := counts[request.Tenant.Name] + class.ledger.RemoteWaiting(request.Tenant.Name)
 	memories := float64(before+1) * p.meanWork / share
-	return time.Duration(min(memories, maxExpectedMemories) * float64(fairshare.Memory))
+	return time.Duration(min(memories, maxExpectedMemories) * float64(fairshare.DecayTime))
 }
 
 // retryAfter returns when a request that is refused now is expected to find capacity, bounded by
 // the client's remaining time. Refused clients that are expected back count as ahead of it. The
 // time is added to the promises if the client is expected to retry.
 func (p *servicePool) retryAfter(request AcquireRequest, ahead int, now time.Time, elapsed time.Duration) time.Duration {
-	promised := p.promises.Open(now) + p.shares.At(balance.QueueHash(p.name)).Unread
-	retryAfter := max(minRetryAfter, p.expectedWait(request, ahead, elapsed), p.turnover().After(ahead+promised))
+	promised := p.promises.Count(now) + p.shares.At(balance.QueueHash(p.name)).Unread
+	retryAfter := max(minRetryAfter, p.expectedWait(request, ahead, elapsed), p.turnover().EstimateWait(ahead+promised))
 	retryAfter = boundRetryAfter(retryAfter, request.Remaining)
 	if !request.LastAttempt && retryAfter <= maxRetryWaits*request.MaxWait {
 		p.promises.Add(now.Add(retryAfter))
@@ -185,7 +185,7 @@
 
 // queueFullFault returns the refusal of a request whose expected wait is too long.
 func (p *servicePool) queueFullFault(request AcquireRequest, ahead int, now time.Time, elapsed time.Duration) error {
-	retryAfter := max(minRetryAfter, p.turnover().After(ahead)-request.MaxWait)
+	retryAfter := max(minRetryAfter, p.turnover().EstimateWait(ahead)-request.MaxWait)
 	if p.gates.On(gate.Returns) {
 		retryAfter = p.retryAfter(request, ahead, now, elapsed)
 	}
--- a/internal/router/sharing.go
+++ b/internal/router/sharing.go
@@ -60,11 +60,11 @@
 	return loadshare.SumDigest(s.dispatcher.shares, names, s.dispatcher.ownLoads())
 }
 
-// Elsewhere implements loadshare.Source.
-func (s loadSource) Elsewhere(group string) *rockwindpb.LoadDigest {
+// SumOtherGroups implements loadshare.Source.
+func (s loadSource) SumOtherGroups(group string) *rockwindpb.LoadDigest {
 	s.dispatcher.mutex.Lock()
 	defer s.dispatcher.mutex.Unlock()
-	return loadshare.NewDigest(s.dispatcher.shares.SumElsewhere(group))
+	return loadshare.NewDigest(s.dispatcher.shares.SumOtherGroups(group))
 }
 
 // Heard implements loadshare.Source.
@@ -74,17 +74,17 @@
 	return s.dispatcher.shares.Heard(name, s.dispatcher.now())
 }
 
-// Sparing implements loadshare.Source. An unknown hash is treated as that of a tenant.
-func (s loadSource) Sparing(hash uint32) loadshare.Sparing {
+// DropPriority implements loadshare.Source. An unknown hash is treated as that of a tenant.
+func (s loadSource) DropPriority(hash uint32) loadshare.DropPriority {
 	s.dispatcher.mutex.Lock()
 	defer s.dispatcher.mutex.Unlock()
 	if s.dispatcher.isServerOrQueue(hash) {
-		return loadshare.NeverSpared
+		return loadshare.NeverDrop
 	}
 	if _, isLeft := s.dispatcher.leftBehindHashes[hash]; isLeft {
-		return loadshare.SparedFirst
+		return loadshare.DropFirst
 	}
-	return loadshare.SparedNext
+	return loadshare.DropSecond
 }
 
 // isServerOrQueue reports whether a hash is that of a server or of the queue of a service or
@@ -117,7 +117,7 @@
 	loads := make(map[uint32]balance.SharedLoad)
 	add := func(hash uint32, load balance.SharedLoad) { loads[hash] = loads[hash].Plus(load) }
 	for _, pool := range d.pools {
-		pool.pool.Own(d.now(), add)
+		pool.pool.OwnLoads(d.now(), add)
 		pool.visitQueueLoads(time.Now(), d.now(), add)
 	}
 	d.visitBatchLoads(add)
@@ -128,7 +128,7 @@
 func (d *Dispatcher) applyLoads(digest *rockwindpb.LoadDigest, loads map[uint32]balance.SharedLoad) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	loadshare.TakeInto(d.shares, digest, loads, d.now())
+	loadshare.ApplyDigest(d.shares, digest, loads, d.now())
 	waiting := false
 	for service, pool := range d.pools {
 		if pool.waiting.Len() > 0 {
@@ -141,7 +141,7 @@
 	}
 	d.signalOnlineWaiting()
 	if digest.GetGroup() == "" && d.sharer != nil {
-		d.sharer.PassOn()
+		d.sharer.TriggerForward()
 	}
 }
 
@@ -178,5 +178,5 @@
 	}
 	layout := loadshare.NewLayout(members, d.name)
 	d.sharer.SetLayout(layout)
-	d.viewAge = layout.Age()
+	d.viewAge = layout.MaxAge()
 }
--- a/internal/router/sharing_test.go
+++ b/internal/router/sharing_test.go
@@ -28,15 +28,15 @@
 	return [2]string{}
 }
 
-// TestSparingOfDigestEntries checks that left-behind requests are dropped from a digest before
+// TestDropPriorityOfDigestEntries checks that left-behind requests are dropped from a digest before
 // tenants.
-func TestSparingOfDigestEntries(t *testing.T) {
+func TestDropPriorityOfDigestEntries(t *testing.T) {
 	source := oneServer(4).LoadSource()
-	for hash, want := range map[uint32]loadshare.Sparing{
-		balance.ServerHash("server"): loadshare.NeverSpared, balance.QueueHash("app"): loadshare.NeverSpared,
-		balance.LeftHash("server"): loadshare.SparedFirst, balance.QueueHash("a tenant"): loadshare.SparedNext,
+	for hash, want := range map[uint32]loadshare.DropPriority{
+		balance.ServerHash("server"): loadshare.NeverDrop, balance.QueueHash("app"): loadshare.NeverDrop,
+		balance.LeftBehindHash("server"): loadshare.DropFirst, balance.QueueHash("a tenant"): loadshare.DropSecond,
 	} {
-		if got := source.Sparing(hash); got != want {
+		if got := source.DropPriority(hash); got != want {
 			t.Errorf("%d is spared %d, want %d", hash, got, want)
 		}
 	}
--- a/internal/router/survey.go
+++ b/internal/router/survey.go
@@ -108,7 +108,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.survey = &survey{Survey: leftbehind.New(d.origin.UnixMilli()), services: services}
-	d.survey.Begin(self, surveyingProcesses(view), servers, d.now())
+	d.survey.Start(self, surveyingProcesses(view), servers, d.now())
 }
 
 // updateSurvey updates the survey with what other processes shared and returns the servers to
@@ -118,21 +118,23 @@
 	defer d.mutex.Unlock()
 	now := d.now()
 	earliest, heard := d.shares.EarliestStart()
-	d.survey.Judge(leftbehind.Sight{Heard: heard, Earliest: earliest, LivedOn: d.shares.LivedOn()}, d.liveLoad, now)
+	d.survey.Evaluate(leftbehind.PeerStatus{Heard: heard, EarliestStart: earliest, SurvivorsReported: d.shares.SurvivorsReported()}, d.liveLoad, now)
 	d.shareLeftBehind()
-	return d.survey.Due(now), d.survey.Over()
+	return d.survey.Due(now), d.survey.Done()
 }
 
 // liveLoad returns how many requests the running processes have at a server. The caller holds
 // d.mutex.
-func (d *Dispatcher) liveLoad(id string) int { return d.poolOf(d.survey.services[id]).pool.Living(id) }
+func (d *Dispatcher) liveLoad(id string) int {
+	return d.poolOf(d.survey.services[id]).pool.LiveInflight(id)
+}
 
 // shareLeftBehind counts the left-behind requests found so far and shares them, at once if they
 // changed. The caller holds d.mutex.
 func (d *Dispatcher) shareLeftBehind() {
 	left := make(map[string]int)
-	d.survey.Left(func(id string, count int) { left[id] = count })
-	if d.shares.SetLeftBehind(left, d.survey.LivedOn()) {
+	d.survey.LeftBehind(func(id string, count int) { left[id] = count })
+	if d.shares.SetLeftBehind(left, d.survey.ReportSurvivors()) {
 		d.shareLoadsNow()
 	}
 }
@@ -144,7 +146,7 @@
 	defer d.mutex.Unlock()
 	if err != nil {
 		log.WithError(fault.From(err)).WithField("server", server.ID).Debug("server did not answer the load query")
-		d.survey.Missed(server.ID)
+		d.survey.Failed(server.ID)
 		return
 	}
 	d.survey.Answered(server.ID, requests, d.liveLoad(server.ID))
@@ -182,13 +184,13 @@
 		return
 	}
 	decision.Default.Record(decision.ServersAsked, self, log.Fields{
-		"asked": counts.Asked, "answered": counts.Answered, "left_behind": counts.Left, "after_ms": d.now().Milliseconds(),
+		"asked": counts.Asked, "answered": counts.Answered, "left_behind": counts.LeftBehind, "after_ms": d.now().Milliseconds(),
 	})
 }
 
 // surveyPending reports whether the survey is still open, which holds back batch work. The caller
 // holds d.mutex.
-func (d *Dispatcher) surveyPending() bool { return d.survey != nil && d.survey.Open() }
+func (d *Dispatcher) surveyPending() bool { return d.survey != nil && d.survey.Pending() }
 
 // LeftBehind returns how many requests of processes that are gone are counted at the servers by
 // all processes, and how many load queries this process has sent since its start.
--- a/internal/router/witness.go
+++ b/internal/router/witness.go
@@ -147,18 +147,18 @@
 func (r *CrashReporter) awaitCrashNotice(id string) bool {
 	limit := time.NewTimer(crashNoticeTimeout)
 	defer limit.Stop()
-	var inquiry directory.Inquiry
+	var inquiry directory.ProbeHistory
 	var queriedAt time.Time
 	queries := 0
 	for {
 		changed := r.watcher.Changed()
 		var retry <-chan time.Time
-		switch r.watcher.Directory().Ending(id, inquiry) {
-		case directory.EndingCertain:
+		switch r.watcher.Directory().Termination(id, inquiry) {
+		case directory.TerminationConfirmed:
 			return true
-		case directory.EndingDenied:
+		case directory.TerminationRefuted:
 			return false
-		case directory.EndingInDoubt:
+		case directory.TerminationSuspected:
 			pause := identityQueryInterval - time.Since(queriedAt)
 			if pause <= 0 && queries < maxIdentityQueries {
 				inquiry, queriedAt = inquiry.With(id, r.identify(id)), time.Now()
