--- a/internal/router/class.go
+++ b/internal/router/class.go
@@ -59,37 +59,37 @@
 
 func (c *priorityClass) weight(tenant string) uint32 { return c.weights[tenant] }
 
-func (c *priorityClass) weightedUsage(tenant waiting.Tenant, now time.Duration) float64 {
+func (c *priorityClass) virtualTime(tenant waiting.Tenant, now time.Duration) float64 {
 	return c.ledger.VirtualTime(tenant.Name, tenant.Weight, now)
 }
 
-// updateScarcity checks whether capacity is short for the requests that wait at all processes. If
+// updateOverload checks whether capacity is short for the requests that wait at all processes. If
 // the servers do not report their slots, any waiting request means that it is. A gap between
-// checks longer than fairshare.Memory restarts scarceSince, since capacity may have sufficed
-// meanwhile.
-func (p *servicePool) updateScarcity(now time.Duration) {
+// checks longer than fairshare.DecayTime restarts overloadedSince, since capacity may have
+// sufficed meanwhile.
+func (p *servicePool) updateOverload(now time.Duration) {
 	total := p.waiting.Len() + p.shares.At(balance.QueueHash(p.name)).Inflight
-	wasScarce := p.scarce
-	p.scarce = total > 0 && (p.pool.Slots() == 0 || fairshare.Overloaded(p.turnover().EstimateWait(total)))
-	if p.scarce && (!wasScarce || now-p.scarcityCheckedAt > fairshare.DecayTime) {
-		p.scarceSince = now
+	wasOverloaded := p.overloaded
+	p.overloaded = total > 0 && (p.pool.Slots() == 0 || fairshare.Overloaded(p.slotRate().EstimateWait(total)))
+	if p.overloaded && (!wasOverloaded || now-p.overloadCheckedAt > fairshare.DecayTime) {
+		p.overloadedSince = now
 	}
-	p.scarcityCheckedAt = now
+	p.overloadCheckedAt = now
 }
 
-// orderingUsage returns the weighted usage by which requests of one priority are ordered; zero if
-// capacity is not short.
-func (p *servicePool) orderingUsage(place waiting.SortKey, now time.Duration) float64 {
-	if !p.scarce {
+// virtualTime returns the virtual time of a request's tenant, by which requests of one priority
+// are ordered; zero if capacity is not short.
+func (p *servicePool) virtualTime(key waiting.SortKey, now time.Duration) float64 {
+	if !p.overloaded {
 		return 0
 	}
-	return p.class(place.Priority()).weightedUsage(place.Tenant(), now)
+	return p.class(key.Priority()).virtualTime(key.Tenant(), now)
 }
 
-// waitingBehind returns how many requests wait at other processes for tenants with a higher
-// weighted usage.
+// waitingBehind returns how many requests wait at other processes for tenants with a later
+// virtual time.
 func (c *priorityClass) waitingBehind(tenant waiting.Tenant, now time.Duration) int {
-	return c.ledger.RemoteWaitingBehind(c.weightedUsage(tenant, now), c.weight, now)
+	return c.ledger.RemoteWaitingBehind(c.virtualTime(tenant, now), c.weight, now)
 }
 
 // charge is the work charged to a tenant for a request. The zero value is no charge.
@@ -122,9 +122,9 @@
 	return charge{class: class, tenant: request.Tenant.Name, work: work, chargedAt: now}
 }
 
-// mayExceedSlots reports whether the tenant has used so little compared with another one that its
+// mayOvercommit reports whether the tenant has used so little compared with another one that its
 // request may exceed the slots of a server.
-func (p *servicePool) mayExceedSlots(request AcquireRequest, now time.Duration) bool {
+func (p *servicePool) mayOvercommit(request AcquireRequest, now time.Duration) bool {
 	if request.Tenant.Name == "" || !p.gates.On(gate.FairShare) || !p.pool.Paced() {
 		return false
 	}
@@ -140,11 +140,11 @@
 // waitingCounts counts the requests that wait here by priority and tenant.
 func (p *servicePool) waitingCounts() map[waiting.Priority]map[string]int {
 	waits := make(map[waiting.Priority]map[string]int)
-	p.waiting.Each(func(place waiting.SortKey) {
-		if waits[place.Priority()] == nil {
-			waits[place.Priority()] = make(map[string]int)
+	p.waiting.Each(func(key waiting.SortKey) {
+		if waits[key.Priority()] == nil {
+			waits[key.Priority()] = make(map[string]int)
 		}
-		waits[place.Priority()][place.Tenant().Name]++
+		waits[key.Priority()][key.Tenant().Name]++
 	})
 	return waits
 }
@@ -154,7 +154,7 @@
 func (p *servicePool) visitQueueLoads(now time.Time, elapsed time.Duration, visit func(hash uint32, load balance.SharedLoad)) {
 	total := balance.SharedLoad{Inflight: p.waiting.Len()}
 	if p.gates.On(gate.Returns) {
-		total.Unread = p.promises.Count(now)
+		total.Unread = p.pendingRetries.Count(now)
 	}
 	if total != (balance.SharedLoad{}) {
 		visit(balance.QueueHash(p.name), total)
--- a/internal/router/continuation.go
+++ b/internal/router/continuation.go
@@ -20,14 +20,14 @@
 type copyPlanner struct {
 	origin time.Time
 
-	mutex sync.Mutex
-	watch *continuation.Tracker
-	// view is the last directory that the watch has processed.
+	mutex   sync.Mutex
+	tracker *continuation.Tracker
+	// view is the last directory that the tracker has processed.
 	view *directory.View
 }
 
 func newCopyPlanner() *copyPlanner {
-	return &copyPlanner{origin: time.Now(), watch: continuation.NewTracker(continuation.Selective)}
+	return &copyPlanner{origin: time.Now(), tracker: continuation.NewTracker(continuation.Selective)}
 }
 
 // plan decides whether a run at the leased server is copied.
@@ -39,23 +39,24 @@
 		c.updateView(view, now)
 	}
 	known, _ := view.Server(lease.ID)
-	return c.watch.Plan(continuation.Run{Service: service, Address: lease.Address, Zone: known.GetZone()}, now)
+	return c.tracker.Plan(continuation.Run{Service: service, Address: lease.Address, Zone: known.GetZone()}, now)
 }
 
 func (c *copyPlanner) recordDuration(service string, took time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.watch.RecordRun(service, took)
+	c.tracker.RecordRun(service, took)
 }
 
-// updateView passes the changes since the last directory to the watch. The caller holds c.mutex.
+// updateView passes the changes since the last directory to the tracker. The caller holds
+// c.mutex.
 func (c *copyPlanner) updateView(view *directory.View, now time.Duration) {
 	change := view.ChangeFrom(c.view)
 	for _, server := range change.Servers() {
-		c.watch.Update(incarnation(c.view, server.GetId()), incarnation(view, server.GetId()), now)
+		c.tracker.Update(incarnation(c.view, server.GetId()), incarnation(view, server.GetId()), now)
 	}
 	for _, left := range change.Removed() {
-		c.watch.Update(incarnation(c.view, left.GetId()), nil, now)
+		c.tracker.Update(incarnation(c.view, left.GetId()), nil, now)
 	}
 	c.view = view
 }
@@ -67,19 +68,19 @@
 	}
 }
 
-// incarnation returns a server that serves or has ended without leaving, nil for any other server
+// incarnation returns a server that serves or was lost without leaving, nil for any other server
 // or a nil view.
 func incarnation(view *directory.View, id string) *continuation.Server {
 	if view == nil {
 		return nil
 	}
 	server, known := view.Server(id)
-	ended := view.Lost(id)
-	if !known || (server.GetState() == rockwindpb.ServerState_SERVER_STATE_GONE && !ended) {
+	lost := view.Lost(id)
+	if !known || (server.GetState() == rockwindpb.ServerState_SERVER_STATE_GONE && !lost) {
 		return nil
 	}
 	return &continuation.Server{
-		ID: server.GetId(), Service: server.GetService(), Address: server.GetAddress(), Zone: server.GetZone(), Ended: ended,
+		ID: server.GetId(), Service: server.GetService(), Address: server.GetAddress(), Zone: server.GetZone(), Ended: lost,
 	}
 }
 
--- a/internal/router/dispatcher.go
+++ b/internal/router/dispatcher.go
@@ -46,10 +46,10 @@
 	leftBehindHashes map[uint32]struct{}
 	shares           *balance.SharedLoads
 	lastArrival      uint64
-	// storeCount is the number of processes that start batch work, and viewAge how old the shared
-	// loads may be.
+	// storeCount is the number of processes that start batch work, and maxLoadAge how old the
+	// shared loads may be.
 	storeCount int
-	viewAge    time.Duration
+	maxLoadAge time.Duration
 	// routerCount is the number of processes that start online requests.
 	routerCount int
 	// ready is closed by the first Update.
@@ -127,7 +127,7 @@
 		needHashes: backlog.NeedHashes(name),
 	}
 	if d.gates.On(gate.FairShare) {
-		created.waiting.EnableFairShare(func(place waiting.SortKey) float64 { return created.orderingUsage(place, d.now()) })
+		created.waiting.EnableFairShare(func(key waiting.SortKey) float64 { return created.virtualTime(key, d.now()) })
 	}
 	return created
 }
@@ -154,12 +154,12 @@
 func (d *Dispatcher) Acquire(ctx context.Context, request AcquireRequest) (*Lease, error) {
 	d.mutex.Lock()
 	pool := d.poolOf(request.Service)
-	pool.updateScarcity(d.now())
+	pool.updateOverload(d.now())
 	now := time.Now()
 	d.lastArrival++
-	place := request.place(d.lastArrival, now)
+	key := request.sortKey(d.lastArrival, now)
 	pool.class(request.Priority).setWeight(request.Tenant)
-	aheadHere := pool.waiting.CountAhead(place, now)
+	aheadHere := pool.waiting.CountAhead(key, now)
 	if aheadHere == 0 {
 		if given, found := d.choose(pool, request); found {
 			d.mutex.Unlock()
@@ -171,13 +171,13 @@
 		return nil, fault.Newf(fault.Unavailable, "come back later", "service %s has no server that can take the request", request.Service).
 			WithRan(fault.NotRun).WithRetryAfter(defaultHoldTime / 4)
 	}
-	if ahead := aheadHere + pool.aheadElsewhere(place, d.now()); pool.expectedWait(request, ahead, d.now()) > request.MaxWait {
+	if ahead := aheadHere + pool.aheadElsewhere(key, d.now()); pool.expectedWait(request, ahead, d.now()) > request.MaxWait {
 		refusal := pool.queueFullFault(request, ahead, now, d.now())
 		d.mutex.Unlock()
 		return nil, refusal
 	}
-	entry := pool.waiting.Add(place, &waiter{request: request, place: place, waitingSince: now, granted: make(chan grant, 1)})
-	if pool.anyTried() || pool.mayExceedSlots(request, d.now()) {
+	entry := pool.waiting.Add(key, &waiter{request: request, key: key, waitingSince: now, granted: make(chan grant, 1)})
+	if pool.anyTried() || pool.mayOvercommit(request, d.now()) {
 		// Requests ahead may have tried the servers that have capacity for this one.
 		d.serveWaiting(request.Service)
 	}
@@ -187,17 +187,17 @@
 	return d.awaitGrant(ctx, entry)
 }
 
-// choose returns a server with capacity for the next request. A request that may exceed the slots
-// gets a server beyond its slots if there is none. The caller holds d.mutex.
+// choose returns a server with capacity for the next request. If there is none, a request that
+// may overcommit gets a server beyond its slots. The caller holds d.mutex.
 func (d *Dispatcher) choose(pool *servicePool, request AcquireRequest) (grant, bool) {
 	if d.gates.On(gate.Returns) {
 		pool.pool.SetWaiting(pool.waiting.Len())
 	}
 	choice, found := pool.pool.Choose(request.Demand, request.Tried, d.now(), d.random)
-	if !found && pool.mayExceedSlots(request, d.now()) {
-		beyond := request.Demand
-		beyond.Overcommit = true
-		choice, found = pool.pool.Choose(beyond, request.Tried, d.now(), d.random)
+	if !found && pool.mayOvercommit(request, d.now()) {
+		overcommitted := request.Demand
+		overcommitted.Overcommit = true
+		choice, found = pool.pool.Choose(overcommitted, request.Tried, d.now(), d.random)
 	}
 	if !found {
 		return grant{}, false
@@ -309,7 +309,7 @@
 	if request.Remaining > 0 {
 		request.Remaining = max(time.Millisecond, request.Remaining-now.Sub(waiter.waitingSince))
 	}
-	ahead := pool.waiting.CountAhead(waiter.place, now) + pool.aheadElsewhere(waiter.place, d.now())
+	ahead := pool.waiting.CountAhead(waiter.key, now) + pool.aheadElsewhere(waiter.key, d.now())
 	return nil, pool.busyFault(request, ahead, now, d.now())
 }
 
@@ -317,7 +317,7 @@
 // d.mutex.
 func (d *Dispatcher) serveWaiting(service string) {
 	pool := d.poolOf(service)
-	pool.updateScarcity(d.now())
+	pool.updateOverload(d.now())
 	for d.serveNext(pool) {
 	}
 }
@@ -336,7 +336,7 @@
 
 // firstWithCapacity returns the first waiting request that finds capacity. A request that has
 // tried the servers with capacity does not block those behind it, and no request blocks the first
-// of the same priority that may exceed the slots. The caller holds d.mutex.
+// of the same priority that may overcommit. The caller holds d.mutex.
 func (d *Dispatcher) firstWithCapacity(pool *servicePool) (served *waiting.Entry[*waiter], given grant) {
 	now := time.Now()
 	try := func(entry *waiting.Entry[*waiter]) bool {
@@ -353,11 +353,11 @@
 		return served, given
 	}
 	priority := pool.waiting.First(now).Value().request.Priority
-	exceeding := pool.waiting.FirstMatching(now, func(each *waiter) bool {
-		return each.request.Priority == priority && pool.mayExceedSlots(each.request, d.now())
+	overcommitting := pool.waiting.FirstMatching(now, func(each *waiter) bool {
+		return each.request.Priority == priority && pool.mayOvercommit(each.request, d.now())
 	})
-	if exceeding != nil {
-		try(exceeding)
+	if overcommitting != nil {
+		try(overcommitting)
 	}
 	return served, given
 }
--- a/internal/router/export_test.go
+++ b/internal/router/export_test.go
@@ -22,12 +22,12 @@
 }
 
 // SetProcesses sets the number of online processes and the age of their shared loads.
-func (d *Dispatcher) SetProcesses(service string, processes int, viewAge time.Duration) {
+func (d *Dispatcher) SetProcesses(service string, processes int, maxLoadAge time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	pool := d.poolOf(service).pool
 	pool.SetOnlineProcesses(processes)
-	pool.SetMaxLoadAge(viewAge)
+	pool.SetMaxLoadAge(maxLoadAge)
 }
 
 // SubmissionEnds returns the deadline for submitting a job to the stores, if there is one, for a
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -41,8 +41,8 @@
 			}
 		}
 		elsewhere := d.shares.At(balance.QueueHash(pool.name)).Inflight
-		promised := pool.promises.Count(time.Now())
-		all = append(all, sitemetrics.NewWaiting(pool.name, pool.waiting.Len(), elsewhere, promised, pool.scarce, held))
+		pending := pool.pendingRetries.Count(time.Now())
+		all = append(all, sitemetrics.NewWaiting(pool.name, pool.waiting.Len(), elsewhere, pending, pool.overloaded, held))
 	}
 	return all
 }
@@ -51,18 +51,18 @@
 type heldBackTenant struct {
 	service string
 	tenant  string
-	// waiting counts its requests that wait here. weightedUsage is its recent usage at all
+	// waiting counts its requests that wait here. virtualTime is its recent usage at all
 	// processes divided by its weight.
-	waiting       int
-	weightedUsage float64
+	waiting     int
+	virtualTime float64
 	// others counts the waiting requests of other tenants.
 	others int
 }
 
-// heldBack lists the tenants with the highest weighted usage, one for each priority at which
-// several tenants wait.
+// heldBack lists the tenants with the latest virtual time, one for each priority at which several
+// tenants wait.
 func (p *servicePool) heldBack(now time.Duration) []heldBackTenant {
-	if !p.scarce {
+	if !p.overloaded {
 		return nil
 	}
 	var held []heldBackTenant
@@ -71,11 +71,11 @@
 			continue
 		}
 		class := p.class(priority)
-		most := heldBackTenant{service: p.name, weightedUsage: -1}
+		most := heldBackTenant{service: p.name, virtualTime: -1}
 		for tenant, waiting := range waits {
-			usage := class.ledger.VirtualTime(tenant, class.weight(tenant), now)
-			if usage > most.weightedUsage || (usage == most.weightedUsage && tenant < most.tenant) {
-				most.tenant, most.waiting, most.weightedUsage = tenant, waiting, usage
+			virtualTime := class.ledger.VirtualTime(tenant, class.weight(tenant), now)
+			if virtualTime > most.virtualTime || (virtualTime == most.virtualTime && tenant < most.tenant) {
+				most.tenant, most.waiting, most.virtualTime = tenant, waiting, virtualTime
 			}
 		}
 		most.others = sumCounts(waits) - most.waiting
@@ -87,6 +87,6 @@
 // record writes a decision record about the tenant.
 func (h heldBackTenant) record() {
 	decision.Default.Record(decision.TenantHeldBack, h.tenant, log.Fields{
-		"service": h.service, "waiting": h.waiting, "others_waiting": h.others, "tokens_lately": int(h.weightedUsage),
+		"service": h.service, "waiting": h.waiting, "others_waiting": h.others, "tokens_lately": int(h.virtualTime),
 	})
 }
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -37,7 +37,7 @@
 	for name, service := range d.pools {
 		service.pool.SetBatchProcesses(d.storeCount)
 		service.pool.SetOnlineProcesses(d.routerCount)
-		service.pool.SetMaxLoadAge(d.viewAge)
+		service.pool.SetMaxLoadAge(d.maxLoadAge)
 		d.serveWaiting(name)
 	}
 	if !d.Ready() {
--- a/internal/router/exceedslots_test.go
+++ b/internal/router/overcommit_test.go
@@ -32,9 +32,9 @@
 	time.Sleep(500 * time.Millisecond)
 }
 
-// TestSmallTenantMayExceedSlots checks that one request at a time of a small tenant exceeds the
+// TestLightTenantMayOvercommit checks that one request at a time of a light tenant exceeds the
 // router's share of the slots. Others wait, as do all if the gate is off.
-func TestSmallTenantMayExceedSlots(t *testing.T) {
+func TestLightTenantMayOvercommit(t *testing.T) {
 	for _, each := range []struct {
 		tenants []string
 		off     []string
@@ -65,9 +65,9 @@
 	}
 }
 
-// TestLowPriorityRequestDoesNotExceedSlotsBeforeUrgentOnes covers a tenant that is small among
+// TestLowPriorityRequestDoesNotOvercommitBeforeUrgentOnes covers a tenant that is light among
 // those of its own priority.
-func TestLowPriorityRequestDoesNotExceedSlotsBeforeUrgentOnes(t *testing.T) {
+func TestLowPriorityRequestDoesNotOvercommitBeforeUrgentOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := pacedRouter(t)
 		lower := lowPriorityRequest(100 * time.Millisecond)
--- a/internal/router/promise_test.go
+++ b/internal/router/promise_test.go
@@ -11,8 +11,8 @@
 	"rockwind.example/rockwind/internal/loadshare"
 )
 
-// promisedRetries returns how many clients the process expects to retry.
-func (c *queueTest) promisedRetries() int {
+// pendingRetries returns how many clients the process expects to retry.
+func (c *queueTest) pendingRetries() int {
 	return loadshare.Loads(c.dispatcher.LoadSource().Own())[balance.QueueHash("app")].Unread
 }
 
@@ -25,37 +25,37 @@
 	return c
 }
 
-// TestPromisesExpireAfterRetryAfter checks that a promise ends after the Retry-After, and that
-// none is made to a client on its last attempt.
-func TestPromisesExpireAfterRetryAfter(t *testing.T) {
+// TestPendingRetryExpiresAfterRetryAfter checks that a pending retry ends after the Retry-After,
+// and that none is expected of a client on its last attempt.
+func TestPendingRetryExpiresAfterRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newFullQueueTest(t)
 		request := requestOf("", 4*time.Second)
 		request.Remaining = 8 * time.Second
 		_, err := c.dispatcher.Acquire(t.Context(), request)
 		retryAfter := fault.From(err).RetryAfter
-		if retryAfter > 2*time.Second || c.promisedRetries() != 1 {
-			t.Fatalf("Retry-After is %v, %d retries are promised", retryAfter, c.promisedRetries())
+		if retryAfter > 2*time.Second || c.pendingRetries() != 1 {
+			t.Fatalf("Retry-After is %v, %d retries are pending", retryAfter, c.pendingRetries())
 		}
 		time.Sleep(retryAfter)
-		if c.promisedRetries() != 0 {
+		if c.pendingRetries() != 0 {
 			t.Fatal("a retry is still expected after the Retry-After")
 		}
 		request.LastAttempt = true
-		if _, err := c.dispatcher.Acquire(t.Context(), request); err == nil || c.promisedRetries() != 0 {
+		if _, err := c.dispatcher.Acquire(t.Context(), request); err == nil || c.pendingRetries() != 0 {
 			t.Fatalf("%v, and a retry after the last attempt is expected", err)
 		}
 	})
 }
 
-// TestNoPromiseForDisconnectedClient cancels a request while it waits.
-func TestNoPromiseForDisconnectedClient(t *testing.T) {
+// TestNoPendingRetryOfDisconnectedClient cancels a request while it waits.
+func TestNoPendingRetryOfDisconnectedClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newFullQueueTest(t)
 		ctx, disconnect := context.WithCancel(t.Context())
 		time.AfterFunc(time.Second, disconnect)
-		if _, err := c.dispatcher.Acquire(ctx, requestOf("", time.Minute)); err == nil || c.promisedRetries() != 0 {
-			t.Fatalf("%v, %d retries are expected", err, c.promisedRetries())
+		if _, err := c.dispatcher.Acquire(ctx, requestOf("", time.Minute)); err == nil || c.pendingRetries() != 0 {
+			t.Fatalf("%v, %d retries are expected", err, c.pendingRetries())
 		}
 	})
 }
--- a/internal/router/queue.go
+++ b/internal/router/queue.go
@@ -19,12 +19,12 @@
 	holdTimeWeight = 0.05
 	// minRetryAfter is the shortest Retry-After.
 	minRetryAfter = 50 * time.Millisecond
-	// maxExpectedMemories bounds the expected wait in multiples of fairshare.Memory: no client
-	// waits longer.
-	maxExpectedMemories = 60.0
+	// maxExpectedDecayTimes bounds the expected wait in multiples of fairshare.DecayTime: no
+	// client waits longer.
+	maxExpectedDecayTimes = 60.0
 	// minShareStarts is the minimum number of requests that a tenant must have started within
-	// fairshare.Memory for its share to be known. With fewer, the decayed value depends mostly on
-	// the time since the last start.
+	// fairshare.DecayTime for its share to be known. With fewer, the decayed value depends mostly
+	// on the time since the last start.
 	minShareStarts = 3.0
 	// maxRetryWaits bounds the Retry-After after which a client is expected back, in multiples of
 	// its maximum wait: it has that much time left (see maxWaitFraction).
@@ -53,8 +53,8 @@
 	LastAttempt bool
 }
 
-// place returns the position of the request in the queue order.
-func (a AcquireRequest) place(arrival uint64, now time.Time) waiting.SortKey {
+// sortKey returns the key that orders the request in the queue.
+func (a AcquireRequest) sortKey(arrival uint64, now time.Time) waiting.SortKey {
 	return waiting.NewSortKey(a.Priority, arrival, a.StartBy, now.Add(a.MaxWait)).WithTenant(a.Tenant).WithFirstAttempt(a.FirstAsked)
 }
 
@@ -69,13 +69,13 @@
 	rechecking bool
 	// classes are the priority classes, within which tenants share capacity.
 	classes map[waiting.Priority]*priorityClass
-	// scarce is set if capacity is short, so that tenants share it. scarceSince is when that
-	// began, and scarcityCheckedAt when it was last checked.
-	scarce            bool
-	scarceSince       time.Duration
-	scarcityCheckedAt time.Duration
-	// promises are the times at which refused clients were told to retry.
-	promises returning.PendingRetries
+	// overloaded is set if capacity is short, so that tenants share it. overloadedSince is when
+	// that began, and overloadCheckedAt when it was last checked.
+	overloaded        bool
+	overloadedSince   time.Duration
+	overloadCheckedAt time.Duration
+	// pendingRetries are the times at which refused clients were told to retry.
+	pendingRetries returning.PendingRetries
 	// holdTime is the moving average of slot hold times, and holdTimeSamples the number of
 	// samples in it.
 	holdTime        time.Duration
@@ -99,7 +99,7 @@
 // waiter is a waiting request.
 type waiter struct {
 	request      AcquireRequest
-	place        waiting.SortKey
+	key          waiting.SortKey
 	waitingSince time.Time
 	granted      chan grant
 }
@@ -115,14 +115,14 @@
 	return p.waiting.Any(func(waiter *waiter) bool { return len(waiter.request.Tried) > 0 })
 }
 
-// aheadElsewhere estimates how many requests at other processes are ahead of the given place.
-func (p *servicePool) aheadElsewhere(place waiting.SortKey, elapsed time.Duration) int {
+// aheadElsewhere estimates how many requests at other processes are ahead of the given key.
+func (p *servicePool) aheadElsewhere(key waiting.SortKey, elapsed time.Duration) int {
 	count := p.shares.At(balance.QueueHash(p.name)).Inflight
 	if p.gates.On(gate.Returns) {
-		count -= p.lowerElsewhere(place.Priority())
+		count -= p.lowerElsewhere(key.Priority())
 	}
-	if p.scarce && p.gates.On(gate.FairShare) {
-		count -= p.class(place.Priority()).waitingBehind(place.Tenant(), elapsed)
+	if p.overloaded && p.gates.On(gate.FairShare) {
+		count -= p.class(key.Priority()).waitingBehind(key.Tenant(), elapsed)
 	}
 	return max(0, count)
 }
@@ -138,15 +138,15 @@
 	return count
 }
 
-// turnover is the rate at which slots become free.
-func (p *servicePool) turnover() returning.Rate { return returning.NewRate(p.pool.Slots(), p.holdTime) }
+// slotRate is the rate at which slots become free.
+func (p *servicePool) slotRate() returning.Rate { return returning.NewRate(p.pool.Slots(), p.holdTime) }
 
 // expectedWait estimates the wait of a request behind the given number of others. If capacity has
 // been short for long enough to know the shares of the tenants, it also considers the other
 // requests of its tenant.
 func (p *servicePool) expectedWait(request AcquireRequest, ahead int, elapsed time.Duration) time.Duration {
-	expected := p.turnover().EstimateWait(ahead)
-	if p.gates.On(gate.Returns) && p.scarce && elapsed-p.scarceSince >= fairshare.DecayTime {
+	expected := p.slotRate().EstimateWait(ahead)
+	if p.gates.On(gate.Returns) && p.overloaded && elapsed-p.overloadedSince >= fairshare.DecayTime {
 		expected = max(expected, p.expectedShareWait(request, elapsed))
 	}
 	return expected
@@ -166,26 +166,26 @@
 		return 0
 	}
 	before := counts[request.Tenant.Name] + class.ledger.RemoteWaiting(request.Tenant.Name)
-	memories := float64(before+1) * p.meanWork / share
-	return time.Duration(min(memories, maxExpectedMemories) * float64(fairshare.DecayTime))
+	decayTimes := float64(before+1) * p.meanWork / share
+	return time.Duration(min(decayTimes, maxExpectedDecayTimes) * float64(fairshare.DecayTime))
 }
 
 // retryAfter returns when a request that is refused now is expected to find capacity, bounded by
 // the client's remaining time. Refused clients that are expected back count as ahead of it. The
-// time is added to the promises if the client is expected to retry.
+// time is added to the pending retries if the client is expected to retry.
 func (p *servicePool) retryAfter(request AcquireRequest, ahead int, now time.Time, elapsed time.Duration) time.Duration {
-	promised := p.promises.Count(now) + p.shares.At(balance.QueueHash(p.name)).Unread
-	retryAfter := max(minRetryAfter, p.expectedWait(request, ahead, elapsed), p.turnover().EstimateWait(ahead+promised))
+	pending := p.pendingRetries.Count(now) + p.shares.At(balance.QueueHash(p.name)).Unread
+	retryAfter := max(minRetryAfter, p.expectedWait(request, ahead, elapsed), p.slotRate().EstimateWait(ahead+pending))
 	retryAfter = boundRetryAfter(retryAfter, request.Remaining)
 	if !request.LastAttempt && retryAfter <= maxRetryWaits*request.MaxWait {
-		p.promises.Add(now.Add(retryAfter))
+		p.pendingRetries.Add(now.Add(retryAfter))
 	}
 	return retryAfter
 }
 
 // queueFullFault returns the refusal of a request whose expected wait is too long.
 func (p *servicePool) queueFullFault(request AcquireRequest, ahead int, now time.Time, elapsed time.Duration) error {
-	retryAfter := max(minRetryAfter, p.turnover().EstimateWait(ahead)-request.MaxWait)
+	retryAfter := max(minRetryAfter, p.slotRate().EstimateWait(ahead)-request.MaxWait)
 	if p.gates.On(gate.Returns) {
 		retryAfter = p.retryAfter(request, ahead, now, elapsed)
 	}
--- a/internal/router/queue_test.go
+++ b/internal/router/queue_test.go
@@ -66,8 +66,8 @@
 	synctest.Wait()
 }
 
-// TestSmallTenantGoesBeforeFlood checks the order by usage, and by arrival if the gate is off.
-func TestSmallTenantGoesBeforeFlood(t *testing.T) {
+// TestLightTenantGoesBeforeFlood checks the order by usage, and by arrival if the gate is off.
+func TestLightTenantGoesBeforeFlood(t *testing.T) {
 	for _, each := range []struct {
 		off   []string
 		place int
--- a/internal/router/share_test.go
+++ b/internal/router/share_test.go
@@ -84,9 +84,9 @@
 	})
 }
 
-// TestScarcityRestartsAfterGapBetweenChecks checks that requests waiting elsewhere now do not
-// extend a shortage of five seconds ago.
-func TestScarcityRestartsAfterGapBetweenChecks(t *testing.T) {
+// TestOverloadRestartsAfterGapBetweenChecks checks that requests waiting elsewhere now do not
+// extend an overload of five seconds ago.
+func TestOverloadRestartsAfterGapBetweenChecks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		here := newFastQueueTest(t)
 		here.fill("flood", 12, 990*time.Millisecond) // they time out between two checks
--- a/internal/router/sharing.go
+++ b/internal/router/sharing.go
@@ -178,5 +178,5 @@
 	}
 	layout := loadshare.NewLayout(members, d.name)
 	d.sharer.SetLayout(layout)
-	d.viewAge = layout.MaxAge()
+	d.maxLoadAge = layout.MaxAge()
 }
--- a/internal/router/sharing_test.go
+++ b/internal/router/sharing_test.go
@@ -28,8 +28,8 @@
 	return [2]string{}
 }
 
-// TestDropPriorityOfDigestEntries checks that left-behind requests are dropped from a digest before
-// tenants.
+// TestDropPriorityOfDigestEntries checks that left-behind requests are dropped from a digest
+// before tenants.
 func TestDropPriorityOfDigestEntries(t *testing.T) {
 	source := oneServer(4).LoadSource()
 	for hash, want := range map[uint32]loadshare.DropPriority{
--- a/internal/router/witness.go
+++ b/internal/router/witness.go
@@ -40,7 +40,7 @@
 // lose responses. A server has crashed if nobody listens at its address although it has not said
 // that it leaves. If a proxy or supervisor accepts connections in its place, it has crashed if
 // the directory soon shows another incarnation at its address, or shows it as silent and the
-// address does not identify itself as that server: see directory.View.Ending. An unreachable
+// address does not identify itself as that server: see directory.View.Termination. An unreachable
 // server does not refuse connections, and its connections do not break.
 //
 // Its methods are safe for concurrent use and never block, apart from Run.
@@ -147,13 +147,13 @@
 func (r *CrashReporter) awaitCrashNotice(id string) bool {
 	limit := time.NewTimer(crashNoticeTimeout)
 	defer limit.Stop()
-	var inquiry directory.ProbeHistory
+	var history directory.ProbeHistory
 	var queriedAt time.Time
 	queries := 0
 	for {
 		changed := r.watcher.Changed()
 		var retry <-chan time.Time
-		switch r.watcher.Directory().Termination(id, inquiry) {
+		switch r.watcher.Directory().Termination(id, history) {
 		case directory.TerminationConfirmed:
 			return true
 		case directory.TerminationRefuted:
@@ -161,7 +161,7 @@
 		case directory.TerminationSuspected:
 			pause := identityQueryInterval - time.Since(queriedAt)
 			if pause <= 0 && queries < maxIdentityQueries {
-				inquiry, queriedAt = inquiry.With(id, r.identify(id)), time.Now()
+				history, queriedAt = history.With(id, r.identify(id)), time.Now()
 				queries++
 				continue
 			}
