--- a/internal/store/parting.go
+++ b/internal/store/parting.go
@@ -5,53 +5,53 @@
 	"time"
 )
 
-// parting is a planned hand-over of a shard's lead that waits until what was received of
-// running items is recorded. A record every progressInterval leaves up to that much of each
-// running item to be made again by the next leader; on plan nothing need be. What comes between
-// this record and the end of the lease is made again, some milliseconds.
-type parting struct {
+// handover is a planned transfer of a shard's leadership that waits until the received output
+// of running items is recorded. Otherwise the next leader would have to run again what was
+// received since the last record. Events that arrive between this record and the end of the
+// lease are still lost.
+type handover struct {
 	recorded chan struct{}
 }
 
-// part records what running items of a shard received, before its lead is handed over. It returns
-// when that is done, or the context ends. A shard that this store doesn't lead has nothing to
-// record.
-func (s *Store) part(ctx context.Context, shard uint32) {
-	told := parting{recorded: make(chan struct{})}
+// prepareHandover records the received output of a shard's running items before a transfer of
+// leadership. It returns when that is done or the context ends. It does nothing if this store
+// does not lead the shard.
+func (s *Store) prepareHandover(ctx context.Context, shard uint32) {
+	request := handover{recorded: make(chan struct{})}
 	select {
-	case s.partingsOf(shard) <- told:
+	case s.handoversOf(shard) <- request:
 	case <-ctx.Done():
 		return
 	}
 	select {
-	case <-told.recorded:
+	case <-request.recorded:
 	case <-ctx.Done():
 	}
 }
 
-func (s *Store) partingsOf(shard uint32) chan parting {
+func (s *Store) handoversOf(shard uint32) chan handover {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.partings[shard]
+	return s.handovers[shard]
 }
 
-// notePartings records for hand-overs that wait. A record under way may not hold all, so it is
-// waited for; its end leads here again.
-func (e *executor) notePartings(ctx context.Context) {
-	if len(e.parted) == 0 || e.noting {
+// recordForHandovers records progress for pending handovers. If a record is in flight, its
+// completion calls this function again.
+func (e *executor) recordForHandovers(ctx context.Context) {
+	if len(e.pendingHandovers) == 0 || e.recordingProgress {
 		return
 	}
-	waiting := e.parted
-	e.parted = nil
-	if e.lead() {
-		e.noteThen(ctx, time.Now(), func() { endPartings(waiting) })
+	waiting := e.pendingHandovers
+	e.pendingHandovers = nil
+	if e.updateLeadership() {
+		e.recordProgressThen(ctx, time.Now(), func() { completeHandovers(waiting) })
 		return
 	}
-	endPartings(waiting)
+	completeHandovers(waiting)
 }
 
-func endPartings(waiting []parting) {
-	for _, told := range waiting {
-		close(told.recorded)
+func completeHandovers(waiting []handover) {
+	for _, request := range waiting {
+		close(request.recorded)
 	}
 }
