--- a/internal/router/class.go
+++ b/internal/router/class.go
@@ -86,7 +86,7 @@
 	return p.class(key.Priority()).virtualTime(key.Tenant(), now)
 }
 
-// waitingBehind returns how many requests wait at other processes for tenants with a later
+// waitingBehind returns how many requests wait at other processes for tenants with a higher
 // virtual time.
 func (c *priorityClass) waitingBehind(tenant waiting.Tenant, now time.Duration) int {
 	return c.ledger.RemoteWaitingBehind(c.virtualTime(tenant, now), c.weight, now)
--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -41,10 +41,10 @@
 	// within a few milliseconds, a busy one within some tens.
 	ownerWaitFraction = 0.2
 	minOwnerWait      = 50 * time.Millisecond
-	// maxTurnWait is how long a request may wait at the owner of its tenant's rate limit. It does
+	// maxRateWait is how long a request may wait at the owner of its tenant's rate limit. It does
 	// not depend on the route, because routes with long goals would otherwise take most of the
 	// tenant's rate.
-	maxTurnWait = 60 * time.Millisecond
+	maxRateWait = 60 * time.Millisecond
 )
 
 // exchange is the handling of one client request.
@@ -248,20 +248,21 @@
 func (e *exchange) takeRate(ctx context.Context) error {
 	began := time.Now()
 	defer func() { e.waited += time.Since(began) }()
-	err := e.router.rates.Take(ctx, e.tenant, e.configNumber, max(minOwnerWait, e.goalFraction(ownerWaitFraction)), e.rateTurn())
+	err := e.router.rates.Take(ctx, e.tenant, e.configNumber, max(minOwnerWait, e.goalFraction(ownerWaitFraction)), e.rateOptions())
 	for err != nil && !e.clientMayRetry() && e.awaitRate(ctx, fault.From(err)) {
-		err = e.router.rates.Take(ctx, e.tenant, e.configNumber, e.maxWait(), e.rateTurn())
+		err = e.router.rates.Take(ctx, e.tenant, e.configNumber, e.maxWait(), e.rateOptions())
 	}
 	return err
 }
 
-// rateTurn returns the order of the request among others of its tenant.
-func (e *exchange) rateTurn() rateclient.Options {
+// rateOptions returns how the request is ordered among others of its tenant at the owner of the
+// rate limit.
+func (e *exchange) rateOptions() rateclient.Options {
 	if e.route.GetGoalMs() == 0 || !e.router.gates.On(gate.Returns) {
 		return rateclient.Options{}
 	}
-	left := time.Until(e.startBy())
-	return rateclient.Options{Late: left <= 0, Wait: max(0, min(left, maxTurnWait))}
+	remaining := time.Until(e.startBy())
+	return rateclient.Options{Late: remaining <= 0, Wait: max(0, min(remaining, maxRateWait))}
 }
 
 // awaitRate waits until the tenant's rate limit allows the request and reports whether to ask
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -59,8 +59,8 @@
 	others int
 }
 
-// heldBack lists the tenants with the latest virtual time, one for each priority at which several
-// tenants wait.
+// heldBack lists the tenants with the highest virtual time, one for each priority at which
+// several tenants wait.
 func (p *servicePool) heldBack(now time.Duration) []heldBackTenant {
 	if !p.overloaded {
 		return nil
