--- a/internal/balance/feedback.go
+++ b/internal/balance/feedback.go
@@ -41,7 +41,7 @@
 	}
 	srv := p.servers[place]
 	srv.unread = max(0, srv.unread-choice.Uncached)
-	p.tracker.FirstToken(place, arrived, now)
+	p.tracker.RecordFirstToken(place, arrived, now)
 }
 
 // RecordOutcome records the end of an exchange. Latency is the time to the response headers; zero
--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -115,7 +115,7 @@
 // usually arrive within a tenth of a second.
 func healthPolicy() health.Policy {
 	adjusted := health.DefaultPolicy
-	adjusted.SilentFor = silenceTimeout
+	adjusted.SilenceTimeout = silenceTimeout
 	return adjusted
 }
 
@@ -209,7 +209,7 @@
 	}
 	choice.Batch = demand.Batch
 	p.start(chosen, demand, choice.Uncached, now)
-	p.tracker.Sent(p.place(chosen.ID), choice.ExpectedFirstEvent(), now)
+	p.tracker.RecordSent(p.place(chosen.ID), choice.ExpectedFirstEvent(), now)
 	return choice
 }
 
--- a/internal/batch/dispatch.go
+++ b/internal/batch/dispatch.go
@@ -247,7 +247,7 @@
 		return
 	}
 	switch {
-	case current.result.Whole:
+	case current.result.Complete:
 		e.answered(current)
 	case current.result.Fault != nil && current.result.Fault.Ran == fault.NotRun, current.result.Stopped:
 		e.notRun(current)
@@ -262,7 +262,7 @@
 func (e *Executor) account(current *run) {
 	job := current.lease.job
 	cost := 0.0
-	if current.result.Whole {
+	if current.result.Complete {
 		cost = sharing.Cost(current.prompt, 0, int(current.result.Tokens))
 		e.costs.add(job.GetGroup(), cost)
 		e.rate.add(time.Now())
--- a/internal/bench/routingfleet/attempts.go
+++ b/internal/bench/routingfleet/attempts.go
@@ -147,7 +147,7 @@
 	entry.tried = append(entry.tried, int32(server))
 	entry.hinted = decision.Hinted
 	g.view.Sent(server, drawn.prompt-int(decision.CachedTokens), false)
-	g.health.Sent(server, decision.Wait, run.queue.Now())
+	g.health.RecordSent(server, decision.Wait, run.queue.Now())
 	g.recent[server].Sent(run.queue.Now())
 	g.rememberPrefixes(server)
 	run.sent(g, server)
@@ -249,7 +249,7 @@
 	}
 	current.prefilled = true
 	g.view.FirstToken(int(current.server), current.tokens)
-	g.health.FirstToken(int(current.server), came, g.fleet.queue.Now())
+	g.health.RecordFirstToken(int(current.server), came, g.fleet.queue.Now())
 }
 
 // close counts an attempt down.
--- a/internal/bench/routingfleet/gateway.go
+++ b/internal/bench/routingfleet/gateway.go
@@ -76,7 +76,7 @@
 		random:     newRandom(seed, streamGateways+uint64(index)<<8),
 		routing:    run.policy.Routing(),
 		health:     health.NewTracker(run.policy.Health, servers),
-		budget:     upstream.NewBudget(),
+		budget:     upstream.NewRetryBudget(),
 		recent:     make([]routing.Recent, servers),
 		leaving:    make([]leavingState, servers),
 		prefixes:   routing.NewPrefixIndex(),
--- a/internal/bench/routingfleet/policy.go
+++ b/internal/bench/routingfleet/policy.go
@@ -100,7 +100,7 @@
 	policy.Health.SuspectAfter = neverReached
 	policy.Health.EjectAfter = neverReached
 	policy.Health.SlowFactor = neverReached
-	policy.Health.SilentFor = 0
+	policy.Health.SilenceTimeout = 0
 	return policy
 }
 
@@ -110,7 +110,7 @@
 	policy := Rockwind()
 	policy.Name = "probes_only"
 	policy.ProbesOnly = true
-	policy.Health.SilentFor = 0
+	policy.Health.SilenceTimeout = 0
 	return policy
 }
 
--- a/internal/clientconn/body.go
+++ b/internal/clientconn/body.go
@@ -8,8 +8,8 @@
 // bodyStep is by how much memory is asked for a body as it is read, in bytes.
 const bodyStep = 8 << 10
 
-// ErrFull tells that there is no memory for a body.
-var ErrFull = errors.New("the memory for bodies is full")
+// ErrMemoryFull tells that there is no memory for a body.
+var ErrMemoryFull = errors.New("the memory for bodies is full")
 
 // Body is the memory of one body, of a request or an answer that is read whole, from before
 // it is read until GiveBack. It is not safe for concurrent use.
@@ -26,22 +26,22 @@
 // it, else with what was read. Memory is taken as the body comes, whatever was announced.
 func (m *Body) Read(source io.Reader, length int64) ([]byte, error) {
 	if length > 0 && !m.buffers.hasRoomForBody(length) {
-		return nil, ErrFull
+		return nil, ErrMemoryFull
 	}
 	return io.ReadAll(&countedBody{memory: m, source: source, length: length})
 }
 
-// GiveBack tells that the body is not kept any more.
-func (m *Body) GiveBack() {
+// Release tells that the body is not kept any more.
+func (m *Body) Release() {
 	if m.taken > 0 {
-		m.buffers.ReturnBody(m.taken)
+		m.buffers.ReleaseBody(m.taken)
 		m.taken = 0
 	}
 }
 
 // take asks for so many bytes more of a body of the given size.
 func (m *Body) take(bytes, size int64) bool {
-	if !m.buffers.TakeBody(bytes, size) {
+	if !m.buffers.ReserveBody(bytes, size) {
 		return false
 	}
 	m.taken += bytes
@@ -66,7 +66,7 @@
 			step = min(step, left)
 		}
 		if !c.memory.take(step, max(c.length, c.memory.taken+step)) {
-			return n, ErrFull
+			return n, ErrMemoryFull
 		}
 	}
 	return n, err
--- a/internal/clientconn/body_test.go
+++ b/internal/clientconn/body_test.go
@@ -60,7 +60,7 @@
 		size  = 1 << 20
 		sent  = 60
 	)
-	buffers := clientconn.NewBuffers(limit, func(clientconn.Ended) {})
+	buffers := clientconn.NewBuffers(limit, func(clientconn.EndedResponse) {})
 	var servers []string
 	for range 10 {
 		servers = append(servers, darkServer(t))
@@ -68,9 +68,9 @@
 	var next, refused atomic.Int64
 	address, _ := serve(t, buffers, func(writer http.ResponseWriter, request *http.Request) {
 		memory := buffers.NewBody()
-		defer memory.GiveBack()
+		defer memory.Release()
 		body, err := memory.Read(request.Body, request.ContentLength)
-		if errors.Is(err, clientconn.ErrFull) {
+		if errors.Is(err, clientconn.ErrMemoryFull) {
 			refused.Add(1)
 			writer.WriteHeader(http.StatusServiceUnavailable)
 			return
@@ -137,7 +137,7 @@
 		size    = 1 << 20
 		stalled = 20
 	)
-	buffers := clientconn.NewBuffers(limit, func(clientconn.Ended) {})
+	buffers := clientconn.NewBuffers(limit, func(clientconn.EndedResponse) {})
 	sources := make([]*io.PipeWriter, stalled)
 	read := make(chan error, stalled)
 	for i := range sources {
@@ -145,7 +145,7 @@
 		sources[i] = writer
 		go func() {
 			memory := buffers.NewBody()
-			defer memory.GiveBack()
+			defer memory.Release()
 			_, err := memory.Read(reader, size)
 			// A body that is refused is read no further: what its client still sends fails.
 			_ = reader.CloseWithError(err)
@@ -160,12 +160,12 @@
 		t.Errorf("kept are %+v", usage)
 	}
 	whole := buffers.NewBody()
-	defer whole.GiveBack()
+	defer whole.Release()
 	if body, err := whole.Read(bytes.NewReader(make([]byte, size)), size); err != nil || len(body) != size {
 		t.Errorf("beside them: %d bytes, %v", len(body), err)
 	}
 	tooLarge := buffers.NewBody()
-	if _, err := tooLarge.Read(iotest.ErrReader(errors.New("it is read")), limit); !errors.Is(err, clientconn.ErrFull) {
+	if _, err := tooLarge.Read(iotest.ErrReader(errors.New("it is read")), limit); !errors.Is(err, clientconn.ErrMemoryFull) {
 		t.Errorf("a body without room: %v", err)
 	}
 	for _, source := range sources {
@@ -174,6 +174,6 @@
 			t.Error(err)
 		}
 	}
-	whole.GiveBack()
+	whole.Release()
 	until(t, "all is given back", func() bool { return buffers.Usage().Bodies == 0 })
 }
--- a/internal/clientconn/buffers.go
+++ b/internal/clientconn/buffers.go
@@ -40,7 +40,7 @@
 // Buffers is what a process keeps for the clients of its connections, and the bodies of
 // requests. It is safe for concurrent use.
 type Buffers struct {
-	ended func(Ended)
+	ended func(EndedResponse)
 
 	mutex   sync.Mutex
 	budget  *relaybudget.Budget[*Conn]
@@ -63,38 +63,38 @@
 	Taken int64
 }
 
-// Part is the part of the limit that is in use.
-func (u Usage) Part() float64 { return float64(u.Unread+u.Bodies) / float64(u.Limit) }
+// Fraction is the part of the limit that is in use.
+func (u Usage) Fraction() float64 { return float64(u.Unread+u.Bodies) / float64(u.Limit) }
 
 // Reason is why the answer of a reader was ended.
 type Reason string
 
 // The reasons.
 const (
-	// ReasonRoom: other requests needed the memory.
-	ReasonRoom Reason = "others needed the memory"
+	// ReasonMemoryNeeded: other requests needed the memory.
+	ReasonMemoryNeeded Reason = "others needed the memory"
 	// ReasonStalled: it waited for memory, and the client read nothing.
 	ReasonStalled Reason = "the client read nothing while memory was short"
-	// ReasonWrite: nothing could be written to the client any more, or its time was over.
-	ReasonWrite Reason = "the client read nothing until its time was over, or left"
+	// ReasonWriteFailed: nothing could be written to the client any more, or its time was over.
+	ReasonWriteFailed Reason = "the client read nothing until its time was over, or left"
 )
 
-// Ended is a reader whose answer was ended.
-type Ended struct {
-	// Exchange is the identifier that Conn.Begin was told.
-	Exchange string
-	Reason   Reason
-	// Kept is how many bytes were kept for it, Taken how many it took since it fell behind,
+// EndedResponse is a reader whose answer was ended.
+type EndedResponse struct {
+	// RequestID is the identifier that Conn.Begin was told.
+	RequestID string
+	Reason    Reason
+	// Unread is how many bytes were kept for it, Taken how many it took since it fell behind,
 	// and Behind how long ago that was.
-	Kept, Taken int64
-	Behind      time.Duration
+	Unread, Taken int64
+	Behind        time.Duration
 	// Cause is the error of the connection, nil where there was none.
 	Cause error
 }
 
 // NewBuffers returns buffers of so many bytes in all. The function is told of readers whose
 // answer was ended; it must not block.
-func NewBuffers(limit int64, ended func(Ended)) *Buffers {
+func NewBuffers(limit int64, ended func(EndedResponse)) *Buffers {
 	return &Buffers{
 		ended:   ended,
 		budget:  relaybudget.New[*Conn](limit),
@@ -126,21 +126,21 @@
 	return b.budget.HasRoomForBody(size)
 }
 
-// TakeBody asks to keep so many bytes more of a body of the given size, and tells whether there
+// ReserveBody asks to keep so many bytes more of a body of the given size, and tells whether there
 // is room.
-func (b *Buffers) TakeBody(bytes, size int64) bool {
+func (b *Buffers) ReserveBody(bytes, size int64) bool {
 	b.mutex.Lock()
-	verdict, ended := b.budget.TakeBody(bytes, size, time.Now())
+	verdict, ended := b.budget.ReserveBody(bytes, size, time.Now())
 	b.mutex.Unlock()
 	endAll(ended)
-	return verdict == relaybudget.Kept
+	return verdict == relaybudget.Granted
 }
 
-// ReturnBody gives back bytes that TakeBody gave.
-func (b *Buffers) ReturnBody(bytes int64) {
+// ReleaseBody gives back bytes that TakeBody gave.
+func (b *Buffers) ReleaseBody(bytes int64) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.budget.ReturnBody(bytes)
+	b.budget.ReleaseBody(bytes)
 	b.wake()
 }
 
@@ -148,7 +148,7 @@
 // there may be room.
 func (b *Buffers) reserve(conn *Conn) relaybudget.Verdict {
 	b.mutex.Lock()
-	verdict, ended := b.budget.Keep(conn.reader, chunkSize, time.Now())
+	verdict, ended := b.budget.Reserve(conn.reader, chunkSize, time.Now())
 	if verdict == relaybudget.Wait {
 		b.waiting[conn] = struct{}{}
 	} else {
@@ -164,7 +164,7 @@
 func (b *Buffers) took(conn *Conn) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.budget.Took(conn.reader, chunkSize)
+	b.budget.Release(conn.reader, chunkSize)
 	b.taken += chunkSize
 	b.wake()
 }
@@ -175,7 +175,7 @@
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	since, taken = conn.reader.Behind()
-	b.budget.Leave(conn.reader)
+	b.budget.Remove(conn.reader)
 	delete(b.waiting, conn)
 	b.wake()
 	return since, taken
@@ -196,7 +196,7 @@
 // endAll ends the answers of readers that had to make room.
 func endAll(readers []*relaybudget.Reader[*Conn]) {
 	for _, reader := range readers {
-		reader.Owner().end(ReasonRoom, nil)
+		reader.Owner().end(ReasonMemoryNeeded, nil)
 	}
 }
 
@@ -275,7 +275,7 @@
 // whatever Begin told of the one before.
 func Handler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		FromContext(request.Context()).Begin("", time.Time{})
+		FromContext(request.Context()).BeginRequest("", time.Time{})
 		next.ServeHTTP(writer, request)
 	})
 }
--- a/internal/clientconn/conn.go
+++ b/internal/clientconn/conn.go
@@ -79,9 +79,9 @@
 	return created
 }
 
-// Begin tells which request is in progress on the connection, and when its client no longer
+// BeginRequest tells which request is in progress on the connection, and when its client no longer
 // waits: what it has not read by then is dropped.
-func (c *Conn) Begin(exchange string, ends time.Time) {
+func (c *Conn) BeginRequest(exchange string, ends time.Time) {
 	if c == nil {
 		return
 	}
@@ -90,14 +90,14 @@
 	c.exchange, c.ends = exchange, ends
 }
 
-// Ended is why the answer was ended to spare memory; empty where it was not.
-func (c *Conn) Ended() Reason {
+// EndReason is why the answer was ended to spare memory; empty where it was not.
+func (c *Conn) EndReason() Reason {
 	if c == nil {
 		return ""
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.reason == ReasonWrite {
+	if c.reason == ReasonWriteFailed {
 		return ""
 	}
 	return c.reason
@@ -176,10 +176,10 @@
 		return n, err
 	}
 	switch c.buffers.reserve(c) {
-	case relaybudget.Kept:
+	case relaybudget.Granted:
 		return c.addChunk(p)
 	case relaybudget.Refused:
-		c.end(ReasonRoom, nil)
+		c.end(ReasonMemoryNeeded, nil)
 	default:
 		c.awaitRoom()
 	}
@@ -259,7 +259,7 @@
 			c.signal()
 		}
 		if err != nil && (n == 0 || !errors.Is(err, os.ErrDeadlineExceeded)) {
-			c.end(ReasonWrite, err)
+			c.end(ReasonWriteFailed, err)
 			return
 		}
 	}
@@ -333,8 +333,8 @@
 	}
 	_ = c.closeNow()
 	c.signal()
-	c.buffers.ended(Ended{
-		Exchange: exchange, Reason: reason, Kept: int64(unread), Taken: taken, Behind: behind, Cause: cause,
+	c.buffers.ended(EndedResponse{
+		RequestID: exchange, Reason: reason, Unread: int64(unread), Taken: taken, Behind: behind, Cause: cause,
 	})
 }
 
--- a/internal/clientconn/conn_test.go
+++ b/internal/clientconn/conn_test.go
@@ -22,16 +22,16 @@
 // endings collects what buffers tell of ended answers.
 type endings struct {
 	mutex sync.Mutex
-	all   []clientconn.Ended
+	all   []clientconn.EndedResponse
 }
 
-func (e *endings) add(ended clientconn.Ended) {
+func (e *endings) add(ended clientconn.EndedResponse) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.all = append(e.all, ended)
 }
 
-func (e *endings) list() []clientconn.Ended {
+func (e *endings) list() []clientconn.EndedResponse {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return slices.Clone(e.all)
@@ -107,7 +107,7 @@
 	buffers := clientconn.NewBuffers(16<<20, ended.add)
 	done := make(chan error, 1)
 	address, _ := serve(t, buffers, func(writer http.ResponseWriter, request *http.Request) {
-		clientconn.FromContext(request.Context()).Begin("slow", time.Now().Add(time.Minute))
+		clientconn.FromContext(request.Context()).BeginRequest("slow", time.Now().Add(time.Minute))
 		done <- answer(writer, size)
 	})
 	conn := ask(t, address, "/")
@@ -134,7 +134,7 @@
 // TestClosingServerStillHandsOutWhatIsKept: a stop waits for clients that read slowly.
 func TestClosingServerStillHandsOutWhatIsKept(t *testing.T) {
 	const size = 1 << 20
-	buffers := clientconn.NewBuffers(16<<20, func(clientconn.Ended) {})
+	buffers := clientconn.NewBuffers(16<<20, func(clientconn.EndedResponse) {})
 	done := make(chan error, 1)
 	address, server := serve(t, buffers, func(writer http.ResponseWriter, request *http.Request) { done <- answer(writer, size) })
 	conn := ask(t, address, "/")
@@ -169,7 +169,7 @@
 	ended := &endings{}
 	buffers := clientconn.NewBuffers(16<<20, ended.add)
 	address, _ := serve(t, buffers, func(writer http.ResponseWriter, request *http.Request) {
-		clientconn.FromContext(request.Context()).Begin("dark", time.Now().Add(300*time.Millisecond))
+		clientconn.FromContext(request.Context()).BeginRequest("dark", time.Now().Add(300*time.Millisecond))
 		writer.Header().Set("Content-Length", fmt.Sprint(size))
 		_ = answer(writer, size)
 	})
@@ -179,7 +179,7 @@
 	if took := time.Since(began); took > 2*time.Second {
 		t.Errorf("it was kept for %v", took)
 	}
-	if first := ended.list()[0]; first.Exchange != "dark" || first.Reason != clientconn.ReasonWrite || first.Kept == 0 {
+	if first := ended.list()[0]; first.RequestID != "dark" || first.Reason != clientconn.ReasonWriteFailed || first.Unread == 0 {
 		t.Errorf("told was %+v", first)
 	}
 	if usage := buffers.Usage(); usage.Unread != 0 || usage.Readers != 0 {
@@ -194,7 +194,7 @@
 // while the first client reads nothing, and each is whole in the end.
 func TestAnswersWithoutRoomWaitAndGoOn(t *testing.T) {
 	const size = 4 << 20
-	buffers := clientconn.NewBuffers(2<<20, func(clientconn.Ended) {})
+	buffers := clientconn.NewBuffers(2<<20, func(clientconn.EndedResponse) {})
 	address, _ := serve(t, buffers, func(writer http.ResponseWriter, _ *http.Request) { _ = answer(writer, size) })
 	first, second := ask(t, address, "/"), ask(t, address, "/")
 	until(t, "answers wait for room", func() bool { return buffers.Usage().Waiting == 2 })
@@ -212,7 +212,7 @@
 // TestClientThatLeavesEndsItsRequest: the handler hears of it at once, also while bytes are
 // kept for the client.
 func TestClientThatLeavesEndsItsRequest(t *testing.T) {
-	buffers := clientconn.NewBuffers(16<<20, func(clientconn.Ended) {})
+	buffers := clientconn.NewBuffers(16<<20, func(clientconn.EndedResponse) {})
 	left := make(chan struct{})
 	address, _ := serve(t, buffers, func(writer http.ResponseWriter, request *http.Request) {
 		_ = answer(writer, 1<<20)
@@ -238,10 +238,10 @@
 	failed := make(chan error, 1)
 	address, _ := serve(t, buffers, func(writer http.ResponseWriter, request *http.Request) {
 		conn := clientconn.FromContext(request.Context())
-		conn.Begin("dark", time.Now().Add(time.Minute))
+		conn.BeginRequest("dark", time.Now().Add(time.Minute))
 		err := answer(writer, 4<<20)
-		if conn.Ended() != clientconn.ReasonStalled {
-			t.Errorf("the connection was ended for %q", conn.Ended())
+		if conn.EndReason() != clientconn.ReasonStalled {
+			t.Errorf("the connection was ended for %q", conn.EndReason())
 		}
 		failed <- err
 	})
@@ -279,10 +279,10 @@
 		// objective is the shortest within which callers want the head of an answer.
 		objective = 300 * time.Millisecond
 	)
-	buffers := clientconn.NewBuffers(limit, func(clientconn.Ended) {})
+	buffers := clientconn.NewBuffers(limit, func(clientconn.EndedResponse) {})
 	var most, begun atomic.Int64
 	address, _ := serve(t, buffers, func(writer http.ResponseWriter, request *http.Request) {
-		clientconn.FromContext(request.Context()).Begin(request.URL.Path, time.Now().Add(time.Minute))
+		clientconn.FromContext(request.Context()).BeginRequest(request.URL.Path, time.Now().Add(time.Minute))
 		begun.Add(1)
 		if request.URL.Path == "/idle" {
 			<-request.Context().Done()
@@ -370,7 +370,7 @@
 	for _, kind := range []struct {
 		name    string
 		buffers *clientconn.Buffers
-	}{{"plain", nil}, {"keeping", clientconn.NewBuffers(36<<20, func(clientconn.Ended) {})}} {
+	}{{"plain", nil}, {"keeping", clientconn.NewBuffers(36<<20, func(clientconn.EndedResponse) {})}} {
 		b.Run(kind.name, func(b *testing.B) {
 			event := bytes.Repeat([]byte("x"), 200)
 			next := make(chan struct{}, 1)
@@ -405,10 +405,10 @@
 	for _, kind := range []struct {
 		name    string
 		buffers *clientconn.Buffers
-	}{{"plain", nil}, {"keeping", clientconn.NewBuffers(36<<20, func(clientconn.Ended) {})}} {
+	}{{"plain", nil}, {"keeping", clientconn.NewBuffers(36<<20, func(clientconn.EndedResponse) {})}} {
 		b.Run(kind.name, func(b *testing.B) {
 			address, _ := serve(b, kind.buffers, func(writer http.ResponseWriter, request *http.Request) {
-				clientconn.FromContext(request.Context()).Begin("id", time.Now().Add(time.Minute))
+				clientconn.FromContext(request.Context()).BeginRequest("id", time.Now().Add(time.Minute))
 				_, _ = writer.Write([]byte("whole"))
 			})
 			b.ReportAllocs()
@@ -429,10 +429,10 @@
 // over.
 func TestTimeOfOneRequestDoesNotBindTheNextOne(t *testing.T) {
 	const size = 4 << 20
-	buffers := clientconn.NewBuffers(16<<20, func(clientconn.Ended) {})
+	buffers := clientconn.NewBuffers(16<<20, func(clientconn.EndedResponse) {})
 	handler := clientconn.Handler(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if request.URL.Path == "/first" {
-			clientconn.FromContext(request.Context()).Begin("first", time.Now().Add(time.Millisecond))
+			clientconn.FromContext(request.Context()).BeginRequest("first", time.Now().Add(time.Millisecond))
 			return
 		}
 		_ = answer(writer, size)
@@ -460,13 +460,13 @@
 // one, also for the kernel.
 func TestClientThatPausesGetsItsAnswer(t *testing.T) {
 	const size = 4 << 20
-	buffers := clientconn.NewBuffers(16<<20, func(ended clientconn.Ended) { t.Logf("ended was %+v", ended) })
+	buffers := clientconn.NewBuffers(16<<20, func(ended clientconn.EndedResponse) { t.Logf("ended was %+v", ended) })
 	listener, err := dial.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	server := &http.Server{ConnContext: clientconn.WithConn, Handler: http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		clientconn.FromContext(request.Context()).Begin("pauses", time.Now().Add(time.Minute))
+		clientconn.FromContext(request.Context()).BeginRequest("pauses", time.Now().Add(time.Minute))
 		_ = answer(writer, size)
 	})}
 	t.Cleanup(func() { _ = server.Close() })
--- a/internal/coordinator/statemachine.go
+++ b/internal/coordinator/statemachine.go
@@ -20,7 +20,7 @@
 type rootStateMachine struct {
 	catalog    *catalog.Machine
 	directory  *directory.Directory
-	quarantine *quarantine.Register
+	quarantine *quarantine.Registry
 	zoneDrains *zonedrain.Register
 	// published is the view for other goroutines.
 	published atomic.Pointer[rootView]
--- a/internal/gateway/completions.go
+++ b/internal/gateway/completions.go
@@ -127,7 +127,7 @@
 	g.observe(c.upstream, result, started)
 	g.usage.online(tenant.GetGroup(), c.served(result))
 	g.models.online(c.chooser.wanted, c.served(result), result.Begun)
-	if result.Begun && !result.Whole && !c.upstream.Stream {
+	if result.Begun && !result.Complete && !c.upstream.Stream {
 		// The connection is cut, so that a part is not taken for the whole.
 		panic(http.ErrAbortHandler)
 	}
@@ -204,7 +204,7 @@
 // an unstreamed answer was sent, serve cuts the connection in the end.
 func (c *call) finish(result upstream.Result) {
 	switch {
-	case result.Whole || result.CallerLeft:
+	case result.Complete || result.Canceled:
 	case !result.Begun:
 		writeFault(c.writer, result.Fault)
 	case c.upstream.Stream:
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -136,7 +136,7 @@
 func assemble(settings *rockwindpb.GatewaySettings, ring *logring.Ring, logger log.Interface, following configurations, client control, backEnds *upstream.Client) *Gateway {
 	g := &Gateway{
 		settings: settings, log: logger, ring: ring, started: time.Now(), follower: following, control: client,
-		client: backEnds, budget: upstream.NewBudget(), limiter: limits.New(),
+		client: backEnds, budget: upstream.NewRetryBudget(), limiter: limits.New(),
 		usage: newGroupUsage(), models: newModelUsage(), metrics: newMetrics(), drain: newDrainState(),
 		inForce: func(*configuration.Index) {}, stalls: defaultStallLimits,
 	}
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -117,11 +117,11 @@
 	}
 	outcome := "whole"
 	switch {
-	case result.CallerLeft:
+	case result.Canceled:
 		outcome = "caller_left"
 	case result.Fault != nil:
 		outcome = string(result.Fault.Kind)
-	case !result.Whole:
+	case !result.Complete:
 		outcome = "refused"
 	}
 	if result.Fault != nil && result.Fault.Ran == fault.RanUnknown {
--- a/internal/gateway/records.go
+++ b/internal/gateway/records.go
@@ -127,7 +127,7 @@
 // end records how the request ended.
 func (h *heldRecord) end(result upstream.Result, sink *keepingSink) {
 	switch {
-	case result.Whole && !sink.tooLong:
+	case result.Complete && !sink.tooLong:
 		h.keep(sink)
 	case result.Fault != nil && result.Fault.Ran == fault.NotRun:
 		h.finish(rockwindpb.RecordState_RECORD_STATE_NOT_RUN, 0, "", nil)
--- a/internal/health/evaluate.go
+++ b/internal/health/evaluate.go
@@ -65,7 +65,7 @@
 	if entry.slowSince == 0 {
 		entry.slowSince = now
 	}
-	if now-entry.slowSince < t.policy.SlowFor {
+	if now-entry.slowSince < t.policy.SlowAfter {
 		return
 	}
 	entry.slow = true
@@ -81,12 +81,12 @@
 		entry.state = Healthy
 		entry.healthySince = now
 	}
-	if entry.slow && now-entry.slowSince > t.policy.SlowFor+t.policy.MaxHoldDown/2 {
+	if entry.slow && now-entry.slowSince > t.policy.SlowAfter+t.policy.MaxHoldDown/2 {
 		entry.slow = false
 		entry.slowSince = 0
 		entry.samples = 0
 	}
-	if entry.state == Healthy && entry.ejections > 0 && now-entry.healthySince > t.policy.DampFor {
+	if entry.state == Healthy && entry.ejections > 0 && now-entry.healthySince > t.policy.EjectionDecay {
 		entry.ejections--
 		entry.healthySince = now
 	}
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -63,36 +63,36 @@
 	TrialsToReturn int
 	// SlowStart is how long a server that is back takes to get full traffic.
 	SlowStart time.Duration
-	// MaxEjected is the largest part of the servers ejected at a time.
-	MaxEjected float64
+	// MaxEjectedFraction is the largest part of the servers ejected at a time.
+	MaxEjectedFraction float64
 	// SlowFactor makes a server suspect when its latency exceeds the median of
 	// its peers so many times, SlowFor so long.
 	SlowFactor float64
-	SlowFor    time.Duration
-	// SilentFor is how long no first token may come from a server while some are
+	SlowAfter  time.Duration
+	// SilenceTimeout is how long no first token may come from a server while some are
 	// awaited; SilentFactor allows longer where the wait was expected to be long.
-	SilentFor    time.Duration
-	SilentFactor float64
-	// DampFor forgets one doubling of the hold-down after so long in health.
-	DampFor time.Duration
+	SilenceTimeout time.Duration
+	SilenceFactor  float64
+	// EjectionDecay forgets one doubling of the hold-down after so long in health.
+	EjectionDecay time.Duration
 }
 
 // DefaultPolicy is what gateways use.
 var DefaultPolicy = Policy{
-	SuspectAfter:   2,
-	EjectAfter:     4,
-	HalfLife:       10 * time.Second,
-	HoldDown:       2 * time.Second,
-	MaxHoldDown:    time.Minute,
-	Jitter:         0.3,
-	TrialsToReturn: 2,
-	SlowStart:      10 * time.Second,
-	MaxEjected:     0.3,
-	SlowFactor:     3,
-	SlowFor:        3 * time.Second,
-	SilentFor:      time.Second,
-	SilentFactor:   4,
-	DampFor:        time.Minute,
+	SuspectAfter:       2,
+	EjectAfter:         4,
+	HalfLife:           10 * time.Second,
+	HoldDown:           2 * time.Second,
+	MaxHoldDown:        time.Minute,
+	Jitter:             0.3,
+	TrialsToReturn:     2,
+	SlowStart:          10 * time.Second,
+	MaxEjectedFraction: 0.3,
+	SlowFactor:         3,
+	SlowAfter:          3 * time.Second,
+	SilenceTimeout:     time.Second,
+	SilenceFactor:      4,
+	EjectionDecay:      time.Minute,
 }
 
 // minimumSlowStart is the traffic weight of a server that has just come back.
@@ -263,7 +263,7 @@
 // tryEject ejects a server unless the cap on ejected servers is reached; then it
 // stays suspect.
 func (t *Tracker) tryEject(entry *record, now time.Duration, random *rand.Rand) {
-	if float64(t.ejected+1) > t.policy.MaxEjected*float64(len(t.records)) {
+	if float64(t.ejected+1) > t.policy.MaxEjectedFraction*float64(len(t.records)) {
 		return
 	}
 	t.ejected++
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -46,7 +46,7 @@
 	if ejected != tracker.Ejected() {
 		t.Fatalf("%d ejected, %d counted", ejected, tracker.Ejected())
 	}
-	if float64(ejected) > DefaultPolicy.MaxEjected*float64(servers) {
+	if float64(ejected) > DefaultPolicy.MaxEjectedFraction*float64(servers) {
 		t.Fatalf("%d of %d servers ejected", ejected, servers)
 	}
 }
--- a/internal/health/silence.go
+++ b/internal/health/silence.go
@@ -20,21 +20,21 @@
 	judged time.Duration
 }
 
-// Sent tells that a streamed request was sent to a server, and how long its
+// RecordSent tells that a streamed request was sent to a server, and how long its
 // first token was expected to take.
-func (t *Tracker) Sent(server int, expected, now time.Duration) {
+func (t *Tracker) RecordSent(server int, expected, now time.Duration) {
 	found := &t.touch(server).silence
 	if found.awaited == 0 {
 		found.quietSince = now
 		found.patience = 0
 	}
 	found.awaited++
-	found.patience = max(found.patience, time.Duration(t.policy.SilentFactor*float64(expected)))
+	found.patience = max(found.patience, time.Duration(t.policy.SilenceFactor*float64(expected)))
 }
 
-// FirstToken tells that the wait for a streamed request's first token is over,
+// RecordFirstToken tells that the wait for a streamed request's first token is over,
 // and whether the token came.
-func (t *Tracker) FirstToken(server int, came bool, now time.Duration) {
+func (t *Tracker) RecordFirstToken(server int, came bool, now time.Duration) {
 	found := &t.touch(server).silence
 	found.awaited = max(0, found.awaited-1)
 	if came {
@@ -47,11 +47,11 @@
 // beyond what its load explains.
 func (t *Tracker) judgeSilence(entry *record, now time.Duration, random *rand.Rand) {
 	found := &entry.silence
-	if t.policy.SilentFor <= 0 || found.awaited == 0 || entry.state == Ejected {
+	if t.policy.SilenceTimeout <= 0 || found.awaited == 0 || entry.state == Ejected {
 		return
 	}
-	allowed := max(t.policy.SilentFor, found.patience)
-	since := max(found.quietSince+allowed, found.judged+t.policy.SilentFor)
+	allowed := max(t.policy.SilenceTimeout, found.patience)
+	since := max(found.quietSince+allowed, found.judged+t.policy.SilenceTimeout)
 	if now < since {
 		return
 	}
--- a/internal/health/silence_test.go
+++ b/internal/health/silence_test.go
@@ -11,12 +11,12 @@
 	tracker := NewTracker(DefaultPolicy, 10)
 	random := newRandom()
 	now := time.Second
-	tracker.Sent(0, 50*time.Millisecond, now)
+	tracker.RecordSent(0, 50*time.Millisecond, now)
 	states := []State{}
 	for range 5 {
 		now += time.Second
-		tracker.Sent(1, 50*time.Millisecond, now)
-		tracker.FirstToken(1, true, now)
+		tracker.RecordSent(1, 50*time.Millisecond, now)
+		tracker.RecordFirstToken(1, true, now)
 		tracker.Evaluate(now, random)
 		state, _ := tracker.State(0, now)
 		states = append(states, state)
@@ -33,7 +33,7 @@
 	tracker := NewTracker(DefaultPolicy, 10)
 	random := newRandom()
 	now := time.Second
-	tracker.Sent(0, 2*time.Second, now)
+	tracker.RecordSent(0, 2*time.Second, now)
 	for range 7 {
 		now += time.Second
 		tracker.Evaluate(now, random)
@@ -41,7 +41,7 @@
 	if state, _ := tracker.State(0, now); state != Healthy {
 		t.Fatalf("state %v while a long wait was expected", state)
 	}
-	tracker.FirstToken(0, false, now)
+	tracker.RecordFirstToken(0, false, now)
 	now += time.Minute
 	tracker.Evaluate(now, random)
 	if state, _ := tracker.State(0, now); state != Healthy {
--- a/internal/health/size_test.go
+++ b/internal/health/size_test.go
@@ -38,7 +38,7 @@
 	if state(7, time.Second) != health.Ejected || tracker.Ejected() != 1 {
 		t.Fatal("a server at a place that was no more is not judged")
 	}
-	tracker.Sent(3, 0, time.Second)
+	tracker.RecordSent(3, 0, time.Second)
 	for now := time.Second; now < 20*time.Second; now += 250 * time.Millisecond {
 		tracker.Evaluate(now, random)
 	}
--- a/internal/linkfault/linkfault.go
+++ b/internal/linkfault/linkfault.go
@@ -21,11 +21,11 @@
 	cut   map[string]bool
 }
 
-// Cut drops all calls to an address from now on.
-func (l *Links) Cut(address string) { l.set(address, true) }
+// Block drops all calls to an address from now on.
+func (l *Links) Block(address string) { l.set(address, true) }
 
-// Heal lets calls to an address pass again.
-func (l *Links) Heal(address string) { l.set(address, false) }
+// Unblock lets calls to an address pass again.
+func (l *Links) Unblock(address string) { l.set(address, false) }
 
 func (l *Links) set(address string, cut bool) {
 	l.mutex.Lock()
@@ -72,11 +72,11 @@
 func (l *Links) Handler() http.Handler {
 	router := chi.NewRouter()
 	router.Put("/{address}", func(writer http.ResponseWriter, request *http.Request) {
-		l.Cut(chi.URLParam(request, "address"))
+		l.Block(chi.URLParam(request, "address"))
 		writer.WriteHeader(http.StatusNoContent)
 	})
 	router.Delete("/{address}", func(writer http.ResponseWriter, request *http.Request) {
-		l.Heal(chi.URLParam(request, "address"))
+		l.Unblock(chi.URLParam(request, "address"))
 		writer.WriteHeader(http.StatusNoContent)
 	})
 	return router
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -55,26 +55,26 @@
 // its items, so that one that ran beside others is tried again soon.
 var itemTrials = []time.Duration{5 * time.Second, 15 * time.Second}
 
-// Register is the replicated state. Its owner goroutine alone may call Apply and Load; the
+// Registry is the replicated state. Its owner goroutine alone may call Apply and Load; the
 // View that it hands out is immutable.
-type Register struct {
+type Registry struct {
 	revision uint64
 	suspects map[fingerprint.Fingerprint]*rockwindpb.Suspect
 	view     *View
 }
 
 // New returns an empty register.
-func New() *Register {
-	r := &Register{suspects: make(map[fingerprint.Fingerprint]*rockwindpb.Suspect)}
+func New() *Registry {
+	r := &Registry{suspects: make(map[fingerprint.Fingerprint]*rockwindpb.Suspect)}
 	r.publish(nil)
 	return r
 }
 
 // View is the register at one moment.
-func (r *Register) View() *View { return r.view }
+func (r *Registry) View() *View { return r.view }
 
 // Apply executes a committed command. Contents that are no fingerprints are passed over.
-func (r *Register) Apply(command *rockwindpb.QuarantineCommand) {
+func (r *Registry) Apply(command *rockwindpb.QuarantineCommand) {
 	now := command.GetNowUnixMs()
 	switch content := command.GetCommand().(type) {
 	case *rockwindpb.QuarantineCommand_Report:
@@ -93,7 +93,7 @@
 }
 
 // end takes the end of a server under a content.
-func (r *Register) end(end *rockwindpb.ServerEnd, now int64) {
+func (r *Registry) end(end *rockwindpb.ServerEnd, now int64) {
 	content, ok := fingerprint.FromBytes(end.GetContent())
 	if !ok {
 		return
@@ -115,14 +115,14 @@
 	r.suspects[content] = next
 }
 
-func (r *Register) forget(encoded []byte) {
+func (r *Registry) forget(encoded []byte) {
 	if content, ok := fingerprint.FromBytes(encoded); ok {
 		delete(r.suspects, content)
 	}
 }
 
 // dropOld forgets contents without ends for long.
-func (r *Register) dropOld(now int64) {
+func (r *Registry) dropOld(now int64) {
 	maps.DeleteFunc(r.suspects, func(_ fingerprint.Fingerprint, suspect *rockwindpb.Suspect) bool {
 		kept := suspectFor
 		if convicted(suspect) {
@@ -133,7 +133,7 @@
 }
 
 // bound forgets those with the fewest ends, and of these the oldest, beyond what is remembered.
-func (r *Register) bound() {
+func (r *Registry) bound() {
 	surplus := len(r.suspects) - maximumSuspects
 	if surplus <= 0 {
 		return
@@ -158,7 +158,7 @@
 
 // publish replaces the view, and raises the revision where routers and stores have to know
 // more or less than the given notices told them.
-func (r *Register) publish(told []notice) {
+func (r *Registry) publish(told []notice) {
 	notices := noticesOf(r.suspects)
 	if !slices.Equal(told, notices) {
 		r.revision++
@@ -167,12 +167,12 @@
 }
 
 // Save returns the whole state, sorted.
-func (r *Register) Save() *rockwindpb.QuarantineSnapshot {
+func (r *Registry) Save() *rockwindpb.QuarantineSnapshot {
 	return &rockwindpb.QuarantineSnapshot{Revision: r.revision, Suspects: byWeight(r.suspects)}
 }
 
 // Load replaces the whole state with one that Save returned.
-func (r *Register) Load(snapshot *rockwindpb.QuarantineSnapshot) {
+func (r *Registry) Load(snapshot *rockwindpb.QuarantineSnapshot) {
 	r.suspects = make(map[fingerprint.Fingerprint]*rockwindpb.Suspect, len(snapshot.GetSuspects()))
 	for _, suspect := range snapshot.GetSuspects() {
 		if content, ok := fingerprint.FromBytes(suspect.GetContent()); ok {
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -15,7 +15,7 @@
 // driver applies commands to a register at times of its own.
 type driver struct {
 	t        *testing.T
-	register *quarantine.Register
+	register *quarantine.Registry
 	now      time.Time
 }
 
--- a/internal/quarantine/untold_test.go
+++ b/internal/quarantine/untold_test.go
@@ -13,13 +13,13 @@
 	const between, run = 100 * time.Millisecond, 5 * time.Millisecond
 	content := contentOf("ends servers")
 	now := time.UnixMilli(1_000_000)
-	untold := quarantine.NewUntold()
+	untold := quarantine.NewUnreported()
 	for _, server := range []string{"a", "b", "c"} {
 		if held := untold.HeldFor(content, now); held > 0 {
 			t.Fatalf("held for %v before server %s ended", held, server)
 		}
 		now = now.Add(between)
-		untold.Ended(endOf("ends servers", server, 0), run, now)
+		untold.RecordCrash(endOf("ends servers", server, 0), run, now)
 	}
 	if untold.Empty() || !untold.Suspected(content) || untold.HeldFor(content, now) == 0 {
 		t.Fatal("three servers ended, and the content is not held")
@@ -27,11 +27,11 @@
 	if untold.HeldFor(contentOf("another"), now) > 0 {
 		t.Error("another content is held")
 	}
-	untold.Done(2)
+	untold.MarkReported(2)
 	if untold.HeldFor(content, now) == 0 {
 		t.Error("one end is not told, and the content is not held any more")
 	}
-	untold.Done(1)
+	untold.MarkReported(1)
 	if !untold.Empty() || untold.HeldFor(content, now) > 0 {
 		t.Error("all is told, and the content is still held by what this process saw")
 	}
@@ -40,13 +40,13 @@
 // TestUntoldAnswerSpeaksForAContent, and servers that end together do not hold what all had.
 func TestUntoldAnswerSpeaksForAContent(t *testing.T) {
 	now := time.UnixMilli(1_000_000)
-	untold := quarantine.NewUntold()
+	untold := quarantine.NewUnreported()
 	for _, server := range []string{"a", "b", "c"} {
-		untold.Ended(endOf("asked all the time", server, 0), time.Second, now)
-		untold.Ended(endOf("answered", server, 0), 0, now)
+		untold.RecordCrash(endOf("asked all the time", server, 0), time.Second, now)
+		untold.RecordCrash(endOf("answered", server, 0), 0, now)
 		now = now.Add(time.Millisecond)
 	}
-	untold.Answered(contentOf("answered"), now)
+	untold.RecordAnswer(contentOf("answered"), now)
 	for _, content := range []string{"asked all the time", "answered"} {
 		if held := untold.HeldFor(contentOf(content), now); held > 0 {
 			t.Errorf("what was %s is held for %v", content, held)
--- a/internal/relaybudget/budget.go
+++ b/internal/relaybudget/budget.go
@@ -45,8 +45,8 @@
 type Verdict int
 
 const (
-	// Kept: the memory is the caller's.
-	Kept Verdict = iota
+	// Granted: the memory is the caller's.
+	Granted Verdict = iota
 	// Wait: the reader has to wait until there is room.
 	Wait
 	// Refused: there is no room, and none will come by waiting.
@@ -82,8 +82,8 @@
 // Owner is what the caller knows the reader by.
 func (r *Reader[O]) Owner() O { return r.owner }
 
-// Kept is how many bytes are kept for the reader.
-func (r *Reader[O]) Kept() int64 { return r.kept }
+// Unread is how many bytes are kept for the reader.
+func (r *Reader[O]) Unread() int64 { return r.kept }
 
 // Behind is since when the reader has not read all of its answer, and what it has taken
 // after that.
@@ -116,9 +116,9 @@
 	return int64(readersPart*float64(b.limit)) / int64(max(1, len(b.readers)))
 }
 
-// Keep asks to keep so many bytes more for a reader. The answers of the ended readers are to
+// Reserve asks to keep so many bytes more for a reader. The answers of the ended readers are to
 // be ended; their bytes are not counted any more.
-func (b *Budget[O]) Keep(reader *Reader[O], size int64, now time.Time) (verdict Verdict, ended []*Reader[O]) {
+func (b *Budget[O]) Reserve(reader *Reader[O], size int64, now time.Time) (verdict Verdict, ended []*Reader[O]) {
 	if !b.HasRoom(size) {
 		if reader.kept > 0 && reader.kept+size > b.share() {
 			return Wait, nil
@@ -134,12 +134,12 @@
 	}
 	reader.kept += size
 	b.unread += size
-	return Kept, ended
+	return Granted, ended
 }
 
-// Took tells that so many bytes that were kept for the reader are not kept any more, since
+// Release tells that so many bytes that were kept for the reader are not kept any more, since
 // the client took them.
-func (b *Budget[O]) Took(reader *Reader[O], size int64) {
+func (b *Budget[O]) Release(reader *Reader[O], size int64) {
 	size = min(size, reader.kept)
 	reader.kept -= size
 	reader.taken += size
@@ -149,8 +149,8 @@
 	}
 }
 
-// Leave forgets all that is kept for a reader.
-func (b *Budget[O]) Leave(reader *Reader[O]) {
+// Remove forgets all that is kept for a reader.
+func (b *Budget[O]) Remove(reader *Reader[O]) {
 	b.unread -= reader.kept
 	reader.kept = 0
 	delete(b.readers, reader)
@@ -165,8 +165,8 @@
 	return b.bodies+size <= b.limit
 }
 
-// TakeBody asks to keep so many bytes more of a body of the given size, as it is read.
-func (b *Budget[O]) TakeBody(bytes, size int64, now time.Time) (verdict Verdict, ended []*Reader[O]) {
+// ReserveBody asks to keep so many bytes more of a body of the given size, as it is read.
+func (b *Budget[O]) ReserveBody(bytes, size int64, now time.Time) (verdict Verdict, ended []*Reader[O]) {
 	if size > SmallBody {
 		if !b.fits(bytes, bodiesPart) {
 			return Refused, nil
@@ -178,11 +178,11 @@
 		}
 	}
 	b.bodies += bytes
-	return Kept, ended
+	return Granted, ended
 }
 
-// ReturnBody gives back bytes of bodies.
-func (b *Budget[O]) ReturnBody(bytes int64) { b.bodies -= bytes }
+// ReleaseBody gives back bytes of bodies.
+func (b *Budget[O]) ReleaseBody(bytes int64) { b.bodies -= bytes }
 
 // makeRoom ends the worst readers until so many bytes fit or none is left.
 func (b *Budget[O]) makeRoom(size int64, now time.Time) []*Reader[O] {
@@ -190,7 +190,7 @@
 	for !b.fits(size, whole) && len(b.readers) > 0 {
 		worst := b.worst(now)
 		ended = append(ended, worst)
-		b.Leave(worst)
+		b.Remove(worst)
 	}
 	return ended
 }
--- a/internal/relaybudget/budget_test.go
+++ b/internal/relaybudget/budget_test.go
@@ -21,15 +21,15 @@
 func fill(t *testing.T, budget *relaybudget.Budget[string], of *reader, most int, now time.Time) relaybudget.Verdict {
 	t.Helper()
 	for range most {
-		verdict, ended := budget.Keep(of, chunk, now)
+		verdict, ended := budget.Reserve(of, chunk, now)
 		if len(ended) > 0 {
 			t.Fatalf("%s ends %s", of.Owner(), ended[0].Owner())
 		}
-		if verdict != relaybudget.Kept {
+		if verdict != relaybudget.Granted {
 			return verdict
 		}
 	}
-	return relaybudget.Kept
+	return relaybudget.Granted
 }
 
 func check(t *testing.T, budget *relaybudget.Budget[string]) {
@@ -50,7 +50,7 @@
 	}
 	for i := range 1000 {
 		small := relaybudget.NewReader("small")
-		if verdict, _ := budget.Keep(small, chunk, clock); verdict != relaybudget.Kept {
+		if verdict, _ := budget.Reserve(small, chunk, clock); verdict != relaybudget.Granted {
 			t.Fatalf("small reader %d gets %v", i, verdict)
 		}
 		check(t, budget)
@@ -73,19 +73,19 @@
 	}
 	later := clock.Add(2 * time.Second)
 	for range 400 {
-		budget.Took(brisk, chunk)
+		budget.Release(brisk, chunk)
 		fill(t, budget, brisk, 1, later)
 	}
 	for taken := int64(0); ; taken += relaybudget.SmallBody {
-		verdict, ended := budget.TakeBody(relaybudget.SmallBody, relaybudget.SmallBody, later)
-		if verdict != relaybudget.Kept {
+		verdict, ended := budget.ReserveBody(relaybudget.SmallBody, relaybudget.SmallBody, later)
+		if verdict != relaybudget.Granted {
 			t.Fatalf("a small body gets %v after %d bytes", verdict, taken)
 		}
 		check(t, budget)
 		if len(ended) == 0 {
 			continue
 		}
-		if len(ended) != 1 || ended[0] != dark || dark.Kept() != 0 {
+		if len(ended) != 1 || ended[0] != dark || dark.Unread() != 0 {
 			t.Fatalf("ended was %s", ended[0].Owner())
 		}
 		return
@@ -98,11 +98,11 @@
 	first, second := relaybudget.NewReader("first"), relaybudget.NewReader("second")
 	fill(t, budget, first, limit, clock)
 	fill(t, budget, second, 1, clock)
-	budget.Leave(first)
+	budget.Remove(first)
 	if !budget.HasRoom(chunk) {
 		t.Fatal("no room is left")
 	}
-	if verdict, _ := budget.Keep(second, chunk, clock); verdict != relaybudget.Kept {
+	if verdict, _ := budget.Reserve(second, chunk, clock); verdict != relaybudget.Granted {
 		t.Fatalf("got %v", verdict)
 	}
 	check(t, budget)
@@ -113,8 +113,8 @@
 	budget := relaybudget.New[string](limit)
 	large, taken := int64(1<<20), 0
 	for {
-		verdict, _ := budget.TakeBody(large, large, clock)
-		if verdict != relaybudget.Kept {
+		verdict, _ := budget.ReserveBody(large, large, clock)
+		if verdict != relaybudget.Granted {
 			break
 		}
 		taken++
@@ -122,15 +122,15 @@
 	if taken != 27 {
 		t.Errorf("%d bodies of 1 MB are taken of 36 MB", taken)
 	}
-	if verdict, _ := budget.TakeBody(chunk, chunk, clock); verdict != relaybudget.Kept {
+	if verdict, _ := budget.ReserveBody(chunk, chunk, clock); verdict != relaybudget.Granted {
 		t.Errorf("a small body gets %v", verdict)
 	}
-	budget.ReturnBody(large)
-	if verdict, _ := budget.TakeBody(large, large, clock); verdict != relaybudget.Refused {
+	budget.ReleaseBody(large)
+	if verdict, _ := budget.ReserveBody(large, large, clock); verdict != relaybudget.Refused {
 		t.Error("the room of small bodies goes to a large one")
 	}
-	budget.ReturnBody(chunk)
-	if verdict, _ := budget.TakeBody(large, large, clock); verdict != relaybudget.Kept {
+	budget.ReleaseBody(chunk)
+	if verdict, _ := budget.ReserveBody(large, large, clock); verdict != relaybudget.Granted {
 		t.Error("a body that has left leaves no room")
 	}
 	check(t, budget)
@@ -140,11 +140,11 @@
 func TestReaderOfALastPlaceIsRefusedWhereBodiesHoldAll(t *testing.T) {
 	budget := relaybudget.New[string](limit)
 	for {
-		if verdict, _ := budget.TakeBody(chunk, chunk, clock); verdict != relaybudget.Kept {
+		if verdict, _ := budget.ReserveBody(chunk, chunk, clock); verdict != relaybudget.Granted {
 			break
 		}
 	}
-	if verdict, _ := budget.Keep(relaybudget.NewReader("late"), chunk, clock); verdict != relaybudget.Refused {
+	if verdict, _ := budget.Reserve(relaybudget.NewReader("late"), chunk, clock); verdict != relaybudget.Refused {
 		t.Errorf("got %v", verdict)
 	}
 	check(t, budget)
--- a/internal/relief/relief.go
+++ b/internal/relief/relief.go
@@ -27,10 +27,10 @@
 	// requests takes that is worked off within callers' objectives of 300 to 400 ms, and the
 	// shortest time after which clients that left have come to another router.
 	window = 20
-	// LateTimer is how late a timer is on a machine short of processor: a request passes
+	// MaxTimerDelay is how late a timer is on a machine short of processor: a request passes
 	// through the router some four times on its way, which adds up to half of the shortest
 	// objective.
-	LateTimer = 40 * time.Millisecond
+	MaxTimerDelay = 40 * time.Millisecond
 	// memoryPart is the part of the budget for slow readers from which memory is short: the
 	// part from which large bodies are refused.
 	memoryPart = 0.75
@@ -65,78 +65,78 @@
 	CloseOneIn = 8
 )
 
-// Lack is what a router is short of.
-type Lack string
+// Shortage is what a router is short of.
+type Shortage string
 
 // The lacks.
 const (
-	None        Lack = ""
-	Processor   Lack = "processor"
-	Link        Lack = "link"
-	Memory      Lack = "memory"
-	Descriptors Lack = "descriptors"
+	None        Shortage = ""
+	Processor   Shortage = "processor"
+	Link        Shortage = "link"
+	Memory      Shortage = "memory"
+	Descriptors Shortage = "descriptors"
 )
 
 // lacks lists them in the order in which they are told.
-var lacks = []Lack{Processor, Memory, Descriptors, Link}
+var lacks = []Shortage{Processor, Memory, Descriptors, Link}
 
 // Sample is what a router measured at one moment.
 type Sample struct {
-	// Late is how late its timer was.
-	Late time.Duration
-	// MemoryPart and DescriptorPart are the parts of its budget and descriptors in use.
-	MemoryPart, DescriptorPart float64
+	// TimerDelay is how late its timer was.
+	TimerDelay time.Duration
+	// MemoryFraction and DescriptorFraction are the parts of its budget and descriptors in use.
+	MemoryFraction, DescriptorFraction float64
 	// InProgress is how many requests it has, and Behind the clients among theirs that have
 	// not read what there is for them.
 	InProgress, Behind int
-	// Unsent is how long what waits for clients needs on the link; zero where the link's rate
+	// SendTime is how long what waits for clients needs on the link; zero where the link's rate
 	// is not known.
-	Unsent time.Duration
+	SendTime time.Duration
 }
 
 // short tells whether the sample shows a lack.
-func (s Sample) short(lack Lack) bool {
+func (s Sample) short(lack Shortage) bool {
 	switch lack {
 	case Processor:
-		return s.Late >= LateTimer
+		return s.TimerDelay >= MaxTimerDelay
 	case Memory:
-		return s.MemoryPart >= memoryPart
+		return s.MemoryFraction >= memoryPart
 	case Descriptors:
-		return s.DescriptorPart >= descriptorPart
+		return s.DescriptorFraction >= descriptorPart
 	case Link:
-		return s.Unsent >= unsentTime && s.Behind >= leastBehind && float64(s.Behind) >= behindPart*float64(s.InProgress)
+		return s.SendTime >= unsentTime && s.Behind >= leastBehind && float64(s.Behind) >= behindPart*float64(s.InProgress)
 	}
 	return false
 }
 
-// Zone is the place of a router among those of its zone.
-type Zone struct {
+// ZonePosition is the place of a router among those of its zone.
+type ZonePosition struct {
 	// Position of the router in the order of their names, and how many Routers there are.
 	Position, Routers int
 }
 
 // Advice is what a router does.
 type Advice struct {
-	// Lack is what it is short of, None where it does nothing.
-	Lack Lack
+	// Shortage is what it is short of, None where it does nothing.
+	Shortage Shortage
 	// Close has one of CloseOneIn answers ask the client to come anew.
 	Close bool
 	// Unready has it say that it is not ready.
 	Unready bool
 }
 
-// Judge judges one router.
-type Judge struct {
+// Detector judges one router.
+type Detector struct {
 	samples []Sample
 	next    int
 	// began is when the router became short, and lasted until when it was; zero while it is
 	// not.
 	began, lasted time.Time
-	lack          Lack
+	lack          Shortage
 }
 
-// Take takes a sample and returns what to do until the next one.
-func (j *Judge) Take(sample Sample, zone Zone, now time.Time) Advice {
+// Observe takes a sample and returns what to do until the next one.
+func (j *Detector) Observe(sample Sample, zone ZonePosition, now time.Time) Advice {
 	j.add(sample)
 	if lack := j.lacking(); lack != None {
 		if j.lack == None {
@@ -149,10 +149,10 @@
 		return Advice{}
 	}
 	longShort := now.Sub(j.began) >= turnAfter
-	return Advice{Lack: j.lack, Close: true, Unready: longShort && zone.hasTurn(now)}
+	return Advice{Shortage: j.lack, Close: true, Unready: longShort && zone.hasTurn(now)}
 }
 
-func (j *Judge) add(sample Sample) {
+func (j *Detector) add(sample Sample) {
 	if len(j.samples) < window {
 		j.samples = append(j.samples, sample)
 		return
@@ -162,7 +162,7 @@
 }
 
 // lacking is what most of a whole window shows a lack of.
-func (j *Judge) lacking() Lack {
+func (j *Detector) lacking() Shortage {
 	if len(j.samples) < window {
 		return None
 	}
@@ -181,7 +181,7 @@
 }
 
 // hasTurn tells whether the router may say now that it is not ready.
-func (z Zone) hasTurn(now time.Time) bool {
+func (z ZonePosition) hasTurn(now time.Time) bool {
 	if z.Routers < leastRouters {
 		return false
 	}
--- a/internal/router/continuation.go
+++ b/internal/router/continuation.go
@@ -155,7 +155,7 @@
 		run.unnumbered = run.unnumbered || !event.HasSequence
 		if !run.continued {
 			run.started = true
-			e.relayedEvents.Take(event)
+			e.relayedEvents.Accept(event)
 		}
 	}
 	switch {
--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -80,7 +80,7 @@
 	// reason says why the last attempt gave no complete response.
 	reason string
 	// relayedEvents tracks the relayed events.
-	relayedEvents upstream.Sequence
+	relayedEvents upstream.EventDeduplicator
 	// fingerprint is computed when first needed; nil before.
 	fingerprint *fingerprint.Fingerprint
 	// attemptSentAt is when the last attempt was sent.
@@ -125,7 +125,7 @@
 	ctx, cancel := context.WithDeadline(ctx, e.deadline)
 	defer cancel()
 	e.client = clientconn.FromContext(ctx)
-	e.client.Begin(e.info.ID, e.deadline)
+	e.client.BeginRequest(e.info.ID, e.deadline)
 	if refusal := e.quarantined(); refusal != nil {
 		e.recordQuarantined(refusal)
 		writeErrorStatus(e.writer, refusal.Kind.HTTPStatus(), refusal)
--- a/internal/router/lookout.go
+++ b/internal/router/lookout.go
@@ -44,7 +44,7 @@
 	// silence is the fraction of pauseGoal after which the server is probed.
 	silence float64
 	// ended reports whether a reachable server has ended, given the result of a probe.
-	ended  func(reach upstream.Reach) bool
+	ended  func(reach upstream.ProbeResult) bool
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 	timer  *time.Timer
@@ -65,7 +65,7 @@
 }
 
 // isRefused reports whether the server refused the connection.
-func isRefused(reach upstream.Reach) bool { return reach == upstream.ReachRefused }
+func isRefused(reach upstream.ProbeResult) bool { return reach == upstream.ProbeRefused }
 
 // NewLateWatchdog returns a watchdog for a stream that cannot continue elsewhere. It probes the
 // server, an incarnation of the directory, only after the full pause goal. A planned stop closes
@@ -74,15 +74,15 @@
 func NewLateWatchdog(ctx context.Context, client *upstream.Client, view func() *directory.View, id, address string, pauseGoal time.Duration) *Watchdog {
 	created := NewWatchdog(ctx, client, address, pauseGoal)
 	created.silence = lateSilenceFraction
-	created.ended = func(reach upstream.Reach) bool {
+	created.ended = func(reach upstream.ProbeResult) bool {
 		known := view()
 		switch {
 		case known == nil:
 			return false
-		case reach == upstream.ReachRefused:
+		case reach == upstream.ProbeRefused:
 			return known.Lost(id)
 		}
-		return reach == upstream.ReachListens && known.Replaced(id)
+		return reach == upstream.ProbeConnected && known.Replaced(id)
 	}
 	return created
 }
@@ -118,7 +118,7 @@
 	w.mutex.Lock()
 	resets := w.resets
 	w.mutex.Unlock()
-	reach := w.client.Reach(w.ctx, w.address, max(minProbeTimeout, w.ofGoal(probeFraction)))
+	reach := w.client.Probe(w.ctx, w.address, max(minProbeTimeout, w.ofGoal(probeFraction)))
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	switch {
@@ -132,8 +132,8 @@
 
 // showsServerEnded reports whether the result of a probe means that the server sends nothing
 // more.
-func (w *Watchdog) showsServerEnded(reach upstream.Reach) bool {
-	return reach == upstream.ReachSilent || w.ended(reach)
+func (w *Watchdog) showsServerEnded(reach upstream.ProbeResult) bool {
+	return reach == upstream.ProbeTimedOut || w.ended(reach)
 }
 
 // Unreachable reports whether the watchdog has canceled the attempt.
--- a/internal/router/memory.go
+++ b/internal/router/memory.go
@@ -44,15 +44,15 @@
 }
 
 // recordResponseEnded records that the response to a client was cut off.
-func recordResponseEnded(ended clientconn.Ended) {
+func recordResponseEnded(ended clientconn.EndedResponse) {
 	fields := log.Fields{
-		"reason": string(ended.Reason), "unread_bytes": ended.Kept, "taken_bytes": ended.Taken,
+		"reason": string(ended.Reason), "unread_bytes": ended.Unread, "taken_bytes": ended.Taken,
 		"behind_ms": ended.Behind.Milliseconds(),
 	}
 	if ended.Cause != nil {
 		fields["error"] = ended.Cause.Error()
 	}
-	decision.Default.Record(decision.AnswerEnded, ended.Exchange, fields)
+	decision.Default.Record(decision.AnswerEnded, ended.RequestID, fields)
 }
 
 // readBody reads the body of a request into its buffer until the deadline.
@@ -75,7 +75,7 @@
 	}
 	// The deadline stays set, because the HTTP server reads the rest of the body before it
 	// answers.
-	if errors.Is(err, clientconn.ErrFull) {
+	if errors.Is(err, clientconn.ErrMemoryFull) {
 		return nil, memoryFullFault()
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -115,9 +115,9 @@
 // is all of it. It reads less if the buffer memory is full; the rest is then streamed.
 func (e *exchange) readResponseStart(response *upstream.Response) (body []byte, whole bool, err error) {
 	memory := e.router.buffers.NewBody()
-	defer memory.GiveBack()
+	defer memory.Release()
 	body, err = memory.Read(io.LimitReader(response.Body(0), maxBufferedResponse+1), min(response.Length, maxBufferedResponse+1))
-	if errors.Is(err, clientconn.ErrFull) {
+	if errors.Is(err, clientconn.ErrMemoryFull) {
 		return body, false, nil
 	}
 	return body, len(body) <= maxBufferedResponse, err
--- a/internal/router/memory_test.go
+++ b/internal/router/memory_test.go
@@ -24,7 +24,7 @@
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		memory := buffers.NewBody()
-		defer memory.GiveBack()
+		defer memory.Release()
 		route := &rockwindpb.Route{TimeoutMs: new(uint32(250))}
 		deadline := requestDeadline(route, RequestInfo{}, time.Now())
 		body, err := readBody(writer, request, nil, &memory, deadline)
@@ -45,7 +45,7 @@
 
 // TestStalledBodyTimesOut checks that a stalled body does not hold memory beyond its deadline.
 func TestStalledBodyTimesOut(t *testing.T) {
-	buffers := clientconn.NewBuffers(8<<20, func(clientconn.Ended) {})
+	buffers := clientconn.NewBuffers(8<<20, func(clientconn.EndedResponse) {})
 	conn, err := net.Dial("tcp", bodyServer(t, buffers))
 	if err != nil {
 		t.Fatal(err)
@@ -69,7 +69,7 @@
 // TestBodyDeadlineDoesNotLimitResponse checks that the deadline of a body limits neither its
 // response nor the next request on the connection.
 func TestBodyDeadlineDoesNotLimitResponse(t *testing.T) {
-	address := bodyServer(t, clientconn.NewBuffers(8<<20, func(clientconn.Ended) {}))
+	address := bodyServer(t, clientconn.NewBuffers(8<<20, func(clientconn.EndedResponse) {}))
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -116,8 +116,8 @@
 			writer := &deadlineWriter{ResponseRecorder: httptest.NewRecorder()}
 			request := httptest.NewRequest(http.MethodPost, "/", test.body)
 			request.ContentLength = 5
-			memory := clientconn.NewBuffers(8<<20, func(clientconn.Ended) {}).NewBody()
-			defer memory.GiveBack()
+			memory := clientconn.NewBuffers(8<<20, func(clientconn.EndedResponse) {}).NewBody()
+			defer memory.Release()
 			if _, err := readBody(writer, request, nil, &memory, deadline); (err == nil) != test.want.IsZero() {
 				t.Fatal(err)
 			}
--- a/internal/router/over.go
+++ b/internal/router/over.go
@@ -25,17 +25,17 @@
 // silent server that accepts connections may still be working.
 func ServerStopped(ctx context.Context, client *upstream.Client, view func() *directory.View, id, address string) bool {
 	began := time.Now()
-	reach := client.Reach(ctx, address, probeTimeout)
-	if reach == upstream.ReachSilent && !view().Absent(id) {
+	reach := client.Probe(ctx, address, probeTimeout)
+	if reach == upstream.ProbeTimedOut && !view().Absent(id) {
 		if !retry.Pause(ctx, secondProbeDelay-time.Since(began)) {
 			return false
 		}
-		reach = client.Reach(ctx, address, probeTimeout)
+		reach = client.Probe(ctx, address, probeTimeout)
 	}
 	switch reach {
-	case upstream.ReachRefused, upstream.ReachSilent:
+	case upstream.ProbeRefused, upstream.ProbeTimedOut:
 		return true
-	case upstream.ReachListens:
+	case upstream.ProbeConnected:
 		return view().Replaced(id)
 	}
 	return false
--- a/internal/router/recording.go
+++ b/internal/router/recording.go
@@ -42,7 +42,7 @@
 // recordClientGone records that the client disconnected or that its response was cut off to save
 // memory.
 func (e *exchange) recordClientGone(lease *Lease) {
-	if reason := e.client.Ended(); reason != "" {
+	if reason := e.client.EndReason(); reason != "" {
 		e.record(decision.RequestBroken, lease, string(reason))
 		return
 	}
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -50,7 +50,7 @@
 		return verdictClientGone
 	}
 	_, err = io.Copy(e.writer, response.Body(0))
-	if e.client.Ended() != "" {
+	if e.client.EndReason() != "" {
 		e.abandon(lease, response)
 		return verdictClientGone
 	}
@@ -204,7 +204,7 @@
 func (e *exchange) unrelayedEvents(whole []byte) []byte {
 	kept := make([]byte, 0, len(whole))
 	for _, event := range upstream.Events(whole) {
-		if e.relayedEvents.Take(event) {
+		if e.relayedEvents.Accept(event) {
 			kept = append(kept, event.Raw...)
 		}
 	}
--- a/internal/router/relay_test.go
+++ b/internal/router/relay_test.go
@@ -77,12 +77,12 @@
 	created := &exchange{
 		router: &Router{
 			watcher: watcher, dispatcher: dispatcher, client: client, crashes: NewCrashReporter(watcher, client, PlainProtocol{}), copyPlanner: newCopyPlanner(),
-			buffers: clientconn.NewBuffers(8<<20, func(clientconn.Ended) {}),
+			buffers: clientconn.NewBuffers(8<<20, func(clientconn.EndedResponse) {}),
 		},
 		writer: writer, service: "app", received: time.Now(), deadline: time.Now().Add(time.Minute),
 		route: &rockwindpb.Route{Kind: rockwindpb.RouteKind_ROUTE_KIND_STREAM, PauseGoalMs: 300},
 		request: upstream.Request{
-			Kind: upstream.Relayed, Host: "app", Method: http.MethodPost, Path: "/", Header: http.Header{},
+			Kind: upstream.Passthrough, Host: "app", Method: http.MethodPost, Path: "/", Header: http.Header{},
 			Timeouts: upstream.Timeouts{Connect: connectTimeout},
 		},
 	}
--- a/internal/router/relief.go
+++ b/internal/router/relief.go
@@ -35,15 +35,15 @@
 	enabled     bool
 	name, zone  string
 	descriptors int
-	judge       relief.Judge
+	judge       relief.Detector
 	// inProgress counts running requests, and closed the requests whose clients were told to
 	// close their connections.
 	inProgress, closed atomic.Int64
 	closing, unready   atomic.Bool
-	lack               relief.Lack
+	lack               relief.Shortage
 	usage              clientconn.Usage
 	// position is the router's position in its zone, looked up at positionedAt.
-	position     relief.Zone
+	position     relief.ZonePosition
 	positionedAt time.Time
 }
 
@@ -80,13 +80,13 @@
 	before := r.usage
 	r.usage = r.router.buffers.Usage()
 	sample := relief.Sample{
-		Late: delay, MemoryPart: r.usage.Part(), InProgress: int(r.inProgress.Load()), Behind: r.usage.Readers,
+		TimerDelay: delay, MemoryFraction: r.usage.Fraction(), InProgress: int(r.inProgress.Load()), Behind: r.usage.Readers,
 	}
 	if r.descriptors > 0 {
-		sample.DescriptorPart = float64(descriptorsPerClient*r.usage.Open) / float64(r.descriptors)
+		sample.DescriptorFraction = float64(descriptorsPerClient*r.usage.Open) / float64(r.descriptors)
 	}
 	if taken := r.usage.Taken - before.Taken; taken > 0 {
-		sample.Unsent = time.Duration(float64(relief.Interval+delay) * float64(r.usage.Unread) / float64(taken))
+		sample.SendTime = time.Duration(float64(relief.Interval+delay) * float64(r.usage.Unread) / float64(taken))
 	}
 	return sample
 }
@@ -96,25 +96,25 @@
 	if r.closing.Load() && now.Sub(r.positionedAt) >= positionInterval {
 		r.position, r.positionedAt = r.zonePosition(), now
 	}
-	advice := r.judge.Take(sample, r.position, now)
+	advice := r.judge.Observe(sample, r.position, now)
 	r.closing.Store(advice.Close)
 	unready := r.unready.Swap(advice.Unready)
-	if advice.Lack == r.lack && advice.Unready == unready {
+	if advice.Shortage == r.lack && advice.Unready == unready {
 		return
 	}
-	r.lack = advice.Lack
+	r.lack = advice.Shortage
 	decision.Default.Record(decision.ReliefChanged, r.name, log.Fields{
-		"lack": string(advice.Lack), "ready": !advice.Unready, "late_ms": sample.Late.Milliseconds(),
-		"memory_part": sample.MemoryPart, "descriptor_part": sample.DescriptorPart, "unsent_ms": sample.Unsent.Milliseconds(),
+		"lack": string(advice.Shortage), "ready": !advice.Unready, "late_ms": sample.TimerDelay.Milliseconds(),
+		"memory_part": sample.MemoryFraction, "descriptor_part": sample.DescriptorFraction, "unsent_ms": sample.SendTime.Milliseconds(),
 		"in_progress": sample.InProgress, "behind": sample.Behind, "closed": r.closed.Load(),
 	})
 }
 
 // zonePosition returns this router's position among the routers of its zone, ordered by name, or
 // a zero Zone if the directory is out of date.
-func (r *reliefController) zonePosition() relief.Zone {
+func (r *reliefController) zonePosition() relief.ZonePosition {
 	if time.Since(r.router.watcher.LastHeard()) > maxDirectoryAge {
-		return relief.Zone{}
+		return relief.ZonePosition{}
 	}
 	var names []string
 	for _, machine := range r.router.watcher.Directory().WithRole(rockwindpb.SiteRole_SITE_ROLE_ROUTER) {
@@ -125,9 +125,9 @@
 	slices.Sort(names)
 	position := slices.Index(names, r.name)
 	if position < 0 {
-		return relief.Zone{}
+		return relief.ZonePosition{}
 	}
-	return relief.Zone{Position: position, Routers: len(names)}
+	return relief.ZonePosition{Position: position, Routers: len(names)}
 }
 
 // handler counts requests and, while the router is overloaded, tells some clients to close their
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -141,7 +141,7 @@
 		return
 	}
 	memory := r.buffers.NewBody()
-	defer memory.GiveBack()
+	defer memory.Release()
 	body, err := readBody(writer, request, index.ClientLimits(), &memory, requestDeadline(route, info, received))
 	if err != nil {
 		r.refuseBody(writer, info, route, err)
@@ -176,7 +176,7 @@
 		received: received,
 		request: upstream.Request{
 			ID:         info.ID,
-			Kind:       upstream.Relayed,
+			Kind:       upstream.Passthrough,
 			Host:       request.Host,
 			Method:     request.Method,
 			Path:       request.URL.RequestURI(),
@@ -186,8 +186,8 @@
 		},
 	}
 	created.request.Repeatable = created.repeatable()
-	created.request.Belongs = func(answer http.Header) bool { return r.protocol.Belongs(header, answer) }
-	created.relayedEvents = upstream.ResumeAfter(info.ResumeAfter)
+	created.request.MatchesResponse = func(answer http.Header) bool { return r.protocol.Belongs(header, answer) }
+	created.relayedEvents = upstream.NewEventDeduplicator(info.ResumeAfter)
 	return created
 }
 
--- a/internal/router/survey.go
+++ b/internal/router/survey.go
@@ -160,7 +160,7 @@
 	header := make(http.Header)
 	path := query.PrepareLoadRequest(header, server.ID)
 	response, err := client.Do(ctx, server.Address, &upstream.Request{
-		Kind: upstream.Relayed, Method: http.MethodGet, Path: path, Header: header, Repeatable: true,
+		Kind: upstream.Passthrough, Method: http.MethodGet, Path: path, Header: header, Repeatable: true,
 		Timeouts: upstream.Timeouts{Connect: loadQueryTimeout, FirstByte: loadQueryTimeout},
 	}, 1)
 	if err != nil {
--- a/internal/router/witness.go
+++ b/internal/router/witness.go
@@ -126,7 +126,7 @@
 		return false
 	}
 	checked, _, _ := r.checks.Do(attempt.Server, func() (any, error) {
-		return r.client.Reach(context.Background(), attempt.Address, connectTimeout) == upstream.ReachRefused, nil
+		return r.client.Probe(context.Background(), attempt.Address, connectTimeout) == upstream.ProbeRefused, nil
 	})
 	refused, _ := checked.(bool)
 	return refused || r.awaitCrashNotice(attempt.Server)
--- a/internal/serverview/benchmark_test.go
+++ b/internal/serverview/benchmark_test.go
@@ -56,7 +56,7 @@
 	for _, servers := range []int{12, 37, 1200} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			view, wanted := loadedView(servers), benchmarkWanted()
-			report := upstream.Report{Outcome: upstream.CallerLeft}
+			report := upstream.Report{Outcome: upstream.Canceled}
 			b.ReportAllocs()
 			for b.Loop() {
 				choice, err := view.Choose(wanted, nil)
@@ -77,7 +77,7 @@
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			view := loadedView(servers)
 			wanted := BatchWanted{Model: "m", PromptTokens: 300, Objective: sharing.Throughput}
-			report := upstream.Report{Outcome: upstream.CallerLeft}
+			report := upstream.Report{Outcome: upstream.Canceled}
 			b.ReportAllocs()
 			for b.Loop() {
 				choice, ok := view.StartBatch(wanted, nil)
@@ -95,7 +95,7 @@
 // vanishes in the mean.
 func TestRoutingDecisionAllocatesNothing(t *testing.T) {
 	view, wanted := loadedView(benchmarkZoneSize), benchmarkWanted()
-	report := upstream.Report{Outcome: upstream.CallerLeft}
+	report := upstream.Report{Outcome: upstream.Canceled}
 	allocations := testing.AllocsPerRun(20000, func() {
 		choice, err := view.Choose(wanted, nil)
 		if err != nil {
--- a/internal/serverview/choose.go
+++ b/internal/serverview/choose.go
@@ -88,7 +88,7 @@
 	v.routing.Sent(decision.Server, promptTokens, false)
 	e.history.sent.add(now)
 	if wanted.Streamed {
-		v.tracker.Sent(e.slot, decision.Wait, now)
+		v.tracker.RecordSent(e.slot, decision.Wait, now)
 	}
 	v.tickets++
 	defer v.changed(e)
@@ -177,7 +177,7 @@
 	if e := v.byName[target.Name]; e != nil {
 		v.routing.FirstToken(e.index, attempt.promptTokens)
 		if attempt.awaited {
-			v.tracker.FirstToken(e.slot, came, v.now())
+			v.tracker.RecordFirstToken(e.slot, came, v.now())
 		}
 		e.batch.pace.FirstToken(attempt.ticket, streamed, v.now())
 		if streamed && came && e.kind == rockwindpb.BackEndKind_BACK_END_KIND_ENGINE {
--- a/internal/serverview/evidence.go
+++ b/internal/serverview/evidence.go
@@ -38,9 +38,9 @@
 		return health.Success, true
 	case upstream.Refused:
 		return health.Refused, true
-	case upstream.Hung:
+	case upstream.TimedOut:
 		return health.Timeout, true
-	case upstream.Unreachable, upstream.Broken, upstream.Erred:
+	case upstream.Unreachable, upstream.ConnectionLost, upstream.ServerError:
 		return health.Failure, true
 	default:
 		return 0, false
--- a/internal/site/reporter.go
+++ b/internal/site/reporter.go
@@ -38,7 +38,7 @@
 
 	mutex sync.Mutex
 	// untold is what waits to be told.
-	untold *quarantine.Untold
+	untold *quarantine.Unreported
 }
 
 // observation is an end of a server, or an answer where the end is nil.
@@ -51,7 +51,7 @@
 
 // NewReporter returns a reporter to the coordinators that the watcher knows.
 func NewReporter(watcher *Watcher) *Reporter {
-	return &Reporter{watcher: watcher, queue: make(chan observation, reportQueue), untold: quarantine.NewUntold()}
+	return &Reporter{watcher: watcher, queue: make(chan observation, reportQueue), untold: quarantine.NewUnreported()}
 }
 
 // HeldFor is for how much longer a content is held by what was not told yet.
@@ -91,14 +91,14 @@
 	defer r.mutex.Unlock()
 	// Before it is sent: how long ago a run began is filled in then.
 	if seen.end == nil {
-		r.untold.Answered(seen.answered, seen.noticed)
+		r.untold.RecordAnswer(seen.answered, seen.noticed)
 	} else {
-		r.untold.Ended(seen.end, seen.noticed.Sub(seen.began), seen.noticed)
+		r.untold.RecordCrash(seen.end, seen.noticed.Sub(seen.began), seen.noticed)
 	}
 	select {
 	case r.queue <- seen:
 	default:
-		r.untold.Done(1)
+		r.untold.MarkReported(1)
 		log.WithField("waiting", reportQueue).Warn("an end of a server is not told: too many wait")
 	}
 }
@@ -107,7 +107,7 @@
 func (r *Reporter) done(count int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.untold.Done(count)
+	r.untold.MarkReported(count)
 }
 
 // Run sends what was observed until the context ends.
--- a/internal/store/item.go
+++ b/internal/store/item.go
@@ -128,16 +128,16 @@
 		RequestID: a.item.Item.GetId(), ServerID: a.lease.ID, ResumeAfter: a.writer.ResumeAfter(), Tenant: a.item.Tenant,
 	})
 	return &upstream.Request{
-		ID:         a.item.Item.GetId(),
-		Kind:       upstream.Relayed,
-		Host:       a.item.Host,
-		Method:     http.MethodPost,
-		Path:       a.item.Item.GetPath(),
-		Header:     header,
-		Body:       a.item.Body,
-		Timeouts:   upstream.Timeouts{Connect: connectTimeout, FirstByte: firstByteTimeout},
-		Repeatable: true,
-		Belongs:    func(answer http.Header) bool { return a.store.protocol.Belongs(header, answer) },
+		ID:              a.item.Item.GetId(),
+		Kind:            upstream.Passthrough,
+		Host:            a.item.Host,
+		Method:          http.MethodPost,
+		Path:            a.item.Item.GetPath(),
+		Header:          header,
+		Body:            a.item.Body,
+		Timeouts:        upstream.Timeouts{Connect: connectTimeout, FirstByte: firstByteTimeout},
+		Repeatable:      true,
+		MatchesResponse: func(answer http.Header) bool { return a.store.protocol.Belongs(header, answer) },
 	}
 }
 
--- a/internal/store/output/output.go
+++ b/internal/store/output/output.go
@@ -38,7 +38,7 @@
 	failures    uint32
 	text        []byte
 	hasText     bool
-	received    upstream.Sequence
+	received    upstream.EventDeduplicator
 	// lastNumbered is the end of the text after the last numbered event. Unnumbered events
 	// after it are sent again to the next attempt, since servers resume after a number.
 	lastNumbered textEnd
@@ -68,7 +68,7 @@
 	created.text, created.hasText = slices.Clone(text), hasText
 	created.lastNumbered = textEnd{length: len(text), hasText: hasText}
 	if last, known := partial.LastEvent(); known {
-		created.received.Take(upstream.Event{Sequence: last, HasSequence: true})
+		created.received.Accept(upstream.Event{Sequence: last, HasSequence: true})
 		created.inherited = last
 	}
 	return created
@@ -134,7 +134,7 @@
 		return
 	}
 	for _, event := range events {
-		if o.received.Take(event) {
+		if o.received.Accept(event) {
 			o.add(event)
 		}
 	}
@@ -161,7 +161,7 @@
 	if o.activeWriter != w.number {
 		return
 	}
-	o.text, o.hasText, o.received, o.lastNumbered = nil, false, upstream.Sequence{}, textEnd{}
+	o.text, o.hasText, o.received, o.lastNumbered = nil, false, upstream.EventDeduplicator{}, textEnd{}
 	o.run, o.inherited = o.runs.next(), 0
 }
 
--- a/internal/upstream/answer.go
+++ b/internal/upstream/answer.go
@@ -69,7 +69,7 @@
 	if err := r.sink.Write(body); err != nil {
 		return r.callerLeft()
 	}
-	r.result.Whole = true
+	r.result.Complete = true
 	r.result.Fault = nil
 	return verdictDone
 }
@@ -77,7 +77,7 @@
 // answerCut handles an answer that ended before it was whole.
 func (r *run) answerCut(ctx context.Context, target Target, number int, err error, report *Report) verdict {
 	if ctx.Err() != nil {
-		report.Outcome = CallerLeft
+		report.Outcome = Canceled
 		r.cancel(ctx, target, number)
 		return r.callerLeft()
 	}
@@ -86,10 +86,10 @@
 }
 
 func outcomeOf(err error) Outcome {
-	if attemptError(PhaseAnswer, err).Timeout {
-		return Hung
+	if attemptError(PhaseResponse, err).Timeout {
+		return TimedOut
 	}
-	return Broken
+	return ConnectionLost
 }
 
 // readAll reads the body and ends the exchange.
@@ -178,7 +178,7 @@
 	}
 	if err := r.begin(response, response.Length); err != nil {
 		response.Abandon()
-		report.Outcome = CallerLeft
+		report.Outcome = Canceled
 		return r.callerLeft()
 	}
 	return r.copyBody(ctx, response, report)
@@ -201,13 +201,13 @@
 		if n > 0 {
 			if writeErr := r.sink.Write((*buffer)[:n]); writeErr != nil {
 				response.Abandon()
-				report.Outcome = CallerLeft
+				report.Outcome = Canceled
 				return r.callerLeft()
 			}
 		}
 		if errors.Is(err, io.EOF) {
 			response.Finish()
-			r.result.Whole = true
+			r.result.Complete = true
 			return verdictDone
 		}
 		if err != nil {
@@ -220,7 +220,7 @@
 // serviceCut handles an answer of a service that ended before it was whole.
 func (r *run) serviceCut(ctx context.Context, err error, report *Report) verdict {
 	if ctx.Err() != nil {
-		report.Outcome = CallerLeft
+		report.Outcome = Canceled
 		return r.callerLeft()
 	}
 	report.Outcome = outcomeOf(err)
--- a/internal/upstream/budget.go
+++ b/internal/upstream/budget.go
@@ -11,7 +11,7 @@
 	retryReserve = 10
 )
 
-// NewBudget returns the retry budget of one gateway.
-func NewBudget() *retry.Budget {
+// NewRetryBudget returns the retry budget of one gateway.
+func NewRetryBudget() *retry.Budget {
 	return retry.NewBudget(retryReserve)
 }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -110,8 +110,8 @@
 	PhaseConnect Phase = iota
 	// PhaseSent: bytes were written, and no answer was seen.
 	PhaseSent
-	// PhaseAnswer: the answer had begun.
-	PhaseAnswer
+	// PhaseResponse: the answer had begun.
+	PhaseResponse
 )
 
 // AttemptError is the failure of one attempt.
@@ -185,7 +185,7 @@
 func readOwnHead(conn *connection, request *Request) (*http.Response, error) {
 	for range maximumSurplus {
 		head, err := readHead(conn, request.Method)
-		if err != nil || request.Belongs == nil || request.Belongs(head.Header) {
+		if err != nil || request.MatchesResponse == nil || request.MatchesResponse(head.Header) {
 			return head, err
 		}
 		if _, err := io.Copy(io.Discard, head.Body); err != nil {
--- a/internal/upstream/hedge.go
+++ b/internal/upstream/hedge.go
@@ -118,7 +118,7 @@
 // lose ends an attempt whose answer is not used.
 func (r *run) lose(ctx context.Context, loser *flight) {
 	loser.cancel()
-	report := Report{Outcome: CallerLeft, Duration: time.Since(loser.begun)}
+	report := Report{Outcome: Canceled, Duration: time.Since(loser.begun)}
 	switch {
 	case loser.err == nil && loser.response.NotRun():
 		report.Outcome = Refused
@@ -147,8 +147,8 @@
 	case failure.Phase == PhaseConnect:
 		report.Outcome = Unreachable
 	case failure.Timeout:
-		report.Outcome = Hung
+		report.Outcome = TimedOut
 	default:
-		report.Outcome = Broken
+		report.Outcome = ConnectionLost
 	}
 }
--- a/internal/upstream/hedge_test.go
+++ b/internal/upstream/hedge_test.go
@@ -19,7 +19,7 @@
 
 func TestHedgeAnswersForABackEndThatHangs(t *testing.T) {
 	found := play(t, hungFirst(true))
-	if !found.result.Whole || found.result.Hedges != 1 || found.result.Target.Name != "b" {
+	if !found.result.Complete || found.result.Hedges != 1 || found.result.Target.Name != "b" {
 		t.Fatalf("%+v", found.result)
 	}
 	if found.result.FirstByte != 100*time.Millisecond {
--- a/internal/upstream/reach_test.go
+++ b/internal/upstream/reach_test.go
@@ -15,23 +15,23 @@
 func TestReachTellsAServerThatEndedFromOneOutOfReach(t *testing.T) {
 	for name, test := range map[string]struct {
 		dial upstream.DialFunc
-		want upstream.Reach
+		want upstream.ProbeResult
 	}{
-		"listens": {func(context.Context, string) (net.Conn, error) { near, _ := net.Pipe(); return near, nil }, upstream.ReachListens},
+		"listens": {func(context.Context, string) (net.Conn, error) { near, _ := net.Pipe(); return near, nil }, upstream.ProbeConnected},
 		"refuses": {func(context.Context, string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
-		}, upstream.ReachRefused},
-		"says nothing": {func(ctx context.Context, _ string) (net.Conn, error) { <-ctx.Done(); return nil, ctx.Err() }, upstream.ReachSilent},
+		}, upstream.ProbeRefused},
+		"says nothing": {func(ctx context.Context, _ string) (net.Conn, error) { <-ctx.Done(); return nil, ctx.Err() }, upstream.ProbeTimedOut},
 		"held up": {func(ctx context.Context, _ string) (net.Conn, error) {
 			<-ctx.Done()
 			time.Sleep(time.Second)
 			return nil, ctx.Err()
-		}, upstream.ReachUnclear},
-		"unclear": {func(context.Context, string) (net.Conn, error) { return nil, errors.New("no descriptors") }, upstream.ReachUnclear},
+		}, upstream.ProbeInconclusive},
+		"unclear": {func(context.Context, string) (net.Conn, error) { return nil, errors.New("no descriptors") }, upstream.ProbeInconclusive},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				if got := upstream.NewClientWithDial(test.dial).Reach(t.Context(), "10.0.0.1:1", time.Second); got != test.want {
+				if got := upstream.NewClientWithDial(test.dial).Probe(t.Context(), "10.0.0.1:1", time.Second); got != test.want {
 					t.Errorf("got %v, want %v", got, test.want)
 				}
 			})
--- a/internal/upstream/relay.go
+++ b/internal/upstream/relay.go
@@ -20,14 +20,14 @@
 	Refused
 	// Unreachable: no connection could be made.
 	Unreachable
-	// Broken: the connection failed after bytes were written.
-	Broken
-	// Hung: the back end was silent for too long.
-	Hung
-	// Erred: the back end answered with a status of 500 or above.
-	Erred
-	// CallerLeft: the caller or the operator ended the request.
-	CallerLeft
+	// ConnectionLost: the connection failed after bytes were written.
+	ConnectionLost
+	// TimedOut: the back end was silent for too long.
+	TimedOut
+	// ServerError: the back end answered with a status of 500 or above.
+	ServerError
+	// Canceled: the caller or the operator ended the request.
+	Canceled
 )
 
 // Report describes one attempt that ended.
@@ -72,14 +72,14 @@
 type Result struct {
 	// Begun tells that the sink was given the head of an answer.
 	Begun bool
-	// Whole tells that the sink was given the whole answer.
-	Whole bool
+	// Complete tells that the sink was given the whole answer.
+	Complete bool
 	// Status is the HTTP status of the answer.
 	Status int
 	// Fault says why there is no whole answer.
 	Fault *fault.Fault
-	// CallerLeft tells that the context ended the request.
-	CallerLeft bool
+	// Canceled tells that the context ended the request.
+	Canceled bool
 	// Stopped tells that the engine confirmed that it stopped the request before
 	// it finished. It is set only after the context ended.
 	Stopped bool
@@ -194,7 +194,7 @@
 	}
 	r.mayHaveRun = true
 	if response.Status >= http.StatusInternalServerError {
-		report.Outcome = Erred
+		report.Outcome = ServerError
 	}
 	if r.result.Begun && response.Status != http.StatusOK {
 		r.drain(response)
@@ -217,7 +217,7 @@
 		r.mayHaveRun = true
 	}
 	if ctx.Err() != nil {
-		report.Outcome = CallerLeft
+		report.Outcome = Canceled
 		if failure.Phase != PhaseConnect {
 			r.cancel(ctx, target, number)
 		}
@@ -228,9 +228,9 @@
 		r.fail(fault.Newf(fault.Unavailable, "send the request again", "back end %s can't be reached", target.Name))
 		return verdictNext
 	}
-	report.Outcome = Broken
+	report.Outcome = ConnectionLost
 	if failure.Timeout {
-		report.Outcome = Hung
+		report.Outcome = TimedOut
 	}
 	return r.lost(ctx, target, number, report)
 }
@@ -276,7 +276,7 @@
 
 // callerLeft ends the request because its context ended.
 func (r *run) callerLeft() verdict {
-	r.result.CallerLeft = true
+	r.result.Canceled = true
 	r.result.Fault = fault.New(fault.Cancelled, "the request was cancelled", "none").WithRan(r.ran())
 	return verdictDone
 }
--- a/internal/upstream/relay_test.go
+++ b/internal/upstream/relay_test.go
@@ -128,7 +128,7 @@
 			Stream: s.Stream, Repeatable: s.Repeatable, Deterministic: s.Deterministic,
 			Timeouts: Timeouts{Connect: time.Second, FirstByte: 5 * time.Second, BetweenBytes: time.Second},
 		}
-		found.result = NewRelay(client, NewBudget()).Run(ctx, request, chooser, &found.sink)
+		found.result = NewRelay(client, NewRetryBudget()).Run(ctx, request, chooser, &found.sink)
 		found.chosen, found.ended = chooser.chosen, chooser.ended
 		// Late orders and hung back ends end in virtual time.
 		time.Sleep(2 * time.Hour)
@@ -164,11 +164,11 @@
 		return errors.New("a request reported as not run did run")
 	case result.Fault != nil && result.Fault.Ran == fault.RanNotApplicable:
 		return errors.New("a fault does not say whether the request ran")
-	case !result.Whole && result.Fault == nil:
+	case !result.Complete && result.Fault == nil:
 		return errors.New("there is neither an answer nor a fault")
 	case found.sink.begun > 1:
 		return errors.New("the answer began twice")
-	case result.CallerLeft && s.Leaves == 0:
+	case result.Canceled && s.Leaves == 0:
 		return errors.New("nobody left")
 	}
 	return judgeContent(s, found)
@@ -185,7 +185,7 @@
 				text.WriteString("<" + strings.TrimSpace(data))
 			}
 		}
-		if found.result.Whole && !strings.HasSuffix(content, "data: usage\n\ndata: [DONE]\n\n") {
+		if found.result.Complete && !strings.HasSuffix(content, "data: usage\n\ndata: [DONE]\n\n") {
 			return errors.New("a whole stream lacks its usage or its end marker")
 		}
 		if strings.Count(content, "data: usage") > 1 {
@@ -195,14 +195,14 @@
 	}
 	for run := range found.runs + 1 {
 		whole := answerText(run)
-		if s.Stream && strings.HasPrefix(whole, content) && (content == whole || !found.result.Whole) {
+		if s.Stream && strings.HasPrefix(whole, content) && (content == whole || !found.result.Complete) {
 			return nil
 		}
 		if !s.Stream && strings.Contains(content, whole) && strings.Contains(content, `"finish_reason":"stop"`) {
 			return nil
 		}
 	}
-	if content == "" && !found.result.Whole {
+	if content == "" && !found.result.Complete {
 		return nil
 	}
 	return errors.New("what was relayed is not the answer of one run")
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -39,8 +39,8 @@
 	Engine Kind = iota
 	// Service requests are plain HTTP.
 	Service
-	// Relayed requests carry exactly the headers that they are given.
-	Relayed
+	// Passthrough requests carry exactly the headers that they are given.
+	Passthrough
 )
 
 // Timeouts bound the phases of an exchange. Zero means no bound.
@@ -61,10 +61,10 @@
 	Kind Kind
 	// Host is sent in the Host header; empty means the address of the back end.
 	Host string
-	// Belongs tells by an answer's headers whether it answers this request; nil
+	// MatchesResponse tells by an answer's headers whether it answers this request; nil
 	// accepts every answer. An answer that does not belong is passed over, since a
 	// back end may send a surplus one in the place of the next.
-	Belongs func(http.Header) bool
+	MatchesResponse func(http.Header) bool
 	// Method is the HTTP method.
 	Method string
 	// Path is the escaped path with the query.
@@ -115,7 +115,7 @@
 	if len(r.Header) > 0 {
 		_ = r.Header.Write(buffer)
 	}
-	if r.Kind != Relayed {
+	if r.Kind != Passthrough {
 		writeHeader(buffer, HeaderRequestID, r.attemptID(attempt))
 	}
 	if r.Kind == Engine {
--- a/internal/upstream/sequence.go
+++ b/internal/upstream/sequence.go
@@ -2,23 +2,23 @@
 
 import "strconv"
 
-// Sequence passes each event of a stream on once, also where the stream is taken up
+// EventDeduplicator passes each event of a stream on once, also where the stream is taken up
 // again at another server. The zero value has passed none.
-type Sequence struct {
+type EventDeduplicator struct {
 	last  uint64
 	known bool
 }
 
-// ResumeAfter returns a sequence whose events up to the given number were passed on,
+// NewEventDeduplicator returns a sequence whose events up to the given number were passed on,
 // as a client tells that resumes a stream; a text that is no number is passed over.
-func ResumeAfter(text string) Sequence {
+func NewEventDeduplicator(text string) EventDeduplicator {
 	last, err := strconv.ParseUint(text, 10, 64)
-	return Sequence{last: last, known: err == nil}
+	return EventDeduplicator{last: last, known: err == nil}
 }
 
-// Take tells whether an event is new, and notes it then. Events without a number
+// Accept tells whether an event is new, and notes it then. Events without a number
 // are always new.
-func (s *Sequence) Take(event Event) bool {
+func (s *EventDeduplicator) Accept(event Event) bool {
 	if !event.HasSequence {
 		return true
 	}
@@ -30,11 +30,11 @@
 }
 
 // Last is the number of the last event that was passed on, zero where there is none.
-func (s *Sequence) Last() uint64 { return s.last }
+func (s *EventDeduplicator) Last() uint64 { return s.last }
 
 // String is the number after which a server should go on, empty where the stream
 // begins.
-func (s *Sequence) String() string {
+func (s *EventDeduplicator) String() string {
 	if !s.known {
 		return ""
 	}
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -55,7 +55,7 @@
 	}
 	if err := r.begin(response, -1); err != nil {
 		response.Abandon()
-		report.Outcome = CallerLeft
+		report.Outcome = Canceled
 		r.cancel(ctx, target, number)
 		return r.callerLeft()
 	}
@@ -67,11 +67,11 @@
 	r.result.Tokens = r.relayed.sequence
 	switch {
 	case end == streamDone:
-		r.result.Whole = true
+		r.result.Complete = true
 		r.result.Fault = nil
 		return verdictDone
 	case end == streamSinkFailed || ctx.Err() != nil:
-		report.Outcome = CallerLeft
+		report.Outcome = Canceled
 		r.cancel(ctx, target, number)
 		return r.callerLeft()
 	case end == streamTorn:
@@ -192,7 +192,7 @@
 		}
 	}
 	if ctx.Err() != nil {
-		report.Outcome = CallerLeft
+		report.Outcome = Canceled
 		r.cancel(ctx, target, number)
 		return r.callerLeft()
 	}
@@ -216,7 +216,7 @@
 func (r *run) goOn(ctx context.Context, target Target, number int, response *Response, report *Report) verdict {
 	if err := r.begin(response, -1); err != nil {
 		response.Abandon()
-		report.Outcome = CallerLeft
+		report.Outcome = Canceled
 		r.cancel(ctx, target, number)
 		return r.callerLeft()
 	}
