--- a/internal/catalog/history_test.go
+++ b/internal/catalog/history_test.go
@@ -33,7 +33,7 @@
 
 func newService() (*Machine, *Service) {
 	machine := New()
-	return machine, NewService(replica.NewLocal(machine), machine, func() time.Time { return time.UnixMilli(5) })
+	return machine, NewService(replica.NewInMemoryGroup(machine), machine, func() time.Time { return time.UnixMilli(5) })
 }
 
 func TestHistoryIsBoundedAndKeepsItsPromises(t *testing.T) {
--- a/internal/catalog/machine_test.go
+++ b/internal/catalog/machine_test.go
@@ -70,7 +70,7 @@
 type world struct {
 	oracle  oracle
 	machine *Machine
-	group   *replica.Local
+	group   *replica.InMemoryGroup
 	service *Service
 	now     time.Time
 	daemons []*daemon
@@ -83,7 +83,7 @@
 func newWorld(broken hooks) *world {
 	w := &world{machine: New(), now: time.UnixMilli(1_000_000)}
 	w.machine.hooks = broken
-	w.group = replica.NewLocal(w.machine)
+	w.group = replica.NewInMemoryGroup(w.machine)
 	w.service = NewService(w.group, w.machine, func() time.Time { return w.now })
 	for range 3 {
 		w.daemons = append(w.daemons, &daemon{index: configuration.Empty()})
--- a/internal/catalog/policy_test.go
+++ b/internal/catalog/policy_test.go
@@ -16,7 +16,7 @@
 
 func highest() (*Machine, *Service) {
 	machine := NewWithPolicy(HighestNumber)
-	return machine, NewService(replica.NewLocal(machine), machine, func() time.Time { return time.UnixMilli(5) })
+	return machine, NewService(replica.NewInMemoryGroup(machine), machine, func() time.Time { return time.UnixMilli(5) })
 }
 
 func submitted(t *testing.T, service *Service, number uint64, source string) *rockwindpb.ApplyConfigurationResponse {
--- a/internal/control/configuration.go
+++ b/internal/control/configuration.go
@@ -77,7 +77,7 @@
 // the newest configuration.
 func (d *daemon) followConfiguration(ctx context.Context) error {
 	select {
-	case <-d.host.Founded():
+	case <-d.host.InCluster():
 	case <-ctx.Done():
 		return nil
 	}
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -78,7 +78,7 @@
 // founded tells whether this machine belongs to a cluster.
 func (d *daemon) founded() bool {
 	select {
-	case <-d.host.Founded():
+	case <-d.host.InCluster():
 		return true
 	default:
 		return false
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -165,7 +165,7 @@
 	}
 	for {
 		select {
-		case <-c.host.Founded():
+		case <-c.host.InCluster():
 			return
 		default:
 		}
--- a/internal/coordinator/members.go
+++ b/internal/coordinator/members.go
@@ -52,7 +52,7 @@
 // here: there are more coordinators than the group has places. It passes calls on to members.
 func (c *Coordinator) outside() bool {
 	select {
-	case <-c.host.Founded():
+	case <-c.host.InCluster():
 	default:
 		return false
 	}
@@ -70,7 +70,7 @@
 			addresses = append(addresses, address)
 		}
 	}
-	for _, machine := range c.host.Told() {
+	for _, machine := range c.host.JoinResponseMembers() {
 		add(machine.GetAddress())
 	}
 	for _, seed := range c.settings.GetSeeds() {
--- a/internal/coordinator/virtualsite_test.go
+++ b/internal/coordinator/virtualsite_test.go
@@ -196,7 +196,7 @@
 	c := &Coordinator{settings: &rockwindpb.SiteSettings{Name: p.name, Seeds: s.seeds, InternalListen: p.name}, client: s.client, live: newLiveness()}
 	options := replica.Options{
 		Machine: p.name, Address: p.name, Folder: "data", FileSystem: p.disk, Client: s.client,
-		Tick: 30 * time.Millisecond, HeartbeatTicks: 2, Random: s.random.Uint64(),
+		Tick: 30 * time.Millisecond, HeartbeatTicks: 2, RandomSeed: s.random.Uint64(),
 		StateMachines: func(uint32) replica.StateMachine {
 			created := newRootMachine()
 			c.root.Store(created)
@@ -204,7 +204,7 @@
 		},
 	}
 	if s.admits {
-		options.Discover, options.AdmitNew, options.Places = c.peers, true, rootPlaces
+		options.Discover, options.AdmitNew, options.TargetVoters = c.peers, true, rootPlaces
 	}
 	host, err := replica.NewHost(options)
 	if err != nil {
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -260,7 +260,7 @@
 		Tick:       tick,
 		Peers:      f.peers,
 		Allow:      f.links.Allow,
-		Random:     f.random.Uint64(),
+		RandomSeed: f.random.Uint64(),
 		StateMachines: func(group uint32) replica.StateMachine {
 			created := newRegisters(group).(*registers)
 			m.mutex.Lock()
--- a/internal/replica/drain.go
+++ b/internal/replica/drain.go
@@ -80,7 +80,7 @@
 	if o.preparing || !mayHandOver(status) {
 		return nil
 	}
-	if o.host.options.HandingOver == nil || !otherVoterHeard(status) {
+	if o.host.options.BeforeLeadershipTransfer == nil || !otherVoterHeard(status) {
 		return o.transfer()
 	}
 	o.preparing = true
@@ -102,7 +102,7 @@
 	prepared := make(chan struct{})
 	go func() {
 		defer close(prepared)
-		o.host.options.HandingOver(ctx, o.id)
+		o.host.options.BeforeLeadershipTransfer(ctx, o.id)
 	}()
 	select {
 	case <-prepared:
--- a/internal/replica/founding.go
+++ b/internal/replica/founding.go
@@ -184,16 +184,16 @@
 // Found implements rockwindpb.ReplicaService. It waits for a host that is
 // starting: a daemon may listen a little before its groups can be founded.
 func (s *service) Found(ctx context.Context, request *rockwindpb.FoundRequest) (*rockwindpb.FoundResponse, error) {
-	if err := s.host.Enter(ctx, request); err != nil {
+	if err := s.host.AcceptFounding(ctx, request); err != nil {
 		return nil, fault.ToTwirp(err)
 	}
 	return &rockwindpb.FoundResponse{}, nil
 }
 
-// Enter makes this machine a founding member of a cluster whose founding was
+// AcceptFounding makes this machine a founding member of a cluster whose founding was
 // decided elsewhere. It may be repeated. It fails with fault.Conflict where the
 // founding does not name this disk, or this machine belongs to another cluster.
-func (h *Host) Enter(ctx context.Context, request *rockwindpb.FoundRequest) error {
+func (h *Host) AcceptFounding(ctx context.Context, request *rockwindpb.FoundRequest) error {
 	select {
 	case <-h.started:
 	case <-ctx.Done():
--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -174,9 +174,9 @@
 	return nil
 }
 
-// Founded returns a channel that is closed once the host belongs to a cluster
+// InCluster returns a channel that is closed once the host belongs to a cluster
 // and its groups run.
-func (h *Host) Founded() <-chan struct{} {
+func (h *Host) InCluster() <-chan struct{} {
 	return h.found
 }
 
--- a/internal/replica/host_test.go
+++ b/internal/replica/host_test.go
@@ -187,7 +187,7 @@
 	var refused error
 	prepared := 0
 	adjust := func(options *replica.Options) {
-		options.HandingOver = func(ctx context.Context, group uint32) {
+		options.BeforeLeadershipTransfer = func(ctx context.Context, group uint32) {
 			if group != 1 {
 				return
 			}
@@ -214,7 +214,7 @@
 func TestHandOverWaitsNoLongerThanItsLimit(t *testing.T) {
 	var release chan struct{}
 	adjust := func(options *replica.Options) {
-		options.HandingOver = func(context.Context, uint32) { <-release }
+		options.BeforeLeadershipTransfer = func(context.Context, uint32) { <-release }
 	}
 	inBubble(t, 3, adjust, func(f *fleet) {
 		release = make(chan struct{})
--- a/internal/replica/joining.go
+++ b/internal/replica/joining.go
@@ -26,7 +26,7 @@
 // all machines do, so that each leader is asked about as often as it would be by one that
 // asks everybody.
 func (h *Host) keepJoining() error {
-	random := rand.New(rand.NewPCG(h.options.Random, h.log.DiskID()))
+	random := rand.New(rand.NewPCG(h.options.RandomSeed, h.log.DiskID()))
 	for h.pause(h.options.electionTimeout()) {
 		peers := h.joinPeers()
 		switch {
@@ -80,9 +80,9 @@
 	return h.checksums[address]
 }
 
-// Told lists the members of groups that the last answer to a call to join named. A machine that
+// JoinResponseMembers lists the members of groups that the last answer to a call to join named. A machine that
 // lacks a group offers to join it at each election timeout.
-func (h *Host) Told() []*rockwindpb.ControlMachine { return slices.Clone(h.toldPeers()) }
+func (h *Host) JoinResponseMembers() []*rockwindpb.ControlMachine { return slices.Clone(h.toldPeers()) }
 
 // toldPeers is Told; before the first answer a machine that runs no group goes by the members that
 // its disk names, since all machines that its settings name may be gone.
--- a/internal/replica/local.go
+++ b/internal/replica/local.go
@@ -7,22 +7,22 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Local is a group of one replica held in memory. It serves tests and the
+// InMemoryGroup is a group of one replica held in memory. It serves tests and the
 // simulator; it keeps nothing after a restart.
-type Local struct {
+type InMemoryGroup struct {
 	mutex   sync.Mutex
 	machine StateMachine
 	index   uint64
 	applied chan struct{}
 }
 
-// NewLocal returns a group that applies commands to machine at once.
-func NewLocal(machine StateMachine) *Local {
-	return &Local{machine: machine, applied: make(chan struct{})}
+// NewInMemoryGroup returns a group that applies commands to machine at once.
+func NewInMemoryGroup(machine StateMachine) *InMemoryGroup {
+	return &InMemoryGroup{machine: machine, applied: make(chan struct{})}
 }
 
 // Propose implements Group.
-func (l *Local) Propose(_ context.Context, command []byte) (any, error) {
+func (l *InMemoryGroup) Propose(_ context.Context, command []byte) (any, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.index++
@@ -34,7 +34,7 @@
 }
 
 // Read implements Group.
-func (l *Local) Read(_ context.Context, view func()) error {
+func (l *InMemoryGroup) Read(_ context.Context, view func()) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	view()
@@ -42,27 +42,27 @@
 }
 
 // ReadLocal implements Group.
-func (l *Local) ReadLocal(ctx context.Context, view func()) error {
+func (l *InMemoryGroup) ReadLocal(ctx context.Context, view func()) error {
 	return l.Read(ctx, view)
 }
 
 // Leading implements Group.
-func (l *Local) Leading() (uint64, bool) {
+func (l *InMemoryGroup) Leading() (uint64, bool) {
 	return 1, true
 }
 
 // Status implements Group.
-func (l *Local) Status() *rockwindpb.GroupStatus {
+func (l *InMemoryGroup) Status() *rockwindpb.GroupStatus {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return &rockwindpb.GroupStatus{Term: 1, Commit: l.index, Applied: l.index, Last: l.index, Voter: true}
 }
 
 // Applied implements Group.
-func (l *Local) Applied() <-chan struct{} {
+func (l *InMemoryGroup) Applied() <-chan struct{} {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.applied
 }
 
-var _ Group = (*Local)(nil)
+var _ Group = (*InMemoryGroup)(nil)
--- a/internal/replica/options.go
+++ b/internal/replica/options.go
@@ -52,22 +52,22 @@
 	// AdmitNew lets machines with new names take the places of members that are
 	// silent for long, or that have to leave.
 	AdmitNew bool
-	// Places is how many voters a group should have: where AdmitNew is set, machines
+	// TargetVoters is how many voters a group should have: where AdmitNew is set, machines
 	// with new names join groups that have fewer. Zero keeps the number of the
 	// founding.
-	Places int
-	// Vacate tells which machines have to leave their groups as soon as another one
+	TargetVoters int
+	// MustLeave tells which machines have to leave their groups as soon as another one
 	// can take their place; nil means none.
-	Vacate func(machine string) bool
+	MustLeave func(machine string) bool
 	// StateMachines returns the empty state machine of a group. The host calls
 	// it once for each group that it runs. Group 0 is the root group, 1 and up
 	// are the job shards.
 	StateMachines func(group uint32) StateMachine
-	// HandingOver is called before this machine hands over the leadership of a group on plan,
+	// BeforeLeadershipTransfer is called before this machine hands over the leadership of a group on plan,
 	// on a goroutine of its own, while the group still takes commands. The hand-over begins when
 	// it returns, or when its context ends, which is after 250 ms at most. Nil means that
 	// nothing is to be done.
-	HandingOver func(ctx context.Context, group uint32)
+	BeforeLeadershipTransfer func(ctx context.Context, group uint32)
 	// SnapshotEntries and SnapshotBytes limit the log behind the newest snapshot
 	// of a group, in entries and in bytes of commands; zero means the defaults.
 	SnapshotEntries uint64
@@ -84,8 +84,8 @@
 	// Suspended tells how long the machine has been suspended so far; nil means
 	// suspension.Total.
 	Suspended func() time.Duration
-	// Random seeds election timeouts; zero means a seed from the system.
-	Random uint64
+	// RandomSeed seeds election timeouts; zero means a seed from the system.
+	RandomSeed uint64
 }
 
 // leaseMarginTicks is the part of an election timeout that a lease leaves
@@ -123,8 +123,8 @@
 	if o.Suspended == nil {
 		o.Suspended = suspension.Total
 	}
-	if o.Random == 0 {
-		o.Random = rand.Uint64()
+	if o.RandomSeed == 0 {
+		o.RandomSeed = rand.Uint64()
 	}
 }
 
--- a/internal/replica/owner.go
+++ b/internal/replica/owner.go
@@ -143,7 +143,7 @@
 		LeaseTicks:     host.options.leaseTicks(),
 		MaxInflight:    maxInflight,
 		MaxAppendBytes: maxAppendBytes,
-		Random:         rand.New(rand.NewPCG(host.options.Random, host.log.DiskID()^uint64(id))),
+		Random:         rand.New(rand.NewPCG(host.options.RandomSeed, host.log.DiskID()^uint64(id))),
 		Storage:        &storage{group: o.stored, founding: founding},
 		Applied:        o.applied,
 	})
--- a/internal/replica/repair_test.go
+++ b/internal/replica/repair_test.go
@@ -217,7 +217,7 @@
 		spare := f.machines[9] // the last one by name
 		founded := func() bool {
 			select {
-			case <-spare.host.Founded():
+			case <-spare.host.InCluster():
 				return true
 			default:
 				return false
--- a/internal/replica/replacing.go
+++ b/internal/replica/replacing.go
@@ -41,7 +41,7 @@
 	if !o.host.options.AdmitNew || o.host.vacates(request.GetMachine()) {
 		return nil
 	}
-	if len(status.Membership.GetMembers()) < o.host.options.Places {
+	if len(status.Membership.GetMembers()) < o.host.options.TargetVoters {
 		return o.admitTo(status, request, nil)
 	}
 	place := o.vacantPlace(status)
@@ -101,5 +101,5 @@
 
 // vacates tells whether a machine has to leave its groups.
 func (h *Host) vacates(machine string) bool {
-	return h.options.Vacate != nil && h.options.Vacate(machine)
+	return h.options.MustLeave != nil && h.options.MustLeave(machine)
 }
--- a/internal/replica/replacing_test.go
+++ b/internal/replica/replacing_test.go
@@ -84,7 +84,7 @@
 // TestGroupGrowsToItsPlaces: a group founded by three machines bears two losses at
 // once as soon as two more have joined. A sixth one waits as a spare.
 func TestGroupGrowsToItsPlaces(t *testing.T) {
-	inBubble(t, 3, func(options *replica.Options) { options.AdmitNew, options.Places = true, 5 }, func(f *fleet) {
+	inBubble(t, 3, func(options *replica.Options) { options.AdmitNew, options.TargetVoters = true, 5 }, func(f *fleet) {
 		f.add(0, "key")
 		for _, name := range []string{"new-1", "new-2"} {
 			f.newcomer(name)
@@ -165,7 +165,7 @@
 	leaving := &vacating{names: make(map[string]bool)}
 	adjust := func(options *replica.Options) {
 		options.AdmitNew = true
-		options.Vacate = leaving.has
+		options.MustLeave = leaving.has
 	}
 	inBubble(t, 3, adjust, func(f *fleet) {
 		f.add(1, "a")
--- a/internal/site/host.go
+++ b/internal/site/host.go
@@ -71,22 +71,22 @@
 		return nil, nil, err
 	}
 	host, err = replica.NewHost(replica.Options{
-		Machine:         given.GetName(),
-		Address:         Advertised(given),
-		Folder:          filepath.Join(given.GetDataFolder(), groupFolder),
-		Client:          client,
-		Tick:            tick,
-		HeartbeatTicks:  heartbeatTicks,
-		Discover:        options.Discover,
-		AdmitNew:        true,
-		Places:          options.Places,
-		Vacate:          options.Vacate,
-		SnapshotEntries: snapshotEntries,
-		SnapshotBytes:   LogBytes(given),
-		TrailingBytes:   LogBytes(given) / 2,
-		SegmentBytes:    segmentBytes,
-		StateMachines:   options.StateMachines,
-		HandingOver:     options.HandingOver,
+		Machine:                  given.GetName(),
+		Address:                  Advertised(given),
+		Folder:                   filepath.Join(given.GetDataFolder(), groupFolder),
+		Client:                   client,
+		Tick:                     tick,
+		HeartbeatTicks:           heartbeatTicks,
+		Discover:                 options.Discover,
+		AdmitNew:                 true,
+		TargetVoters:             options.Places,
+		MustLeave:                options.Vacate,
+		SnapshotEntries:          snapshotEntries,
+		SnapshotBytes:            LogBytes(given),
+		TrailingBytes:            LogBytes(given) / 2,
+		SegmentBytes:             segmentBytes,
+		StateMachines:            options.StateMachines,
+		BeforeLeadershipTransfer: options.HandingOver,
 	})
 	if err != nil {
 		release()
--- a/internal/store/parting_test.go
+++ b/internal/store/parting_test.go
@@ -24,7 +24,7 @@
 	t        *testing.T
 	store    *Store
 	executor *executor
-	group    *replica.Local
+	group    *replica.InMemoryGroup
 	machine  *jobstore.Machine
 	writer   output.Writer
 }
@@ -37,7 +37,7 @@
 		machines: make(map[uint32]*jobstore.Machine), handovers: make(map[uint32]chan handover), created: make(chan uint32, 1),
 	}
 	machine := s.create(1).(*jobstore.Machine)
-	group := replica.NewLocal(machine)
+	group := replica.NewInMemoryGroup(machine)
 	submit := &rockwindpb.JobStoreCommand{Command: &rockwindpb.JobStoreCommand_Submit{Submit: &rockwindpb.StoredJob{
 		Id: "job", Items: []*rockwindpb.StoredItem{{Id: "item"}}, SubmittedUnixMs: time.Now().UnixMilli(),
 	}}}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -207,7 +207,7 @@
 // member reports whether this store is a member of the stores' cluster.
 func (s *Store) member() bool {
 	select {
-	case <-s.host.Founded():
+	case <-s.host.InCluster():
 		return true
 	default:
 		return false
@@ -222,7 +222,7 @@
 	if founding == nil {
 		return false
 	}
-	if err := s.host.Enter(ctx, founding); err != nil {
+	if err := s.host.AcceptFounding(ctx, founding); err != nil {
 		// A store that is not a founder joins through the other stores.
 		log.WithError(err).Info("not a founding member of the stores' cluster")
 		return false
