--- a/internal/replica/apply.go
+++ b/internal/replica/apply.go
@@ -8,7 +8,7 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// apply executes committed entries and answers those who proposed them.
+// apply executes committed entries and returns the results to their proposers.
 func (o *owner) apply(entries []*rockwindpb.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -16,7 +16,7 @@
 	results := make([]any, len(entries))
 	for position, entry := range entries {
 		if entry.GetIndex() != o.applied+1 {
-			return errors.Newf("entry %d is committed after entry %d", entry.GetIndex(), o.applied)
+			return errors.Newf("committed entry %d does not follow entry %d", entry.GetIndex(), o.applied)
 		}
 		if entry.GetKind() == rockwindpb.EntryKind_ENTRY_KIND_COMMAND {
 			results[position] = o.machine.Apply(entry.GetIndex(), entry.GetData())
@@ -25,79 +25,80 @@
 	}
 	publishState(o.machine)
 	for position, entry := range entries {
-		o.answer(entry, results[position])
+		o.completeProposal(entry, results[position])
 	}
-	o.showApplied()
+	o.publishApplied()
 	return nil
 }
 
-// publishState has a state machine show its state, if it does so.
+// publishState calls Publish if the state machine is a Publisher.
 func publishState(machine StateMachine) {
-	if publisher, shows := machine.(Publisher); shows {
+	if publisher, ok := machine.(Publisher); ok {
 		publisher.Publish()
 	}
 }
 
-// answer ends the proposal that stands at the entry's index.
-func (o *owner) answer(entry *rockwindpb.Entry, result any) {
-	waiting, found := o.pending[entry.GetIndex()]
+// completeProposal finishes the proposal at the entry's index, if there is one.
+func (o *owner) completeProposal(entry *rockwindpb.Entry, result any) {
+	proposed, found := o.pending[entry.GetIndex()]
 	if !found {
 		return
 	}
 	delete(o.pending, entry.GetIndex())
-	if waiting.term != entry.GetTerm() {
-		waiting.finish(nil, o.notLeader())
+	if proposed.term != entry.GetTerm() {
+		proposed.finish(nil, o.notLeader())
 		return
 	}
-	waiting.finish(result, nil)
+	proposed.finish(result, nil)
 }
 
-func (o *owner) showApplied() {
+func (o *owner) publishApplied() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.appliedShown, o.appliedTermShown = o.applied, o.appliedTerm
-	close(o.moved)
-	o.moved = make(chan struct{})
+	o.publishedApplied, o.publishedAppliedTerm = o.applied, o.appliedTerm
+	close(o.appliedChanged)
+	o.appliedChanged = make(chan struct{})
 }
 
-// followRole ends what waits for a leadership that is over.
-func (o *owner) followRole() {
+// handleRoleChange fails pending requests and resets the leader's state when a
+// leadership begins or ends.
+func (o *owner) handleRoleChange() {
 	status := o.node.Status()
-	leading := uint64(0)
+	term := uint64(0)
 	if status.Role == raft.Leader {
-		leading = status.Term
+		term = status.Term
 	}
-	if leading == o.wasLeading {
+	if term == o.leadingTerm {
 		return
 	}
-	o.wasLeading = leading
+	o.leadingTerm = term
 	o.lease.reset()
-	o.short = shortener{}
-	clear(o.targets)
+	o.shortEntries = shortEntryEncoder{}
+	clear(o.promotionIndexes)
 	o.failPending("leadership was lost before the command was committed")
 	o.failReads()
-	log.WithField("group", o.id).WithField("term", status.Term).WithField("leading", leading != 0).Info("leadership changed")
+	log.WithField("group", o.id).WithField("term", status.Term).WithField("leading", term != 0).Info("leadership changed")
 }
 
-// publish shows the state of the core to other goroutines.
+// publish makes the state of the Raft node visible to other goroutines.
 func (o *owner) publish() {
 	status := o.node.Status()
-	o.leadingUntil.Store(o.leadershipNow(status))
+	o.publishedLeadership.Store(o.leadershipUnderLease(status))
 	o.mutex.Lock()
 	changed := status.Role != o.status.Role || status.Leader != o.status.Leader || status.Term != o.status.Term
 	o.status = status
 	o.mutex.Unlock()
 	if changed {
-		o.host.signalChange()
+		o.host.signalLeadershipChange()
 	}
 }
 
-func (o *owner) leadershipNow(status raft.Status) *leadership {
+func (o *owner) leadershipUnderLease(status raft.Status) *leadership {
 	if !status.LeaseValid {
 		return nil
 	}
 	end := o.lease.end(o.node.LeaseRound())
-	if end.none() {
+	if end.isZero() {
 		return nil
 	}
 	return &leadership{term: status.Term, end: end}
--- a/internal/replica/cluster.go
+++ b/internal/replica/cluster.go
@@ -13,24 +13,24 @@
 	"rockwind.example/rockwind/internal/wal"
 )
 
-// clusterName is the file that says to which cluster a machine belongs. It is
-// synced before the machine takes part in any group.
-const clusterName = "cluster"
+// clusterFileName is the file that stores the cluster of a machine. It is synced
+// before the machine takes part in any group.
+const clusterFileName = "cluster"
 
 const clusterHeaderBytes = 12
 
-// cluster says to which cluster this machine belongs and which groups there
-// are, with their memberships when it was founded or joined.
+// cluster is the cluster that this machine belongs to, with its groups and their
+// memberships at the time of founding or joining.
 type cluster struct {
 	id     string
 	groups []*rockwindpb.FoundingGroup
 }
 
-// loadCluster reads the cluster file; it returns nil at a machine that belongs
-// to none. A file of another disk means that the data folder was put together
-// from pieces, which could make a machine vote twice.
+// loadCluster reads the cluster file. It returns nil if the machine belongs to no
+// cluster. It rejects a file of another disk: in a data folder that mixes files of
+// several disks, the machine could vote twice in a term.
 func loadCluster(fileSystem wal.FileSystem, folder string, disk uint64) (*cluster, error) {
-	path := filepath.Join(folder, clusterName)
+	path := filepath.Join(folder, clusterFileName)
 	content, err := fileSystem.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -60,7 +60,7 @@
 	binary.LittleEndian.PutUint64(content[4:], disk)
 	content = append(content, body...)
 	binary.LittleEndian.PutUint32(content, wal.Checksum(content[4:]))
-	return wal.WriteAtomically(fileSystem, folder, clusterName, content)
+	return wal.WriteAtomically(fileSystem, folder, clusterFileName, content)
 }
 
 func damagedFolder(message string) error {
@@ -69,9 +69,9 @@
 			"it joins its groups again and copies everything from the other replicas")
 }
 
-// founding returns the membership that a group was founded with when this disk
-// was part of it, and nil at a machine that joined later.
-func founding(membership *rockwindpb.Membership, disk uint64) *rockwindpb.Membership {
+// foundingMembership returns the membership that a group was founded with, or nil
+// if this disk is not one of its voters.
+func foundingMembership(membership *rockwindpb.Membership, disk uint64) *rockwindpb.Membership {
 	member := memberByID(membership, disk)
 	if member == nil || member.GetLearner() {
 		return nil
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -26,11 +26,11 @@
 
 const (
 	tick = 100 * time.Millisecond
-	// patience is how long, in virtual time, a condition may take.
-	patience = 2 * time.Minute
+	// eventuallyTimeout limits the virtual time that a condition may take.
+	eventuallyTimeout = 2 * time.Minute
 )
 
-// registers is the replicated state of the tests: an integer for each key.
+// registers is a state machine that holds an integer for each key.
 type registers struct {
 	mutex  sync.Mutex
 	values map[string]int
@@ -41,12 +41,12 @@
 	Key   string
 	Set   bool
 	Value int
-	// Note is text that goes into the digest of the key's notes.
+	// Note is text that is added to the digest of the key's notes.
 	Note string `json:",omitempty"`
 }
 
-// digestOf names the register that holds the digest of all notes of a key, in their order.
-func digestOf(key string) string { return "digest of " + key }
+// digestKey names the register that holds the digest of all notes of a key, in order.
+func digestKey(key string) string { return "digest of " + key }
 
 func newRegisters(uint32) replica.StateMachine {
 	return &registers{values: map[string]int{}}
@@ -67,8 +67,8 @@
 	}
 	if c.Note != "" {
 		digest := fnv.New64a()
-		_, _ = fmt.Fprint(digest, r.values[digestOf(c.Key)], c.Note)
-		r.values[digestOf(c.Key)] = int(digest.Sum64() >> 12)
+		_, _ = fmt.Fprint(digest, r.values[digestKey(c.Key)], c.Note)
+		r.values[digestKey(c.Key)] = int(digest.Sum64() >> 12)
 	}
 	return r.values[c.Key]
 }
@@ -92,36 +92,36 @@
 	return r.values[key]
 }
 
-// network carries calls between the machines of a test in memory.
+// network carries the calls between the machines of a test, in memory.
 type network struct {
 	mutex    sync.Mutex
 	handlers map[string]http.Handler
-	// pass changes the messages of a call that go from one machine to another; nil leaves them.
-	pass passing
-	// joins counts the calls to join, and joinBytes what was answered.
+	// rewrite changes the messages of a call between two machines; nil leaves them as they are.
+	rewrite rewriteFunc
+	// joins counts the join calls, and joinBytes the bytes of their responses.
 	joins, joinBytes int
 }
 
-// passing changes messages of a call.
-type passing func(from, to string, messages []*rockwindpb.GroupMessage) []*rockwindpb.GroupMessage
+// rewriteFunc returns the messages of a call as they are to be delivered.
+type rewriteFunc func(from, to string, messages []*rockwindpb.GroupMessage) []*rockwindpb.GroupMessage
 
-// usePass has pass change the messages from here on.
-func (n *network) usePass(pass passing) {
+// setRewrite makes rewrite change the messages of later calls.
+func (n *network) setRewrite(rewrite rewriteFunc) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.pass = pass
+	n.rewrite = rewrite
 }
 
 // RoundTrip implements http.RoundTripper.
 func (n *network) RoundTrip(request *http.Request) (*http.Response, error) {
 	n.mutex.Lock()
-	handler, pass := n.handlers[request.URL.Host], n.pass
+	handler, rewrite := n.handlers[request.URL.Host], n.rewrite
 	n.mutex.Unlock()
 	if handler == nil {
 		return nil, errors.Newf("no process at %s", request.URL.Host)
 	}
-	if pass != nil && strings.HasSuffix(request.URL.Path, "/Send") {
-		if err := change(request, pass); err != nil {
+	if rewrite != nil && strings.HasSuffix(request.URL.Path, "/Send") {
+		if err := rewriteRequest(request, rewrite); err != nil {
 			return nil, err
 		}
 	}
@@ -133,8 +133,8 @@
 	return recorder.Result(), nil
 }
 
-// change has pass change the messages of a call.
-func change(request *http.Request, pass passing) error {
+// rewriteRequest applies rewrite to the messages of a call.
+func rewriteRequest(request *http.Request, rewrite rewriteFunc) error {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		return err
@@ -143,7 +143,7 @@
 	if err := proto.Unmarshal(body, sent); err != nil {
 		return err
 	}
-	sent.Messages = pass(sent.GetMachine(), request.URL.Host, sent.GetMessages())
+	sent.Messages = rewrite(sent.GetMachine(), request.URL.Host, sent.GetMessages())
 	if body, err = proto.Marshal(sent); err != nil {
 		return err
 	}
@@ -158,9 +158,9 @@
 	n.joinBytes += answered
 }
 
-// takeJoins returns how many calls to join there were and what was answered, and begins
-// to count anew.
-func (n *network) takeJoins() (calls, bytes int) {
+// resetJoins returns the number of join calls and the bytes of their responses, and resets
+// both counters.
+func (n *network) resetJoins() (calls, bytes int) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	calls, bytes = n.joins, n.joinBytes
@@ -174,7 +174,7 @@
 	n.handlers[address] = handler
 }
 
-// machine is one control machine of a test.
+// machine is a control machine of a test.
 type machine struct {
 	name   string
 	disk   *faultfs.Disk
@@ -186,7 +186,7 @@
 	machines map[uint32]*registers
 }
 
-// state is the machine's copy of a group's registers.
+// state returns the machine's copy of a group's registers.
 func (m *machine) state(group uint32) *registers {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -205,8 +205,8 @@
 	m.host = host
 }
 
-// fleet is the control machines of a test.
-type fleet struct {
+// testCluster is the set of control machines of a test.
+type testCluster struct {
 	t        *testing.T
 	network  *network
 	links    *replica.Links
@@ -217,15 +217,15 @@
 	adjust   func(*replica.Options)
 }
 
-// inBubble runs a test with virtual time and stops its fleet at the end.
-func inBubble(t *testing.T, size int, adjust func(*replica.Options), run func(f *fleet)) {
-	inBubbleWith(t, size, 2, adjust, run)
+// runCluster runs a test on a new cluster with virtual time, and stops its machines at the end.
+func runCluster(t *testing.T, size int, adjust func(*replica.Options), run func(f *testCluster)) {
+	runClusterWithShards(t, size, 2, adjust, run)
 }
 
-// inBubbleWith is inBubble with a number of job shards.
-func inBubbleWith(t *testing.T, size, shards int, adjust func(*replica.Options), run func(f *fleet)) {
+// runClusterWithShards is runCluster with a given number of job shards.
+func runClusterWithShards(t *testing.T, size, shards int, adjust func(*replica.Options), run func(f *testCluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fleet{t: t, links: &replica.Links{}, random: rand.New(rand.NewPCG(1, 2)), adjust: adjust}
+		f := &testCluster{t: t, links: &replica.Links{}, random: rand.New(rand.NewPCG(1, 2)), adjust: adjust}
 		f.network = &network{handlers: map[string]http.Handler{}}
 		f.client = &http.Client{Transport: f.network}
 		for position := range size {
@@ -246,7 +246,7 @@
 	})
 }
 
-func (f *fleet) start(m *machine) {
+func (f *testCluster) start(m *machine) {
 	f.t.Helper()
 	m.mutex.Lock()
 	m.machines = map[uint32]*registers{}
@@ -285,8 +285,8 @@
 	synctest.Wait()
 }
 
-// kill ends a process: what it had written but not synced stays readable.
-func (f *fleet) kill(m *machine) {
+// kill ends a process. Data that was written but not synced can still be read.
+func (f *testCluster) kill(m *machine) {
 	if m.running() == nil {
 		return
 	}
@@ -297,19 +297,19 @@
 	m.set(nil)
 }
 
-// crash ends a machine: what was not synced is lost.
-func (f *fleet) crash(m *machine) {
+// crash ends a machine. Data that was not synced is lost.
+func (f *testCluster) crash(m *machine) {
 	f.kill(m)
 	m.disk.Crash(f.random)
 }
 
-// lose ends a machine and its disk.
-func (f *fleet) lose(m *machine) {
+// loseDisk ends a machine and erases its disk.
+func (f *testCluster) loseDisk(m *machine) {
 	f.kill(m)
 	m.disk.Lose()
 }
 
-func (f *fleet) found(shards int) {
+func (f *testCluster) found(shards int) {
 	f.t.Helper()
 	var addresses []string
 	for _, peer := range f.peers {
@@ -321,9 +321,9 @@
 }
 
 // eventually waits, in virtual time, until a condition holds.
-func (f *fleet) eventually(what string, condition func() bool) {
+func (f *testCluster) eventually(what string, condition func() bool) {
 	f.t.Helper()
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(tick / 2) {
+	for deadline := time.Now().Add(eventuallyTimeout); time.Now().Before(deadline); time.Sleep(tick / 2) {
 		if condition() {
 			return
 		}
@@ -331,8 +331,8 @@
 	f.t.Fatalf("not reached: %s", what)
 }
 
-// leader waits for a machine that leads the group with a lease.
-func (f *fleet) leader(group uint32) *machine {
+// leader waits until a machine leads the group with a valid lease.
+func (f *testCluster) leader(group uint32) *machine {
 	f.t.Helper()
 	var found *machine
 	f.eventually(fmt.Sprintf("group %d has a leader", group), func() bool {
@@ -342,7 +342,7 @@
 	return found
 }
 
-func (f *fleet) leaderNow(group uint32) *machine {
+func (f *testCluster) leaderNow(group uint32) *machine {
 	for _, m := range f.machines {
 		if g := m.group(group); g != nil {
 			if _, leading := g.Leading(); leading {
@@ -373,9 +373,9 @@
 	return encoded
 }
 
-// add increments a register at the leader until that is known to have worked
-// once; it returns the new value. It is used where no fault is under way.
-func (f *fleet) add(group uint32, key string) int {
+// add increments a register at the leader and returns the new value. It repeats the proposal
+// until one succeeds, so it must not be used while faults are injected.
+func (f *testCluster) add(group uint32, key string) int {
 	f.t.Helper()
 	for range 100 {
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -391,7 +391,7 @@
 }
 
 // read reads a register at the leader.
-func (f *fleet) read(group uint32, key string) int {
+func (f *testCluster) read(group uint32, key string) int {
 	f.t.Helper()
 	value := 0
 	f.eventually("a read is served", func() bool {
--- a/internal/replica/drain.go
+++ b/internal/replica/drain.go
@@ -11,15 +11,15 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// prepareLimit bounds Options.HandingOver. What is prepared is a command or two, each one sync on a
-// quorum, some milliseconds. The limit is an eighth of the 2 s that a stop has for its hand-over
-// (site.RunHost), so that the hand-over itself keeps the rest.
+// prepareLimit bounds Options.BeforeLeadershipTransfer, which is meant for one or
+// two commands that take some milliseconds each. It is an eighth of the 2 s that
+// site.RunHost allows for draining, which leaves the rest for the transfer.
 const prepareLimit = 250 * time.Millisecond
 
-// Drain hands over all leaderships for a planned stop, and keeps handing over
-// any that comes back. It returns once this machine leads no group that another
-// machine could lead, or when the context ends. The replicas go on voting and
-// storing until the context of Run ends.
+// Drain transfers all leaderships away before a planned stop, including those that
+// this machine regains. It returns once this machine leads no group that another
+// machine could lead, or when the context ends. The replicas continue to vote and
+// to store entries until the context of Run ends.
 func (h *Host) Drain(ctx context.Context) error {
 	for _, o := range h.allOwners() {
 		if err := o.do(ctx, o.beginDrain); err != nil {
@@ -27,7 +27,7 @@
 		}
 	}
 	for {
-		changed := h.nextChange()
+		changed := h.nextLeadershipChange()
 		if !h.leadsAny() {
 			return nil
 		}
@@ -43,14 +43,14 @@
 
 func (h *Host) leadsAny() bool {
 	for _, o := range h.allOwners() {
-		if o.leads() && otherVoters(o.Status().GetMembership(), h.log.DiskID()) {
+		if o.leads() && hasOtherVoters(o.Status().GetMembership(), h.log.DiskID()) {
 			return true
 		}
 	}
 	return false
 }
 
-func otherVoters(membership *rockwindpb.Membership, disk uint64) bool {
+func hasOtherVoters(membership *rockwindpb.Membership, disk uint64) bool {
 	for _, member := range membership.GetMembers() {
 		if member.GetId() != disk && !member.GetLearner() {
 			return true
@@ -65,38 +65,39 @@
 	return nil
 }
 
-// continueDrain hands over a leadership that a draining replica still has, or
-// has again.
+// continueDrain transfers any leadership that a draining replica still has or has
+// regained.
 func (o *owner) continueDrain() {
 	if o.draining {
-		_ = o.handOver()
+		_ = o.transferLeadership()
 	}
 }
 
-// handOver has the group prepared and then asks the most advanced voter to lead, when there is
-// one that is heard.
-func (o *owner) handOver() error {
+// transferLeadership calls Options.BeforeLeadershipTransfer and then transfers
+// leadership to the most up-to-date active voter, if there is one.
+func (o *owner) transferLeadership() error {
 	status := o.node.Status()
-	if o.preparing || !mayHandOver(status) {
+	if o.preparingTransfer || !canTransferLeadership(status) {
 		return nil
 	}
-	if o.host.options.BeforeLeadershipTransfer == nil || !otherVoterHeard(status) {
-		return o.transfer()
+	if o.host.options.BeforeLeadershipTransfer == nil || !hasActiveOtherVoter(status) {
+		return o.startTransfer()
 	}
-	o.preparing = true
+	o.preparingTransfer = true
 	o.host.spawn(func() error {
-		o.prepare()
-		err := o.do(o.ctx, o.transferPrepared)
+		o.runBeforeTransfer()
+		err := o.do(o.ctx, o.transferAfterPreparation)
 		if err != nil {
-			log.WithError(err).WithField("group", o.id).Info("leadership was not handed over")
+			log.WithError(err).WithField("group", o.id).Info("leadership transfer failed")
 		}
 		return nil
 	})
 	return nil
 }
 
-// prepare has Options.HandingOver do its part, within its bound.
-func (o *owner) prepare() {
+// runBeforeTransfer calls Options.BeforeLeadershipTransfer and waits for it, but
+// no longer than prepareLimit.
+func (o *owner) runBeforeTransfer() {
 	ctx, cancel := context.WithTimeout(o.ctx, prepareLimit)
 	defer cancel()
 	prepared := make(chan struct{})
@@ -111,22 +112,23 @@
 	}
 }
 
-// transferPrepared goes on with a hand-over. Leadership may have been lost meanwhile.
-func (o *owner) transferPrepared() error {
-	o.preparing = false
-	if !mayHandOver(o.node.Status()) {
+// transferAfterPreparation starts the transfer unless leadership was lost meanwhile.
+func (o *owner) transferAfterPreparation() error {
+	o.preparingTransfer = false
+	if !canTransferLeadership(o.node.Status()) {
 		return nil
 	}
-	return o.transfer()
+	return o.startTransfer()
 }
 
-// mayHandOver tells whether the replica leads a group that another one could lead.
-func mayHandOver(status raft.Status) bool {
-	return status.Role == raft.Leader && status.TransferTarget == 0 && otherVoters(status.Membership, status.ID)
+// canTransferLeadership reports whether the replica leads a group that another
+// voter could lead and no transfer is in progress.
+func canTransferLeadership(status raft.Status) bool {
+	return status.Role == raft.Leader && status.TransferTarget == 0 && hasOtherVoters(status.Membership, status.ID)
 }
 
-// otherVoterHeard tells whether a voter is heard to which leadership could go.
-func otherVoterHeard(status raft.Status) bool {
+// hasActiveOtherVoter reports whether another voter is active.
+func hasActiveOtherVoter(status raft.Status) bool {
 	for _, member := range status.Membership.GetMembers() {
 		if member.GetId() != status.ID && !member.GetLearner() && progressOf(status, member.GetId()).Active {
 			return true
@@ -135,10 +137,10 @@
 	return false
 }
 
-func (o *owner) transfer() error {
+func (o *owner) startTransfer() error {
 	err := o.node.TransferLeadership(0)
 	if errors.Is(err, raft.ErrMembershipInvalid) {
-		return notBegun("no other voter of the group is heard")
+		return unavailable("no other voter of the group is active")
 	}
 	return err
 }
--- a/internal/replica/founding.go
+++ b/internal/replica/founding.go
@@ -17,38 +17,38 @@
 	"rockwind.example/rockwind/internal/twirphttp"
 )
 
-// largestGroup is how many machines hold a replica of one group.
+// largestGroup is the maximum number of replicas of a group.
 const largestGroup = 5
 
-// candidate is a machine that is asked to take part in a founding.
+// candidate is a machine that may become a founding member.
 type candidate struct {
 	address  string
 	client   rockwindpb.ReplicaService
 	identity *rockwindpb.IdentityResponse
 }
 
-// Found makes the machines at the given addresses a cluster: group 0 is the
-// root group, 1 to jobShards are the job shards, of which there may be none. An address is "ip:port", or
-// begins with "https://". All machines must answer. It may be called again
-// after a failure, and by several operators at once: the same machines and the
-// same number of shards always make the same cluster. Machines of another
-// cluster are refused with fault.Conflict. A machine of the cluster that has
-// lost its disk since is left alone: it joins by itself.
+// Found makes the machines at the given addresses a cluster. Group 0 is the root
+// group; groups 1 to jobShards, which may be zero, are the job shards. An address
+// is "ip:port", or a URL that begins with "https://". All machines must respond.
+// Found may be repeated after a failure and may run concurrently: the same
+// machines and the same number of shards always yield the same cluster. It fails
+// with fault.Conflict if a machine belongs to another cluster. Found skips a
+// machine of the cluster that has lost its disk, which rejoins by itself.
 func Found(ctx context.Context, client *http.Client, addresses []string, jobShards int) error {
 	if len(addresses) == 0 || jobShards < 0 {
-		return fault.New(fault.InvalidArgument, "a cluster needs a machine",
-			"name the addresses of the control machines, and no fewer than zero shards")
+		return fault.New(fault.InvalidArgument, "a cluster needs at least one machine",
+			"give the addresses of the control machines and a number of shards that is not negative")
 	}
-	candidates, err := identify(ctx, client, addresses)
+	candidates, err := identifyMachines(ctx, client, addresses)
 	if err != nil {
 		return err
 	}
-	request, err := foundingOf(candidates, jobShards)
+	request, err := foundingRequest(candidates, jobShards)
 	if err != nil {
 		return err
 	}
 	for _, c := range candidates {
-		if c.identity.GetClusterId() != "" || !isFounder(request, c.identity.GetDiskId()) {
+		if c.identity.GetClusterId() != "" || !namesDisk(request, c.identity.GetDiskId()) {
 			continue
 		}
 		if _, err := c.client.Found(ctx, request); err != nil {
@@ -58,7 +58,7 @@
 	return nil
 }
 
-func identify(ctx context.Context, client *http.Client, addresses []string) ([]*candidate, error) {
+func identifyMachines(ctx context.Context, client *http.Client, addresses []string) ([]*candidate, error) {
 	var candidates []*candidate
 	machines := map[string]string{}
 	for _, address := range addresses {
@@ -70,9 +70,9 @@
 		c.client = rockwindpb.NewReplicaServiceProtobufClient(base, twirphttp.Client{Carrier: client})
 		identity, err := c.client.Identity(ctx, &rockwindpb.IdentityRequest{})
 		if err != nil {
-			return nil, errors.Wrapf(fault.From(err), "ask the machine at %s", address)
+			return nil, errors.Wrapf(fault.From(err), "identify the machine at %s", address)
 		}
-		if other, twice := machines[identity.GetMachine()]; twice {
+		if other, duplicate := machines[identity.GetMachine()]; duplicate {
 			return nil, fault.Newf(fault.InvalidArgument, "give each control machine a name of its own",
 				"%s and %s are both named %s", other, address, identity.GetMachine())
 		}
@@ -86,23 +86,23 @@
 	return candidates, nil
 }
 
-// foundingOf returns the request that founds the cluster, or that completes a
-// founding which was broken off.
-func foundingOf(candidates []*candidate, jobShards int) (*rockwindpb.FoundRequest, error) {
-	var begun *candidate
+// foundingRequest returns the request that founds the cluster or that completes
+// an interrupted founding.
+func foundingRequest(candidates []*candidate, jobShards int) (*rockwindpb.FoundRequest, error) {
+	var founded *candidate
 	for _, c := range candidates {
 		if c.identity.GetClusterId() == "" {
 			continue
 		}
-		if begun != nil && begun.identity.GetClusterId() != c.identity.GetClusterId() {
-			return nil, otherCluster(c.identity.GetMachine(), c.identity.GetClusterId())
+		if founded != nil && founded.identity.GetClusterId() != c.identity.GetClusterId() {
+			return nil, clusterConflict(c.identity.GetMachine(), c.identity.GetClusterId())
 		}
-		begun = c
+		founded = c
 	}
-	if begun == nil {
+	if founded == nil {
 		return newFounding(candidates, jobShards), nil
 	}
-	return resumedFounding(begun, candidates, jobShards)
+	return resumedFounding(founded, candidates, jobShards)
 }
 
 func newFounding(candidates []*candidate, jobShards int) *rockwindpb.FoundRequest {
@@ -124,9 +124,9 @@
 	return request
 }
 
-// groupMembers chooses the machines of a group: those that follow the ones of the
-// group before it, round and round, so that each machine holds its even part of
-// the replicas, rounded up.
+// groupMembers selects the machines of a group in rotation: each group starts
+// after the last machine of the previous one. No machine then holds more than the
+// average number of replicas, rounded up.
 func groupMembers(members []*rockwindpb.Member, group int) []*rockwindpb.Member {
 	count := min(len(members), largestGroup)
 	chosen := make([]*rockwindpb.Member, 0, count)
@@ -136,34 +136,34 @@
 	return chosen
 }
 
-// resumedFounding returns the founding that a machine has taken part in.
-func resumedFounding(begun *candidate, candidates []*candidate, jobShards int) (*rockwindpb.FoundRequest, error) {
-	groups := begun.identity.GetGroups()
+// resumedFounding returns the founding that a machine has already accepted.
+func resumedFounding(founded *candidate, candidates []*candidate, jobShards int) (*rockwindpb.FoundRequest, error) {
+	groups := founded.identity.GetGroups()
 	if len(groups) != jobShards+1 {
 		return nil, fault.Newf(fault.Conflict, "repeat the call with the same number of shards",
-			"cluster %s was founded with %d job shards", begun.identity.GetClusterId(), len(groups)-1)
+			"cluster %s was founded with %d job shards", founded.identity.GetClusterId(), len(groups)-1)
 	}
-	request := &rockwindpb.FoundRequest{ClusterId: begun.identity.GetClusterId()}
+	request := &rockwindpb.FoundRequest{ClusterId: founded.identity.GetClusterId()}
 	for _, group := range groups {
 		request.Groups = append(request.Groups, &rockwindpb.FoundingGroup{
 			Group: group.GetGroup(), Membership: group.GetMembership(),
 		})
 	}
 	for _, c := range candidates {
-		if c.identity.GetClusterId() == "" && !isMachine(request, c.identity.GetMachine()) {
-			return nil, otherCluster(begun.identity.GetMachine(), begun.identity.GetClusterId())
+		if c.identity.GetClusterId() == "" && !namesMachine(request, c.identity.GetMachine()) {
+			return nil, clusterConflict(founded.identity.GetMachine(), founded.identity.GetClusterId())
 		}
 	}
 	return request, nil
 }
 
-func otherCluster(machine, cluster string) error {
+func clusterConflict(machine, cluster string) error {
 	return fault.Newf(fault.Conflict,
 		"found a cluster only of machines with new data folders; move the data folder of that machine away if its cluster is given up",
 		"machine %s belongs to cluster %s already", machine, cluster)
 }
 
-func isFounder(request *rockwindpb.FoundRequest, disk uint64) bool {
+func namesDisk(request *rockwindpb.FoundRequest, disk uint64) bool {
 	for _, group := range request.GetGroups() {
 		if memberByID(group.GetMembership(), disk) != nil {
 			return true
@@ -172,7 +172,7 @@
 	return false
 }
 
-func isMachine(request *rockwindpb.FoundRequest, machine string) bool {
+func namesMachine(request *rockwindpb.FoundRequest, machine string) bool {
 	for _, group := range request.GetGroups() {
 		if hasMachine(group.GetMembership(), machine) {
 			return true
@@ -181,8 +181,8 @@
 	return false
 }
 
-// Found implements rockwindpb.ReplicaService. It waits for a host that is
-// starting: a daemon may listen a little before its groups can be founded.
+// Found implements rockwindpb.ReplicaService. It waits until the host has
+// started, since a daemon may listen before its groups can be founded.
 func (s *service) Found(ctx context.Context, request *rockwindpb.FoundRequest) (*rockwindpb.FoundResponse, error) {
 	if err := s.host.AcceptFounding(ctx, request); err != nil {
 		return nil, fault.ToTwirp(err)
@@ -190,60 +190,60 @@
 	return &rockwindpb.FoundResponse{}, nil
 }
 
-// AcceptFounding makes this machine a founding member of a cluster whose founding was
-// decided elsewhere. It may be repeated. It fails with fault.Conflict where the
-// founding does not name this disk, or this machine belongs to another cluster.
+// AcceptFounding makes this machine a founding member of the cluster that the
+// request describes. It is idempotent. It fails with fault.Conflict if the request
+// does not name this disk or if this machine belongs to another cluster.
 func (h *Host) AcceptFounding(ctx context.Context, request *rockwindpb.FoundRequest) error {
 	select {
 	case <-h.started:
 	case <-ctx.Done():
-		return notBegun("this control machine is starting")
+		return unavailable("this control machine is starting")
 	}
-	return h.beFounded(request)
+	return h.applyFounding(request)
 }
 
-func (h *Host) beFounded(request *rockwindpb.FoundRequest) error {
+func (h *Host) applyFounding(request *rockwindpb.FoundRequest) error {
 	if request.GetClusterId() == "" || len(request.GetGroups()) == 0 {
 		return fault.New(fault.InvalidArgument, "the founding names no cluster or no group", "use 'rockwind found'")
 	}
-	if !isFounder(request, h.log.DiskID()) {
+	if !namesDisk(request, h.log.DiskID()) {
 		return fault.Newf(fault.Conflict, "repeat the founding, which reads the identities again",
 			"the founding does not name the disk of machine %s", h.options.Machine)
 	}
-	return h.enter(&cluster{id: request.GetClusterId(), groups: request.GetGroups()})
+	return h.joinCluster(&cluster{id: request.GetClusterId(), groups: request.GetGroups()})
 }
 
-// enter makes this machine part of a cluster and starts its groups. Calls take
-// turns; the cluster file is synced outside the host's mutex, which every message
-// needs.
-func (h *Host) enter(entered *cluster) error {
-	h.entering <- struct{}{}
-	defer func() { <-h.entering }()
-	done, err := h.entered(entered)
+// joinCluster makes this machine part of a cluster and starts its groups. Calls
+// are serialized. The cluster file is synced without holding the host's mutex,
+// which every incoming message needs.
+func (h *Host) joinCluster(target *cluster) error {
+	h.joinSlot <- struct{}{}
+	defer func() { <-h.joinSlot }()
+	already, err := h.alreadyInCluster(target)
 	if err != nil {
 		return err
 	}
-	if done {
-		if entered = h.extended(entered); entered == nil {
+	if already {
+		if target = h.withNewGroups(target); target == nil {
 			return nil
 		}
 	}
-	if err := saveCluster(h.options.FileSystem, h.options.Folder, h.log.DiskID(), entered); err != nil {
+	if err := saveCluster(h.options.FileSystem, h.options.Folder, h.log.DiskID(), target); err != nil {
 		return errors.Wrap(err, "write cluster file")
 	}
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.cluster = entered
+	h.cluster = target
 	if !h.running {
-		return notBegun("this control machine is stopping; it takes part when it is started again")
+		return unavailable("this control machine is stopping; it takes part when it is started again")
 	}
 	return h.startGroups()
 }
 
-// extended returns the cluster of this machine with the groups that it has become
-// a member of since, or nil where there are none. Groups that run keep the
-// membership that they were started with.
-func (h *Host) extended(described *cluster) *cluster {
+// withNewGroups returns the cluster of this machine, extended by the groups that
+// it has since become a member of, or nil if there are none. Running groups keep
+// the membership that they were started with.
+func (h *Host) withNewGroups(described *cluster) *cluster {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	known := map[uint32]*rockwindpb.FoundingGroup{}
@@ -266,18 +266,18 @@
 	return result
 }
 
-// entered tells whether this machine is part of a cluster already. It fails where
-// that is another one.
-func (h *Host) entered(wanted *cluster) (bool, error) {
+// alreadyInCluster reports whether this machine belongs to a cluster. It fails if
+// that is not the target.
+func (h *Host) alreadyInCluster(target *cluster) (bool, error) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	switch {
 	case !h.running:
-		return false, notBegun("this control machine is starting or stopping")
+		return false, unavailable("this control machine is starting or stopping")
 	case h.cluster == nil:
 		return false, nil
-	case h.cluster.id != wanted.id:
-		return false, otherCluster(h.options.Machine, h.cluster.id)
+	case h.cluster.id != target.id:
+		return false, clusterConflict(h.options.Machine, h.cluster.id)
 	}
 	return true, nil
 }
--- a/internal/replica/founding_test.go
+++ b/internal/replica/founding_test.go
@@ -12,8 +12,8 @@
 	"rockwind.example/rockwind/internal/wal/faultfs"
 )
 
-// Each group has five machines, or all where there are fewer, and no machine
-// holds more than its even part of all replicas, rounded up.
+// TestFoundingSpreadsGroupsEvenly checks that each group has five machines, or all if there are
+// fewer, and that no machine holds more than the average number of replicas, rounded up.
 func TestFoundingSpreadsGroupsEvenly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machines := rapid.IntRange(1, 20).Draw(t, "machines")
@@ -39,15 +39,14 @@
 		}
 		for id, count := range held {
 			if even := (total + machines - 1) / machines; count > even {
-				t.Fatalf("machine %d holds %d of %d replicas, its part is %d", id, count, total, even)
+				t.Fatalf("machine %d holds %d of %d replicas, more than %d", id, count, total, even)
 			}
 		}
 	})
 }
 
-// TestFoundingWaitsForAStart founds a machine whose services are called a moment
-// before its groups can run.
-func TestFoundingWaitsForAStart(t *testing.T) {
+// TestFoundingWaitsForRun checks that a founding call that arrives before Run waits for it.
+func TestFoundingWaitsForRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		host, err := NewHost(Options{
 			Machine: "machine", Address: "machine", Folder: "data", FileSystem: faultfs.New(),
@@ -68,7 +67,7 @@
 		synctest.Wait()
 		select {
 		case err := <-founded:
-			t.Fatalf("the founding did not wait for the start: %v", err)
+			t.Fatalf("the founding did not wait for Run: %v", err)
 		default:
 		}
 		ctx, stop := context.WithCancel(t.Context())
--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -16,46 +16,47 @@
 	"rockwind.example/rockwind/internal/wal"
 )
 
-// Host runs the replicas of this machine: many groups over one log, one
+// Host runs the replicas of this machine: many groups that share one log, one
 // transport and one clock.
 //
-// A host on a new disk runs no group and never votes. It takes part once Found
-// has made it a founding member, or once its peers, which already belong to a
-// cluster, have let it join in place of the machine of the same name.
+// A host with an empty disk runs no group and never votes. It takes part once
+// Found has made it a founding member, or once machines that already belong to
+// a cluster have let it join.
 type Host struct {
 	options   Options
 	log       *wal.Log
 	writer    *writer
 	transport *transport
 	receiver  *receiver
-	found     chan struct{}
+	inCluster chan struct{}
 
 	// started is closed once Run has started the groups.
 	started chan struct{}
 
-	// Fields that Run sets before any goroutine starts.
+	// Set by Run before it starts any goroutine.
 	ctx     context.Context
 	workers *errgroup.Group
 
-	// entering holds a value while the host becomes part of a cluster.
-	entering chan struct{}
-
-	mutex   sync.Mutex
-	running bool
-	cluster *cluster
-	owners  map[uint32]*owner
-	changed chan struct{}
-	// told lists the members that the last answer to a call to join named.
-	told []*rockwindpb.ControlMachine
-	// checksums are those of the groups that each address told last.
-	checksums map[string]uint64
-	// joined is when this machine came to its cluster through another one; zero where it
-	// founded it, or belonged to it at its start.
-	joined time.Time
+	// joinSlot serializes calls of joinCluster.
+	joinSlot chan struct{}
+
+	mutex             sync.Mutex
+	running           bool
+	cluster           *cluster
+	owners            map[uint32]*owner
+	leadershipChanged chan struct{}
+	// lastJoinMembers lists the members in the latest response to a join call.
+	lastJoinMembers []*rockwindpb.ControlMachine
+	// groupChecksums maps an address to the checksum of the groups in its latest
+	// response to a join call.
+	groupChecksums map[string]uint64
+	// joinedAt is when another machine first let this one join its cluster. It is
+	// zero if this machine founded the cluster or belonged to it at startup.
+	joinedAt time.Time
 }
 
-// NewHost opens the log in options.Folder. It fails with fault.Corrupt when
-// stored bytes have changed. Groups start with Run.
+// NewHost opens the log in options.Folder. It fails with fault.Corrupt if the
+// stored data is damaged. Run starts the groups.
 func NewHost(options Options) (*Host, error) {
 	options.setDefaults()
 	if err := checkOptions(&options); err != nil {
@@ -71,19 +72,19 @@
 		return nil, err
 	}
 	h := &Host{
-		options:  options,
-		log:      opened,
-		receiver: newReceiver(),
-		found:    make(chan struct{}),
-		entering: make(chan struct{}, 1),
-		started:  make(chan struct{}),
-		owners:   map[uint32]*owner{},
-		changed:  make(chan struct{}),
-
-		checksums: make(map[string]uint64),
+		options:           options,
+		log:               opened,
+		receiver:          newReceiver(),
+		inCluster:         make(chan struct{}),
+		joinSlot:          make(chan struct{}, 1),
+		started:           make(chan struct{}),
+		owners:            map[uint32]*owner{},
+		leadershipChanged: make(chan struct{}),
+
+		groupChecksums: make(map[string]uint64),
 	}
-	h.writer = newWriter(opened, h.pin)
-	h.transport = newTransportFor(h)
+	h.writer = newWriter(opened, h.requestSnapshots)
+	h.transport = newTransport(h)
 	if h.cluster, err = loadCluster(options.FileSystem, options.Folder, opened.DiskID()); err != nil {
 		return nil, errors.CombineErrors(err, opened.Close())
 	}
@@ -107,10 +108,10 @@
 	return nil
 }
 
-// Run runs the groups until the context ends, and then returns nil. It returns
-// an error when this replica cannot go on: a sync has failed, stored bytes have
-// changed or the protocol was violated. The process must then end; it may be
-// started again. Run may be called once.
+// Run runs the groups until the context ends and then returns nil. It returns an
+// error if this replica cannot continue: a sync failed, stored data is damaged or
+// the protocol was violated. The process must then exit and may be restarted.
+// Run may be called once.
 func (h *Host) Run(ctx context.Context) error {
 	workers, ctx := errgroup.WithContext(ctx)
 	h.ctx, h.workers = ctx, workers
@@ -130,13 +131,13 @@
 		workers.Go(func() error { return err })
 	}
 	h.spawn(func() error { return h.writer.run(ctx) })
-	h.spawn(h.keepTime)
-	h.spawn(h.keepJoining)
+	h.spawn(h.runTicker)
+	h.spawn(h.runJoinLoop)
 	err = workers.Wait()
 	return errors.CombineErrors(err, h.log.Close())
 }
 
-// spawn runs a goroutine that ends with the host. Its error ends the host.
+// spawn runs a goroutine that stops with the host. An error of it stops the host.
 func (h *Host) spawn(run func() error) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -149,8 +150,8 @@
 	}
 }
 
-// startGroups starts the groups that this machine is a member of and that do
-// not run yet.
+// startGroups starts the groups that have this machine as a member and that do
+// not run yet. The caller holds the mutex.
 func (h *Host) startGroups() error {
 	if h.cluster == nil {
 		return nil
@@ -159,7 +160,7 @@
 		if h.owners[group.GetGroup()] != nil || !hasMachine(group.GetMembership(), h.options.Machine) {
 			continue
 		}
-		started, err := newOwner(h.ctx, h, group.GetGroup(), founding(group.GetMembership(), h.log.DiskID()))
+		started, err := newOwner(h.ctx, h, group.GetGroup(), foundingMembership(group.GetMembership(), h.log.DiskID()))
 		if err != nil {
 			return err
 		}
@@ -167,9 +168,9 @@
 		h.spawnLocked(started.run)
 	}
 	select {
-	case <-h.found:
+	case <-h.inCluster:
 	default:
-		close(h.found)
+		close(h.inCluster)
 	}
 	return nil
 }
@@ -177,7 +178,7 @@
 // InCluster returns a channel that is closed once the host belongs to a cluster
 // and its groups run.
 func (h *Host) InCluster() <-chan struct{} {
-	return h.found
+	return h.inCluster
 }
 
 // Group returns a group that this machine runs.
@@ -189,7 +190,7 @@
 	return found, true
 }
 
-// Groups returns the numbers of the groups that this machine runs, sorted.
+// Groups returns the sorted ids of the groups that this machine runs.
 func (h *Host) Groups() []uint32 {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -201,7 +202,7 @@
 	return ids
 }
 
-// DiskID is the identity of this machine's disk.
+// DiskID returns the identity of this machine's disk.
 func (h *Host) DiskID() uint64 {
 	return h.log.DiskID()
 }
@@ -220,15 +221,15 @@
 	return owners
 }
 
-// knownGroup is a group of the cluster; owner is nil where it does not run here.
+// knownGroup is a group of the cluster; owner is nil if it does not run here.
 type knownGroup struct {
 	founding *rockwindpb.FoundingGroup
 	owner    *owner
 }
 
-// knownGroups returns the cluster, nil outside of one, and its groups. Callers ask
-// the owners without the host's mutex: an owner may wait for the transport, which
-// in turn starts goroutines of the host.
+// knownGroups returns the cluster, or nil if there is none, and its groups.
+// Callers must query the owners without holding the host's mutex: an owner may
+// wait for the transport, which in turn starts goroutines of the host.
 func (h *Host) knownGroups() (*cluster, []knownGroup) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -251,10 +252,10 @@
 	return h.cluster.id
 }
 
-// addressed returns the group that a call from another machine is for.
-func (h *Host) addressed(clusterID, machine string, group uint32) (*owner, error) {
+// targetOwner returns the owner of the group that a call from another machine is for.
+func (h *Host) targetOwner(clusterID, machine string, group uint32) (*owner, error) {
 	if !h.options.Allow(machine, h.options.Machine) {
-		return nil, notBegun("the link is cut")
+		return nil, unavailable("the link is cut")
 	}
 	if clusterID == "" || clusterID != h.clusterID() {
 		return nil, fault.New(fault.Conflict, "the call is for another cluster",
@@ -263,12 +264,12 @@
 	if found := h.owner(group); found != nil {
 		return found, nil
 	}
-	return nil, notBegun("the group does not run here")
+	return nil, unavailable("the group does not run here")
 }
 
-// keepTime ticks all groups at the same moments, so that their heartbeats go
-// together.
-func (h *Host) keepTime() error {
+// runTicker ticks all groups at the same time, so that their heartbeats can share
+// calls.
+func (h *Host) runTicker() error {
 	ticker := time.NewTicker(h.options.Tick)
 	defer ticker.Stop()
 	for {
@@ -286,8 +287,8 @@
 	}
 }
 
-// pause waits, and tells whether the host still runs.
-func (h *Host) pause(duration time.Duration) bool {
+// sleep waits and reports whether the host still runs.
+func (h *Host) sleep(duration time.Duration) bool {
 	select {
 	case <-h.ctx.Done():
 		return false
@@ -296,10 +297,10 @@
 	}
 }
 
-func (h *Host) pin(groups []uint32) {
+func (h *Host) requestSnapshots(groups []uint32) {
 	for _, id := range groups {
 		if o := h.owner(id); o != nil {
-			o.pinned.Store(true)
+			o.snapshotRequested.Store(true)
 		}
 	}
 }
@@ -315,25 +316,25 @@
 	}
 }
 
-// signalChange wakes those who wait for a change of leadership.
-func (h *Host) signalChange() {
-	// The owner may be starting under the mutex.
+// signalLeadershipChange wakes the goroutines that wait on nextLeadershipChange.
+func (h *Host) signalLeadershipChange() {
+	// The caller may hold the mutex while it starts an owner.
 	go func() {
 		h.mutex.Lock()
 		defer h.mutex.Unlock()
-		close(h.changed)
-		h.changed = make(chan struct{})
+		close(h.leadershipChanged)
+		h.leadershipChanged = make(chan struct{})
 	}()
 }
 
-func (h *Host) nextChange() <-chan struct{} {
+func (h *Host) nextLeadershipChange() <-chan struct{} {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return h.changed
+	return h.leadershipChanged
 }
 
-// routeTo tells where a member is: at the address in the settings when its
-// machine is listed there, else at the one in the membership.
+// routeTo returns the route to a member. The address in Options.Peers takes
+// precedence over the one in the membership.
 func (h *Host) routeTo(member *rockwindpb.Member) route {
 	for _, peer := range h.options.Peers {
 		if peer.GetMachine() == member.GetMachine() {
@@ -343,7 +344,7 @@
 	return route{machine: member.GetMachine(), address: member.GetAddress()}
 }
 
-func (h *Host) clientOf(address string) rockwindpb.ReplicaService {
+func (h *Host) clientFor(address string) rockwindpb.ReplicaService {
 	base := scheme + address
 	if h.options.Secure {
 		base = secureScheme + address
@@ -351,7 +352,7 @@
 	return rockwindpb.NewReplicaServiceProtobufClient(base, twirphttp.Client{Carrier: h.options.Client})
 }
 
-// allowedBoth tells whether a call and its answer may pass.
-func (h *Host) allowedBoth(machine string) bool {
+// allowedBothWays reports whether a call to a machine and its response may pass.
+func (h *Host) allowedBothWays(machine string) bool {
 	return h.options.Allow(h.options.Machine, machine) && h.options.Allow(machine, h.options.Machine)
 }
--- a/internal/replica/host_test.go
+++ b/internal/replica/host_test.go
@@ -9,10 +9,10 @@
 	"rockwind.example/rockwind/internal/replica"
 )
 
-// TestRestartsKeepEverything kills and crashes the machines one after another,
-// and all at once.
+// TestRestartsKeepEverything checks that no acknowledged write is lost when machines crash one
+// after another or all at once.
 func TestRestartsKeepEverything(t *testing.T) {
-	inBubble(t, 3, nil, func(f *fleet) {
+	runCluster(t, 3, nil, func(f *testCluster) {
 		for count := 1; count <= 9; count++ {
 			if got := f.add(1, "a"); got != count {
 				t.Fatalf("increment %d gave %d", count, got)
@@ -28,15 +28,15 @@
 			f.start(m)
 		}
 		if got := f.read(1, "a"); got != 9 {
-			t.Fatalf("%d increments are left of 9", got)
+			t.Fatalf("%d of 9 increments are left", got)
 		}
 	})
 }
 
-// TestCutLeaderIsSilent cuts the leader from the others: it must refuse reads
-// and proposals, and must not disturb the new leader when it is back.
+// TestCutLeaderIsSilent checks that a partitioned leader rejects reads and proposals, and that
+// it does not disturb the new leader when the partition ends.
 func TestCutLeaderIsSilent(t *testing.T) {
-	inBubble(t, 3, nil, func(f *fleet) {
+	runCluster(t, 3, nil, func(f *testCluster) {
 		f.add(0, "a")
 		old := f.leader(0)
 		for _, m := range f.machines {
@@ -59,12 +59,12 @@
 			t.Fatal("the old leader still holds a lease beside the new one")
 		}
 		if err := <-proposed; !fault.Is(err, fault.OutcomeUnknown) {
-			t.Fatalf("a proposal at the cut leader ended with %v", err)
+			t.Fatalf("a proposal at the partitioned leader ended with %v", err)
 		}
 		if got := f.add(0, "a"); got != 2 {
 			t.Fatalf("the second increment gave %d", got)
 		}
-		f.refuses(old)
+		f.expectNotLeader(old)
 		time.Sleep(time.Minute)
 		current := f.leader(0)
 		term, _ := current.group(0).Leading()
@@ -79,22 +79,22 @@
 	})
 }
 
-func (f *fleet) refuses(m *machine) {
+func (f *testCluster) expectNotLeader(m *machine) {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	if err := m.group(0).Read(ctx, func() {}); !fault.Is(err, fault.NotLeader) {
-		f.t.Fatalf("a cut machine answered a read with %v", err)
+		f.t.Fatalf("a partitioned machine answered a read with %v", err)
 	}
 	if _, err := m.group(0).Propose(ctx, encode(command{Key: "a", Value: 1})); !fault.Is(err, fault.NotLeader) {
-		f.t.Fatalf("a cut machine answered a proposal with %v", err)
+		f.t.Fatalf("a partitioned machine answered a proposal with %v", err)
 	}
 }
 
-// TestFrozenLeaderServesNothingStale holds up the owner of the leader's group
-// for longer than a lease, as a frozen process is.
+// TestFrozenLeaderServesNothingStale checks that a leader whose owner goroutine was blocked for
+// longer than a lease does not serve stale reads.
 func TestFrozenLeaderServesNothingStale(t *testing.T) {
-	inBubble(t, 3, nil, func(f *fleet) {
+	runCluster(t, 3, nil, func(f *testCluster) {
 		f.add(0, "a")
 		old := f.leader(0)
 		thaw := make(chan struct{})
@@ -116,19 +116,19 @@
 		time.Sleep(tick)
 		close(thaw)
 		if err := <-ended; err == nil && value != 2 {
-			t.Fatalf("the thawed leader served %d", value)
+			t.Fatalf("the leader served %d after it was blocked", value)
 		}
 	})
 }
 
-// TestLaggingReplicaCatchesUpBySnapshot cuts a machine until the others have
-// dropped the entries that it lacks.
+// TestLaggingReplicaCatchesUpBySnapshot partitions a machine until the others have compacted the
+// entries that it lacks.
 func TestLaggingReplicaCatchesUpBySnapshot(t *testing.T) {
 	adjust := func(o *replica.Options) {
 		o.SnapshotEntries = 50
 		o.SegmentBytes = 4096
 	}
-	inBubble(t, 3, adjust, func(f *fleet) {
+	runCluster(t, 3, adjust, func(f *testCluster) {
 		f.add(1, "a")
 		lagging := f.machines[0]
 		for _, m := range f.machines[1:] {
@@ -154,10 +154,10 @@
 	})
 }
 
-// TestDrainHandsOver checks that a planned stop leaves no leadership behind and
-// that the new leaders serve at once.
+// TestDrainHandsOver checks that Drain transfers all leaderships and that the new leaders serve
+// promptly.
 func TestDrainHandsOver(t *testing.T) {
-	inBubble(t, 3, nil, func(f *fleet) {
+	runCluster(t, 3, nil, func(f *testCluster) {
 		for group := range uint32(3) {
 			f.add(group, "a")
 		}
@@ -175,13 +175,13 @@
 			}
 		}
 		if took := time.Since(began); took > 10*tick {
-			t.Fatalf("the handover took %v", took)
+			t.Fatalf("the leadership transfer took %v", took)
 		}
 	})
 }
 
-// TestHandOverIsPreparedWhileTheGroupTakesCommands: what the leader has in memory alone must be
-// with the next leader, so it is told before the hand-over begins.
+// TestHandOverIsPreparedWhileTheGroupTakesCommands checks that BeforeLeadershipTransfer can still
+// propose commands, and that the next leader has them.
 func TestHandOverIsPreparedWhileTheGroupTakesCommands(t *testing.T) {
 	var leaving *machine
 	var refused error
@@ -195,14 +195,14 @@
 			_, refused = leaving.group(group).Propose(ctx, encode(command{Key: "last", Value: 1}))
 		}
 	}
-	inBubble(t, 3, adjust, func(f *fleet) {
+	runCluster(t, 3, adjust, func(f *testCluster) {
 		f.add(1, "a")
 		leaving = f.leader(1)
 		if err := leaving.host.Drain(context.Background()); err != nil {
 			t.Fatal(err)
 		}
 		if prepared == 0 || refused != nil {
-			t.Fatalf("the hand-over was prepared %d times, the last command was refused: %v", prepared, refused)
+			t.Fatalf("BeforeLeadershipTransfer ran %d times, its last command failed with %v", prepared, refused)
 		}
 		if got := f.read(1, "last"); got != prepared {
 			t.Fatalf("the next leader holds %d of %d commands", got, prepared)
@@ -210,13 +210,14 @@
 	})
 }
 
-// TestHandOverWaitsNoLongerThanItsLimit for what is to be prepared.
+// TestHandOverWaitsNoLongerThanItsLimit checks that a transfer starts although
+// BeforeLeadershipTransfer blocks.
 func TestHandOverWaitsNoLongerThanItsLimit(t *testing.T) {
 	var release chan struct{}
 	adjust := func(options *replica.Options) {
 		options.BeforeLeadershipTransfer = func(context.Context, uint32) { <-release }
 	}
-	inBubble(t, 3, adjust, func(f *fleet) {
+	runCluster(t, 3, adjust, func(f *testCluster) {
 		release = make(chan struct{})
 		f.add(1, "a")
 		leaving := f.leader(1)
@@ -228,7 +229,7 @@
 			t.Fatal(err)
 		}
 		if took < 250*time.Millisecond || took > 250*time.Millisecond+10*tick {
-			t.Fatalf("the hand-over took %v", took)
+			t.Fatalf("the leadership transfer took %v", took)
 		}
 	})
 }
--- a/internal/replica/local.go
+++ b/internal/replica/inmemory.go
@@ -7,8 +7,8 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// InMemoryGroup is a group of one replica held in memory. It serves tests and the
-// simulator; it keeps nothing after a restart.
+// InMemoryGroup is a group with a single replica in memory, for tests and the
+// simulator. Nothing survives a restart.
 type InMemoryGroup struct {
 	mutex   sync.Mutex
 	machine StateMachine
@@ -16,7 +16,7 @@
 	applied chan struct{}
 }
 
-// NewInMemoryGroup returns a group that applies commands to machine at once.
+// NewInMemoryGroup returns a group that applies commands to machine immediately.
 func NewInMemoryGroup(machine StateMachine) *InMemoryGroup {
 	return &InMemoryGroup{machine: machine, applied: make(chan struct{})}
 }
--- a/internal/replica/joining.go
+++ b/internal/replica/joining.go
@@ -16,29 +16,28 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// joinPeriod is how long a machine that has joined asks all others, so that a leader that
-// was not heard at first lets it join too.
-const joinPeriod = 10 * time.Second
+// joinRetryPeriod is how long a machine keeps asking all others after it has
+// joined, to reach leaders that were unreachable at first.
+const joinRetryPeriod = 10 * time.Second
 
-// keepJoining asks the peers to let this machine join while it belongs to no
-// cluster, or while a group does not count its disk as a voter yet. A machine that only
-// offers to take a place in groups of others asks one peer at a time, drawn by chance:
-// all machines do, so that each leader is asked about as often as it would be by one that
-// asks everybody.
-func (h *Host) keepJoining() error {
+// runJoinLoop asks all peers to let this machine join while needsToJoin holds. A
+// machine that is merely available to replace members of other groups asks one
+// random peer at a time: since all machines do so, each leader gets about as many
+// calls as if one machine asked every peer.
+func (h *Host) runJoinLoop() error {
 	random := rand.New(rand.NewPCG(h.options.RandomSeed, h.log.DiskID()))
-	for h.pause(h.options.electionTimeout()) {
+	for h.sleep(h.options.electionTimeout()) {
 		peers := h.joinPeers()
 		switch {
 		case h.needsToJoin():
-		case !h.options.AdmitNew || !h.leftOut() || len(peers) == 0:
+		case !h.options.AdmitNew || !h.lacksGroup() || len(peers) == 0:
 			continue
 		default:
 			chosen := random.IntN(len(peers))
 			peers = peers[chosen : chosen+1]
 		}
 		for _, peer := range peers {
-			h.askToJoin(peer)
+			h.requestJoin(peer)
 		}
 	}
 	return nil
@@ -50,53 +49,55 @@
 	if h.options.Discover != nil {
 		known = slices.Concat(known, h.options.Discover())
 	}
-	known = slices.Concat(known, h.toldPeers())
-	asked := map[string]bool{h.options.Address: true}
+	known = slices.Concat(known, h.members())
+	seen := map[string]bool{h.options.Address: true}
 	var peers []*rockwindpb.ControlMachine
 	for _, peer := range known {
-		if peer.GetMachine() == h.options.Machine || asked[peer.GetAddress()] || !h.allowedBoth(peer.GetMachine()) {
+		if peer.GetMachine() == h.options.Machine || seen[peer.GetAddress()] || !h.allowedBothWays(peer.GetMachine()) {
 			continue
 		}
-		asked[peer.GetAddress()] = true
+		seen[peer.GetAddress()] = true
 		peers = append(peers, peer)
 	}
 	return peers
 }
 
-// tellPeers keeps the members that an answer to a call to join named: the leaders
+// recordJoinMembers stores the members in a response to a join call. The leaders
 // may be machines that the settings do not list.
-func (h *Host) tellPeers(groups []*rockwindpb.FoundingGroup) {
-	told := membersOf(groups)
+func (h *Host) recordJoinMembers(groups []*rockwindpb.FoundingGroup) {
+	lastJoinMembers := groupMachines(groups)
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.told = told
+	h.lastJoinMembers = lastJoinMembers
 }
 
-// toldChecksum is that of the groups that the machine at an address told and that were
-// heeded here.
-func (h *Host) toldChecksum(address string) uint64 {
+// groupChecksum returns the checksum of the groups that the machine at an address
+// sent and that were processed here.
+func (h *Host) groupChecksum(address string) uint64 {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return h.checksums[address]
+	return h.groupChecksums[address]
 }
 
-// JoinResponseMembers lists the members of groups that the last answer to a call to join named. A machine that
-// lacks a group offers to join it at each election timeout.
-func (h *Host) JoinResponseMembers() []*rockwindpb.ControlMachine { return slices.Clone(h.toldPeers()) }
+// JoinResponseMembers lists the group members in the latest response to a join
+// call. A machine that does not run all groups makes such a call once per election
+// timeout.
+func (h *Host) JoinResponseMembers() []*rockwindpb.ControlMachine { return slices.Clone(h.members()) }
 
-// toldPeers is Told; before the first answer a machine that runs no group goes by the members that
-// its disk names, since all machines that its settings name may be gone.
-func (h *Host) toldPeers() []*rockwindpb.ControlMachine {
+// members returns the members in the latest response to a join call. Before
+// the first response, a machine that runs no group uses the members in its cluster
+// file, since all machines in its settings may be gone.
+func (h *Host) members() []*rockwindpb.ControlMachine {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if len(h.told) > 0 || len(h.owners) > 0 || h.cluster == nil {
-		return h.told
+	if len(h.lastJoinMembers) > 0 || len(h.owners) > 0 || h.cluster == nil {
+		return h.lastJoinMembers
 	}
-	return membersOf(h.cluster.groups)
+	return groupMachines(h.cluster.groups)
 }
 
-// membersOf lists the machines of the memberships of groups.
-func membersOf(groups []*rockwindpb.FoundingGroup) []*rockwindpb.ControlMachine {
+// groupMachines lists the machines in the memberships of groups.
+func groupMachines(groups []*rockwindpb.FoundingGroup) []*rockwindpb.ControlMachine {
 	var members []*rockwindpb.ControlMachine
 	for _, group := range groups {
 		for _, member := range group.GetMembership().GetMembers() {
@@ -106,9 +107,11 @@
 	return members
 }
 
-// needsToJoin tells whether this machine lacks a place that it should have.
+// needsToJoin reports whether this machine must ask all peers: it belongs to no
+// cluster, has joined recently, is not a voter of a group that it runs or, if
+// AdmitNew is set, does not hear the leader of such a group.
 func (h *Host) needsToJoin() bool {
-	if h.clusterID() == "" || h.joinedWithin(joinPeriod) {
+	if h.clusterID() == "" || h.joinedWithin(joinRetryPeriod) {
 		return true
 	}
 	for _, o := range h.allOwners() {
@@ -119,29 +122,30 @@
 	return false
 }
 
-// joinedWithin tells whether this machine came to its cluster through another one lately.
+// joinedWithin reports whether this machine joined its cluster through another
+// machine within the given period.
 func (h *Host) joinedWithin(period time.Duration) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return !h.joined.IsZero() && time.Since(h.joined) < period
+	return !h.joinedAt.IsZero() && time.Since(h.joinedAt) < period
 }
 
-// leftOut tells whether there is a group that does not run here. This machine may
-// be wanted there.
-func (h *Host) leftOut() bool {
+// lacksGroup reports whether the cluster has a group that does not run here. This
+// machine may be needed there.
+func (h *Host) lacksGroup() bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return len(h.owners) < len(h.cluster.groups)
 }
 
-func (h *Host) askToJoin(peer *rockwindpb.ControlMachine) {
+func (h *Host) requestJoin(peer *rockwindpb.ControlMachine) {
 	ctx, cancel := context.WithTimeout(h.ctx, sendTimeout)
 	defer cancel()
-	response, err := h.clientOf(peer.GetAddress()).Join(ctx, &rockwindpb.JoinRequest{
+	response, err := h.clientFor(peer.GetAddress()).Join(ctx, &rockwindpb.JoinRequest{
 		Machine:      h.options.Machine,
 		DiskId:       h.log.DiskID(),
 		Address:      h.options.Address,
-		HaveChecksum: h.toldChecksum(peer.GetAddress()),
+		HaveChecksum: h.groupChecksum(peer.GetAddress()),
 	})
 	if err != nil {
 		log.WithError(fault.From(err)).WithField("machine", peer.GetMachine()).Info("not joined")
@@ -150,45 +154,45 @@
 	if len(response.GetGroups()) == 0 {
 		return
 	}
-	h.tellPeers(response.GetGroups())
+	h.recordJoinMembers(response.GetGroups())
 	first := h.clusterID() == ""
-	if err := h.enter(&cluster{id: response.GetClusterId(), groups: response.GetGroups()}); err != nil {
+	if err := h.joinCluster(&cluster{id: response.GetClusterId(), groups: response.GetGroups()}); err != nil {
 		log.WithError(err).WithField("machine", peer.GetMachine()).Warn("not joined")
 		return
 	}
-	h.noteEntered(peer.GetAddress(), response.GetChecksum(), first)
+	h.recordJoin(peer.GetAddress(), response.GetChecksum(), first)
 }
 
-// noteEntered notes that the groups of a checksum, told by the machine at an address, were
-// heeded here, and, where it was the first that let this one join, when.
-func (h *Host) noteEntered(address string, checksum uint64, first bool) {
+// recordJoin stores the checksum of the groups that the machine at an address sent
+// and, for the first response, the time.
+func (h *Host) recordJoin(address string, checksum uint64, first bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.checksums[address] = checksum
+	h.groupChecksums[address] = checksum
 	if first {
-		h.joined = time.Now()
+		h.joinedAt = time.Now()
 	}
 }
 
-// Join implements rockwindpb.ReplicaService. It begins the replacement in the
-// groups that this machine leads, and tells the caller about all groups.
+// Join implements rockwindpb.ReplicaService. It starts the replacement in the
+// groups that this machine leads and returns all groups of the cluster.
 func (s *service) Join(ctx context.Context, request *rockwindpb.JoinRequest) (*rockwindpb.JoinResponse, error) {
-	response, err := s.host.letJoin(ctx, request)
+	response, err := s.host.handleJoin(ctx, request)
 	return response, fault.ToTwirp(err)
 }
 
-func (h *Host) letJoin(ctx context.Context, request *rockwindpb.JoinRequest) (*rockwindpb.JoinResponse, error) {
-	if !h.allowedBoth(request.GetMachine()) {
-		return nil, notBegun("the link is cut")
+func (h *Host) handleJoin(ctx context.Context, request *rockwindpb.JoinRequest) (*rockwindpb.JoinResponse, error) {
+	if !h.allowedBothWays(request.GetMachine()) {
+		return nil, unavailable("the link is cut")
 	}
 	if request.GetMachine() == "" || request.GetDiskId() == 0 {
-		return nil, fault.New(fault.InvalidArgument, "the machine that joins has no name or no disk", "check its settings")
+		return nil, fault.New(fault.InvalidArgument, "the joining machine has no name or no disk identity", "check its settings")
 	}
 	response, err := h.describeGroups()
 	if err != nil {
 		return nil, err
 	}
-	if !h.options.AdmitNew && !h.belongs(request.GetMachine(), response.GetGroups()) {
+	if !h.options.AdmitNew && !h.isKnownMachine(request.GetMachine(), response.GetGroups()) {
 		return nil, fault.Newf(fault.Conflict, "give it the name of the machine that it replaces, or list it in the settings of all machines",
 			"no machine of this cluster is named %s", request.GetMachine())
 	}
@@ -209,18 +213,18 @@
 			setMembership(response, o.id, membership)
 		}
 	}
-	return shortened(response, request.GetHaveChecksum())
+	return omitKnownGroups(response, request.GetHaveChecksum())
 }
 
-// shortened completes a response with its checksum, and leaves out groups that the caller
-// holds: on a large site they are most of it.
-func shortened(response *rockwindpb.JoinResponse, have uint64) (*rockwindpb.JoinResponse, error) {
+// omitKnownGroups adds the checksum to a response, and omits the groups if the
+// caller already has them: in a large cluster they are most of the response.
+func omitKnownGroups(response *rockwindpb.JoinResponse, knownChecksum uint64) (*rockwindpb.JoinResponse, error) {
 	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(response)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode the groups")
 	}
 	response.Checksum = xxhash.Sum64(encoded)
-	if response.Checksum == have {
+	if response.Checksum == knownChecksum {
 		response.Groups = nil
 	}
 	return response, nil
@@ -234,9 +238,9 @@
 	}
 }
 
-// belongs tells whether a machine is a member of a group, or is listed in the
-// settings: a large cluster has machines without a replica.
-func (h *Host) belongs(machine string, groups []*rockwindpb.FoundingGroup) bool {
+// isKnownMachine reports whether a machine is a member of a group or listed in the
+// settings. A large cluster has machines without a replica.
+func (h *Host) isKnownMachine(machine string, groups []*rockwindpb.FoundingGroup) bool {
 	member := slices.ContainsFunc(groups, func(group *rockwindpb.FoundingGroup) bool {
 		return hasMachine(group.GetMembership(), machine)
 	})
@@ -248,7 +252,7 @@
 func (h *Host) describeGroups() (*rockwindpb.JoinResponse, error) {
 	known, groups := h.knownGroups()
 	if known == nil {
-		return nil, notBegun("this control machine belongs to no cluster")
+		return nil, unavailable("this control machine belongs to no cluster")
 	}
 	response := &rockwindpb.JoinResponse{ClusterId: known.id}
 	for _, group := range groups {
@@ -263,10 +267,9 @@
 	return response, nil
 }
 
-// admit adds a disk as a learner beside the member of the same machine name.
-// It is refused while the old disk is heard: two processes would carry one
-// name. The learner replaces an earlier learner of that name, which never
-// counted.
+// admit adds a disk as a learner next to the member with the same machine name.
+// It is rejected while that member is active, since two processes would then share
+// a name. The new learner replaces an earlier learner of that name.
 func (o *owner) admit(request *rockwindpb.JoinRequest) error {
 	status := o.node.Status()
 	if status.Role != raft.Leader {
@@ -282,7 +285,7 @@
 	for _, member := range status.Membership.GetMembers() {
 		if member.GetMachine() == request.GetMachine() {
 			if progressOf(status, member.GetId()).Active {
-				return stillAlive(member)
+				return machineAlive(member)
 			}
 			if member.GetLearner() {
 				continue
@@ -296,10 +299,10 @@
 		Address: request.GetAddress(),
 		Learner: true,
 	})
-	return o.changeMembers(changed)
+	return o.proposeMembership(changed)
 }
 
-func stillAlive(member *rockwindpb.Member) error {
+func machineAlive(member *rockwindpb.Member) error {
 	return fault.Newf(fault.Conflict,
 		"stop one of the two processes, or wait for an election timeout when the old one has just ended",
 		"machine %s is alive with disk %016x", member.GetMachine(), member.GetId())
@@ -314,13 +317,13 @@
 	return raft.ProgressStatus{}
 }
 
-// changeMembers proposes a membership. A change that has to wait for another
-// is tried again: the joining machine asks until it is a voter, and the leader
-// looks at each tick.
-func (o *owner) changeMembers(changed *rockwindpb.Membership) error {
+// proposeMembership proposes a membership. A change that must wait for another one
+// is retried: the joining machine asks until it is a voter, and the leader checks
+// at each tick.
+func (o *owner) proposeMembership(changed *rockwindpb.Membership) error {
 	err := o.node.ProposeMembership(changed)
 	if errors.Is(err, raft.ErrMembershipPending) || errors.Is(err, raft.ErrTransferring) {
-		return notBegun("another change of the membership is under way")
+		return unavailable("another membership change is in progress")
 	}
 	if errors.Is(err, raft.ErrNotLeader) {
 		return o.notLeader()
@@ -328,39 +331,39 @@
 	return err
 }
 
-// replaceMembers takes the next step of a replacement at the leader: it
-// promotes a learner that holds everything that was committed when it was
-// added, and after that removes the older member of the same machine. So an
-// acknowledged write never has fewer copies than before.
-func (o *owner) replaceMembers() {
+// advanceReplacement takes the next step of a replacement on the leader. It
+// promotes a learner that holds everything committed at the first check after it
+// was added, and only then removes the older member. The number of copies of an
+// acknowledged write thus never decreases.
+func (o *owner) advanceReplacement() {
 	status := o.node.Status()
 	if status.Role != raft.Leader || status.MembershipIndex > status.Commit {
 		return
 	}
 	for _, member := range status.Membership.GetMembers() {
 		if member.GetLearner() {
-			if o.promote(status, member) {
+			if o.promoteLearner(status, member) {
 				return
 			}
 		}
 	}
 	for position, member := range status.Membership.GetMembers() {
-		if member.GetId() == status.ID && replaced(status.Membership, position) {
-			// The next leader removes this member.
-			_ = o.handOver()
+		if member.GetId() == status.ID && isReplaced(status.Membership, position) {
+			// The leader cannot remove itself; the next leader does.
+			_ = o.transferLeadership()
 			return
 		}
-		if !member.GetLearner() && replaced(status.Membership, position) {
-			o.remove(status.Membership, member)
+		if !member.GetLearner() && isReplaced(status.Membership, position) {
+			o.removeMember(status.Membership, member)
 			return
 		}
 	}
 }
 
-func (o *owner) promote(status raft.Status, learner *rockwindpb.Member) bool {
-	target, known := o.targets[learner.GetId()]
+func (o *owner) promoteLearner(status raft.Status, learner *rockwindpb.Member) bool {
+	target, known := o.promotionIndexes[learner.GetId()]
 	if !known {
-		o.targets[learner.GetId()] = status.Commit
+		o.promotionIndexes[learner.GetId()] = status.Commit
 		return false
 	}
 	progress := progressOf(status, learner.GetId())
@@ -369,12 +372,12 @@
 	}
 	changed := proto.CloneOf(status.Membership)
 	memberByID(changed, learner.GetId()).Learner = false
-	return o.changeMembers(changed) == nil
+	return o.proposeMembership(changed) == nil
 }
 
-// replaced tells whether a later voter carries the same machine name, or was
-// admitted in place of the member.
-func replaced(membership *rockwindpb.Membership, position int) bool {
+// isReplaced reports whether a later voter has the same machine name as the member
+// or was admitted as its replacement.
+func isReplaced(membership *rockwindpb.Membership, position int) bool {
 	members := membership.GetMembers()
 	return slices.ContainsFunc(members[position+1:], func(later *rockwindpb.Member) bool {
 		return !later.GetLearner() &&
@@ -382,14 +385,14 @@
 	})
 }
 
-func (o *owner) remove(membership *rockwindpb.Membership, old *rockwindpb.Member) {
+func (o *owner) removeMember(membership *rockwindpb.Membership, old *rockwindpb.Member) {
 	changed := &rockwindpb.Membership{}
 	for _, member := range membership.GetMembers() {
 		if member.GetId() != old.GetId() {
 			changed.Members = append(changed.Members, member)
 		}
 	}
-	if err := o.changeMembers(changed); err != nil {
+	if err := o.proposeMembership(changed); err != nil {
 		log.WithError(err).WithField("group", o.id).Info("replaced member not removed yet")
 	}
 }
--- a/internal/replica/lease.go
+++ b/internal/replica/lease.go
@@ -2,55 +2,55 @@
 
 import "time"
 
-// moment is a time as a machine measures it that may be suspended.
-type moment struct {
-	// at has a reading of the steady clock, which stands still during a suspension.
-	at time.Time
-	// suspended is how long the machine has been suspended by then.
+// clockReading is a point in time on a machine that may be suspended.
+type clockReading struct {
+	// monotonic does not advance during a suspension.
+	monotonic time.Time
+	// suspended is the total time that the machine had been suspended.
 	suspended time.Duration
 }
 
-// leaseEnd is when a lease ends; the zero value is no lease.
+// leaseEnd is when a lease ends; the zero value means no lease.
 type leaseEnd struct {
-	until moment
+	until clockReading
 }
 
-// none tells whether there is no lease.
-func (e leaseEnd) none() bool { return e.until.at.IsZero() }
+func (e leaseEnd) isZero() bool { return e.until.monotonic.IsZero() }
 
-// after tells whether the lease still holds at a moment. A suspension since it was made
-// counts, though the steady clock does not show it.
-func (e leaseEnd) after(now moment) bool {
+// validAt reports whether the lease is valid at a point in time. It counts the
+// time suspended since the lease began, which the monotonic clock omits.
+func (e leaseEnd) validAt(now clockReading) bool {
 	suspended := max(0, now.suspended-e.until.suspended)
-	return now.at.Add(suspended).Before(e.until.at)
+	return now.monotonic.Add(suspended).Before(e.until.monotonic)
 }
 
-// leaseClock checks by clocks what the core counts in ticks, since ticks stand still while a
-// process is frozen or its machine suspended. It belongs to one goroutine.
+// leaseClock measures leases by clocks. The Raft node counts them in ticks, which
+// stop while a process is frozen or its machine suspended. It is used by one
+// goroutine only.
 type leaseClock struct {
 	duration time.Duration
-	noted    []notedRound
+	rounds   []heartbeatRound
 }
 
-// notedRound is a moment before any message of a heartbeat round was sent.
-type notedRound struct {
+// heartbeatRound is a heartbeat round and a time before its first message was sent.
+type heartbeatRound struct {
 	round uint64
-	moment
+	clockReading
 }
 
-// note remembers that the messages of a round leave after now.
-func (l *leaseClock) note(round uint64, now moment) {
-	if round == 0 || (len(l.noted) > 0 && l.noted[len(l.noted)-1].round >= round) {
+// recordRound records that the messages of a round are sent after now.
+func (l *leaseClock) recordRound(round uint64, now clockReading) {
+	if round == 0 || (len(l.rounds) > 0 && l.rounds[len(l.rounds)-1].round >= round) {
 		return
 	}
-	l.noted = append(l.noted, notedRound{round: round, moment: now})
+	l.rounds = append(l.rounds, heartbeatRound{round: round, clockReading: now})
 }
 
-// end returns when the lease ends that rests on a confirmed round.
+// end returns the end of the lease that a confirmed round grants.
 func (l *leaseClock) end(confirmed uint64) leaseEnd {
 	newest := -1
-	for position, noted := range l.noted {
-		if noted.round > confirmed {
+	for position, started := range l.rounds {
+		if started.round > confirmed {
 			break
 		}
 		newest = position
@@ -58,12 +58,12 @@
 	if newest < 0 {
 		return leaseEnd{}
 	}
-	l.noted = l.noted[newest:]
-	began := l.noted[0].moment
-	return leaseEnd{until: moment{at: began.at.Add(l.duration), suspended: began.suspended}}
+	l.rounds = l.rounds[newest:]
+	began := l.rounds[0].clockReading
+	return leaseEnd{until: clockReading{monotonic: began.monotonic.Add(l.duration), suspended: began.suspended}}
 }
 
-// reset forgets the rounds of an earlier leadership.
+// reset discards the rounds of an earlier leadership.
 func (l *leaseClock) reset() {
-	l.noted = nil
+	l.rounds = nil
 }
--- a/internal/replica/linearizable_test.go
+++ b/internal/replica/linearizable_test.go
@@ -18,23 +18,23 @@
 
 const (
 	clients      = 6
-	chaosSeconds = 40
+	faultSeconds = 40
 	checkTimeout = 20 * time.Second
 )
 
-// operation is what a client asked for; read when it changes nothing.
+// operation is a client's request. It changes nothing if read is set.
 type operation struct {
 	command command
 	read    bool
 }
 
-// outcome is the answer; unknown when it is lost.
+// outcome is the response to an operation. It is unknown if the response was lost.
 type outcome struct {
 	value   int
 	unknown bool
 }
 
-// registerModel is the sequential meaning of operations on registers.
+// registerModel is the sequential specification of the registers.
 var registerModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -67,8 +67,8 @@
 	},
 }
 
-// recorder gathers a history. Its clock counts calls and returns, which orders
-// them more strictly than virtual time.
+// recorder records a history. Its clock counts calls and returns, which orders them more strictly
+// than virtual time.
 type recorder struct {
 	clock   atomic.Int64
 	mutex   sync.Mutex
@@ -82,8 +82,8 @@
 	r.history = append(r.history, recorded)
 }
 
-// call performs one operation at a machine and records it. What was refused is
-// left out of the history: it must have had no effect.
+// call performs an operation at a machine and records it. A rejected operation is not recorded,
+// since it must have had no effect.
 func (r *recorder) call(client int, m *machine, asked operation) {
 	group := m.group(1)
 	if group == nil {
@@ -122,7 +122,7 @@
 	return result.(int), nil
 }
 
-func (r *recorder) runClient(f *fleet, client int, seed uint64, stop <-chan struct{}) {
+func (r *recorder) runClient(f *testCluster, client int, seed uint64, stop <-chan struct{}) {
 	random := rand.New(rand.NewPCG(seed, uint64(client)))
 	preferred := f.machines[0]
 	for {
@@ -144,9 +144,9 @@
 	}
 }
 
-// disturb injects one fault. It loses a disk only when all earlier losses are
-// repaired, which is the loss that the system promises to stand.
-func (f *fleet) disturb(random *rand.Rand) {
+// injectFault injects a random fault. It erases a disk only if all earlier losses have been
+// repaired, since the system tolerates no more.
+func (f *testCluster) injectFault(random *rand.Rand) {
 	m := f.machines[random.IntN(len(f.machines))]
 	other := f.machines[random.IntN(len(f.machines))]
 	switch random.IntN(9) {
@@ -158,8 +158,8 @@
 		f.crash(m)
 		f.start(m)
 	case 2:
-		if f.whole() {
-			f.lose(m)
+		if f.fullyRepaired() {
+			f.loseDisk(m)
 			f.start(m)
 		}
 	case 3:
@@ -187,27 +187,26 @@
 	}
 }
 
-// heal ends all that disturbs the fleet, and waits until it is whole.
-func (f *fleet) heal() {
+// healAndWait removes the injected faults and waits until the cluster is fully repaired.
+func (f *testCluster) healAndWait() {
 	f.t.Helper()
 	f.links.Heal()
 	for _, m := range f.machines {
 		m.disk.DelaySync(nil)
 	}
-	f.eventually("the fleet is whole after the faults", f.whole)
+	f.eventually("the cluster is repaired after the faults", f.fullyRepaired)
 }
 
-// TestHistoriesAreLinearizable lets clients work while machines are killed,
-// crashed, cut off, frozen, slowed down and robbed of their disks. Every
-// history must be one of a single register a key, and nothing that was refused
-// may have happened.
+// TestHistoriesAreLinearizable checks that histories recorded under crashes, partitions, freezes,
+// slow disks and lost disks are linearizable for each key, and that rejected operations have no
+// effect.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	for seed := range uint64(6) {
 		size := 3 + 2*int(seed%2)
 		t.Run(fmt.Sprintf("seed %d, %d machines", seed, size), func(t *testing.T) {
 			history := &recorder{}
 			adjust := func(o *replica.Options) { o.SnapshotEntries = 40; o.SegmentBytes = 8192 }
-			inBubble(t, size, adjust, func(f *fleet) { history.gather(f, seed) })
+			runCluster(t, size, adjust, func(f *testCluster) { history.run(f, seed) })
 			verdict := porcupine.CheckOperationsTimeout(registerModel, history.history, checkTimeout)
 			t.Logf("%d operations, %d refused", len(history.history), history.refused)
 			if verdict != porcupine.Ok {
@@ -217,18 +216,18 @@
 	}
 }
 
-func (r *recorder) gather(f *fleet, seed uint64) {
+func (r *recorder) run(f *testCluster, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, seed))
 	stop := make(chan struct{})
 	var group sync.WaitGroup
 	for client := range clients {
 		group.Go(func() { r.runClient(f, client, seed, stop) })
 	}
-	for end := time.Now().Add(chaosSeconds * time.Second); time.Now().Before(end); {
-		f.disturb(random)
+	for end := time.Now().Add(faultSeconds * time.Second); time.Now().Before(end); {
+		f.injectFault(random)
 		time.Sleep(time.Duration(random.IntN(1500)) * time.Millisecond)
 	}
-	f.heal()
+	f.healAndWait()
 	close(stop)
 	group.Wait()
 	for key := range 3 {
--- a/internal/replica/locking_test.go
+++ b/internal/replica/locking_test.go
@@ -12,11 +12,10 @@
 	"rockwind.example/rockwind/internal/wal/faultfs"
 )
 
-// TestIdentityAndNewRoutesDoNotWaitForEachOther asks a machine who it is, and lets
-// others join, while the transport opens ways to new machines. The leader is not
-// in the membership, as at a machine that has just joined, so that its address
-// comes from the transport.
-func TestIdentityAndNewRoutesDoNotWaitForEachOther(t *testing.T) {
+// TestIdentityAndNewPeersDoNotDeadlock guards against a deadlock between the mutexes of the host
+// and the transport. The leader is missing from the membership, as on a machine that has just
+// joined, so its address comes from the transport.
+func TestIdentityAndNewPeersDoNotDeadlock(t *testing.T) {
 	const rounds, routes = 5_000, 500
 	opened, err := wal.Open(wal.Options{Folder: "data", FileSystem: faultfs.New()})
 	if err != nil {
@@ -29,7 +28,7 @@
 		}}},
 	}
 	host.options.setDefaults()
-	host.transport = newTransportFor(host)
+	host.transport = newTransport(host)
 	host.owners = map[uint32]*owner{1: {host: host, id: 1, status: raft.Status{Leader: 1}}}
 	var calls sync.WaitGroup
 	calls.Go(func() {
--- a/internal/replica/options.go
+++ b/internal/replica/options.go
@@ -21,78 +21,78 @@
 
 // Options configure a Host.
 type Options struct {
-	// Machine is this machine's name, unique among the control machines.
+	// Machine is the name of this machine, unique among the control machines.
 	Machine string
-	// Address is where the other machines reach Service, "ip:port".
+	// Address is where other machines reach Service, as "ip:port".
 	Address string
-	// Folder is the data folder. It belongs to the host alone.
+	// Folder is the data folder. Only the host uses it.
 	Folder string
-	// FileSystem is the disk; nil means that of the operating system.
+	// FileSystem stores the log; nil means the file system of the operating system.
 	FileSystem wal.FileSystem
-	// Client carries the calls to other machines; nil means a client with
-	// keep-alive connections. TLS is the business of the caller, who sets Secure
-	// beside it.
+	// Client sends calls to other machines; nil means a client with keep-alive
+	// connections. A caller that wants TLS configures it here and sets Secure.
 	Client *http.Client
-	// Secure makes the host call the other machines by https.
+	// Secure makes the host call other machines over https.
 	Secure bool
-	// Tick is the unit of the protocol's time; zero means DefaultTick.
+	// Tick is the time unit of the Raft node; zero means DefaultTick.
 	Tick time.Duration
 	// ElectionTicks is the shortest time without a leader, in ticks, after which
-	// a replica asks for votes; zero means DefaultElectionTicks. It is at least 6.
+	// a replica starts an election; zero means DefaultElectionTicks. The minimum
+	// is 6.
 	ElectionTicks int
-	// HeartbeatTicks is the interval of a leader's heartbeats, in ticks; zero means 1.
-	// It must leave room for several within a lease.
+	// HeartbeatTicks is the heartbeat interval of a leader, in ticks; zero means 1.
+	// A lease must span several heartbeats.
 	HeartbeatTicks int
-	// Peers lists the control machines; this one may be among them. Their
-	// addresses go before the ones that the memberships record.
+	// Peers lists the control machines, optionally including this one. Their
+	// addresses take precedence over those in the memberships.
 	Peers []*rockwindpb.ControlMachine
 	// Discover lists further machines that may let this one join; nil means none.
-	// Their names may be unknown. It is called from time to time.
+	// Their names may be empty. It is called periodically.
 	Discover func() []*rockwindpb.ControlMachine
-	// AdmitNew lets machines with new names take the places of members that are
-	// silent for long, or that have to leave.
+	// AdmitNew lets machines with new names replace members that have been
+	// inactive for inactivityTimeout or that must leave.
 	AdmitNew bool
-	// TargetVoters is how many voters a group should have: where AdmitNew is set, machines
-	// with new names join groups that have fewer. Zero keeps the number of the
-	// founding.
+	// TargetVoters is how many voters a group should have. If AdmitNew is set,
+	// machines with new names may join groups that have fewer members. Zero keeps
+	// the number that the group was founded with.
 	TargetVoters int
-	// MustLeave tells which machines have to leave their groups as soon as another one
-	// can take their place; nil means none.
+	// MustLeave reports whether a machine must leave its groups as soon as
+	// another one can replace it; nil means that none must.
 	MustLeave func(machine string) bool
-	// StateMachines returns the empty state machine of a group. The host calls
-	// it once for each group that it runs. Group 0 is the root group, 1 and up
+	// StateMachines returns the empty state machine of a group. The host calls it
+	// once for each group that it runs. Group 0 is the root group; groups from 1
 	// are the job shards.
 	StateMachines func(group uint32) StateMachine
-	// BeforeLeadershipTransfer is called before this machine hands over the leadership of a group on plan,
-	// on a goroutine of its own, while the group still takes commands. The hand-over begins when
-	// it returns, or when its context ends, which is after 250 ms at most. Nil means that
-	// nothing is to be done.
+	// BeforeLeadershipTransfer is called before a planned transfer of a group's
+	// leadership. It runs on a goroutine of its own, and the group still accepts
+	// commands. The transfer starts when it returns or when its context ends,
+	// after at most 250 ms. It may be nil.
 	BeforeLeadershipTransfer func(ctx context.Context, group uint32)
-	// SnapshotEntries and SnapshotBytes limit the log behind the newest snapshot
+	// SnapshotEntries and SnapshotBytes limit the log after the newest snapshot
 	// of a group, in entries and in bytes of commands; zero means the defaults.
 	SnapshotEntries uint64
 	SnapshotBytes   int64
-	// TrailingBytes bounds what is kept in memory of the log before the newest
-	// snapshot of a group, in bytes of commands; zero means no bound.
+	// TrailingBytes limits the log entries before the newest snapshot of a group
+	// that stay in memory, in bytes of commands; zero means no limit.
 	TrailingBytes int64
-	// SegmentBytes is the size of a log segment; zero means the default of the log.
+	// SegmentBytes is the size of a log segment; zero means the default of package wal.
 	SegmentBytes int64
-	// Allow tells whether traffic may pass from one machine to another. It is for
-	// experiments with cut links, and is asked on both sides; nil allows
-	// everything. Links.Allow is one that can be changed while the host runs.
+	// Allow reports whether traffic may pass from one machine to another, for
+	// network partition tests. Both sides call it; nil allows everything.
+	// Links.Allow is an implementation that can change while the host runs.
 	Allow func(from, to string) bool
-	// Suspended tells how long the machine has been suspended so far; nil means
-	// suspension.Total.
+	// Suspended returns the total time that the machine has been suspended; nil
+	// means suspension.Total.
 	Suspended func() time.Duration
-	// RandomSeed seeds election timeouts; zero means a seed from the system.
+	// RandomSeed seeds election timeouts; zero means a random seed.
 	RandomSeed uint64
 }
 
-// leaseMarginTicks is the part of an election timeout that a lease leaves
-// unused. A follower's first tick may come at once, one more may be buffered in
-// its ticker, and ticks are at least three quarters of Options.Tick apart; so
-// ten of its ticks last at least six of the leader's, and the rest is for
-// clocks that run at different speeds.
+// leaseMarginTicks is how much shorter a lease is than an election timeout. A
+// follower may process its first tick at once and have another one buffered,
+// and ticks are at least three quarters of Options.Tick apart. Ten ticks of a
+// follower therefore last at least six of the leader's; the remaining margin
+// covers clocks that run at different speeds.
 const leaseMarginTicks = 4
 
 func (o *Options) setDefaults() {
@@ -100,7 +100,7 @@
 		o.FileSystem = wal.OperatingSystem{}
 	}
 	if o.Client == nil {
-		o.Client = &http.Client{Transport: newTransport()}
+		o.Client = &http.Client{Transport: newHTTPTransport()}
 	}
 	if o.Tick == 0 {
 		o.Tick = DefaultTick
@@ -133,7 +133,7 @@
 	return time.Duration(o.ElectionTicks) * o.Tick
 }
 
-// leaseTicks is how long a lease lasts.
+// leaseTicks is the duration of a lease, in ticks.
 func (o *Options) leaseTicks() int {
 	return o.ElectionTicks - leaseMarginTicks
 }
--- a/internal/replica/owner.go
+++ b/internal/replica/owner.go
@@ -16,24 +16,25 @@
 )
 
 const (
-	// requestBuffer is how many requests may wait to be gathered in a batch.
+	// requestBuffer is the capacity of the request queue, and the maximum number
+	// of requests in a batch.
 	requestBuffer = 1024
-	// inboxBuffer is how many messages may wait; more are dropped, which the
-	// protocol stands.
+	// inboxBuffer is the capacity of the message queue. Further messages are
+	// dropped, which the protocol tolerates.
 	inboxBuffer = 4096
-	// maximumPending bounds the proposals that wait for their commit; more wait
-	// in their callers.
-	maximumPending = 8192
+	// maxPending limits the proposals that wait for their commit. Callers block
+	// when it is reached.
+	maxPending     = 8192
 	maxInflight    = 64
 	maxAppendBytes = 1 << 20
 )
 
-// owner is the goroutine that owns one group: its consensus core, its state
-// machine and the requests that wait for them. It implements Group.
+// owner runs one group on a goroutine that owns the Raft node, the state machine
+// and the pending requests. It implements Group.
 //
-// Each group has an owner of its own, so that applying and snapshots of one
-// group hold up no other, and the groups of a machine use several cores. All
-// owners share one writer, which is where sharing pays.
+// Each group has its own owner, so that applying commands or taking a snapshot in
+// one group does not delay another, and groups run in parallel. All owners share
+// one writer, so that one sync serves several groups.
 type owner struct {
 	host    *Host
 	id      uint32
@@ -47,66 +48,68 @@
 	ticks    chan struct{}
 	// synced receives a value when the outstanding Ready is durable.
 	synced chan struct{}
-	// saved receives the newest snapshot's index when one that was taken here is
-	// durable, or could not be saved.
-	saved chan uint64
-	// unreachable receives members to which messages may be lost.
+	// snapshotSaved receives the index of the newest snapshot when a local one has
+	// become durable or could not be saved.
+	snapshotSaved chan uint64
+	// unreachable receives members to which messages may have been lost.
 	unreachable chan uint64
 	stopped     chan struct{}
-	// pinned asks for a snapshot that lets old segments of the log go.
-	pinned atomic.Bool
+	// snapshotRequested requests a snapshot so that old log segments can be removed.
+	snapshotRequested atomic.Bool
 
-	// Fields of the owner goroutine.
-	ctx          context.Context
-	applied      uint64
-	appliedTerm  uint64
-	lastTick     time.Time
-	outstanding  *raft.Ready
-	unsyncedHard *rockwindpb.HardState
-	pending      map[uint64]*proposal
-	waiting      []waitingRead
-	nextRead     uint64
-	asked        map[uint64][]*read
-	snapshotting bool
+	// Used only by the owner goroutine.
+	ctx               context.Context
+	applied           uint64
+	appliedTerm       uint64
+	lastTick          time.Time
+	outstanding       *raft.Ready
+	unsyncedHardState *rockwindpb.HardState
+	pending           map[uint64]*proposal
+	confirmedReads    []confirmedRead
+	lastReadContext   uint64
+	unconfirmedReads  map[uint64][]*read
+	snapshotting      bool
 	// snapshotIndex is the index of the newest snapshot.
 	snapshotIndex uint64
 	draining      bool
-	// slowDisk tells that a hand-over for the slow disk is written in the log.
-	slowDisk bool
-	// preparing tells that Options.HandingOver is under way.
-	preparing bool
-	// received waits for the Ready that installs it, installing for its sync.
+	// slowDiskTransfer is set once a leadership transfer due to a slow disk has
+	// been recorded.
+	slowDiskTransfer bool
+	// preparingTransfer is set while Options.BeforeLeadershipTransfer runs.
+	preparingTransfer bool
+	// received is a snapshot that waits for the Ready that installs it; installing
+	// is one that waits to become durable.
 	received   receivedSnapshot
 	installing receivedSnapshot
-	// short tells entries to members by reference.
-	short shortener
-	// targets holds the index that each learner must reach to be promoted.
-	targets    map[uint64]uint64
-	wasLeading uint64
-	// silentSince holds since when members are silent, as this leader hears it in
-	// silenceTerm.
-	silentSince map[uint64]time.Time
-	silenceTerm uint64
+	// shortEntries encodes entries for members by reference to earlier entries.
+	shortEntries shortEntryEncoder
+	// promotionIndexes holds the index that each learner must reach to be promoted.
+	promotionIndexes map[uint64]uint64
+	leadingTerm      uint64
+	// inactiveSince holds when each inactive member became inactive, as observed by
+	// this leader in inactivityTerm.
+	inactiveSince  map[uint64]time.Time
+	inactivityTerm uint64
 
-	// What other goroutines read.
-	mutex        sync.Mutex
-	status       raft.Status
-	appliedShown uint64
-	// appliedTermShown is the term of the entry at appliedShown.
-	appliedTermShown uint64
+	// Guarded by mutex; read by other goroutines.
+	mutex            sync.Mutex
+	status           raft.Status
+	publishedApplied uint64
+	// publishedAppliedTerm is the term of the entry at publishedApplied.
+	publishedAppliedTerm uint64
 
-	moved        chan struct{}
-	leadingUntil atomic.Pointer[leadership]
+	appliedChanged      chan struct{}
+	publishedLeadership atomic.Pointer[leadership]
 }
 
-// leadership is a lease as other goroutines see it.
+// leadership is a term and the end of its lease, as published to other goroutines.
 type leadership struct {
 	term uint64
 	end  leaseEnd
 }
 
-// waitingRead runs once the state holds everything up to index.
-type waitingRead struct {
+// confirmedRead holds reads that run once the state machine has applied index.
+type confirmedRead struct {
 	index uint64
 	reads []*read
 }
@@ -114,24 +117,24 @@
 // newOwner restores a group from the log.
 func newOwner(ctx context.Context, host *Host, id uint32, founding *rockwindpb.Membership) (*owner, error) {
 	o := &owner{
-		ctx:         ctx,
-		host:        host,
-		id:          id,
-		machine:     host.options.StateMachines(id),
-		stored:      host.log.Group(id),
-		lease:       leaseClock{duration: time.Duration(host.options.leaseTicks()) * host.options.Tick},
-		requests:    make(chan any, requestBuffer),
-		inbox:       make(chan *rockwindpb.Message, inboxBuffer),
-		ticks:       make(chan struct{}, 1),
-		synced:      make(chan struct{}, 1),
-		saved:       make(chan uint64, 1),
-		unreachable: make(chan uint64, inboxBuffer),
-		stopped:     make(chan struct{}),
-		pending:     map[uint64]*proposal{},
-		asked:       map[uint64][]*read{},
-		targets:     map[uint64]uint64{},
-		silentSince: map[uint64]time.Time{},
-		moved:       make(chan struct{}),
+		ctx:              ctx,
+		host:             host,
+		id:               id,
+		machine:          host.options.StateMachines(id),
+		stored:           host.log.Group(id),
+		lease:            leaseClock{duration: time.Duration(host.options.leaseTicks()) * host.options.Tick},
+		requests:         make(chan any, requestBuffer),
+		inbox:            make(chan *rockwindpb.Message, inboxBuffer),
+		ticks:            make(chan struct{}, 1),
+		synced:           make(chan struct{}, 1),
+		snapshotSaved:    make(chan uint64, 1),
+		unreachable:      make(chan uint64, inboxBuffer),
+		stopped:          make(chan struct{}),
+		pending:          map[uint64]*proposal{},
+		unconfirmedReads: map[uint64][]*read{},
+		promotionIndexes: map[uint64]uint64{},
+		inactiveSince:    map[uint64]time.Time{},
+		appliedChanged:   make(chan struct{}),
 	}
 	if err := o.restore(); err != nil {
 		return nil, err
@@ -155,7 +158,7 @@
 	return o, nil
 }
 
-// restore brings the state machine to the newest snapshot.
+// restore loads the newest snapshot into the state machine.
 func (o *owner) restore() error {
 	metadata := o.stored.Snapshot()
 	if metadata.GetIndex() == 0 {
@@ -169,23 +172,24 @@
 		return errors.Wrapf(err, "restore the state of group %d at %d", o.id, metadata.GetIndex())
 	}
 	o.applied, o.appliedTerm = metadata.GetIndex(), metadata.GetTerm()
-	o.appliedShown, o.appliedTermShown, o.snapshotIndex = o.applied, o.appliedTerm, o.applied
+	o.publishedApplied, o.publishedAppliedTerm, o.snapshotIndex = o.applied, o.appliedTerm, o.applied
 	return nil
 }
 
-// run owns the group until the context ends. Messages go before ticks, so that
-// a goroutine that was held up hears the leader before it doubts it.
+// run processes events until the context ends. Messages take precedence over
+// ticks, so that a delayed goroutine sees messages from the leader before it
+// starts an election.
 func (o *owner) run() error {
 	defer o.stop()
 	for {
-		if err := o.work(); err != nil {
+		if err := o.processReady(); err != nil {
 			return errors.Wrapf(err, "group %d", o.id)
 		}
 		select {
 		case <-o.ctx.Done():
 			return nil
 		case message := <-o.inbox:
-			o.step(message)
+			o.stepQueued(message)
 			continue
 		case <-o.synced:
 			if err := o.advance(); err != nil {
@@ -194,76 +198,77 @@
 			continue
 		default:
 		}
-		if err := o.next(); err != nil {
+		if err := o.handleNext(); err != nil {
 			return err
 		}
 	}
 }
 
-// next waits for one input and handles it.
-func (o *owner) next() error {
+// handleNext waits for one event and handles it.
+func (o *owner) handleNext() error {
 	select {
 	case <-o.ctx.Done():
 	case message := <-o.inbox:
-		o.step(message)
+		o.stepQueued(message)
 	case <-o.synced:
 		return o.advance()
-	case o.snapshotIndex = <-o.saved:
+	case o.snapshotIndex = <-o.snapshotSaved:
 		o.snapshotting = false
 	case id := <-o.unreachable:
 		o.node.ReportUnreachable(id)
 	case <-o.ticks:
 		return o.tick()
-	case next := <-o.acceptable():
-		o.gather(next)
+	case next := <-o.acceptedRequests():
+		o.handleRequests(next)
 	}
 	return nil
 }
 
-// acceptable is the channel of requests, unless too many wait already.
-func (o *owner) acceptable() chan any {
-	if len(o.pending) >= maximumPending {
+// acceptedRequests returns the request channel, or nil if too many proposals are
+// pending.
+func (o *owner) acceptedRequests() chan any {
+	if len(o.pending) >= maxPending {
 		return nil
 	}
 	return o.requests
 }
 
-// stop ends the requests that wait.
+// stop fails the pending requests.
 func (o *owner) stop() {
-	o.failPending("this control process stops")
+	o.failPending("this control process is stopping")
 	o.failReads()
-	o.leadingUntil.Store(nil)
+	o.publishedLeadership.Store(nil)
 	close(o.stopped)
 }
 
-func (o *owner) step(message *rockwindpb.Message) {
-	o.stepOne(message)
+func (o *owner) stepQueued(message *rockwindpb.Message) {
+	o.stepMessage(message)
 	for range inboxBuffer {
 		select {
 		case next := <-o.inbox:
-			o.stepOne(next)
+			o.stepMessage(next)
 		default:
 			return
 		}
 	}
 }
 
-func (o *owner) stepOne(message *rockwindpb.Message) {
-	o.short.heard(message)
+func (o *owner) stepMessage(message *rockwindpb.Message) {
+	o.shortEntries.noteReply(message)
 	switch message.GetKind() {
 	case rockwindpb.MessageKind_MESSAGE_KIND_SHORT_APPEND:
-		message = o.whole(message)
+		message = o.expandAppend(message)
 	case rockwindpb.MessageKind_MESSAGE_KIND_WANT_WHOLE:
-		o.sendWhole(message)
+		o.handleWantWhole(message)
 		return
 	}
 	if err := o.node.Step(message); err != nil && !errors.Is(err, raft.ErrBadMessage) {
-		log.WithError(err).WithField("group", o.id).Error("message refused")
+		log.WithError(err).WithField("group", o.id).Error("message rejected")
 	}
 }
 
-// tick moves the core's time on. Ticks that come too close together, after the
-// process was held up, are left out: see leaseMarginTicks.
+// tick advances the clock of the Raft node. It skips ticks that follow each other
+// too closely after the process was delayed: see leaseMarginTicks.
 func (o *owner) tick() error {
 	now := time.Now()
 	if now.Sub(o.lastTick) < o.host.options.Tick*3/4 {
@@ -271,42 +276,42 @@
 	}
 	o.lastTick = now
 	o.node.Tick()
-	o.noteSilence(now)
-	o.replaceMembers()
+	o.trackInactivity(now)
+	o.advanceReplacement()
 	o.continueDrain()
 	return o.maybeSnapshot()
 }
 
-// now is the present moment.
-func (o *owner) now() moment {
-	return moment{at: time.Now(), suspended: o.host.options.Suspended()}
+func (o *owner) now() clockReading {
+	return clockReading{monotonic: time.Now(), suspended: o.host.options.Suspended()}
 }
 
-// work does what the core asks for until it asks for nothing.
-func (o *owner) work() error {
+// processReady handles Readys until the Raft node has none.
+func (o *owner) processReady() error {
 	for {
 		if err := o.node.Err(); err != nil {
 			return err
 		}
 		now := o.now()
-		o.followRole()
+		o.handleRoleChange()
 		if !o.node.HasReady() {
 			o.publish()
-			o.dropUnused()
+			o.dropUnusedSnapshot()
 			return nil
 		}
 		ready := o.node.Ready()
-		o.lease.note(ready.HeartbeatRound, now)
-		// A lease that was revoked must be so before the message that revokes it.
+		o.lease.recordRound(ready.HeartbeatRound, now)
+		// Publish a revoked lease before sending the message that revokes it.
 		o.publish()
-		if err := o.handle(&ready); err != nil {
+		if err := o.handleReady(&ready); err != nil {
 			return err
 		}
 	}
 }
 
-// dropUnused lets go of a snapshot's data that the core did not need.
-func (o *owner) dropUnused() {
+// dropUnusedSnapshot releases the data of a snapshot that the Raft node did not
+// install.
+func (o *owner) dropUnusedSnapshot() {
 	if o.outstanding == nil {
 		o.received = receivedSnapshot{}
 	}
--- a/internal/replica/ready.go
+++ b/internal/replica/ready.go
@@ -13,15 +13,16 @@
 	"rockwind.example/rockwind/internal/wal"
 )
 
-// handle does what one Ready asks for.
-func (o *owner) handle(ready *raft.Ready) error {
+// handleReady sends messages, persists state and applies entries as one Ready
+// requires.
+func (o *owner) handleReady(ready *raft.Ready) error {
 	o.send(ready.MessagesBeforeSync)
 	if ready.HardState != nil {
-		o.unsyncedHard = ready.HardState
+		o.unsyncedHardState = ready.HardState
 	}
 	o.outstanding = ready
 	if ready.MustSync {
-		if err := o.persist(ready); err != nil {
+		if err := o.persistReady(ready); err != nil {
 			return err
 		}
 	}
@@ -29,13 +30,13 @@
 		return err
 	}
 	for _, state := range ready.ReadStates {
-		o.waiting = append(o.waiting, waitingRead{index: state.Index, reads: o.asked[state.Context]})
-		delete(o.asked, state.Context)
+		o.confirmedReads = append(o.confirmedReads, confirmedRead{index: state.Index, reads: o.unconfirmedReads[state.Context]})
+		delete(o.unconfirmedReads, state.Context)
 	}
 	o.serveReads()
 	if !ready.MustSync {
-		// The commit index alone is not worth a sync: it goes with the next one,
-		// and a restart learns it again from the leader.
+		// A new commit index alone needs no sync: it is written with the next
+		// update, and after a restart the leader sends it again.
 		if err := o.advance(); err != nil {
 			return err
 		}
@@ -43,12 +44,13 @@
 	return o.maybeSnapshot()
 }
 
-// persist makes a Ready durable and then wakes the owner up.
-func (o *owner) persist(ready *raft.Ready) error {
-	update := wal.Update{Group: o.id, HardState: o.unsyncedHard, Entries: ready.Entries}
-	o.unsyncedHard = nil
+// persistReady submits a Ready to the log writer, which signals the owner when it
+// is durable.
+func (o *owner) persistReady(ready *raft.Ready) error {
+	update := wal.Update{Group: o.id, HardState: o.unsyncedHardState, Entries: ready.Entries}
+	o.unsyncedHardState = nil
 	if ready.Snapshot == nil {
-		o.host.writer.submit(o.ctx, update, o.wake)
+		o.host.writer.submit(o.ctx, update, o.signalSynced)
 		return nil
 	}
 	o.installing, o.received = o.received, receivedSnapshot{}
@@ -57,68 +59,68 @@
 		return errors.Newf("the data of snapshot %d is missing", ready.Snapshot.GetIndex())
 	}
 	o.host.spawn(func() error {
-		saved, err := o.host.saveUntilRoom(o.ctx, o.id, snapshot.metadata, snapshot.content)
+		saved, err := o.host.saveReceivedSnapshot(o.ctx, o.id, snapshot.metadata, snapshot.content)
 		if err != nil || saved == nil {
 			return err
 		}
 		update.Snapshot = saved
-		o.host.writer.submit(o.ctx, update, o.wake)
+		o.host.writer.submit(o.ctx, update, o.signalSynced)
 		return nil
 	})
 	return nil
 }
 
-func (o *owner) wake() {
+func (o *owner) signalSynced() {
 	o.synced <- struct{}{}
 }
 
-// advance goes on after the outstanding Ready is durable.
+// advance completes the outstanding Ready after it has become durable.
 func (o *owner) advance() error {
 	ready := o.outstanding
 	o.outstanding = nil
 	if ready.Snapshot != nil {
-		if err := o.install(ready.Snapshot); err != nil {
+		if err := o.installSnapshot(ready.Snapshot); err != nil {
 			return err
 		}
 	}
 	o.send(ready.Messages)
 	o.node.Advance(*ready)
-	o.recordSlowDisk()
+	o.recordSlowDiskTransfer()
 	return nil
 }
 
-// recordSlowDisk writes that leadership is handed over since the disk is slow.
-func (o *owner) recordSlowDisk() {
+// recordSlowDiskTransfer records a leadership transfer that a slow disk caused.
+func (o *owner) recordSlowDiskTransfer() {
 	target := o.node.SlowDiskTarget()
-	if (target != 0) == o.slowDisk {
+	if (target != 0) == o.slowDiskTransfer {
 		return
 	}
-	o.slowDisk = target != 0
-	if o.slowDisk {
+	o.slowDiskTransfer = target != 0
+	if o.slowDiskTransfer {
 		decision.Default.Record(decision.LeadershipHandedOver, strconv.FormatUint(uint64(o.id), 10), log.Fields{
 			"reason": "the disk is slow", "term": o.node.Status().Term, "to": strconv.FormatUint(target, 16),
 		})
 	}
 }
 
-// send hands messages to the transport. Snapshot messages go beside it, with
-// their data.
+// send passes messages to the transport. Snapshot messages are sent separately,
+// with their data.
 func (o *owner) send(messages []*rockwindpb.Message) {
 	for _, message := range messages {
 		if message.GetKind() == rockwindpb.MessageKind_MESSAGE_KIND_SNAPSHOT {
 			o.sendSnapshot(message)
 			continue
 		}
-		o.host.transport.send(o.route(message.GetTo()), o.id, o.short.outgoing(message))
+		o.host.transport.send(o.memberRoute(message.GetTo()), o.id, o.shortEntries.encodeOutgoing(message))
 	}
 }
 
-// route finds where a member can be reached.
-func (o *owner) route(id uint64) route {
+// memberRoute returns the route to a member.
+func (o *owner) memberRoute(id uint64) route {
 	for _, member := range o.node.Status().Membership.GetMembers() {
 		if member.GetId() == id {
 			return o.host.routeTo(member)
 		}
 	}
-	return o.host.transport.heardFrom(id)
+	return o.host.transport.learnedRoute(id)
 }
--- a/internal/replica/receive.go
+++ b/internal/replica/receive.go
@@ -11,13 +11,13 @@
 	"rockwind.example/rockwind/internal/wal"
 )
 
-// receiver gathers the chunks of snapshots, one at a time for each group.
+// receiver assembles snapshots from chunks, one at a time for each group.
 type receiver struct {
 	mutex    sync.Mutex
 	partials map[uint32]*partialSnapshot
 }
 
-// partialSnapshot is a snapshot of which the beginning has arrived.
+// partialSnapshot is a snapshot of which only the beginning has arrived.
 type partialSnapshot struct {
 	from     uint64
 	metadata *rockwindpb.SnapshotMetadata
@@ -28,12 +28,12 @@
 	return &receiver{partials: map[uint32]*partialSnapshot{}}
 }
 
-// add takes a chunk and returns the offset to go on at. It returns the content
-// when the chunk was the last one.
-func (r *receiver) add(chunk *rockwindpb.SnapshotChunk) (next uint64, content []byte, err error) {
+// addChunk adds a chunk and returns the offset of the next one. After the last
+// chunk it returns the content.
+func (r *receiver) addChunk(chunk *rockwindpb.SnapshotChunk) (next uint64, content []byte, err error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if chunk.GetMetadata().GetSize() > largestSnapshot {
+	if chunk.GetMetadata().GetSize() > maxSnapshotBytes {
 		return 0, nil, fault.New(fault.InvalidArgument, "the snapshot is too large", "report this")
 	}
 	partial := r.partials[chunk.GetGroup()]
@@ -52,22 +52,22 @@
 	}
 	delete(r.partials, chunk.GetGroup())
 	if wal.Checksum(partial.content) != partial.metadata.GetChecksum() {
-		return 0, nil, fault.New(fault.Corrupt, "a snapshot that was sent fails its checksum",
-			"nothing was installed; when it happens again, replace the sending machine")
+		return 0, nil, fault.New(fault.Corrupt, "a received snapshot fails its checksum",
+			"the snapshot was not installed; if this happens again, replace the sending machine")
 	}
 	return have, partial.content, nil
 }
 
 // SendSnapshot implements rockwindpb.ReplicaService.
 func (s *service) SendSnapshot(ctx context.Context, chunk *rockwindpb.SnapshotChunk) (*rockwindpb.SnapshotChunkResponse, error) {
-	o, err := s.host.addressed(chunk.GetClusterId(), chunk.GetMachine(), chunk.GetGroup())
+	o, err := s.host.targetOwner(chunk.GetClusterId(), chunk.GetMachine(), chunk.GetGroup())
 	if err != nil {
 		return nil, fault.ToTwirp(err)
 	}
 	if chunk.GetTo() != s.host.log.DiskID() {
-		return nil, fault.ToTwirp(notBegun("the snapshot is for another disk"))
+		return nil, fault.ToTwirp(unavailable("the snapshot is for another disk"))
 	}
-	next, content, err := s.host.receiver.add(chunk)
+	next, content, err := s.host.receiver.addChunk(chunk)
 	if err != nil {
 		return nil, fault.ToTwirp(err)
 	}
@@ -81,7 +81,7 @@
 		Term:     chunk.GetTerm(),
 		Snapshot: chunk.GetMetadata(),
 	}
-	if err := o.do(ctx, func() error { return o.accept(message, content) }); err != nil {
+	if err := o.do(ctx, func() error { return o.acceptSnapshot(message, content) }); err != nil {
 		return nil, fault.ToTwirp(err)
 	}
 	return &rockwindpb.SnapshotChunkResponse{NextOffset: next}, nil
--- a/internal/replica/repair_test.go
+++ b/internal/replica/repair_test.go
@@ -12,9 +12,9 @@
 	"rockwind.example/rockwind/internal/wal/faultfs"
 )
 
-// whole tells whether every group has one voter a machine, each with the disk
-// that the machine has now, and all hold what is committed.
-func (f *fleet) whole() bool {
+// fullyRepaired reports whether every group has exactly one voter per machine, with the machine's
+// current disk, and all voters have applied what is committed.
+func (f *testCluster) fullyRepaired() bool {
 	for group := range uint32(3) {
 		leader := f.leaderNow(group)
 		if leader == nil {
@@ -47,21 +47,20 @@
 	return false
 }
 
-// TestEveryDiskIsLostInTurn replaces the disk of each machine, right after the
-// repair of the one before. In the end no disk is left that was there when the
-// writes were acknowledged.
+// TestEveryDiskIsLostInTurn replaces the disk of each machine in turn, and checks that no
+// acknowledged write is lost although none of the original disks is left.
 func TestEveryDiskIsLostInTurn(t *testing.T) {
 	for _, size := range []int{3, 5} {
 		t.Run(fmt.Sprintf("%d machines", size), func(t *testing.T) {
 			adjust := func(o *replica.Options) { o.SnapshotEntries = 20 }
-			inBubble(t, size, adjust, func(f *fleet) {
+			runCluster(t, size, adjust, func(f *testCluster) {
 				for range 50 {
 					f.add(1, "a")
 				}
 				f.add(0, "b")
 				for _, m := range f.machines {
 					before := m.host.DiskID()
-					f.lose(m)
+					f.loseDisk(m)
 					f.start(m)
 					if m.host.DiskID() == before {
 						t.Fatal("a new disk has the identity of the old one")
@@ -69,7 +68,7 @@
 					if len(m.host.Groups()) != 0 {
 						t.Fatal("a machine with a new disk runs groups before it has joined")
 					}
-					f.eventually("the lost disk is replaced", f.whole)
+					f.eventually("the lost disk is replaced", f.fullyRepaired)
 				}
 				if a, b := f.read(1, "a"), f.read(0, "b"); a != 50 || b != 1 {
 					t.Fatalf("50 and 1 increments were acknowledged, %d and %d are left", a, b)
@@ -79,16 +78,15 @@
 	}
 }
 
-// TestMinorityOfNewDisksDecidesNothing loses the disks of two machines out of
-// three at once: what was acknowledged is not on a majority any more, so
-// nothing may be served, least of all an empty state.
+// TestMinorityOfNewDisksDecidesNothing erases two of three disks at once. No majority has the
+// acknowledged write any more, so the group must serve nothing, least of all an empty state.
 func TestMinorityOfNewDisksDecidesNothing(t *testing.T) {
-	inBubble(t, 3, nil, func(f *fleet) {
+	runCluster(t, 3, nil, func(f *testCluster) {
 		f.add(1, "a")
 		survivor := f.machines[2]
 		f.eventually("the survivor holds the write", func() bool { return survivor.state(1).get("a") == 1 })
 		for _, m := range f.machines[:2] {
-			f.lose(m)
+			f.loseDisk(m)
 			f.start(m)
 		}
 		time.Sleep(time.Minute)
@@ -103,44 +101,44 @@
 	})
 }
 
-// TestSecondProcessOfOneNameIsRefused starts a process with a new disk under
-// the name of a machine that is alive. The machine does not lead: a process asks
-// the others to join, and only leaders admit.
+// TestSecondProcessOfOneNameIsRefused checks that a process with a new disk cannot join under the
+// name of an active machine. That machine must not lead: only leaders admit machines, and a
+// process does not ask its own name.
 func TestSecondProcessOfOneNameIsRefused(t *testing.T) {
-	inBubble(t, 3, nil, func(f *fleet) {
+	runCluster(t, 3, nil, func(f *testCluster) {
 		f.add(1, "a")
 		original := f.machines[0]
 		if original == f.leader(1) {
 			original = f.machines[1]
 		}
-		imposter := &machine{name: original.name, disk: faultfs.New()}
-		f.start(imposter)
+		duplicate := &machine{name: original.name, disk: faultfs.New()}
+		f.start(duplicate)
 		f.network.mount(original.name, rockwindpb.NewReplicaServiceServer(original.host.Service()))
 		time.Sleep(time.Minute)
 		members := f.leader(1).group(1).Status().GetMembership().GetMembers()
 		if len(members) != 3 || !isVoter(members, original.host.DiskID()) {
 			t.Fatalf("the members are %v", members)
 		}
-		imposter.cancel()
-		<-imposter.ended
+		duplicate.cancel()
+		<-duplicate.ended
 	})
 }
 
-// TestFoundingIsRepeatable founds again, with other numbers, and with a machine
-// of another cluster.
+// TestFoundingIsRepeatable checks that a founding can be repeated, but not with another number of
+// shards or with a machine outside the cluster.
 func TestFoundingIsRepeatable(t *testing.T) {
-	inBubble(t, 3, nil, func(f *fleet) {
+	runCluster(t, 3, nil, func(f *testCluster) {
 		f.add(1, "a")
 		f.found(2)
 		addresses := []string{"control-0", "control-1", "control-2"}
 		if err := replica.Found(context.Background(), f.client, addresses, 7); !fault.Is(err, fault.Conflict) {
 			t.Fatalf("founding with another number of shards ended with %v", err)
 		}
-		stranger := &machine{name: "stranger", disk: faultfs.New()}
-		f.start(stranger)
-		defer func() { f.kill(stranger) }()
+		outsider := &machine{name: "stranger", disk: faultfs.New()}
+		f.start(outsider)
+		defer func() { f.kill(outsider) }()
 		if err := replica.Found(context.Background(), f.client, append(addresses, "stranger"), 2); !fault.Is(err, fault.Conflict) {
-			t.Fatalf("founding with a machine more ended with %v", err)
+			t.Fatalf("founding with an additional machine ended with %v", err)
 		}
 		if err := replica.Found(context.Background(), f.client, []string{"stranger"}, 1); err != nil {
 			t.Fatal(err)
@@ -154,10 +152,9 @@
 	})
 }
 
-// TestFullDiskRefusesAndLosesNothing fills the disks of a majority, and makes
-// room again.
+// TestFullDiskRefusesAndLosesNothing fills the disks of a majority and then frees space again.
 func TestFullDiskRefusesAndLosesNothing(t *testing.T) {
-	inBubble(t, 3, nil, func(f *fleet) {
+	runCluster(t, 3, nil, func(f *testCluster) {
 		f.add(1, "a")
 		for _, m := range f.machines {
 			m.disk.SetCapacity(m.disk.Used() + 300)
@@ -181,17 +178,17 @@
 	})
 }
 
-// TestFailedSyncEndsTheReplica checks that a replica whose sync failed goes on
-// in no way, and that the others lose nothing by it.
+// TestFailedSyncEndsTheReplica checks that a replica stops after a failed sync and that the others
+// lose nothing.
 func TestFailedSyncEndsTheReplica(t *testing.T) {
-	inBubble(t, 3, nil, func(f *fleet) {
+	runCluster(t, 3, nil, func(f *testCluster) {
 		f.add(1, "a")
 		broken := f.leader(1)
 		broken.disk.FailSync(true)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
 		if _, err := broken.group(1).Propose(ctx, encode(command{Key: "a", Value: 0})); !fault.Is(err, fault.OutcomeUnknown) {
-			t.Fatalf("a proposal on a disk that fails ended with %v", err)
+			t.Fatalf("a proposal on a failing disk ended with %v", err)
 		}
 		err := <-broken.ended
 		broken.ended <- err
@@ -209,11 +206,10 @@
 	})
 }
 
-// TestMachineOutsideAllGroupsBelongsToTheCluster founds a cluster of more machines
-// than its groups have replicas. A machine without a replica belongs to the cluster
-// too, also after it has lost its disk, and becomes a member of no group.
+// TestMachineOutsideAllGroupsBelongsToTheCluster checks that a machine without a replica belongs to
+// the cluster, also after its disk was lost, and that it becomes a member of no group.
 func TestMachineOutsideAllGroupsBelongsToTheCluster(t *testing.T) {
-	inBubble(t, 16, nil, func(f *fleet) {
+	runCluster(t, 16, nil, func(f *testCluster) {
 		spare := f.machines[9] // the last one by name
 		founded := func() bool {
 			select {
@@ -224,7 +220,7 @@
 			}
 		}
 		f.eventually("the spare machine belongs to the cluster", founded)
-		f.lose(spare)
+		f.loseDisk(spare)
 		f.start(spare)
 		f.eventually("it belongs to the cluster with a new disk", founded)
 		if groups := spare.host.Groups(); len(groups) > 0 {
--- a/internal/replica/replacing.go
+++ b/internal/replica/replacing.go
@@ -9,53 +9,54 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// silencePatience is how long a member must be silent before a machine with
-// another name may take its place. A member that was only cut off for longer is
-// not harmed: it keeps its disk and asks to join again.
-const silencePatience = time.Second
+// inactivityTimeout is how long a member must be inactive before a machine with
+// another name may replace it. A replaced member that was only partitioned keeps
+// its disk and asks to join again.
+const inactivityTimeout = time.Second
 
-// noteSilence keeps since when each member is silent, as the leader hears it. A new
-// leader starts anew.
-func (o *owner) noteSilence(now time.Time) {
+// trackInactivity records since when each member has been inactive, as the leader
+// sees it. The record starts anew in each term.
+func (o *owner) trackInactivity(now time.Time) {
 	status := o.node.Status()
-	if status.Role != raft.Leader || status.Term != o.silenceTerm {
-		o.silenceTerm = status.Term
-		clear(o.silentSince)
+	if status.Role != raft.Leader || status.Term != o.inactivityTerm {
+		o.inactivityTerm = status.Term
+		clear(o.inactiveSince)
 	}
 	if status.Role != raft.Leader {
 		return
 	}
 	for _, progress := range status.Progress {
 		if progress.Active {
-			delete(o.silentSince, progress.ID)
-		} else if _, known := o.silentSince[progress.ID]; !known {
-			o.silentSince[progress.ID] = now
+			delete(o.inactiveSince, progress.ID)
+		} else if _, known := o.inactiveSince[progress.ID]; !known {
+			o.inactiveSince[progress.ID] = now
 		}
 	}
 }
 
-// admitNew adds a machine with a new name as a learner: in a free place, or in the
-// place of a member that is silent or has to leave. It does nothing where there is
-// no place, or where another machine takes it already.
+// admitNew adds a machine with a new name as a learner if the group has fewer
+// members than Options.TargetVoters, or as a replacement of a member that is
+// inactive or must leave. Otherwise it does nothing.
 func (o *owner) admitNew(status raft.Status, request *rockwindpb.JoinRequest) error {
-	if !o.host.options.AdmitNew || o.host.vacates(request.GetMachine()) {
+	if !o.host.options.AdmitNew || o.host.mustLeave(request.GetMachine()) {
 		return nil
 	}
 	if len(status.Membership.GetMembers()) < o.host.options.TargetVoters {
-		return o.admitTo(status, request, nil)
+		return o.addLearner(status, request, nil)
 	}
-	place := o.vacantPlace(status)
-	if place == nil {
+	outgoing := o.replaceableMember(status)
+	if outgoing == nil {
 		return nil
 	}
-	return o.admitTo(status, request, place)
+	return o.addLearner(status, request, outgoing)
 }
 
-// admitTo adds a learner in the place of a member, nil for a free place.
-func (o *owner) admitTo(status raft.Status, request *rockwindpb.JoinRequest, place *rockwindpb.Member) error {
+// addLearner adds a learner that replaces outgoing, or no member if that is nil. It
+// does nothing if another machine is already replacing outgoing.
+func (o *owner) addLearner(status raft.Status, request *rockwindpb.JoinRequest, outgoing *rockwindpb.Member) error {
 	changed := &rockwindpb.Membership{}
 	for _, member := range status.Membership.GetMembers() {
-		if place == nil || member.GetReplaces() != place.GetId() {
+		if outgoing == nil || member.GetReplaces() != outgoing.GetId() {
 			changed.Members = append(changed.Members, member)
 			continue
 		}
@@ -68,38 +69,38 @@
 		Machine:  request.GetMachine(),
 		Address:  request.GetAddress(),
 		Learner:  true,
-		Replaces: place.GetId(),
+		Replaces: outgoing.GetId(),
 	})
-	log.WithField("group", o.id).WithField("machine", request.GetMachine()).WithField("replaces", place.GetMachine()).
-		WithField("silent", o.silentFor(place.GetId()).String()).Info("machine admitted")
-	return o.changeMembers(changed)
+	log.WithField("group", o.id).WithField("machine", request.GetMachine()).WithField("replaces", outgoing.GetMachine()).
+		WithField("silent", o.inactiveFor(outgoing.GetId()).String()).Info("machine admitted")
+	return o.proposeMembership(changed)
 }
 
-// vacantPlace returns a voter that is silent for long or has to leave, nil where
-// there is none. Silent ones go first.
-func (o *owner) vacantPlace(status raft.Status) *rockwindpb.Member {
+// replaceableMember returns a voter that has been inactive for inactivityTimeout,
+// otherwise one that must leave, or nil if there is none.
+func (o *owner) replaceableMember(status raft.Status) *rockwindpb.Member {
 	var leaving *rockwindpb.Member
 	for _, member := range status.Membership.GetMembers() {
 		switch {
 		case member.GetLearner():
-		case o.silentFor(member.GetId()) >= silencePatience:
+		case o.inactiveFor(member.GetId()) >= inactivityTimeout:
 			return member
-		case leaving == nil && o.host.vacates(member.GetMachine()):
+		case leaving == nil && o.host.mustLeave(member.GetMachine()):
 			leaving = member
 		}
 	}
 	return leaving
 }
 
-func (o *owner) silentFor(id uint64) time.Duration {
-	since, silent := o.silentSince[id]
-	if !silent {
+func (o *owner) inactiveFor(id uint64) time.Duration {
+	since, inactive := o.inactiveSince[id]
+	if !inactive {
 		return 0
 	}
 	return time.Since(since)
 }
 
-// vacates tells whether a machine has to leave its groups.
-func (h *Host) vacates(machine string) bool {
+// mustLeave reports whether a machine must leave its groups.
+func (h *Host) mustLeave(machine string) bool {
 	return h.options.MustLeave != nil && h.options.MustLeave(machine)
 }
--- a/internal/replica/replacing_test.go
+++ b/internal/replica/replacing_test.go
@@ -12,9 +12,9 @@
 	"rockwind.example/rockwind/internal/wal/faultfs"
 )
 
-// newcomer adds a machine with a name that no membership holds and an empty disk.
-// Its settings, and those of later ones, list the machines that were there before.
-func (f *fleet) newcomer(name string) *machine {
+// addMachine starts a machine with a new name and an empty disk. Its settings list only the machines
+// that existed before.
+func (f *testCluster) addMachine(name string) *machine {
 	f.t.Helper()
 	added := &machine{name: name, disk: faultfs.New()}
 	f.machines = append(f.machines, added)
@@ -23,10 +23,10 @@
 	return added
 }
 
-// membersOf names the voters of a group whose leader says that it is repaired: its
-// membership is committed and all members are heard. It is nil otherwise. Only then
-// may another machine be lost.
-func (f *fleet) membersOf(group uint32) []string {
+// repairedVoters returns the names of a group's voters if the group is repaired: its membership is
+// committed and all members are active. Otherwise it returns nil. Another machine may be lost only
+// while the group is repaired.
+func (f *testCluster) repairedVoters(group uint32) []string {
 	leader := f.leaderNow(group)
 	if leader == nil || !leader.group(group).Status().GetRepaired() {
 		return nil
@@ -40,7 +40,7 @@
 	return names
 }
 
-func holds(names []string, wanted string, unwanted ...string) bool {
+func includes(names []string, wanted string, unwanted ...string) bool {
 	found := false
 	for _, name := range names {
 		found = found || name == wanted
@@ -55,23 +55,22 @@
 
 func admitNew(options *replica.Options) { options.AdmitNew = true }
 
-// TestNewMachineTakesThePlaceOfOneThatIsGone replaces every machine in turn by
-// one with another name and address. In the end no machine is left that was
-// there when the writes were acknowledged.
+// TestNewMachineTakesThePlaceOfOneThatIsGone replaces every machine in turn with one of another name
+// and address, and checks that no acknowledged write is lost.
 func TestNewMachineTakesThePlaceOfOneThatIsGone(t *testing.T) {
-	inBubble(t, 3, admitNew, func(f *fleet) {
+	runCluster(t, 3, admitNew, func(f *testCluster) {
 		for range 20 {
 			f.add(1, "a")
 		}
 		names := []string{"next-0", "next-1", "next-2"}
 		for position, name := range names {
 			gone := f.machines[position]
-			f.lose(gone)
-			f.newcomer(name)
+			f.loseDisk(gone)
+			f.addMachine(name)
 			for group := range uint32(3) {
-				f.eventually("the new machine takes the place", func() bool {
-					members := f.membersOf(group)
-					return len(members) == 3 && holds(members, name, gone.name)
+				f.eventually("the new machine replaces the lost one", func() bool {
+					members := f.repairedVoters(group)
+					return len(members) == 3 && includes(members, name, gone.name)
 				})
 			}
 		}
@@ -81,59 +80,57 @@
 	})
 }
 
-// TestGroupGrowsToItsPlaces: a group founded by three machines bears two losses at
-// once as soon as two more have joined. A sixth one waits as a spare.
+// TestGroupGrowsToItsPlaces checks that a group of three grows to TargetVoters and no further, and
+// then tolerates two simultaneous losses.
 func TestGroupGrowsToItsPlaces(t *testing.T) {
-	inBubble(t, 3, func(options *replica.Options) { options.AdmitNew, options.TargetVoters = true, 5 }, func(f *fleet) {
+	runCluster(t, 3, func(options *replica.Options) { options.AdmitNew, options.TargetVoters = true, 5 }, func(f *testCluster) {
 		f.add(0, "key")
 		for _, name := range []string{"new-1", "new-2"} {
-			f.newcomer(name)
-			f.eventually(name+" joins", func() bool { return holds(f.membersOf(0), name) })
+			f.addMachine(name)
+			f.eventually(name+" joins", func() bool { return includes(f.repairedVoters(0), name) })
 		}
-		f.newcomer("new-3")
+		f.addMachine("new-3")
 		time.Sleep(time.Minute)
-		if members := f.membersOf(0); len(members) != 5 || holds(members, "new-3") {
+		if members := f.repairedVoters(0); len(members) != 5 || includes(members, "new-3") {
 			t.Fatalf("the members are %v", members)
 		}
 		f.add(0, "key")
-		f.lose(f.machines[0])
-		f.lose(f.machines[3])
+		f.loseDisk(f.machines[0])
+		f.loseDisk(f.machines[3])
 		if got := f.add(0, "key"); got != 3 {
-			t.Fatalf("after two losses the third write counts %d", got)
+			t.Fatalf("after two losses the third write gave %d", got)
 		}
 	})
 }
 
-// TestNewMachineWaitsWhileAllMembersAreHeard adds a machine to a healthy group:
-// the group does not grow.
+// TestNewMachineWaitsWhileAllMembersAreHeard checks that a healthy group admits no further machine.
 func TestNewMachineWaitsWhileAllMembersAreHeard(t *testing.T) {
-	inBubble(t, 3, admitNew, func(f *fleet) {
+	runCluster(t, 3, admitNew, func(f *testCluster) {
 		f.add(1, "a")
-		f.newcomer("spare")
+		f.addMachine("spare")
 		time.Sleep(time.Minute)
 		synctest.Wait()
-		if members := f.membersOf(1); len(members) != 3 || holds(members, "spare") {
+		if members := f.repairedVoters(1); len(members) != 3 || includes(members, "spare") {
 			t.Fatalf("the members are %v", members)
 		}
 	})
 }
 
-// TestMachineThatWasReplacedComesBackAsASpare cuts a machine off until another
-// one has its place. When it is back it disturbs nothing, and it takes the place
-// of the next machine that is lost.
+// TestMachineThatWasReplacedComesBackAsASpare checks that a replaced machine disturbs nothing when it
+// returns, and that it replaces the next machine that is lost.
 func TestMachineThatWasReplacedComesBackAsASpare(t *testing.T) {
-	inBubble(t, 3, admitNew, func(f *fleet) {
+	runCluster(t, 3, admitNew, func(f *testCluster) {
 		f.add(1, "a")
 		cut, lost := f.machines[0], f.machines[1]
 		f.kill(cut)
-		f.newcomer("next")
-		f.eventually("the new machine takes the place", func() bool { return holds(f.membersOf(1), "next", cut.name) })
+		f.addMachine("next")
+		f.eventually("the new machine replaces the stopped one", func() bool { return includes(f.repairedVoters(1), "next", cut.name) })
 		f.start(cut)
 		f.add(1, "a")
 		time.Sleep(10 * time.Second)
-		f.lose(lost)
-		f.eventually("the old machine takes the place of the lost one", func() bool {
-			return holds(f.membersOf(1), cut.name, lost.name)
+		f.loseDisk(lost)
+		f.eventually("the old machine replaces the lost one", func() bool {
+			return includes(f.repairedVoters(1), cut.name, lost.name)
 		})
 		if a := f.read(1, "a"); a != 2 {
 			t.Fatalf("2 increments were acknowledged, %d are left", a)
@@ -141,43 +138,43 @@
 	})
 }
 
-// vacating is a set of machines that have to leave.
-type vacating struct {
+// leavingMachines is a set of machines that must leave.
+type leavingMachines struct {
 	mutex sync.Mutex
 	names map[string]bool
 }
 
-func (v *vacating) has(name string) bool {
+func (v *leavingMachines) has(name string) bool {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	return v.names[name]
 }
 
-func (v *vacating) add(name string) {
+func (v *leavingMachines) add(name string) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	v.names[name] = true
 }
 
-// TestMachineThatHasToLeaveIsReplacedWhileItRuns empties each founding machine,
-// leaders too, as long as there is a spare.
+// TestMachineThatHasToLeaveIsReplacedWhileItRuns replaces each founding machine, leaders included, by
+// a spare.
 func TestMachineThatHasToLeaveIsReplacedWhileItRuns(t *testing.T) {
-	leaving := &vacating{names: make(map[string]bool)}
+	leaving := &leavingMachines{names: make(map[string]bool)}
 	adjust := func(options *replica.Options) {
 		options.AdmitNew = true
 		options.MustLeave = leaving.has
 	}
-	inBubble(t, 3, adjust, func(f *fleet) {
+	runCluster(t, 3, adjust, func(f *testCluster) {
 		f.add(1, "a")
 		for _, name := range []string{"next-0", "next-1", "next-2"} {
-			f.newcomer(name)
+			f.addMachine(name)
 		}
 		for _, m := range f.machines[:3] {
 			leaving.add(m.name)
 			for group := range uint32(3) {
 				f.eventually("the machine has left", func() bool {
-					members := f.membersOf(group)
-					return len(members) == 3 && !holds(members, m.name)
+					members := f.repairedVoters(group)
+					return len(members) == 3 && !includes(members, m.name)
 				})
 			}
 			f.kill(m)
@@ -188,11 +185,11 @@
 	})
 }
 
-// TestLeaseHoldsBetweenRareHeartbeats: with a heartbeat every second tick the lease
-// of a leader that all hear never runs out.
+// TestLeaseHoldsBetweenRareHeartbeats checks that the lease of a connected leader does not expire with
+// a heartbeat every second tick.
 func TestLeaseHoldsBetweenRareHeartbeats(t *testing.T) {
 	adjust := func(options *replica.Options) { options.HeartbeatTicks = 2 }
-	inBubble(t, 3, adjust, func(f *fleet) {
+	runCluster(t, 3, adjust, func(f *testCluster) {
 		f.add(1, "a")
 		leader := f.leaderNow(1)
 		if leader == nil {
--- a/internal/replica/replies.go
+++ b/internal/replica/replies.go
@@ -7,81 +7,85 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// replyWait bounds how long a call that carries heartbeats alone waits for the replies to them.
-// They take some hundred microseconds; an owner that is busy for longer replies by a call of its own,
-// and what the caller has for this machine meanwhile waits no longer than a sync of a disk.
+// replyWait bounds how long a call that carries only heartbeats waits for the
+// replies. They normally take a few hundred microseconds. An owner that is busy for
+// longer replies in a separate call, and the caller's next messages to this machine
+// are delayed by no more than a disk sync.
 const replyWait = 2 * time.Millisecond
 
-// gathering is the replies to the heartbeats of one call, which go back with its answer: a group
-// that does nothing costs each pair of machines one call an interval of heartbeats, not two. The
-// transport's mutex guards it.
-type gathering struct {
-	wanted  int
-	replies []*rockwindpb.GroupMessage
-	// whole is closed when there are as many as wanted.
-	whole chan struct{}
+// replyCollector collects the replies to the heartbeats of one call, which are
+// returned in its response. This halves the calls between two machines while their
+// groups are idle. The transport's mutex guards it.
+type replyCollector struct {
+	expected int
+	replies  []*rockwindpb.GroupMessage
+	// complete is closed when all expected replies have been collected.
+	complete chan struct{}
 }
 
-// gather begins to keep the replies to a call's heartbeats for its answer. It returns nil where the
-// call carries anything else, which must not wait, or where the caller does not take them.
-func (t *transport) gather(from route, request *rockwindpb.SendRequest) *gathering {
+// collectReplies starts collecting the replies to the heartbeats of a call. It
+// returns nil if the call carries anything else, which must not be delayed, or if
+// the caller does not accept replies in the response.
+func (t *transport) collectReplies(from route, request *rockwindpb.SendRequest) *replyCollector {
 	if !request.GetTakesReplies() || !t.host.options.Allow(t.host.options.Machine, from.machine) {
 		return nil
 	}
-	created := &gathering{whole: make(chan struct{})}
+	collector := &replyCollector{complete: make(chan struct{})}
 	for _, message := range request.GetMessages() {
 		switch message.GetMessage().GetKind() {
 		case rockwindpb.MessageKind_MESSAGE_KIND_HEARTBEAT:
-			created.wanted++
+			collector.expected++
 		case rockwindpb.MessageKind_MESSAGE_KIND_HEARTBEAT_REPLY:
 		default:
 			return nil
 		}
 	}
-	if created.wanted == 0 {
+	if collector.expected == 0 {
 		return nil
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.gatherings[from] = created
-	return created
+	t.replyCollectors[from] = collector
+	return collector
 }
 
-// answers keeps a message for the answer to a call, and tells whether it did.
-func (t *transport) answers(to route, message *rockwindpb.GroupMessage) bool {
+// collectReply adds a heartbeat reply to the collector for its recipient, if there
+// is one, and reports whether it did.
+func (t *transport) collectReply(to route, message *rockwindpb.GroupMessage) bool {
 	if message.GetMessage().GetKind() != rockwindpb.MessageKind_MESSAGE_KIND_HEARTBEAT_REPLY {
 		return false
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	open := t.gatherings[to]
-	if open == nil {
+	collector := t.replyCollectors[to]
+	if collector == nil {
 		return false
 	}
-	open.replies = append(open.replies, message)
-	if len(open.replies) == open.wanted {
-		close(open.whole)
-		delete(t.gatherings, to)
+	collector.replies = append(collector.replies, message)
+	if len(collector.replies) == collector.expected {
+		close(collector.complete)
+		delete(t.replyCollectors, to)
 	}
 	return true
 }
 
-// gathered waits for the replies, and returns those that there are; nil has none.
-func (t *transport) gathered(ctx context.Context, from route, awaited *gathering) []*rockwindpb.GroupMessage {
-	if awaited == nil {
+// awaitReplies waits for the replies, for at most replyWait, and returns those
+// collected. A nil collector has none.
+func (t *transport) awaitReplies(ctx context.Context, from route, collector *replyCollector) []*rockwindpb.GroupMessage {
+	if collector == nil {
 		return nil
 	}
 	limit := time.NewTimer(replyWait)
 	defer limit.Stop()
 	select {
-	case <-awaited.whole:
+	case <-collector.complete:
 	case <-limit.C:
 	case <-ctx.Done():
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.gatherings[from] == awaited {
-		delete(t.gatherings, from)
+	if t.replyCollectors[from] == collector {
+		delete(t.replyCollectors, from)
 	}
-	return awaited.replies
+	return collector.replies
 }
--- a/internal/replica/request.go
+++ b/internal/replica/request.go
@@ -7,22 +7,22 @@
 	"rockwind.example/rockwind/internal/fault"
 )
 
-// Phases of a request. Exactly one side moves it out of requestQueued, so a
-// caller that gives up knows whether the owner has begun.
+// Phases of a request. Only one side can move it out of requestQueued, so a caller
+// that stops waiting knows whether the owner has started it.
 const (
 	requestQueued int32 = iota
-	requestTaken
+	requestStarted
 	requestAbandoned
 )
 
-// request is what a caller hands to the goroutine that owns a group.
+// request is a request from a caller to the owner goroutine of a group.
 type request struct {
 	phase atomic.Int32
 	// finished receives the answer, once.
 	finished chan answer
 }
 
-// answer is the end of a request.
+// answer is the result of a request.
 type answer struct {
 	result any
 	err    error
@@ -32,12 +32,13 @@
 	return request{finished: make(chan answer, 1)}
 }
 
-// take begins the request. It fails when the caller gave up.
-func (r *request) take() bool {
-	return r.phase.CompareAndSwap(requestQueued, requestTaken)
+// start marks the request as started. It returns false if the caller abandoned it.
+func (r *request) start() bool {
+	return r.phase.CompareAndSwap(requestQueued, requestStarted)
 }
 
-// abandon gives the request up. It fails when the owner has begun.
+// abandon marks the request as abandoned. It returns false if the owner has
+// started it.
 func (r *request) abandon() bool {
 	return r.phase.CompareAndSwap(requestQueued, requestAbandoned)
 }
@@ -46,35 +47,35 @@
 	r.finished <- answer{result: result, err: err}
 }
 
-// proposal is a command on its way into the log.
+// proposal is a command to be appended to the log.
 type proposal struct {
 	request
 	command []byte
 	term    uint64
 }
 
-// read is a view of the state, and when it may run.
+// read is a read of the state.
 type read struct {
 	request
 	view func()
-	// local asks for the state as it is here.
+	// local reads the locally applied state, which may be stale.
 	local bool
 }
 
-// order is a function that runs on the owner goroutine.
-type order struct {
+// task is a function to run on the owner goroutine.
+type task struct {
 	request
 	run func() error
 }
 
-// outcomeUnknown is the fault of a proposal that may be committed later.
+// outcomeUnknown returns the fault of a proposal that may still be committed.
 func outcomeUnknown(reason string) error {
 	return fault.New(fault.OutcomeUnknown, "the command may be committed or not: "+reason,
 		"repeat it only if it has the same effect when it is executed twice, or read the state first")
 }
 
-// notBegun is the fault of a request that had no effect.
-func notBegun(reason string) error {
+// unavailable returns the fault of a request that had no effect.
+func unavailable(reason string) error {
 	return fault.New(fault.Unavailable, reason, "try again, at another control machine too")
 }
 
--- a/internal/replica/requests.go
+++ b/internal/replica/requests.go
@@ -35,61 +35,61 @@
 
 // do runs a function on the owner goroutine.
 func (o *owner) do(ctx context.Context, run func() error) error {
-	called := &order{request: newRequest(), run: run}
-	_, err := o.await(ctx, &called.request, called, nil)
+	submitted := &task{request: newRequest(), run: run}
+	_, err := o.await(ctx, &submitted.request, submitted, nil)
 	return err
 }
 
-// await hands a request to the owner and waits for its answer. Once the owner
-// has begun, a proposal ends as doubt tells; other requests end with the
-// owner's answer, which never takes long from there on.
-func (o *owner) await(ctx context.Context, r *request, queued any, doubt func(string) error) (any, error) {
+// await queues a request for the owner and waits for its answer. If the wait ends
+// after the owner has started the request, the result is unknownOutcome's; if that
+// is nil, await waits for the answer, which does not take long from there.
+func (o *owner) await(ctx context.Context, r *request, queued any, unknownOutcome func(string) error) (any, error) {
 	select {
 	case o.requests <- queued:
 	case <-ctx.Done():
-		return nil, notBegun(contextReason(ctx))
+		return nil, unavailable(contextReason(ctx))
 	case <-o.stopped:
-		return nil, notBegun("this control process stops")
+		return nil, unavailable("this control process is stopping")
 	}
 	select {
 	case a := <-r.finished:
 		return a.result, a.err
 	case <-ctx.Done():
-		return r.giveUp(contextReason(ctx), doubt)
+		return r.cancel(contextReason(ctx), unknownOutcome)
 	case <-o.stopped:
-		return r.giveUp("this control process stops", doubt)
+		return r.cancel("this control process is stopping", unknownOutcome)
 	}
 }
 
-// giveUp ends the wait of a caller.
-func (r *request) giveUp(reason string, doubt func(string) error) (any, error) {
+// cancel ends the wait of a caller: see await.
+func (r *request) cancel(reason string, unknownOutcome func(string) error) (any, error) {
 	if r.abandon() {
-		return nil, notBegun(reason)
+		return nil, unavailable(reason)
 	}
 	select {
 	case a := <-r.finished:
 		return a.result, a.err
 	default:
 	}
-	if doubt == nil {
+	if unknownOutcome == nil {
 		a := <-r.finished
 		return a.result, a.err
 	}
-	return nil, doubt(reason)
+	return nil, unknownOutcome(reason)
 }
 
-// gather takes all requests that wait, so that their commands become one
-// append and their reads one round of heartbeats.
-func (o *owner) gather(next any) {
+// handleRequests handles all queued requests, so that their commands share one
+// append and their reads one heartbeat round.
+func (o *owner) handleRequests(next any) {
 	var reads []*read
 	for range requestBuffer {
 		switch r := next.(type) {
 		case *proposal:
 			o.propose(r)
 		case *read:
-			reads = o.begin(r, reads)
-		case *order:
-			if r.take() {
+			reads = o.beginRead(r, reads)
+		case *task:
+			if r.start() {
 				r.finish(nil, r.run())
 			}
 		}
@@ -100,28 +100,28 @@
 		}
 		break
 	}
-	o.askReads(reads)
+	o.requestReadIndex(reads)
 }
 
 func (o *owner) propose(p *proposal) {
-	if !p.take() {
+	if !p.start() {
 		return
 	}
-	if o.host.writer.full.Load() {
+	if o.host.writer.diskFull.Load() {
 		p.finish(nil, fullDisk())
 		return
 	}
 	index, term, err := o.node.Propose(p.command)
 	if err != nil {
-		p.finish(nil, o.refusal(err))
+		p.finish(nil, o.raftFault(err))
 		return
 	}
 	p.term = term
 	o.pending[index] = p
 }
 
-// refusal is the fault of a request that the core refused.
-func (o *owner) refusal(err error) error {
+// raftFault converts an error of the Raft node to a fault.
+func (o *owner) raftFault(err error) error {
 	switch {
 	case errors.Is(err, raft.ErrNotLeader):
 		return o.notLeader()
@@ -146,9 +146,9 @@
 		"free space in its data folder; other machines take over meanwhile").WithRetryAfter(time.Second)
 }
 
-// begin serves a read at once where it can, or puts it among those that need
-// a round of heartbeats.
-func (o *owner) begin(r *read, reads []*read) []*read {
+// beginRead serves a read if that needs no heartbeat round; otherwise it adds the
+// read to reads.
+func (o *owner) beginRead(r *read, reads []*read) []*read {
 	if r.local {
 		o.serve(r)
 		return reads
@@ -160,55 +160,55 @@
 	return append(reads, r)
 }
 
-// leaseHolds tells whether no other replica can lead now, by ticks and by the
-// clock. The clock is read after the request arrived, so a state that is served
-// from here on was current within the request.
+// leaseHolds reports whether the lease is valid by ticks and by the clock, so that
+// no other replica can lead. The clock is read after the request arrived, so a
+// state served from here on was current during the request.
 func (o *owner) leaseHolds() bool {
-	current := o.leadershipNow(o.node.Status())
-	return current != nil && current.end.after(o.now())
+	current := o.leadershipUnderLease(o.node.Status())
+	return current != nil && current.end.validAt(o.now())
 }
 
 func (o *owner) serve(r *read) {
-	if !r.take() {
+	if !r.start() {
 		return
 	}
 	r.view()
 	r.finish(nil, nil)
 }
 
-func (o *owner) askReads(reads []*read) {
+func (o *owner) requestReadIndex(reads []*read) {
 	if len(reads) == 0 {
 		return
 	}
-	o.nextRead++
-	if err := o.node.ReadIndex(o.nextRead); err != nil {
-		refuseReads(reads, o.refusal(err))
+	o.lastReadContext++
+	if err := o.node.ReadIndex(o.lastReadContext); err != nil {
+		rejectReads(reads, o.raftFault(err))
 		return
 	}
-	o.asked[o.nextRead] = reads
+	o.unconfirmedReads[o.lastReadContext] = reads
 }
 
-func refuseReads(reads []*read, err error) {
+func rejectReads(reads []*read, err error) {
 	for _, r := range reads {
-		if r.take() {
+		if r.start() {
 			r.finish(nil, err)
 		}
 	}
 }
 
-// serveReads runs the reads whose index is applied.
+// serveReads runs the confirmed reads whose index has been applied.
 func (o *owner) serveReads() {
-	kept := o.waiting[:0]
-	for _, waiting := range o.waiting {
-		if waiting.index > o.applied {
-			kept = append(kept, waiting)
+	kept := o.confirmedReads[:0]
+	for _, batch := range o.confirmedReads {
+		if batch.index > o.applied {
+			kept = append(kept, batch)
 			continue
 		}
-		for _, r := range waiting.reads {
+		for _, r := range batch.reads {
 			o.serve(r)
 		}
 	}
-	o.waiting = kept
+	o.confirmedReads = kept
 }
 
 func (o *owner) failPending(reason string) {
@@ -220,20 +220,20 @@
 
 func (o *owner) failReads() {
 	err := o.notLeader()
-	for _, waiting := range o.waiting {
-		refuseReads(waiting.reads, err)
+	for _, batch := range o.confirmedReads {
+		rejectReads(batch.reads, err)
 	}
-	o.waiting = nil
-	for _, reads := range o.asked {
-		refuseReads(reads, err)
+	o.confirmedReads = nil
+	for _, reads := range o.unconfirmedReads {
+		rejectReads(reads, err)
 	}
-	clear(o.asked)
+	clear(o.unconfirmedReads)
 }
 
 // Leading implements Group.
 func (o *owner) Leading() (uint64, bool) {
-	current := o.leadingUntil.Load()
-	if current == nil || !current.end.after(o.now()) {
+	current := o.publishedLeadership.Load()
+	if current == nil || !current.end.validAt(o.now()) {
 		return 0, false
 	}
 	return current.term, true
@@ -242,7 +242,7 @@
 // Status implements Group.
 func (o *owner) Status() *rockwindpb.GroupStatus {
 	o.mutex.Lock()
-	status, applied, appliedTerm := o.status, o.appliedShown, o.appliedTermShown
+	status, applied, appliedTerm := o.status, o.publishedApplied, o.publishedAppliedTerm
 	o.mutex.Unlock()
 	return &rockwindpb.GroupStatus{
 		Group:         o.id,
@@ -261,16 +261,16 @@
 	}
 }
 
-// repaired tells, at the leader, whether every member is a voter that is heard
-// and stands alone for its machine, by a membership that is committed.
+// repaired reports, on the leader, whether the membership is committed and every
+// member is an active voter and the only member of its machine.
 func repaired(status raft.Status) bool {
 	if status.Role != raft.Leader || status.MembershipIndex > status.Commit {
 		return false
 	}
 	machines := make(map[string]bool)
 	for _, member := range status.Membership.GetMembers() {
-		heard := member.GetId() == status.ID || progressOf(status, member.GetId()).Active
-		if member.GetLearner() || machines[member.GetMachine()] || !heard {
+		active := member.GetId() == status.ID || progressOf(status, member.GetId()).Active
+		if member.GetLearner() || machines[member.GetMachine()] || !active {
 			return false
 		}
 		machines[member.GetMachine()] = true
@@ -287,17 +287,17 @@
 			return o.host.routeTo(member).address
 		}
 	}
-	return o.host.transport.heardFrom(status.Leader).address
+	return o.host.transport.learnedRoute(status.Leader).address
 }
 
 // Applied implements Group.
 func (o *owner) Applied() <-chan struct{} {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	return o.moved
+	return o.appliedChanged
 }
 
-// leads tells whether this replica believes to lead, without a lease.
+// leads reports whether this replica has the leader role, with or without a lease.
 func (o *owner) leads() bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
--- a/internal/replica/service.go
+++ b/internal/replica/service.go
@@ -7,44 +7,44 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// service answers the calls of other machines.
+// service handles calls from other machines.
 type service struct {
 	host *Host
 }
 
 var _ rockwindpb.ReplicaService = (*service)(nil)
 
-// Service returns the host's side of the protocol among control machines; the
-// caller mounts it with rockwindpb.NewReplicaServiceServer.
+// Service returns the RPC service for the other control machines. The caller
+// mounts it with rockwindpb.NewReplicaServiceServer.
 func (h *Host) Service() rockwindpb.ReplicaService {
 	return &service{host: h}
 }
 
-// Send implements rockwindpb.ReplicaService. It hands the messages on and does
-// not wait for their effect, but for the replies to heartbeats, which are made at once.
+// Send implements rockwindpb.ReplicaService. It queues the messages without
+// waiting for their effect, except that it collects the replies to heartbeats.
 func (s *service) Send(ctx context.Context, request *rockwindpb.SendRequest) (*rockwindpb.SendResponse, error) {
 	from := route{machine: request.GetMachine(), address: request.GetAddress()}
-	gathered := s.host.transport.gather(from, request)
-	err := s.host.take(request.GetClusterId(), from, request.GetMessages())
-	replies := s.host.transport.gathered(ctx, from, gathered)
+	collector := s.host.transport.collectReplies(from, request)
+	err := s.host.deliver(request.GetClusterId(), from, request.GetMessages())
+	replies := s.host.transport.awaitReplies(ctx, from, collector)
 	if err != nil {
 		return nil, fault.ToTwirp(err)
 	}
 	return &rockwindpb.SendResponse{Replies: replies}, nil
 }
 
-// take hands messages of a machine to their groups; what does not fit is dropped, as on a lossy
-// link.
-func (h *Host) take(clusterID string, from route, messages []*rockwindpb.GroupMessage) error {
+// deliver queues messages from a machine for their groups. Messages that do not
+// fit in the queue, or that are for another disk, are dropped.
+func (h *Host) deliver(clusterID string, from route, messages []*rockwindpb.GroupMessage) error {
 	for _, message := range messages {
-		o, err := h.addressed(clusterID, from.machine, message.GetGroup())
+		o, err := h.targetOwner(clusterID, from.machine, message.GetGroup())
 		if err != nil {
 			return err
 		}
 		if message.GetMessage().GetTo() != h.log.DiskID() {
 			continue
 		}
-		h.transport.learn(message.GetMessage().GetFrom(), from)
+		h.transport.learnRoute(message.GetMessage().GetFrom(), from)
 		select {
 		case o.inbox <- message.GetMessage():
 		default:
@@ -54,7 +54,8 @@
 }
 
 // Identity implements rockwindpb.ReplicaService. It lists all groups of the
-// cluster, those that do not run here with the membership known at founding.
+// cluster. Groups that do not run here are listed with the membership in the
+// cluster file.
 func (s *service) Identity(context.Context, *rockwindpb.IdentityRequest) (*rockwindpb.IdentityResponse, error) {
 	h := s.host
 	response := &rockwindpb.IdentityResponse{Machine: h.options.Machine, DiskId: h.log.DiskID()}
@@ -74,7 +75,7 @@
 }
 
 // TransferLeadership implements rockwindpb.ReplicaService. It starts the
-// handover and returns.
+// transfers and returns without waiting for them.
 func (s *service) TransferLeadership(ctx context.Context, request *rockwindpb.TransferLeadershipRequest) (*rockwindpb.TransferLeadershipResponse, error) {
 	groups := request.GetGroups()
 	if len(groups) == 0 {
@@ -85,7 +86,7 @@
 		if o == nil || !o.leads() {
 			continue
 		}
-		if err := o.do(ctx, func() error { return o.handOver() }); err != nil {
+		if err := o.do(ctx, func() error { return o.transferLeadership() }); err != nil {
 			return nil, fault.ToTwirp(err)
 		}
 	}
--- a/internal/replica/short.go
+++ b/internal/replica/shortentries.go
@@ -8,39 +8,41 @@
 	"rockwind.example/rockwind/internal/wal"
 )
 
-// shortener tells entries to members by reference to entries that they hold, in one leadership.
-// The zero value has heard of no member that understands it. It belongs to the owner goroutine.
-// The result of an item repeats its progress: it takes 0.5 KB on a link instead of 7.2 KB, and an
-// item with its progress half as much as before (docs/design/item-progress.md).
+// shortEntryEncoder encodes entries for members by reference to earlier entries in
+// their logs, during one leadership. The result of an item repeats its progress,
+// which is then not sent again (docs/design/item-progress.md). It is used only by
+// the owner goroutine. The zero value assumes that no member supports short
+// entries.
 //
-// Logs, states and snapshots hold whole entries, so it doesn't matter to them which version a
-// member has, had or will have. A message that cannot be made whole is one that was lost.
-type shortener struct {
+// Logs, states and snapshots hold whole entries, so they do not depend on the
+// version of a member. A message that cannot be expanded is treated as lost.
+type shortEntryEncoder struct {
 	coder   *pieces.Coder
-	members map[uint64]shortMember
+	members map[uint64]shortEntryMember
 }
 
-// shortMember is what is known of a member.
-type shortMember struct {
-	// takes tells that its last reply said that it understands short entries.
-	takes bool
-	// from is the index of the first entry that it may be referred to.
-	from uint64
+// shortEntryMember is what the encoder knows about a member.
+type shortEntryMember struct {
+	// supported is set if its last reply said that it accepts short entries.
+	supported bool
+	// firstReference is the index of the first entry that references may use.
+	firstReference uint64
 }
 
-// heard notes what a reply tells of its sender, who may have been replaced by another version.
-func (s *shortener) heard(message *rockwindpb.Message) {
+// noteReply records whether the sender of a reply supports short entries. The sender
+// may have been upgraded or downgraded since its last reply.
+func (s *shortEntryEncoder) noteReply(message *rockwindpb.Message) {
 	if !isReply(message) {
 		return
 	}
 	member := s.members[message.GetFrom()]
-	if member.takes == message.GetTakesShort() {
+	if member.supported == message.GetTakesShort() {
 		return
 	}
 	if s.members == nil {
-		s.members = make(map[uint64]shortMember)
+		s.members = make(map[uint64]shortEntryMember)
 	}
-	member.takes = message.GetTakesShort()
+	member.supported = message.GetTakesShort()
 	s.members[message.GetFrom()] = member
 }
 
@@ -52,8 +54,8 @@
 	return false
 }
 
-// outgoing is the message as it is sent.
-func (s *shortener) outgoing(message *rockwindpb.Message) *rockwindpb.Message {
+// encodeOutgoing returns the message as it is to be sent.
+func (s *shortEntryEncoder) encodeOutgoing(message *rockwindpb.Message) *rockwindpb.Message {
 	if isReply(message) {
 		message.TakesShort = true
 		return message
@@ -61,55 +63,56 @@
 	if message.GetKind() != rockwindpb.MessageKind_MESSAGE_KIND_APPEND || len(message.GetEntries()) == 0 {
 		return message
 	}
-	return s.shorten(message)
+	return s.encodeEntries(message)
 }
 
-// shorten tells entries by reference where that saves something and the member can use it.
-func (s *shortener) shorten(message *rockwindpb.Message) *rockwindpb.Message {
+// encodeEntries encodes entries by reference if the member supports it and it saves
+// space.
+func (s *shortEntryEncoder) encodeEntries(message *rockwindpb.Message) *rockwindpb.Message {
 	member := s.members[message.GetTo()]
-	if !member.takes {
+	if !member.supported {
 		return message
 	}
 	if s.coder == nil {
 		s.coder = &pieces.Coder{}
 	}
 	saves := false
-	told := make([]*rockwindpb.ShortEntry, 0, len(message.GetEntries()))
+	shortened := make([]*rockwindpb.ShortEntry, 0, len(message.GetEntries()))
 	for _, entry := range message.GetEntries() {
 		short := &rockwindpb.ShortEntry{Term: entry.GetTerm(), Index: entry.GetIndex(), Kind: entry.GetKind(), Checksum: wal.Checksum(entry.GetData())}
-		cut, oldest := s.coder.Code(entry.GetIndex(), entry.GetData())
-		if oldest != 0 && oldest >= member.from {
-			short.Pieces, saves = cut, true
+		parts, oldest := s.coder.Code(entry.GetIndex(), entry.GetData())
+		if oldest != 0 && oldest >= member.firstReference {
+			short.Pieces, saves = parts, true
 		} else {
 			short.Pieces = []*rockwindpb.Piece{{Literal: entry.GetData()}}
 		}
-		told = append(told, short)
+		shortened = append(shortened, short)
 	}
 	if !saves {
 		return message
 	}
 	return &rockwindpb.Message{
 		Kind: rockwindpb.MessageKind_MESSAGE_KIND_SHORT_APPEND, From: message.GetFrom(), To: message.GetTo(), Term: message.GetTerm(),
-		LogTerm: message.GetLogTerm(), Index: message.GetIndex(), Commit: message.GetCommit(), ShortEntries: told,
+		LogTerm: message.GetLogTerm(), Index: message.GetIndex(), Commit: message.GetCommit(), ShortEntries: shortened,
 	}
 }
 
-// whole makes an append of a short one. Where that cannot be, it has no entries, as if they had
-// been lost, and the leader is asked for whole ones.
-func (o *owner) whole(message *rockwindpb.Message) *rockwindpb.Message {
+// expandAppend converts a short append to a regular one. If that is impossible, the
+// result has no entries, and the leader is asked for whole ones.
+func (o *owner) expandAppend(message *rockwindpb.Message) *rockwindpb.Message {
 	appended := &rockwindpb.Message{
 		Kind: rockwindpb.MessageKind_MESSAGE_KIND_APPEND, From: message.GetFrom(), To: message.GetTo(), Term: message.GetTerm(),
 		LogTerm: message.GetLogTerm(), Index: message.GetIndex(), Commit: message.GetCommit(),
 	}
-	// Logs that agree on the entry before the first one agree on all that is referred to. Where
-	// they don't, the core refuses the append, and there is nothing to be made whole.
+	// Logs that agree on the entry before the first one agree on all referenced
+	// entries. If they do not, the Raft node rejects the append anyway.
 	if !o.node.Matches(message.GetIndex(), message.GetLogTerm()) {
 		return appended
 	}
-	entries, found := o.join(message)
+	entries, found := o.expandEntries(message)
 	if !found {
 		log.WithField("group", o.id).WithField("index", message.GetIndex()).Info("entries refer to what is not held, whole ones are asked for")
-		o.host.transport.send(o.route(message.GetFrom()), o.id, &rockwindpb.Message{
+		o.host.transport.send(o.memberRoute(message.GetFrom()), o.id, &rockwindpb.Message{
 			Kind: rockwindpb.MessageKind_MESSAGE_KIND_WANT_WHOLE, From: message.GetTo(), To: message.GetFrom(), Term: message.GetTerm(),
 		})
 		return appended
@@ -118,8 +121,9 @@
 	return appended
 }
 
-// join makes the entries of a message whole; found is false where one cannot be.
-func (o *owner) join(message *rockwindpb.Message) (entries []*rockwindpb.Entry, found bool) {
+// expandEntries restores the whole entries of a message; found is false if a
+// referenced entry is missing or a checksum differs.
+func (o *owner) expandEntries(message *rockwindpb.Message) (entries []*rockwindpb.Entry, found bool) {
 	first := message.GetIndex() + 1
 	earlier := func(index uint64) ([]byte, bool) {
 		if index >= first {
@@ -144,15 +148,15 @@
 	return entries, true
 }
 
-// sendWhole has a member get whole entries that it could not make whole, and refers to nothing
-// before what comes from now on.
-func (o *owner) sendWhole(message *rockwindpb.Message) {
+// handleWantWhole resends whole entries to a member that could not expand short
+// ones, and limits further references to entries that follow.
+func (o *owner) handleWantWhole(message *rockwindpb.Message) {
 	status := o.node.Status()
-	member, known := o.short.members[message.GetFrom()]
+	member, known := o.shortEntries.members[message.GetFrom()]
 	if !known || message.GetTerm() != status.Term {
 		return
 	}
-	member.from = status.Last + 1
-	o.short.members[message.GetFrom()] = member
+	member.firstReference = status.Last + 1
+	o.shortEntries.members[message.GetFrom()] = member
 	o.node.ReportUnreachable(message.GetFrom())
 }
--- a/internal/replica/snapshot.go
+++ b/internal/replica/snapshot.go
@@ -14,24 +14,25 @@
 )
 
 const (
-	// snapshotChunkBytes is how much of a snapshot goes in one call.
+	// snapshotChunkBytes is the maximum size of a snapshot chunk, which is sent in one
+	// call.
 	snapshotChunkBytes = 512 << 10
 	// snapshotAttempts is how many calls in a row may fail before a transfer is
-	// given up; the leader then starts it anew.
+	// aborted; the leader then restarts it.
 	snapshotAttempts = 8
 	snapshotTimeout  = 5 * time.Second
-	// largestSnapshot bounds the memory that a transfer may ask for, in bytes.
-	largestSnapshot = 2 << 30
+	// maxSnapshotBytes limits the memory that a transfer can make a receiver use.
+	maxSnapshotBytes = 2 << 30
 )
 
-// receivedSnapshot is one whose data is here and that the core has accepted.
+// receivedSnapshot is a complete snapshot that the Raft node has accepted.
 type receivedSnapshot struct {
 	metadata *rockwindpb.SnapshotMetadata
 	content  []byte
 }
 
-// maybeSnapshot takes a snapshot when the log behind the last one is long. The
-// state is encoded on the owner goroutine, the file is written beside it.
+// maybeSnapshot takes a snapshot if one is due. It encodes the state on the owner
+// goroutine; another goroutine writes the file.
 func (o *owner) maybeSnapshot() error {
 	if o.snapshotting || !o.snapshotDue() {
 		return nil
@@ -46,9 +47,9 @@
 		Membership: o.node.MembershipAt(o.applied),
 	}
 	o.snapshotting = true
-	o.pinned.Store(false)
-	older := o.snapshotIndex
-	o.host.spawn(func() error { return o.saveOwn(metadata, content, older) })
+	o.snapshotRequested.Store(false)
+	previousIndex := o.snapshotIndex
+	o.host.spawn(func() error { return o.saveLocalSnapshot(metadata, content, previousIndex) })
 	return nil
 }
 
@@ -58,28 +59,29 @@
 	}
 	options := &o.host.options
 	return o.applied-o.snapshotIndex >= options.SnapshotEntries ||
-		o.stored.Behind() >= options.SnapshotBytes || o.pinned.Load()
+		o.stored.Behind() >= options.SnapshotBytes || o.snapshotRequested.Load()
 }
 
-// saveOwn makes a snapshot durable. On a full disk it is left out.
-func (o *owner) saveOwn(metadata *rockwindpb.SnapshotMetadata, content []byte, older uint64) error {
+// saveLocalSnapshot makes a snapshot durable. It skips the snapshot if the disk is
+// full.
+func (o *owner) saveLocalSnapshot(metadata *rockwindpb.SnapshotMetadata, content []byte, previousIndex uint64) error {
 	saved, err := o.host.log.SaveSnapshot(o.id, metadata, content)
 	if wal.IsFull(err) {
-		log.WithError(err).WithField("group", o.id).Error("snapshot left out")
-		o.saved <- older
+		log.WithError(err).WithField("group", o.id).Error("snapshot skipped because the disk is full")
+		o.snapshotSaved <- previousIndex
 		return nil
 	}
 	if err != nil {
 		return err
 	}
 	update := wal.Update{Group: o.id, Snapshot: saved}
-	o.host.writer.submit(o.ctx, update, func() { o.saved <- saved.GetIndex() })
+	o.host.writer.submit(o.ctx, update, func() { o.snapshotSaved <- saved.GetIndex() })
 	return nil
 }
 
-// saveUntilRoom writes the file of a snapshot from the leader. While the disk
-// is full it waits; it returns nil when the context ends.
-func (h *Host) saveUntilRoom(ctx context.Context, group uint32, metadata *rockwindpb.SnapshotMetadata, content []byte) (*rockwindpb.SnapshotMetadata, error) {
+// saveReceivedSnapshot writes the file of a snapshot from the leader. It retries
+// while the disk is full and returns nil when the context ends.
+func (h *Host) saveReceivedSnapshot(ctx context.Context, group uint32, metadata *rockwindpb.SnapshotMetadata, content []byte) (*rockwindpb.SnapshotMetadata, error) {
 	for {
 		saved, err := h.log.SaveSnapshot(group, metadata, content)
 		if !wal.IsFull(err) {
@@ -93,22 +95,22 @@
 	}
 }
 
-// install replaces the state by a snapshot that is durable.
-func (o *owner) install(metadata *rockwindpb.SnapshotMetadata) error {
+// installSnapshot replaces the state with a snapshot that is durable.
+func (o *owner) installSnapshot(metadata *rockwindpb.SnapshotMetadata) error {
 	if err := o.machine.Restore(o.installing.content); err != nil {
 		return errors.Wrapf(err, "restore the state at %d", metadata.GetIndex())
 	}
 	o.installing = receivedSnapshot{}
 	o.applied, o.appliedTerm = metadata.GetIndex(), metadata.GetTerm()
 	o.snapshotIndex = metadata.GetIndex()
-	o.showApplied()
+	o.publishApplied()
 	return nil
 }
 
-// accept steps a snapshot message whose data is here. The core takes it when
-// the commit index moves to the snapshot's; the data then waits for the Ready
-// that installs it.
-func (o *owner) accept(message *rockwindpb.Message, content []byte) error {
+// acceptSnapshot passes a snapshot message to the Raft node after its data has
+// arrived. The Raft node accepts it if the commit index moves to the snapshot's; the
+// data is then kept for the Ready that installs it.
+func (o *owner) acceptSnapshot(message *rockwindpb.Message, content []byte) error {
 	before := o.node.Status().Commit
 	err := o.node.Step(message)
 	if errors.Is(err, raft.ErrBadMessage) {
@@ -126,7 +128,7 @@
 
 // sendSnapshot starts the transfer that a snapshot message asks for.
 func (o *owner) sendSnapshot(message *rockwindpb.Message) {
-	to := o.route(message.GetTo())
+	to := o.memberRoute(message.GetTo())
 	o.host.spawn(func() error {
 		installed := o.transferSnapshot(to, message)
 		_ = o.do(o.ctx, func() error {
@@ -137,19 +139,19 @@
 	})
 }
 
-// transferSnapshot sends a snapshot in chunks. The receiver says where to go
-// on, so that a transfer that broke off is resumed.
+// transferSnapshot sends a snapshot in chunks. The receiver returns the next offset,
+// so that an interrupted transfer can be resumed.
 func (o *owner) transferSnapshot(to route, message *rockwindpb.Message) bool {
-	content, metadata, err := o.loadNewest(message.GetSnapshot())
+	content, metadata, err := o.loadSnapshot(message.GetSnapshot())
 	if err != nil || to.address == "" {
-		log.WithField("group", o.id).WithField("to", to.machine).Warn("snapshot cannot be sent")
+		log.WithField("group", o.id).WithField("to", to.machine).Warn("cannot send snapshot")
 		return false
 	}
-	client := o.host.clientOf(to.address)
+	client := o.host.clientFor(to.address)
 	failures := 0
 	for offset := uint64(0); ; {
-		chunk := o.chunk(message, metadata, content, offset)
-		response, err := o.host.callSnapshot(client, to, chunk)
+		chunk := o.snapshotChunk(message, metadata, content, offset)
+		response, err := o.host.sendSnapshotChunk(client, to, chunk)
 		switch {
 		case err == nil && chunk.GetLast() && response.GetNextOffset() == metadata.GetSize():
 			return true
@@ -158,14 +160,14 @@
 			continue
 		}
 		failures++
-		if failures == snapshotAttempts || !o.host.pause(o.host.options.Tick) {
+		if failures == snapshotAttempts || !o.host.sleep(o.host.options.Tick) {
 			return false
 		}
 	}
 }
 
-// loadNewest reads a snapshot, or the one that has replaced it meanwhile.
-func (o *owner) loadNewest(metadata *rockwindpb.SnapshotMetadata) ([]byte, *rockwindpb.SnapshotMetadata, error) {
+// loadSnapshot reads a snapshot, or the newest one if it has been replaced.
+func (o *owner) loadSnapshot(metadata *rockwindpb.SnapshotMetadata) ([]byte, *rockwindpb.SnapshotMetadata, error) {
 	content, err := o.host.log.LoadSnapshot(o.id, metadata)
 	if err == nil {
 		return content, metadata, nil
@@ -175,7 +177,7 @@
 	return content, newest, err
 }
 
-func (o *owner) chunk(message *rockwindpb.Message, metadata *rockwindpb.SnapshotMetadata, content []byte, offset uint64) *rockwindpb.SnapshotChunk {
+func (o *owner) snapshotChunk(message *rockwindpb.Message, metadata *rockwindpb.SnapshotMetadata, content []byte, offset uint64) *rockwindpb.SnapshotChunk {
 	end := min(offset+snapshotChunkBytes, uint64(len(content)))
 	return &rockwindpb.SnapshotChunk{
 		ClusterId: o.host.clusterID(),
@@ -191,8 +193,8 @@
 	}
 }
 
-func (h *Host) callSnapshot(client rockwindpb.ReplicaService, to route, chunk *rockwindpb.SnapshotChunk) (*rockwindpb.SnapshotChunkResponse, error) {
-	if !h.allowedBoth(to.machine) {
+func (h *Host) sendSnapshotChunk(client rockwindpb.ReplicaService, to route, chunk *rockwindpb.SnapshotChunk) (*rockwindpb.SnapshotChunkResponse, error) {
+	if !h.allowedBothWays(to.machine) {
 		return nil, fault.New(fault.Unavailable, "the link is cut", "heal the link")
 	}
 	ctx, cancel := context.WithTimeout(h.ctx, snapshotTimeout)
--- a/internal/replica/storage.go
+++ b/internal/replica/storage.go
@@ -10,10 +10,10 @@
 	"rockwind.example/rockwind/internal/wal"
 )
 
-// storage shows a group's part of the log to the consensus core.
+// storage adapts a group of the log to raft.Storage.
 type storage struct {
 	group *wal.Group
-	// founding is the membership before there is any snapshot.
+	// founding is the membership before the first snapshot.
 	founding *rockwindpb.Membership
 }
 
@@ -30,13 +30,13 @@
 // Entries implements raft.Storage.
 func (s *storage) Entries(low, high uint64, maxBytes int) ([]*rockwindpb.Entry, error) {
 	entries, err := s.group.Entries(low, high, uint64(min(max(maxBytes, 0), math.MaxInt)))
-	return entries, coreError(err)
+	return entries, raftError(err)
 }
 
 // Term implements raft.Storage.
 func (s *storage) Term(index uint64) (uint64, error) {
 	term, err := s.group.Term(index)
-	return term, coreError(err)
+	return term, raftError(err)
 }
 
 // FirstIndex implements raft.Storage.
@@ -58,7 +58,7 @@
 	return metadata, nil
 }
 
-func coreError(err error) error {
+func raftError(err error) error {
 	switch {
 	case errors.Is(err, wal.ErrCompacted):
 		return raft.ErrCompacted
--- a/internal/replica/suspension_test.go
+++ b/internal/replica/suspension_test.go
@@ -10,10 +10,10 @@
 	"rockwind.example/rockwind/internal/replica"
 )
 
-// suspensions tells the machines of a fleet how long they were suspended.
+// suspensions simulates how long each machine has been suspended.
 type suspensions struct {
 	mutex sync.Mutex
-	by    map[string]time.Duration
+	total map[string]time.Duration
 }
 
 func (s *suspensions) adjust(o *replica.Options) {
@@ -21,21 +21,21 @@
 	o.Suspended = func() time.Duration {
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
-		return s.by[machine]
+		return s.total[machine]
 	}
 }
 
 func (s *suspensions) suspend(machine string, span time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.by[machine] += span
+	s.total[machine] += span
 }
 
-// TestSuspendedLeaderServesNothingStale: the steady clock of a machine that was suspended
-// says that the lease goes on, while the others have elected another leader.
+// TestSuspendedLeaderServesNothingStale checks that a leader's lease ends during a suspension, which the
+// monotonic clock does not show, so that it serves nothing stale after another machine was elected.
 func TestSuspendedLeaderServesNothingStale(t *testing.T) {
-	suspended := &suspensions{by: make(map[string]time.Duration)}
-	inBubble(t, 3, suspended.adjust, func(f *fleet) {
+	suspended := &suspensions{total: make(map[string]time.Duration)}
+	runCluster(t, 3, suspended.adjust, func(f *testCluster) {
 		f.add(0, "a")
 		old := f.leader(0)
 		for _, m := range f.machines {
@@ -48,13 +48,13 @@
 		}
 		suspended.suspend(old.name, 5*time.Second)
 		if _, leading := old.group(0).Leading(); leading {
-			t.Fatal("the lease outlives a suspension")
+			t.Fatal("the lease is still valid after a suspension")
 		}
-		f.refuses(old)
+		f.expectNotLeader(old)
 		f.links.Heal()
 		f.add(0, "a")
 		read := 0
-		f.eventually("the machine serves again what is newest", func() bool {
+		f.eventually("the leader serves a read", func() bool {
 			current := f.leader(0)
 			err := current.group(0).Read(context.Background(), func() { read = current.state(0).get("a") })
 			return err == nil || !fault.Is(err, fault.NotLeader)
--- a/internal/replica/transport.go
+++ b/internal/replica/transport.go
@@ -16,21 +16,21 @@
 	dialTimeout           = 2 * time.Second
 	idleConnections       = 8
 	idleConnectionTimeout = 2 * time.Minute
-	// sendTimeout bounds one call, so that a link that is cut in silence does
-	// not hold up what is sent after it is whole again.
+	// sendTimeout bounds one call, so that a call over a link that silently drops
+	// packets does not delay messages after the link has recovered.
 	sendTimeout = time.Second
-	// peerQueue is how many messages may wait for a machine; more are dropped.
-	peerQueue = 8192
-	// sendBatchBytes bounds the entry data in one call.
+	// peerQueueSize limits the messages that wait for a machine; more are dropped.
+	peerQueueSize = 8192
+	// sendBatchBytes limits the entry data in one call.
 	sendBatchBytes = 4 << 20
-	// heartbeatLinger is how long a call that would carry heartbeats alone waits
-	// for those of the other groups.
-	heartbeatLinger = time.Millisecond
-	scheme          = "http://"
-	secureScheme    = "https://"
+	// heartbeatBatchDelay is how long a call that carries only heartbeats waits for
+	// those of other groups.
+	heartbeatBatchDelay = time.Millisecond
+	scheme              = "http://"
+	secureScheme        = "https://"
 )
 
-func newTransport() *http.Transport {
+func newHTTPTransport() *http.Transport {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Transport{
 		DialContext:         dialer.DialContext,
@@ -40,24 +40,24 @@
 	}
 }
 
-// route says where a member can be reached. The zero value is unknown.
+// route is where a machine can be reached. The zero value means unknown.
 type route struct {
 	machine string
 	address string
 }
 
-// transport carries messages to the other machines: all groups' messages to
-// one machine share its calls.
+// transport sends messages to the other machines. Messages of all groups to one
+// machine share calls.
 type transport struct {
-	host  *Host
-	mutex sync.Mutex
-	peers map[route]*peer
-	heard map[uint64]route
-	// gatherings hold the replies that go back with the answer to a call, by the caller.
-	gatherings map[route]*gathering
+	host          *Host
+	mutex         sync.Mutex
+	peers         map[route]*peer
+	learnedRoutes map[uint64]route
+	// replyCollectors holds the open collectors by the route of the caller.
+	replyCollectors map[route]*replyCollector
 }
 
-// peer is the way to one machine.
+// peer is the message queue to one machine.
 type peer struct {
 	host   *Host
 	route  route
@@ -65,31 +65,31 @@
 	queue  chan *rockwindpb.GroupMessage
 }
 
-func newTransportFor(host *Host) *transport {
-	return &transport{host: host, peers: map[route]*peer{}, heard: map[uint64]route{}, gatherings: map[route]*gathering{}}
+func newTransport(host *Host) *transport {
+	return &transport{host: host, peers: map[route]*peer{}, learnedRoutes: map[uint64]route{}, replyCollectors: map[route]*replyCollector{}}
 }
 
-// learn notes from where a member sends, for replies to members that are not
+// learnRoute records where a member sends from, for replies to members that are not
 // in the membership yet.
-func (t *transport) learn(id uint64, from route) {
+func (t *transport) learnRoute(id uint64, from route) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.heard[id] = from
+	t.learnedRoutes[id] = from
 }
 
-func (t *transport) heardFrom(id uint64) route {
+func (t *transport) learnedRoute(id uint64) route {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.heard[id]
+	return t.learnedRoutes[id]
 }
 
-// send queues a message and never blocks.
+// send queues a message without blocking. It drops the message if the queue is full.
 func (t *transport) send(to route, group uint32, message *rockwindpb.Message) {
 	if to.address == "" {
 		return
 	}
 	sent := &rockwindpb.GroupMessage{Group: group, Message: message}
-	if t.answers(to, sent) {
+	if t.collectReply(to, sent) {
 		return
 	}
 	p := t.peer(to)
@@ -109,31 +109,32 @@
 	p := &peer{
 		host:   t.host,
 		route:  to,
-		client: t.host.clientOf(to.address),
-		queue:  make(chan *rockwindpb.GroupMessage, peerQueue),
+		client: t.host.clientFor(to.address),
+		queue:  make(chan *rockwindpb.GroupMessage, peerQueueSize),
 	}
 	t.peers[to] = p
 	t.host.spawn(p.run)
 	return p
 }
 
-// run sends batches, one call at a time: what gathers meanwhile goes together.
+// run sends batches, one call at a time. Messages that arrive during a call form the
+// next batch.
 func (p *peer) run() error {
 	for {
 		select {
 		case <-p.host.ctx.Done():
 			return nil
 		case first := <-p.queue:
-			p.sendBatch(p.gather(first))
+			p.sendBatch(p.nextBatch(first))
 		}
 	}
 }
 
-func (p *peer) gather(first *rockwindpb.GroupMessage) []*rockwindpb.GroupMessage {
+func (p *peer) nextBatch(first *rockwindpb.GroupMessage) []*rockwindpb.GroupMessage {
 	batch := []*rockwindpb.GroupMessage{first}
 	size, urgent := messageSize(first), !isHeartbeat(first)
 	if !urgent {
-		p.linger()
+		p.waitForHeartbeats()
 	}
 	for size < sendBatchBytes {
 		select {
@@ -147,10 +148,10 @@
 	return batch
 }
 
-func (p *peer) linger() {
+func (p *peer) waitForHeartbeats() {
 	select {
 	case <-p.host.ctx.Done():
-	case <-time.After(heartbeatLinger):
+	case <-time.After(heartbeatBatchDelay):
 	}
 }
 
@@ -162,10 +163,10 @@
 	return false
 }
 
-// pieceSize is what a piece takes beside what it tells literally, in bytes: a reference.
-const pieceSize = 16
+// referenceBytes is the approximate encoded size of a reference.
+const referenceBytes = 16
 
-// messageSize is about how many bytes the entries of a message take on the way.
+// messageSize returns the approximate encoded size of a message's entries, in bytes.
 func messageSize(message *rockwindpb.GroupMessage) int {
 	size := 0
 	for _, entry := range message.GetMessage().GetEntries() {
@@ -173,7 +174,7 @@
 	}
 	for _, entry := range message.GetMessage().GetShortEntries() {
 		for _, piece := range entry.GetPieces() {
-			size += pieceSize + len(piece.GetLiteral())
+			size += referenceBytes + len(piece.GetLiteral())
 		}
 	}
 	return size
@@ -197,8 +198,8 @@
 		p.unreachable(batch)
 		return
 	}
-	if err := p.host.take(p.host.clusterID(), p.route, response.GetReplies()); err != nil {
-		log.WithError(err).WithField("machine", p.route.machine).Debug("replies to heartbeats are not taken")
+	if err := p.host.deliver(p.host.clusterID(), p.route, response.GetReplies()); err != nil {
+		log.WithError(err).WithField("machine", p.route.machine).Debug("heartbeat replies dropped")
 	}
 }
 
--- a/internal/replica/writer.go
+++ b/internal/replica/writer.go
@@ -11,40 +11,40 @@
 )
 
 const (
-	// writeQueue is how many groups may wait for the writer without blocking.
-	writeQueue = 1024
-	// fullDiskRetry is the pause before a write is tried again on a full disk.
+	// writeQueueSize is how many updates can be queued without blocking.
+	writeQueueSize = 1024
+	// fullDiskRetry is the delay between write attempts while the disk is full.
 	fullDiskRetry = 200 * time.Millisecond
 )
 
-// write is an update and the goroutine that waits for it.
+// write is an update and its completion callback.
 type write struct {
 	update wal.Update
 	// done is called on the writer's goroutine once the update is durable.
 	done func()
 }
 
-// writer is the one goroutine that writes the log. It takes all updates that
-// wait, of all groups, and makes them durable with one sync: while one sync
-// runs the next batch gathers.
+// writer is the only goroutine that writes the log. It makes all queued updates, of
+// all groups, durable with one sync. Updates that arrive during a sync form the next
+// batch.
 type writer struct {
 	log   *wal.Log
 	queue chan write
-	// full tells that the disk refused the last write for lack of room.
-	full atomic.Bool
-	// pin is called with the groups that keep old segments.
-	pin func(groups []uint32)
+	// diskFull is set while the disk rejects writes for lack of space.
+	diskFull atomic.Bool
+	// requestSnapshots is called with the groups that keep old segments in use.
+	requestSnapshots func(groups []uint32)
 }
 
-// keptSegments is how many segments may stand before groups are asked for
-// snapshots that let the oldest go.
-const keptSegments = 4
+// maxRetainedSegments is how many segments may exist before snapshots are requested
+// from the groups that keep the oldest ones in use.
+const maxRetainedSegments = 4
 
-func newWriter(log *wal.Log, pin func(groups []uint32)) *writer {
-	return &writer{log: log, queue: make(chan write, writeQueue), pin: pin}
+func newWriter(log *wal.Log, requestSnapshots func(groups []uint32)) *writer {
+	return &writer{log: log, queue: make(chan write, writeQueueSize), requestSnapshots: requestSnapshots}
 }
 
-// submit queues an update. It gives up when the context ends.
+// submit queues an update. It returns early if the context ends.
 func (w *writer) submit(ctx context.Context, update wal.Update, done func()) {
 	select {
 	case w.queue <- write{update: update, done: done}:
@@ -52,21 +52,21 @@
 	}
 }
 
-// run writes until the context ends, or until the disk fails for good.
+// run writes batches until the context ends or a write fails permanently.
 func (w *writer) run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case first := <-w.queue:
-			if err := w.writeAll(ctx, w.gather(first)); err != nil {
+			if err := w.writeAll(ctx, w.nextBatch(first)); err != nil {
 				return err
 			}
 		}
 	}
 }
 
-func (w *writer) gather(first write) []write {
+func (w *writer) nextBatch(first write) []write {
 	batch := []write{first}
 	for {
 		select {
@@ -83,7 +83,7 @@
 	for position := range batch {
 		updates[position] = batch[position].update
 	}
-	if err := w.persist(ctx, updates); err != nil {
+	if err := w.writeUntilRoom(ctx, updates); err != nil {
 		return err
 	}
 	if ctx.Err() != nil {
@@ -92,25 +92,25 @@
 	for position := range batch {
 		batch[position].done()
 	}
-	w.pin(w.log.Pinning(keptSegments))
+	w.requestSnapshots(w.log.Pinning(maxRetainedSegments))
 	return nil
 }
 
-// persist writes until there is room on the disk. Nothing is acknowledged
-// meanwhile; see Log.Write for why a full disk may be tried again and a failed
-// sync may not.
-func (w *writer) persist(ctx context.Context, updates []wal.Update) error {
+// writeUntilRoom retries the write while the disk is full. Nothing is acknowledged
+// meanwhile. See Log.Write for why a write to a full disk may be retried but a
+// failed sync may not.
+func (w *writer) writeUntilRoom(ctx context.Context, updates []wal.Update) error {
 	for {
 		err := w.log.Write(updates)
 		if err == nil {
-			w.full.Store(false)
+			w.diskFull.Store(false)
 			return nil
 		}
 		if w.log.Failed() != nil || !wal.IsFull(err) {
 			return err
 		}
-		if !w.full.Swap(true) {
-			log.WithError(err).Error("control state cannot be written")
+		if !w.diskFull.Swap(true) {
+			log.WithError(err).Error("cannot write control state; retrying")
 		}
 		select {
 		case <-ctx.Done():
