--- a/internal/replica/drain.go
+++ b/internal/replica/drain.go
@@ -140,7 +140,7 @@
 func (o *owner) startTransfer() error {
 	err := o.node.TransferLeadership(0)
 	if errors.Is(err, raft.ErrMembershipInvalid) {
-		return unavailable("no other voter of the group is active")
+		return unavailable("no other voter of the group is heard")
 	}
 	return err
 }
--- a/internal/replica/founding.go
+++ b/internal/replica/founding.go
@@ -240,9 +240,9 @@
 	return h.startGroups()
 }
 
-// withNewGroups returns the cluster of this machine, extended by the groups that
-// it has since become a member of, or nil if there are none. Running groups keep
-// the membership that they were started with.
+// withNewGroups returns the cluster of this machine, extended by the described groups
+// that it did not know or has since become a member of, or nil if there are none.
+// Running groups keep the membership that they were started with.
 func (h *Host) withNewGroups(described *cluster) *cluster {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -37,7 +37,7 @@
 	ctx     context.Context
 	workers *errgroup.Group
 
-	// joinSlot serializes calls of joinCluster.
+	// joinSlot serializes calls to joinCluster.
 	joinSlot chan struct{}
 
 	mutex             sync.Mutex
@@ -137,7 +137,8 @@
 	return errors.CombineErrors(err, h.log.Close())
 }
 
-// spawn runs a goroutine that stops with the host. An error of it stops the host.
+// spawn runs a goroutine that must end with the context. If it returns an error, the
+// host stops.
 func (h *Host) spawn(run func() error) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/internal/replica/joining.go
+++ b/internal/replica/joining.go
@@ -81,12 +81,12 @@
 
 // JoinResponseMembers lists the group members in the latest response to a join
 // call. A machine that does not run all groups makes such a call once per election
-// timeout.
+// timeout. Before the first response, a machine that runs no group returns the
+// members in its cluster file.
 func (h *Host) JoinResponseMembers() []*rockwindpb.ControlMachine { return slices.Clone(h.members()) }
 
-// members returns the members in the latest response to a join call. Before
-// the first response, a machine that runs no group uses the members in its cluster
-// file, since all machines in its settings may be gone.
+// members implements JoinResponseMembers. It falls back to the cluster file since
+// all machines in the settings may be gone.
 func (h *Host) members() []*rockwindpb.ControlMachine {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -323,7 +323,7 @@
 func (o *owner) proposeMembership(changed *rockwindpb.Membership) error {
 	err := o.node.ProposeMembership(changed)
 	if errors.Is(err, raft.ErrMembershipPending) || errors.Is(err, raft.ErrTransferring) {
-		return unavailable("another membership change is in progress")
+		return unavailable("another change of the membership is under way")
 	}
 	if errors.Is(err, raft.ErrNotLeader) {
 		return o.notLeader()
--- a/internal/replica/lease.go
+++ b/internal/replica/lease.go
@@ -24,9 +24,9 @@
 	return now.monotonic.Add(suspended).Before(e.until.monotonic)
 }
 
-// leaseClock measures leases by clocks. The Raft node counts them in ticks, which
-// stop while a process is frozen or its machine suspended. It is used by one
-// goroutine only.
+// leaseClock measures leases by the clock. The Raft node counts them in ticks, which
+// stop while a process is frozen or its machine suspended. A leaseClock belongs to
+// one goroutine.
 type leaseClock struct {
 	duration time.Duration
 	rounds   []heartbeatRound
--- a/internal/replica/owner.go
+++ b/internal/replica/owner.go
@@ -235,7 +235,7 @@
 
 // stop fails the pending requests.
 func (o *owner) stop() {
-	o.failPending("this control process is stopping")
+	o.failPending("this control process stops")
 	o.failReads()
 	o.publishedLeadership.Store(nil)
 	close(o.stopped)
--- a/internal/replica/requests.go
+++ b/internal/replica/requests.go
@@ -49,7 +49,7 @@
 	case <-ctx.Done():
 		return nil, unavailable(contextReason(ctx))
 	case <-o.stopped:
-		return nil, unavailable("this control process is stopping")
+		return nil, unavailable("this control process stops")
 	}
 	select {
 	case a := <-r.finished:
@@ -57,7 +57,7 @@
 	case <-ctx.Done():
 		return r.cancel(contextReason(ctx), unknownOutcome)
 	case <-o.stopped:
-		return r.cancel("this control process is stopping", unknownOutcome)
+		return r.cancel("this control process stops", unknownOutcome)
 	}
 }
 
--- a/internal/replica/service.go
+++ b/internal/replica/service.go
@@ -20,8 +20,8 @@
 	return &service{host: h}
 }
 
-// Send implements rockwindpb.ReplicaService. It queues the messages without
-// waiting for their effect, except that it collects the replies to heartbeats.
+// Send implements rockwindpb.ReplicaService. It queues the messages and waits, for
+// at most replyWait, only for the replies to heartbeats.
 func (s *service) Send(ctx context.Context, request *rockwindpb.SendRequest) (*rockwindpb.SendResponse, error) {
 	from := route{machine: request.GetMachine(), address: request.GetAddress()}
 	collector := s.host.transport.collectReplies(from, request)
