--- a/internal/coordinator/virtualsite_test.go
+++ b/internal/coordinator/virtualsite_test.go
@@ -215,7 +215,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- host.Run(ctx) }()
 	p.stop = func() {
-		p.disk.Kill()
+		p.disk.KillProcess()
 		cancel()
 		<-ended
 		p.stop = func() {}
--- a/internal/raft/cluster_test.go
+++ b/internal/raft/cluster_test.go
@@ -254,7 +254,7 @@
 	c.flights = append(c.flights, ready.Messages...)
 	c.apply(m, ready)
 	m.node.Advance(*ready)
-	if m.node.SlowDiskTarget() != 0 {
+	if m.node.SlowDiskTransferTarget() != 0 {
 		c.handingOver++
 	}
 	c.checkCopies(m)
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -249,7 +249,7 @@
 		Role:            n.role,
 		Commit:          n.log.committed,
 		Applied:         n.log.handed,
-		Last:            n.log.lastIndex(),
+		LastIndex:       n.log.lastIndex(),
 		Voter:           isVoter(membership, n.id),
 		Membership:      membership,
 		MembershipIndex: n.members.currentIndex(),
--- a/internal/raft/slowdisk.go
+++ b/internal/raft/slowdisk.go
@@ -105,9 +105,9 @@
 	}
 }
 
-// SlowDiskTarget is the member that leadership is being handed to since the disk here is slow,
+// SlowDiskTransferTarget is the member that leadership is being handed to since the disk here is slow,
 // zero for none. It costs no copy, so that it can be asked after each Ready.
-func (n *Node) SlowDiskTarget() uint64 {
+func (n *Node) SlowDiskTransferTarget() uint64 {
 	if n.role != Leader || !n.leading.slowDisk {
 		return 0
 	}
--- a/internal/raft/types.go
+++ b/internal/raft/types.go
@@ -165,8 +165,8 @@
 	Role   Role
 	Commit uint64
 	// Applied is the last index that was handed out for applying.
-	Applied uint64
-	Last    uint64
+	Applied   uint64
+	LastIndex uint64
 	// Voter tells whether this replica is a voter of Membership.
 	Voter bool
 	// Membership is the one in effect, which may not be committed yet.
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -291,7 +291,7 @@
 		return
 	}
 	f.network.mount(m.name, nil)
-	m.disk.Kill()
+	m.disk.KillProcess()
 	m.cancel()
 	<-m.ended
 	m.set(nil)
@@ -306,7 +306,7 @@
 // lose ends a machine and its disk.
 func (f *fleet) lose(m *machine) {
 	f.kill(m)
-	m.disk.Lose()
+	m.disk.Wipe()
 }
 
 func (f *fleet) found(shards int) {
--- a/internal/replica/options.go
+++ b/internal/replica/options.go
@@ -97,7 +97,7 @@
 
 func (o *Options) setDefaults() {
 	if o.FileSystem == nil {
-		o.FileSystem = wal.OperatingSystem{}
+		o.FileSystem = wal.OSFileSystem{}
 	}
 	if o.Client == nil {
 		o.Client = &http.Client{Transport: newTransport()}
--- a/internal/replica/ready.go
+++ b/internal/replica/ready.go
@@ -89,7 +89,7 @@
 
 // recordSlowDisk writes that leadership is handed over since the disk is slow.
 func (o *owner) recordSlowDisk() {
-	target := o.node.SlowDiskTarget()
+	target := o.node.SlowDiskTransferTarget()
 	if (target != 0) == o.slowDisk {
 		return
 	}
--- a/internal/replica/requests.go
+++ b/internal/replica/requests.go
@@ -251,7 +251,7 @@
 		LeaderAddress: o.leaderAddress(status),
 		Commit:        status.Commit,
 		Applied:       applied,
-		Last:          status.Last,
+		Last:          status.LastIndex,
 		Voter:         status.Voter,
 		Membership:    status.Membership,
 		Repaired:      repaired(status),
--- a/internal/replica/short.go
+++ b/internal/replica/short.go
@@ -152,7 +152,7 @@
 	if !known || message.GetTerm() != status.Term {
 		return
 	}
-	member.from = status.Last + 1
+	member.from = status.LastIndex + 1
 	o.short.members[message.GetFrom()] = member
 	o.node.ReportUnreachable(message.GetFrom())
 }
--- a/internal/replica/snapshot.go
+++ b/internal/replica/snapshot.go
@@ -58,13 +58,13 @@
 	}
 	options := &o.host.options
 	return o.applied-o.snapshotIndex >= options.SnapshotEntries ||
-		o.stored.Behind() >= options.SnapshotBytes || o.pinned.Load()
+		o.stored.BytesSinceSnapshot() >= options.SnapshotBytes || o.pinned.Load()
 }
 
 // saveOwn makes a snapshot durable. On a full disk it is left out.
 func (o *owner) saveOwn(metadata *rockwindpb.SnapshotMetadata, content []byte, older uint64) error {
 	saved, err := o.host.log.SaveSnapshot(o.id, metadata, content)
-	if wal.IsFull(err) {
+	if wal.IsDiskFull(err) {
 		log.WithError(err).WithField("group", o.id).Error("snapshot left out")
 		o.saved <- older
 		return nil
@@ -82,7 +82,7 @@
 func (h *Host) saveUntilRoom(ctx context.Context, group uint32, metadata *rockwindpb.SnapshotMetadata, content []byte) (*rockwindpb.SnapshotMetadata, error) {
 	for {
 		saved, err := h.log.SaveSnapshot(group, metadata, content)
-		if !wal.IsFull(err) {
+		if !wal.IsDiskFull(err) {
 			return saved, err
 		}
 		select {
--- a/internal/replica/writer.go
+++ b/internal/replica/writer.go
@@ -92,7 +92,7 @@
 	for position := range batch {
 		batch[position].done()
 	}
-	w.pin(w.log.Pinning(keptSegments))
+	w.pin(w.log.PinningGroups(keptSegments))
 	return nil
 }
 
@@ -106,7 +106,7 @@
 			w.full.Store(false)
 			return nil
 		}
-		if w.log.Failed() != nil || !wal.IsFull(err) {
+		if w.log.Err() != nil || !wal.IsDiskFull(err) {
 			return err
 		}
 		if !w.full.Swap(true) {
--- a/internal/wal/faultfs/faultfs.go
+++ b/internal/wal/faultfs/faultfs.go
@@ -114,16 +114,16 @@
 	}
 }
 
-// Kill ends the process but not the machine: what was written stays, and open
+// KillProcess ends the process but not the machine: what was written stays, and open
 // files fail from now on.
-func (d *Disk) Kill() {
+func (d *Disk) KillProcess() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.generation++
 }
 
-// Lose empties the disk.
-func (d *Disk) Lose() {
+// Wipe empties the disk.
+func (d *Disk) Wipe() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.generation++
@@ -138,8 +138,8 @@
 	return sortedKeys(d.current)
 }
 
-// Flip inverts one bit of a file, as rot does.
-func (d *Disk) Flip(path string, bit int64) {
+// FlipBit inverts one bit of a file, as rot does.
+func (d *Disk) FlipBit(path string, bit int64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.current[path].written[bit/8] ^= 1 << (bit % 8)
--- a/internal/wal/filesystem.go
+++ b/internal/wal/filesystem.go
@@ -45,31 +45,31 @@
 	filePermission   = 0o640
 )
 
-// OperatingSystem is the FileSystem of the machine.
-type OperatingSystem struct{}
+// OSFileSystem is the FileSystem of the machine.
+type OSFileSystem struct{}
 
 // MakeFolder implements FileSystem.
-func (OperatingSystem) MakeFolder(path string) error {
+func (OSFileSystem) MakeFolder(path string) error {
 	return os.MkdirAll(path, folderPermission)
 }
 
 // Create implements FileSystem.
-func (OperatingSystem) Create(path string) (File, error) {
+func (OSFileSystem) Create(path string) (File, error) {
 	return os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND, filePermission)
 }
 
 // Append implements FileSystem.
-func (OperatingSystem) Append(path string) (File, error) {
+func (OSFileSystem) Append(path string) (File, error) {
 	return os.OpenFile(path, os.O_WRONLY|os.O_APPEND, filePermission)
 }
 
 // ReadFile implements FileSystem.
-func (OperatingSystem) ReadFile(path string) ([]byte, error) {
+func (OSFileSystem) ReadFile(path string) ([]byte, error) {
 	return os.ReadFile(path)
 }
 
 // List implements FileSystem.
-func (OperatingSystem) List(folder string) ([]string, error) {
+func (OSFileSystem) List(folder string) ([]string, error) {
 	entries, err := os.ReadDir(folder)
 	if err != nil {
 		return nil, err
@@ -84,17 +84,17 @@
 }
 
 // Rename implements FileSystem.
-func (OperatingSystem) Rename(from, to string) error {
+func (OSFileSystem) Rename(from, to string) error {
 	return os.Rename(from, to)
 }
 
 // Remove implements FileSystem.
-func (OperatingSystem) Remove(path string) error {
+func (OSFileSystem) Remove(path string) error {
 	return os.Remove(path)
 }
 
 // SyncFolder implements FileSystem.
-func (OperatingSystem) SyncFolder(folder string) error {
+func (OSFileSystem) SyncFolder(folder string) error {
 	handle, err := os.Open(filepath.Clean(folder))
 	if err != nil {
 		return err
@@ -107,7 +107,7 @@
 	return closeError
 }
 
-var _ FileSystem = OperatingSystem{}
+var _ FileSystem = OSFileSystem{}
 
 // WriteAtomically replaces the file name in folder by content: it writes a
 // temporary file, syncs it, renames it and syncs the folder. After a crash the
--- a/internal/wal/index.go
+++ b/internal/wal/index.go
@@ -129,8 +129,8 @@
 	return selected[:len(selected):len(selected)], nil
 }
 
-// Behind returns how many bytes of commands stand behind the newest snapshot.
-func (g *Group) Behind() int64 {
+// BytesSinceSnapshot returns how many bytes of commands stand behind the newest snapshot.
+func (g *Group) BytesSinceSnapshot() int64 {
 	g.mutex.RLock()
 	defer g.mutex.RUnlock()
 	return g.bytes
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -100,7 +100,7 @@
 
 func withDefaults(options Options) Options {
 	if options.FileSystem == nil {
-		options.FileSystem = OperatingSystem{}
+		options.FileSystem = OSFileSystem{}
 	}
 	if options.SegmentBytes == 0 {
 		options.SegmentBytes = defaultSegmentBytes
@@ -209,9 +209,9 @@
 	return l.removeSegments()
 }
 
-// Failed returns the error after which the log refuses everything, or nil. It
+// Err returns the error after which the log refuses everything, or nil. It
 // belongs to the writing goroutine.
-func (l *Log) Failed() error {
+func (l *Log) Err() error {
 	return l.failed
 }
 
--- a/internal/wal/segment.go
+++ b/internal/wal/segment.go
@@ -127,10 +127,10 @@
 	return l.Group(id).snapshotIndex()
 }
 
-// Pinning returns the groups whose entries keep the oldest segment when there
+// PinningGroups returns the groups whose entries keep the oldest segment when there
 // are more than segments of them. A snapshot of each lets the segment go. It
 // belongs to the writing goroutine.
-func (l *Log) Pinning(segments int) []uint32 {
+func (l *Log) PinningGroups(segments int) []uint32 {
 	if len(l.segments) <= segments {
 		return nil
 	}
@@ -156,8 +156,8 @@
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
 
-// IsFull tells whether err is the fault of a full disk.
-func IsFull(err error) bool {
+// IsDiskFull tells whether err is the fault of a full disk.
+func IsDiskFull(err error) bool {
 	return fault.Is(err, fault.Overloaded)
 }
 
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -155,7 +155,7 @@
 	err := c.log.Write(updates)
 	c.disk.SetCapacity(1 << 40)
 	if err != nil {
-		if !wal.IsFull(err) {
+		if !wal.IsDiskFull(err) {
 			c.t.Fatalf("write: %v", err)
 		}
 		c.verify()
@@ -257,7 +257,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"write":  func(*rapid.T) { c.write() },
 			"crash":  func(*rapid.T) { c.stop(func() { c.disk.Crash(c.random) }) },
-			"kill":   func(*rapid.T) { c.stop(c.disk.Kill) },
+			"kill":   func(*rapid.T) { c.stop(c.disk.KillProcess) },
 			"":       func(*rapid.T) { c.verify() },
 			"write2": func(*rapid.T) { c.write() },
 		})
@@ -277,7 +277,7 @@
 		paths := disk.Paths()
 		path := rapid.SampledFrom(paths).Draw(t, "path")
 		content, _ := disk.ReadFile(path)
-		disk.Flip(path, rapid.Int64Range(0, int64(len(content))*8-1).Draw(t, "bit"))
+		disk.FlipBit(path, rapid.Int64Range(0, int64(len(content))*8-1).Draw(t, "bit"))
 		_, err = wal.Open(wal.Options{Folder: folder, FileSystem: disk})
 		if !fault.Is(err, fault.Corrupt) {
 			t.Fatalf("a flipped bit in %s gave %v", path, err)
