--- a/internal/wal/benchmark_test.go
+++ b/internal/wal/benchmark_test.go
@@ -7,15 +7,15 @@
 	"rockwind.example/rockwind/internal/wal"
 )
 
-// Size of the log that is opened: the commands are about those of one completion
-// each.
+// The number of entries in the log and the size of their commands, which is about
+// that of a command that completes one request.
 const (
-	benchmarkEntries = 20_000
-	benchmarkCommand = 90
+	benchmarkEntries      = 20_000
+	benchmarkCommandBytes = 90
 )
 
-// BenchmarkOpen replays a log of entries that were synced one by one, of which a
-// snapshot covers the first two thirds.
+// BenchmarkOpen replays a log whose entries were synced one by one. A snapshot covers
+// the first two thirds of them.
 func BenchmarkOpen(b *testing.B) {
 	folder := b.TempDir()
 	log, err := wal.Open(wal.Options{Folder: folder})
@@ -23,7 +23,7 @@
 		b.Fatal(err)
 	}
 	for index := uint64(1); index <= benchmarkEntries; index++ {
-		entry := &rockwindpb.Entry{Term: 1, Index: index, Kind: rockwindpb.EntryKind_ENTRY_KIND_COMMAND, Data: make([]byte, benchmarkCommand)}
+		entry := &rockwindpb.Entry{Term: 1, Index: index, Kind: rockwindpb.EntryKind_ENTRY_KIND_COMMAND, Data: make([]byte, benchmarkCommandBytes)}
 		update := wal.Update{Group: 1, Entries: []*rockwindpb.Entry{entry}, HardState: &rockwindpb.HardState{Term: 1, Commit: index - 1}}
 		if err := log.Write([]wal.Update{update}); err != nil {
 			b.Fatal(err)
--- a/internal/wal/faultfs/faultfs.go
+++ b/internal/wal/faultfs/faultfs.go
@@ -1,6 +1,6 @@
-// Package faultfs is a disk in memory for tests: it knows what was synced and
-// what was only written, loses the rest at a crash, tears the last write, runs
-// full, fails and delays syncs, and flips bits.
+// Package faultfs is an in-memory disk for tests. It distinguishes written from synced
+// data and injects crashes, torn writes, full disks, failed or slow syncs, and flipped
+// bits.
 package faultfs
 
 import (
@@ -21,10 +21,10 @@
 // ErrSync is the error of an injected sync failure.
 var ErrSync = errors.New("injected sync failure")
 
-// Disk is a wal.FileSystem in memory. It is safe for use by many goroutines.
+// Disk is an in-memory wal.FileSystem. It is safe for concurrent use.
 type Disk struct {
 	mutex sync.Mutex
-	// generation makes the open files of a process that crashed useless.
+	// generation increases with each crash and invalidates the files opened before.
 	generation int
 	current    map[string]*content
 	durable    map[string]*content
@@ -35,13 +35,13 @@
 	syncs      int
 }
 
-// content is a file's bytes, as written and as synced.
+// content is the data of a file, as written and as last synced.
 type content struct {
 	written []byte
 	synced  []byte
 }
 
-// New returns an empty disk without limit.
+// New returns an empty disk of unlimited capacity.
 func New() *Disk {
 	return &Disk{
 		current:  map[string]*content{},
@@ -51,45 +51,44 @@
 	}
 }
 
-// SetCapacity limits the bytes of all files together.
+// SetCapacity limits the total size of all files.
 func (d *Disk) SetCapacity(bytes int64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.capacity = bytes
 }
 
-// Used is the bytes of all files together.
+// Used returns the total size of all files.
 func (d *Disk) Used() int64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.used()
 }
 
-// FailSync makes every later sync of a file fail, or work again.
+// FailSync sets whether syncs of files fail.
 func (d *Disk) FailSync(fail bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.failSync = fail
 }
 
-// DelaySync calls delay before each sync of a file; nil removes it.
+// DelaySync calls delay before each sync of a file; nil removes the delay.
 func (d *Disk) DelaySync(delay func()) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.delay = delay
 }
 
-// Syncs counts the syncs of files.
+// Syncs returns the number of file syncs, including failed ones.
 func (d *Disk) Syncs() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.syncs
 }
 
-// Crash loses what was not synced, as a power cut does: of each unsynced
-// suffix any part may survive, with sectors in between that read as zeros; of
-// each unsynced change of a name either side may survive. Files that are open
-// fail from now on.
+// Crash simulates a power failure. Any part of an unsynced suffix may survive, with
+// sectors that read as zeros, and an unsynced create, rename or remove may survive or
+// be lost. Open files fail afterwards.
 func (d *Disk) Crash(random *rand.Rand) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -107,22 +106,22 @@
 	d.current = map[string]*content{}
 	d.durable = map[string]*content{}
 	for _, path := range sortedKeys(survivors) {
-		bytes := survive(survivors[path], random)
+		bytes := contentAfterCrash(survivors[path], random)
 		file := &content{written: bytes, synced: slices.Clone(bytes)}
 		d.current[path] = file
 		d.durable[path] = file
 	}
 }
 
-// KillProcess ends the process but not the machine: what was written stays, and open
-// files fail from now on.
+// KillProcess simulates the death of the process but not of the machine: written data
+// survives, and open files fail afterwards.
 func (d *Disk) KillProcess() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.generation++
 }
 
-// Wipe empties the disk.
+// Wipe deletes all files. Open files fail afterwards.
 func (d *Disk) Wipe() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -131,28 +130,28 @@
 	d.durable = map[string]*content{}
 }
 
-// Paths returns the paths of all files, sorted.
+// Paths returns the sorted paths of all files.
 func (d *Disk) Paths() []string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return sortedKeys(d.current)
 }
 
-// FlipBit inverts one bit of a file, as rot does.
+// FlipBit inverts one bit of a file.
 func (d *Disk) FlipBit(path string, bit int64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.current[path].written[bit/8] ^= 1 << (bit % 8)
 }
 
-// survive is what a crash leaves of a file.
-func survive(file *content, random *rand.Rand) []byte {
+// contentAfterCrash returns the data of a file that survives a crash.
+func contentAfterCrash(file *content, random *rand.Rand) []byte {
 	common := 0
 	for common < min(len(file.written), len(file.synced)) && file.written[common] == file.synced[common] {
 		common++
 	}
 	if common < len(file.synced) {
-		// The file was cut or replaced without a sync.
+		// The file was truncated or replaced without a sync.
 		if random.IntN(2) == 0 {
 			return slices.Clone(file.synced)
 		}
@@ -305,7 +304,7 @@
 	return nil
 }
 
-// Write implements wal.File. On a disk that runs full it writes what fits.
+// Write implements wal.File. On a full disk it writes the part that fits.
 func (h *handle) Write(bytes []byte) (int, error) {
 	h.disk.mutex.Lock()
 	defer h.disk.mutex.Unlock()
--- a/internal/wal/filesystem.go
+++ b/internal/wal/filesystem.go
@@ -6,32 +6,32 @@
 	"path/filepath"
 )
 
-// File is an open file of a FileSystem. Writes append.
+// File is an open file of a FileSystem. Writes append to it.
 type File interface {
 	io.Writer
 	io.Closer
-	// Sync returns once all that was written is on stable storage. After an
-	// error nothing may be assumed of what was written since the last success.
+	// Sync returns once everything written is on stable storage. After an error,
+	// nothing written since the last successful sync can be assumed durable.
 	Sync() error
-	// Truncate cuts the file to size bytes.
+	// Truncate shortens the file to size bytes.
 	Truncate(size int64) error
 }
 
-// FileSystem is what the log needs of a disk. Tests inject faults through it.
-// Paths use the separators of the operating system.
+// FileSystem is the set of file operations that the log needs. Tests inject faults
+// through it. Paths use the separators of the operating system.
 type FileSystem interface {
 	// MakeFolder creates a folder and its missing parents.
 	MakeFolder(path string) error
-	// Create opens an empty file for appending, in place of any old one.
+	// Create opens an empty file for appending and replaces any existing one.
 	Create(path string) (File, error)
 	// Append opens an existing file for appending.
 	Append(path string) (File, error)
-	// ReadFile returns the whole content. Its error satisfies
-	// errors.Is(err, fs.ErrNotExist) when there is no such file.
+	// ReadFile returns the whole content of a file. If the file does not exist, the
+	// error satisfies errors.Is(err, fs.ErrNotExist).
 	ReadFile(path string) ([]byte, error)
-	// List returns the names of the files in a folder, sorted.
+	// List returns the sorted names of the files in a folder.
 	List(folder string) ([]string, error)
-	// Rename replaces the file at to, atomically.
+	// Rename atomically replaces the file at to.
 	Rename(from, to string) error
 	// Remove deletes a file.
 	Remove(path string) error
@@ -39,13 +39,13 @@
 	SyncFolder(folder string) error
 }
 
-// Permissions of what the log creates.
+// Permissions of the folders and files that the log creates.
 const (
 	folderPermission = 0o750
 	filePermission   = 0o640
 )
 
-// OSFileSystem is the FileSystem of the machine.
+// OSFileSystem is the FileSystem of the operating system.
 type OSFileSystem struct{}
 
 // MakeFolder implements FileSystem.
@@ -109,9 +109,9 @@
 
 var _ FileSystem = OSFileSystem{}
 
-// WriteAtomically replaces the file name in folder by content: it writes a
-// temporary file, syncs it, renames it and syncs the folder. After a crash the
-// file holds either the old content or the new one.
+// WriteAtomically replaces the content of the file name in folder. It writes and
+// syncs a temporary file, renames it and syncs the folder, so that after a crash
+// the file holds either the old or the new content.
 func WriteAtomically(fileSystem FileSystem, folder, name string, content []byte) error {
 	temporary := filepath.Join(folder, name+temporarySuffix)
 	if err := writeSynced(fileSystem, temporary, content); err != nil {
--- a/internal/wal/frame.go
+++ b/internal/wal/frame.go
@@ -5,22 +5,22 @@
 	"hash/crc32"
 )
 
-// A frame is what one sync makes durable: a header and a payload of records.
-// The next frame is written only after the sync of the one before it, so that
-// at most the last frame of a log can be incomplete.
+// A frame is the unit of a sync: a header and a payload of records. A frame is
+// written only after the previous one was synced, so at most the last frame of a
+// log can be incomplete.
 //
 //	payload length (4) | CRC-32C of payload (4) | CRC-32C of the 8 bytes before (4) | payload
 const (
 	frameHeaderBytes = 12
-	// sectorBytes is the unit that a disk writes whole.
+	// sectorBytes is the unit that a disk writes atomically.
 	sectorBytes = 512
-	// MaximumFrameBytes bounds the payload of a frame.
+	// MaximumFrameBytes limits the payload of a frame.
 	MaximumFrameBytes = 1 << 30
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Checksum is the CRC-32C of content.
+// Checksum returns the CRC-32C of content.
 func Checksum(content []byte) uint32 {
 	return crc32.Checksum(content, castagnoli)
 }
@@ -33,22 +33,22 @@
 	return append(target, payload...)
 }
 
-// frameState says what was found where a frame is expected.
+// frameState is the result of reading a frame.
 type frameState int
 
 const (
-	// frameWhole: the frame's checksums hold.
-	frameWhole frameState = iota
-	// frameEnd: the content ends here.
+	// frameValid: the checksums of the frame match.
+	frameValid frameState = iota
+	// frameEnd: the content ends at this offset.
 	frameEnd
-	// frameTorn: the frame was not wholly written before a crash.
+	// frameTorn: a crash interrupted the write of the frame.
 	frameTorn
-	// frameDamaged: the frame was written and changed afterwards.
-	frameDamaged
+	// frameCorrupt: the frame changed after it was written.
+	frameCorrupt
 )
 
-// readFrame reads the frame at offset. It returns the payload and the offset
-// of the next frame when the frame is whole.
+// readFrame reads the frame at offset. If the frame is valid, it returns the
+// payload and the offset of the next frame.
 func readFrame(content []byte, offset int64) (payload []byte, next int64, state frameState) {
 	rest := content[offset:]
 	if len(rest) == 0 {
@@ -59,7 +59,7 @@
 	}
 	header := rest[:frameHeaderBytes]
 	if Checksum(header[:8]) != binary.LittleEndian.Uint32(header[8:]) {
-		return nil, offset, judgeDamage(content, offset, offset+frameHeaderBytes)
+		return nil, offset, classifyDamage(content, offset, offset+frameHeaderBytes)
 	}
 	length := int64(binary.LittleEndian.Uint32(header))
 	end := offset + frameHeaderBytes + length
@@ -68,15 +68,15 @@
 	}
 	payload = content[offset+frameHeaderBytes : end]
 	if Checksum(payload) != binary.LittleEndian.Uint32(header[4:]) {
-		return nil, offset, judgeDamage(content, offset, end)
+		return nil, offset, classifyDamage(content, offset, end)
 	}
-	return payload, end, frameWhole
+	return payload, end, frameValid
 }
 
-// judgeDamage tells a torn write from a changed one. Sectors of a file that
-// grew but whose bytes did not reach the disk read as zeros; changed bytes
-// leave no sector of the frame empty.
-func judgeDamage(content []byte, from, to int64) frameState {
+// classifyDamage distinguishes a torn write from corruption. Sectors of a grown file
+// that never reached the disk read as zeros, while corruption of a written frame
+// leaves no sector of it zero.
+func classifyDamage(content []byte, from, to int64) frameState {
 	for start := from; start < to; {
 		end := min((start/sectorBytes+1)*sectorBytes, to)
 		if allZero(content[start:end]) {
@@ -84,7 +84,7 @@
 		}
 		start = end
 	}
-	return frameDamaged
+	return frameCorrupt
 }
 
 func allZero(content []byte) bool {
@@ -96,23 +96,24 @@
 	return true
 }
 
-// wholeFrameAfter tells whether a whole frame starts anywhere behind offset,
-// which proves that what stands at offset had been synced.
-func wholeFrameAfter(content []byte, offset int64) bool {
+// hasValidFrameAfter reports whether a valid frame starts anywhere after offset,
+// which proves that the content at offset was synced.
+func hasValidFrameAfter(content []byte, offset int64) bool {
 	for start := offset + 1; start+frameHeaderBytes <= int64(len(content)); start++ {
-		payload, _, state := readFrameHeaderFirst(content, start)
-		if state == frameWhole && len(payload) > 0 {
+		payload, _, state := readFrameIfHeaderValid(content, start)
+		if state == frameValid && len(payload) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// readFrameHeaderFirst is readFrame without the judgement of damage.
-func readFrameHeaderFirst(content []byte, offset int64) ([]byte, int64, frameState) {
+// readFrameIfHeaderValid is readFrame for an arbitrary offset. It does not classify
+// the damage of a header whose checksum fails.
+func readFrameIfHeaderValid(content []byte, offset int64) ([]byte, int64, frameState) {
 	header := content[offset : offset+frameHeaderBytes]
 	if Checksum(header[:8]) != binary.LittleEndian.Uint32(header[8:]) {
-		return nil, offset, frameDamaged
+		return nil, offset, frameCorrupt
 	}
 	return readFrame(content, offset)
 }
--- a/internal/wal/frame_test.go
+++ b/internal/wal/frame_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzDecodeRecords checks that the decoder never fails hard, and that what it
-// accepts is encoded again to records that decode alike.
+// FuzzDecodeRecords checks that the decoder never panics, and that records that it
+// accepts survive being encoded and decoded again.
 func FuzzDecodeRecords(f *testing.F) {
 	sample := appendNumber(nil, recordSegment, 0, 77)
 	sample = appendNumber(sample, recordTruncation, 300, 12)
@@ -18,7 +18,7 @@
 	f.Add([]byte{2, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f, 1})
 	f.Fuzz(func(t *testing.T, content []byte) {
 		_, _, _ = readFrame(content, 0)
-		_ = wholeFrameAfter(content, 0)
+		_ = hasValidFrameAfter(content, 0)
 		records, err := decodeRecords(content)
 		if err != nil {
 			return
@@ -43,10 +43,10 @@
 	})
 }
 
-// decodeRecords collects the records of a frame's payload.
+// decodeRecords returns the records of a frame's payload.
 func decodeRecords(payload []byte) ([]record, error) {
 	var records []record
-	err := eachRecord(payload, func(r record) error {
+	err := forEachRecord(payload, func(r record) error {
 		records = append(records, r)
 		return nil
 	})
--- a/internal/wal/identity.go
+++ b/internal/wal/identity.go
@@ -13,9 +13,9 @@
 
 const identityName = "identity"
 
-// loadIdentity reads the identity of the disk, or gives a new one to a disk
-// that has none. The identity is durable before it is returned, so that no
-// message ever carries one that a restart may change.
+// loadIdentity reads the identity of the disk, or creates one if the disk has none.
+// A new identity is durable before it is returned, so that no message carries an
+// identity that a restart could change.
 func loadIdentity(fileSystem FileSystem, folder string) (uint64, error) {
 	path := filepath.Join(folder, identityName)
 	content, err := fileSystem.ReadFile(path)
@@ -26,8 +26,8 @@
 		return 0, errors.Wrap(err, "read disk identity")
 	}
 	payload, next, state := readFrame(content, 0)
-	if state != frameWhole || len(payload) != 8 || next != int64(len(content)) {
-		return 0, corrupt(path, 0, "the identity of this disk is damaged")
+	if state != frameValid || len(payload) != 8 || next != int64(len(content)) {
+		return 0, corruptFault(path, 0, "the identity of this disk is damaged")
 	}
 	return binary.LittleEndian.Uint64(payload), nil
 }
@@ -38,7 +38,7 @@
 		return 0, errors.Wrap(err, "list log segments")
 	}
 	if len(names) > 0 {
-		return 0, corrupt(filepath.Join(folder, identityName), 0,
+		return 0, corruptFault(filepath.Join(folder, identityName), 0,
 			"the identity of this disk is missing while its log is there")
 	}
 	identity := randomIdentity()
@@ -60,8 +60,8 @@
 	}
 }
 
-// corrupt is the fault of a file whose bytes are not the ones written.
-func corrupt(path string, offset int64, message string) *fault.Fault {
+// corruptFault reports a file whose content is not what was written.
+func corruptFault(path string, offset int64, message string) *fault.Fault {
 	return fault.Newf(fault.Corrupt,
 		"stop this machine's control process, move its data folder away and start it with an empty one: "+
 			"it joins its groups again and copies everything from the other replicas",
--- a/internal/wal/index.go
+++ b/internal/wal/index.go
@@ -9,26 +9,27 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Errors of reading a group's entries.
+// Errors returned when the entries of a group are read.
 var (
-	// ErrCompacted: the entries asked for were replaced by a snapshot.
+	// ErrCompacted: the requested entries were replaced by a snapshot.
 	ErrCompacted = errors.New("log entries were replaced by a snapshot")
-	// ErrUnavailable: the entries asked for are not in the log.
+	// ErrUnavailable: the requested entries are not in the log.
 	ErrUnavailable = errors.New("log entries are not in the log")
 )
 
-// Group is the view of one group in the log, held in memory. It is safe for
-// use by many goroutines. The entries that it returns must not be changed.
+// Group is the in-memory view of one group in the log. It is safe for concurrent
+// use. The entries that it returns must not be modified.
 type Group struct {
 	mutex     sync.RWMutex
 	hardState *rockwindpb.HardState
 	snapshot  *rockwindpb.SnapshotMetadata
-	// base is the index before the first entry held, baseTerm its term.
+	// base is the index of the entry before the first one in entries, and baseTerm is
+	// its term.
 	base     uint64
 	baseTerm uint64
 	entries  []*rockwindpb.Entry
-	// bytes is the size of the entries behind the snapshot.
-	bytes int64
+	// bytesSinceSnapshot is the size of the commands after the newest snapshot.
+	bytesSinceSnapshot int64
 }
 
 func newGroup() *Group {
@@ -45,15 +46,15 @@
 	return proto.CloneOf(g.hardState)
 }
 
-// Snapshot returns the metadata of the newest snapshot, with index 0 when
-// there is none.
+// Snapshot returns the metadata of the newest snapshot. Its index is 0 if there is
+// no snapshot.
 func (g *Group) Snapshot() *rockwindpb.SnapshotMetadata {
 	g.mutex.RLock()
 	defer g.mutex.RUnlock()
 	return proto.CloneOf(g.snapshot)
 }
 
-// snapshotIndex returns the index of the newest snapshot, 0 where there is none.
+// snapshotIndex returns the index of the newest snapshot, or 0 if there is none.
 func (g *Group) snapshotIndex() uint64 {
 	g.mutex.RLock()
 	defer g.mutex.RUnlock()
@@ -67,8 +68,8 @@
 	return g.base + 1
 }
 
-// LastIndex returns the index of the last entry, or of the snapshot when there
-// is none behind it.
+// LastIndex returns the index of the last entry, or that of the snapshot if no
+// entries follow it.
 func (g *Group) LastIndex() uint64 {
 	g.mutex.RLock()
 	defer g.mutex.RUnlock()
@@ -79,8 +80,8 @@
 	return g.base + uint64(len(g.entries))
 }
 
-// Term returns the term of the entry at index. It knows the one before
-// FirstIndex too.
+// Term returns the term of the entry at index. The entry before FirstIndex is
+// allowed, too.
 func (g *Group) Term(index uint64) (uint64, error) {
 	g.mutex.RLock()
 	defer g.mutex.RUnlock()
@@ -99,7 +100,7 @@
 	return g.entries[index-g.base-1].Term, nil
 }
 
-// holds tells whether the log has the entry that a snapshot ends with.
+// holds reports whether the log contains the last entry that a snapshot covers.
 func (g *Group) holds(metadata *rockwindpb.SnapshotMetadata) bool {
 	g.mutex.RLock()
 	defer g.mutex.RUnlock()
@@ -107,8 +108,8 @@
 	return err == nil && term == metadata.Term
 }
 
-// Entries returns the entries from low up to, not including, high: as many as
-// fit in maximumBytes, but at least one.
+// Entries returns the entries in [low, high), limited to maximumBytes but at least
+// one entry.
 func (g *Group) Entries(low, high, maximumBytes uint64) ([]*rockwindpb.Entry, error) {
 	g.mutex.RLock()
 	defer g.mutex.RUnlock()
@@ -129,18 +130,19 @@
 	return selected[:len(selected):len(selected)], nil
 }
 
-// BytesSinceSnapshot returns how many bytes of commands stand behind the newest snapshot.
+// BytesSinceSnapshot returns the size of the commands after the newest snapshot.
 func (g *Group) BytesSinceSnapshot() int64 {
 	g.mutex.RLock()
 	defer g.mutex.RUnlock()
-	return g.bytes
+	return g.bytesSinceSnapshot
 }
 
 func (g *Group) setHardState(state *rockwindpb.HardState) {
 	g.adoptHardState(proto.CloneOf(state))
 }
 
-// adoptHardState takes over a message that nobody else changes.
+// adoptHardState sets the hard state without a copy. The caller must not modify
+// state afterwards.
 func (g *Group) adoptHardState(state *rockwindpb.HardState) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -152,12 +154,12 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if index <= g.snapshot.Index || index > g.last() {
-		return errors.Wrapf(errRecord, "truncation at %d outside of %d to %d", index, g.snapshot.Index+1, g.last())
+		return errors.Wrapf(errMalformedRecord, "truncation at index %d is outside of %d to %d", index, g.snapshot.Index+1, g.last())
 	}
 	for _, entry := range g.entries[index-g.base-1:] {
-		g.bytes -= int64(len(entry.Data))
+		g.bytesSinceSnapshot -= int64(len(entry.Data))
 	}
-	// A new array: readers may hold the old one.
+	// Readers may still use the old array, so it is copied.
 	g.entries = append([]*rockwindpb.Entry(nil), g.entries[:index-g.base-1]...)
 	return nil
 }
@@ -167,36 +169,38 @@
 	defer g.mutex.Unlock()
 	for _, entry := range entries {
 		if entry.Index != g.last()+1 {
-			return errors.Wrapf(errRecord, "entry %d after entry %d", entry.Index, g.last())
+			return errors.Wrapf(errMalformedRecord, "entry %d follows entry %d", entry.Index, g.last())
 		}
 		g.entries = append(g.entries, entry)
-		g.bytes += int64(len(entry.Data))
+		g.bytesSinceSnapshot += int64(len(entry.Data))
 	}
 	return nil
 }
 
-// keepFrom is the index of the last entry that a snapshot at an index lets go of.
-func (g *Group) keepFrom(index, trailing uint64, trailingBytes int64) uint64 {
-	least := max(g.base, index-min(trailing, index))
+// lastDropped returns the index of the last entry to drop from memory when a snapshot
+// at index is installed. It retains up to trailing entries before the snapshot, of at
+// most trailingBytes unless that is zero.
+func (g *Group) lastDropped(index, trailing uint64, trailingBytes int64) uint64 {
+	lowest := max(g.base, index-min(trailing, index))
 	if trailingBytes == 0 {
-		return least
+		return lowest
 	}
-	kept := index
-	for size := int64(0); kept > least; kept-- {
-		size += int64(len(g.entries[kept-g.base-1].Data))
+	dropped := index
+	for size := int64(0); dropped > lowest; dropped-- {
+		size += int64(len(g.entries[dropped-g.base-1].Data))
 		if size > trailingBytes {
 			break
 		}
 	}
-	return kept
+	return dropped
 }
 
-// install makes metadata the newest snapshot. When the log holds the entry
-// that the snapshot ends with, it keeps what is behind, and up to trailing
-// entries before it for replicas that lag, of at most so many bytes where that is not
-// zero; otherwise it starts anew. It ignores
-// a snapshot that is not newer: one that was taken here may be saved after one
-// that came from the leader.
+// install makes metadata the newest snapshot. If the log contains the last entry that
+// the snapshot covers, the entries after it are kept, and for lagging replicas also
+// some entries before it; see lastDropped. Otherwise all entries are dropped.
+//
+// A snapshot that is not newer than the current one is ignored: a local snapshot may
+// be saved after a newer one arrived from the leader.
 func (g *Group) install(metadata *rockwindpb.SnapshotMetadata, trailing uint64, trailingBytes int64) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -208,16 +212,16 @@
 	if err != nil || term != metadata.Term {
 		g.entries = nil
 		g.base, g.baseTerm = metadata.Index, metadata.Term
-		g.bytes = 0
+		g.bytesSinceSnapshot = 0
 		return
 	}
-	if keepFrom := g.keepFrom(metadata.Index, trailing, trailingBytes); keepFrom > g.base {
-		g.baseTerm = g.entries[keepFrom-g.base-1].Term
-		g.entries = append([]*rockwindpb.Entry(nil), g.entries[keepFrom-g.base:]...)
-		g.base = keepFrom
+	if lastDropped := g.lastDropped(metadata.Index, trailing, trailingBytes); lastDropped > g.base {
+		g.baseTerm = g.entries[lastDropped-g.base-1].Term
+		g.entries = append([]*rockwindpb.Entry(nil), g.entries[lastDropped-g.base:]...)
+		g.base = lastDropped
 	}
-	g.bytes = 0
+	g.bytesSinceSnapshot = 0
 	for _, entry := range g.entries[metadata.Index-g.base:] {
-		g.bytes += int64(len(entry.Data))
+		g.bytesSinceSnapshot += int64(len(entry.Data))
 	}
 }
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -1,11 +1,11 @@
-// Package wal is the durable memory of a control process: one checksummed
-// write-ahead log that all replicated groups share, so that one sync serves
-// many groups, and snapshot files that let old segments of the log go.
+// Package wal stores the replicated groups of a control process: one checksummed
+// write-ahead log that all groups share, so that one sync serves many groups, and
+// snapshot files that allow old segments of the log to be deleted.
 //
-// A log that was torn by a crash is cut at the tear. Bytes that changed after
-// they were synced are a fault.Corrupt that names the file, the offset and the
-// remedy; the log never drops them in silence. After a failed sync the log
-// refuses everything, because it cannot know what reached the disk.
+// A torn write at the end of the log is truncated. Bytes that changed after they were
+// synced are reported as a fault.Corrupt with the file, the offset and a remedy, and
+// are never dropped silently. After a failed sync the log rejects all writes, because
+// it cannot know what reached the disk.
 package wal
 
 import (
@@ -20,61 +20,61 @@
 )
 
 const (
-	// defaultSegmentBytes bounds what a restart reads beside the entries behind
+	// defaultSegmentBytes limits what a restart reads in addition to the entries after
 	// the newest snapshots.
 	defaultSegmentBytes    = 4 << 20
 	defaultTrailingEntries = 2048
 )
 
-// Options configure a Log.
+// Options configures a Log.
 type Options struct {
-	// Folder holds the log. It is created when missing.
+	// Folder holds the log. It is created if it does not exist.
 	Folder string
-	// FileSystem is the disk; nil means OperatingSystem.
+	// FileSystem stores the files; nil means OSFileSystem.
 	FileSystem FileSystem
 	// SegmentBytes is the size at which a new segment is started; zero means 4 MiB.
 	SegmentBytes int64
-	// TrailingEntries is how many entries before a snapshot stay in memory for
-	// replicas that lag a little; zero means 2048.
+	// TrailingEntries is the number of entries before a snapshot that stay in memory
+	// for lagging replicas; zero means 2048.
 	TrailingEntries uint64
-	// TrailingBytes bounds the bytes of those entries; zero means no bound.
+	// TrailingBytes limits the size of the trailing entries; zero means no limit.
 	TrailingBytes int64
 }
 
-// Update is what one group makes durable.
+// Update is a set of changes to one group that become durable together.
 type Update struct {
-	// Group is the group's number.
+	// Group is the ID of the group.
 	Group uint32
-	// HardState replaces the old one; nil leaves it.
+	// HardState replaces the current one; nil leaves it unchanged.
 	HardState *rockwindpb.HardState
-	// Snapshot names a saved snapshot that replaces the entries up to its
-	// index; nil means none. It takes effect before Entries.
+	// Snapshot identifies a saved snapshot that replaces the entries up to its index;
+	// nil means none. It takes effect before Entries.
 	Snapshot *rockwindpb.SnapshotMetadata
-	// Entries follow the group's last entry, or replace the entries from the
-	// index of the first one on.
+	// Entries are appended to the group's log. If the first one has the index of an
+	// existing entry, they replace the entries from that index on.
 	Entries []*rockwindpb.Entry
 }
 
-// Log is the write-ahead log. Write and Close belong to one goroutine; the
-// other methods are safe for all.
+// Log is a write-ahead log. Write, Err, PinningGroups and Close must be called from
+// one goroutine; the other methods are safe for concurrent use.
 type Log struct {
 	options  Options
 	identity uint64
-	// fresh tells that there was no log when this one was opened.
+	// fresh reports whether the disk held no log before Open.
 	fresh bool
 
 	mutex  sync.RWMutex
 	groups map[uint32]*Group
 
-	// Fields of the writing goroutine.
+	// The following fields belong to the goroutine that writes.
 	segments []*segment
 	file     File
 	size     int64
 	failed   error
 }
 
-// Open reads the log in options.Folder, cuts a torn tail and starts a new
-// segment. It returns a fault.Corrupt when bytes changed on disk.
+// Open reads the log in options.Folder, truncates a torn tail and starts a new
+// segment. It returns a fault.Corrupt if bytes changed on disk.
 func Open(options Options) (*Log, error) {
 	l := &Log{options: withDefaults(options), groups: map[uint32]*Group{}}
 	if err := l.prepareFolders(); err != nil {
@@ -118,7 +118,7 @@
 		if err := fileSystem.MakeFolder(path); err != nil {
 			return err
 		}
-		if err := removeTemporaries(fileSystem, path); err != nil {
+		if err := removeTemporaryFiles(fileSystem, path); err != nil {
 			return err
 		}
 	}
@@ -141,18 +141,18 @@
 	return nil
 }
 
-// DiskID is the identity of the disk, never zero.
+// DiskID returns the identity of the disk, which is never zero.
 func (l *Log) DiskID() uint64 {
 	return l.identity
 }
 
-// Fresh tells whether the disk held no log before Open. A machine that belongs
-// to a cluster and finds no log has lost its votes.
+// Fresh reports whether the disk held no log before Open. A member of a cluster that
+// finds no log has lost its votes.
 func (l *Log) Fresh() bool {
 	return l.fresh
 }
 
-// Group returns the view of a group; it is empty for a group without records.
+// Group returns the view of a group. The view is empty if the group has no records.
 func (l *Log) Group(id uint32) *Group {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -164,7 +164,7 @@
 	return group
 }
 
-// Groups returns the numbers of the groups that have records, sorted.
+// Groups returns the sorted IDs of the groups that have records.
 func (l *Log) Groups() []uint32 {
 	l.mutex.RLock()
 	defer l.mutex.RUnlock()
@@ -178,10 +178,10 @@
 	return ids
 }
 
-// Write makes updates durable with one sync, and then visible in the groups'
-// views. A fault.Overloaded means that the disk is full: nothing was changed,
-// and the same updates may be written again once there is room. Any other
-// error is final: the log refuses every later call.
+// Write makes updates durable with one sync and then applies them to the groups'
+// views. A fault.Overloaded means that the disk is full: nothing changed, and the
+// same updates may be written again when there is space. Any other error is
+// permanent: the log rejects all later writes.
 func (l *Log) Write(updates []Update) error {
 	if l.failed != nil {
 		return l.failed
@@ -206,16 +206,16 @@
 			return l.fail(err)
 		}
 	}
-	return l.removeSegments()
+	return l.removeCoveredSegments()
 }
 
-// Err returns the error after which the log refuses everything, or nil. It
-// belongs to the writing goroutine.
+// Err returns the error that made the log reject all writes, or nil. It must be
+// called from the goroutine that writes.
 func (l *Log) Err() error {
 	return l.failed
 }
 
-// Close closes the open segment. What Write accepted is durable without it.
+// Close closes the open segment. Accepted writes are durable without it.
 func (l *Log) Close() error {
 	if l.file == nil {
 		return nil
@@ -242,7 +242,7 @@
 		}
 	}
 	if len(payload) > MaximumFrameBytes {
-		return nil, errors.Newf("a write of %d bytes exceeds the largest frame", len(payload))
+		return nil, errors.Newf("write of %d bytes exceeds the maximum frame size", len(payload))
 	}
 	return payload, nil
 }
@@ -250,13 +250,13 @@
 func (l *Log) encodeUpdate(payload []byte, update *Update) ([]byte, error) {
 	var err error
 	if update.Snapshot != nil {
-		payload = l.encodeReset(payload, update)
+		payload = l.encodeSnapshotTruncation(payload, update)
 		if payload, err = appendMessage(payload, recordSnapshot, update.Group, update.Snapshot); err != nil {
 			return nil, err
 		}
 	}
 	if len(update.Entries) > 0 {
-		if first := update.Entries[0].Index; first <= l.lastAfter(update) {
+		if first := update.Entries[0].Index; first <= l.lastIndexAfterSnapshot(update) {
 			payload = appendNumber(payload, recordTruncation, update.Group, first)
 		}
 	}
@@ -271,8 +271,9 @@
 	return appendMessage(payload, recordHardState, update.Group, update.HardState)
 }
 
-// lastAfter is the last index of the group once the update's snapshot is in.
-func (l *Log) lastAfter(update *Update) uint64 {
+// lastIndexAfterSnapshot returns the last index of the group after the snapshot of
+// the update is installed.
+func (l *Log) lastIndexAfterSnapshot(update *Update) uint64 {
 	group := l.Group(update.Group)
 	if update.Snapshot != nil && update.Snapshot.Index > group.Snapshot().Index && !group.holds(update.Snapshot) {
 		return update.Snapshot.Index
@@ -280,9 +281,9 @@
 	return group.LastIndex()
 }
 
-// encodeReset says that a snapshot drops the entries of the log where it does
-// not continue them.
-func (l *Log) encodeReset(payload []byte, update *Update) []byte {
+// encodeSnapshotTruncation encodes the removal of the group's entries if the log does
+// not contain the last entry that the snapshot covers.
+func (l *Log) encodeSnapshotTruncation(payload []byte, update *Update) []byte {
 	group := l.Group(update.Group)
 	first := group.Snapshot().Index + 1
 	if update.Snapshot.Index < first {
@@ -294,7 +295,7 @@
 	return appendNumber(payload, recordTruncation, update.Group, first)
 }
 
-// apply brings a durable update into the group's view.
+// apply applies a durable update to the group's view.
 func (l *Log) apply(update *Update) error {
 	group := l.Group(update.Group)
 	if update.Snapshot != nil {
@@ -325,12 +326,13 @@
 		}
 	}
 	current := l.segments[len(l.segments)-1]
-	current.note(id, entries[len(entries)-1].Index)
+	current.recordIndex(id, entries[len(entries)-1].Index)
 	return group.appendEntries(entries)
 }
 
-// checkpoint encodes what a new segment needs to stand without the segments
-// before it, but for the entries behind the snapshots.
+// checkpoint encodes the start of a new segment: the state of all groups except the
+// entries after their snapshots. It makes earlier segments unnecessary once snapshots
+// cover their entries.
 func (l *Log) checkpoint() ([]byte, error) {
 	payload := appendNumber(nil, recordSegment, 0, l.identity)
 	for _, id := range l.Groups() {
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -9,24 +9,25 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// recordKind tells what a record holds. The numbers are on disk: never reuse
-// one.
+// recordKind identifies the content of a record. The values are stored on disk and
+// must not be reused.
 type recordKind byte
 
 const (
-	// recordSegment opens a segment and carries the identity of the disk.
+	// recordSegment starts a segment and contains the identity of the disk.
 	recordSegment recordKind = 1
-	// recordEntry holds the entry after the last one of its group.
+	// recordEntry contains the next entry of a group.
 	recordEntry recordKind = 2
-	// recordHardState holds a group's term, vote and commit index.
+	// recordHardState contains the term, vote and commit index of a group.
 	recordHardState recordKind = 3
-	// recordSnapshot says that a snapshot file replaces the entries up to its index.
+	// recordSnapshot contains the metadata of a snapshot file that replaces the entries
+	// up to its index.
 	recordSnapshot recordKind = 4
 	// recordTruncation removes the entries of a group from an index on.
 	recordTruncation recordKind = 5
 )
 
-// record is one unit of a frame's payload:
+// record is one element of a frame's payload:
 //
 //	kind (1) | group (varint) | body length (varint) | body
 type record struct {
@@ -35,7 +36,7 @@
 	body  []byte
 }
 
-var errRecord = errors.New("malformed record")
+var errMalformedRecord = errors.New("malformed record")
 
 func appendRecord(target []byte, r record) []byte {
 	target = append(target, byte(r.kind))
@@ -57,9 +58,9 @@
 	return appendRecord(target, record{kind: kind, group: group, body: body})
 }
 
-// eachRecord calls visit with each record of a frame's payload until one fails.
-// The bodies alias the payload.
-func eachRecord(payload []byte, visit func(record) error) error {
+// forEachRecord calls visit for each record of a frame's payload and stops at the
+// first error. The record bodies alias the payload.
+func forEachRecord(payload []byte, visit func(record) error) error {
 	for len(payload) > 0 {
 		decoded, rest, err := decodeRecord(payload)
 		if err != nil {
@@ -76,14 +77,14 @@
 func decodeRecord(payload []byte) (record, []byte, error) {
 	decoded := record{kind: recordKind(payload[0])}
 	if decoded.kind < recordSegment || decoded.kind > recordTruncation {
-		return record{}, nil, errors.Wrapf(errRecord, "kind %d", decoded.kind)
+		return record{}, nil, errors.Wrapf(errMalformedRecord, "unknown record kind %d", decoded.kind)
 	}
 	group, rest, err := decodeVarint(payload[1:])
 	if err != nil {
 		return record{}, nil, err
 	}
 	if group > uint64(^uint32(0)) {
-		return record{}, nil, errors.Wrap(errRecord, "group out of range")
+		return record{}, nil, errors.Wrap(errMalformedRecord, "group out of range")
 	}
 	decoded.group = uint32(group)
 	length, rest, err := decodeVarint(rest)
@@ -91,7 +92,7 @@
 		return record{}, nil, err
 	}
 	if length > uint64(len(rest)) {
-		return record{}, nil, errors.Wrap(errRecord, "body longer than its frame")
+		return record{}, nil, errors.Wrap(errMalformedRecord, "record body exceeds its frame")
 	}
 	decoded.body = rest[:length]
 	return decoded, rest[length:], nil
@@ -100,14 +101,14 @@
 func decodeVarint(content []byte) (uint64, []byte, error) {
 	value, size := binary.Uvarint(content)
 	if size <= 0 {
-		return 0, nil, errors.Wrap(errRecord, "number cut short")
+		return 0, nil, errors.Wrap(errMalformedRecord, "invalid varint")
 	}
 	return value, content[size:], nil
 }
 
 func (r record) number() (uint64, error) {
 	if len(r.body) != 8 {
-		return 0, errors.Wrap(errRecord, "number of the wrong size")
+		return 0, errors.Wrap(errMalformedRecord, "number field has the wrong size")
 	}
 	return binary.LittleEndian.Uint64(r.body), nil
 }
--- a/internal/wal/replay.go
+++ b/internal/wal/replay.go
@@ -8,15 +8,14 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// replay rebuilds the groups' views. A first pass over the segments cuts a
-// torn end and finds the newest snapshot of each group; a second one appends
-// what stands behind them. Entries under a snapshot are skipped, because the
-// segments that held their predecessors may be gone.
+// replay rebuilds the groups' views in two passes over the segments. The first one
+// truncates a torn tail and finds the newest snapshot of each group. The second one
+// appends the entries after the snapshots. Entries that a snapshot covers are skipped,
+// because the segments with their predecessors may be deleted.
 //
-// In between, the newest segment is synced: a process that was killed in a
-// write may have left a frame that can be read and would not outlast the next
-// power cut. What a group's view shows must be durable, because the replica
-// acknowledges it.
+// The newest segment is synced between the passes: a process that was killed during a
+// write may have left a readable frame that is not durable yet. Everything in a
+// group's view must be durable, because the replica acknowledges it.
 func (l *Log) replay() error {
 	numbers, err := l.listSegments()
 	if err != nil {
@@ -24,7 +23,7 @@
 	}
 	for position, number := range numbers {
 		if position > 0 && number != numbers[position-1]+1 {
-			return corrupt(l.segmentPath(numbers[position-1]+1), 0, "a log segment is missing")
+			return corruptFault(l.segmentPath(numbers[position-1]+1), 0, "a log segment is missing")
 		}
 		newest := position == len(numbers)-1
 		if err := l.scanSegment(number, newest, l.replaySnapshot); err != nil {
@@ -34,11 +33,11 @@
 	if numbers, err = l.listSegments(); err != nil {
 		return err
 	}
-	if err := l.syncNewest(numbers); err != nil {
+	if err := l.syncNewestSegment(numbers); err != nil {
 		return err
 	}
 	for _, number := range numbers {
-		current := &segment{number: number, last: map[uint32]uint64{}}
+		current := &segment{number: number, lastIndex: map[uint32]uint64{}}
 		l.segments = append(l.segments, current)
 		if err := l.scanSegment(number, false, l.replayInto(current)); err != nil {
 			return err
@@ -47,8 +46,8 @@
 	return nil
 }
 
-// syncNewest makes the newest segment durable, by its content and by its name.
-func (l *Log) syncNewest(numbers []uint64) error {
+// syncNewestSegment syncs the newest segment and its folder entry.
+func (l *Log) syncNewestSegment(numbers []uint64) error {
 	if len(numbers) == 0 {
 		return nil
 	}
@@ -78,8 +77,8 @@
 	return numbers, nil
 }
 
-// scanSegment calls visit for each record of a segment. It cuts a torn end
-// when the segment is the newest one.
+// scanSegment calls visit for each record of a segment. It truncates a torn tail if
+// the segment is the newest one.
 func (l *Log) scanSegment(number uint64, newest bool, visit func(record) error) error {
 	path := l.segmentPath(number)
 	content, err := l.options.FileSystem.ReadFile(path)
@@ -87,7 +86,7 @@
 		return diskFault(err, "read log segment")
 	}
 	if len(content) == 0 {
-		return l.cut(number, content, 0, frameTorn, newest)
+		return l.truncateTornTail(number, content, 0, frameTorn, newest)
 	}
 	offset := int64(0)
 	for {
@@ -95,25 +94,25 @@
 		if state == frameEnd {
 			return nil
 		}
-		if state != frameWhole {
-			return l.cut(number, content, offset, state, newest)
+		if state != frameValid {
+			return l.truncateTornTail(number, content, offset, state, newest)
 		}
 		if err := l.visitFrame(payload, offset == 0, visit); err != nil {
-			return corrupt(path, offset, "a log frame cannot be replayed ("+err.Error()+")")
+			return corruptFault(path, offset, "a log frame cannot be replayed ("+err.Error()+")")
 		}
 		offset = next
 	}
 }
 
-// cut removes the torn end of the newest segment. A tear anywhere else, or
-// with a whole frame behind it, is damage.
-func (l *Log) cut(number uint64, content []byte, offset int64, state frameState, newest bool) error {
+// truncateTornTail removes an incomplete frame at the end of the newest segment. An
+// invalid frame elsewhere, or one followed by a valid frame, is corruption.
+func (l *Log) truncateTornTail(number uint64, content []byte, offset int64, state frameState, newest bool) error {
 	path := l.segmentPath(number)
-	if !newest || state == frameDamaged || wholeFrameAfter(content, offset) {
-		return corrupt(path, offset, "a log frame fails its checksum")
+	if !newest || state == frameCorrupt || hasValidFrameAfter(content, offset) {
+		return corruptFault(path, offset, "a log frame fails its checksum")
 	}
 	if offset == 0 {
-		// The segment was being started: it holds nothing that was acknowledged.
+		// A segment without a valid frame contains nothing that was acknowledged.
 		if err := l.options.FileSystem.Remove(path); err != nil {
 			return diskFault(err, "remove a torn log segment")
 		}
@@ -143,37 +142,37 @@
 func (l *Log) visitFrame(payload []byte, first bool, visit func(record) error) error {
 	if first {
 		var err error
-		if payload, err = l.checkSegmentHead(payload); err != nil {
+		if payload, err = l.checkSegmentHeader(payload); err != nil {
 			return err
 		}
 	}
-	return eachRecord(payload, visit)
+	return forEachRecord(payload, visit)
 }
 
-// checkSegmentHead checks the first record of a segment and returns the rest of
+// checkSegmentHeader validates the first record of a segment and returns the rest of
 // its frame.
-func (l *Log) checkSegmentHead(payload []byte) ([]byte, error) {
+func (l *Log) checkSegmentHeader(payload []byte) ([]byte, error) {
 	if len(payload) == 0 {
-		return nil, errors.Wrap(errRecord, "no segment head")
+		return nil, errors.Wrap(errMalformedRecord, "missing segment header")
 	}
-	head, rest, err := decodeRecord(payload)
+	header, rest, err := decodeRecord(payload)
 	if err != nil {
 		return nil, err
 	}
-	if head.kind != recordSegment {
-		return nil, errors.Wrap(errRecord, "no segment head")
+	if header.kind != recordSegment {
+		return nil, errors.Wrap(errMalformedRecord, "missing segment header")
 	}
-	identity, err := head.number()
+	identity, err := header.number()
 	if err != nil {
 		return nil, err
 	}
 	if identity != l.identity {
-		return nil, errors.Newf("segment of disk %016x on disk %016x", identity, l.identity)
+		return nil, errors.Newf("segment belongs to disk %016x, but this is disk %016x", identity, l.identity)
 	}
 	return rest, nil
 }
 
-// replaySnapshot is the first pass.
+// replaySnapshot handles a record in the first pass of replay.
 func (l *Log) replaySnapshot(r record) error {
 	if r.kind != recordSnapshot {
 		return nil
@@ -186,7 +185,8 @@
 	return nil
 }
 
-// replayInto is the second pass. It notes in current what the segment holds.
+// replayInto returns the record handler for the second pass of replay. It records in
+// current which entries the segment contains.
 func (l *Log) replayInto(current *segment) func(record) error {
 	return func(r record) error {
 		group := l.Group(r.group)
@@ -196,7 +196,7 @@
 			if err != nil {
 				return err
 			}
-			current.note(r.group, entry.Index)
+			current.recordIndex(r.group, entry.Index)
 			return replayEntry(group, entry)
 		case recordTruncation:
 			index, err := r.number()
@@ -214,7 +214,7 @@
 		case recordSnapshot:
 			return nil
 		default:
-			return errors.Wrapf(errRecord, "kind %d inside of a segment", r.kind)
+			return errors.Wrapf(errMalformedRecord, "unexpected record kind %d", r.kind)
 		}
 	}
 }
--- a/internal/wal/segment.go
+++ b/internal/wal/segment.go
@@ -20,33 +20,33 @@
 // segment is one file of the log.
 type segment struct {
 	number uint64
-	// last is the highest entry of each group that the segment holds.
-	last map[uint32]uint64
+	// lastIndex is the highest index of each group's entries in the segment.
+	lastIndex map[uint32]uint64
 }
 
-func (s *segment) note(group uint32, index uint64) {
-	s.last[group] = max(s.last[group], index)
+func (s *segment) recordIndex(group uint32, index uint64) {
+	s.lastIndex[group] = max(s.lastIndex[group], index)
 }
 
 func (l *Log) segmentPath(number uint64) string {
 	return filepath.Join(l.options.Folder, segmentFolder, fmt.Sprintf("%016x%s", number, segmentSuffix))
 }
 
-func (l *Log) nextNumber() uint64 {
+func (l *Log) nextSegmentNumber() uint64 {
 	if len(l.segments) == 0 {
 		return 1
 	}
 	return l.segments[len(l.segments)-1].number + 1
 }
 
-// startSegment closes the open segment, which is synced already, and opens
-// the next one with a checkpoint. A full disk leaves the old one open.
+// startSegment starts the next segment with a checkpoint and closes the current one,
+// which is already synced. If the disk is full, the current segment stays open.
 func (l *Log) startSegment() error {
 	payload, err := l.checkpoint()
 	if err != nil {
 		return l.fail(err)
 	}
-	number := l.nextNumber()
+	number := l.nextSegmentNumber()
 	path := l.segmentPath(number)
 	content := appendFrame(nil, payload)
 	if err := writeSynced(l.options.FileSystem, path, content); err != nil {
@@ -64,12 +64,12 @@
 	}
 	l.file = file
 	l.size = int64(len(content))
-	l.segments = append(l.segments, &segment{number: number, last: map[uint32]uint64{}})
+	l.segments = append(l.segments, &segment{number: number, lastIndex: map[uint32]uint64{}})
 	return nil
 }
 
-// appendPayload writes one frame and syncs it. When the disk is full it takes
-// the frame back.
+// appendPayload writes and syncs one frame. If the disk is full, it truncates the
+// segment to its previous size.
 func (l *Log) appendPayload(payload []byte) error {
 	frame := appendFrame(make([]byte, 0, frameHeaderBytes+len(payload)), payload)
 	if _, err := l.file.Write(frame); err != nil {
@@ -81,8 +81,8 @@
 		}
 		return diskFault(err, "write log")
 	}
-	// A failed sync is final even when it says that the disk is full: the
-	// kernel may have dropped the bytes that it could not write.
+	// A failed sync is permanent even if the error is a full disk: the kernel may have
+	// dropped the pages that it could not write.
 	if err := l.file.Sync(); err != nil {
 		return l.fail(syncFault(err))
 	}
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// failUnlessFull makes every error final but that of a full disk.
+// failUnlessFull makes the error permanent unless the disk is full.
 func (l *Log) failUnlessFull(err error, action string) error {
 	if isFull(err) {
 		return diskFault(err, action)
@@ -98,11 +98,11 @@
 	return l.fail(diskFault(err, action))
 }
 
-// removeSegments deletes the oldest segments whose entries are all covered by
-// snapshots, each durably before the next, so that no gap can appear.
-func (l *Log) removeSegments() error {
+// removeCoveredSegments deletes the oldest segments whose entries are all covered by
+// snapshots. Each removal is synced before the next, so that a crash leaves no gap.
+func (l *Log) removeCoveredSegments() error {
 	folder := filepath.Join(l.options.Folder, segmentFolder)
-	for len(l.segments) > 1 && l.covered(l.segments[0]) {
+	for len(l.segments) > 1 && l.coveredBySnapshots(l.segments[0]) {
 		if err := l.options.FileSystem.Remove(l.segmentPath(l.segments[0].number)); err != nil {
 			return l.fail(diskFault(err, "remove log segment"))
 		}
@@ -114,8 +114,8 @@
 	return nil
 }
 
-func (l *Log) covered(old *segment) bool {
-	for id, last := range old.last {
+func (l *Log) coveredBySnapshots(old *segment) bool {
+	for id, last := range old.lastIndex {
 		if last > l.snapshotIndex(id) {
 			return false
 		}
@@ -127,15 +127,15 @@
 	return l.Group(id).snapshotIndex()
 }
 
-// PinningGroups returns the groups whose entries keep the oldest segment when there
-// are more than segments of them. A snapshot of each lets the segment go. It
-// belongs to the writing goroutine.
+// PinningGroups returns the groups that prevent the deletion of the oldest segment if
+// there are more than the given number of segments. A snapshot of each of them allows
+// the deletion. It must be called from the goroutine that writes.
 func (l *Log) PinningGroups(segments int) []uint32 {
 	if len(l.segments) <= segments {
 		return nil
 	}
 	var ids []uint32
-	for id, last := range l.segments[0].last {
+	for id, last := range l.segments[0].lastIndex {
 		if last > l.snapshotIndex(id) {
 			ids = append(ids, id)
 		}
@@ -156,12 +156,12 @@
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
 
-// IsDiskFull tells whether err is the fault of a full disk.
+// IsDiskFull reports whether err is the fault of a full disk.
 func IsDiskFull(err error) bool {
 	return fault.Is(err, fault.Overloaded)
 }
 
-// diskFault is the fault of an operation that the disk refused.
+// diskFault converts the error of a disk operation to a fault.
 func diskFault(err error, action string) error {
 	if isFull(err) {
 		return fault.Newf(fault.Overloaded,
@@ -173,7 +173,7 @@
 		"%s: %v", action, err)
 }
 
-// syncFault is the fault of a sync that failed, which is never tried again.
+// syncFault reports a failed sync, which must not be retried.
 func syncFault(err error) error {
 	return fault.Newf(fault.Unavailable,
 		"check the disk of this control machine and restart its process, which reads back what the disk really holds",
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -22,8 +22,8 @@
 }
 
 // SaveSnapshot writes a snapshot file and returns its metadata with size and
-// checksum. The snapshot counts only once an Update that names the metadata
-// was written. It may be called beside Write.
+// checksum. The snapshot takes effect when an Update with this metadata is written.
+// SaveSnapshot may run concurrently with Write.
 func (l *Log) SaveSnapshot(group uint32, metadata *rockwindpb.SnapshotMetadata, content []byte) (*rockwindpb.SnapshotMetadata, error) {
 	saved := proto.CloneOf(metadata)
 	saved.Size = uint64(len(content))
@@ -41,26 +41,26 @@
 	return saved, nil
 }
 
-// LoadSnapshot reads the content of a snapshot and verifies it.
+// LoadSnapshot reads a snapshot and verifies its checksum.
 func (l *Log) LoadSnapshot(group uint32, metadata *rockwindpb.SnapshotMetadata) ([]byte, error) {
 	path := filepath.Join(l.options.Folder, snapshotFolder, snapshotName(group, metadata))
 	file, err := l.options.FileSystem.ReadFile(path)
 	if err != nil {
-		return nil, corrupt(path, 0, "a snapshot cannot be read ("+err.Error()+")")
+		return nil, corruptFault(path, 0, "a snapshot cannot be read ("+err.Error()+")")
 	}
 	_, next, state := readFrame(file, 0)
-	if state != frameWhole {
-		return nil, corrupt(path, 0, "the head of a snapshot fails its checksum")
+	if state != frameValid {
+		return nil, corruptFault(path, 0, "the head of a snapshot fails its checksum")
 	}
 	content := file[next:]
 	if uint64(len(content)) != metadata.Size || Checksum(content) != metadata.Checksum {
-		return nil, corrupt(path, next, "a snapshot fails its checksum")
+		return nil, corruptFault(path, next, "a snapshot fails its checksum")
 	}
 	return content, nil
 }
 
-// removeOldSnapshots deletes the snapshot files of a group that are older than
-// its newest one.
+// removeOldSnapshots deletes the snapshot files of a group that are older than the
+// newest one.
 func (l *Log) removeOldSnapshots(group uint32, newest *rockwindpb.SnapshotMetadata) error {
 	folder := filepath.Join(l.options.Folder, snapshotFolder)
 	names, err := l.options.FileSystem.List(folder)
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// removeTemporaries deletes what a crash left half written.
-func removeTemporaries(fileSystem FileSystem, folder string) error {
+// removeTemporaryFiles deletes incomplete files that a crash left behind.
+func removeTemporaryFiles(fileSystem FileSystem, folder string) error {
 	names, err := fileSystem.List(folder)
 	if err != nil {
 		return err
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -21,7 +21,7 @@
 	smallSegment = 2000
 )
 
-// oracle is what a group must hold.
+// oracle is the expected state of a group.
 type oracle struct {
 	hardState *rockwindpb.HardState
 	snapshot  *rockwindpb.SnapshotMetadata
@@ -63,7 +63,7 @@
 	o.snapshot, o.content = metadata, content
 }
 
-// checker drives a log against an oracle.
+// checker applies random operations to a log and compares it with the oracles.
 type checker struct {
 	t      *rapid.T
 	disk   *faultfs.Disk
@@ -71,7 +71,7 @@
 	groups [groupCount]*oracle
 	random *rand.Rand
 	term   uint64
-	disk0  uint64
+	diskID uint64
 }
 
 func (c *checker) open() {
@@ -79,10 +79,10 @@
 	if err != nil {
 		c.t.Fatalf("open: %v", err)
 	}
-	if c.disk0 != 0 && log.DiskID() != c.disk0 {
-		c.t.Fatalf("identity changed from %x to %x", c.disk0, log.DiskID())
+	if c.diskID != 0 && log.DiskID() != c.diskID {
+		c.t.Fatalf("identity changed from %x to %x", c.diskID, log.DiskID())
 	}
-	c.disk0 = log.DiskID()
+	c.diskID = log.DiskID()
 	c.log = log
 }
 
@@ -99,7 +99,7 @@
 	return entries
 }
 
-// update draws a change of one group, and the content of its snapshot.
+// update draws a change to one group and returns it with the content of its snapshot.
 func (c *checker) update(group uint32) (*wal.Update, []byte) {
 	state := c.groups[group]
 	update := &wal.Update{Group: group}
@@ -160,16 +160,16 @@
 		}
 		c.verify()
 		if err := c.log.Write(updates); err != nil {
-			c.t.Fatalf("write after room was made: %v", err)
+			c.t.Fatalf("write after space was freed: %v", err)
 		}
 	}
 	c.groups = next
 }
 
-// stop ends the process, or the machine with it, and may do so within a write:
-// then the group holds the state before it or, all groups together, the state
-// behind it. What an opened log holds must withstand the next crash.
-func (c *checker) stop(end func()) {
+// crashAndReopen crashes the process or the machine, possibly during a write, and
+// opens the log again. The interrupted write must be applied completely or not at all,
+// and what the reopened log returns must survive the next crash.
+func (c *checker) crashAndReopen(end func()) {
 	if !rapid.Bool().Draw(c.t, "within a write") {
 		end()
 		c.open()
@@ -182,10 +182,10 @@
 	c.disk.FailSync(false)
 	empty := update.Snapshot == nil && update.Entries == nil && update.HardState == nil
 	if err == nil && !empty {
-		c.t.Fatalf("a write whose sync failed was accepted")
+		c.t.Fatalf("a write with a failed sync was accepted")
 	}
 	if err != nil && c.log.Write(nil) == nil {
-		c.t.Fatalf("the log goes on after a failed sync")
+		c.t.Fatalf("the log accepts writes after a failed sync")
 	}
 	end()
 	c.open()
@@ -196,7 +196,8 @@
 	}
 }
 
-// appendUpdate draws an update without a snapshot, whose file could not be synced.
+// appendUpdate draws an update that appends entries. It has no snapshot, because
+// saving one fails while syncs fail.
 func (c *checker) appendUpdate() (*wal.Update, []byte) {
 	group := uint32(rapid.IntRange(0, groupCount-1).Draw(c.t, "group"))
 	return &wal.Update{Group: group, Entries: c.entries(c.groups[group].last() + 1)}, nil
@@ -244,8 +245,8 @@
 	}
 }
 
-// TestLogAgainstOracle appends, overwrites, snapshots, runs full and crashes
-// at random; after each step the log holds exactly what was acknowledged.
+// TestLogAgainstOracle runs random writes, snapshots, full disks and crashes. After
+// each step the log must hold exactly what it acknowledged.
 func TestLogAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := &checker{t: t, disk: faultfs.New(), term: 1}
@@ -256,16 +257,16 @@
 		c.open()
 		t.Repeat(map[string]func(*rapid.T){
 			"write":  func(*rapid.T) { c.write() },
-			"crash":  func(*rapid.T) { c.stop(func() { c.disk.Crash(c.random) }) },
-			"kill":   func(*rapid.T) { c.stop(c.disk.KillProcess) },
+			"crash":  func(*rapid.T) { c.crashAndReopen(func() { c.disk.Crash(c.random) }) },
+			"kill":   func(*rapid.T) { c.crashAndReopen(c.disk.KillProcess) },
 			"":       func(*rapid.T) { c.verify() },
 			"write2": func(*rapid.T) { c.write() },
 		})
 	})
 }
 
-// TestFlippedBitIsReported flips single bits of synced files: each must be
-// reported with its file and a remedy, or leave everything readable.
+// TestFlippedBitIsReported flips single bits of synced files. Open must report the
+// corrupt file and a remedy.
 func TestFlippedBitIsReported(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		disk := faultfs.New()
@@ -304,9 +305,9 @@
 	}
 }
 
-// TestEntriesBeforeASnapshotAreBoundedInBytes: a few large entries must not stay in
-// memory only because they are few.
-func TestEntriesBeforeASnapshotAreBoundedInBytes(t *testing.T) {
+// TestTrailingEntriesAreBoundedInBytes guards against a few large entries staying in
+// memory because only their number is limited.
+func TestTrailingEntriesAreBoundedInBytes(t *testing.T) {
 	for bytes, first := range map[int64]uint64{0: 3, 250: 9, 300: 8, 10: 11} {
 		log, err := wal.Open(wal.Options{Folder: folder, FileSystem: faultfs.New(), TrailingEntries: 8, TrailingBytes: bytes})
 		if err != nil {
