--- a/internal/raft/cluster_test.go
+++ b/internal/raft/cluster_test.go
@@ -18,64 +18,67 @@
 	leaseTicks     = 7
 )
 
-// violation is what a simulation panics with when a property does not hold.
+// violation is the panic value for a violated invariant.
 type violation struct{ text string }
 
-// brokenBy is how a simulated cluster is broken on purpose.
-type brokenBy struct {
+// clusterFaults are faults that a simulated cluster has on purpose.
+type clusterFaults struct {
 	core faultInjection
-	// reuseIdentity lets an empty disk come back under the identity of the lost one.
+	// reuseIdentity makes an empty disk come back with the identity of the lost one.
 	reuseIdentity bool
 }
 
-// cluster is machines that run one group each, over a network and disks that
-// fail. Its time counts in intervals of a tick.
+// cluster simulates machines with one replica of a group each, an unreliable network and
+// failing disks. Time is counted in tick intervals.
 type cluster struct {
 	random   *rand.Rand
-	faults   brokenBy
+	faults   clusterFaults
 	now      uint64
 	nextID   uint64
 	machines []*machine
-	// former holds machines that were replaced while they were cut off. They run
-	// on, and may be heard again.
-	former  []*machine
-	flights []*rockwindpb.Message
-	// cut holds pairs of machines, from and to, that do not hear each other.
+	// replacedMachines holds machines that were replaced while they were partitioned. They
+	// keep running and may be reconnected.
+	replacedMachines []*machine
+	inFlight         []*rockwindpb.Message
+	// cut holds the broken links between machines, as from and to.
 	cut map[[2]int]bool
-	// loss and repeat are the probabilities of a message to be lost and to come
-	// again, delay that it stays under way for one more tick, from and to.
+	// loss and repeat are the probabilities that a message is lost or duplicated. delay is
+	// the probability that a message stays in flight for another tick, by from and to.
 	loss, repeat float64
 	delay        map[[2]int]float64
 
-	// The oracle: what was committed first at each index, who led each term, and
-	// what had been committed when a read was asked for.
+	// The expected state: the committed entries, the membership that they result in, the
+	// leader of each term, and the number of committed entries when a read was requested.
 	committed []*rockwindpb.Entry
 	members   *rockwindpb.Membership
 	leaders   map[uint64]uint64
 	reads     map[uint64]uint64
-	// disks holds all disks by identity, the lost ones with what they held.
+	// disks holds all disks by identity, including lost ones.
 	disks map[uint64]*disk
-	// handingOver counts the times at which a leader was handing over for its slow disk.
-	handingOver int
-	// copied is the newest commit index whose copies were counted.
-	copied uint64
+	// slowDiskTransfers counts the processed Readys after which a leader was transferring
+	// leadership because of a slow disk.
+	slowDiskTransfers int
+	// checkedCommit is the highest commit index that checkCopies has checked.
+	checkedCommit uint64
 }
 
-// machine runs a replica on its disk. The node is nil while it is down.
+// machine runs a replica on a disk. node is nil while the process is down.
 type machine struct {
 	number  int
 	disk    *disk
 	node    *Node
 	pending *Ready
-	// synced is when the pending Ready is synced, thawed when it runs again.
-	synced, thawed uint64
-	// syncTicks is how long each sync of its disk takes.
+	// syncedAt is when the sync of the pending Ready ends, and frozenUntil is when a
+	// suspended process resumes.
+	syncedAt, frozenUntil uint64
+	// syncTicks is the duration of each sync of the disk.
 	syncTicks uint64
 	applied   uint64
-	noted     map[uint64]uint64
+	// roundStart holds the time at which each heartbeat round was first seen in a Ready.
+	roundStart map[uint64]uint64
 }
 
-func newCluster(random *rand.Rand, faults brokenBy) *cluster {
+func newCluster(random *rand.Rand, faults clusterFaults) *cluster {
 	c := &cluster{
 		random: random, faults: faults, nextID: machineCount + 1, members: &rockwindpb.Membership{},
 		cut: map[[2]int]bool{}, leaders: map[uint64]uint64{}, reads: map[uint64]uint64{}, disks: map[uint64]*disk{}, delay: map[[2]int]float64{},
@@ -106,22 +109,22 @@
 		MaxInflight: 4, MaxAppendBytes: 64, Random: c.random, Storage: m.disk, Applied: m.applied,
 	})
 	if err != nil {
-		c.failf("replica %d does not start: %v", m.disk.id, err)
+		c.failf("replica %d fails to start: %v", m.disk.id, err)
 	}
 	node.faults = c.faults.core
-	m.node, m.noted = node, map[uint64]uint64{}
+	m.node, m.roundStart = node, map[uint64]uint64{}
 }
 
-// crash ends a process; what it had not synced is written in part.
+// crash stops a process and writes its unsynced data in part.
 func (c *cluster) crash(m *machine) {
 	if m.pending != nil {
-		m.disk.tear(m.pending, c.random)
+		m.disk.storePartially(m.pending, c.random)
 	}
 	m.node, m.pending = nil, nil
 }
 
-// loseDisk ends a process and gives the machine a new disk, provided that the
-// copies of an earlier lost disk were made again.
+// loseDisk stops a process and gives the machine an empty disk, unless the group is still
+// recovering from an earlier loss.
 func (c *cluster) loseDisk(m *machine) {
 	if !c.repaired() {
 		return
@@ -135,8 +138,8 @@
 	c.nextID++
 }
 
-// replaceMachine puts another machine with a new disk in the place of one that is
-// cut off and still runs, under the same condition.
+// replaceMachine replaces a machine by one with an empty disk, unless the group is still
+// recovering from an earlier loss. The old machine is partitioned but keeps running.
 func (c *cluster) replaceMachine(m *machine) {
 	if !c.repaired() {
 		return
@@ -144,7 +147,7 @@
 	fresh := &machine{number: m.number, disk: &disk{id: c.nextID}}
 	c.nextID++
 	c.machines[m.number] = fresh
-	c.former = append(c.former, m)
+	c.replacedMachines = append(c.replacedMachines, m)
 	m.number += machineCount
 	for other := range machineCount {
 		c.cutLink(m.number, other, true)
@@ -152,11 +155,11 @@
 	c.start(fresh)
 }
 
-func (c *cluster) everyMachine() []*machine {
-	return slices.Concat(c.machines, c.former)
+func (c *cluster) allMachines() []*machine {
+	return slices.Concat(c.machines, c.replacedMachines)
 }
 
-// repaired tells whether each machine's disk is a voter, by a committed change.
+// repaired reports whether the committed membership consists of one voter per machine.
 func (c *cluster) repaired() bool {
 	for _, m := range c.machines {
 		if !isVoter(c.members, m.disk.id) {
@@ -166,29 +169,29 @@
 	return len(c.members.GetMembers()) == machineCount
 }
 
-// pass lets a tick interval go by.
-func (c *cluster) pass() {
+// tick simulates one tick interval.
+func (c *cluster) tick() {
 	c.now++
-	for _, m := range c.everyMachine() {
-		if m.node == nil || m.thawed > c.now {
+	for _, m := range c.allMachines() {
+		if m.node == nil || m.frozenUntil > c.now {
 			continue
 		}
 		c.checkLease(m)
 		m.node.Tick()
 		c.repair(m)
-		c.work(m)
+		c.processReady(m)
 	}
 	c.deliver()
-	for _, m := range c.everyMachine() {
-		c.observe(m)
+	for _, m := range c.allMachines() {
+		c.checkSingleLeader(m)
 	}
-	c.checkLeaders()
+	c.checkStaleLeases()
 }
 
-// deliver brings messages to their machines in any order.
+// deliver delivers the messages in flight in random order.
 func (c *cluster) deliver() {
-	waiting := c.flights
-	c.flights = nil
+	waiting := c.inFlight
+	c.inFlight = nil
 	c.random.Shuffle(len(waiting), func(i, j int) { waiting[i], waiting[j] = waiting[j], waiting[i] })
 	for _, message := range waiting {
 		from, to := c.machineOf(message.GetFrom()), c.machineOf(message.GetTo())
@@ -196,18 +199,18 @@
 		case to == nil || to.node == nil || c.random.Float64() < c.loss || c.isCut(from, to):
 			reportSnapshot(from, message, false)
 			continue
-		case to.thawed > c.now || from != nil && c.random.Float64() < c.delay[[2]int{from.number, to.number}]:
-			c.flights = append(c.flights, message)
+		case to.frozenUntil > c.now || from != nil && c.random.Float64() < c.delay[[2]int{from.number, to.number}]:
+			c.inFlight = append(c.inFlight, message)
 			continue
 		case c.random.Float64() < c.repeat:
-			c.flights = append(c.flights, message)
+			c.inFlight = append(c.inFlight, message)
 		}
 		if err := to.node.Step(message); err != nil && !errors.Is(err, ErrBadMessage) {
 			c.failf("replica %d halts: %v", to.disk.id, err)
 		}
 		reportSnapshot(from, message, true)
 		c.checkCopies(to)
-		c.work(to)
+		c.processReady(to)
 	}
 }
 
@@ -215,7 +218,7 @@
 	return from != nil && c.cut[[2]int{from.number, to.number}]
 }
 
-// reportSnapshot tells a leader how the transfer of a snapshot ended.
+// reportSnapshot tells a leader the result of a snapshot transfer.
 func reportSnapshot(from *machine, message *rockwindpb.Message, installed bool) {
 	if message.GetKind() == rockwindpb.MessageKind_MESSAGE_KIND_SNAPSHOT && from != nil && from.node != nil {
 		from.node.ReportSnapshot(message.GetTo(), installed)
@@ -223,7 +226,7 @@
 }
 
 func (c *cluster) machineOf(id uint64) *machine {
-	for _, m := range c.everyMachine() {
+	for _, m := range c.allMachines() {
 		if m.disk.id == id {
 			return m
 		}
@@ -231,42 +234,42 @@
 	return nil
 }
 
-// work takes the next Ready, and ends the one whose sync is over.
-func (c *cluster) work(m *machine) {
+// processReady takes the next Ready and completes the pending one if its sync is over.
+func (c *cluster) processReady(m *machine) {
 	if m.pending == nil && m.node.HasReady() {
 		ready := m.node.Ready()
-		if _, known := m.noted[ready.HeartbeatRound]; !known {
-			m.noted[ready.HeartbeatRound] = c.now
+		if _, known := m.roundStart[ready.HeartbeatRound]; !known {
+			m.roundStart[ready.HeartbeatRound] = c.now
 		}
-		c.flights = append(c.flights, ready.MessagesBeforeSync...)
+		c.inFlight = append(c.inFlight, ready.MessagesBeforeSync...)
 		m.pending = &ready
-		m.synced = max(m.synced, c.now)
+		m.syncedAt = max(m.syncedAt, c.now)
 		if ready.MustSync {
-			m.synced = max(m.synced, c.now+m.syncTicks)
+			m.syncedAt = max(m.syncedAt, c.now+m.syncTicks)
 		}
 	}
-	if m.pending == nil || m.synced > c.now {
+	if m.pending == nil || m.syncedAt > c.now {
 		return
 	}
 	ready := m.pending
 	m.pending = nil
 	m.disk.store(ready, len(ready.Entries)+2)
-	c.flights = append(c.flights, ready.Messages...)
+	c.inFlight = append(c.inFlight, ready.Messages...)
 	c.apply(m, ready)
 	m.node.Advance(*ready)
 	if m.node.SlowDiskTransferTarget() != 0 {
-		c.handingOver++
+		c.slowDiskTransfers++
 	}
 	c.checkCopies(m)
 }
 
-// checkCopies checks that a majority has synced what a leader commits.
+// checkCopies checks that a majority has synced the entry at a leader's commit index.
 func (c *cluster) checkCopies(m *machine) {
 	status := m.node.Status()
-	if status.Role != Leader || status.Commit <= c.copied || !m.node.log.hasTerm(status.Commit, status.Term) {
+	if status.Role != Leader || status.Commit <= c.checkedCommit || !m.node.log.hasTerm(status.Commit, status.Term) {
 		return
 	}
-	c.copied = status.Commit
+	c.checkedCommit = status.Commit
 	copies := 0
 	for _, id := range voters(status.Membership) {
 		if held := c.disks[id]; held != nil && held.holds(status.Commit, status.Term) {
@@ -274,36 +277,36 @@
 		}
 	}
 	if copies < quorumOf(len(voters(status.Membership))) {
-		c.failf("replica %d commits %d, which %d disks hold", m.disk.id, status.Commit, copies)
+		c.failf("replica %d commits index %d, which only %d disks hold", m.disk.id, status.Commit, copies)
 	}
 }
 
-// apply checks what a replica applies against what was committed first.
+// apply checks the entries and reads of a Ready against the expected state.
 func (c *cluster) apply(m *machine, ready *Ready) {
 	if ready.Snapshot != nil {
 		m.applied = ready.Snapshot.GetIndex()
 		if m.applied > uint64(len(c.committed)) || c.committed[m.applied-1].GetTerm() != ready.Snapshot.GetTerm() {
-			c.failf("replica %d installs a snapshot of %d that was not committed", m.disk.id, m.applied)
+			c.failf("replica %d installs a snapshot at index %d that was not committed", m.disk.id, m.applied)
 		}
 	}
 	for _, entry := range ready.CommittedEntries {
 		m.applied++
 		if entry.GetIndex() != m.applied {
-			c.failf("replica %d applies %d after %d", m.disk.id, entry.GetIndex(), m.applied-1)
+			c.failf("replica %d applies index %d after %d", m.disk.id, entry.GetIndex(), m.applied-1)
 		}
-		c.commit(m, entry)
+		c.recordCommitted(m, entry)
 	}
 	for _, read := range ready.ReadStates {
 		if floor, asked := c.reads[read.Context]; !asked || read.Index < floor {
-			c.failf("replica %d reads at %d, but %d were committed before", m.disk.id, read.Index, floor)
+			c.failf("replica %d reads at index %d, but %d entries were committed before", m.disk.id, read.Index, floor)
 		}
 	}
 }
 
-func (c *cluster) commit(m *machine, entry *rockwindpb.Entry) {
+func (c *cluster) recordCommitted(m *machine, entry *rockwindpb.Entry) {
 	if m.applied <= uint64(len(c.committed)) {
 		if first := c.committed[m.applied-1]; !proto.Equal(first, entry) {
-			c.failf("replica %d applies %v at %d, but %v was committed", m.disk.id, entry, m.applied, first)
+			c.failf("replica %d applies %v at index %d, but %v was committed", m.disk.id, entry, m.applied, first)
 		}
 		return
 	}
@@ -311,13 +314,13 @@
 	if entry.GetKind() == rockwindpb.EntryKind_ENTRY_KIND_MEMBERSHIP {
 		c.members = &rockwindpb.Membership{}
 		if err := proto.Unmarshal(entry.GetData(), c.members); err != nil {
-			c.failf("membership: %v", err)
+			c.failf("decode membership: %v", err)
 		}
 	}
 }
 
-// observe checks that a term has one leader.
-func (c *cluster) observe(m *machine) {
+// checkSingleLeader checks that each term has at most one leader.
+func (c *cluster) checkSingleLeader(m *machine) {
 	if m.node == nil {
 		return
 	}
@@ -329,43 +332,43 @@
 	}
 }
 
-// checkLease checks that a leader that may serve reads knows of everything that
-// was committed anywhere.
+// checkLease checks that a leader with a valid lease knows all committed entries.
 func (c *cluster) checkLease(m *machine) {
 	if !c.holdsLease(m) {
 		return
 	}
 	status := m.node.Status()
 	if status.Commit < uint64(len(c.committed)) {
-		c.failf("replica %d holds a lease at %d, but %d are committed", m.disk.id, status.Commit, len(c.committed))
+		c.failf("replica %d holds a lease at index %d, but %d entries are committed", m.disk.id, status.Commit, len(c.committed))
 	}
 }
 
-// holdsLease tells whether a machine may serve reads as the leader.
+// holdsLease reports whether a machine may serve reads as leader.
 func (c *cluster) holdsLease(m *machine) bool {
-	noted, known := m.noted[m.node.LeaseRound()]
-	// Ticks stand still while a process is frozen; then the clock decides.
-	wasFrozen := m.thawed > 0
-	return m.node.Status().LeaseValid && (!wasFrozen || known && c.now-noted < leaseTicks)
+	started, known := m.roundStart[m.node.LeaseRound()]
+	// Ticks stop while a process is suspended, so the clock is checked as well.
+	wasFrozen := m.frozenUntil > 0
+	return m.node.Status().LeaseValid && (!wasFrozen || known && c.now-started < leaseTicks)
 }
 
-// checkLeaders checks that nobody holds a lease beside the leader of a newer term.
-func (c *cluster) checkLeaders() {
+// checkStaleLeases checks that no replica holds a lease while a leader of a newer term
+// exists.
+func (c *cluster) checkStaleLeases() {
 	newest := uint64(0)
-	for _, m := range c.everyMachine() {
+	for _, m := range c.allMachines() {
 		if m.node != nil && m.node.Status().Role == Leader {
 			newest = max(newest, m.node.Status().Term)
 		}
 	}
-	for _, m := range c.everyMachine() {
+	for _, m := range c.allMachines() {
 		if m.node != nil && m.node.Status().Term < newest && c.holdsLease(m) {
-			c.failf("replica %d holds a lease of term %d beside the leader of term %d", m.disk.id, m.node.Status().Term, newest)
+			c.failf("replica %d holds a lease of term %d while term %d has a leader", m.disk.id, m.node.Status().Term, newest)
 		}
 	}
 }
 
-// repair lets a leader replace lost disks: a learner, then a voter, and then the
-// old disk goes.
+// repair lets a leader replace lost disks: it adds the new disk as a learner, promotes it
+// to a voter and removes the old disk.
 func (c *cluster) repair(m *machine) {
 	status := m.node.Status()
 	if status.Role != Leader || c.random.IntN(4) > 0 {
@@ -376,7 +379,7 @@
 		joined := findMember(changed, other.disk.id)
 		name := fmt.Sprint(other.number)
 		switch {
-		case joined == nil && hears(status, name):
+		case joined == nil && hearsMachine(status, name):
 		case joined == nil:
 			changed.Members = slices.DeleteFunc(changed.Members, func(member *rockwindpb.Member) bool {
 				return member.GetMachine() == name && member.GetLearner()
@@ -396,15 +399,16 @@
 	}
 }
 
-// hears tells whether a leader hears a member of a machine's name.
-func hears(status Status, name string) bool {
+// hearsMachine reports whether a leader has recently heard from a member on a machine.
+func hearsMachine(status Status, name string) bool {
 	return slices.ContainsFunc(status.Progress, func(progress ProgressStatus) bool {
 		return progress.Active && findMember(status.Membership, progress.ID).GetMachine() == name
 	})
 }
 
-// shrink has a leader ask for a membership of itself alone, which is refused.
-func (c *cluster) shrink(m *machine) {
+// proposeSoleMember lets a leader propose a membership of itself alone, which must be
+// rejected.
+func (c *cluster) proposeSoleMember(m *machine) {
 	if m.node == nil || m.node.Status().Role != Leader {
 		return
 	}
--- a/internal/raft/disk_test.go
+++ b/internal/raft/disk_test.go
@@ -6,7 +6,7 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// disk holds what one replica has synced. It implements Storage.
+// disk holds the synced state of one replica. It implements Storage.
 type disk struct {
 	id       uint64
 	hard     *rockwindpb.HardState
@@ -56,7 +56,7 @@
 // Snapshot implements Storage.
 func (d *disk) Snapshot() (*rockwindpb.SnapshotMetadata, error) { return d.snapshot, nil }
 
-// holds tells whether an entry, or a snapshot that contains it, is synced.
+// holds reports whether an entry, or a snapshot that contains it, is synced.
 func (d *disk) holds(index, term uint64) bool {
 	if index <= d.snapshot.GetIndex() {
 		return true
@@ -65,7 +65,7 @@
 	return err == nil && found == term
 }
 
-// store writes a Ready in its order, up to a number of records.
+// store writes a Ready in the documented order, limited to a number of records.
 func (d *disk) store(ready *Ready, records int) {
 	if ready.Snapshot != nil && records > 0 {
 		d.snapshot, d.entries = ready.Snapshot, nil
@@ -84,12 +84,12 @@
 	}
 }
 
-// tear writes a part of a Ready, as a crash before its sync may leave it.
-func (d *disk) tear(ready *Ready, random *rand.Rand) {
+// storePartially writes a part of a Ready, as a crash before its sync would.
+func (d *disk) storePartially(ready *Ready, random *rand.Rand) {
 	d.store(ready, random.IntN(len(ready.Entries)+2))
 }
 
-// compact replaces the log up to an applied index by a snapshot.
+// compact replaces the log up to an applied index with a snapshot.
 func (d *disk) compact(index uint64, membership *rockwindpb.Membership) {
 	if index < d.FirstIndex() || index > d.LastIndex() {
 		return
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -6,23 +6,24 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Campaign starts an election now, unless a leader was heard within the
-// election timeout or this replica may not lead.
+// Campaign starts an election now, unless this replica heard from a leader within the
+// election timeout or may not lead.
 func (n *Node) Campaign() {
-	if n.halted == nil && n.role != Leader && !n.leaderPromised() && n.mayCampaign() {
+	if n.halted == nil && n.role != Leader && !n.mustWithholdVote() && n.mayCampaign() {
 		n.campaignPreVote()
 	}
 }
 
-// mayCampaign tells whether this replica may become leader.
+// mayCampaign reports whether this replica may become leader.
 func (n *Node) mayCampaign() bool {
 	return isVoter(n.members.current(), n.id) && n.log.snapshot == nil
 }
 
-// leaderPromised tells whether a leader may hold a lease that rests on this
-// replica. A leader itself gives way only through check-quorum.
-func (n *Node) leaderPromised() bool {
-	if n.faults.forgetLeaderPromise {
+// mustWithholdVote reports whether a leader may hold a lease that depends on this replica
+// not voting for another candidate. A leader itself steps down only if it loses contact
+// with a quorum.
+func (n *Node) mustWithholdVote() bool {
+	if n.faults.ignoreLeaderLease {
 		return false
 	}
 	return n.role == Leader || n.leaderElapsed < n.config.ElectionTicks
@@ -31,43 +32,44 @@
 func (n *Node) campaignPreVote() {
 	n.becomeFollower(n.term, 0)
 	n.role = PreCandidate
-	n.granted = map[uint64]bool{n.id: true}
+	n.votes = map[uint64]bool{n.id: true}
 	if n.votesWon() {
-		n.campaign(byMajority)
+		n.campaign(majorityElection)
 		return
 	}
 	n.requestVotes(&rockwindpb.Message{Kind: rockwindpb.MessageKind_MESSAGE_KIND_PRE_VOTE, Term: n.term + 1})
 }
 
-// election is what an election rests on.
-type election int
+// electionKind defines which votes an election requires.
+type electionKind int
 
 const (
-	// byMajority is won by the votes of a majority.
-	byMajority election = iota
-	// byTransfer is the same, ordered by the leader, who gave up its lease before.
-	byTransfer
-	// byAll is won by the votes of all voters only.
-	byAll
+	// majorityElection requires the votes of a majority.
+	majorityElection electionKind = iota
+	// transferElection requires the votes of a majority, too. The previous leader gave up
+	// its lease and ordered the election.
+	transferElection
+	// unanimousElection requires the votes of all voters.
+	unanimousElection
 )
 
-// campaign starts a new term.
-func (n *Node) campaign(kind election) {
+// campaign starts an election in a new term.
+func (n *Node) campaign(kind electionKind) {
 	n.becomeFollower(n.term+1, 0)
 	n.role = Candidate
-	n.unanimous = kind == byAll
+	n.unanimous = kind == unanimousElection
 	n.vote = n.id
-	n.granted = map[uint64]bool{n.id: true}
+	n.votes = map[uint64]bool{n.id: true}
 	if n.votesWon() {
 		n.becomeLeader()
 		return
 	}
 	n.requestVotes(&rockwindpb.Message{
-		Kind: rockwindpb.MessageKind_MESSAGE_KIND_VOTE, Term: n.term, Transfer: kind == byTransfer, Unanimous: kind == byAll,
+		Kind: rockwindpb.MessageKind_MESSAGE_KIND_VOTE, Term: n.term, Transfer: kind == transferElection, Unanimous: kind == unanimousElection,
 	})
 }
 
-// requestVotes sends a request to each other voter, with where this log ends.
+// requestVotes sends a request to all other voters and adds the end of this log.
 func (n *Node) requestVotes(request *rockwindpb.Message) {
 	last := n.log.lastIndex()
 	lastTerm, err := n.log.lastTerm()
@@ -86,8 +88,8 @@
 	}
 }
 
-// votesWon tells whether enough voters of this replica's own membership granted their
-// votes: a majority, or all in an election that needs all. Answers of others do not count.
+// votesWon reports whether enough voters of this replica's own membership granted their
+// votes: a majority, or all of them in a unanimous election. Others do not count.
 func (n *Node) votesWon() bool {
 	count := len(voters(n.members.current()))
 	if n.unanimous && !n.faults.unanimousByMajority {
@@ -99,21 +101,21 @@
 func (n *Node) countVotes(granted bool) int {
 	count := 0
 	for _, id := range voters(n.members.current()) {
-		if answer, answered := n.granted[id]; answered && answer == granted {
+		if vote, voted := n.votes[id]; voted && vote == granted {
 			count++
 		}
 	}
 	return count
 }
 
-// upToDate tells whether a candidate's log holds at least what this one holds.
+// upToDate reports whether the candidate's log is at least as up to date as this one.
 func (n *Node) upToDate(message *rockwindpb.Message) (bool, error) {
 	order, err := n.compareLog(message)
 	return err == nil && order >= 0, err
 }
 
-// compareLog tells where a candidate's log ends beside this one: it is negative where that is
-// earlier, zero at the same place and positive where it is later.
+// compareLog compares the end of the candidate's log with the end of this one. The result
+// is negative if the candidate's log is less up to date, and zero if both end alike.
 func (n *Node) compareLog(message *rockwindpb.Message) (int, error) {
 	lastTerm, err := n.log.lastTerm()
 	if err != nil {
@@ -123,18 +125,18 @@
 }
 
 func (n *Node) handlePreVote(message *rockwindpb.Message) error {
-	current, err := n.upToDate(message)
+	upToDate, err := n.upToDate(message)
 	if err != nil {
 		return err
 	}
 	reply := &rockwindpb.Message{
 		Kind: rockwindpb.MessageKind_MESSAGE_KIND_PRE_VOTE_REPLY, To: message.GetFrom(), Unanimous: message.GetUnanimous(),
 	}
-	if message.GetUnanimous() && n.standsFirst(message) {
-		current = false
+	if message.GetUnanimous() && n.takesPrecedence(message) {
+		upToDate = false
 		reply.Term = max(n.term, message.GetTerm()-1)
 	}
-	if message.GetTerm() > n.term && current {
+	if message.GetTerm() > n.term && upToDate {
 		reply.Term = message.GetTerm()
 	} else {
 		reply.Reject = true
@@ -143,19 +145,19 @@
 	return nil
 }
 
-// handleVote votes for the first candidate of the term whose log is up to date.
-// A learner answers too: it may have been promoted by an entry that it lacks,
-// and the candidate counts only the voters of its own membership.
+// handleVote grants the vote to the first candidate of the term whose log is up to date.
+// A learner votes, too: the entry that promotes it may not have reached it yet, and the
+// candidate only counts voters of its own membership.
 func (n *Node) handleVote(message *rockwindpb.Message) error {
-	current, err := n.upToDate(message)
+	upToDate, err := n.upToDate(message)
 	if err != nil {
 		return err
 	}
-	if !message.GetTransfer() && n.leaderPromised() && !n.mayWaivePromise(message) {
+	if !message.GetTransfer() && n.mustWithholdVote() && !n.mayVoteDespiteLease(message) {
 		return nil
 	}
-	free := n.vote == message.GetFrom() || (n.vote == 0 && n.leader == 0)
-	granted := free && current && n.role != Leader
+	canVote := n.vote == message.GetFrom() || (n.vote == 0 && n.leader == 0)
+	granted := canVote && upToDate && n.role != Leader
 	if granted {
 		n.vote = message.GetFrom()
 		n.resetElectionTimer()
@@ -166,10 +168,10 @@
 	return nil
 }
 
-// handleVoteReply counts an answer to the election that is going on in role.
+// handleVoteReply counts a reply in the election or pre-vote that belongs to role.
 func (n *Node) handleVoteReply(message *rockwindpb.Message, role Role) error {
 	if message.GetUnanimous() && role == PreCandidate {
-		n.handlePollReply(message)
+		n.handleUnanimousPreVoteReply(message)
 		return nil
 	}
 	if n.role != role {
@@ -178,12 +180,12 @@
 	if role == PreCandidate && !message.GetReject() && message.GetTerm() != n.term+1 {
 		return nil
 	}
-	if _, answered := n.granted[message.GetFrom()]; !answered {
-		n.granted[message.GetFrom()] = !message.GetReject()
+	if _, voted := n.votes[message.GetFrom()]; !voted {
+		n.votes[message.GetFrom()] = !message.GetReject()
 	}
 	switch {
 	case n.votesWon() && role == PreCandidate:
-		n.campaign(byMajority)
+		n.campaign(majorityElection)
 	case n.votesWon():
 		n.becomeLeader()
 	case n.votesLost():
@@ -192,8 +194,8 @@
 	return nil
 }
 
-// votesLost tells whether the election can't be won any more: by the rejection of a majority,
-// or of one voter where all votes are needed.
+// votesLost reports whether the election cannot be won anymore, because a majority
+// rejected it, or a single voter in a unanimous election.
 func (n *Node) votesLost() bool {
 	if n.unanimous {
 		return n.countVotes(false) > 0
@@ -203,7 +205,7 @@
 
 func (n *Node) handleTimeoutNow(message *rockwindpb.Message) error {
 	if n.role == Follower && n.leader == message.GetFrom() && n.mayCampaign() {
-		n.campaign(byTransfer)
+		n.campaign(transferElection)
 	}
 	return nil
 }
--- a/internal/raft/leader.go
+++ b/internal/raft/leader.go
@@ -6,33 +6,33 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// leading is the state of a leader, for its term.
-type leading struct {
+// leaderState is the state of a leader in its term.
+type leaderState struct {
 	progress map[uint64]*progress
-	// heartbeatElapsed counts ticks since the last heartbeats.
+	// heartbeatElapsed counts the ticks since the last heartbeat round.
 	heartbeatElapsed int
-	// transferTarget is the member that leadership is being handed to.
+	// transferTarget is the target of the leadership transfer in progress, or 0.
 	transferTarget  uint64
 	transferElapsed int
-	// leaseRevoked is set once a member was told to take over: from then on
-	// the members vote regardless of leases.
+	// leaseRevoked is set once a member was told to start an election: from then on the
+	// members vote regardless of leases.
 	leaseRevoked bool
-	// sentRounds holds the rounds that no quorum has answered, and the newest
-	// that one has, ascending.
+	// sentRounds holds, in ascending order, the heartbeat rounds without a quorum of
+	// replies and the newest round that has one.
 	sentRounds []sentRound
-	// confirmedRound is the newest round that a quorum answered.
+	// confirmedRound is the newest round that a quorum replied to.
 	confirmedRound uint64
 	leaseStart     uint64
 	reads          []pendingRead
-	// sync is the write of the own log that is under way, and slowSyncs how many in a row were
-	// much slower than those of a quorum.
-	sync      ownSync
+	// sync is the current sync of the leader's own log, and slowSyncs counts the
+	// consecutive syncs that were much slower than those of a quorum.
+	sync      leaderSync
 	slowSyncs int
-	// slowDisk tells that the last transfer was for that.
-	slowDisk bool
+	// slowDiskTransfer reports whether the last transfer was because of a slow disk.
+	slowDiskTransfer bool
 }
 
-// sentRound is the tick at which a heartbeat round was made.
+// sentRound is a heartbeat round and the tick at which it was sent.
 type sentRound struct {
 	round uint64
 	tick  uint64
@@ -41,13 +41,13 @@
 func (n *Node) becomeLeader() {
 	n.role = Leader
 	n.leader = n.id
-	n.granted = nil
-	n.restarted, n.polled, n.unanimous = false, nil, false
+	n.votes = nil
+	n.noLeaderSinceStart, n.unanimousGrants, n.unanimous = false, nil, false
 	n.electionElapsed = 0
-	n.leading = &leading{progress: make(map[uint64]*progress)}
+	n.leaderState = &leaderState{progress: make(map[uint64]*progress)}
 	n.trackMembers()
-	n.leading.progress[n.id].match = n.log.persisted()
-	first, err := n.appendOwn(rockwindpb.EntryKind_ENTRY_KIND_EMPTY, nil)
+	n.leaderState.progress[n.id].match = n.log.persisted()
+	first, err := n.appendLeaderEntry(rockwindpb.EntryKind_ENTRY_KIND_EMPTY, nil)
 	if err != nil {
 		return
 	}
@@ -55,26 +55,26 @@
 	n.broadcastHeartbeat()
 }
 
-// trackMembers starts and stops tracking members after the membership changed.
+// trackMembers updates the set of tracked members after a membership change.
 func (n *Node) trackMembers() {
 	membership := n.members.current()
 	for _, member := range membership.GetMembers() {
-		if n.leading.progress[member.GetId()] == nil {
-			n.leading.progress[member.GetId()] = &progress{next: n.log.lastIndex() + 1, heard: n.ticks}
+		if n.leaderState.progress[member.GetId()] == nil {
+			n.leaderState.progress[member.GetId()] = &progress{next: n.log.lastIndex() + 1, lastHeard: n.ticks}
 		}
 	}
-	for id := range n.leading.progress {
+	for id := range n.leaderState.progress {
 		if id != n.id && findMember(membership, id) == nil {
-			delete(n.leading.progress, id)
+			delete(n.leaderState.progress, id)
 		}
 	}
-	if n.leading.progress[n.id] == nil {
-		n.leading.progress[n.id] = &progress{}
+	if n.leaderState.progress[n.id] == nil {
+		n.leaderState.progress[n.id] = &progress{}
 	}
 }
 
-// appendOwn appends an entry of the leader's own term.
-func (n *Node) appendOwn(kind rockwindpb.EntryKind, data []byte) (uint64, error) {
+// appendLeaderEntry appends an entry of the current term to the leader's log.
+func (n *Node) appendLeaderEntry(kind rockwindpb.EntryKind, data []byte) (uint64, error) {
 	entry := &rockwindpb.Entry{Term: n.term, Index: n.log.lastIndex() + 1, Kind: kind, Data: data}
 	n.log.append(entry)
 	if err := n.members.add([]*rockwindpb.Entry{entry}); err != nil {
@@ -84,20 +84,21 @@
 		n.trackMembers()
 	}
 	if n.faults.countSelfBeforeSync {
-		n.countSelf(entry.Index)
+		n.advanceOwnMatch(entry.Index)
 	}
 	return entry.Index, nil
 }
 
-// countSelf counts the leader's own log up to an index that is synced.
-func (n *Node) countSelf(index uint64) {
-	p := n.leading.progress[n.id]
+// advanceOwnMatch records that the leader has synced its own log up to index.
+func (n *Node) advanceOwnMatch(index uint64) {
+	p := n.leaderState.progress[n.id]
 	p.match = max(p.match, index)
 	n.maybeCommit()
 }
 
-// maybeCommit moves the commit index to what a quorum has synced. Only entries
-// of the own term are committed by counting; older ones go with them.
+// maybeCommit advances the commit index to the last index that a quorum has synced. Only
+// entries of the current term are committed by counting replicas; earlier ones are
+// committed together with them.
 func (n *Node) maybeCommit() {
 	index := quorumValue(n.members.current(), n.matchOf)
 	if index <= n.log.committed {
@@ -107,32 +108,33 @@
 		return
 	}
 	n.log.committed = index
-	n.noteQuorum()
-	n.answerReads()
+	n.recordQuorumSync()
+	n.completeReads()
 	if n.members.currentIndex() <= index && !isVoter(n.members.current(), n.id) {
-		n.leaveLeadership()
+		n.stepDownAfterRemoval()
 	}
 }
 
 func (n *Node) matchOf(id uint64) uint64 {
-	return n.leading.progress[id].match
+	return n.leaderState.progress[id].match
 }
 
-// leaveLeadership steps down after the own removal is committed, and asks the
-// most advanced voter to take over.
-func (n *Node) leaveLeadership() {
-	if target := n.bestVoter(); target != 0 {
+// stepDownAfterRemoval steps down when the removal of this replica is committed, and
+// tells the most advanced voter to start an election.
+func (n *Node) stepDownAfterRemoval() {
+	if target := n.mostAdvancedVoter(); target != 0 {
 		n.sendAppends(target)
-		n.sendEarly(&rockwindpb.Message{Kind: rockwindpb.MessageKind_MESSAGE_KIND_TIMEOUT_NOW, To: target})
+		n.sendBeforeSync(&rockwindpb.Message{Kind: rockwindpb.MessageKind_MESSAGE_KIND_TIMEOUT_NOW, To: target})
 	}
 	n.becomeFollower(n.term, 0)
 }
 
-// bestVoter returns the active voter, other than this replica, that holds most.
-func (n *Node) bestVoter() uint64 {
+// mostAdvancedVoter returns the active voter, other than this replica, with the highest
+// match index, or 0 if there is none.
+func (n *Node) mostAdvancedVoter() uint64 {
 	best := uint64(0)
 	for _, id := range voters(n.members.current()) {
-		if id == n.id || !n.active(n.leading.progress[id]) {
+		if id == n.id || !n.active(n.leaderState.progress[id]) {
 			continue
 		}
 		if best == 0 || n.matchOf(id) > n.matchOf(best) {
@@ -142,9 +144,9 @@
 	return best
 }
 
-// active tells whether a member was heard within the election timeout.
+// active reports whether a member was heard from within the election timeout.
 func (n *Node) active(p *progress) bool {
-	return n.ticks-p.heard < uint64(n.config.ElectionTicks)
+	return n.ticks-p.lastHeard < uint64(n.config.ElectionTicks)
 }
 
 func (n *Node) tickLeader() {
@@ -152,19 +154,19 @@
 		n.becomeFollower(n.term, 0)
 		return
 	}
-	if n.leading.transferTarget != 0 && !n.tickTransfer() {
+	if n.leaderState.transferTarget != 0 && !n.tickTransfer() {
 		return
 	}
-	n.leading.heartbeatElapsed++
-	if n.leading.heartbeatElapsed >= n.config.HeartbeatTicks {
+	n.leaderState.heartbeatElapsed++
+	if n.leaderState.heartbeatElapsed >= n.config.HeartbeatTicks {
 		n.broadcastHeartbeat()
 	}
 }
 
-// hasQuorumContact tells whether a quorum was heard within the election timeout.
+// hasQuorumContact reports whether a quorum was heard from within the election timeout.
 func (n *Node) hasQuorumContact() bool {
 	heard := quorumValue(n.members.current(), func(id uint64) uint64 {
-		if id == n.id || n.active(n.leading.progress[id]) {
+		if id == n.id || n.active(n.leaderState.progress[id]) {
 			return 1
 		}
 		return 0
@@ -172,9 +174,9 @@
 	return heard == 1
 }
 
-// TransferLeadership hands leadership to a voter, or to the most advanced voter
-// when to is 0. Proposals fail until the new leader is elected or the transfer
-// is given up after ElectionTicks.
+// TransferLeadership transfers leadership to a voter, or to the most advanced voter if to
+// is 0. Proposals fail until the new leader is elected or the transfer is aborted after
+// ElectionTicks.
 func (n *Node) TransferLeadership(to uint64) error {
 	if n.halted != nil {
 		return n.halted
@@ -183,15 +185,15 @@
 		return ErrNotLeader
 	}
 	if to == 0 {
-		to = n.bestVoter()
+		to = n.mostAdvancedVoter()
 	}
 	if to == n.id {
 		return nil
 	}
 	if !isVoter(n.members.current(), to) {
-		return errors.Wrapf(ErrMembershipInvalid, "replica %x is no voter that could lead", to)
+		return errors.Wrapf(ErrMembershipInvalid, "replica %x is not a voter", to)
 	}
-	if n.leading.transferTarget != 0 {
+	if n.leaderState.transferTarget != 0 {
 		return ErrTransferring
 	}
 	n.beginTransfer(to)
@@ -200,60 +202,60 @@
 }
 
 func (n *Node) beginTransfer(to uint64) {
-	n.leading.transferTarget, n.leading.transferElapsed, n.leading.slowDisk = to, 0, false
+	n.leaderState.transferTarget, n.leaderState.transferElapsed, n.leaderState.slowDiskTransfer = to, 0, false
 }
 
-// continueTransfer tells the target to take over once it holds the whole log.
+// continueTransfer tells the target to start an election once it holds the whole log.
 func (n *Node) continueTransfer() {
-	target := n.leading.transferTarget
-	if target == 0 || n.leading.progress[target] == nil || n.matchOf(target) != n.log.lastIndex() {
+	target := n.leaderState.transferTarget
+	if target == 0 || n.leaderState.progress[target] == nil || n.matchOf(target) != n.log.lastIndex() {
 		return
 	}
-	n.orderTakeover(target)
+	n.sendTimeoutNow(target)
 }
 
-// tickTransfer gives up a transfer after the election timeout. If the target
-// was told to take over, its vote requests may still arrive, so the lease stays
-// revoked in this term; the leader then starts a new term to get a lease again.
-// It returns false when this replica leads no more.
+// tickTransfer aborts a transfer after the election timeout. If the target was told to
+// start an election, its vote requests may still arrive, so the lease stays revoked in
+// this term, and the leader starts an election itself to regain a lease. It returns false
+// if this replica no longer leads.
 func (n *Node) tickTransfer() bool {
-	n.leading.transferElapsed++
-	if n.leading.transferElapsed < n.config.ElectionTicks {
-		if n.leading.transferElapsed%n.config.HeartbeatTicks == 0 {
+	n.leaderState.transferElapsed++
+	if n.leaderState.transferElapsed < n.config.ElectionTicks {
+		if n.leaderState.transferElapsed%n.config.HeartbeatTicks == 0 {
 			n.continueTransfer()
 		}
 		return true
 	}
-	n.leading.transferTarget = 0
-	if !n.leading.leaseRevoked {
+	n.leaderState.transferTarget = 0
+	if !n.leaderState.leaseRevoked {
 		return true
 	}
 	if !n.mayCampaign() {
 		n.becomeFollower(n.term, 0)
 		return false
 	}
-	n.campaign(byTransfer)
+	n.campaign(transferElection)
 	return false
 }
 
-// ReportUnreachable tells the leader that messages to a member may be lost.
+// ReportUnreachable tells the leader that messages to a member may have been lost.
 func (n *Node) ReportUnreachable(id uint64) {
-	if n.role != Leader || n.leading.progress[id] == nil || id == n.id {
+	if n.role != Leader || n.leaderState.progress[id] == nil || id == n.id {
 		return
 	}
-	if p := n.leading.progress[id]; p.state == replicating {
+	if p := n.leaderState.progress[id]; p.state == replicating {
 		p.becomeProbing()
 		p.waiting = true
 	}
 }
 
-// ReportSnapshot tells the leader that the transfer of a snapshot to a member
-// ended. The caller must report each snapshot message that it took from Ready.
+// ReportSnapshot tells the leader that a snapshot transfer to a member ended. The caller
+// must report the result of each snapshot message from Ready.
 func (n *Node) ReportSnapshot(id uint64, installed bool) {
-	if n.role != Leader || n.leading.progress[id] == nil {
+	if n.role != Leader || n.leaderState.progress[id] == nil {
 		return
 	}
-	p := n.leading.progress[id]
+	p := n.leaderState.progress[id]
 	if p.state != installing {
 		return
 	}
--- a/internal/raft/log.go
+++ b/internal/raft/log.go
@@ -6,21 +6,22 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// entryOverhead is added to an entry's data when messages are sized, in bytes.
+// entryOverhead is the number of bytes added to the data size of an entry when the size
+// of a message is limited.
 const entryOverhead = 16
 
-// entryLog joins the persisted log with the entries that are not persisted yet.
+// entryLog combines the persisted log with the entries that are not persisted yet.
 type entryLog struct {
 	storage Storage
-	// snapshot waits to be installed.
+	// snapshot is the snapshot that is to be installed, or nil.
 	snapshot *rockwindpb.SnapshotMetadata
-	// unstable holds the entries from index offset on.
+	// unstable holds the entries that are not persisted yet, from index offset on.
 	unstable []*rockwindpb.Entry
 	offset   uint64
 	// committed is the commit index.
 	committed uint64
-	// handed is the last index handed out for applying.
-	handed uint64
+	// applying is the last index that was returned for applying.
+	applying uint64
 }
 
 func newEntryLog(storage Storage, commit, applied uint64) *entryLog {
@@ -28,7 +29,7 @@
 		storage:   storage,
 		offset:    storage.LastIndex() + 1,
 		committed: max(commit, applied, storage.FirstIndex()-1),
-		handed:    max(applied, storage.FirstIndex()-1),
+		applying:  max(applied, storage.FirstIndex()-1),
 	}
 }
 
@@ -43,7 +44,7 @@
 	return l.storage.FirstIndex()
 }
 
-// persisted is the last index that is known to be synced here.
+// persisted returns the last index that is known to be synced locally.
 func (l *entryLog) persisted() uint64 {
 	if l.snapshot != nil {
 		return 0
@@ -67,7 +68,7 @@
 	return l.storage.Term(index)
 }
 
-// hasTerm tells whether the entry at the index is known and has the term.
+// hasTerm reports whether the log has an entry with this index and term.
 func (l *entryLog) hasTerm(index, term uint64) bool {
 	found, err := l.term(index)
 	return err == nil && found == term
@@ -77,7 +78,7 @@
 	return l.term(l.lastIndex())
 }
 
-// entries returns entries in [low, high), at most maxBytes but at least one.
+// entries returns the entries in [low, high), limited to maxBytes but at least one.
 func (l *entryLog) entries(low, high uint64, maxBytes int) ([]*rockwindpb.Entry, error) {
 	if low >= high {
 		return nil, nil
@@ -113,12 +114,12 @@
 	return entries
 }
 
-// append adds entries after the last one.
+// append adds entries to the end of the log.
 func (l *entryLog) append(entries ...*rockwindpb.Entry) {
 	l.unstable = append(l.unstable, entries...)
 }
 
-// firstConflict returns the position of the first entry that is not in the log.
+// firstConflict returns the position of the first entry that the log does not contain.
 func (l *entryLog) firstConflict(entries []*rockwindpb.Entry) int {
 	for i, entry := range entries {
 		if !l.hasTerm(entry.GetIndex(), entry.GetTerm()) {
@@ -128,8 +129,8 @@
 	return len(entries)
 }
 
-// replace drops what the log holds from the first entry's index on, and
-// appends the entries.
+// replace removes the log's entries from the index of the first entry on, and appends
+// the given ones.
 func (l *entryLog) replace(entries []*rockwindpb.Entry) error {
 	from := entries[0].GetIndex()
 	if from <= l.committed {
@@ -145,16 +146,16 @@
 	return nil
 }
 
-// restore replaces the whole log by a snapshot.
+// restore replaces the whole log with a snapshot.
 func (l *entryLog) restore(snapshot *rockwindpb.SnapshotMetadata) {
 	l.snapshot = snapshot
 	l.unstable = nil
 	l.offset = snapshot.GetIndex() + 1
 	l.committed = snapshot.GetIndex()
-	l.handed = snapshot.GetIndex()
+	l.applying = snapshot.GetIndex()
 }
 
-// advance notes that the entries and the snapshot of a Ready are synced.
+// advance records that the entries and the snapshot of a Ready are synced.
 func (l *entryLog) advance(entries []*rockwindpb.Entry, snapshot *rockwindpb.SnapshotMetadata) {
 	if snapshot != nil && l.snapshot == snapshot {
 		l.snapshot = nil
@@ -173,13 +174,13 @@
 	l.offset = last.GetIndex() + 1
 }
 
-// applicable is the last index that may be handed out for applying.
+// applicable returns the last index that may be returned for applying.
 func (l *entryLog) applicable() uint64 {
 	return min(l.committed, l.persisted())
 }
 
-// conflictHint returns the last index up to index whose term is at most term,
-// and its term. No entry after it can match a log that has term at index.
+// conflictHint returns the last position up to index whose term is at most term, and its
+// term. No later entry can match a log that has term at index.
 func (l *entryLog) conflictHint(index, term uint64) (uint64, uint64) {
 	for ; index > 0; index-- {
 		found, err := l.term(index)
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -9,14 +9,14 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// membershipAt is a membership and the index of the entry that holds it.
+// membershipAt is a membership with the index of its entry.
 type membershipAt struct {
 	index      uint64
 	membership *rockwindpb.Membership
 }
 
-// memberships holds the memberships in the log, oldest first. The last one is
-// in effect, whether committed or not.
+// memberships holds the memberships in the log, oldest first. The last one is in effect
+// even if it is not committed.
 type memberships struct {
 	history []membershipAt
 }
@@ -46,21 +46,21 @@
 	return m.history[0].membership
 }
 
-// truncate forgets memberships at and after an index.
+// truncate removes the memberships from an index on.
 func (m *memberships) truncate(from uint64) {
 	for len(m.history) > 1 && m.currentIndex() >= from {
 		m.history = m.history[:len(m.history)-1]
 	}
 }
 
-// compact forgets memberships that were replaced before an index.
+// compact removes memberships that were superseded before an index.
 func (m *memberships) compact(before uint64) {
 	for len(m.history) > 1 && m.history[1].index < before {
 		m.history = m.history[1:]
 	}
 }
 
-// add reads the membership entries among the entries.
+// add appends the memberships that the entries contain.
 func (m *memberships) add(entries []*rockwindpb.Entry) error {
 	for _, entry := range entries {
 		if entry.GetKind() != rockwindpb.EntryKind_ENTRY_KIND_MEMBERSHIP {
@@ -68,14 +68,14 @@
 		}
 		membership := &rockwindpb.Membership{}
 		if err := proto.Unmarshal(entry.GetData(), membership); err != nil {
-			return errors.Wrapf(err, "membership entry %d", entry.GetIndex())
+			return errors.Wrapf(err, "decode membership entry %d", entry.GetIndex())
 		}
 		m.history = append(m.history, membershipAt{index: entry.GetIndex(), membership: membership})
 	}
 	return nil
 }
 
-// findMember returns the member with the id, or nil.
+// findMember returns the member with the given ID, or nil.
 func findMember(membership *rockwindpb.Membership, id uint64) *rockwindpb.Member {
 	for _, member := range membership.GetMembers() {
 		if member.GetId() == id {
@@ -85,13 +85,13 @@
 	return nil
 }
 
-// isVoter tells whether the id is a voter of the membership.
+// isVoter reports whether the member with the given ID is a voter.
 func isVoter(membership *rockwindpb.Membership, id uint64) bool {
 	member := findMember(membership, id)
 	return member != nil && !member.GetLearner()
 }
 
-// voters returns the ids of the voters in the order of the membership.
+// voters returns the IDs of the voters in the order of the membership.
 func voters(membership *rockwindpb.Membership) []uint64 {
 	var ids []uint64
 	for _, member := range membership.GetMembers() {
@@ -102,13 +102,12 @@
 	return ids
 }
 
-// quorumOf returns how many of a number of voters are a majority.
+// quorumOf returns the size of a majority of count voters.
 func quorumOf(count int) int {
 	return count/2 + 1
 }
 
-// quorumValue returns the largest number that a majority of voters has
-// reached, where value gives the number of each voter.
+// quorumValue returns the highest value that a majority of the voters has reached.
 func quorumValue(membership *rockwindpb.Membership, value func(id uint64) uint64) uint64 {
 	ids := voters(membership)
 	if len(ids) == 0 {
@@ -122,8 +121,8 @@
 	return values[len(values)-quorumOf(len(values))]
 }
 
-// checkChange verifies that a change keeps the quorums of both memberships
-// overlapping, and that a promoted member was a learner before.
+// checkChange verifies that the quorums of both memberships overlap, and that a new voter
+// was a learner before.
 func checkChange(from, to *rockwindpb.Membership) error {
 	if err := checkMembership(to); err != nil {
 		return err
@@ -144,7 +143,7 @@
 		}
 	}
 	if changes > 1 {
-		return errors.Wrapf(ErrMembershipInvalid, "%d voters change, at most one may", changes)
+		return errors.Wrapf(ErrMembershipInvalid, "%d voters would change, at most one is allowed", changes)
 	}
 	return nil
 }
@@ -153,12 +152,12 @@
 	seen := make(map[uint64]bool, len(membership.GetMembers()))
 	for _, member := range membership.GetMembers() {
 		if member.GetId() == 0 || seen[member.GetId()] {
-			return errors.Wrapf(ErrMembershipInvalid, "member id %x is zero or given twice", member.GetId())
+			return errors.Wrapf(ErrMembershipInvalid, "member ID %x is zero or duplicate", member.GetId())
 		}
 		seen[member.GetId()] = true
 	}
 	if len(voters(membership)) == 0 {
-		return errors.Wrap(ErrMembershipInvalid, "no voter is left")
+		return errors.Wrap(ErrMembershipInvalid, "the membership has no voters")
 	}
 	return nil
 }
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -7,7 +7,7 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Node is the consensus state of one replica. It is not safe for concurrent use.
+// Node is the Raft state of one replica. It is not safe for concurrent use.
 type Node struct {
 	config  Config
 	id      uint64
@@ -17,62 +17,62 @@
 	leader  uint64
 	log     *entryLog
 	members *memberships
-	// ticks counts calls of Tick.
+	// ticks counts the calls of Tick.
 	ticks uint64
-	// electionElapsed counts ticks since the election timer was reset.
+	// electionElapsed counts the ticks since the election timer was reset.
 	electionElapsed int
 	electionTimeout int
-	// leaderElapsed counts ticks since a leader was heard, or since the start.
-	// Below ElectionTicks the replica votes for nobody, since a leader may hold
-	// a lease that rests on it.
+	// leaderElapsed counts the ticks since the replica heard from a leader or started.
+	// Below ElectionTicks the replica does not vote, because a leader may hold a lease
+	// that depends on it.
 	leaderElapsed int
-	// leaderCommit is what the leader of the term had committed when this replica first
-	// heard it since its start; see Status.
+	// leaderCommit is the value of Status.LeaderCommit.
 	leaderCommit uint64
-	// restarted tells that this replica has neither led nor heard a leader since its start.
-	restarted bool
-	// polled holds the voters that would vote in an election that needs all of them.
-	polled map[uint64]bool
-	// nextPoll is the first tick at which this replica may poll again.
-	nextPoll uint64
-	// unanimous tells that the election under way needs the votes of all voters.
+	// noLeaderSinceStart reports whether this replica has neither led nor heard from a
+	// leader since it started.
+	noLeaderSinceStart bool
+	// unanimousGrants holds the voters that granted the current unanimous pre-vote.
+	unanimousGrants map[uint64]bool
+	// nextUnanimousPreVote is the earliest tick for the next unanimous pre-vote.
+	nextUnanimousPreVote uint64
+	// unanimous reports whether the current election requires the votes of all voters.
 	unanimous bool
-	// granted holds the answers to this replica's (pre-)votes.
-	granted map[uint64]bool
-	leading *leading
-	// handedOver is the tick at which this replica last gave up leadership for its slow disk,
-	// zero for never.
-	handedOver uint64
-	// round counts the heartbeat rounds that this replica made in any term.
+	// votes holds the replies to the current vote or pre-vote requests: true if granted.
+	votes       map[uint64]bool
+	leaderState *leaderState
+	// lastSlowDiskTransfer is the tick of the last leadership transfer because of a slow
+	// disk, or 0.
+	lastSlowDiskTransfer uint64
+	// round counts the heartbeat rounds that this replica started, across all terms.
 	round uint64
 
-	messages      []*rockwindpb.Message
-	earlyMessages []*rockwindpb.Message
-	readStates    []ReadState
-	stored        *rockwindpb.HardState
-	storedSoft    SoftState
-	outstanding   bool
-	halted        error
-	faults        faultInjection
+	messages           []*rockwindpb.Message
+	messagesBeforeSync []*rockwindpb.Message
+	readStates         []ReadState
+	storedHardState    *rockwindpb.HardState
+	reportedSoftState  SoftState
+	awaitingAdvance    bool
+	halted             error
+	faults             faultInjection
 }
 
-// faultInjection breaks the core on purpose. Only tests set it, to show that
-// the checks find each fault.
+// faultInjection disables safety rules. It is only set by tests, which verify that the
+// simulation detects each resulting fault.
 type faultInjection struct {
 	countSelfBeforeSync  bool
 	commitOlderTerm      bool
 	acceptStaleTerm      bool
-	answerBeforeSync     bool
-	forgetLeaderPromise  bool
-	leaseFromAnswer      bool
+	replyBeforeSync      bool
+	ignoreLeaderLease    bool
+	leaseFromReply       bool
 	anyMembershipChange  bool
 	leaseDuringTransfer  bool
 	readWithoutOwnCommit bool
 	unanimousByMajority  bool
 }
 
-// NewNode restores a replica from its storage. It fails with ErrLogLost when
-// synced entries are missing.
+// NewNode restores a replica from its storage. It fails with ErrLogLost if synced
+// entries are missing.
 func NewNode(config Config) (*Node, error) {
 	if err := checkConfig(config); err != nil {
 		return nil, err
@@ -86,18 +86,18 @@
 	}
 	first, last := config.Storage.FirstIndex(), config.Storage.LastIndex()
 	if max(hard.GetCommit(), config.Applied) > last {
-		return nil, errors.Wrapf(ErrLogLost, "commit %d, applied %d, last %d", hard.GetCommit(), config.Applied, last)
+		return nil, errors.Wrapf(ErrLogLost, "commit index %d, applied index %d, last index %d", hard.GetCommit(), config.Applied, last)
 	}
 	n := &Node{
-		config:  config,
-		id:      config.ID,
-		term:    hard.GetTerm(),
-		vote:    hard.GetVote(),
-		log:     newEntryLog(config.Storage, hard.GetCommit(), config.Applied),
-		members: newMemberships(first-1, base),
-		stored:  proto.CloneOf(hard),
+		config:          config,
+		id:              config.ID,
+		term:            hard.GetTerm(),
+		vote:            hard.GetVote(),
+		log:             newEntryLog(config.Storage, hard.GetCommit(), config.Applied),
+		members:         newMemberships(first-1, base),
+		storedHardState: proto.CloneOf(hard),
 
-		restarted: true,
+		noLeaderSinceStart: true,
 	}
 	if err := n.readMemberships(first, last); err != nil {
 		return nil, err
@@ -106,8 +106,8 @@
 		n.leaderElapsed = config.ElectionTicks
 	}
 	n.resetElectionTimer()
-	// The last one to start finds all others up.
-	n.poll()
+	// If this is the last replica to start, all others are already running.
+	n.requestUnanimousPreVote()
 	return n, nil
 }
 
@@ -131,10 +131,10 @@
 	for next := first; next <= last; {
 		entries, err := n.config.Storage.Entries(next, last+1, n.config.MaxAppendBytes)
 		if err != nil {
-			return errors.Wrapf(err, "read the log from %d", next)
+			return errors.Wrapf(err, "read the log from index %d", next)
 		}
 		if len(entries) == 0 {
-			return errors.Newf("the log returned no entries from %d of %d", next, last)
+			return errors.Newf("storage returned no entries from index %d, last index %d", next, last)
 		}
 		if err := n.members.add(entries); err != nil {
 			return err
@@ -144,9 +144,9 @@
 	return nil
 }
 
-// Tick moves the node's time on by one tick. Ticks that were missed, because
-// the process was frozen or busy, must not be made up: two calls must never be
-// closer than the tick interval, or a promise to a leader would end too early.
+// Tick advances the time of the node by one tick. Ticks that were missed, for example
+// because the process was suspended, must not be made up for: calls in quick succession
+// would shorten the time for which the replica must not vote.
 func (n *Node) Tick() {
 	if n.halted != nil {
 		return
@@ -162,20 +162,19 @@
 		n.campaignPreVote()
 		return
 	}
-	if n.ticks < uint64(pollRounds*n.config.ElectionTicks) {
-		n.poll()
+	if n.ticks < uint64(unanimousPreVoteTimeouts*n.config.ElectionTicks) {
+		n.requestUnanimousPreVote()
 	}
 }
 
-// Propose appends a command to the leader's log and returns where it stands.
-// The command is committed if and only if it is handed out in CommittedEntries
-// with that index and that term. The core keeps data; the caller must not
-// change it afterwards.
+// Propose appends a command to the leader's log and returns its index and term. The
+// command is committed if and only if CommittedEntries returns an entry with this index
+// and term. The node retains data; the caller must not modify it afterwards.
 func (n *Node) Propose(data []byte) (index, term uint64, err error) {
 	if err := n.mayPropose(); err != nil {
 		return 0, 0, err
 	}
-	index, err = n.appendOwn(rockwindpb.EntryKind_ENTRY_KIND_COMMAND, data)
+	index, err = n.appendLeaderEntry(rockwindpb.EntryKind_ENTRY_KIND_COMMAND, data)
 	return index, n.term, err
 }
 
@@ -185,17 +184,16 @@
 		return n.halted
 	case n.role != Leader:
 		return ErrNotLeader
-	case n.leading.transferTarget != 0:
+	case n.leaderState.transferTarget != 0:
 		return ErrTransferring
 	}
 	return nil
 }
 
-// ProposeMembership appends a membership, which takes effect at once and is
-// final once committed. At most one voter may be added, removed, promoted or
-// demoted at a time; a new voter must have been a learner and hold all
-// committed entries. It fails with ErrNotLeader, ErrTransferring,
-// ErrMembershipPending or ErrMembershipInvalid.
+// ProposeMembership appends a membership, which takes effect immediately and is final
+// once committed. At most one voter may be added, removed, promoted or demoted at a
+// time, and a new voter must be a learner that holds all committed entries. It fails
+// with ErrNotLeader, ErrTransferring, ErrMembershipPending or ErrMembershipInvalid.
 func (n *Node) ProposeMembership(membership *rockwindpb.Membership) error {
 	if err := n.mayPropose(); err != nil {
 		return err
@@ -209,7 +207,7 @@
 	if err != nil {
 		return errors.Wrap(err, "encode the membership")
 	}
-	_, err = n.appendOwn(rockwindpb.EntryKind_ENTRY_KIND_MEMBERSHIP, data)
+	_, err = n.appendLeaderEntry(rockwindpb.EntryKind_ENTRY_KIND_MEMBERSHIP, data)
 	return err
 }
 
@@ -224,22 +222,22 @@
 		if isVoter(n.members.current(), id) {
 			continue
 		}
-		p := n.leading.progress[id]
+		p := n.leaderState.progress[id]
 		if p.match < n.log.committed || !n.active(p) {
-			return errors.Wrapf(ErrMembershipInvalid, "member %x holds entries up to %d, committed is %d",
+			return errors.Wrapf(ErrMembershipInvalid, "member %x is inactive or behind: match index %d, commit index %d",
 				id, p.match, n.log.committed)
 		}
 	}
 	return nil
 }
 
-// MembershipAt returns the membership in effect at an index that is not older
-// than the snapshot. It is what a snapshot at that index must record.
+// MembershipAt returns the membership in effect at an index, which must not be before
+// the snapshot. A snapshot at that index must contain it.
 func (n *Node) MembershipAt(index uint64) *rockwindpb.Membership {
 	return n.members.at(index)
 }
 
-// Status describes the node.
+// Status returns the current status of the node.
 func (n *Node) Status() Status {
 	membership := n.members.current()
 	status := Status{
@@ -248,7 +246,7 @@
 		Leader:          n.leader,
 		Role:            n.role,
 		Commit:          n.log.committed,
-		Applied:         n.log.handed,
+		Applied:         n.log.applying,
 		LastIndex:       n.log.lastIndex(),
 		Voter:           isVoter(membership, n.id),
 		Membership:      membership,
@@ -260,9 +258,9 @@
 	if n.role != Leader {
 		return status
 	}
-	status.TransferTarget = n.leading.transferTarget
+	status.TransferTarget = n.leaderState.transferTarget
 	for _, member := range membership.GetMembers() {
-		p := n.leading.progress[member.GetId()]
+		p := n.leaderState.progress[member.GetId()]
 		status.Progress = append(status.Progress, ProgressStatus{
 			ID:                 member.GetId(),
 			Match:              p.match,
@@ -274,12 +272,12 @@
 	return status
 }
 
-// Matches tells whether the log has an entry of the term at the index, so that it agrees with
-// every log that has it, up to there.
+// Matches reports whether the log has an entry with this index and term. It then equals
+// every other log with such an entry up to this index.
 func (n *Node) Matches(index, term uint64) bool { return n.log.hasTerm(index, term) }
 
-// Entry returns the entry at an index of the log. It fails with ErrCompacted or ErrUnavailable
-// where the log doesn't hold it.
+// Entry returns the entry at an index of the log. It fails with ErrCompacted or
+// ErrUnavailable if the log does not contain it.
 func (n *Node) Entry(index uint64) (*rockwindpb.Entry, error) {
 	if index > n.log.lastIndex() {
 		return nil, ErrUnavailable
@@ -294,13 +292,13 @@
 	return entries[0], nil
 }
 
-// Err returns the reason for which the node halted, nil while it runs. A halted
-// node does nothing any more; its process should stop and be looked at.
+// Err returns the error that halted the node, or nil while it runs. A halted node does
+// nothing; the caller should stop the process so that an operator can investigate.
 func (n *Node) Err() error {
 	return n.halted
 }
 
-// halt stops the node for good.
+// halt stops the node permanently.
 func (n *Node) halt(err error) error {
 	if n.halted == nil {
 		n.halted = err
@@ -313,7 +311,7 @@
 	n.electionTimeout = n.config.ElectionTicks + n.config.Random.IntN(n.config.ElectionTicks)
 }
 
-// send queues a message that must wait until everything before it is synced.
+// send queues a message that must wait until the Ready is synced.
 func (n *Node) send(message *rockwindpb.Message) {
 	message.From = n.id
 	if message.Term == 0 {
@@ -322,14 +320,14 @@
 	n.messages = append(n.messages, message)
 }
 
-// sendEarly queues a leader's message, which promises nothing about its disk.
-func (n *Node) sendEarly(message *rockwindpb.Message) {
+// sendBeforeSync queues a message of a leader, which acknowledges nothing on its disk.
+func (n *Node) sendBeforeSync(message *rockwindpb.Message) {
 	message.From = n.id
 	message.Term = n.term
-	n.earlyMessages = append(n.earlyMessages, message)
+	n.messagesBeforeSync = append(n.messagesBeforeSync, message)
 }
 
-// hearsLeader tells whether the replica has heard from its term's leader within
+// hearsLeader reports whether the replica has heard from the leader of its term within
 // an election timeout, or leads with a valid lease.
 func (n *Node) hearsLeader() bool {
 	if n.role == Leader {
--- a/internal/raft/progress.go
+++ b/internal/raft/progress.go
@@ -1,12 +1,12 @@
 package raft
 
-// progressState is how the leader sends to a member.
+// progressState defines how the leader replicates to a member.
 type progressState int
 
 const (
-	// probing sends one append and waits for the reply.
+	// probing sends one append message and waits for the reply.
 	probing progressState = iota
-	// replicating pipelines appends.
+	// replicating pipelines append messages.
 	replicating
 	// installing waits until the member has installed a snapshot.
 	installing
@@ -17,21 +17,21 @@
 	state progressState
 	// match is the last index that the member is known to have synced.
 	match uint64
-	// next is the next index to send.
+	// next is the index of the next entry to send.
 	next uint64
-	// sentCommit is the commit index that was sent last.
+	// sentCommit is the commit index that was last sent.
 	sentCommit uint64
-	// waiting stops a probe until a reply or a heartbeat reply.
+	// waiting pauses probing until the member replies to an append or a heartbeat.
 	waiting bool
-	// resend asks for an append even if there is nothing new.
+	// resend requests an append message even if there is nothing new.
 	resend bool
-	// inflight holds the last index of each unanswered append, ascending.
+	// inflight holds the last index of each unacknowledged append message, ascending.
 	inflight []uint64
-	// snapshotIndex is the snapshot that is being installed.
+	// snapshotIndex is the index of the snapshot that is being installed.
 	snapshotIndex uint64
-	// heard is the tick of the last message.
-	heard uint64
-	// ackedRound is the newest heartbeat round that the member answered.
+	// lastHeard is the tick of the last message from the member.
+	lastHeard uint64
+	// ackedRound is the newest heartbeat round that the member replied to.
 	ackedRound uint64
 }
 
@@ -63,10 +63,10 @@
 	p.waiting = false
 }
 
-// accepted notes that the member synced its log up to an index. It tells
-// whether that is news.
-func (p *progress) accepted(index uint64) bool {
-	news := index > p.match
+// recordAccept records that the member synced its log up to index. It reports whether
+// this advanced the match index.
+func (p *progress) recordAccept(index uint64) bool {
+	advanced := index > p.match
 	p.match = max(p.match, index)
 	p.next = max(p.next, p.match+1)
 	free := 0
@@ -80,12 +80,12 @@
 	case p.state == installing && p.match >= p.snapshotIndex:
 		p.becomeReplicating()
 	}
-	return news
+	return advanced
 }
 
-// rejected notes that the member refused an append after index, and that hint
-// is the last index where its log may match. It tells whether to send again.
-func (p *progress) rejected(index, hint uint64) bool {
+// recordReject records that the member rejected an append after index. hint is the last
+// index at which the logs may match. It reports whether the append should be retried.
+func (p *progress) recordReject(index, hint uint64) bool {
 	switch p.state {
 	case replicating:
 		if index <= p.match {
@@ -104,8 +104,9 @@
 	return false
 }
 
-// heartbeatAnswered lets a stalled member go on: an append may have been lost.
-func (p *progress) heartbeatAnswered(last uint64, maxInflight int) {
+// recordHeartbeatReply resumes sending to a stalled member, because an append message may
+// have been lost.
+func (p *progress) recordHeartbeatReply(last uint64, maxInflight int) {
 	p.waiting = false
 	if p.state != replicating {
 		return
--- a/internal/raft/replicate.go
+++ b/internal/raft/replicate.go
@@ -6,8 +6,8 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// leaderHasWork tells whether appends or a heartbeat round wait to be made.
-func (n *Node) leaderHasWork() bool {
+// hasLeaderMessages reports whether append messages or a heartbeat round are due.
+func (n *Node) hasLeaderMessages() bool {
 	if n.role != Leader {
 		return false
 	}
@@ -15,16 +15,16 @@
 		return true
 	}
 	for _, member := range n.members.current().GetMembers() {
-		if member.GetId() != n.id && n.wantsAppend(n.leading.progress[member.GetId()]) {
+		if member.GetId() != n.id && n.needsAppend(n.leaderState.progress[member.GetId()]) {
 			return true
 		}
 	}
 	return false
 }
 
-// sendLeaderWork makes the appends and heartbeats of a Ready. Making them here
-// joins all proposals since the last Ready in one message a member.
-func (n *Node) sendLeaderWork() {
+// queueLeaderMessages creates the append messages and heartbeats for a Ready. Creating
+// them this late batches all proposals since the last Ready into one message per member.
+func (n *Node) queueLeaderMessages() {
 	if n.role != Leader {
 		return
 	}
@@ -40,25 +40,24 @@
 	if id == n.id {
 		return
 	}
-	p := n.leading.progress[id]
-	for n.halted == nil && n.wantsAppend(p) {
+	p := n.leaderState.progress[id]
+	for n.halted == nil && n.needsAppend(p) {
 		n.sendAppend(id, p)
 	}
 }
 
-func (n *Node) wantsAppend(p *progress) bool {
+func (n *Node) needsAppend(p *progress) bool {
 	switch p.state {
 	case probing:
 		return !p.waiting
 	case replicating:
-		news := p.next <= n.log.lastIndex() || p.sentCommit < n.log.committed || p.resend
-		return news && len(p.inflight) < n.config.MaxInflight
+		pending := p.next <= n.log.lastIndex() || p.sentCommit < n.log.committed || p.resend
+		return pending && len(p.inflight) < n.config.MaxInflight
 	}
 	return false
 }
 
-// sendAppend sends the next entries to a member, or a snapshot where they were
-// compacted.
+// sendAppend sends the next entries to a member, or a snapshot if they were compacted.
 func (n *Node) sendAppend(id uint64, p *progress) {
 	entries, err := n.log.entries(p.next, n.log.lastIndex()+1, n.config.MaxAppendBytes)
 	var previousTerm uint64
@@ -73,7 +72,7 @@
 		_ = n.halt(err)
 		return
 	}
-	n.sendEarly(&rockwindpb.Message{
+	n.sendBeforeSync(&rockwindpb.Message{
 		Kind:    rockwindpb.MessageKind_MESSAGE_KIND_APPEND,
 		To:      id,
 		Index:   p.next - 1,
@@ -93,8 +92,8 @@
 	}
 }
 
-// sendSnapshot asks the caller to bring the newest snapshot to a member that
-// was heard lately.
+// sendSnapshot asks the caller to transfer the newest snapshot to a member, if the member
+// is active.
 func (n *Node) sendSnapshot(id uint64, p *progress) {
 	p.becomeProbing()
 	p.waiting = true
@@ -115,7 +114,7 @@
 	})
 }
 
-// handleAppend takes entries from the leader.
+// handleAppend processes entries from the leader.
 func (n *Node) handleAppend(message *rockwindpb.Message) error {
 	if message.GetIndex() < n.log.committed {
 		n.acceptAppend(message, n.log.committed)
@@ -142,14 +141,14 @@
 	return nil
 }
 
-// acceptAppend tells the leader that the log matches up to an index. It waits
-// for the sync like every message of a follower.
+// acceptAppend tells the leader that the log matches up to index. Like every message of a
+// follower, it is sent after the sync.
 func (n *Node) acceptAppend(message *rockwindpb.Message, index uint64) {
 	reply := &rockwindpb.Message{
 		Kind: rockwindpb.MessageKind_MESSAGE_KIND_APPEND_REPLY, To: message.GetFrom(), Index: index,
 	}
-	if n.faults.answerBeforeSync {
-		n.sendEarly(reply)
+	if n.faults.replyBeforeSync {
+		n.sendBeforeSync(reply)
 		return
 	}
 	n.send(reply)
@@ -173,23 +172,23 @@
 		if message.GetLogTerm() > 0 {
 			hint, _ = n.log.conflictHint(min(hint, n.log.lastIndex()), message.GetLogTerm())
 		}
-		p.rejected(message.GetIndex(), hint)
+		p.recordReject(message.GetIndex(), hint)
 		return nil
 	}
 	if message.GetIndex() > n.log.lastIndex() {
 		return nil
 	}
-	if !p.accepted(message.GetIndex()) {
+	if !p.recordAccept(message.GetIndex()) {
 		return nil
 	}
 	n.maybeCommit()
-	if n.role == Leader && message.GetFrom() == n.leading.transferTarget && !n.leading.leaseRevoked {
+	if n.role == Leader && message.GetFrom() == n.leaderState.transferTarget && !n.leaderState.leaseRevoked {
 		n.continueTransfer()
 	}
 	return nil
 }
 
-// handleSnapshot takes a snapshot whose data reached this machine already.
+// handleSnapshot processes a snapshot whose data was already received.
 func (n *Node) handleSnapshot(message *rockwindpb.Message) error {
 	snapshot := message.GetSnapshot()
 	switch {
--- a/internal/raft/simulation_test.go
+++ b/internal/raft/simulation_test.go
@@ -13,8 +13,7 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// TestMain fixes the seed, so that each run gives the same verdict; flags
-// change it.
+// TestMain sets a fixed seed to make the tests reproducible. Flags override it.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.checks": "600", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -25,14 +24,14 @@
 	os.Exit(m.Run())
 }
 
-// leastHandOvers bounds how rarely leaders hand over in the simulations of slow disks: in one
-// of so many.
-const leastHandOvers = 5
+// minTransferFraction is the required share of slow disk simulations with a leadership
+// transfer, as one in this many.
+const minTransferFraction = 5
 
-// events is how many events a simulation has.
-const events = 60
+// eventCount is the number of events in a simulation.
+const eventCount = 60
 
-// event is a kind of thing that happens to a cluster.
+// event is a kind of event in a simulated cluster.
 type event int
 
 const (
@@ -57,40 +56,39 @@
 	slowLeader
 )
 
-// Menus of events; what stands twice happens more often.
+// Sets of events to draw from. Repeated events are more likely.
 var (
 	allEvents = []event{
 		crash, restart, restart, loseDisk, fillDisk, slowSync, freeze, cutLink, cutOff, heal, heal,
 		loseMessages, delayMessages, shrinkMembership, transfer, compactLog, replaceMachine,
 	}
-	// leaseEvents leave leaders that others do not hear any more.
+	// leaseEvents isolate leaders, which may still hold a lease.
 	leaseEvents = []event{cutLink, cutOff, heal, heal, delayMessages}
-	// answerEvents delay answers, too.
-	answerEvents = []event{cutOff, heal, crash, restart, delayMessages}
-	// termEvents bring leaders of older terms back.
+	// replyEvents also delay replies.
+	replyEvents = []event{cutOff, heal, crash, restart, delayMessages}
+	// termEvents bring back leaders of earlier terms.
 	termEvents = []event{cutLink, heal, freeze, delayMessages}
-	// memberEvents replace machines again and again.
+	// memberEvents replace machines repeatedly.
 	memberEvents = []event{replaceMachine, loseDisk, restart, cutLink, cutOff, heal, delayMessages}
-	// diskEvents make disks slow for long, so that their leaders hand over.
+	// diskEvents slow down disks for a long time, so that leaders transfer leadership.
 	diskEvents = []event{slowDisk, slowDisk, slowDisk, slowLeader, slowLeader, cutLink, cutOff, heal, heal, heal, delayMessages, loseMessages, crash, restart}
-	// restartEvents end many processes at once, while some may be cut off.
+	// restartEvents restart many processes at once while others may be partitioned.
 	restartEvents = []event{
 		restartOthers, restartOthers, restartAll, cutOff, cutLink, heal, heal, loseMessages, delayMessages, crash, restart, transfer, replaceMachine,
 	}
 )
 
-// chooser draws a number below count.
+// chooser draws a number in [0, count).
 type chooser func(label string, count int) int
 
-// simulate runs a new cluster through events that choose draws, lets it heal, and
-// returns what did not hold.
-func simulate(random *rand.Rand, choose chooser, menu []event, faults brokenBy) error {
-	return newCluster(random, faults).play(choose, menu)
+// simulate runs a new cluster; see cluster.run.
+func simulate(random *rand.Rand, choose chooser, eventSet []event, faults clusterFaults) error {
+	return newCluster(random, faults).run(choose, eventSet)
 }
 
-// play runs the cluster through events that choose draws, lets it heal, and returns what did
-// not hold.
-func (c *cluster) play(choose chooser, menu []event) (err error) {
+// run injects events drawn by choose, ends all failures and returns a violated invariant as
+// an error.
+func (c *cluster) run(choose chooser, eventSet []event) (err error) {
 	defer func() {
 		switch found := recover().(type) {
 		case nil:
@@ -100,14 +98,14 @@
 			panic(found)
 		}
 	}()
-	for range events {
+	for range eventCount {
 		m := c.machines[choose("machine", machineCount)]
-		c.happen(m, menu[choose("event", len(menu))], choose)
+		c.inject(m, eventSet[choose("event", len(eventSet))], choose)
 		busy := float64(choose("busy", 3)) / 8
 		for range choose("time", 2*electionTicks) {
-			c.pass()
+			c.tick()
 			if c.random.Float64() < busy {
-				c.ask()
+				c.submitRequests()
 			}
 		}
 	}
@@ -115,8 +113,8 @@
 	return nil
 }
 
-// happen lets an event happen to a machine, or to all.
-func (c *cluster) happen(m *machine, kind event, choose chooser) {
+// inject applies an event to a machine, or to the cluster.
+func (c *cluster) inject(m *machine, kind event, choose chooser) {
 	switch kind {
 	case crash:
 		c.crash(m)
@@ -126,16 +124,16 @@
 		}
 	case loseDisk:
 		c.loseDisk(m)
-	case fillDisk: // Nothing of the Ready can be written, and the replica ends.
+	case fillDisk: // No part of the Ready can be written, and the process stops.
 		m.node, m.pending = nil, nil
 	case slowSync:
-		m.synced = c.now + uint64(choose("slow", 3*electionTicks))
+		m.syncedAt = c.now + uint64(choose("slow", 3*electionTicks))
 	case slowDisk:
 		m.syncTicks = uint64(choose("sync", electionTicks))
 	case slowLeader:
 		c.slowLeader(electionTicks/2 + uint64(choose("sync", electionTicks/2)))
 	case freeze:
-		m.thawed = c.now + uint64(choose("frozen", 3*electionTicks))
+		m.frozenUntil = c.now + uint64(choose("frozen", 3*electionTicks))
 	case cutLink:
 		c.cutLink(m.number, (m.number+1)%machineCount, choose("both", 2) == 1)
 	case cutOff:
@@ -154,15 +152,15 @@
 			c.delay[[2]int{other, m.number}] = float64(choose("delay", 8)) / 8
 		}
 	case shrinkMembership:
-		c.shrink(m)
+		c.proposeSoleMember(m)
 	case transfer:
 		c.transfer()
 	case replaceMachine:
 		c.replaceMachine(m)
 	case restartOthers:
-		c.restartBut(m)
+		c.restartAllExcept(m)
 	case restartAll:
-		c.restartBut(nil)
+		c.restartAllExcept(nil)
 	case compactLog:
 		if m.node != nil && m.pending == nil && m.applied > 0 {
 			m.disk.compact(m.applied, m.node.MembershipAt(m.applied))
@@ -170,8 +168,8 @@
 	}
 }
 
-// slowLeader gives whoever leads syncs of the given ticks, and the others none, while writes
-// last long enough for a row of slow syncs.
+// slowLeader makes each sync of the current leader take the given number of ticks, and those
+// of the others none, and submits requests for long enough to cause a transfer.
 func (c *cluster) slowLeader(ticks uint64) {
 	for _, m := range c.machines {
 		m.syncTicks = 0
@@ -179,18 +177,18 @@
 			m.syncTicks = ticks
 		}
 	}
-	for range (slowSyncsToHandOver + 1) * electionTicks {
-		c.pass()
+	for range (slowSyncsBeforeTransfer + 1) * electionTicks {
+		c.tick()
 		if c.random.Float64() < 0.25 {
-			c.ask()
+			c.submitRequests()
 		}
 	}
 }
 
-// restartBut ends all processes but that of one machine, and starts them again.
-func (c *cluster) restartBut(spared *machine) {
+// restartAllExcept restarts all processes except one; nil restarts all.
+func (c *cluster) restartAllExcept(excepted *machine) {
 	for _, m := range c.machines {
-		if m != spared {
+		if m != excepted {
 			c.crash(m)
 			c.start(m)
 		}
@@ -204,7 +202,7 @@
 	}
 }
 
-// transfer has whoever leads hand over.
+// transfer makes the current leader transfer leadership.
 func (c *cluster) transfer() {
 	for _, leader := range c.machines {
 		if leader.node != nil {
@@ -213,8 +211,8 @@
 	}
 }
 
-// ask sends a write and a read to each machine that leads.
-func (c *cluster) ask() {
+// submitRequests submits a proposal and a read to each leader.
+func (c *cluster) submitRequests() {
 	for _, m := range c.machines {
 		if m.node == nil {
 			continue
@@ -229,33 +227,33 @@
 	}
 }
 
-// settle ends all failures; then every machine must hold everything, and the
-// group must commit something new.
+// settle ends all failures. Every machine must then catch up, and the group must commit a
+// new entry.
 func (c *cluster) settle() {
-	const patience = 400 * electionTicks
+	const maxTicks = 400 * electionTicks
 	clear(c.cut)
 	clear(c.delay)
-	c.former = nil
+	c.replacedMachines = nil
 	c.loss, c.repeat = 0, 0
 	for _, m := range c.machines {
-		m.synced, m.syncTicks, m.thawed = 0, 0, min(m.thawed, c.now)
+		m.syncedAt, m.syncTicks, m.frozenUntil = 0, 0, min(m.frozenUntil, c.now)
 		c.start(m)
 	}
 	before := uint64(len(c.committed))
-	for range patience {
-		c.pass()
+	for range maxTicks {
+		c.tick()
 		if c.now%electionTicks == 0 {
-			c.ask()
+			c.submitRequests()
 		}
 		if c.holdsAfter(before) {
 			return
 		}
 	}
-	c.failf("the group commits nothing, or a machine does not hold all, although every machine runs")
+	c.failf("the group commits nothing, or a machine does not catch up, although all machines run")
 }
 
-// holdsAfter tells whether each machine's disk counts and holds more than was
-// committed before.
+// holdsAfter reports whether the group is repaired and every machine has applied more than
+// the given index.
 func (c *cluster) holdsAfter(before uint64) bool {
 	for _, m := range c.machines {
 		if m.applied <= before {
@@ -265,99 +263,98 @@
 	return c.repaired()
 }
 
-// TestGroupKeepsItsPromises runs clusters whose machines crash, freeze, lose
-// disks, write slowly or in part and fill their disks, over a network that cuts,
-// loses, repeats, delays and reorders.
-func TestGroupKeepsItsPromises(t *testing.T) {
+// TestClusterInvariants runs clusters with crashes, suspended processes, lost, full and slow
+// disks, and torn writes, over a network that partitions, loses, duplicates, delays and
+// reorders messages.
+func TestClusterInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		choose := func(label string, count int) int { return rapid.IntRange(0, count-1).Draw(t, label) }
-		menus := [][]event{allEvents, allEvents, leaseEvents, answerEvents, termEvents, memberEvents, restartEvents}
-		menu := menus[choose("menu", len(menus))]
-		if err := simulate(random, choose, menu, brokenBy{}); err != nil {
+		eventSets := [][]event{allEvents, allEvents, leaseEvents, replyEvents, termEvents, memberEvents, restartEvents}
+		eventSet := eventSets[choose("menu", len(eventSets))]
+		if err := simulate(random, choose, eventSet, clusterFaults{}); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// TestGroupKeepsItsPromisesWithSlowDisks is the same for disks that are slow for long, whose
-// leaders hand over.
-func TestGroupKeepsItsPromisesWithSlowDisks(t *testing.T) {
-	played, handedOver := 0, 0
+// TestClusterInvariantsWithSlowDisks runs clusters with disks that are slow for a long time,
+// so that leaders transfer leadership.
+func TestClusterInvariantsWithSlowDisks(t *testing.T) {
+	runs, withTransfer := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		c := newCluster(rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0)), brokenBy{})
+		c := newCluster(rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0)), clusterFaults{})
 		choose := func(label string, count int) int { return rapid.IntRange(0, count-1).Draw(t, label) }
-		if err := c.play(choose, diskEvents); err != nil {
+		if err := c.run(choose, diskEvents); err != nil {
 			t.Fatal(err)
 		}
-		played++
-		if c.handingOver > 0 {
-			handedOver++
+		runs++
+		if c.slowDiskTransfers > 0 {
+			withTransfer++
 		}
 	})
-	t.Logf("leaders hand over in %d of %d simulations", handedOver, played)
-	if handedOver < played/leastHandOvers {
-		t.Errorf("leaders hand over for slow disks in %d of %d simulations", handedOver, played)
+	t.Logf("leaders transfer leadership in %d of %d simulations", withTransfer, runs)
+	if withTransfer < runs/minTransferFraction {
+		t.Errorf("leaders transfer leadership because of slow disks in only %d of %d simulations", withTransfer, runs)
 	}
 }
 
-// TestSimulationFindsFaults shows that the simulation notices each way in which
-// the core can be broken, and nothing where the core is whole.
+// TestSimulationFindsFaults checks that the simulation detects each injected fault, and that
+// the same simulation passes without it.
 func TestSimulationFindsFaults(t *testing.T) {
 	const seeds = 4000
 	for name, broken := range map[string]struct {
-		faults brokenBy
-		menu   []event
+		faults   clusterFaults
+		eventSet []event
 	}{
-		"count self before sync":  {brokenBy{core: faultInjection{countSelfBeforeSync: true}}, allEvents},
-		"accept stale term":       {brokenBy{core: faultInjection{acceptStaleTerm: true}}, termEvents},
-		"answer before sync":      {brokenBy{core: faultInjection{answerBeforeSync: true}}, allEvents},
-		"forget leader promise":   {brokenBy{core: faultInjection{forgetLeaderPromise: true}}, leaseEvents},
-		"lease from answer":       {brokenBy{core: faultInjection{leaseFromAnswer: true}}, answerEvents},
-		"any membership change":   {brokenBy{core: faultInjection{anyMembershipChange: true}}, allEvents},
-		"lease during transfer":   {brokenBy{core: faultInjection{leaseDuringTransfer: true}}, append(leaseEvents, transfer, transfer)},
-		"lease for a slow disk":   {brokenBy{core: faultInjection{leaseDuringTransfer: true}}, append(diskEvents, slowLeader, slowLeader, delayMessages, delayMessages)},
-		"count a slow sync early": {brokenBy{core: faultInjection{countSelfBeforeSync: true}}, diskEvents},
-		"vote after disk loss":    {brokenBy{reuseIdentity: true}, allEvents},
-		"unanimous by majority":   {brokenBy{core: faultInjection{unanimousByMajority: true}}, restartEvents},
-		"read without own commit": {brokenBy{core: faultInjection{readWithoutOwnCommit: true}}, allEvents},
+		"count self before sync":  {clusterFaults{core: faultInjection{countSelfBeforeSync: true}}, allEvents},
+		"accept stale term":       {clusterFaults{core: faultInjection{acceptStaleTerm: true}}, termEvents},
+		"reply before sync":       {clusterFaults{core: faultInjection{replyBeforeSync: true}}, allEvents},
+		"ignore leader lease":     {clusterFaults{core: faultInjection{ignoreLeaderLease: true}}, leaseEvents},
+		"lease from reply":        {clusterFaults{core: faultInjection{leaseFromReply: true}}, replyEvents},
+		"any membership change":   {clusterFaults{core: faultInjection{anyMembershipChange: true}}, allEvents},
+		"lease during transfer":   {clusterFaults{core: faultInjection{leaseDuringTransfer: true}}, append(leaseEvents, transfer, transfer)},
+		"lease for a slow disk":   {clusterFaults{core: faultInjection{leaseDuringTransfer: true}}, append(diskEvents, slowLeader, slowLeader, delayMessages, delayMessages)},
+		"count a slow sync early": {clusterFaults{core: faultInjection{countSelfBeforeSync: true}}, diskEvents},
+		"vote after disk loss":    {clusterFaults{reuseIdentity: true}, allEvents},
+		"unanimous by majority":   {clusterFaults{core: faultInjection{unanimousByMajority: true}}, restartEvents},
+		"read without own commit": {clusterFaults{core: faultInjection{readWithoutOwnCommit: true}}, allEvents},
 	} {
 		t.Run(name, func(t *testing.T) {
-			seed, found := firstFailure(seeds, broken.menu, broken.faults)
+			seed, found := firstFailure(seeds, broken.eventSet, broken.faults)
 			if found == nil {
-				t.Fatalf("%d simulations did not notice the fault", seeds)
+				t.Fatalf("%d simulations did not detect the fault", seeds)
 			}
 			t.Logf("seed %d: %v", seed, found)
-			if alarm := simulateSeed(seed, broken.menu, brokenBy{}); alarm != nil {
-				t.Fatalf("without the fault: %v", alarm)
+			if falsePositive := simulateSeed(seed, broken.eventSet, clusterFaults{}); falsePositive != nil {
+				t.Fatalf("simulation fails without the fault: %v", falsePositive)
 			}
 		})
 	}
 }
 
-// firstFailure runs simulations until one fails.
-func firstFailure(seeds uint64, menu []event, faults brokenBy) (uint64, error) {
+// firstFailure returns the first seed whose simulation fails, and the error.
+func firstFailure(seeds uint64, eventSet []event, faults clusterFaults) (uint64, error) {
 	for seed := range seeds {
-		if err := simulateSeed(seed, menu, faults); err != nil {
+		if err := simulateSeed(seed, eventSet, faults); err != nil {
 			return seed, err
 		}
 	}
 	return 0, nil
 }
 
-func simulateSeed(seed uint64, menu []event, faults brokenBy) error {
+func simulateSeed(seed uint64, eventSet []event, faults clusterFaults) error {
 	random := rand.New(rand.NewPCG(seed, 1))
 	choose := func(_ string, count int) int { return random.IntN(count) }
-	return simulate(random, choose, menu, faults)
+	return simulate(random, choose, eventSet, faults)
 }
 
-// TestOlderTermsAreNotCommittedByCounting lets a new leader learn that a majority
-// holds an entry of an older term. Another candidate could still replace that
-// entry, so it is committed only with an entry of the leader's own term. This
-// needs three leaders in a row, which simulations rarely bring about.
+// TestOlderTermsAreNotCommittedByCounting checks that an entry of an earlier term on a
+// majority is committed only together with an entry of the leader's own term, because another
+// candidate could still replace it. Random simulations rarely reach this case.
 func TestOlderTermsAreNotCommittedByCounting(t *testing.T) {
 	for _, faults := range []faultInjection{{}, {commitOlderTerm: true}} {
-		c := newCluster(rand.New(rand.NewPCG(1, 1)), brokenBy{})
+		c := newCluster(rand.New(rand.NewPCG(1, 1)), clusterFaults{})
 		stored := &disk{
 			id: 1, founding: c.members, hard: &rockwindpb.HardState{Term: 2},
 			entries: []*rockwindpb.Entry{{Term: 1, Index: 1, Kind: rockwindpb.EntryKind_ENTRY_KIND_COMMAND}},
@@ -365,8 +362,8 @@
 		m := &machine{disk: stored}
 		c.start(m)
 		m.node.faults = faults
-		answer := func(kind rockwindpb.MessageKind, index uint64) {
-			c.work(m)
+		stepReply := func(kind rockwindpb.MessageKind, index uint64) {
+			c.processReady(m)
 			reply := &rockwindpb.Message{Kind: kind, From: 2, To: 1, Term: 3, Index: index}
 			if err := m.node.Step(reply); err != nil {
 				t.Fatal(err)
@@ -375,23 +372,23 @@
 		for m.node.Status().Role != PreCandidate {
 			m.node.Tick()
 		}
-		answer(rockwindpb.MessageKind_MESSAGE_KIND_PRE_VOTE_REPLY, 0)
-		answer(rockwindpb.MessageKind_MESSAGE_KIND_VOTE_REPLY, 0)
-		answer(rockwindpb.MessageKind_MESSAGE_KIND_APPEND_REPLY, 1)
+		stepReply(rockwindpb.MessageKind_MESSAGE_KIND_PRE_VOTE_REPLY, 0)
+		stepReply(rockwindpb.MessageKind_MESSAGE_KIND_VOTE_REPLY, 0)
+		stepReply(rockwindpb.MessageKind_MESSAGE_KIND_APPEND_REPLY, 1)
 		if broken := m.node.Status().Commit != 0; broken != faults.commitOlderTerm {
 			t.Fatalf("faults %+v: committed %d by counting", faults, m.node.Status().Commit)
 		}
-		answer(rockwindpb.MessageKind_MESSAGE_KIND_APPEND_REPLY, 2)
+		stepReply(rockwindpb.MessageKind_MESSAGE_KIND_APPEND_REPLY, 2)
 		if m.node.Status().Commit != 2 {
-			t.Fatalf("committed %d, although a majority holds 2 entries", m.node.Status().Commit)
+			t.Fatalf("committed index %d, although a majority holds 2 entries", m.node.Status().Commit)
 		}
 	}
 }
 
-// TestVotesCompareLogs asks a replica for votes that no pre-vote went before: it
-// votes only for candidates whose log holds at least what its own holds.
+// TestVotesCompareLogs checks that a replica votes only for candidates whose log is up to
+// date, even without a preceding pre-vote.
 func TestVotesCompareLogs(t *testing.T) {
-	c := newCluster(rand.New(rand.NewPCG(1, 1)), brokenBy{})
+	c := newCluster(rand.New(rand.NewPCG(1, 1)), clusterFaults{})
 	m := &machine{disk: &disk{
 		id: 1, founding: c.members, hard: &rockwindpb.HardState{Term: 2},
 		entries: []*rockwindpb.Entry{{Term: 1, Index: 1}, {Term: 2, Index: 2}},
@@ -413,10 +410,10 @@
 		if err := m.node.Step(vote); err != nil {
 			t.Fatal(err)
 		}
-		answers := m.node.Ready().Messages
-		answer := answers[len(answers)-1]
-		if answer.GetKind() != rockwindpb.MessageKind_MESSAGE_KIND_VOTE_REPLY || answer.GetReject() == candidate.granted {
-			t.Errorf("candidate %+v got %v", candidate, answer)
+		replies := m.node.Ready().Messages
+		reply := replies[len(replies)-1]
+		if reply.GetKind() != rockwindpb.MessageKind_MESSAGE_KIND_VOTE_REPLY || reply.GetReject() == candidate.granted {
+			t.Errorf("candidate %+v got reply %v", candidate, reply)
 		}
 		m.node.Advance(Ready{})
 	}
--- a/internal/raft/slowdisk.go
+++ b/internal/raft/slowdisk.go
@@ -2,120 +2,121 @@
 
 import "rockwind.example/rockwind/internal/rockwindpb"
 
-// A leader writes its own log one Ready after the other: what is proposed during a sync waits
-// for its end, and the leader hands out entries only once it holds them itself. So a write
-// takes up to two syncs of the leader's disk, however fast the others are. A disk that hangs
-// for an election timeout costs the leadership anyway, since heartbeats wait for it, too. A
-// disk that is slow for long without that is what this file answers: the leader hands over to
-// a voter whose disk is faster.
+// A leader writes its log one Ready at a time: proposals that arrive during a sync wait for
+// its end, and the leader applies entries only after it has synced them itself. A write
+// therefore takes up to two syncs of the leader's disk, however fast the other disks are. A
+// disk that hangs for an election timeout already costs leadership, because heartbeats wait
+// for it. For a disk that is slow without hanging, the leader transfers leadership to a
+// voter with a faster disk.
 const (
-	// slowSyncsToHandOver is how many syncs in a row have to be slow. One that is shorter than an
-	// election timeout may be chance; four of them take less than 1.2 s at sites, while
-	// operators and submitters wait for some seconds.
-	slowSyncsToHandOver = 4
-	// slowerThanQuorum is how many times as long as a quorum the own disk has to take. Where all
-	// disks are slow another leader would do no better, and a hand-over costs what an election
-	// costs there, a second: up to this factor leadership stays. Where each sync of five disks takes
-	// up to 250 ms by chance, some sync in eleven is four times as long as those of a quorum, and so
-	// four in a row hardly ever.
-	slowerThanQuorum = 4
-	// handOverElections is the least time between two hand-overs of one replica, in election
-	// timeouts. It bounds what leadership costs that goes round between disks that are slow in
-	// turn: at 0.3 s each, a replica gives it up at most once in 9 s.
-	handOverElections = 30
+	// slowSyncsBeforeTransfer is the number of consecutive slow syncs that cause a transfer.
+	// A single one may be an outlier.
+	slowSyncsBeforeTransfer = 4
+	// slowSyncFactor is how many times slower than a quorum a sync must be to count as slow.
+	// If all disks are slow, another leader would not be faster, and a transfer costs about
+	// as much as an election.
+	slowSyncFactor = 4
+	// minTimeoutsBetweenTransfers is the minimum time between two transfers by one replica,
+	// in election timeouts. It limits how often leadership moves between disks that are slow
+	// in turn.
+	minTimeoutsBetweenTransfers = 30
 )
 
-// ownSync is the sync of entries that the leader has under way.
-type ownSync struct {
-	// last is the last entry of the sync, zero while none is under way.
+// leaderSync is a sync of the leader's own log.
+type leaderSync struct {
+	// last is the last index of the sync, or 0 if none is in progress.
 	last uint64
-	// began is the tick at which it began.
-	began uint64
-	// quorumAt is the tick at which a quorum held all of it without this replica, zero before.
-	quorumAt uint64
+	// startTick is the tick at which the sync started.
+	startTick uint64
+	// quorumTick is the tick at which a quorum without this replica held all entries of the
+	// sync, or 0 before.
+	quorumTick uint64
 }
 
-// slowSyncTicks is the shortest sync that may be slow, in ticks. Heartbeats wait for syncs,
-// and a lease needs a new one within LeaseTicks: half of that is still no danger to it, but
-// a write takes twice as long.
+// slowSyncTicks is the minimum duration of a slow sync in ticks. Heartbeats wait for syncs,
+// and a lease needs a new heartbeat within LeaseTicks. Half of that does not endanger the
+// lease, but slows down writes.
 func (n *Node) slowSyncTicks() uint64 { return uint64(max(2, n.config.LeaseTicks/2)) }
 
-// beginSync notes that the leader's own log is written up to an index.
+// beginSync records the start of a sync of the leader's own log.
 func (n *Node) beginSync(entries []*rockwindpb.Entry) {
 	if n.role != Leader || len(entries) == 0 {
 		return
 	}
-	n.leading.sync = ownSync{last: entries[len(entries)-1].GetIndex(), began: n.ticks}
+	n.leaderState.sync = leaderSync{last: entries[len(entries)-1].GetIndex(), startTick: n.ticks}
 }
 
-// noteQuorum notes when a quorum holds what the leader's own disk is still at.
-func (n *Node) noteQuorum() {
-	sync := &n.leading.sync
-	if sync.last != 0 && sync.quorumAt == 0 && n.log.committed >= sync.last {
-		sync.quorumAt = n.ticks
+// recordQuorumSync records when a quorum held all entries of the leader's current sync.
+func (n *Node) recordQuorumSync() {
+	sync := &n.leaderState.sync
+	if sync.last != 0 && sync.quorumTick == 0 && n.log.committed >= sync.last {
+		sync.quorumTick = n.ticks
 	}
 }
 
-// endSync judges a sync of the leader's own log that is over, and hands over once too many
-// in a row were slow.
+// endSync records the end of a sync of the leader's own log, and transfers leadership after
+// too many consecutive slow syncs.
 func (n *Node) endSync() {
 	if n.role != Leader {
 		return
 	}
-	sync := n.leading.sync
-	n.leading.sync = ownSync{}
+	sync := n.leaderState.sync
+	n.leaderState.sync = leaderSync{}
 	if sync.last == 0 {
 		return
 	}
-	if !n.slowSync(sync) {
-		n.leading.slowSyncs = 0
+	if !n.isSlowSync(sync) {
+		n.leaderState.slowSyncs = 0
 		return
 	}
-	n.leading.slowSyncs++
-	if n.leading.slowSyncs >= slowSyncsToHandOver {
-		n.handOverSlowDisk()
+	n.leaderState.slowSyncs++
+	if n.leaderState.slowSyncs >= slowSyncsBeforeTransfer {
+		n.transferFromSlowDisk()
 	}
 }
 
-// slowSync tells whether a sync that ends now took much longer than a quorum of others.
-func (n *Node) slowSync(sync ownSync) bool {
-	if sync.quorumAt == 0 {
+// isSlowSync reports whether a sync that ends now took much longer than that of a quorum.
+func (n *Node) isSlowSync(sync leaderSync) bool {
+	if sync.quorumTick == 0 {
 		return false
 	}
-	took, others := n.ticks-sync.began, sync.quorumAt-sync.began
-	return took >= n.slowSyncTicks() && took >= slowerThanQuorum*others
+	took, quorumTook := n.ticks-sync.startTick, sync.quorumTick-sync.startTick
+	return took >= n.slowSyncTicks() && took >= slowSyncFactor*quorumTook
 }
 
-// handOverSlowDisk asks the voter that holds most to take over. What it lacks goes with the
-// request, as that would wait for one more sync of this disk otherwise.
-func (n *Node) handOverSlowDisk() {
-	target := n.bestVoter()
-	pause := uint64(handOverElections * n.config.ElectionTicks)
-	tooSoon := n.handedOver != 0 && n.ticks-n.handedOver < pause
-	if target == 0 || tooSoon || n.leading.transferTarget != 0 {
+// transferFromSlowDisk transfers leadership to the most advanced voter. The entries that it
+// lacks are sent together with the request, which would otherwise wait for another sync of
+// the slow disk.
+func (n *Node) transferFromSlowDisk() {
+	target := n.mostAdvancedVoter()
+	minInterval := uint64(minTimeoutsBetweenTransfers * n.config.ElectionTicks)
+	tooSoon := n.lastSlowDiskTransfer != 0 && n.ticks-n.lastSlowDiskTransfer < minInterval
+	if target == 0 || tooSoon || n.leaderState.transferTarget != 0 {
 		return
 	}
-	n.handedOver = n.ticks
-	n.leading.slowSyncs = 0
+	n.lastSlowDiskTransfer = n.ticks
+	n.leaderState.slowSyncs = 0
 	n.beginTransfer(target)
-	n.leading.slowDisk = true
+	n.leaderState.slowDiskTransfer = true
 	n.sendAppends(target)
-	if n.halted == nil && n.leading.progress[target].next > n.log.lastIndex() {
-		n.orderTakeover(target)
+	if n.halted == nil && n.leaderState.progress[target].next > n.log.lastIndex() {
+		n.sendTimeoutNow(target)
 	}
 }
 
-// SlowDiskTransferTarget is the member that leadership is being handed to since the disk here is slow,
-// zero for none. It costs no copy, so that it can be asked after each Ready.
+// SlowDiskTransferTarget returns the target of a leadership transfer because of a slow disk,
+// or 0 if there is none. Unlike Status it copies nothing, so it is cheap enough to be called
+// after each Ready.
 func (n *Node) SlowDiskTransferTarget() uint64 {
-	if n.role != Leader || !n.leading.slowDisk {
+	if n.role != Leader || !n.leaderState.slowDiskTransfer {
 		return 0
 	}
-	return n.leading.transferTarget
+	return n.leaderState.transferTarget
 }
 
-// orderTakeover tells a voter to take over. The lease ends before it may be elected.
-func (n *Node) orderTakeover(target uint64) {
-	n.leading.leaseRevoked = true
-	n.sendEarly(&rockwindpb.Message{Kind: rockwindpb.MessageKind_MESSAGE_KIND_TIMEOUT_NOW, To: target})
+// sendTimeoutNow tells a voter to start an election, and revokes the lease before the voter
+// can be elected.
+func (n *Node) sendTimeoutNow(target uint64) {
+	n.leaderState.leaseRevoked = true
+	n.sendBeforeSync(&rockwindpb.Message{Kind: rockwindpb.MessageKind_MESSAGE_KIND_TIMEOUT_NOW, To: target})
 }
--- a/internal/raft/slowdisk_test.go
+++ b/internal/raft/slowdisk_test.go
@@ -5,17 +5,19 @@
 	"testing"
 )
 
-// TestLeaderWithASlowDiskHandsOver gives disks syncs of a number of ticks. A leader that is much
-// slower than the others hands over within 45 ticks, four syncs and two ticks for each of them;
-// where another one would do no better it stays. Three disks have a leader and two followers.
-func TestLeaderWithASlowDiskHandsOver(t *testing.T) {
+// TestLeaderWithSlowDiskTransfersLeadership checks that a leader whose syncs take much longer
+// than those of the others transfers leadership in time, and that it stays leader if another
+// replica would not be faster.
+func TestLeaderWithSlowDiskTransfersLeadership(t *testing.T) {
 	const (
+		// limit is the maximum number of ticks until the transfer: four slow syncs of the slowest
+		// leader, and two more ticks for each.
 		limit = 45
-		// writeTicks are between two writes. What is written during a sync then fits into one
-		// message: several change places here, and are sent again.
+		// writeTicks is the interval between writes. It is long enough for the writes during a
+		// sync to fit into one message: several would be reordered and sent again.
 		writeTicks = 4
 	)
-	for name, given := range map[string]struct {
+	for name, test := range map[string]struct {
 		leader uint64
 		others [2]uint64
 		stays  bool
@@ -30,45 +32,45 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(20) {
-				c := newCluster(rand.New(rand.NewPCG(seed, 1)), brokenBy{})
-				first := c.awaitLeader()
-				place := 0
+				c := newCluster(rand.New(rand.NewPCG(seed, 1)), clusterFaults{})
+				first := c.waitForLeader()
+				follower := 0
 				for _, m := range c.machines {
 					if m == first {
-						m.syncTicks = given.leader
+						m.syncTicks = test.leader
 						continue
 					}
-					m.syncTicks = given.others[place]
-					place++
+					m.syncTicks = test.others[follower]
+					follower++
 				}
-				began := c.now
-				for c.now < began+3*limit && first.node.Status().Role == Leader {
-					c.pass()
+				start := c.now
+				for c.now < start+3*limit && first.node.Status().Role == Leader {
+					c.tick()
 					if c.now%writeTicks == 0 {
-						c.ask()
+						c.submitRequests()
 					}
 				}
-				if stayed := first.node.Status().Role == Leader; stayed != given.stays {
-					t.Fatalf("seed %d: the leader stays %v, want %v", seed, stayed, given.stays)
+				if stayed := first.node.Status().Role == Leader; stayed != test.stays {
+					t.Fatalf("seed %d: the leader stays %v, want %v", seed, stayed, test.stays)
 				}
-				if took := c.now - began; !given.stays && took > limit {
-					t.Errorf("seed %d: the leader hands over after %d ticks", seed, took)
+				if took := c.now - start; !test.stays && took > limit {
+					t.Errorf("seed %d: the leader transfers leadership after %d ticks", seed, took)
 				}
 			}
 		})
 	}
 }
 
-// awaitLeader passes time until a machine leads and may serve.
-func (c *cluster) awaitLeader() *machine {
+// waitForLeader ticks until a machine leads with a valid lease.
+func (c *cluster) waitForLeader() *machine {
 	for range 100 * electionTicks {
-		c.pass()
+		c.tick()
 		for _, m := range c.machines {
 			if m.node != nil && m.node.Status().LeaseValid {
 				return m
 			}
 		}
 	}
-	c.failf("nobody leads")
+	c.failf("no leader with a valid lease")
 	return nil
 }
--- a/internal/raft/step.go
+++ b/internal/raft/step.go
@@ -6,10 +6,9 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Step handles a message from another replica. It fails with ErrBadMessage for
-// a message that is not for this replica, which is then ignored, and with
-// ErrInvariant when the message contradicts committed entries, which halts the
-// node.
+// Step handles a message from another replica. It fails with ErrBadMessage for a message
+// that is malformed or addressed to another replica, which is then ignored, and with
+// ErrInvariant for a message that contradicts committed entries, which halts the node.
 func (n *Node) Step(message *rockwindpb.Message) error {
 	if n.halted != nil {
 		return n.halted
@@ -24,36 +23,36 @@
 			return nil
 		}
 	case message.GetTerm() < n.term && !n.faults.acceptStaleTerm:
-		n.answerStale(message)
+		n.replyToStaleTerm(message)
 		return nil
 	}
 	return n.handle(message)
 }
 
-// acceptNewerTerm moves to the term of a message, where it proves that the term
-// has begun. It returns false when the message must be ignored.
+// acceptNewerTerm advances to the term of a message if the message proves that the term has
+// started. It returns false if the message must be ignored.
 func (n *Node) acceptNewerTerm(message *rockwindpb.Message) bool {
 	switch message.GetKind() {
 	case rockwindpb.MessageKind_MESSAGE_KIND_PRE_VOTE:
-		return message.GetTransfer() || !n.leaderPromised() || n.mayWaivePromise(message)
+		return message.GetTransfer() || !n.mustWithholdVote() || n.mayVoteDespiteLease(message)
 	case rockwindpb.MessageKind_MESSAGE_KIND_PRE_VOTE_REPLY:
 		if !message.GetReject() {
 			return true
 		}
 	case rockwindpb.MessageKind_MESSAGE_KIND_VOTE:
-		if !message.GetTransfer() && n.leaderPromised() && !n.mayWaivePromise(message) {
+		if !message.GetTransfer() && n.mustWithholdVote() && !n.mayVoteDespiteLease(message) {
 			return false
 		}
 	}
 	leader := uint64(0)
-	if fromLeader(message) {
+	if isLeaderMessage(message) {
 		leader = message.GetFrom()
 	}
 	n.becomeFollower(message.GetTerm(), leader)
 	return true
 }
 
-func fromLeader(message *rockwindpb.Message) bool {
+func isLeaderMessage(message *rockwindpb.Message) bool {
 	switch message.GetKind() {
 	case rockwindpb.MessageKind_MESSAGE_KIND_APPEND,
 		rockwindpb.MessageKind_MESSAGE_KIND_HEARTBEAT,
@@ -63,8 +62,8 @@
 	return false
 }
 
-// answerStale tells the sender of a message from an older term about the term.
-func (n *Node) answerStale(message *rockwindpb.Message) {
+// replyToStaleTerm tells the sender of a message from an older term about the current term.
+func (n *Node) replyToStaleTerm(message *rockwindpb.Message) {
 	reply := &rockwindpb.Message{To: message.GetFrom(), Reject: true}
 	switch message.GetKind() {
 	case rockwindpb.MessageKind_MESSAGE_KIND_PRE_VOTE:
@@ -92,53 +91,54 @@
 	case rockwindpb.MessageKind_MESSAGE_KIND_VOTE_REPLY:
 		return n.handleVoteReply(message, Candidate)
 	case rockwindpb.MessageKind_MESSAGE_KIND_APPEND:
-		return n.fromLeader(message, n.handleAppend)
+		return n.handleFromLeader(message, n.handleAppend)
 	case rockwindpb.MessageKind_MESSAGE_KIND_HEARTBEAT:
-		return n.fromLeader(message, n.handleHeartbeat)
+		return n.handleFromLeader(message, n.handleHeartbeat)
 	case rockwindpb.MessageKind_MESSAGE_KIND_SNAPSHOT:
-		return n.fromLeader(message, n.handleSnapshot)
+		return n.handleFromLeader(message, n.handleSnapshot)
 	case rockwindpb.MessageKind_MESSAGE_KIND_APPEND_REPLY:
-		return n.fromMember(message, n.handleAppendReply)
+		return n.handleFromMember(message, n.handleAppendReply)
 	case rockwindpb.MessageKind_MESSAGE_KIND_HEARTBEAT_REPLY:
-		return n.fromMember(message, n.handleHeartbeatReply)
+		return n.handleFromMember(message, n.handleHeartbeatReply)
 	case rockwindpb.MessageKind_MESSAGE_KIND_TIMEOUT_NOW:
 		return n.handleTimeoutNow(message)
 	}
-	return errors.Wrapf(ErrBadMessage, "kind %d", message.GetKind())
+	return errors.Wrapf(ErrBadMessage, "unknown message kind %d", message.GetKind())
 }
 
-// fromLeader handles a message of the leader of the term.
-func (n *Node) fromLeader(message *rockwindpb.Message, handle func(*rockwindpb.Message) error) error {
+// handleFromLeader handles a message from the leader of the current term.
+func (n *Node) handleFromLeader(message *rockwindpb.Message, handle func(*rockwindpb.Message) error) error {
 	if n.role == Leader {
 		if n.faults.acceptStaleTerm {
 			return nil
 		}
-		return n.halt(errors.Wrapf(ErrInvariant, "replica %x leads term %d too", message.GetFrom(), n.term))
+		return n.halt(errors.Wrapf(ErrInvariant, "replica %x also claims to lead term %d", message.GetFrom(), n.term))
 	}
 	if n.role != Follower || n.leader != message.GetFrom() {
 		n.becomeFollower(n.term, message.GetFrom())
 	}
 	n.electionElapsed = 0
 	n.leaderElapsed = 0
-	n.restarted = false
+	n.noLeaderSinceStart = false
 	if n.leaderCommit == 0 {
-		// The commit of a heartbeat of an earlier version is as much as can be known, and
-		// that of entries is all. A snapshot tells neither; a heartbeat follows.
+		// A leader of an earlier version does not set LeaderCommit in heartbeats, so Commit is
+		// used, and append messages carry it in Commit. A snapshot message has neither; a
+		// heartbeat follows it.
 		n.leaderCommit = max(message.GetLeaderCommit(), message.GetCommit())
 	}
 	return handle(message)
 }
 
-// fromMember handles a reply to the leader.
-func (n *Node) fromMember(message *rockwindpb.Message, handle func(*progress, *rockwindpb.Message) error) error {
+// handleFromMember handles a reply to the leader.
+func (n *Node) handleFromMember(message *rockwindpb.Message, handle func(*progress, *rockwindpb.Message) error) error {
 	if n.role != Leader {
 		return nil
 	}
-	p := n.leading.progress[message.GetFrom()]
+	p := n.leaderState.progress[message.GetFrom()]
 	if p == nil {
 		return nil
 	}
-	p.heard = n.ticks
+	p.lastHeard = n.ticks
 	return handle(p, message)
 }
 
@@ -150,8 +150,8 @@
 	}
 	n.role = Follower
 	n.leader = leader
-	n.leading = nil
-	n.granted = nil
-	n.polled, n.unanimous = nil, false
+	n.leaderState = nil
+	n.votes = nil
+	n.unanimousGrants, n.unanimous = nil, false
 	n.resetElectionTimer()
 }
--- a/internal/raft/unanimous.go
+++ b/internal/raft/unanimous.go
@@ -6,96 +6,99 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// An election that needs all voters waits for no promise. A replica that has restarted
-// votes for nobody for an election timeout, since it may have promised so to a leader
-// before its restart. Where all voters have restarted that leader is gone, and the wait
-// buys nothing: measured, 0.3 to 0.6 s of each return after a loss of all power.
+// A unanimous election replaces the wait after a restart. A restarted replica normally does
+// not vote for an election timeout, because before the restart it may have acknowledged a
+// heartbeat on which a leader's lease is based. If all voters have restarted, that leader is
+// gone and the wait is unnecessary.
 //
-// A candidate that needs the votes of all voters is safe at any time. Whoever holds a
-// lease is one of them, and grants no vote: it has led since its start, and ignores the
-// request. Once all votes are granted, nobody holds one (spec/lease.pml). It takes a
-// membership that is known to be committed, since a leader that removes itself leads until
-// then.
+// A candidate with the votes of all voters is always safe: the holder of a lease is one of
+// the voters, and it does not grant its vote, because it has led since its start and ignores
+// the request. Once all votes are granted, no lease is valid (see spec/lease.pml). The
+// membership must be known to be committed, because a leader that removes itself leads until
+// its removal is committed.
 //
-// Only replicas that have neither led nor heard a leader since their start take part, so
-// that no leader is disturbed. Among them the one whose log ends last stands, and the
-// greatest identity decides among equals: votes are not split. Where a voter is down or
-// not up to date, elections take their usual time.
+// Only replicas that have neither led nor heard from a leader since their start take part, so
+// that no leader is disrupted. Among them, the one with the most up-to-date log campaigns,
+// and the highest ID breaks ties, which avoids split votes. If a voter is down or its log is
+// not up to date, ordinary elections take place after their usual timeout.
 
-// pollRounds is for how many election timeouts after its start a replica polls with each
-// tick: processes that end together start within less. Whoever starts later polls itself, and
-// makes the one that goes first do so. A group without a majority is quiet after that.
-const pollRounds = 2
+// unanimousPreVoteTimeouts is the number of election timeouts after its start during which a
+// replica requests a unanimous pre-vote with each tick. A replica that starts later sends
+// its own request, which makes the one that takes precedence send one, too. After that, a
+// group without a majority sends no more requests.
+const unanimousPreVoteTimeouts = 2
 
-// mayWaivePromise tells whether a request may be granted although this replica may have
-// promised its vote to a leader in an earlier life.
-func (n *Node) mayWaivePromise(message *rockwindpb.Message) bool {
-	return message.GetUnanimous() && n.restarted
+// mayVoteDespiteLease reports whether a request may be granted although this replica may
+// have acknowledged a leader's lease before its restart.
+func (n *Node) mayVoteDespiteLease(message *rockwindpb.Message) bool {
+	return message.GetUnanimous() && n.noLeaderSinceStart
 }
 
-// mayPoll tells whether this replica may ask all voters whether they would vote for it.
-func (n *Node) mayPoll() bool {
-	return n.restarted && n.role == Follower && n.leader == 0 &&
+// mayRequestUnanimousPreVote reports whether this replica may start a unanimous pre-vote.
+func (n *Node) mayRequestUnanimousPreVote() bool {
+	return n.noLeaderSinceStart && n.role == Follower && n.leader == 0 &&
 		n.mayCampaign() && n.members.currentIndex() <= n.log.committed
 }
 
-// poll asks all voters whether they would vote, at most once a tick: each poll may make others
-// poll. The election timer goes on, so that an election that a majority wins is not put off.
-func (n *Node) poll() {
-	if !n.mayPoll() || n.ticks < n.nextPoll {
+// requestUnanimousPreVote asks all voters for a unanimous pre-vote, at most once per tick,
+// because each request may trigger requests of others. It leaves the election timer
+// unchanged, so that a majority election is not delayed.
+func (n *Node) requestUnanimousPreVote() {
+	if !n.mayRequestUnanimousPreVote() || n.ticks < n.nextUnanimousPreVote {
 		return
 	}
-	n.nextPoll = n.ticks + 1
-	n.polled = map[uint64]bool{n.id: true}
-	if n.pollWon() {
-		n.campaign(byAll)
+	n.nextUnanimousPreVote = n.ticks + 1
+	n.unanimousGrants = map[uint64]bool{n.id: true}
+	if n.unanimousPreVoteWon() {
+		n.campaign(unanimousElection)
 		return
 	}
 	n.requestVotes(&rockwindpb.Message{Kind: rockwindpb.MessageKind_MESSAGE_KIND_PRE_VOTE, Term: n.term + 1, Unanimous: true})
 }
 
-// pollWon tells whether all voters would vote for this replica.
-func (n *Node) pollWon() bool {
+// unanimousPreVoteWon reports whether all voters granted the unanimous pre-vote.
+func (n *Node) unanimousPreVoteWon() bool {
 	if n.faults.unanimousByMajority {
-		return len(n.polled) >= quorumOf(len(voters(n.members.current())))
+		return len(n.unanimousGrants) >= quorumOf(len(voters(n.members.current())))
 	}
 	for _, id := range voters(n.members.current()) {
-		if !n.polled[id] {
+		if !n.unanimousGrants[id] {
 			return false
 		}
 	}
 	return true
 }
 
-// handlePollReply counts a voter that would vote for this replica in the next term.
-func (n *Node) handlePollReply(message *rockwindpb.Message) {
-	if n.polled == nil || !n.mayPoll() || message.GetReject() || message.GetTerm() != n.term+1 {
+// handleUnanimousPreVoteReply counts a reply to the unanimous pre-vote.
+func (n *Node) handleUnanimousPreVoteReply(message *rockwindpb.Message) {
+	if n.unanimousGrants == nil || !n.mayRequestUnanimousPreVote() || message.GetReject() || message.GetTerm() != n.term+1 {
 		return
 	}
-	n.polled[message.GetFrom()] = true
-	if n.pollWon() {
-		n.campaign(byAll)
+	n.unanimousGrants[message.GetFrom()] = true
+	if n.unanimousPreVoteWon() {
+		n.campaign(unanimousElection)
 	}
 }
 
-// standsFirst tells whether this replica goes before a candidate that needs the votes of
-// all. It asks for votes itself then: the other one has just shown that it is up. A candidate
-// of either kind may lead in a moment, and goes before everyone.
-func (n *Node) standsFirst(message *rockwindpb.Message) bool {
+// takesPrecedence reports whether this replica rejects a unanimous pre-vote because it
+// campaigns before the sender. It then sends a request of its own, since the sender is known
+// to be up. A replica that is already a candidate may be elected at any moment and precedes
+// everyone.
+func (n *Node) takesPrecedence(message *rockwindpb.Message) bool {
 	if n.role == Candidate {
 		return true
 	}
-	if !n.mayPoll() || !n.outranks(message) {
+	if !n.mayRequestUnanimousPreVote() || !n.outranks(message) {
 		return false
 	}
-	if !n.polled[message.GetFrom()] {
-		n.poll()
+	if !n.unanimousGrants[message.GetFrom()] {
+		n.requestUnanimousPreVote()
 	}
 	return true
 }
 
-// outranks tells whether this log ends later than that of a candidate, or at the same
-// place and this replica's identity is greater.
+// outranks reports whether this log is more up to date than that of the candidate, or equally
+// so and the ID of this replica is higher.
 func (n *Node) outranks(message *rockwindpb.Message) bool {
 	order, err := n.compareLog(message)
 	return err == nil && cmp.Or(-order, cmp.Compare(n.id, message.GetFrom())) > 0
--- a/internal/raft/unanimous_test.go
+++ b/internal/raft/unanimous_test.go
@@ -7,21 +7,21 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// restarted returns a cluster that had a leader and whose processes all started again.
-func restarted(t *testing.T) *cluster {
+// restartedCluster returns a cluster that had a leader and whose processes all restarted.
+func restartedCluster(t *testing.T) *cluster {
 	t.Helper()
-	c := newCluster(rand.New(rand.NewPCG(7, 7)), brokenBy{})
+	c := newCluster(rand.New(rand.NewPCG(7, 7)), clusterFaults{})
 	for range 10 * electionTicks {
-		c.pass()
+		c.tick()
 	}
 	if c.leader() == nil {
 		t.Fatal("no leader before the restart")
 	}
-	c.restartBut(nil)
+	c.restartAllExcept(nil)
 	return c
 }
 
-// leader is the machine that leads with a lease, nil where none does.
+// leader returns the machine that leads with a valid lease, or nil.
 func (c *cluster) leader() *machine {
 	for _, m := range c.machines {
 		if m.node != nil && m.node.LeaseValid() {
@@ -31,83 +31,83 @@
 	return nil
 }
 
-// TestRestartedGroupElectsAtOnce restarts all processes: nobody waits for a promise to a
-// leader that is gone. Without the election that needs all votes it takes at least
-// electionTicks.
-func TestRestartedGroupElectsAtOnce(t *testing.T) {
-	c := restarted(t)
-	const most = electionTicks / 2
+// TestRestartedGroupElectsWithoutWaiting guards against a needless wait for a lease after all
+// processes restarted. A majority election would take at least electionTicks.
+func TestRestartedGroupElectsWithoutWaiting(t *testing.T) {
+	c := restartedCluster(t)
+	const maxTicks = electionTicks / 2
 	led := false
-	for range most {
-		c.pass()
+	for range maxTicks {
+		c.tick()
 		for _, m := range c.machines {
 			led = led || m.node.Status().Role == Leader
 		}
 	}
 	if !led {
-		t.Fatalf("no leader %d ticks after all processes started again; a promise lasts %d", most, electionTicks)
+		t.Fatalf("no leader %d ticks after all processes restarted; the election timeout is %d", maxTicks, electionTicks)
 	}
 }
 
-// TestPromiseIsKeptWhileAVoterIsAway restarts all processes, one of which hears nobody: it
-// may hold a lease for all that the others know, who wait for their promises.
-func TestPromiseIsKeptWhileAVoterIsAway(t *testing.T) {
-	c := restarted(t)
+// TestNoEarlyElectionWithUnreachableVoter restarts all processes and isolates one of them. It
+// might hold a lease, so the others must wait before they elect a leader.
+func TestNoEarlyElectionWithUnreachableVoter(t *testing.T) {
+	c := restartedCluster(t)
 	for other := range machineCount {
 		c.cutLink(0, other, true)
 	}
 	for range electionTicks - 1 {
-		c.pass()
+		c.tick()
 		if c.leader() != nil {
-			t.Fatalf("a leader %d ticks after the start, without the vote of all", c.now)
+			t.Fatalf("leader at tick %d without the votes of all voters", c.now)
 		}
 	}
 	for range 4 * electionTicks {
-		c.pass()
+		c.tick()
 	}
 	if c.leader() == nil {
-		t.Fatal("no leader after the promises had ended")
+		t.Fatal("no leader after the election timeout")
 	}
 }
 
-// TestLeaderIsNotDisturbedByRestarts restarts all but the leader: they come back to it, in
-// its term.
+// TestLeaderIsNotDisturbedByRestarts restarts all replicas except the leader, which must keep
+// leading in the same term.
 func TestLeaderIsNotDisturbedByRestarts(t *testing.T) {
-	c := restarted(t)
+	c := restartedCluster(t)
 	for range 10 * electionTicks {
-		c.pass()
+		c.tick()
 	}
 	leader := c.leader()
 	term := leader.node.Status().Term
-	c.restartBut(leader)
+	c.restartAllExcept(leader)
 	for range 10 * electionTicks {
-		c.pass()
+		c.tick()
 	}
 	if status := leader.node.Status(); c.leader() != leader || status.Term != term {
 		t.Fatalf("term %d became %d, or the leader changed", term, status.Term)
 	}
 }
 
-// TestLateVoterCompletesTheElection starts one machine long after the others, which have no
-// majority without it: the group has a leader as soon as it would have at once.
+// TestLateVoterCompletesTheElection starts a majority long after the first replica. The group
+// must elect a leader without waiting for a majority election, and a lone replica must not keep
+// sending requests.
 func TestLateVoterCompletesTheElection(t *testing.T) {
-	c := restarted(t)
+	c := restartedCluster(t)
 	late := c.machines[:2]
 	for _, m := range late {
 		c.crash(m)
 	}
 	for range 20 * electionTicks {
-		c.pass()
+		c.tick()
 	}
-	if polls := len(c.flights); polls > 2 {
-		t.Errorf("%d messages are under way from a replica that is alone", polls)
+	if messages := len(c.inFlight); messages > 2 {
+		t.Errorf("%d messages are in flight from a lone replica", messages)
 	}
 	for _, m := range late {
 		c.start(m)
 	}
 	led := false
 	for range electionTicks / 2 {
-		c.pass()
+		c.tick()
 		for _, m := range c.machines {
 			led = led || m.node.Status().Role == Leader
 		}
@@ -117,67 +117,67 @@
 	}
 }
 
-// TestUnanimousCandidateStepsDownAtARejection: an election that needs all votes is lost with
-// one rejection. Its candidate answers polls again at once.
-func TestUnanimousCandidateStepsDownAtARejection(t *testing.T) {
-	n, other := polling(t)
-	n.campaign(byAll)
+// TestUnanimousCandidateStepsDownOnRejection checks that a single rejection ends a unanimous
+// election, so that the candidate can grant unanimous pre-votes again.
+func TestUnanimousCandidateStepsDownOnRejection(t *testing.T) {
+	n, other := restartedNode(t)
+	n.campaign(unanimousElection)
 	if n.role != Candidate {
-		t.Fatalf("it is %v", n.role)
+		t.Fatalf("role is %v, want candidate", n.role)
 	}
 	step(t, n, &rockwindpb.Message{Kind: rockwindpb.MessageKind_MESSAGE_KIND_VOTE_REPLY, From: other[0], Term: n.term, Reject: true})
 	if n.role != Follower {
-		t.Errorf("after a rejection it is %v", n.role)
+		t.Errorf("role after a rejection is %v, want follower", n.role)
 	}
 }
 
-// TestCandidateGrantsNoPoll: a candidate may lead in a moment, and a poll that it granted would
-// start the next term against it.
-func TestCandidateGrantsNoPoll(t *testing.T) {
+// TestCandidateRejectsUnanimousPreVote guards against a candidate helping to start the next
+// term when it is about to be elected.
+func TestCandidateRejectsUnanimousPreVote(t *testing.T) {
 	for name, stand := range map[string]func(n *Node){
-		"ordinary":  func(n *Node) { n.campaign(byMajority) },
-		"unanimous": func(n *Node) { n.campaign(byAll) },
+		"ordinary":  func(n *Node) { n.campaign(majorityElection) },
+		"unanimous": func(n *Node) { n.campaign(unanimousElection) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			n, other := polling(t)
+			n, other := restartedNode(t)
 			stand(n)
 			n.messages = nil
-			poll(t, n, other[0], n.log.lastIndex()+1)
+			stepUnanimousPreVote(t, n, other[0], n.log.lastIndex()+1)
 			if len(n.messages) != 1 || !n.messages[0].GetReject() {
-				t.Errorf("it answers a poll with %v", n.messages)
+				t.Errorf("reply to a unanimous pre-vote is %v, want one rejection", n.messages)
 			}
 		})
 	}
 }
 
-// TestReplicaPollsOnceATick: whoever goes first polls when a poll shows that another replica
-// is up, but not for each of them.
-func TestReplicaPollsOnceATick(t *testing.T) {
-	n, other := polling(t)
+// TestUnanimousPreVoteOncePerTick checks that a replica that takes precedence replies to
+// requests of others with its own request, but only once per tick.
+func TestUnanimousPreVoteOncePerTick(t *testing.T) {
+	n, other := restartedNode(t)
 	for tick := range 3 {
 		for _, id := range other {
-			poll(t, n, id, n.log.lastIndex()-1)
+			stepUnanimousPreVote(t, n, id, n.log.lastIndex()-1)
 		}
-		polls := 0
+		requests := 0
 		for _, message := range n.messages {
 			if message.GetKind() == rockwindpb.MessageKind_MESSAGE_KIND_PRE_VOTE && message.GetTo() == other[0] {
-				polls++
+				requests++
 			}
 		}
-		if polls != 1 {
-			t.Errorf("%d polls in tick %d", polls, tick)
+		if requests != 1 {
+			t.Errorf("%d requests in tick %d, want 1", requests, tick)
 		}
 		n.messages = nil
 		n.Tick()
 	}
 }
 
-// polling returns a replica that has just started again, and the identities of the others.
-func polling(t *testing.T) (*Node, []uint64) {
+// restartedNode returns a replica that has just restarted, and the IDs of the others.
+func restartedNode(t *testing.T) (*Node, []uint64) {
 	t.Helper()
-	n := restarted(t).machines[0].node
-	if !n.mayPoll() {
-		t.Fatal("it may not poll")
+	n := restartedCluster(t).machines[0].node
+	if !n.mayRequestUnanimousPreVote() {
+		t.Fatal("the replica may not request a unanimous pre-vote")
 	}
 	var others []uint64
 	for _, id := range voters(n.members.current()) {
@@ -188,8 +188,8 @@
 	return n, others
 }
 
-// poll has a replica polled by one whose log ends at the given index.
-func poll(t *testing.T, n *Node, from, index uint64) {
+// stepUnanimousPreVote steps a unanimous pre-vote request of a replica whose log ends at index.
+func stepUnanimousPreVote(t *testing.T, n *Node, from, index uint64) {
 	t.Helper()
 	lastTerm, err := n.log.lastTerm()
 	if err != nil {
@@ -208,10 +208,10 @@
 	}
 }
 
-// TestFirstCommitOfALeaderIsKept: what a replica must hold before it is up to date does not
-// move on with each heartbeat, and is another one in the next term.
-func TestFirstCommitOfALeaderIsKept(t *testing.T) {
-	n, other := polling(t)
+// TestLeaderCommitIsFixedPerTerm checks that the index that a replica must apply to be up to
+// date does not move with each heartbeat, and is set again in the next term.
+func TestLeaderCommitIsFixedPerTerm(t *testing.T) {
+	n, other := restartedNode(t)
 	held := n.log.committed
 	heartbeat := func(term, commit, leaderCommit, want uint64) {
 		t.Helper()
@@ -219,16 +219,16 @@
 			Kind: rockwindpb.MessageKind_MESSAGE_KIND_HEARTBEAT, From: other[0], Term: term, Commit: commit, LeaderCommit: leaderCommit,
 		})
 		if got := n.Status().LeaderCommit; got != want {
-			t.Errorf("in term %d, after commits %d and %d, it is %d in place of %d", term, commit, leaderCommit, got, want)
+			t.Errorf("in term %d, after commits %d and %d, LeaderCommit is %d, want %d", term, commit, leaderCommit, got, want)
 		}
 	}
 	if got := n.Status().LeaderCommit; got != 0 {
-		t.Errorf("before a leader is heard it is %d", got)
+		t.Errorf("LeaderCommit is %d before the replica heard from a leader", got)
 	}
 	term := n.term
 	heartbeat(term, held, held+5, held+5)
 	heartbeat(term, held, held+9, held+5)
 	heartbeat(term+1, held, held+7, held+7)
-	// A leader of an earlier version does not tell.
+	// A leader of an earlier version does not set LeaderCommit.
 	heartbeat(term+2, held, 0, held)
 }
