--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -291,7 +291,7 @@
 		return
 	}
 	f.network.mount(m.name, nil)
-	m.disk.Kill()
+	m.disk.KillProcess()
 	m.cancel()
 	<-m.ended
 	m.set(nil)
@@ -306,7 +306,7 @@
 // loseDisk ends a machine and erases its disk.
 func (f *testCluster) loseDisk(m *machine) {
 	f.kill(m)
-	m.disk.Lose()
+	m.disk.Wipe()
 }
 
 func (f *testCluster) found(shards int) {
--- a/internal/replica/ready.go
+++ b/internal/replica/ready.go
@@ -91,7 +91,7 @@
 
 // recordSlowDiskTransfer records a leadership transfer that a slow disk caused.
 func (o *owner) recordSlowDiskTransfer() {
-	target := o.node.SlowDiskTarget()
+	target := o.node.SlowDiskTransferTarget()
 	if (target != 0) == o.slowDiskTransfer {
 		return
 	}
--- a/internal/replica/shortentries.go
+++ b/internal/replica/shortentries.go
@@ -156,7 +156,7 @@
 	if !known || message.GetTerm() != status.Term {
 		return
 	}
-	member.firstReference = status.Last + 1
+	member.firstReference = status.LastIndex + 1
 	o.shortEntries.members[message.GetFrom()] = member
 	o.node.ReportUnreachable(message.GetFrom())
 }
--- a/internal/replica/snapshot.go
+++ b/internal/replica/snapshot.go
@@ -59,14 +59,14 @@
 	}
 	options := &o.host.options
 	return o.applied-o.snapshotIndex >= options.SnapshotEntries ||
-		o.stored.Behind() >= options.SnapshotBytes || o.snapshotRequested.Load()
+		o.stored.BytesSinceSnapshot() >= options.SnapshotBytes || o.snapshotRequested.Load()
 }
 
 // saveLocalSnapshot makes a snapshot durable. It skips the snapshot if the disk is
 // full.
 func (o *owner) saveLocalSnapshot(metadata *rockwindpb.SnapshotMetadata, content []byte, previousIndex uint64) error {
 	saved, err := o.host.log.SaveSnapshot(o.id, metadata, content)
-	if wal.IsFull(err) {
+	if wal.IsDiskFull(err) {
 		log.WithError(err).WithField("group", o.id).Error("snapshot skipped because the disk is full")
 		o.snapshotSaved <- previousIndex
 		return nil
@@ -84,7 +84,7 @@
 func (h *Host) saveReceivedSnapshot(ctx context.Context, group uint32, metadata *rockwindpb.SnapshotMetadata, content []byte) (*rockwindpb.SnapshotMetadata, error) {
 	for {
 		saved, err := h.log.SaveSnapshot(group, metadata, content)
-		if !wal.IsFull(err) {
+		if !wal.IsDiskFull(err) {
 			return saved, err
 		}
 		select {
--- a/internal/replica/writer.go
+++ b/internal/replica/writer.go
@@ -92,7 +92,7 @@
 	for position := range batch {
 		batch[position].done()
 	}
-	w.requestSnapshots(w.log.Pinning(maxRetainedSegments))
+	w.requestSnapshots(w.log.PinningGroups(maxRetainedSegments))
 	return nil
 }
 
@@ -106,7 +106,7 @@
 			w.diskFull.Store(false)
 			return nil
 		}
-		if w.log.Failed() != nil || !wal.IsFull(err) {
+		if w.log.Err() != nil || !wal.IsDiskFull(err) {
 			return err
 		}
 		if !w.diskFull.Swap(true) {
