--- a/internal/command/site.go
+++ b/internal/command/site.go
@@ -35,7 +35,7 @@
 func runSite(s *session, loaded *rockwindpb.SiteSettings) error {
 	switch loaded.GetRole() {
 	case rockwindpb.SiteRole_SITE_ROLE_COORDINATOR:
-		return coordinator.Run(s.context, loaded, nil, coordinator.WithIdentifier(site.AskOverHTTP(router.PlainProtocol{}.IdentityHeaders())))
+		return coordinator.Run(s.context, loaded, nil, coordinator.WithIdentifier(site.HTTPIdentifier(router.PlainProtocol{}.IdentityHeaders())))
 	case rockwindpb.SiteRole_SITE_ROLE_STORE:
 		return store.Run(s.context, loaded, router.PlainProtocol{})
 	}
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -73,14 +73,14 @@
 // progress. The handler is served on settings.Listen, or on the internal address if that is
 // empty; it may be nil.
 func Run(ctx context.Context, settings *rockwindpb.SiteSettings, handler Handler, options ...Option) error {
-	site.BoundMemory(settings)
+	site.SetMemoryLimit(settings)
 	c := &Coordinator{settings: settings, client: dial.NewClient(), liveness: newLiveness()}
 	for _, option := range options {
 		option(c)
 	}
 	host, release, err := site.OpenHost(settings, c.client, site.HostOptions{
 		Discover: c.peers,
-		Places:   max(maxRootMembers, site.Places(settings)),
+		Places:   max(maxRootMembers, site.GroupSize(settings)),
 		StateMachines: func(uint32) replica.StateMachine {
 			machine := newRootStateMachine()
 			c.rootState.Store(machine)
@@ -156,7 +156,7 @@
 // foundCluster founds the cluster from the seeds at the first start of the site. All seeds may
 // do so concurrently, since the result depends only on the seeds.
 func (c *Coordinator) foundCluster(ctx context.Context) {
-	seeded := slices.Contains(c.settings.GetSeeds(), site.Advertised(c.settings))
+	seeded := slices.Contains(c.settings.GetSeeds(), site.AdvertisedAddress(c.settings))
 	if !c.settings.GetBootstrap() || !seeded {
 		return
 	}
@@ -216,13 +216,13 @@
 	return wasUpToDate || (leaderCommit != 0 && status.GetApplied() >= leaderCommit)
 }
 
-// awaitCurrentState is currentState, but waits up to site.StartHold after a start, so that callers
+// awaitCurrentState is currentState, but waits up to site.MaxStartupHold after a start, so that callers
 // need not retry. A coordinator that loses its leader later fails immediately, since another one
 // may be in contact with it.
 func (c *Coordinator) awaitCurrentState(ctx context.Context) (replica.Group, *rootView, error) {
 	for began := time.Now(); ; {
 		group, view, err := c.currentState()
-		if err == nil || c.wasUpToDate.Load() || time.Since(began) > site.StartHold {
+		if err == nil || c.wasUpToDate.Load() || time.Since(began) > site.MaxStartupHold {
 			return group, view, err
 		}
 		applied, groupErr := c.applied()
@@ -288,7 +288,7 @@
 		return here()
 	}
 	leader := group.Status().GetLeaderAddress()
-	if leader == "" || leader == site.Advertised(c.settings) {
+	if leader == "" || leader == site.AdvertisedAddress(c.settings) {
 		return fault.New(fault.Unavailable, "the root group has no known leader", "retry, also with another coordinator")
 	}
 	markedCtx, err := withForwardedHeader(ctx)
--- a/internal/coordinator/machines.go
+++ b/internal/coordinator/machines.go
@@ -82,7 +82,7 @@
 			remaining++
 		}
 	}
-	if wanted := site.Places(c.settings); remaining < wanted {
+	if wanted := site.GroupSize(c.settings); remaining < wanted {
 		return fault.Newf(fault.Conflict, "add a store first", "only %d stores would remain, but the site needs %d", remaining, wanted)
 	}
 	err = c.commitOnLeader(ctx, &rockwindpb.DirectoryCommand{
--- a/internal/coordinator/maintenance.go
+++ b/internal/coordinator/maintenance.go
@@ -73,7 +73,7 @@
 		Name:      c.settings.GetName(),
 		Role:      rockwindpb.SiteRole_SITE_ROLE_COORDINATOR,
 		Zone:      c.settings.GetZone(),
-		Address:   site.Advertised(c.settings),
+		Address:   site.AdvertisedAddress(c.settings),
 		DiskId:    c.host.DiskID(),
 		Bootstrap: c.settings.GetBootstrap(),
 	}
@@ -105,7 +105,7 @@
 
 // noteToLeader relays the reports of servers to the leader; an empty address is ignored.
 func (c *Coordinator) noteToLeader(ctx context.Context, leader string) {
-	if leader == "" || leader == site.Advertised(c.settings) {
+	if leader == "" || leader == site.AdvertisedAddress(c.settings) {
 		return
 	}
 	ids := c.liveness.takePending()
@@ -151,7 +151,7 @@
 
 // foundStoreCluster founds the store cluster if it is due.
 func (c *Coordinator) foundStoreCluster(ctx context.Context, view *directory.View, now time.Time) {
-	founding := directory.PlanStoreCluster(view, site.Places(c.settings), now)
+	founding := directory.PlanStoreCluster(view, site.GroupSize(c.settings), now)
 	if founding == nil {
 		return
 	}
--- a/internal/coordinator/members.go
+++ b/internal/coordinator/members.go
@@ -62,7 +62,7 @@
 // memberAddresses lists the machines that may be members of the root group: those named in the
 // last answer to a join request, and the seeds.
 func (c *Coordinator) memberAddresses() []string {
-	self := site.Advertised(c.settings)
+	self := site.AdvertisedAddress(c.settings)
 	var addresses []string
 	add := func(address string) {
 		if address != "" && address != self && !slices.Contains(addresses, address) {
@@ -147,7 +147,7 @@
 		if !isTransient(failure) {
 			return none, failure
 		}
-		if timeout == untilCommitted && (failure.Kind == fault.OutcomeUnknown || (connected && !fault.Told(err))) {
+		if timeout == untilCommitted && (failure.Kind == fault.OutcomeUnknown || (connected && !fault.IsFault(err))) {
 			outcomeErr = outcomeUnknown(address)
 		}
 		remaining = remaining[1:]
@@ -160,7 +160,7 @@
 			// The caller's context ended, which says nothing about the member.
 		case failure.Kind != fault.NotLeader:
 			c.memberSelector.recordResult(address, false, time.Now())
-		case failure.Leader != "" && failure.Leader != site.Advertised(c.settings):
+		case failure.Leader != "" && failure.Leader != site.AdvertisedAddress(c.settings):
 			remaining = slices.Insert(remaining, 0, failure.Leader)
 		}
 	}
@@ -208,7 +208,7 @@
 		defer time.AfterFunc(timeout, cancel).Stop()
 	}
 	var connected atomic.Bool
-	tracedCtx, release := site.WithConnectLimit(attemptCtx, site.ConnectPatience)
+	tracedCtx, release := site.WithConnectTimeout(attemptCtx, site.ConnectTimeout)
 	defer release()
 	tracedCtx = httptrace.WithClientTrace(tracedCtx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
@@ -224,7 +224,7 @@
 		// A note without servers has no effect and is answered immediately.
 		_, err := c.directoryAt(base).Note(checkCtx, &rockwindpb.NoteServersRequest{})
 		cancel()
-		if err != nil && !fault.Told(err) && ctx.Err() == nil {
+		if err != nil && !fault.IsFault(err) && ctx.Err() == nil {
 			log.WithError(err).WithField("address", base).Warn("a member of the root group does not answer a change and is unresponsive")
 			abort()
 			return
--- a/internal/coordinator/seeds_test.go
+++ b/internal/coordinator/seeds_test.go
@@ -39,7 +39,7 @@
 				s.network.takeUnanswered()
 				time.Sleep(10 * time.Second)
 				later := float64(s.network.takeUnanswered()) / count / 10
-				if silence, failed := added[0].watcher.Silence(); silence < time.Minute || failed == 0 {
+				if silence, failed := added[0].watcher.WatchFailures(); silence < time.Minute || failed == 0 {
 					t.Errorf("a process reports silence for %v and %d attempts", silence, failed)
 				}
 				// Written after three seconds and every thirty seconds from then on.
@@ -69,7 +69,7 @@
 		}
 		time.Sleep(5 * time.Second)
 		for _, p := range s.processes[coordinators:] {
-			if silent, _ := p.watcher.Silence(); silent > 2*time.Second {
+			if silent, _ := p.watcher.WatchFailures(); silent > 2*time.Second {
 				t.Errorf("%s has heard no coordinator for %v with three of five running", p.name, silent)
 			}
 		}
--- a/internal/coordinator/virtualsite_test.go
+++ b/internal/coordinator/virtualsite_test.go
@@ -237,7 +237,7 @@
 	noted := make(chan struct{})
 	go func() {
 		defer close(noted)
-		if watcher.AwaitKnown(ctx) {
+		if watcher.AwaitInitialized(ctx) {
 			p.ready = time.Since(p.started)
 		}
 	}()
@@ -268,7 +268,7 @@
 	ctx, cancel := context.WithTimeout(s.t.Context(), time.Minute)
 	defer cancel()
 	for _, p := range among {
-		if p.watcher != nil && !p.watcher.AwaitKnown(ctx) {
+		if p.watcher != nil && !p.watcher.AwaitInitialized(ctx) {
 			s.t.Fatalf("%s has no state a minute after its start", p.name)
 		}
 	}
--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -133,16 +133,16 @@
 	return xxhash.Sum64String(id)%sampleOf == 0
 }
 
-// Wanted tells whether a line of the kind about the request would be written, so
+// Enabled tells whether a line of the kind about the request would be written, so
 // that callers can spare themselves the fields.
-func Wanted(kind Kind, id string) bool {
+func Enabled(kind Kind, id string) bool {
 	return !sampled[kind] || Sampled(id)
 }
 
 // Record writes a line about a request, job or server, unless the kind's budget
 // is used up. The number of lines that were left out goes with the next one.
 func (r *Recorder) Record(kind Kind, id string, fields log.Fields) {
-	omitted, allowed := r.take(kind, Wanted(kind, id))
+	omitted, allowed := r.take(kind, Enabled(kind, id))
 	if !allowed {
 		return
 	}
--- a/internal/dial/again.go
+++ b/internal/dial/again.go
@@ -20,8 +20,8 @@
 	steadyIntervals = 5
 )
 
-// Attempt opens one connection, as net.Dialer.DialContext does.
-type Attempt func(ctx context.Context, network, address string) (net.Conn, error)
+// DialFunc opens one connection, as net.Dialer.DialContext does.
+type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
 // dialed is how an attempt ended.
 type dialed struct {
@@ -29,10 +29,10 @@
 	err        error
 }
 
-// Again returns a dialer that makes one more attempt after each interval in which none has
+// Hedged returns a dialer that makes one more attempt after each interval in which none has
 // ended, at most until the limit; intervals get longer after the first few. The first attempt
 // that ends decides: a refusal comes from a machine that is up.
-func Again(attempt Attempt, interval, limit time.Duration) Attempt {
+func Hedged(attempt DialFunc, interval, limit time.Duration) DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, limit)
 		defer cancel()
--- a/internal/dial/again_test.go
+++ b/internal/dial/again_test.go
@@ -65,7 +65,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			began := time.Now()
 			machine := &sleeping{upAt: began.Add(test.upAfter)}
-			connection, err := dial.Again(machine.dial, interval, limit)(t.Context(), "tcp", "a:1")
+			connection, err := dial.Hedged(machine.dial, interval, limit)(t.Context(), "tcp", "a:1")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -85,7 +85,7 @@
 func TestRefusalEndsTheAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		machine := &sleeping{upAt: time.Now(), answer: syscall.ECONNREFUSED}
-		if _, err := dial.Again(machine.dial, interval, limit)(t.Context(), "tcp", "a:1"); err != syscall.ECONNREFUSED {
+		if _, err := dial.Hedged(machine.dial, interval, limit)(t.Context(), "tcp", "a:1"); err != syscall.ECONNREFUSED {
 			t.Errorf("ended with %v", err)
 		}
 		if machine.attempts.Load() != 1 {
@@ -99,7 +99,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		machine := &sleeping{upAt: began.Add(time.Hour)}
-		if _, err := dial.Again(machine.dial, interval, limit)(t.Context(), "tcp", "a:1"); err == nil {
+		if _, err := dial.Hedged(machine.dial, interval, limit)(t.Context(), "tcp", "a:1"); err == nil {
 			t.Error("connected")
 		}
 		if took := time.Since(began); took != limit {
--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -63,7 +63,7 @@
 // machine that comes up soon after that.
 func NewClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
-		DialContext:         Again(Dialer().DialContext, attemptInterval, connectTimeout),
+		DialContext:         Hedged(Dialer().DialContext, attemptInterval, connectTimeout),
 		MaxIdleConnsPerHost: idleConnections,
 		IdleConnTimeout:     idleConnectionTimeout,
 		DisableCompression:  true,
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -135,9 +135,9 @@
 	return New(Internal, err.Error(), "report this with the output of 'rockwind logs'")
 }
 
-// Told tells whether err is a fault that somebody stated, here or at the other end of a twirp
+// IsFault tells whether err is a fault that somebody stated, here or at the other end of a twirp
 // call. Any other error of a call says nothing of what happened there.
-func Told(err error) bool {
+func IsFault(err error) bool {
 	var stated *Fault
 	if errors.As(err, &stated) {
 		return true
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -21,7 +21,7 @@
 		"its context":      {context.Canceled, false},
 		"none":             {nil, false},
 	} {
-		if got := fault.Told(test.err); got != test.want {
+		if got := fault.IsFault(test.err); got != test.want {
 			t.Errorf("%s: told %v, want %v", name, got, test.want)
 		}
 	}
--- a/internal/jobclient/client.go
+++ b/internal/jobclient/client.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// Leave has all calls end soon, those that are under way as well: this process leaves.
-func (c *Client) Leave() { c.leave.Do(func() { close(c.leaving) }) }
+// BeginShutdown has all calls end soon, those that are under way as well: this process leaves.
+func (c *Client) BeginShutdown() { c.leave.Do(func() { close(c.leaving) }) }
 
 // Submit hands a job over. It returns once enough copies are synced. It fails with
 // fault.OutcomeUnknown where the job may have been taken although no answer says so, and
--- a/internal/jobclient/patience_test.go
+++ b/internal/jobclient/patience_test.go
@@ -189,7 +189,7 @@
 	const leaves, most = 5 * time.Second, 8 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		client := virtualClient(map[string]*fakeStore{"1.1.1.1:1": {submit: notLeader("")}, "1.1.1.1:2": {submit: notLeader("")}})
-		time.AfterFunc(leaves, client.Leave)
+		time.AfterFunc(leaves, client.BeginShutdown)
 		began := time.Now()
 		err := client.Submit(t.Context(), &rockwindpb.StoredJob{Id: "job"}, 0)
 		if took := time.Since(began); err == nil || took <= leaves || took >= most {
--- a/internal/router/daemon.go
+++ b/internal/router/daemon.go
@@ -51,7 +51,7 @@
 // Run runs a router until the context ends. It then reports that it is not ready, accepts
 // connections for a while, finishes running requests and returns.
 func Run(ctx context.Context, settings *rockwindpb.SiteSettings, protocol Protocol, handler HandlerFactory) error {
-	site.BoundMemory(settings)
+	site.SetMemoryLimit(settings)
 	client := dial.NewClient()
 	watcher, err := site.NewWatcher(settings, client, "")
 	if err != nil {
@@ -71,14 +71,14 @@
 	router := d.router
 	set := sitemetrics.New("router", decision.Default)
 	set.LoadTraffic(router.dispatcher.LoadTraffic)
-	set.Start(func() time.Duration { return time.Duration(router.startupTime.Load()) })
+	set.StartupTime(func() time.Duration { return time.Duration(router.startupTime.Load()) })
 	set.Paces(router.dispatcher.Paces)
-	set.Held(router.crashes.QuarantinedCount)
+	set.Quarantined(router.crashes.QuarantinedCount)
 	set.DrainedZones(router.dispatcher.DrainedZones)
 	set.ClientBuffers(router.buffers.Usage)
 	set.Waiting(router.dispatcher.Waiting)
 	set.LeftBehind(router.dispatcher.LeftBehind)
-	set.Coordinators(router.watcher.Silence)
+	set.Coordinators(router.watcher.WatchFailures)
 	set.Relief(d.relief.state)
 	return set
 }
@@ -163,7 +163,7 @@
 	case <-time.After(shutdownDelay):
 	case <-background.Done():
 	}
-	d.router.jobs.Leave()
+	d.router.jobs.BeginShutdown()
 }
 
 // serveClients serves until the context ends. Running requests then get the given grace period,
@@ -197,7 +197,7 @@
 		Name:    settings.GetName(),
 		Role:    rockwindpb.SiteRole_SITE_ROLE_ROUTER,
 		Zone:    settings.GetZone(),
-		Address: site.Advertised(settings),
+		Address: site.AdvertisedAddress(settings),
 	}
 	for {
 		pause := announceInterval
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -34,10 +34,10 @@
 	defer d.mutex.Unlock()
 	var all []sitemetrics.Waiting
 	for _, pool := range d.pools {
-		var held []sitemetrics.HeldTenant
+		var held []sitemetrics.HeldBackTenant
 		if d.gates.On(gate.FairShare) {
 			for _, each := range pool.heldBack(d.now()) {
-				held = append(held, sitemetrics.HeldTenant{Tenant: each.tenant, Waiting: each.waiting})
+				held = append(held, sitemetrics.HeldBackTenant{Tenant: each.tenant, Waiting: each.waiting})
 			}
 		}
 		elsewhere := d.shares.At(balance.QueueHash(pool.name)).Inflight
--- a/internal/router/protocol.go
+++ b/internal/router/protocol.go
@@ -65,7 +65,7 @@
 	// ParseResponse parses the head of a response.
 	ParseResponse(status int, answer http.Header) ResponseInfo
 	// IdentityHeaders returns the headers by which a server identifies its incarnation on the
-	// health path: see site.AskOverHTTP.
+	// health path: see site.HTTPIdentifier.
 	IdentityHeaders() (expected, found string)
 	// ParseJob parses a submitted batch job. Its errors are faults.
 	ParseJob(header http.Header, body []byte) (*rockwindpb.StoredJob, error)
--- a/internal/router/recording.go
+++ b/internal/router/recording.go
@@ -14,7 +14,7 @@
 // record writes a decision record about the request with the data it was based on.
 func (e *exchange) record(kind decision.Kind, lease *Lease, reason string) {
 	e.recordMetrics(kind)
-	if !decision.Wanted(kind, e.info.ID) {
+	if !decision.Enabled(kind, e.info.ID) {
 		decision.Default.Skip(kind)
 		return
 	}
@@ -76,7 +76,7 @@
 // recordMetrics counts the end of the request.
 func (e *exchange) recordMetrics(kind decision.Kind) {
 	if kind != decision.RequestTriedAgain && e.router.metrics != nil {
-		e.router.metrics.Request(configuration.RouteKindName(e.route.GetKind()), kind, e.headAfter, time.Since(e.received))
+		e.router.metrics.ObserveRequest(configuration.RouteKindName(e.route.GetKind()), kind, e.headAfter, time.Since(e.received))
 	}
 }
 
--- a/internal/router/survey.go
+++ b/internal/router/survey.go
@@ -50,7 +50,7 @@
 // behind there. It returns once the survey is over or the context ends.
 func (d *Dispatcher) Survey(ctx context.Context, settings *rockwindpb.SiteSettings, watcher *site.Watcher, protocol Protocol, client *upstream.Client) {
 	query, offered := protocol.(LoadQuery)
-	if !offered || !d.gates.On(gate.LeftBehind) || !d.AwaitReady(ctx) || !watcher.AwaitKnown(ctx) {
+	if !offered || !d.gates.On(gate.LeftBehind) || !d.AwaitReady(ctx) || !watcher.AwaitInitialized(ctx) {
 		return
 	}
 	d.runSurvey(ctx, settings.GetName(), watcher.Directory(), watcher.Configuration(), query, client)
--- a/internal/router/tenants.go
+++ b/internal/router/tenants.go
@@ -70,7 +70,7 @@
 }
 
 func (r *Router) tenantOf(header http.Header) (string, error) {
-	if !r.watcher.Known() {
+	if !r.watcher.Initialized() {
 		return "", notReadyFault(notReadyRetryAfter)
 	}
 	info, err := r.protocol.ParseRequest(header)
--- a/internal/router/unknown.go
+++ b/internal/router/unknown.go
@@ -20,7 +20,7 @@
 )
 
 // ready reports whether this router can serve: it has a configuration and a directory.
-func (r *Router) ready() bool { return r.watcher.Known() && r.dispatcher.Ready() }
+func (r *Router) ready() bool { return r.watcher.Initialized() && r.dispatcher.Ready() }
 
 // awaitReady delays a request to a router that has just started until the router is ready, and
 // reports whether it is. Refused clients would retry later than the router becomes ready.
@@ -32,17 +32,17 @@
 	}
 	ctx, cancel := context.WithTimeout(request.Context(), maxWait)
 	defer cancel()
-	return r.watcher.AwaitKnown(ctx) && r.dispatcher.AwaitReady(ctx)
+	return r.watcher.AwaitInitialized(ctx) && r.dispatcher.AwaitReady(ctx)
 }
 
 // recordStart records how long each step of the start took once this router is ready.
 func (r *Router) recordStart(ctx context.Context, name string) {
-	if !r.watcher.AwaitKnown(ctx) || !r.dispatcher.AwaitReady(ctx) {
+	if !r.watcher.AwaitInitialized(ctx) || !r.dispatcher.AwaitReady(ctx) {
 		return
 	}
 	took := time.Since(r.started)
 	r.startupTime.Store(int64(took))
-	configuration, directory := r.watcher.KnownSince()
+	configuration, directory := r.watcher.InitializedAt()
 	decision.Default.Record(decision.StartFinished, name, log.Fields{
 		"configuration_ms": configuration.Sub(r.started).Milliseconds(), "directory_ms": directory.Sub(r.started).Milliseconds(),
 		"took_ms": took.Milliseconds(),
--- a/internal/router/witness.go
+++ b/internal/router/witness.go
@@ -47,7 +47,7 @@
 type CrashReporter struct {
 	watcher  *site.Watcher
 	client   *upstream.Client
-	reporter *site.Reporter
+	reporter *site.QuarantineReporter
 	// identifier queries which incarnation is at an address.
 	identifier      site.Identifier
 	checks          singleflight.Group
@@ -61,7 +61,7 @@
 // them by the given protocol.
 func NewCrashReporter(watcher *site.Watcher, client *upstream.Client, protocol Protocol) *CrashReporter {
 	return &CrashReporter{
-		watcher: watcher, client: client, reporter: site.NewReporter(watcher), identifier: site.AskOverHTTP(protocol.IdentityHeaders()),
+		watcher: watcher, client: client, reporter: site.NewQuarantineReporter(watcher), identifier: site.HTTPIdentifier(protocol.IdentityHeaders()),
 		checkSlots: make(chan struct{}, maxChecks), stopped: make(chan struct{}), answers: newRecentAnswers(time.Now()),
 	}
 }
@@ -103,7 +103,7 @@
 		// The check may take seconds. A response to the same fingerprint before or since shows
 		// that the request is harmless.
 		if r.serverCrashed(attempt) && !r.answers.has(attempt.Content, time.Now()) {
-			r.reporter.Ended(&rockwindpb.ServerEnd{
+			r.reporter.ReportCrash(&rockwindpb.ServerEnd{
 				Content: attempt.Content.Bytes(), Server: attempt.Server, Route: attempt.Route, Tenant: attempt.Tenant, Item: attempt.BatchItem,
 			}, attempt.SentAt)
 		}
@@ -213,7 +213,7 @@
 func (r *CrashReporter) Answered(content fingerprint.Fingerprint) {
 	suspected := r.watcher.Quarantine().Suspected(content) || r.reporter.Suspected(content)
 	if r.answers.add(content, suspected, time.Now()) {
-		r.reporter.Answered(content)
+		r.reporter.ReportAnswer(content)
 	}
 }
 
--- a/internal/site/connecting.go
+++ b/internal/site/connecting.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// ConnectPatience is how long a process that knows no directory yet waits for a connection
+// ConnectTimeout is how long a process that knows no directory yet waits for a connection
 // to a coordinator, before it asks another one: at a start some machines may not be up.
 // Once connected it waits for the answer, which the coordinator may hold until it knows.
 // It has room for a connection between regions, and for a start on a busy core.
-const ConnectPatience = 250 * time.Millisecond
+const ConnectTimeout = 250 * time.Millisecond
 
-// WithConnectLimit returns a context that ends where a call made with it has no connection
+// WithConnectTimeout returns a context that ends where a call made with it has no connection
 // within the limit. The returned function releases it.
-func WithConnectLimit(ctx context.Context, limit time.Duration) (context.Context, func()) {
+func WithConnectTimeout(ctx context.Context, limit time.Duration) (context.Context, func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	timer := time.AfterFunc(limit, cancel)
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
--- a/internal/site/host.go
+++ b/internal/site/host.go
@@ -36,14 +36,14 @@
 	handOverTimeout = 2 * time.Second
 )
 
-// Advertised is the address under which other processes of the site reach the one
+// AdvertisedAddress is the address under which other processes of the site reach the one
 // with the given settings.
-func Advertised(given *rockwindpb.SiteSettings) string {
+func AdvertisedAddress(given *rockwindpb.SiteSettings) string {
 	return cmp.Or(given.GetAdvertise(), given.GetInternalListen())
 }
 
-// Places is how many replicas of a group bear the losses that the site tolerates.
-func Places(given *rockwindpb.SiteSettings) int { return 2*int(given.GetToleratedLosses()) + 1 }
+// GroupSize is how many replicas of a group bear the losses that the site tolerates.
+func GroupSize(given *rockwindpb.SiteSettings) int { return 2*int(given.GetToleratedLosses()) + 1 }
 
 // LogBytes is how much of the log of one group is kept in memory behind its newest
 // snapshot.
@@ -72,7 +72,7 @@
 	}
 	host, err = replica.NewHost(replica.Options{
 		Machine:         given.GetName(),
-		Address:         Advertised(given),
+		Address:         AdvertisedAddress(given),
 		Folder:          filepath.Join(given.GetDataFolder(), groupFolder),
 		Client:          client,
 		Tick:            tick,
--- a/internal/site/identity.go
+++ b/internal/site/identity.go
@@ -15,10 +15,10 @@
 // returns what the answer shows, together with an error where it shows nothing.
 type Identifier func(ctx context.Context, expected *rockwindpb.Server, healthPath string) (directory.Identity, error)
 
-// AskOverHTTP returns an identifier that asks the health path which server is there. The first
+// HTTPIdentifier returns an identifier that asks the health path which server is there. The first
 // header names the incarnation that a request is meant for, which another one answers with
 // status 421; the second names the incarnation that gave an answer.
-func AskOverHTTP(expectedHeader, foundHeader string) Identifier {
+func HTTPIdentifier(expectedHeader, foundHeader string) Identifier {
 	// Each question has a connection of its own: an earlier one may have been accepted by a
 	// server that has ended since.
 	client := &http.Client{
--- a/internal/site/nearer.go
+++ b/internal/site/nearer.go
@@ -15,13 +15,13 @@
 	firstSeek = time.Second
 	// seekInterval is the time between later looks. A look costs one call.
 	seekInterval = 5 * time.Second
-	// StartHold is how long a coordinator that has just started holds calls until it is up to
+	// MaxStartupHold is how long a coordinator that has just started holds calls until it is up to
 	// date with its leader: as long as an election takes at most where all coordinators answer. One
 	// that is cut off holds up those who ask it for no longer.
-	StartHold = 600 * time.Millisecond
+	MaxStartupHold = 600 * time.Millisecond
 	// seekTimeout bounds the call that shows whether a coordinator answers: one that holds it
 	// has not failed. Beside the hold it leaves time for the way and the answer.
-	seekTimeout = StartHold + 200*time.Millisecond
+	seekTimeout = MaxStartupHold + 200*time.Millisecond
 	// seekSpread is the largest part of an interval that chance adds to it, so that the
 	// watchers of a coordinator that is back do not come together.
 	seekSpread = 0.5
--- a/internal/site/nearer_test.go
+++ b/internal/site/nearer_test.go
@@ -61,7 +61,7 @@
 // leader, and has not failed.
 func TestWatcherMovesToANearCoordinatorThatHasJustStarted(t *testing.T) {
 	far, near := newFakeCoordinator(1), newFakeCoordinator(1)
-	near.hold.Store(int64(site.StartHold))
+	near.hold.Store(int64(site.MaxStartupHold))
 	nearAddress := near.start(t)
 	far.machines = []*rockwindpb.Machine{coordinatorAt(nearAddress, "here")}
 	near.machines = far.machines
--- a/internal/site/process.go
+++ b/internal/site/process.go
@@ -27,8 +27,8 @@
 	idleTimeout = time.Minute
 )
 
-// BoundMemory tells the runtime how much memory the settings allow.
-func BoundMemory(settings *rockwindpb.SiteSettings) {
+// SetMemoryLimit tells the runtime how much memory the settings allow.
+func SetMemoryLimit(settings *rockwindpb.SiteSettings) {
 	if settings.GetMemoryMb() > 0 {
 		debug.SetMemoryLimit(int64(float64(settings.GetMemoryMb()) * megabyte * memoryPart))
 	}
--- a/internal/site/reporter.go
+++ b/internal/site/reporter.go
@@ -29,10 +29,10 @@
 	reportMost  = 64
 )
 
-// Reporter tells the coordinators under which requests servers ended, and which suspected ones
+// QuarantineReporter tells the coordinators under which requests servers ended, and which suspected ones
 // were answered since. Run sends; the other methods may be called by any goroutine and never
 // block.
-type Reporter struct {
+type QuarantineReporter struct {
 	watcher *Watcher
 	queue   chan observation
 
@@ -49,13 +49,13 @@
 	noticed  time.Time
 }
 
-// NewReporter returns a reporter to the coordinators that the watcher knows.
-func NewReporter(watcher *Watcher) *Reporter {
-	return &Reporter{watcher: watcher, queue: make(chan observation, reportQueue), untold: quarantine.NewUntold()}
+// NewQuarantineReporter returns a reporter to the coordinators that the watcher knows.
+func NewQuarantineReporter(watcher *Watcher) *QuarantineReporter {
+	return &QuarantineReporter{watcher: watcher, queue: make(chan observation, reportQueue), untold: quarantine.NewUntold()}
 }
 
 // HeldFor is for how much longer a content is held by what was not told yet.
-func (r *Reporter) HeldFor(content func() fingerprint.Fingerprint, now time.Time) time.Duration {
+func (r *QuarantineReporter) HeldFor(content func() fingerprint.Fingerprint, now time.Time) time.Duration {
 	r.mutex.Lock()
 	empty := r.untold.Empty()
 	r.mutex.Unlock()
@@ -69,24 +69,24 @@
 }
 
 // Suspected tells whether several servers ended under a content by what was not told yet.
-func (r *Reporter) Suspected(content fingerprint.Fingerprint) bool {
+func (r *QuarantineReporter) Suspected(content fingerprint.Fingerprint) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.untold.Suspected(content)
 }
 
-// Ended tells that a server ended under a request that was sent there at the given time. How
+// ReportCrash tells that a server ended under a request that was sent there at the given time. How
 // long ago that was is filled in when it is told.
-func (r *Reporter) Ended(end *rockwindpb.ServerEnd, began time.Time) {
+func (r *QuarantineReporter) ReportCrash(end *rockwindpb.ServerEnd, began time.Time) {
 	r.add(observation{end: end, began: began, noticed: time.Now()})
 }
 
-// Answered tells that a server answered a suspected request.
-func (r *Reporter) Answered(content fingerprint.Fingerprint) {
+// ReportAnswer tells that a server answered a suspected request.
+func (r *QuarantineReporter) ReportAnswer(content fingerprint.Fingerprint) {
 	r.add(observation{answered: content, noticed: time.Now()})
 }
 
-func (r *Reporter) add(seen observation) {
+func (r *QuarantineReporter) add(seen observation) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	// Before it is sent: how long ago a run began is filled in then.
@@ -104,14 +104,14 @@
 }
 
 // done notes that observations were told, or are given up.
-func (r *Reporter) done(count int) {
+func (r *QuarantineReporter) done(count int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.untold.Done(count)
 }
 
 // Run sends what was observed until the context ends.
-func (r *Reporter) Run(ctx context.Context) {
+func (r *QuarantineReporter) Run(ctx context.Context) {
 	for {
 		select {
 		case first := <-r.queue:
@@ -124,7 +124,7 @@
 }
 
 // gather takes what else waits, up to the size of a call.
-func (r *Reporter) gather(first observation) []observation {
+func (r *QuarantineReporter) gather(first observation) []observation {
 	gathered := []observation{first}
 	for len(gathered) < reportMost {
 		select {
@@ -138,7 +138,7 @@
 }
 
 // send tells the coordinators, until one has taken the report or it is too old.
-func (r *Reporter) send(ctx context.Context, seen []observation) {
+func (r *QuarantineReporter) send(ctx context.Context, seen []observation) {
 	defer r.done(len(seen))
 	for {
 		err := r.watcher.atCoordinator(ctx, func(calling context.Context, address string) error {
--- a/internal/site/silence.go
+++ b/internal/site/silence.go
@@ -37,24 +37,24 @@
 	return max(retryPause, time.Duration((0.5+chance)*float64(pause)))
 }
 
-// SilentFor is how long no coordinator has answered a watch of this process, from its start on
+// SinceLastAnswer is how long no coordinator has answered a watch of this process, from its start on
 // where none has at all.
-func (w *Watcher) SilentFor() time.Duration {
+func (w *Watcher) SinceLastAnswer() time.Duration {
 	if heard := w.heard.Load(); heard != 0 {
 		return time.Since(time.Unix(0, heard))
 	}
 	return time.Since(w.started)
 }
 
-// Silence is SilentFor, and how many watches failed since the start.
-func (w *Watcher) Silence() (silent time.Duration, failed uint64) {
-	return w.SilentFor(), w.failedTries.Load()
+// WatchFailures is SilentFor, and how many watches failed since the start.
+func (w *Watcher) WatchFailures() (silent time.Duration, failed uint64) {
+	return w.SinceLastAnswer(), w.failedTries.Load()
 }
 
 // awaitAnswer waits while no coordinator has answered a watch for long: the watch finds the one that is
 // back, and other calls would only add to its tries. It ends with the context.
 func (w *Watcher) awaitAnswer(ctx context.Context) {
-	for w.SilentFor() > silenceSaid && retry.Pause(ctx, answerRecheck) {
+	for w.SinceLastAnswer() > silenceSaid && retry.Pause(ctx, answerRecheck) {
 	}
 }
 
@@ -62,7 +62,7 @@
 // that was given seeds that are gone finds no other ones by itself.
 func (w *Watcher) saySilence(failure error) {
 	w.failedTries.Add(1)
-	silent := w.SilentFor()
+	silent := w.SinceLastAnswer()
 	if silent < silenceSaid || (!w.said.IsZero() && time.Since(w.said) < silenceRepeat) {
 		return
 	}
--- a/internal/site/watcher.go
+++ b/internal/site/watcher.go
@@ -179,23 +179,23 @@
 // ZoneDrains lists the zones whose servers get nothing new, nil before the first directory.
 func (w *Watcher) ZoneDrains() *zonedrain.List { return w.zoneDrains.Load() }
 
-// Known tells whether a configuration and a directory have been heard from a
+// Initialized tells whether a configuration and a directory have been heard from a
 // coordinator since the start.
-func (w *Watcher) Known() bool {
+func (w *Watcher) Initialized() bool {
 	return w.directory.Load() != nil && w.configurationSince.Load() > 0
 }
 
-// KnownSince is when the first configuration and the first directory were known here, with
+// InitializedAt is when the first configuration and the first directory were known here, with
 // those that were read from disk; the Unix epoch before that.
-func (w *Watcher) KnownSince() (configuration, directory time.Time) {
+func (w *Watcher) InitializedAt() (configuration, directory time.Time) {
 	return time.Unix(0, w.configurationSince.Load()), time.Unix(0, w.directorySince.Load())
 }
 
-// AwaitKnown waits until Known, and returns false where the context ends before.
-func (w *Watcher) AwaitKnown(ctx context.Context) bool {
+// AwaitInitialized waits until Known, and returns false where the context ends before.
+func (w *Watcher) AwaitInitialized(ctx context.Context) bool {
 	for {
 		changed := w.Changed()
-		if w.Known() {
+		if w.Initialized() {
 			return true
 		}
 		select {
@@ -239,8 +239,8 @@
 				w.saySilence(err)
 			}
 		}
-		if w.Directory() == nil || w.SilentFor() > watchWait {
-			retry.Pause(ctx, pauseBetweenTries(w.SilentFor(), rand.Float64()))
+		if w.Directory() == nil || w.SinceLastAnswer() > watchWait {
+			retry.Pause(ctx, pauseBetweenTries(w.SinceLastAnswer(), rand.Float64()))
 		}
 	}
 }
@@ -291,7 +291,7 @@
 	defer cancel()
 	if held == nil {
 		var disarm func()
-		ctx, disarm = WithConnectLimit(ctx, ConnectPatience)
+		ctx, disarm = WithConnectTimeout(ctx, ConnectTimeout)
 		defer disarm()
 	}
 	wait := watchWait
--- a/internal/sitemetrics/metrics.go
+++ b/internal/sitemetrics/metrics.go
@@ -53,9 +53,9 @@
 	return created
 }
 
-// Request takes the end of a request. The time to the head of its answer is zero
+// ObserveRequest takes the end of a request. The time to the head of its answer is zero
 // where there was none.
-func (s *Set) Request(routeKind string, outcome decision.Kind, first, held time.Duration) {
+func (s *Set) ObserveRequest(routeKind string, outcome decision.Kind, first, held time.Duration) {
 	if first > 0 {
 		s.first.WithLabelValues(routeKind).Observe(first.Seconds())
 	}
--- a/internal/sitemetrics/metrics_test.go
+++ b/internal/sitemetrics/metrics_test.go
@@ -25,8 +25,8 @@
 		}
 	}
 	recorder.Record(decision.RequestRefused, "x", nil)
-	set.Request("stream", decision.RequestFinished, 30*time.Millisecond, 900*time.Millisecond)
-	set.Request("safe", decision.RequestRefused, 0, time.Second)
+	set.ObserveRequest("stream", decision.RequestFinished, 30*time.Millisecond, 900*time.Millisecond)
+	set.ObserveRequest("safe", decision.RequestRefused, 0, time.Second)
 	answer := httptest.NewRecorder()
 	set.Handler().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, sitemetrics.Path, nil))
 	page := answer.Body.String()
--- a/internal/sitemetrics/quarantine.go
+++ b/internal/sitemetrics/quarantine.go
@@ -2,9 +2,9 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Held serves how many contents of requests this process holds, which the source counts at
+// Quarantined serves how many contents of requests this process holds, which the source counts at
 // each scrape.
-func (s *Set) Held(source func() int) {
+func (s *Set) Quarantined(source func() int) {
 	s.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "rockwind_held_contents", Help: "Contents of requests that are not run since servers ended under them.",
 	}, func() float64 { return float64(source()) }))
--- a/internal/sitemetrics/waiting.go
+++ b/internal/sitemetrics/waiting.go
@@ -15,18 +15,18 @@
 	scarce    bool
 	// promised is how many clients were told to come back and have not yet.
 	promised int
-	held     []HeldTenant
+	held     []HeldBackTenant
 }
 
-// HeldTenant is a tenant whose requests others go before.
-type HeldTenant struct {
+// HeldBackTenant is a tenant whose requests others go before.
+type HeldBackTenant struct {
 	Tenant  string
 	Waiting int
 }
 
 // NewWaiting returns what waits for a service, here and elsewhere, where tenants share if room
 // is scarce, and how many clients are to come back.
-func NewWaiting(service string, requests, elsewhere, promised int, scarce bool, held []HeldTenant) Waiting {
+func NewWaiting(service string, requests, elsewhere, promised int, scarce bool, held []HeldBackTenant) Waiting {
 	return Waiting{service: service, requests: requests, elsewhere: elsewhere, promised: promised, scarce: scarce, held: held}
 }
 
--- a/internal/sitemetrics/waiting_test.go
+++ b/internal/sitemetrics/waiting_test.go
@@ -9,7 +9,7 @@
 
 func TestScrapeShowsWhatWaitsAndWhoIsHeldBack(t *testing.T) {
 	set := newSet("router")
-	held := []sitemetrics.HeldTenant{{Tenant: "flood", Waiting: 20}, {Tenant: "flood", Waiting: 3}}
+	held := []sitemetrics.HeldBackTenant{{Tenant: "flood", Waiting: 20}, {Tenant: "flood", Waiting: 3}}
 	set.Waiting(func() []sitemetrics.Waiting {
 		return []sitemetrics.Waiting{sitemetrics.NewWaiting("app", 25, 400, 6, true, held)}
 	})
--- a/internal/store/giveup.go
+++ b/internal/store/giveup.go
@@ -20,7 +20,7 @@
 )
 
 func (e *executor) route(item jobstore.OpenItem) (*rockwindpb.Route, routeStatus) {
-	if !e.store.watcher.Known() {
+	if !e.store.watcher.Initialized() {
 		return nil, routeUnknown
 	}
 	route, found := e.store.watcher.Configuration().Route(item.Host, item.JobPath)
--- a/internal/store/order.go
+++ b/internal/store/order.go
@@ -52,7 +52,7 @@
 
 // tenantWeight returns the configured weight of a tenant, or zero.
 func (e *executor) tenantWeight(tenant string) uint32 {
-	if tenant == "" || !e.store.watcher.Known() {
+	if tenant == "" || !e.store.watcher.Initialized() {
 		return 0
 	}
 	found, _ := e.store.watcher.Configuration().Tenant(tenant)
--- a/internal/store/start.go
+++ b/internal/store/start.go
@@ -112,7 +112,7 @@
 
 // logStart logs the start of an item.
 func logStart(item jobstore.OpenItem, h *history, lease *router.Lease, now time.Time) {
-	if !decision.Wanted(decision.ItemStarted, item.Job) {
+	if !decision.Enabled(decision.ItemStarted, item.Job) {
 		decision.Default.Skip(decision.ItemStarted)
 		return
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -64,7 +64,7 @@
 
 // Run serves until the context ends, then hands over leadership and stops.
 func Run(ctx context.Context, settings *rockwindpb.SiteSettings, protocol router.Protocol) error {
-	site.BoundMemory(settings)
+	site.SetMemoryLimit(settings)
 	gates := gate.NewSet(settings.GetSwitchedOff())
 	s := &Store{
 		settings:   settings,
@@ -78,7 +78,7 @@
 		created:    make(chan uint32, maximumShards),
 	}
 	host, release, err := site.OpenHost(settings, s.client, site.HostOptions{
-		Discover: s.peers, Vacate: s.retiring, StateMachines: s.create, HandingOver: s.prepareHandover, Places: site.Places(settings),
+		Discover: s.peers, Vacate: s.retiring, StateMachines: s.create, HandingOver: s.prepareHandover, Places: site.GroupSize(settings),
 	})
 	if err != nil {
 		return err
@@ -159,9 +159,9 @@
 	set.Paces(s.dispatcher.Paces)
 	set.DrainedZones(s.dispatcher.DrainedZones)
 	set.LeftBehind(s.dispatcher.LeftBehind)
-	set.Held(s.crashReporter.QuarantinedCount)
+	set.Quarantined(s.crashReporter.QuarantinedCount)
 	set.ShortItems(s.dispatcher.ShortItems)
-	set.Coordinators(s.watcher.Silence)
+	set.Coordinators(s.watcher.WatchFailures)
 	return set
 }
 
@@ -185,7 +185,7 @@
 		Name:      s.settings.GetName(),
 		Role:      rockwindpb.SiteRole_SITE_ROLE_STORE,
 		Zone:      s.settings.GetZone(),
-		Address:   site.Advertised(s.settings),
+		Address:   site.AdvertisedAddress(s.settings),
 		DiskId:    s.host.DiskID(),
 		Bootstrap: s.settings.GetBootstrap(),
 	}
