--- a/internal/backlog/backlog.go
+++ b/internal/backlog/backlog.go
@@ -102,9 +102,9 @@
 	return ordered
 }
 
-// Yielding sorts what runs into the order in which it is to give way: first what cannot be
+// SortForPreemption sorts what runs into the order in which it is to give way: first what cannot be
 // on time, then what was submitted last.
-func Yielding[T any](running []T, now time.Time, item func(T) Item) {
+func SortForPreemption[T any](running []T, now time.Time, item func(T) Item) {
 	list := entries(running, item)
 	slices.SortStableFunc(list, func(a, b entry[T]) int {
 		first, second := a.item, b.item
--- a/internal/backlog/backlog_test.go
+++ b/internal/backlog/backlog_test.go
@@ -51,21 +51,21 @@
 func TestWhatCannotBeOnTimeGivesWayFirstThenTheYoungest(t *testing.T) {
 	late, old, young := at(0, 5, 5), at(1, 20, 5), at(2, 20, 5)
 	running := []backlog.Item{old, late, young}
-	backlog.Yielding(running, start.Add(3*time.Second), same)
+	backlog.SortForPreemption(running, start.Add(3*time.Second), same)
 	if !slices.Equal(running, []backlog.Item{late, young, old}) {
 		t.Fatalf("the order is %v", running)
 	}
 }
 
 func TestPaceIsLearnedFromRuns(t *testing.T) {
-	var pace backlog.Pace
+	var pace backlog.RunTimeEstimator
 	if pace.Remaining(0) != 0 {
 		t.Fatalf("%v remain before any run", pace.Remaining(0))
 	}
 	for range 100 {
-		pace.Ended(270, 270, 5*time.Second)
+		pace.RecordRun(270, 270, 5*time.Second)
 		// A run that went on after 135 events.
-		pace.Ended(135, 270, 2500*time.Millisecond)
+		pace.RecordRun(135, 270, 2500*time.Millisecond)
 	}
 	if whole := pace.Remaining(0); whole < 5*time.Second || whole > 8*time.Second {
 		t.Fatalf("a whole run is expected to take %v", whole)
--- a/internal/backlog/ledger.go
+++ b/internal/backlog/ledger.go
@@ -8,20 +8,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MostTold is of how many tenants a process tells how many items they have running: the few that
+// MaximumTenantEntries is of how many tenants a process tells how many items they have running: the few that
 // have the most. Of the others each leader knows what runs at its own store. With the needs, the
 // stores of two of three zones tell 882 entries at most where there are 300, 8 KB (router's
 // TestSharesOfItemsFitInADatagram).
-const MostTold = 4
+const MaximumTenantEntries = 4
 
-// UseHash is the short name in load digests of what a tenant has running: the requests in flight
+// UsageHash is the short name in load digests of what a tenant has running: the requests in flight
 // there are items that run.
-func UseHash(tenant string) uint32 { return uint32(xxhash.Sum64String("items of " + tenant)) }
+func UsageHash(tenant string) uint32 { return uint32(xxhash.Sum64String("items of " + tenant)) }
 
-// NeedHashes are the short names in load digests of the needs of a service, by level: the requests
+// UnmetDemandHashes are the short names in load digests of the needs of a service, by level: the requests
 // in flight there are items that wait.
-func NeedHashes(service string) *[NeedLevels]uint32 {
-	hashes := new([NeedLevels]uint32)
+func UnmetDemandHashes(service string) *[UnmetDemandLevels]uint32 {
+	hashes := new([UnmetDemandLevels]uint32)
 	for level := range hashes {
 		hashes[level] = uint32(xxhash.Sum64String(fmt.Sprintf("need at %d for %s", level, service)))
 	}
@@ -38,20 +38,20 @@
 // ShardLoad is what waits and runs in one shard.
 type ShardLoad struct {
 	running map[string]float64
-	needs   map[string]*Need
+	needs   map[string]*UnmetDemand
 	held    map[string]int
 }
 
 // NewShardLoad returns the load of a shard with the given items running and none waiting.
 func NewShardLoad(running []Item) ShardLoad {
-	return ShardLoad{running: NewUse(running, nil).running, needs: make(map[string]*Need), held: make(map[string]int)}
+	return ShardLoad{running: NewUsage(running, nil).running, needs: make(map[string]*UnmetDemand), held: make(map[string]int)}
 }
 
-// Wait counts an item that waits for a service and may not be on time, of a tenant that has so
+// AddWaiting counts an item that waits for a service and may not be on time, of a tenant that has so
 // many running, and whether it was held back for the items of others.
-func (l ShardLoad) Wait(service string, running float64, held bool) {
+func (l ShardLoad) AddWaiting(service string, running float64, held bool) {
 	if l.needs[service] == nil {
-		l.needs[service] = new(Need)
+		l.needs[service] = new(UnmetDemand)
 	}
 	l.needs[service].Add(running)
 	if held {
@@ -83,9 +83,9 @@
 	return sum
 }
 
-// Need is what waits for a service in all shards but one.
-func (l *Ledger) Need(service string, but uint32) Need {
-	var sum Need
+// UnmetDemand is what waits for a service in all shards but one.
+func (l *Ledger) UnmetDemand(service string, but uint32) UnmetDemand {
+	var sum UnmetDemand
 	for shard, load := range l.shards {
 		if need := load.needs[service]; shard != but && need != nil {
 			sum.Plus(*need)
@@ -94,8 +94,8 @@
 	return sum
 }
 
-// Held is how many items that wait for a service were held back for those of others.
-func (l *Ledger) Held(service string) int {
+// HeldBack is how many items that wait for a service were held back for those of others.
+func (l *Ledger) HeldBack(service string) int {
 	sum := 0
 	for _, load := range l.shards {
 		sum += load.held[service]
@@ -115,9 +115,9 @@
 	var entries []Entry
 	for tenant, running := range sums {
 		if tenant != "" && running > 0 {
-			entries = append(entries, Entry{Hash: UseHash(tenant), Running: int(running)})
+			entries = append(entries, Entry{Hash: UsageHash(tenant), Running: int(running)})
 		}
 	}
 	slices.SortFunc(entries, func(a, b Entry) int { return cmp.Or(cmp.Compare(b.Running, a.Running), cmp.Compare(a.Hash, b.Hash)) })
-	return entries[:min(len(entries), MostTold)]
+	return entries[:min(len(entries), MaximumTenantEntries)]
 }
--- a/internal/backlog/pace.go
+++ b/internal/backlog/pace.go
@@ -12,17 +12,17 @@
 	leastPart = 0.1
 )
 
-// Pace learns from the runs of a service's items how long they take. The zero Pace knows
+// RunTimeEstimator learns from the runs of a service's items how long they take. The zero RunTimeEstimator knows
 // nothing and expects nothing.
-type Pace struct {
+type RunTimeEstimator struct {
 	// events is how many events a whole output has, and event how long one takes.
 	events float64
 	event  float64
 }
 
-// Ended takes the end of a run that made so many events, and how many the whole output
+// RecordRun takes the end of a run that made so many events, and how many the whole output
 // has.
-func (p *Pace) Ended(made, whole int, ran time.Duration) {
+func (p *RunTimeEstimator) RecordRun(made, whole int, ran time.Duration) {
 	if made <= 0 || ran <= 0 {
 		return
 	}
@@ -36,7 +36,7 @@
 }
 
 // Remaining is how long an item of which so many events are made is expected to run.
-func (p *Pace) Remaining(made int) time.Duration {
+func (p *RunTimeEstimator) Remaining(made int) time.Duration {
 	left := max(p.events-float64(made), leastPart*p.events)
 	return time.Duration(caution * left * p.event)
 }
--- a/internal/backlog/shards_test.go
+++ b/internal/backlog/shards_test.go
@@ -95,9 +95,9 @@
 	told struct {
 		runs    int
 		running map[string]float64
-		need    backlog.Need
+		need    backlog.UnmetDemand
 	}
-	need backlog.Need
+	need backlog.UnmetDemand
 }
 
 // shardsPlay is one play of the load.
@@ -147,7 +147,7 @@
 func (p *shardsPlay) come(heap heap) {
 	came := p.time()
 	for range heap.items {
-		item := backlog.NewItem(came, came.Add(itemDue), itemRuns).Of(heap.tenant, heap.weight)
+		item := backlog.NewItem(came, came.Add(itemDue), itemRuns).WithTenant(heap.tenant, heap.weight)
 		p.leaders[heap.shard].waiting = append(p.leaders[heap.shard].waiting, item)
 	}
 	p.asked[heap.tenant] += heap.items
@@ -174,7 +174,7 @@
 		l.waiting = append(l.waiting, each.item)
 	}
 	l.running, l.ended, l.starts = nil, nil, nil
-	l.need = backlog.Need{}
+	l.need = backlog.UnmetDemand{}
 }
 
 func (p *shardsPlay) runningOf(l *leader) []backlog.Item {
@@ -183,7 +183,7 @@
 		running = append(running, each.item)
 	}
 	for _, each := range l.ended {
-		if p.now-each.ends < backlog.Memory {
+		if p.now-each.ends < backlog.EndedItemRetention {
 			running = append(running, each.item)
 		}
 	}
@@ -191,9 +191,9 @@
 }
 
 // use is what a leader knows of the tenants' use.
-func (p *shardsPlay) use(l *leader) backlog.Use {
+func (p *shardsPlay) use(l *leader) backlog.Usage {
 	elsewhere := make(map[string]float64)
-	var need backlog.Need
+	var need backlog.UnmetDemand
 	for _, other := range p.leaders {
 		if other == l || !p.way.tells {
 			continue
@@ -205,9 +205,9 @@
 			need[level] += waiting
 		}
 	}
-	use := backlog.NewUse(p.runningOf(l), elsewhere)
+	use := backlog.NewUsage(p.runningOf(l), elsewhere)
 	if p.way.leaves {
-		use.SetNeed(service, need)
+		use.SetUnmetDemand(service, need)
 	}
 	return use
 }
@@ -223,21 +223,21 @@
 			left = append(left, item)
 			continue
 		}
-		if !p.begin(l, item, use.Reserved(service, item), use.First(service, item)) {
+		if !p.begin(l, item, use.Reserved(service, item), use.GoesFirst(service, item)) {
 			full[tenant] = true
 			left = append(left, item)
 			continue
 		}
-		use.Begin(item)
+		use.AddRunning(item)
 	}
 	l.waiting = left
-	l.need = backlog.Need{}
+	l.need = backlog.UnmetDemand{}
 	for _, item := range short {
-		l.need.Add(use.Of(item))
+		l.need.Add(use.RunsPerWeight(item))
 	}
 }
 
-func (p *shardsPlay) order(l *leader, use backlog.Use) (ordered, short []backlog.Item) {
+func (p *shardsPlay) order(l *leader, use backlog.Usage) (ordered, short []backlog.Item) {
 	if !p.way.shares {
 		return backlog.Order(l.waiting, p.time(), same), nil
 	}
@@ -420,16 +420,16 @@
 
 // TestQuietTenantIsAheadUntilItRunsAsMuch, and no longer.
 func TestQuietTenantIsAheadUntilItRunsAsMuch(t *testing.T) {
-	use := backlog.NewUse(nil, map[string]float64{"busy": 10})
-	item := at(0, 18, 2).Of("quiet", 0)
-	var need backlog.Need
+	use := backlog.NewUsage(nil, map[string]float64{"busy": 10})
+	item := at(0, 18, 2).WithTenant("quiet", 0)
+	var need backlog.UnmetDemand
 	for range 100 {
 		need.Add(10)
 	}
-	use.SetNeed(service, need)
+	use.SetUnmetDemand(service, need)
 	begun := 0
 	for use.Reserved(service, item) == 0 && begun < 100 {
-		use.Begin(item)
+		use.AddRunning(item)
 		begun++
 	}
 	if begun < 9 || begun > 14 {
--- a/internal/backlog/share.go
+++ b/internal/backlog/share.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Of returns an item of a tenant with the given weight; zero is one.
-func (i Item) Of(tenant string, weight uint32) Item {
+// WithTenant returns an item of a tenant with the given weight; zero is one.
+func (i Item) WithTenant(tenant string, weight uint32) Item {
 	i.tenant, i.weight = tenant, weight
 	return i
 }
@@ -26,7 +26,7 @@
 // tenant's go by when they are due; short lists what waits then. An item that would miss its due
 // time by waiting goes before none of a tenant that has less: a heap that is due at once would be
 // before all others.
-func OrderShared[T any](waiting []T, runs int, use Use, now time.Time, item func(T) Item) (ordered, short []T) {
+func OrderShared[T any](waiting []T, runs int, use Usage, now time.Time, item func(T) Item) (ordered, short []T) {
 	early, late := split(waiting, now, item)
 	if !fits(early, runs, now) {
 		early = byShare(early, use)
@@ -64,12 +64,12 @@
 
 // byShare sorts items by what their tenants have before them: the items that run, and those
 // that are due sooner.
-func byShare[T any](ordered []entry[T], use Use) []entry[T] {
+func byShare[T any](ordered []entry[T], use Usage) []entry[T] {
 	had := use.clone()
 	list := make([]tagged[T], 0, len(ordered))
 	for _, each := range ordered {
-		list = append(list, tagged[T]{entry: each, tag: had.Of(each.item)})
-		had.Begin(each.item)
+		list = append(list, tagged[T]{entry: each, tag: had.RunsPerWeight(each.item)})
+		had.AddRunning(each.item)
 	}
 	slices.SortStableFunc(list, func(a, b tagged[T]) int { return cmp.Compare(a.tag, b.tag) })
 	return untagged(list)
--- a/internal/backlog/share_test.go
+++ b/internal/backlog/share_test.go
@@ -13,14 +13,14 @@
 func jobs(tenant string, count int, came float64) []backlog.Item {
 	var items []backlog.Item
 	for range count {
-		items = append(items, at(came, came+18, 5).Of(tenant, 0))
+		items = append(items, at(came, came+18, 5).WithTenant(tenant, 0))
 	}
 	return items
 }
 
 // orderShared orders the items of a single shard.
 func orderShared(waiting, running []backlog.Item, now time.Time) []backlog.Item {
-	ordered, _ := backlog.OrderShared(waiting, len(running), backlog.NewUse(running, nil), now, same)
+	ordered, _ := backlog.OrderShared(waiting, len(running), backlog.NewUsage(running, nil), now, same)
 	return ordered
 }
 
@@ -31,7 +31,7 @@
 	for place, item := range ordered {
 		ends := now.Add(time.Duration(place/runs+1) * 5 * time.Second)
 		for _, tenant := range []string{"flood", "small"} {
-			if item == item.Of(tenant, 0) && item.OnTime(ends.Add(-5*time.Second)) {
+			if item == item.WithTenant(tenant, 0) && item.OnTime(ends.Add(-5*time.Second)) {
 				done[tenant]++
 			}
 		}
--- a/internal/balance/pace/sighting.go
+++ b/internal/balance/pace/sighting.go
@@ -8,9 +8,9 @@
 // eventEnd is an empty line.
 var eventEnd = []byte("\n\n")
 
-// Sighting counts the events of a run in the pieces of its stream, and the time that they
-// took. The zero Sighting has seen nothing.
-type Sighting struct {
+// EventTimer counts the events of a run in the pieces of its stream, and the time that they
+// took. The zero EventTimer has seen nothing.
+type EventTimer struct {
 	first, last time.Duration
 	events      int
 	// lineEnded tells that the last byte ended a line, so that another end of a line ends an
@@ -19,7 +19,7 @@
 }
 
 // Add takes a piece of the stream.
-func (s *Sighting) Add(piece []byte, now time.Duration) {
+func (s *EventTimer) Add(piece []byte, now time.Duration) {
 	if len(piece) == 0 {
 		return
 	}
@@ -41,10 +41,10 @@
 }
 
 // Events is how many events have ended, of which those that came with the first count as one.
-func (s *Sighting) Events() int { return s.events }
+func (s *EventTimer) Events() int { return s.events }
 
-// Took is how long after the first event the last one ended.
-func (s *Sighting) Took() time.Duration { return s.last - s.first }
+// Elapsed is how long after the first event the last one ended.
+func (s *EventTimer) Elapsed() time.Duration { return s.last - s.first }
 
 // Restart begins anew with the last event, which ends the time before and begins the next.
-func (s *Sighting) Restart() { s.first, s.events = s.last, 1 }
+func (s *EventTimer) Restart() { s.first, s.events = s.last, 1 }
--- a/internal/balance/pace/sighting_test.go
+++ b/internal/balance/pace/sighting_test.go
@@ -19,7 +19,7 @@
 		{3, []string{"id: 1\ndata: a\n", "\nid: 2\ndata: b\n", "\n", "id: 3\ndata: c\n\n"}},
 		{3, []string{"id: 1\ndata: a\n\n", "id: 2\n", "data: b\n\nid: 3\ndata: c\n", "", "\n"}},
 	} {
-		var seen pace.Sighting
+		var seen pace.EventTimer
 		for i, piece := range each.pieces {
 			seen.Add([]byte(piece), time.Duration(i)*time.Second)
 		}
@@ -31,16 +31,16 @@
 
 // TestTimeBetweenEventsBeginsWithTheFirst: the wait for it is not that of an event.
 func TestTimeBetweenEventsBeginsWithTheFirst(t *testing.T) {
-	var seen pace.Sighting
+	var seen pace.EventTimer
 	seen.Add([]byte("id: 1\n"), 0)
 	seen.Add([]byte("data: a\n\n"), time.Second)
 	seen.Add([]byte("id: 2\ndata: b\n\n"), 3*time.Second)
-	if took := seen.Took(); took != 2*time.Second {
+	if took := seen.Elapsed(); took != 2*time.Second {
 		t.Errorf("the events came within %v", took)
 	}
 	seen.Restart()
 	seen.Add([]byte("id: 3\ndata: c\n\n"), 4*time.Second)
-	if seen.Took() != time.Second || seen.Events() != 2 {
-		t.Errorf("%d events within %v after the second", seen.Events(), seen.Took())
+	if seen.Elapsed() != time.Second || seen.Events() != 2 {
+		t.Errorf("%d events within %v after the second", seen.Events(), seen.Elapsed())
 	}
 }
--- a/internal/batch/executor.go
+++ b/internal/batch/executor.go
@@ -175,7 +175,7 @@
 func (e *Executor) Allow(groups []*rockwindpb.GroupAllowance) {
 	allowances := make([]sharing.GroupAllowance, 0, len(groups))
 	for _, group := range groups {
-		allowances = append(allowances, sharing.GroupAllowance{Group: group.GetGroup(), BatchPart: group.GetBatchPart()})
+		allowances = append(allowances, sharing.GroupAllowance{Group: group.GetGroup(), BatchFraction: group.GetBatchPart()})
 	}
 	select {
 	case e.allowance <- allowances:
--- a/internal/batch/reclaim.go
+++ b/internal/batch/reclaim.go
@@ -63,7 +63,7 @@
 			group.Waiting++
 			continue
 		}
-		group.Running += sharing.Places(current.prompt, now.Sub(current.started))
+		group.Running += sharing.EquivalentItems(current.prompt, now.Sub(current.started))
 	}
 	for _, held := range e.leases {
 		if held.ready(now) && e.options.View.BatchMayRun(server, held.wanted) {
--- a/internal/bench/experiment/placementshift/run.go
+++ b/internal/bench/experiment/placementshift/run.go
@@ -110,7 +110,7 @@
 		}
 		r.servers = append(r.servers, engineServer{Server: placement.Server{
 			Name: fmt.Sprintf("engine-%04d", index), Zone: fmt.Sprintf("zone-%d", index%zones),
-			May: []string{modelBefore, modelAfter}, Slots: 1, Role: placement.RoleMixed, Usable: true,
+			AllowedModels: []string{modelBefore, modelAfter}, Slots: 1, Role: placement.RoleMixed, Usable: true,
 			Versions:  []placement.VersionName{{Model: held, Version: version}},
 			ChangedAt: -time.Hour,
 		}})
--- a/internal/control/exchange/usage.go
+++ b/internal/control/exchange/usage.go
@@ -157,6 +157,6 @@
 	}
 	b.allowances = nil
 	for _, allowance := range b.account.Allowances(uses, period) {
-		b.allowances = append(b.allowances, &rockwindpb.GroupAllowance{Group: allowance.Group, BatchPart: allowance.BatchPart})
+		b.allowances = append(b.allowances, &rockwindpb.GroupAllowance{Group: allowance.Group, BatchPart: allowance.BatchFraction})
 	}
 }
--- a/internal/jobclient/client.go
+++ b/internal/jobclient/client.go
@@ -116,7 +116,7 @@
 // fault.LimitReached where they do not fit, and says when to come back.
 func (c *Client) Reserve(ctx context.Context, request *rockwindpb.ReserveTokensRequest) (*rockwindpb.ReserveTokensResponse, error) {
 	owner := func(shards int) uint32 {
-		return quota.OwnerOf(quota.Account(request.GetRoute(), request.GetTenant()), shards)
+		return quota.OwnerOf(quota.AccountKey(request.GetRoute(), request.GetTenant()), shards)
 	}
 	return call(ctx, c, owner, 0, func(ctx context.Context, service store) (*rockwindpb.ReserveTokensResponse, error) {
 		return service.limits.Reserve(ctx, request)
--- a/internal/placement/adapters.go
+++ b/internal/placement/adapters.go
@@ -86,7 +86,7 @@
 	wanted := make(map[*Server]Role, len(d.servers))
 	for _, model := range d.models {
 		replicas := d.where(model.replicaOn)
-		online := int(d.policy.OnlineOnlyPart * float64(len(replicas)))
+		online := int(d.policy.OnlineOnlyFraction * float64(len(replicas)))
 		for _, server := range replicas {
 			if server.Role == RoleOnline && online > 0 {
 				wanted[server] = RoleOnline
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -157,7 +157,7 @@
 	for index := range count * perModel {
 		w.servers = append(w.servers, &worldServer{Server: Server{
 			Name: fmt.Sprintf("server-%02d", index), Zone: fmt.Sprintf("zone-%d", index/count%3),
-			May: names, Slots: slots, Role: RoleMixed, Usable: true,
+			AllowedModels: names, Slots: slots, Role: RoleMixed, Usable: true,
 			Versions:  []VersionName{{Model: names[index%count], Version: "v1"}},
 			ChangedAt: -time.Hour,
 		}})
@@ -381,7 +381,7 @@
 	}
 	for index := range 1200 {
 		view.Servers = append(view.Servers, Server{
-			Name: fmt.Sprintf("server-%04d", index), Zone: fmt.Sprintf("zone-%d", index%32), May: names, Slots: 1,
+			Name: fmt.Sprintf("server-%04d", index), Zone: fmt.Sprintf("zone-%d", index%32), AllowedModels: names, Slots: 1,
 			Versions: []VersionName{{Model: names[index%12], Version: "v1"}}, Role: RoleMixed, Usable: true, ChangedAt: -time.Hour,
 		})
 	}
--- a/internal/placement/view.go
+++ b/internal/placement/view.go
@@ -53,8 +53,8 @@
 type Server struct {
 	Name string
 	Zone string
-	// May lists the models that the configuration lets the engine hold.
-	May []string
+	// AllowedModels lists the models that the configuration lets the engine hold.
+	AllowedModels []string
 	// Slots is the number of versions that fit into the engine's memory.
 	Slots int
 	// Versions and Adapters are in force now.
@@ -193,9 +193,9 @@
 	// AdapterReplicas is the least number of a model's replicas that hold each of
 	// its adapters.
 	AdapterReplicas int
-	// OnlineOnlyPart is the part of a model's replicas whose role is online; the
+	// OnlineOnlyFraction is the part of a model's replicas whose role is online; the
 	// others are mixed.
-	OnlineOnlyPart float64
+	OnlineOnlyFraction float64
 }
 
 // DefaultPolicy returns the policy that control machines use.
@@ -217,7 +217,7 @@
 	}
 }
 
-func (s *Server) mayHold(model string) bool { return slices.Contains(s.May, model) }
+func (s *Server) mayHold(model string) bool { return slices.Contains(s.AllowedModels, model) }
 
 // free returns the number of free slots.
 func (s *Server) free() int {
--- a/internal/placer/view.go
+++ b/internal/placer/view.go
@@ -24,7 +24,7 @@
 	for _, backEnd := range survey.engines() {
 		server := a.engines[backEnd.GetName()].server()
 		server.Zone = backEnd.GetZone()
-		server.May = backEnd.GetServes()
+		server.AllowedModels = backEnd.GetServes()
 		server.Slots = max(a.options.VersionsPerEngine, 1)
 		server.Usable = server.Usable && healthy(digests[backEnd.GetName()])
 		view.Servers = append(view.Servers, server)
--- a/internal/quota/count.go
+++ b/internal/quota/count.go
@@ -29,9 +29,9 @@
 	sequence uint64
 }
 
-// Count is what the owner of a route counts in one term. It belongs to one goroutine at
+// Counter is what the owner of a route counts in one term. It belongs to one goroutine at
 // a time.
-type Count struct {
+type Counter struct {
 	sequence uint64
 	shards   []shardReport
 	grants   map[string]grant
@@ -42,28 +42,28 @@
 	drainedAt time.Duration
 }
 
-// NewCount returns a count of so many shards, none of which has reported.
-func NewCount(shards int) *Count {
-	return &Count{shards: make([]shardReport, shards), grants: make(map[string]grant), polled: math.MinInt64 / 2}
+// NewCounter returns a count of so many shards, none of which has reported.
+func NewCounter(shards int) *Counter {
+	return &Counter{shards: make([]shardReport, shards), grants: make(map[string]grant), polled: math.MinInt64 / 2}
 }
 
 // Poll is a round of reports.
 type Poll struct{ sequence uint64 }
 
-// Begin starts a round of reports. All shards have to be asked after it.
-func (c *Count) Begin(now time.Duration) Poll {
+// BeginPoll starts a round of reports. All shards have to be asked after it.
+func (c *Counter) BeginPoll(now time.Duration) Poll {
 	c.sequence++
 	c.polled = now
 	return Poll{sequence: c.sequence}
 }
 
-// Age is how long ago the last round of reports began.
-func (c *Count) Age(now time.Duration) time.Duration { return now - c.polled }
+// PollAge is how long ago the last round of reports began.
+func (c *Counter) PollAge(now time.Duration) time.Duration { return now - c.polled }
 
-// Take takes the report of a shard in a round. Reports of earlier rounds than the one
+// RecordReport takes the report of a shard in a round. Reports of earlier rounds than the one
 // held are passed over. A grant is kept beside the report where it is younger than the round,
 // or where the shard may not have heard of it.
-func (c *Count) Take(poll Poll, shard uint32, report Report, now time.Duration) {
+func (c *Counter) RecordReport(poll Poll, shard uint32, report Report, now time.Duration) {
 	if int(shard) >= len(c.shards) {
 		return
 	}
@@ -86,7 +86,7 @@
 }
 
 // at is what is counted of one shard.
-func (c *Count) at(shard uint32) uint64 {
+func (c *Counter) at(shard uint32) uint64 {
 	sum := c.shards[shard].waiting
 	for _, each := range c.grants {
 		if each.shard == shard {
@@ -97,7 +97,7 @@
 }
 
 // Waiting is how many tokens are counted on all shards.
-func (c *Count) Waiting() uint64 {
+func (c *Counter) Waiting() uint64 {
 	sum := uint64(0)
 	for _, each := range c.shards {
 		sum += each.waiting
@@ -108,15 +108,15 @@
 	return sum
 }
 
-// Known tells whether all shards have reported.
-func (c *Count) Known() bool {
+// AllShardsReported tells whether all shards have reported.
+func (c *Counter) AllShardsReported() bool {
 	return !slices.ContainsFunc(c.shards, func(each shardReport) bool { return each.sequence == 0 })
 }
 
 // Reserve decides on a request under the limit, and counts its tokens where it grants
 // them. A job that holds a grant keeps it.
-func (c *Count) Reserve(request Request, limit uint64) Decision {
-	if !c.Known() || int(request.shard) >= len(c.shards) {
+func (c *Counter) Reserve(request Request, limit uint64) Decision {
+	if !c.AllShardsReported() || int(request.shard) >= len(c.shards) {
 		return Unknown
 	}
 	held, repeated := c.grants[request.job]
@@ -130,8 +130,8 @@
 	return Granted
 }
 
-// ComeBack estimates when a request that did not fit will, by what drained lately.
-func (c *Count) ComeBack(request Request, limit uint64, now time.Duration) time.Duration {
+// RetryAfter estimates when a request that did not fit will, by what drained lately.
+func (c *Counter) RetryAfter(request Request, limit uint64, now time.Duration) time.Duration {
 	rate := c.DrainRate(now)
 	over := float64(c.Waiting()) + float64(request.tokens) - float64(limit)
 	if rate <= 0 {
@@ -142,11 +142,11 @@
 }
 
 // DrainRate is how many tokens left in a second lately.
-func (c *Count) DrainRate(now time.Duration) float64 {
+func (c *Counter) DrainRate(now time.Duration) float64 {
 	return c.drained * math.Exp(-float64(now-c.drainedAt)/float64(drainMemory)) / drainMemory.Seconds()
 }
 
-func (c *Count) noteDrained(tokens uint64, now time.Duration) {
+func (c *Counter) noteDrained(tokens uint64, now time.Duration) {
 	c.drained = c.drained*math.Exp(-float64(now-c.drainedAt)/float64(drainMemory)) + float64(tokens)
 	c.drainedAt = now
 }
--- a/internal/quota/intake.go
+++ b/internal/quota/intake.go
@@ -52,9 +52,9 @@
 // End forgets a request: the job is in the log, or certain never to be.
 func (i *Intake) End(ticket Ticket) { delete(i.jobs, ticket) }
 
-// Doubt keeps a job that was proposed in a term of the shard and may still be committed.
+// MarkUncertain keeps a job that was proposed in a term of the shard and may still be committed.
 // It counts until the shard has a leader of a later term.
-func (i *Intake) Doubt(ticket Ticket, shardTerm uint64) {
+func (i *Intake) MarkUncertain(ticket Ticket, shardTerm uint64) {
 	if found := i.jobs[ticket]; found != nil {
 		found.doubtTerm = shardTerm
 	}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -23,9 +23,9 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Account names what is counted for itself: the tokens of a tenant on a route, or those of
+// AccountKey names what is counted for itself: the tokens of a tenant on a route, or those of
 // all callers where the site has no tenants. Neither name holds a space.
-func Account(route, tenant string) string {
+func AccountKey(route, tenant string) string {
 	if tenant == "" {
 		return route
 	}
@@ -74,8 +74,8 @@
 // Waiting is how many tokens wait on the shard.
 func (r Report) Waiting() uint64 { return r.waiting }
 
-// Asking lists the jobs whose requests are under way.
-func (r Report) Asking() []string { return r.asking }
+// PendingJobs lists the jobs whose requests are under way.
+func (r Report) PendingJobs() []string { return r.asking }
 
 // Decision is the answer to a request.
 type Decision int
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -34,26 +34,26 @@
 }
 
 // reported returns a count of two shards at which so many tokens wait.
-func reported(first, second uint64) *quota.Count {
-	count := quota.NewCount(2)
-	poll := count.Begin(0)
-	count.Take(poll, 0, quota.NewReport(first, nil), 0)
-	count.Take(poll, 1, quota.NewReport(second, nil), 0)
+func reported(first, second uint64) *quota.Counter {
+	count := quota.NewCounter(2)
+	poll := count.BeginPoll(0)
+	count.RecordReport(poll, 0, quota.NewReport(first, nil), 0)
+	count.RecordReport(poll, 1, quota.NewReport(second, nil), 0)
 	return count
 }
 
 func TestNothingIsDecidedBeforeAllShardsReport(t *testing.T) {
-	count := quota.NewCount(2)
-	poll := count.Begin(0)
+	count := quota.NewCounter(2)
+	poll := count.BeginPoll(0)
 	request := quota.NewRequest("job", 0, 1)
 	if decision := count.Reserve(request, 10); decision != quota.Unknown {
 		t.Fatalf("without a report: %v", decision)
 	}
-	count.Take(poll, 0, quota.NewReport(0, nil), 0)
+	count.RecordReport(poll, 0, quota.NewReport(0, nil), 0)
 	if decision := count.Reserve(request, 10); decision != quota.Unknown {
 		t.Fatalf("with one of two reports: %v", decision)
 	}
-	count.Take(poll, 1, quota.NewReport(0, nil), 0)
+	count.RecordReport(poll, 1, quota.NewReport(0, nil), 0)
 	if decision := count.Reserve(request, 10); decision != quota.Granted {
 		t.Fatalf("with all reports: %v", decision)
 	}
@@ -85,17 +85,17 @@
 // TestGrantIsCountedOnceWithTheReportThatCoversIt and not a moment less.
 func TestGrantIsCountedOnceWithTheReportThatCoversIt(t *testing.T) {
 	count := reported(0, 0)
-	early := count.Begin(0)
+	early := count.BeginPoll(0)
 	count.Reserve(quota.NewRequest("job", 0, 4), 10)
-	count.Take(early, 0, quota.NewReport(0, nil), 0)
+	count.RecordReport(early, 0, quota.NewReport(0, nil), 0)
 	if count.Waiting() != 4 {
 		t.Fatalf("after a report that began before the grant: %d", count.Waiting())
 	}
-	count.Take(count.Begin(0), 0, quota.NewReport(0, []string{"job"}), 0)
+	count.RecordReport(count.BeginPoll(0), 0, quota.NewReport(0, []string{"job"}), 0)
 	if count.Waiting() != 4 {
 		t.Fatalf("while the grant is on its way: %d", count.Waiting())
 	}
-	count.Take(count.Begin(0), 0, quota.NewReport(4, nil), 0)
+	count.RecordReport(count.BeginPoll(0), 0, quota.NewReport(4, nil), 0)
 	if count.Waiting() != 4 {
 		t.Fatalf("once the report covers it: %d", count.Waiting())
 	}
@@ -105,16 +105,16 @@
 	fast, slow := reported(1000, 0), reported(1000, 0)
 	for second := 1; second <= 5; second++ {
 		now := time.Duration(second) * time.Second
-		fast.Take(fast.Begin(now), 0, quota.NewReport(uint64(1000-100*second), nil), now)
-		slow.Take(slow.Begin(now), 0, quota.NewReport(uint64(1000-10*second), nil), now)
+		fast.RecordReport(fast.BeginPoll(now), 0, quota.NewReport(uint64(1000-100*second), nil), now)
+		slow.RecordReport(slow.BeginPoll(now), 0, quota.NewReport(uint64(1000-10*second), nil), now)
 	}
 	now := 5 * time.Second
 	request := quota.NewRequest("job", 0, 100)
-	quick, late := fast.ComeBack(request, 500, now), slow.ComeBack(request, 950, now)
+	quick, late := fast.RetryAfter(request, 500, now), slow.RetryAfter(request, 950, now)
 	if quick < 500*time.Millisecond || quick > 4*time.Second || late < 5*time.Second {
 		t.Fatalf("come back after %v where 100 a second drain, %v where 10 do", quick, late)
 	}
-	if first := reported(10, 0).ComeBack(request, 5, 0); first <= 0 {
+	if first := reported(10, 0).RetryAfter(request, 5, 0); first <= 0 {
 		t.Fatalf("come back after %v where nothing drained", first)
 	}
 }
--- a/internal/quota/world_test.go
+++ b/internal/quota/world_test.go
@@ -55,7 +55,7 @@
 // owner is a process that counts, or did.
 type owner struct {
 	term  uint64
-	count *quota.Count
+	count *quota.Counter
 }
 
 // call is a submission on its way.
@@ -97,7 +97,7 @@
 }
 
 func newWorld() *world {
-	w := &world{owners: []*owner{{term: 1, count: quota.NewCount(worldShards)}}}
+	w := &world{owners: []*owner{{term: 1, count: quota.NewCounter(worldShards)}}}
 	for i := range w.shards {
 		s := &shard{term: 1, committed: make(map[string]uint64)}
 		for n := range s.nodes {
@@ -206,7 +206,7 @@
 	}
 	c.ended = true
 	if c.proposed {
-		c.intake(w).Doubt(c.ticket, c.term)
+		c.intake(w).MarkUncertain(c.ticket, c.term)
 		return
 	}
 	c.intake(w).End(c.ticket)
@@ -256,7 +256,7 @@
 	if !rarely(t) {
 		return
 	}
-	w.owners = append(w.owners, &owner{term: w.current().term + 1, count: quota.NewCount(worldShards)})
+	w.owners = append(w.owners, &owner{term: w.current().term + 1, count: quota.NewCounter(worldShards)})
 }
 
 // poll begins a round at an owner, which need not be in force.
@@ -265,7 +265,7 @@
 	if rarely(t) {
 		by = rapid.SampledFrom(w.owners).Draw(t, "owner")
 	}
-	round := by.count.Begin(0)
+	round := by.count.BeginPoll(0)
 	for place := range w.shards {
 		w.questions = append(w.questions, &question{by: by, poll: round, shard: uint32(place)})
 	}
@@ -304,7 +304,7 @@
 		report := q.pending.Report(accepted, func(job string) bool { _, has := s.committed[job]; return has })
 		q.report = &report
 	default:
-		q.by.count.Take(q.poll, q.shard, *q.report, 0)
+		q.by.count.RecordReport(q.poll, q.shard, *q.report, 0)
 		q.done = true
 	}
 }
--- a/internal/router/batchshare.go
+++ b/internal/router/batchshare.go
@@ -8,19 +8,19 @@
 
 // BatchUse returns what the given tenants have running in all shards and what waits at other
 // processes, for the leader of a shard that runs the given items.
-func (d *Dispatcher) BatchUse(shard uint32, running []backlog.Item, tenants map[string]struct{}) backlog.Use {
+func (d *Dispatcher) BatchUse(shard uint32, running []backlog.Item, tenants map[string]struct{}) backlog.Usage {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	elsewhere := make(map[string]float64, len(tenants))
 	for tenant := range tenants {
-		shared := d.shares.At(backlog.UseHash(tenant)).Inflight
+		shared := d.shares.At(backlog.UsageHash(tenant)).Inflight
 		elsewhere[tenant] = float64(shared) + d.batch.Running(tenant, shard)
 	}
-	use := backlog.NewUse(running, elsewhere)
+	use := backlog.NewUsage(running, elsewhere)
 	for name, pool := range d.pools {
 		need := pool.needElsewhere()
-		need.Plus(d.batch.Need(name, shard))
-		use.SetNeed(name, need)
+		need.Plus(d.batch.UnmetDemand(name, shard))
+		use.SetUnmetDemand(name, need)
 	}
 	return use
 }
@@ -47,8 +47,8 @@
 	defer d.mutex.Unlock()
 	var all []sitemetrics.ShortItems
 	for name, pool := range d.pools {
-		own, elsewhere := d.batch.Need(name, noShard), pool.needElsewhere()
-		all = append(all, sitemetrics.ShortItems{Service: name, Here: own.Len(), Elsewhere: elsewhere.Len(), HeldBack: d.batch.Held(name)})
+		own, elsewhere := d.batch.UnmetDemand(name, noShard), pool.needElsewhere()
+		all = append(all, sitemetrics.ShortItems{Service: name, Here: own.Len(), Elsewhere: elsewhere.Len(), HeldBack: d.batch.HeldBack(name)})
 	}
 	return all
 }
@@ -57,8 +57,8 @@
 const noShard = ^uint32(0)
 
 // needElsewhere returns what other processes report as waiting for the service.
-func (p *servicePool) needElsewhere() backlog.Need {
-	var need backlog.Need
+func (p *servicePool) needElsewhere() backlog.UnmetDemand {
+	var need backlog.UnmetDemand
 	for level, hash := range p.needHashes {
 		need[level] = p.shares.At(hash).Inflight
 	}
@@ -68,11 +68,11 @@
 // startableNeed returns what waits for a service in the shards of this process. It is zero while
 // the survey of servers is pending, because this process starts no batch work then and others
 // would reserve capacity for nothing. The caller holds d.mutex.
-func (d *Dispatcher) startableNeed(service string) backlog.Need {
+func (d *Dispatcher) startableNeed(service string) backlog.UnmetDemand {
 	if d.surveyPending() {
-		return backlog.Need{}
+		return backlog.UnmetDemand{}
 	}
-	return d.batch.Need(service, noShard)
+	return d.batch.UnmetDemand(service, noShard)
 }
 
 // visitBatchLoads visits the batch loads that this process shares: its waiting items and, while
--- a/internal/router/batchshare_test.go
+++ b/internal/router/batchshare_test.go
@@ -19,7 +19,7 @@
 func itemsOf(tenant string, count int) []backlog.Item {
 	var items []backlog.Item
 	for range count {
-		items = append(items, backlog.NewItem(time.Time{}, time.Time{}, time.Second).Of(tenant, 0))
+		items = append(items, backlog.NewItem(time.Time{}, time.Time{}, time.Second).WithTenant(tenant, 0))
 	}
 	return items
 }
@@ -29,7 +29,7 @@
 func shardLoadOf(running []backlog.Item, waiting int, use float64) backlog.ShardLoad {
 	load := backlog.NewShardLoad(running)
 	for range waiting {
-		load.Wait("app", use, false)
+		load.AddWaiting("app", use, false)
 	}
 	return load
 }
@@ -59,14 +59,14 @@
 	there.LoadSource().Take(digestOf(here, "here", 1))
 	everywhere, one := itemsOf("everywhere", 1)[0], itemsOf("one", 1)[0]
 	use := here.BatchUse(3, itemsOf("everywhere", 2), tenantSet("everywhere", "one"))
-	if got := use.Of(everywhere); got != 42 {
+	if got := use.RunsPerWeight(everywhere); got != 42 {
 		t.Errorf("%v items run", got)
 	}
 	if got := use.Reserved("app", everywhere); got != 6 {
 		t.Errorf("room for %d items is left", got)
 	}
 	use = there.BatchUse(2, itemsOf("everywhere", 10), tenantSet("everywhere", "one"))
-	if use.Reserved("app", one) != 0 || !use.First("app", one) {
+	if use.Reserved("app", one) != 0 || !use.GoesFirst("app", one) {
 		t.Error("the item of the tenant that has nothing does not go first")
 	}
 	there.SetBatchLoad(2, backlog.NewShardLoad(nil))
@@ -93,10 +93,10 @@
 	const mostBytes, tenants = 16 << 10, 11_000
 	for _, stores := range []int{11, 45, 300} {
 		loads := make(map[uint32]balance.SharedLoad)
-		for tenant := range min(tenants, stores*2/3*backlog.MostTold) {
-			loads[backlog.UseHash(fmt.Sprint("tenant ", tenant))] = balance.SharedLoad{Inflight: 300}
+		for tenant := range min(tenants, stores*2/3*backlog.MaximumTenantEntries) {
+			loads[backlog.UsageHash(fmt.Sprint("tenant ", tenant))] = balance.SharedLoad{Inflight: 300}
 		}
-		for _, hash := range backlog.NeedHashes("app") {
+		for _, hash := range backlog.UnmetDemandHashes("app") {
 			loads[hash] = balance.SharedLoad{Inflight: 2000}
 		}
 		bytes := proto.Size(loadshare.NewDigest(loads))
--- a/internal/router/dispatcher.go
+++ b/internal/router/dispatcher.go
@@ -124,7 +124,7 @@
 	created := &servicePool{
 		name: name, gates: d.gates, pool: d.newPool(name), shares: d.shares,
 		classes: make(map[waiting.Priority]*priorityClass), holdTime: defaultHoldTime,
-		needHashes: backlog.NeedHashes(name),
+		needHashes: backlog.UnmetDemandHashes(name),
 	}
 	if d.gates.On(gate.FairShare) {
 		created.waiting.EnableFairShare(func(key waiting.SortKey) float64 { return created.virtualTime(key, d.now()) })
@@ -144,7 +144,7 @@
 	// reportedPace is the pace that the server reported with its response, zero if none.
 	reportedPace float64
 	// paceSample measures the pace of the run by its events.
-	paceSample pace.Sighting
+	paceSample pace.EventTimer
 }
 
 // Acquire waits for a server with capacity until the maximum wait is over or the context ends. It
--- a/internal/router/pace.go
+++ b/internal/router/pace.go
@@ -40,7 +40,7 @@
 func (l *Lease) Received(piece []byte) {
 	l.RecordFirstOutput()
 	l.paceSample.Add(piece, l.dispatcher.now())
-	if l.paceSample.Took() >= paceInterval {
+	if l.paceSample.Elapsed() >= paceInterval {
 		l.reportPace()
 	}
 }
@@ -53,7 +53,7 @@
 	d := l.dispatcher
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.poolOf(l.service).pool.RecordRun(l.Choice, l.paceSample.Events(), l.paceSample.Took(), l.reportedPace, d.now()) {
+	if d.poolOf(l.service).pool.RecordRun(l.Choice, l.paceSample.Events(), l.paceSample.Elapsed(), l.reportedPace, d.now()) {
 		l.paceSample.Restart()
 	}
 }
--- a/internal/router/queue.go
+++ b/internal/router/queue.go
@@ -81,7 +81,7 @@
 	holdTime        time.Duration
 	holdTimeSamples int
 	// needHashes are the hashes of waiting batch items in load digests.
-	needHashes *[backlog.NeedLevels]uint32
+	needHashes *[backlog.UnmetDemandLevels]uint32
 	// meanEvents is the moving average of events in a response, and meanWork that of the work of
 	// a request, in tokens.
 	meanEvents float64
--- a/internal/serverview/batch.go
+++ b/internal/serverview/batch.go
@@ -139,7 +139,7 @@
 	server := &v.routing.Servers[e.index]
 	return sharing.ServerState{
 		Online:       float64(server.Online()),
-		Pace:         &e.batch.pace,
+		Tracker:      &e.batch.pace,
 		Target:       v.target(),
 		BatchRunning: e.batch.running,
 		KVUsed:       float64(server.Report.KVUsed),
@@ -178,7 +178,7 @@
 		}
 		found := BatchYield{Target: upstream.Target{Name: e.name, Address: e.address}}
 		found.Lost = v.routing.Servers[e.index].Health == routing.Ejected
-		found.Count = sharing.ShouldYield(v.batchServerState(e, now), policy, now)
+		found.Count = sharing.ItemsToPause(v.batchServerState(e, now), policy, now)
 		if found.Lost || found.Count > 0 {
 			yields = append(yields, found)
 		}
--- a/internal/serverview/choose.go
+++ b/internal/serverview/choose.go
@@ -92,7 +92,7 @@
 	}
 	v.tickets++
 	defer v.changed(e)
-	e.batch.pace.Sent(v.tickets, promptTokens, now)
+	e.batch.pace.RecordSent(v.tickets, promptTokens, now)
 	for _, prefix := range wanted.Prefixes {
 		v.prefixes.Remember(prefix.Block, int32(e.slot))
 	}
@@ -179,9 +179,9 @@
 		if attempt.awaited {
 			v.tracker.FirstToken(e.slot, came, v.now())
 		}
-		e.batch.pace.FirstToken(attempt.ticket, streamed, v.now())
+		e.batch.pace.RecordFirstToken(attempt.ticket, streamed, v.now())
 		if streamed && came && e.kind == rockwindpb.BackEndKind_BACK_END_KIND_ENGINE {
-			v.tail.FirstToken(v.now() - attempt.sentAt)
+			v.tail.RecordFirstToken(v.now() - attempt.sentAt)
 		}
 		v.changed(e)
 		e.batch.publishLeader()
@@ -193,7 +193,7 @@
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	if e := v.byName[target.Name]; e != nil {
-		e.batch.pace.Token(attempt.ticket, count, v.target().PerToken, e.batch.batchPart(), v.now())
+		e.batch.pace.RecordTokens(attempt.ticket, count, v.target().PerToken, e.batch.batchPart(), v.now())
 	}
 }
 
@@ -202,8 +202,8 @@
 func (v *View) Ended(target upstream.Target, attempt Attempt, report upstream.Report) {
 	v.mutex.Lock()
 	if e := v.byName[target.Name]; e != nil {
-		if mean, known := e.batch.pace.Ended(attempt.ticket, v.routing.Cost.StepBase, v.now()); known {
-			v.tail.PerToken(mean)
+		if mean, known := e.batch.pace.RecordEnd(attempt.ticket, v.routing.Cost.StepBase, v.now()); known {
+			v.tail.RecordPerToken(mean)
 		}
 		v.changed(e)
 		e.batch.publishLeader()
--- a/internal/serverview/report.go
+++ b/internal/serverview/report.go
@@ -243,7 +243,7 @@
 // batchState is what is known for batch on one server.
 type batchState struct {
 	// pace follows the online requests that this gateway sent there.
-	pace sharing.Pace
+	pace sharing.OnlineTracker
 	// leader is the ticket of the pace's leader; zero for none.
 	leader atomic.Uint64
 	// running counts the batch items that this gateway runs there now; paused
@@ -255,5 +255,5 @@
 // publishLeader makes the leader known to the requests, which look without the
 // lock.
 func (b *batchState) publishLeader() {
-	b.leader.Store(b.pace.Leader())
+	b.leader.Store(b.pace.SampledRequest())
 }
--- a/internal/sharing/allowance.go
+++ b/internal/sharing/allowance.go
@@ -24,32 +24,32 @@
 // GroupAllowance is what a group may use of the batch capacity now.
 type GroupAllowance struct {
 	Group string
-	// BatchPart is between 0 and 1. The parts of all groups sum to one unless
+	// BatchFraction is between 0 and 1. The parts of all groups sum to one unless
 	// there is no group. A group without work keeps its part, so that it gets it
 	// at once when it comes back; the picker lends it to the others meanwhile.
-	BatchPart float64
+	BatchFraction float64
 }
 
 // AccountPolicy holds the constants of the accounting.
 type AccountPolicy struct {
 	// Horizon is over how long a shortfall is made good.
 	Horizon time.Duration
-	// Memory is the half-life of a shortfall.
-	Memory time.Duration
+	// ShortfallHalfLife is the half-life of a shortfall.
+	ShortfallHalfLife time.Duration
 	// MaximumBoost bounds the part of the capacity that goes to making
 	// shortfalls good.
 	MaximumBoost float64
-	// Reserve is the part that every group keeps even without demand, so that
+	// MinimumFraction is the part that every group keeps even without demand, so that
 	// its first items start before the next exchange.
-	Reserve float64
+	MinimumFraction float64
 }
 
 // DefaultAccountPolicy is what control uses.
 var DefaultAccountPolicy = AccountPolicy{
-	Horizon:      2 * time.Second,
-	Memory:       10 * time.Second,
-	MaximumBoost: 0.02,
-	Reserve:      0.01,
+	Horizon:           2 * time.Second,
+	ShortfallHalfLife: 10 * time.Second,
+	MaximumBoost:      0.02,
+	MinimumFraction:   0.01,
 }
 
 // Account keeps what each group is owed. Only groups with demand are owed
@@ -93,7 +93,7 @@
 	a.reserve(parts)
 	allowances := make([]GroupAllowance, len(uses))
 	for index, use := range uses {
-		allowances[index] = GroupAllowance{Group: use.Group, BatchPart: parts[index]}
+		allowances[index] = GroupAllowance{Group: use.Group, BatchFraction: parts[index]}
 	}
 	return allowances
 }
@@ -143,8 +143,8 @@
 }
 
 func (b *groupBalance) settle(use GroupUse, period time.Duration, policy AccountPolicy) {
-	if policy.Memory > 0 {
-		b.owed *= halved(period, policy.Memory)
+	if policy.ShortfallHalfLife > 0 {
+		b.owed *= halved(period, policy.ShortfallHalfLife)
 	}
 	b.owed += b.entitled - use.OnlineCost - use.BatchCost
 	b.owed = max(0, b.owed)
@@ -173,7 +173,7 @@
 func (a *Account) reserve(parts []float64) {
 	sum := 0.0
 	for index := range parts {
-		parts[index] = max(parts[index], a.policy.Reserve)
+		parts[index] = max(parts[index], a.policy.MinimumFraction)
 		sum += parts[index]
 	}
 	for index := range parts {
--- a/internal/sharing/budget.go
+++ b/internal/sharing/budget.go
@@ -27,9 +27,9 @@
 	// Online counts the online requests on the server: reported ones corrected
 	// by what this gateway sent and saw ending since.
 	Online float64
-	// Pace follows the online requests that this gateway knows of; nil where it
+	// Tracker follows the online requests that this gateway knows of; nil where it
 	// knows of none.
-	Pace *Pace
+	Tracker *OnlineTracker
 	// Target is the tail of online latency to keep.
 	Target Target
 	// BatchRunning counts batch items in flight on the server.
@@ -57,12 +57,12 @@
 	// PromptForecast is how much of the recent load of prompts is expected to go
 	// on.
 	PromptForecast float64
-	// RepaySteps is over how many steps answers that lag behind catch up.
-	RepaySteps int
-	// FirstTokenPart and PerTokenPart are the parts of the target that batch may
+	// CatchUpSteps is over how many steps answers that lag behind catch up.
+	CatchUpSteps int
+	// FirstTokenFraction and PerTokenPart are the parts of the target that batch may
 	// fill.
-	FirstTokenPart float64
-	PerTokenPart   float64
+	FirstTokenFraction float64
+	PerTokenFraction   float64
 	// MaximumItems bounds batch items on a server.
 	MaximumItems int
 	// TokensPerStep bounds batch tokens, prompts included, in a step that also
@@ -70,8 +70,8 @@
 	TokensPerStep int
 	// KVLimit is the part of KV memory above which no more batch is started,
 	// and KVYield the part above which batch yields.
-	KVLimit float64
-	KVYield float64
+	KVLimit      float64
+	KVPauseLimit float64
 	// StaleAfter is the age of a report from which only a small budget is given.
 	StaleAfter time.Duration
 }
@@ -79,24 +79,24 @@
 // DefaultBudgetPolicy returns the policy of an objective.
 func DefaultBudgetPolicy(objective Objective) BudgetPolicy {
 	policy := BudgetPolicy{
-		StepBase:       12 * time.Millisecond,
-		PerSequence:    136 * time.Microsecond,
-		PerPromptToken: 30 * time.Microsecond,
-		PerItem:        200 * time.Microsecond,
-		PromptChunk:    512,
-		PromptWeight:   0.3,
-		PromptForecast: 3,
-		RepaySteps:     4,
-		FirstTokenPart: 0.95,
-		PerTokenPart:   0.97,
-		MaximumItems:   64,
-		TokensPerStep:  200,
-		KVLimit:        0.9,
-		KVYield:        0.97,
-		StaleAfter:     3 * time.Second,
+		StepBase:           12 * time.Millisecond,
+		PerSequence:        136 * time.Microsecond,
+		PerPromptToken:     30 * time.Microsecond,
+		PerItem:            200 * time.Microsecond,
+		PromptChunk:        512,
+		PromptWeight:       0.3,
+		PromptForecast:     3,
+		CatchUpSteps:       4,
+		FirstTokenFraction: 0.95,
+		PerTokenFraction:   0.97,
+		MaximumItems:       64,
+		TokensPerStep:      200,
+		KVLimit:            0.9,
+		KVPauseLimit:       0.97,
+		StaleAfter:         3 * time.Second,
 	}
 	if objective == Latency {
-		policy.PerTokenPart = 0.82
+		policy.PerTokenFraction = 0.82
 	}
 	return policy
 }
@@ -133,28 +133,28 @@
 // spareItems is how many batch items fit into a step beside the online requests
 // so that none of them misses the target on account of batch.
 func (p BudgetPolicy) spareItems(state ServerState, now time.Duration) int {
-	if state.Online < 1 && (state.Pace == nil || state.Pace.Prompts() == 0) {
+	if state.Online < 1 && (state.Tracker == nil || state.Tracker.Prompts() == 0) {
 		return p.MaximumItems
 	}
 	decoding := state.Online
 	chunk := 0
 	debt := time.Duration(0)
-	if state.Pace != nil {
-		waiting := state.Pace.Prompts()
-		decoding = max(float64(state.Pace.Decoding()), state.Online-float64(waiting))
-		chunk = min(p.PromptChunk, state.Pace.PromptTokens())
-		debt = state.Pace.Debt()
+	if state.Tracker != nil {
+		waiting := state.Tracker.Prompts()
+		decoding = max(float64(state.Tracker.Decoding()), state.Online-float64(waiting))
+		chunk = min(p.PromptChunk, state.Tracker.PromptTokens())
+		debt = state.Tracker.MaximumLag()
 	}
 	online := p.StepBase + time.Duration(decoding*float64(p.PerSequence))
 	withPrompts := online + scaled(time.Duration(chunk)*p.PerPromptToken, p.PromptWeight)
-	limit := scaled(state.Target.PerToken, p.PerTokenPart) - debt/time.Duration(max(1, p.RepaySteps))
+	limit := scaled(state.Target.PerToken, p.PerTokenFraction) - debt/time.Duration(max(1, p.CatchUpSteps))
 	spare := limit - withPrompts
-	if state.Pace != nil {
+	if state.Tracker != nil {
 		full := online + time.Duration(p.PromptChunk)*p.PerPromptToken
-		part := min(maximumPromptPart, p.PromptForecast*state.Pace.PromptPart(p.PerPromptToken, now))
+		part := min(maximumPromptPart, p.PromptForecast*state.Tracker.PromptLoad(p.PerPromptToken, now))
 		spare = min(spare, scaled(limit, 1-part)-online)
-		target := scaled(state.Target.FirstToken, p.FirstTokenPart)
-		if forPrompts, some := state.Pace.StepForPrompts(target, p.PromptChunk, full, now); some {
+		target := scaled(state.Target.FirstToken, p.FirstTokenFraction)
+		if forPrompts, some := state.Tracker.LongestStepForPrompts(target, p.PromptChunk, full, now); some {
 			spare = min(spare, forPrompts-full)
 		}
 	}
@@ -165,11 +165,11 @@
 	return time.Duration(float64(value) * factor)
 }
 
-// ShouldYield returns how many batch items must be paused on a server now.
-func ShouldYield(state ServerState, policy BudgetPolicy, now time.Duration) int {
+// ItemsToPause returns how many batch items must be paused on a server now.
+func ItemsToPause(state ServerState, policy BudgetPolicy, now time.Duration) int {
 	budget := BatchBudget(state, policy, now)
 	over := max(0, state.BatchRunning-budget.Items)
-	if state.KVUsed >= policy.KVYield {
+	if state.KVUsed >= policy.KVPauseLimit {
 		return max(over, (state.BatchRunning+1)/2)
 	}
 	return over
--- a/internal/sharing/pace.go
+++ b/internal/sharing/pace.go
@@ -17,10 +17,10 @@
 // DefaultTarget is the target before anything was measured.
 var DefaultTarget = Target{FirstToken: 500 * time.Millisecond, PerToken: 25 * time.Millisecond}
 
-// Pace follows the online requests on one server: the prompts that wait to be
+// OnlineTracker follows the online requests on one server: the prompts that wait to be
 // processed, and how far answers lag behind the target for a token. The zero
 // value follows none. One goroutine owns it.
-type Pace struct {
+type OnlineTracker struct {
 	// prompts are the requests without a first token, oldest first.
 	prompts []waitingPrompt
 	// decoding are the requests with a first token, oldest first.
@@ -63,9 +63,9 @@
 	sentAt time.Duration
 }
 
-// Sent records a request that is dispatched now, with the prompt tokens that the
+// RecordSent records a request that is dispatched now, with the prompt tokens that the
 // server probably does not cache.
-func (p *Pace) Sent(id uint64, promptTokens int, now time.Duration) {
+func (p *OnlineTracker) RecordSent(id uint64, promptTokens int, now time.Duration) {
 	if len(p.prompts) == 0 {
 		p.progressAt = now
 	}
@@ -73,9 +73,9 @@
 	p.prompts = append(p.prompts, waitingPrompt{id: id, tokens: promptTokens, sentAt: now})
 }
 
-// FirstToken records the first token of a request. measured tells whether its
+// RecordFirstToken records the first token of a request. measured tells whether its
 // later tokens will be recorded.
-func (p *Pace) FirstToken(id uint64, measured bool, now time.Duration) {
+func (p *OnlineTracker) RecordFirstToken(id uint64, measured bool, now time.Duration) {
 	p.drop(id, now)
 	if !measured {
 		return
@@ -86,11 +86,11 @@
 	}
 }
 
-func (p *Pace) follow(id uint64, now time.Duration) {
+func (p *OnlineTracker) follow(id uint64, now time.Duration) {
 	p.leader, p.lastToken, p.measuring = id, now, true
 }
 
-func (p *Pace) drop(id uint64, now time.Duration) {
+func (p *OnlineTracker) drop(id uint64, now time.Duration) {
 	index := slices.IndexFunc(p.prompts, func(prompt waitingPrompt) bool { return prompt.id == id })
 	if index < 0 {
 		return
@@ -99,23 +99,23 @@
 	p.progressAt = now
 }
 
-// Leads tells whether the tokens of a request are wanted.
-func (p *Pace) Leads(id uint64) bool {
+// IsSampled tells whether the tokens of a request are wanted.
+func (p *OnlineTracker) IsSampled(id uint64) bool {
 	return p.measuring && p.leader == id
 }
 
-// Leader is the request whose tokens are wanted; zero for none.
-func (p *Pace) Leader() uint64 {
+// SampledRequest is the request whose tokens are wanted; zero for none.
+func (p *OnlineTracker) SampledRequest() uint64 {
 	if !p.measuring {
 		return 0
 	}
 	return p.leader
 }
 
-// Token records that the leader received tokens, while answers should take
+// RecordTokens records that the leader received tokens, while answers should take
 // perToken for each. batch is the part of a step that batch took meanwhile.
-func (p *Pace) Token(id uint64, tokens int, perToken, batch, now time.Duration) {
-	if !p.Leads(id) {
+func (p *OnlineTracker) RecordTokens(id uint64, tokens int, perToken, batch, now time.Duration) {
+	if !p.IsSampled(id) {
 		return
 	}
 	p.clock.tokens += tokens
@@ -125,14 +125,14 @@
 	p.lastToken = now
 }
 
-// Ended records the end of a request. It returns the mean time per token that
+// RecordEnd records the end of a request. It returns the mean time per token that
 // the answer would have had without batch, and false where it is not known.
 // stepBase is the length of an empty step.
-func (p *Pace) Ended(id uint64, stepBase, now time.Duration) (time.Duration, bool) {
+func (p *OnlineTracker) RecordEnd(id uint64, stepBase, now time.Duration) (time.Duration, bool) {
 	p.drop(id, now)
 	mean, known := p.aloneMean(id, stepBase)
 	p.decoding = slices.DeleteFunc(p.decoding, func(answer decodingAnswer) bool { return answer.id == id })
-	if !p.Leads(id) {
+	if !p.IsSampled(id) {
 		return mean, known
 	}
 	p.measuring = false
@@ -150,7 +150,7 @@
 // aloneMean is the mean time per token that an answer would have had without
 // batch. Longer steps hold more requests and prompts in proportion, so that the
 // part of online beyond an empty step would have been shorter as well.
-func (p *Pace) aloneMean(id uint64, stepBase time.Duration) (time.Duration, bool) {
+func (p *OnlineTracker) aloneMean(id uint64, stepBase time.Duration) (time.Duration, bool) {
 	for _, answer := range p.decoding {
 		tokens := p.clock.tokens - answer.begin.tokens
 		if answer.id != id || tokens < shortAnswer {
@@ -164,30 +164,30 @@
 	return 0, false
 }
 
-// Debt is the largest time by which an answer that ends now would lag behind
+// MaximumLag is the largest time by which an answer that ends now would lag behind
 // the target.
-func (p *Pace) Debt() time.Duration {
+func (p *OnlineTracker) MaximumLag() time.Duration {
 	return p.debt
 }
 
 // Decoding is the number of measured requests past their first token.
-func (p *Pace) Decoding() int {
+func (p *OnlineTracker) Decoding() int {
 	return len(p.decoding)
 }
 
 // Prompts is the number of requests without a first token.
-func (p *Pace) Prompts() int {
+func (p *OnlineTracker) Prompts() int {
 	return len(p.prompts)
 }
 
-// PromptPart is the part of the server's time that prompts took lately; it
+// PromptLoad is the part of the server's time that prompts took lately; it
 // exceeds 1 where prompts arrive faster than they are processed.
-func (p *Pace) PromptPart(perToken, now time.Duration) float64 {
+func (p *OnlineTracker) PromptLoad(perToken, now time.Duration) float64 {
 	return p.promptLoad.value(now) * float64(perToken) / float64(loadMemory)
 }
 
 // PromptTokens sums the prompts that wait to be processed.
-func (p *Pace) PromptTokens() int {
+func (p *OnlineTracker) PromptTokens() int {
 	sum := 0
 	for _, prompt := range p.prompts {
 		sum += prompt.tokens
@@ -195,11 +195,11 @@
 	return sum
 }
 
-// StepForPrompts is the longest step with which every waiting request gets its
+// LongestStepForPrompts is the longest step with which every waiting request gets its
 // first token within the target, and false where none waits. It is short or
 // negative where a request is late already. chunk is the prompt tokens of a step
 // and step an estimate of a step's length.
-func (p *Pace) StepForPrompts(target time.Duration, chunk int, step, now time.Duration) (time.Duration, bool) {
+func (p *OnlineTracker) LongestStepForPrompts(target time.Duration, chunk int, step, now time.Duration) (time.Duration, bool) {
 	if len(p.prompts) == 0 {
 		return 0, false
 	}
--- a/internal/sharing/pick.go
+++ b/internal/sharing/pick.go
@@ -55,7 +55,7 @@
 func (p *Picker) SetAllowances(allowances []GroupAllowance) {
 	clear(p.parts)
 	for _, allowance := range allowances {
-		p.parts[allowance.Group] = allowance.BatchPart
+		p.parts[allowance.Group] = allowance.BatchFraction
 	}
 }
 
--- a/internal/sharing/reclaim.go
+++ b/internal/sharing/reclaim.go
@@ -20,10 +20,10 @@
 	tokensPerSecond = 45
 )
 
-// Places is how many running items the service of an item that started some
+// EquivalentItems is how many running items the service of an item that started some
 // time ago amounts to: a prompt is processed at once, so that a young item
 // receives more than an old one.
-func Places(promptTokens int, age time.Duration) float64 {
+func EquivalentItems(promptTokens int, age time.Duration) float64 {
 	if age >= promptSpread {
 		return 1
 	}
--- a/internal/sharing/sharing_test.go
+++ b/internal/sharing/sharing_test.go
@@ -16,14 +16,14 @@
 func TestDebtCoversTheLagOfEveryAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const perToken = 20 * time.Millisecond
-		var pace sharing.Pace
+		var pace sharing.OnlineTracker
 		now := time.Second
-		pace.Sent(1, 100, now)
-		pace.FirstToken(1, true, now)
+		pace.RecordSent(1, 100, now)
+		pace.RecordFirstToken(1, true, now)
 		times := []time.Duration{now}
 		for range rapid.IntRange(1, 60).Draw(t, "tokens") {
 			now += time.Duration(rapid.IntRange(1, 60).Draw(t, "step")) * time.Millisecond
-			pace.Token(1, 1, perToken, 0, now)
+			pace.RecordTokens(1, 1, perToken, 0, now)
 			times = append(times, now)
 		}
 		largest := time.Duration(0)
@@ -31,8 +31,8 @@
 			lag := now - at - time.Duration(len(times)-1-begin)*perToken
 			largest = max(largest, lag)
 		}
-		if pace.Debt() != largest {
-			t.Fatalf("the debt is %v, the largest lag %v", pace.Debt(), largest)
+		if pace.MaximumLag() != largest {
+			t.Fatalf("the debt is %v, the largest lag %v", pace.MaximumLag(), largest)
 		}
 	})
 }
@@ -52,7 +52,7 @@
 				Running: float64(rapid.IntRange(0, 40).Draw(t, "running")),
 				Waiting: rapid.IntRange(0, 40).Draw(t, "waiting"),
 			}
-			allowances[index] = sharing.GroupAllowance{Group: name, BatchPart: rapid.Float64Range(0.05, 1).Draw(t, "part")}
+			allowances[index] = sharing.GroupAllowance{Group: name, BatchFraction: rapid.Float64Range(0.05, 1).Draw(t, "part")}
 			total += groups[index].Running
 		}
 		picker.SetAllowances(allowances)
@@ -70,15 +70,15 @@
 		parts := 0.0
 		for index, group := range groups {
 			if group.Running > 0 || group.Waiting > 0 {
-				parts += allowances[index].BatchPart
+				parts += allowances[index].BatchFraction
 			}
 		}
 		borrowed := false
 		for index, group := range groups {
-			borrowed = borrowed || group.Running-total*allowances[index].BatchPart/parts >= 1
+			borrowed = borrowed || group.Running-total*allowances[index].BatchFraction/parts >= 1
 		}
 		for index, group := range groups {
-			owed := total * allowances[index].BatchPart / parts
+			owed := total * allowances[index].BatchFraction / parts
 			if borrowed && min(owed-group.Running, float64(group.Waiting)) >= 1 {
 				t.Fatalf("%+v lacks %.2f places while another borrows", group, owed-group.Running)
 			}
@@ -92,7 +92,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		part := rapid.Float64Range(0.1, 0.9).Draw(t, "part")
 		picker := sharing.NewPicker()
-		picker.SetAllowances([]sharing.GroupAllowance{{Group: "a", BatchPart: part}, {Group: "b", BatchPart: 1 - part}})
+		picker.SetAllowances([]sharing.GroupAllowance{{Group: "a", BatchFraction: part}, {Group: "b", BatchFraction: 1 - part}})
 		both := []sharing.Candidate{{Group: "a", Tenant: "x", Job: "1"}, {Group: "b", Tenant: "y", Job: "2"}}
 		for range rapid.IntRange(0, 200).Draw(t, "alone") {
 			picker.Charge(&both[0], 1)
@@ -121,8 +121,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		policy := sharing.DefaultBudgetPolicy(rapid.SampledFrom([]sharing.Objective{sharing.Throughput, sharing.Latency}).Draw(t, "objective"))
 		now := time.Second
-		pace := &sharing.Pace{}
-		state := sharing.ServerState{Pace: pace, Target: sharing.DefaultTarget, Online: float64(rapid.IntRange(0, 70).Draw(t, "online"))}
+		pace := &sharing.OnlineTracker{}
+		state := sharing.ServerState{Tracker: pace, Target: sharing.DefaultTarget, Online: float64(rapid.IntRange(0, 70).Draw(t, "online"))}
 		before := sharing.BatchBudget(state, policy, now)
 		if state.Online == 0 && before.Items != policy.MaximumItems {
 			t.Fatalf("an empty server gets %d items", before.Items)
@@ -132,7 +132,7 @@
 		if after := sharing.BatchBudget(more, policy, now); after.Items > before.Items {
 			t.Fatalf("one more online request raises the budget from %d to %d", before.Items, after.Items)
 		}
-		pace.Sent(1, rapid.IntRange(1, 8000).Draw(t, "prompt"), now)
+		pace.RecordSent(1, rapid.IntRange(1, 8000).Draw(t, "prompt"), now)
 		if after := sharing.BatchBudget(more, policy, now); after.Items > before.Items {
 			t.Fatalf("a prompt raises the budget from %d to %d", before.Items, after.Items)
 		}
--- a/internal/sharing/tail.go
+++ b/internal/sharing/tail.go
@@ -33,14 +33,14 @@
 	estimate time.Duration
 }
 
-// FirstToken records the time to a first token.
-func (e *TailEstimator) FirstToken(took time.Duration) {
+// RecordFirstToken records the time to a first token.
+func (e *TailEstimator) RecordFirstToken(took time.Duration) {
 	e.firstTokens.add(took)
 }
 
-// PerToken records the mean time per token that an answer would have had
+// RecordPerToken records the mean time per token that an answer would have had
 // without batch.
-func (e *TailEstimator) PerToken(mean time.Duration) {
+func (e *TailEstimator) RecordPerToken(mean time.Duration) {
 	e.perTokens.add(mean)
 }
 
--- a/internal/sharing/tail_test.go
+++ b/internal/sharing/tail_test.go
@@ -22,7 +22,7 @@
 			seed = seed*6364136223846793005 + 1442695040888963407
 			sample := time.Duration(seed >> 40)
 			all = append(all, sample)
-			tail.PerToken(sample)
+			tail.RecordPerToken(sample)
 		}
 		target := tail.Target(0)
 		if target.FirstToken != sharing.DefaultTarget.FirstToken {
@@ -50,15 +50,15 @@
 		const base = 12 * time.Millisecond
 		batch := time.Duration(rapid.IntRange(0, 10).Draw(t, "batch")) * time.Millisecond
 		online := base + time.Duration(rapid.IntRange(0, 8).Draw(t, "online"))*time.Millisecond
-		var pace sharing.Pace
+		var pace sharing.OnlineTracker
 		now := time.Second
-		pace.Sent(1, 10, now)
-		pace.FirstToken(1, true, now)
+		pace.RecordSent(1, 10, now)
+		pace.RecordFirstToken(1, true, now)
 		for range rapid.IntRange(sharing.ShortAnswer, 100).Draw(t, "tokens") {
 			now += online + batch
-			pace.Token(1, 1, time.Second, batch, now)
+			pace.RecordTokens(1, 1, time.Second, batch, now)
 		}
-		mean, known := pace.Ended(1, base, now)
+		mean, known := pace.RecordEnd(1, base, now)
 		if !known || mean < base || mean > online {
 			t.Fatalf("the mean is %v, known %v, with steps of %v without batch", mean, known, online)
 		}
--- a/internal/simulator/executor.go
+++ b/internal/simulator/executor.go
@@ -51,7 +51,7 @@
 	now := g.fleet.clock.Now()
 	return sharing.ServerState{
 		Online:       float64(entry.Online()),
-		Pace:         &g.paces[server],
+		Tracker:      &g.paces[server],
 		Target:       g.target(),
 		BatchRunning: len(g.lanes[server].running),
 		KVUsed:       float64(entry.Report.KVUsed),
--- a/internal/simulator/gateway.go
+++ b/internal/simulator/gateway.go
@@ -28,7 +28,7 @@
 	health   *health.Tracker
 	owned    []int
 	lanes    []lane
-	paces    []sharing.Pace
+	paces    []sharing.OnlineTracker
 	tail     sharing.TailEstimator
 	prefixes map[int][2]int
 	queues   []itemQueue
@@ -51,7 +51,7 @@
 		health:   health.NewTracker(health.DefaultPolicy, servers),
 		recent:   make([]routing.Recent, servers),
 		lanes:    make([]lane, servers),
-		paces:    make([]sharing.Pace, servers),
+		paces:    make([]sharing.OnlineTracker, servers),
 		prefixes: make(map[int][2]int),
 		queues:   make([]itemQueue, len(scenario.Batch)),
 		picker:   sharing.NewPicker(),
--- a/internal/simulator/pace.go
+++ b/internal/simulator/pace.go
@@ -53,18 +53,18 @@
 func (g *gateway) noteSent(index, server int) {
 	record := &g.fleet.online[index]
 	tokens := g.uncached(record, server)
-	g.paces[server].Sent(uint64(index), tokens, g.fleet.clock.Now())
+	g.paces[server].RecordSent(uint64(index), tokens, g.fleet.clock.Now())
 	g.notify(server, func(observer *gateway) {
-		observer.paces[server].Sent(uint64(index), tokens, observer.fleet.clock.Now())
+		observer.paces[server].RecordSent(uint64(index), tokens, observer.fleet.clock.Now())
 		observer.balance(server)
 	})
 }
 
 func (g *gateway) noteFirstToken(record *onlineRecord, server int) {
-	g.paces[server].FirstToken(uint64(record.index), true, g.fleet.clock.Now())
-	g.tail.FirstToken(g.fleet.clock.Now() - record.arrival.at - g.fleet.scenario.ClientDelay)
+	g.paces[server].RecordFirstToken(uint64(record.index), true, g.fleet.clock.Now())
+	g.tail.RecordFirstToken(g.fleet.clock.Now() - record.arrival.at - g.fleet.scenario.ClientDelay)
 	g.notify(server, func(observer *gateway) {
-		observer.paces[server].FirstToken(uint64(record.index), g.fleet.policy.Fresh, observer.fleet.clock.Now())
+		observer.paces[server].RecordFirstToken(uint64(record.index), g.fleet.policy.Fresh, observer.fleet.clock.Now())
 		observer.balance(server)
 	})
 	g.balance(server)
@@ -73,27 +73,27 @@
 func (g *gateway) noteTokens(record *onlineRecord, server, tokens int) {
 	id := uint64(record.index)
 	now := g.fleet.clock.Now()
-	g.paces[server].Token(id, tokens, g.target().PerToken, g.batchPart(server), now)
+	g.paces[server].RecordTokens(id, tokens, g.target().PerToken, g.batchPart(server), now)
 	if g.fleet.policy.Fresh {
 		g.notify(server, func(observer *gateway) {
-			if !observer.paces[server].Leads(id) {
+			if !observer.paces[server].IsSampled(id) {
 				return
 			}
-			observer.paces[server].Token(id, tokens, g.target().PerToken, observer.batchPart(server), now)
+			observer.paces[server].RecordTokens(id, tokens, g.target().PerToken, observer.batchPart(server), now)
 			observer.balance(server)
 		})
 	}
-	if g.paces[server].Leads(id) {
+	if g.paces[server].IsSampled(id) {
 		g.balance(server)
 	}
 }
 
 func (g *gateway) noteEnded(record *onlineRecord, server int) {
-	if mean, known := g.paces[server].Ended(uint64(record.index), g.view.Cost.StepBase, g.fleet.clock.Now()); known {
-		g.tail.PerToken(mean)
+	if mean, known := g.paces[server].RecordEnd(uint64(record.index), g.view.Cost.StepBase, g.fleet.clock.Now()); known {
+		g.tail.RecordPerToken(mean)
 	}
 	g.notify(server, func(observer *gateway) {
-		observer.paces[server].Ended(uint64(record.index), g.view.Cost.StepBase, observer.fleet.clock.Now())
+		observer.paces[server].RecordEnd(uint64(record.index), g.view.Cost.StepBase, observer.fleet.clock.Now())
 		observer.balance(server)
 	})
 }
--- a/internal/simulator/policy.go
+++ b/internal/simulator/policy.go
@@ -62,7 +62,7 @@
 
 func budgetOf(policy sharing.BudgetPolicy) BudgetFunction {
 	return func(state sharing.ServerState, now time.Duration) (sharing.Budget, int) {
-		return sharing.BatchBudget(state, policy, now), sharing.ShouldYield(state, policy, now)
+		return sharing.BatchBudget(state, policy, now), sharing.ItemsToPause(state, policy, now)
 	}
 }
 
@@ -75,7 +75,7 @@
 	policy := Rockwind(scenario)
 	policy.Name = ToldName
 	budget := budgetPolicy(scenario)
-	budget.PerTokenPart = 1
+	budget.PerTokenFraction = 1
 	policy.Budget = budgetOf(budget)
 	return policy
 }
@@ -146,7 +146,7 @@
 	policy.Fresh = true
 	policy.Notices = true
 	budget := budgetPolicy(scenario)
-	budget.PerTokenPart = tighten
+	budget.PerTokenFraction = tighten
 	policy.Budget = budgetOf(budget)
 	return policy
 }
--- a/internal/simulator/reclaim.go
+++ b/internal/simulator/reclaim.go
@@ -35,7 +35,7 @@
 	}
 	for _, entry := range g.lanes[server].running {
 		age := g.fleet.clock.Now() - entry.startedAt
-		groups[entry.load].Running += sharing.Places(entry.shape.prompt, age)
+		groups[entry.load].Running += sharing.EquivalentItems(entry.shape.prompt, age)
 	}
 	for _, entry := range g.lanes[server].paused {
 		groups[entry.load].Waiting++
--- a/internal/store/admission.go
+++ b/internal/store/admission.go
@@ -30,7 +30,7 @@
 	defer a.limiter.mutex.Unlock()
 	intake := a.limiter.intake(a.shard)
 	if err != nil && fault.From(err).Ran == fault.RanUnknown {
-		intake.Doubt(a.ticket, a.term)
+		intake.MarkUncertain(a.ticket, a.term)
 		return
 	}
 	intake.End(a.ticket)
--- a/internal/store/executor.go
+++ b/internal/store/executor.go
@@ -69,7 +69,7 @@
 		claims:       claims.NewTable(),
 		history:      make(map[claims.Key]*history),
 		active:       make(map[claims.Key]*activeAttempt),
-		paces:        make(map[string]*backlog.Pace),
+		paces:        make(map[string]*backlog.RunTimeEstimator),
 		ended:        make(chan attemptResult, resultBuffer),
 		progressDone: make(chan struct{}, 1),
 	}
@@ -113,7 +113,7 @@
 	// active holds the attempts in progress.
 	active map[claims.Key]*activeAttempt
 	// paces holds statistics of item run times, by service.
-	paces map[string]*backlog.Pace
+	paces map[string]*backlog.RunTimeEstimator
 	// recentlyEnded holds items that still count as running, since other leaders learn of their
 	// end with a delay.
 	recentlyEnded []endedItem
@@ -277,7 +277,7 @@
 	}
 	if active != nil && r.outcome == rockwindpb.StoredOutcome_STORED_OUTCOME_DONE {
 		total := r.history.eventCount()
-		e.pace(active.service).Ended(total-active.eventsBefore, total, active.choice.NormalizeDuration(time.Since(active.began)))
+		e.pace(active.service).RecordRun(total-active.eventsBefore, total, active.choice.NormalizeDuration(time.Since(active.began)))
 	}
 	logResult(r, active, e.term)
 	if r.outcome == rockwindpb.StoredOutcome_STORED_OUTCOME_UNSPECIFIED {
--- a/internal/store/limit.go
+++ b/internal/store/limit.go
@@ -87,5 +87,5 @@
 	if err != nil {
 		return nil, fault.ToTwirp(err)
 	}
-	return &rockwindpb.ReportTokensResponse{Waiting: report.Waiting(), Asking: report.Asking()}, nil
+	return &rockwindpb.ReportTokensResponse{Waiting: report.Waiting(), Asking: report.PendingJobs()}, nil
 }
--- a/internal/store/order.go
+++ b/internal/store/order.go
@@ -27,7 +27,7 @@
 	}
 	service = router.ChooseService(route, item.Item.GetId())
 	remaining := e.pace(service).Remaining(e.receivedEvents(item))
-	return service, backlog.NewItem(submitted, dueTime(route, submitted), remaining).Of(item.Tenant, e.tenantWeight(item.Tenant)), true
+	return service, backlog.NewItem(submitted, dueTime(route, submitted), remaining).WithTenant(item.Tenant, e.tenantWeight(item.Tenant)), true
 }
 
 // receivedEvents returns the number of events received of an item's output.
@@ -68,10 +68,10 @@
 }
 
 // pace returns the run time statistics of a service's items.
-func (e *executor) pace(service string) *backlog.Pace {
+func (e *executor) pace(service string) *backlog.RunTimeEstimator {
 	p, found := e.paces[service]
 	if !found {
-		p = &backlog.Pace{}
+		p = &backlog.RunTimeEstimator{}
 		e.paces[service] = p
 	}
 	return p
@@ -81,5 +81,5 @@
 // since the attempt began is estimated from the pace of the service.
 func (e *executor) backlogAttempt(attempt *activeAttempt) backlog.Item {
 	remaining := attempt.choice.ScaleDuration(e.pace(attempt.service).Remaining(attempt.eventsBefore)) - time.Since(attempt.began)
-	return backlog.NewItem(attempt.submitted, dueTime(attempt.route, attempt.submitted), max(0, remaining)).Of(attempt.tenant, e.tenantWeight(attempt.tenant))
+	return backlog.NewItem(attempt.submitted, dueTime(attempt.route, attempt.submitted), max(0, remaining)).WithTenant(attempt.tenant, e.tenantWeight(attempt.tenant))
 }
--- a/internal/store/owner.go
+++ b/internal/store/owner.go
@@ -20,7 +20,7 @@
 type ownedCount struct {
 	term   uint64
 	shards int
-	count  *quota.Count
+	count  *quota.Counter
 	// limit is the limit used by the latest request.
 	limit uint64
 }
@@ -76,7 +76,7 @@
 	GetRoute() string
 	GetTenant() string
 }) string {
-	return quota.Account(request.GetRoute(), request.GetTenant())
+	return quota.AccountKey(request.GetRoute(), request.GetTenant())
 }
 
 // limitOf returns the limit of a route, or zero.
@@ -95,7 +95,7 @@
 	defer l.mutex.Unlock()
 	current := l.counts[account]
 	if current == nil || current.term < term {
-		current = &ownedCount{term: term, shards: shards, count: quota.NewCount(shards)}
+		current = &ownedCount{term: term, shards: shards, count: quota.NewCounter(shards)}
 		l.counts[account] = current
 	}
 	return current
@@ -126,7 +126,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	owned.limit = limit
-	if owned.count.Age(l.now()) > age {
+	if owned.count.PollAge(l.now()) > age {
 		return quota.Unknown
 	}
 	return owned.count.Reserve(reservation, limit)
@@ -136,8 +136,8 @@
 func (l *limiter) refuse(owned *ownedCount, request *rockwindpb.ReserveTokensRequest, reservation quota.Request, limit uint64) error {
 	l.mutex.Lock()
 	now := l.now()
-	waiting, age := owned.count.Waiting(), owned.count.Age(now)
-	retryAfter, rate := owned.count.ComeBack(reservation, limit, now), owned.count.DrainRate(now)
+	waiting, age := owned.count.Waiting(), owned.count.PollAge(now)
+	retryAfter, rate := owned.count.RetryAfter(reservation, limit, now), owned.count.DrainRate(now)
 	l.mutex.Unlock()
 	decision.Default.Record(decision.TokensRefused, request.GetJob(), log.Fields{
 		"route": request.GetRoute(), "tenant": request.GetTenant(), "limit": limit, "waiting": waiting, "tokens": request.GetTokens(), "reports_age_ms": age.Milliseconds(),
@@ -154,11 +154,11 @@
 	_, _, _ = l.polls.Do(accountOf(query), func() (any, error) {
 		l.mutex.Lock()
 		now := l.now()
-		if decided == quota.Full && owned.count.Age(now) < time.Duration(owned.shards)*refusalReportAgePerShard {
+		if decided == quota.Full && owned.count.PollAge(now) < time.Duration(owned.shards)*refusalReportAgePerShard {
 			l.mutex.Unlock()
 			return nil, nil
 		}
-		poll := owned.count.Begin(now)
+		poll := owned.count.BeginPoll(now)
 		l.mutex.Unlock()
 		ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
 		defer cancel()
@@ -184,5 +184,5 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	owned.count.Take(poll, query.GetShard(), quota.NewReport(response.GetWaiting(), response.GetAsking()), l.now())
+	owned.count.RecordReport(poll, query.GetShard(), quota.NewReport(response.GetWaiting(), response.GetAsking()), l.now())
 }
--- a/internal/store/parting_test.go
+++ b/internal/store/parting_test.go
@@ -50,7 +50,7 @@
 	}
 	e := &executor{
 		store: s, group: group, machine: machine, claims: claims.NewTable(),
-		history: make(map[claims.Key]*history), active: make(map[claims.Key]*activeAttempt), paces: make(map[string]*backlog.Pace),
+		history: make(map[claims.Key]*history), active: make(map[claims.Key]*activeAttempt), paces: make(map[string]*backlog.RunTimeEstimator),
 		ended: make(chan attemptResult, resultBuffer), progressDone: make(chan struct{}, 1), handovers: s.handoversOf(1),
 		term: 1, historyTerm: 1, lastProgress: time.Now().Add(time.Hour),
 	}
--- a/internal/store/share.go
+++ b/internal/store/share.go
@@ -22,7 +22,7 @@
 // tenantShares is the tenants' shares of the slots for batch work, as computed in one
 // scheduling pass.
 type tenantShares struct {
-	use backlog.Use
+	use backlog.Usage
 	// smallestRefused is the smallest reservation with which an item was refused a slot, by
 	// service.
 	smallestRefused map[string]int
@@ -31,7 +31,7 @@
 func newTenantShares() tenantShares { return tenantShares{smallestRefused: make(map[string]int)} }
 
 // tenantsUse returns what the tenants of this shard's items are running in all shards.
-func (e *executor) tenantsUse(open []jobstore.OpenItem, now time.Time) backlog.Use {
+func (e *executor) tenantsUse(open []jobstore.OpenItem, now time.Time) backlog.Usage {
 	running, tenants := e.runningItems(now), make(map[string]struct{})
 	for _, item := range open {
 		tenants[item.Tenant] = struct{}{}
@@ -41,7 +41,7 @@
 	}
 	delete(tenants, "")
 	if len(tenants) == 0 {
-		return backlog.Use{}
+		return backlog.Usage{}
 	}
 	return e.store.dispatcher.BatchUse(e.shard, running, tenants)
 }
@@ -68,7 +68,7 @@
 
 // dropOldEnded drops items that no longer count as running.
 func (e *executor) dropOldEnded(now time.Time) {
-	e.recentlyEnded = slices.DeleteFunc(e.recentlyEnded, func(ended endedItem) bool { return now.Sub(ended.at) >= backlog.Memory })
+	e.recentlyEnded = slices.DeleteFunc(e.recentlyEnded, func(ended endedItem) bool { return now.Sub(ended.at) >= backlog.EndedItemRetention })
 }
 
 // endedItem is an item that ended at the given time.
@@ -94,11 +94,11 @@
 	entry := e.backlogItem(item)
 	demand := balance.Demand{
 		Parts: e.promptParts(item), Batch: true,
-		Reserved: e.shares.use.Reserved(service, entry), Prioritized: e.shares.use.First(service, entry),
+		Reserved: e.shares.use.Reserved(service, entry), Prioritized: e.shares.use.GoesFirst(service, entry),
 	}
 	lease = e.store.dispatcher.TryAcquire(service, demand)
 	if lease != nil {
-		e.shares.use.Begin(entry)
+		e.shares.use.AddRunning(entry)
 		return lease, true
 	}
 	if demand.Reserved == 0 {
@@ -134,7 +134,7 @@
 			continue
 		}
 		heldBack := e.shares.use.Reserved(service, entry) > 0
-		load.Wait(service, e.shares.use.Of(entry), heldBack)
+		load.AddWaiting(service, e.shares.use.RunsPerWeight(entry), heldBack)
 		if heldBack {
 			counts[tenantService{service: service, tenant: item.Tenant}]++
 		}
--- a/internal/store/share_test.go
+++ b/internal/store/share_test.go
@@ -44,19 +44,19 @@
 // TestEndedItemCountsAsRunningForAWhile: other leaders learn of its end with a delay.
 func TestEndedItemCountsAsRunningForAWhile(t *testing.T) {
 	now := time.UnixMilli(1_000_000)
-	e := &executor{recentlyEnded: []endedItem{{item: backlog.NewItem(now, time.Time{}, 0).Of("tenant", 1), at: now}}}
-	if count := len(e.runningItems(now.Add(backlog.Memory - time.Millisecond))); count != 1 {
+	e := &executor{recentlyEnded: []endedItem{{item: backlog.NewItem(now, time.Time{}, 0).WithTenant("tenant", 1), at: now}}}
+	if count := len(e.runningItems(now.Add(backlog.EndedItemRetention - time.Millisecond))); count != 1 {
 		t.Errorf("%d items count shortly after the end, want 1", count)
 	}
-	if count := len(e.runningItems(now.Add(backlog.Memory))); count != 0 {
+	if count := len(e.runningItems(now.Add(backlog.EndedItemRetention))); count != 0 {
 		t.Errorf("%d items count later, want none", count)
 	}
 }
 
 // TestEndedItemsAreDroppedWithGateOff: runningItems is not called then.
 func TestEndedItemsAreDroppedWithGateOff(t *testing.T) {
-	e := &executor{claims: claims.NewTable(), active: make(map[claims.Key]*activeAttempt), paces: make(map[string]*backlog.Pace)}
-	e.recentlyEnded = []endedItem{{at: time.Now().Add(-backlog.Memory)}}
+	e := &executor{claims: claims.NewTable(), active: make(map[claims.Key]*activeAttempt), paces: make(map[string]*backlog.RunTimeEstimator)}
+	e.recentlyEnded = []endedItem{{at: time.Now().Add(-backlog.EndedItemRetention)}}
 	key := claims.NewKey("job", 0)
 	claim, _ := e.claims.Acquire(key, func() {})
 	e.active[key] = &activeAttempt{began: time.Now()}
@@ -83,7 +83,7 @@
 	dispatcher := router.NewDispatcher("", gate.Set{})
 	dispatcher.Update(register.View())
 	load := backlog.NewShardLoad(nil)
-	load.Wait("app", 0, false)
+	load.AddWaiting("app", 0, false)
 	dispatcher.SetBatchLoad(0, load)
 	e := &executor{
 		store: &Store{dispatcher: dispatcher}, group: noQuorumGroup{}, claims: claims.NewTable(),
--- a/internal/store/yield.go
+++ b/internal/store/yield.go
@@ -56,7 +56,7 @@
 	for service := range services {
 		e.store.dispatcher.PreemptBatch(service, func(server string, requests int) int {
 			attempts := byServer[server]
-			backlog.Yielding(attempts, now, e.backlogAttempt)
+			backlog.SortForPreemption(attempts, now, e.backlogAttempt)
 			count := min(requests, len(attempts))
 			for _, attempt := range attempts[:count] {
 				attempt.preempted = true
