--- a/internal/decision/export_test.go
+++ b/internal/decision/export_test.go
@@ -1,7 +1,7 @@
 package decision
 
-// Its figures that the tests use.
+// Constants for tests.
 const (
-	Burst       = burst
-	StreamLines = streamLines
+	Burst          = burst
+	StreamCapacity = streamCapacity
 )
--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -1,7 +1,6 @@
-// Package dial opens the connections of a site's processes. A connection to a
-// machine that falls silent fails within a bounded time, although no packet says
-// so: the kernel gives up data that is not acknowledged, and probes connections
-// on which nothing is sent.
+// Package dial opens and accepts the connections between a site's processes. A connection to an
+// unresponsive machine fails within a bounded time: TCP_USER_TIMEOUT bounds unacknowledged data,
+// and keep-alive probes check idle connections.
 package dial
 
 import (
@@ -15,11 +14,11 @@
 )
 
 const (
-	// connectTimeout bounds a connection attempt.
+	// connectTimeout bounds the establishment of a connection.
 	connectTimeout = time.Second
 	// unacknowledgedTimeout is how long sent data may stay unacknowledged.
 	unacknowledgedTimeout = 3 * time.Second
-	// Probes of connections on which nothing is sent.
+	// Keep-alive probes of idle connections.
 	probeIdle     = 2 * time.Second
 	probeInterval = time.Second
 	probeCount    = 2
@@ -28,39 +27,40 @@
 	idleConnectionTimeout = 30 * time.Second
 )
 
-// Dialer returns a dialer of connections that notice silence.
+// Dialer returns a dialer whose connections detect unresponsive peers.
 func Dialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout:         connectTimeout,
 		KeepAliveConfig: KeepAlive(),
-		Control:         boundSilence,
+		Control:         setUserTimeout,
 	}
 }
 
-// KeepAlive is the configuration of probes for both ends of a connection.
+// KeepAlive returns the keep-alive configuration for both ends of a connection.
 func KeepAlive() net.KeepAliveConfig {
 	return net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount}
 }
 
-func boundSilence(_, _ string, raw syscall.RawConn) error {
-	var failure error
+// setUserTimeout sets TCP_USER_TIMEOUT on a socket.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
+	var optionErr error
 	err := raw.Control(func(descriptor uintptr) {
-		failure = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledgedTimeout.Milliseconds()))
+		optionErr = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledgedTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failure
+	return optionErr
 }
 
-// Listen opens a listener whose connections notice silence.
+// Listen opens a listener whose connections detect unresponsive peers.
 func Listen(address string) (net.Listener, error) {
-	configuration := net.ListenConfig{KeepAliveConfig: KeepAlive(), Control: boundSilence}
+	configuration := net.ListenConfig{KeepAliveConfig: KeepAlive(), Control: setUserTimeout}
 	return configuration.Listen(context.Background(), "tcp", address)
 }
 
-// NewClient returns a client for calls between the site's own processes. It reaches a
-// machine that comes up soon after that.
+// NewClient returns an HTTP client for calls between the site's processes. It connects promptly to
+// machines that are just starting.
 func NewClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         Hedged(Dialer().DialContext, attemptInterval, connectTimeout),
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -1,7 +1,6 @@
-// Package events carries typed events between the goroutines of one daemon. It
-// is a thin layer over a watermill publisher and subscriber in memory: topics
-// are typed, payloads are protobuf messages, and a handler that fails is
-// reported through the router's middleware and never blocks the publisher.
+// Package events distributes typed events between the goroutines of one daemon. It is a thin layer
+// over watermill's in-memory publisher and subscriber with typed topics and protobuf payloads.
+// Publish does not wait for handlers.
 package events
 
 import (
@@ -15,13 +14,12 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// bufferedEvents is how many events a subscriber may lag behind before the
-// publisher's goroutine has to wait.
+// bufferedEvents is the capacity of each subscriber's channel.
 const bufferedEvents = 4096
 
-// Topic names a stream of events whose payload is the message type T.
+// Topic is a stream of events whose payload is the message type T.
 type Topic[T proto.Message] struct {
-	// Name is the topic's name in watermill.
+	// Name is the name of the topic in watermill.
 	Name string
 	// New returns an empty payload.
 	New func() T
@@ -33,7 +31,7 @@
 	router  *message.Router
 }
 
-// NewBus returns a bus whose handlers start when Run is called.
+// NewBus returns a bus. Its handlers start when Run is called.
 func NewBus() (*Bus, error) {
 	logger := watermill.NopLogger{}
 	router, err := message.NewRouter(message.RouterConfig{}, logger)
@@ -45,12 +43,12 @@
 	return &Bus{channel: channel, router: router}, nil
 }
 
-// Run serves the handlers until the context ends.
+// Run runs the handlers until the context ends.
 func (b *Bus) Run(ctx context.Context) error {
 	return b.router.Run(ctx)
 }
 
-// Running is closed once the handlers receive events.
+// Running returns a channel that is closed once the handlers receive events.
 func (b *Bus) Running() <-chan struct{} {
 	return b.router.Running()
 }
@@ -64,8 +62,8 @@
 	return b.channel.Publish(topic.Name, message.NewMessage(watermill.NewShortUUID(), bytes))
 }
 
-// Handle registers a handler for the topic under a name that is unique in the
-// bus. It must be called before Run.
+// Handle registers a handler for the topic. Its name must be unique in the bus. Handle must be
+// called before Run.
 func Handle[T proto.Message](b *Bus, name string, topic Topic[T], handler func(context.Context, T) error) {
 	b.router.AddConsumerHandler(name, topic.Name, b.channel, func(received *message.Message) error {
 		payload := topic.New()
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,7 +1,6 @@
-// Package fault holds the typed errors that cross rockwind's process
-// boundaries. Every fault has a kind, a message that says what went wrong, and
-// a remedy that says what to do about it. Faults about requests also say
-// whether the request may have run.
+// Package fault provides the typed errors that cross rockwind's process boundaries. A fault has a
+// kind, a message that says what went wrong, and a remedy that says what to do about it. Faults of
+// requests also say whether the request may have run.
 package fault
 
 import (
@@ -14,36 +13,36 @@
 	"github.com/twitchtv/twirp"
 )
 
-// Kind is the type of a fault. The set is closed; callers may switch on it.
+// Kind is the type of a fault. The set of kinds is closed, so that callers may switch on it.
 type Kind string
 
 // The kinds of fault.
 const (
-	// InvalidArgument: the input is wrong and will be wrong again.
+	// InvalidArgument: the input is invalid, and a retry would fail in the same way.
 	InvalidArgument Kind = "invalid_argument"
-	// Unauthenticated: no known API key was given.
+	// Unauthenticated: the request has no known API key.
 	Unauthenticated Kind = "unauthenticated"
-	// NotFound: the named thing does not exist, or not for this tenant.
+	// NotFound: the named object does not exist, or not for this tenant.
 	NotFound Kind = "not_found"
-	// Conflict: another value was accepted under the same number or key.
+	// Conflict: another value was already accepted under the same number or key.
 	Conflict Kind = "conflict"
-	// Stale: the caller holds something older than what is in force.
+	// Stale: the caller's version is older than the current one.
 	Stale Kind = "stale"
-	// LimitReached: a limit of the tenant is used up for now.
+	// LimitReached: a limit of the tenant is exhausted.
 	LimitReached Kind = "limit_reached"
-	// Overloaded: the fleet cannot meet the request's deadline.
+	// Overloaded: the servers cannot meet the request's deadline.
 	Overloaded Kind = "overloaded"
-	// Quarantined: servers ended under the same request; it is not run for a while.
+	// Quarantined: servers ended while they ran the same request, which is refused for some time.
 	Quarantined Kind = "quarantined"
-	// Unavailable: no back end or no quorum can be reached for now.
+	// Unavailable: no back end or no quorum can be reached.
 	Unavailable Kind = "unavailable"
-	// NotLeader: another replica leads the group; its address is in Leader.
+	// NotLeader: another replica leads the group. Leader has its address if it is known.
 	NotLeader Kind = "not_leader"
-	// OutcomeUnknown: the request may have run and its answer is lost.
+	// OutcomeUnknown: the request may have run, and its response is lost.
 	OutcomeUnknown Kind = "outcome_unknown"
 	// Cancelled: the caller or an operator cancelled the work.
 	Cancelled Kind = "cancelled"
-	// Corrupt: stored bytes failed their checksum.
+	// Corrupt: stored data does not match its checksum.
 	Corrupt Kind = "corrupt"
 	// Internal: a defect in rockwind.
 	Internal Kind = "internal"
@@ -52,14 +51,14 @@
 // Ran says whether a request may have run on a back end.
 type Ran string
 
-// What is known of whether a request ran.
+// The values of Ran.
 const (
-	// RanNotApplicable is used by faults that are not about a request.
+	// RanNotApplicable is for faults that do not concern a request.
 	RanNotApplicable Ran = ""
-	// NotRun means that no byte can have reached a back end, or that the back
-	// end provably refused.
+	// NotRun means that no byte can have reached a back end, or that the back end refused the
+	// request.
 	NotRun Ran = "not_run"
-	// RanUnknown means that the request may have run, once.
+	// RanUnknown means that the request may have run, at most once.
 	RanUnknown Ran = "outcome_unknown"
 )
 
@@ -73,13 +72,13 @@
 	Remedy string `json:"remedy"`
 	// Ran says whether the request may have run.
 	Ran Ran `json:"ran,omitempty"`
-	// RetryAfter is when a retry is worth while; zero means no advice.
+	// RetryAfter is the time after which a retry is worthwhile; zero means no advice.
 	RetryAfter time.Duration `json:"-"`
 	// Leader is the address of the leader, for NotLeader.
 	Leader string `json:"leader,omitempty"`
 }
 
-// New returns a fault of the given kind with a message and its remedy.
+// New returns a fault of the given kind.
 func New(kind Kind, message, remedy string) *Fault {
 	return &Fault{Kind: kind, Message: message, Remedy: remedy}
 }
@@ -97,29 +96,29 @@
 	return f.Message + "; " + f.Remedy
 }
 
-// WithRan returns a copy that says whether the request may have run.
+// WithRan returns a copy with the given Ran.
 func (f *Fault) WithRan(ran Ran) *Fault {
 	copied := *f
 	copied.Ran = ran
 	return &copied
 }
 
-// WithRetryAfter returns a copy that tells the caller when to come back.
+// WithRetryAfter returns a copy with the given RetryAfter.
 func (f *Fault) WithRetryAfter(after time.Duration) *Fault {
 	copied := *f
 	copied.RetryAfter = after
 	return &copied
 }
 
-// WithLeader returns a copy that names the leader's address.
+// WithLeader returns a copy with the given leader's address.
 func (f *Fault) WithLeader(address string) *Fault {
 	copied := *f
 	copied.Leader = address
 	return &copied
 }
 
-// From returns the fault inside err, or an Internal fault that wraps its text.
-// It understands faults that crossed a twirp call. It returns nil for nil.
+// From returns the fault in the chain of err, also if it crossed a twirp call. Other errors become
+// Internal faults with their text, and nil remains nil.
 func From(err error) *Fault {
 	if err == nil {
 		return nil
@@ -135,18 +134,18 @@
 	return New(Internal, err.Error(), "report this with the output of 'rockwind logs'")
 }
 
-// IsFault tells whether err is a fault that somebody stated, here or at the other end of a twirp
-// call. Any other error of a call says nothing of what happened there.
+// IsFault reports whether err is a fault, created here or by the other end of a twirp call. Any
+// other error of a call does not say what happened at the other end.
 func IsFault(err error) bool {
-	var stated *Fault
-	if errors.As(err, &stated) {
+	var local *Fault
+	if errors.As(err, &local) {
 		return true
 	}
 	var remote twirp.Error
 	return errors.As(err, &remote) && remote.Meta(metaKind) != ""
 }
 
-// Is tells whether err is a fault of the given kind.
+// Is reports whether err is a fault of the given kind.
 func Is(err error, kind Kind) bool {
 	if err == nil {
 		return false
@@ -154,7 +153,7 @@
 	return From(err).Kind == kind
 }
 
-// HTTPStatus is the status code that callers get for the kind.
+// HTTPStatus returns the HTTP status code for the kind.
 func (k Kind) HTTPStatus() int {
 	switch k {
 	case InvalidArgument:
@@ -178,7 +177,7 @@
 	}
 }
 
-// Keys of the metadata that carries a fault through twirp.
+// Keys of the twirp metadata that carries a fault.
 const (
 	metaKind   = "fault_kind"
 	metaRemedy = "fault_remedy"
@@ -187,8 +186,8 @@
 	metaLeader = "fault_leader"
 )
 
-// ToTwirp turns any error into a twirp error that From restores on the other
-// side. It returns nil for nil.
+// ToTwirp converts an error to a twirp error from which From restores the fault. It returns nil
+// for nil.
 func ToTwirp(err error) error {
 	if err == nil {
 		return nil
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -9,20 +9,20 @@
 	"rockwind.example/rockwind/internal/fault"
 )
 
-func TestToldIsWhatSomebodyStated(t *testing.T) {
-	stated := fault.New(fault.Unavailable, "no leader", "ask again")
+func TestIsFaultFindsLocalAndRemoteFaults(t *testing.T) {
+	created := fault.New(fault.Unavailable, "no leader", "ask again")
 	for name, test := range map[string]struct {
 		err  error
 		want bool
 	}{
-		"stated here":      {stated, true},
-		"stated elsewhere": {fault.ToTwirp(stated), true},
-		"broke off":        {twirp.InternalErrorWith(context.DeadlineExceeded), false},
-		"its context":      {context.Canceled, false},
-		"none":             {nil, false},
+		"local fault":       {created, true},
+		"remote fault":      {fault.ToTwirp(created), true},
+		"broken connection": {twirp.InternalErrorWith(context.DeadlineExceeded), false},
+		"canceled context":  {context.Canceled, false},
+		"no error":          {nil, false},
 	} {
 		if got := fault.IsFault(test.err); got != test.want {
-			t.Errorf("%s: told %v, want %v", name, got, test.want)
+			t.Errorf("%s: IsFault returns %v, want %v", name, got, test.want)
 		}
 	}
 }
--- a/internal/logring/logring.go
+++ b/internal/logring/logring.go
@@ -1,6 +1,5 @@
-// Package logring keeps the last log entries of a daemon in memory and writes
-// them out when something goes wrong: on an entry of level error, on request,
-// and on SIGUSR1. In normal running a daemon writes next to nothing.
+// Package logring keeps the last log entries of a daemon in memory and writes them out on an entry
+// of level error, on request, and on SIGUSR1. In normal operation a daemon writes next to nothing.
 package logring
 
 import (
@@ -12,22 +11,21 @@
 	"github.com/apex/log"
 )
 
-// DefaultCapacity is how many entries a ring keeps.
+// DefaultCapacity is the default number of entries in a ring.
 const DefaultCapacity = 4096
 
-// Ring is an apex/log handler that keeps the last entries. It is safe for
-// concurrent use.
+// Ring is an apex/log handler that keeps the last entries. It is safe for concurrent use.
 type Ring struct {
-	mutex   sync.Mutex
-	entries []record
-	next    int
-	full    bool
-	output  io.Writer
-	dumped  time.Time
+	mutex     sync.Mutex
+	entries   []record
+	nextIndex int
+	full      bool
+	output    io.Writer
+	lastDump  time.Time
 }
 
-// minimumDumpGap keeps a burst of errors from writing the ring again and again.
-const minimumDumpGap = 10 * time.Second
+// minDumpInterval keeps a burst of errors from dumping the ring repeatedly.
+const minDumpInterval = 10 * time.Second
 
 type record struct {
 	Time    time.Time  `json:"time"`
@@ -41,37 +39,36 @@
 	return &Ring{entries: make([]record, capacity), output: output}
 }
 
-// HandleLog implements log.Handler. An entry of level error or worse writes the
-// ring out, at most once in ten seconds; in between only the entry itself is
-// written.
+// HandleLog implements log.Handler. An entry of level error or higher dumps the ring, at most once
+// in minDumpInterval; within the interval only the entry itself is written.
 func (r *Ring) HandleLog(entry *log.Entry) error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	current := record{Time: entry.Timestamp, Level: entry.Level.String(), Message: entry.Message, Fields: entry.Fields}
-	r.entries[r.next] = current
-	r.next++
-	if r.next == len(r.entries) {
-		r.next = 0
+	r.entries[r.nextIndex] = current
+	r.nextIndex++
+	if r.nextIndex == len(r.entries) {
+		r.nextIndex = 0
 		r.full = true
 	}
 	if entry.Level < log.ErrorLevel {
 		return nil
 	}
-	if entry.Timestamp.Sub(r.dumped) < minimumDumpGap {
+	if entry.Timestamp.Sub(r.lastDump) < minDumpInterval {
 		return json.NewEncoder(r.output).Encode(current)
 	}
-	r.dumped = entry.Timestamp
+	r.lastDump = entry.Timestamp
 	return r.dumpLocked(r.output)
 }
 
-// Dump writes all entries, oldest first, one JSON object a line.
+// Dump writes all entries, oldest first, one JSON object per line.
 func (r *Ring) Dump(output io.Writer) error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.dumpLocked(output)
 }
 
-// Lines returns the last limit entries, oldest first; zero returns all.
+// Lines returns the last limit entries as JSON, oldest first; zero returns all.
 func (r *Ring) Lines(limit int) []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -92,10 +89,10 @@
 
 func (r *Ring) orderedLocked() []record {
 	if !r.full {
-		return append([]record(nil), r.entries[:r.next]...)
+		return append([]record(nil), r.entries[:r.nextIndex]...)
 	}
-	ordered := append([]record(nil), r.entries[r.next:]...)
-	return append(ordered, r.entries[:r.next]...)
+	ordered := append([]record(nil), r.entries[r.nextIndex:]...)
+	return append(ordered, r.entries[:r.nextIndex]...)
 }
 
 func (r *Ring) dumpLocked(output io.Writer) error {
--- a/internal/logring/logring_test.go
+++ b/internal/logring/logring_test.go
@@ -16,7 +16,7 @@
 	return &log.Entry{Message: message, Level: level, Timestamp: at}
 }
 
-// messages reads entries back, a JSON object a line.
+// messages decodes entries, one JSON object per line, and returns their messages.
 func messages(t interface{ Fatal(...any) }, lines string) []string {
 	var found []string
 	decoder := json.NewDecoder(strings.NewReader(lines))
@@ -30,7 +30,7 @@
 	return found
 }
 
-// TestRingKeepsTheLastEntries compares the ring with the whole log.
+// TestRingKeepsTheLastEntries compares the ring with the end of the complete log.
 func TestRingKeepsTheLastEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(1, 8).Draw(t, "capacity")
@@ -55,25 +55,25 @@
 	})
 }
 
-func TestErrorWritesTheRingOnceInAWhile(t *testing.T) {
+func TestErrorsDumpTheRingAtMostOncePerInterval(t *testing.T) {
 	written := &bytes.Buffer{}
 	ring := New(8, written)
 	now := time.Unix(1000, 0)
 	_ = ring.HandleLog(entry("before", log.InfoLevel, now))
 	_ = ring.HandleLog(entry("fault", log.ErrorLevel, now))
 	_ = ring.HandleLog(entry("between", log.InfoLevel, now))
-	_ = ring.HandleLog(entry("again", log.ErrorLevel, now.Add(minimumDumpGap/2)))
+	_ = ring.HandleLog(entry("again", log.ErrorLevel, now.Add(minDumpInterval/2)))
 	if found := strings.Join(messages(t, written.String()), " "); found != "before fault again" {
 		t.Errorf("written: %s", found)
 	}
 	written.Reset()
-	_ = ring.HandleLog(entry("later", log.ErrorLevel, now.Add(minimumDumpGap)))
+	_ = ring.HandleLog(entry("later", log.ErrorLevel, now.Add(minDumpInterval)))
 	if found := strings.Join(messages(t, written.String()), " "); found != "before fault between again later" {
 		t.Errorf("written: %s", found)
 	}
 }
 
-func TestServerLogTellsPanicsFromNoise(t *testing.T) {
+func TestServerLogWritesPanicsAsErrors(t *testing.T) {
 	ring := New(8, &bytes.Buffer{})
 	server := ServerLog(&log.Logger{Handler: ring, Level: log.InfoLevel})
 	server.Print("http: TLS handshake error from 10.0.0.1:1: EOF")
--- a/internal/logring/server.go
+++ b/internal/logring/server.go
@@ -8,11 +8,11 @@
 	"github.com/apex/log"
 )
 
-// panicMark is in the lines in which net/http tells of a panic of a handler.
-const panicMark = "panic serving"
+// panicMarker is the text by which net/http logs the panic of a handler.
+const panicMarker = "panic serving"
 
-// ServerLog returns a logger for the ErrorLog of an http.Server: what it tells of
-// single connections becomes a warning, and a panic of a handler an error.
+// ServerLog returns a logger for the ErrorLog of an http.Server. Panics of handlers become errors,
+// and messages about single connections become warnings.
 func ServerLog(target log.Interface) *stdlog.Logger {
 	return stdlog.New(serverWriter{target}, "", 0)
 }
@@ -21,10 +21,10 @@
 	target log.Interface
 }
 
-// Write implements io.Writer; each call is one entry.
+// Write implements io.Writer. Each call is one entry.
 func (s serverWriter) Write(line []byte) (int, error) {
 	text := string(bytes.TrimSpace(line))
-	if strings.Contains(text, panicMark) {
+	if strings.Contains(text, panicMarker) {
 		s.target.Error(text)
 	} else {
 		s.target.Warn(text)
--- a/internal/sitemetrics/buffers.go
+++ b/internal/sitemetrics/buffers.go
@@ -6,8 +6,8 @@
 	"rockwind.example/rockwind/internal/clientconn"
 )
 
-// ClientBuffers serves what the process keeps for clients that read slowly and of bodies on
-// their way to servers, as the source tells at each scrape.
+// ClientBuffers registers gauges for the memory that holds unread responses and request bodies.
+// The source is called at each scrape.
 func (s *Set) ClientBuffers(source func() clientconn.Usage) {
 	gauge := func(name, help string, value func(clientconn.Usage) float64) {
 		s.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help},
--- a/internal/sitemetrics/coordinators.go
+++ b/internal/sitemetrics/coordinators.go
@@ -6,13 +6,13 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Coordinators serves for how long no coordinator has answered this process, and how many
-// of its calls none answered, as the source tells at each scrape.
-func (s *Set) Coordinators(source func() (silent time.Duration, failed uint64)) {
+// Coordinators registers metrics for the time since a coordinator last answered this process and
+// for the number of failed watches. The source is called at each scrape.
+func (s *Set) Coordinators(source func() (sinceAnswer time.Duration, failed uint64)) {
 	s.registry.MustRegister(
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "rockwind_coordinators_silent_seconds", Help: "Time for which no coordinator has answered this process.",
-		}, func() float64 { silent, _ := source(); return silent.Seconds() }),
+		}, func() float64 { sinceAnswer, _ := source(); return sinceAnswer.Seconds() }),
 		prometheus.NewCounterFunc(prometheus.CounterOpts{
 			Name: "rockwind_coordinator_tries_failed_total", Help: "Calls for news of the site that the coordinator asked did not answer.",
 		}, func() float64 { _, failed := source(); return float64(failed) }),
--- a/internal/sitemetrics/items.go
+++ b/internal/sitemetrics/items.go
@@ -6,44 +6,44 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// ShortItems is how many batch items wait for the servers of a service that cannot all be on time.
+// ShortItems counts the waiting batch items of a service that cannot all meet their deadline.
 type ShortItems struct {
 	Service string
-	// Here are those of the shards that this process leads, Elsewhere those of others as they
-	// tell.
+	// Here counts the items of shards that this process leads, Elsewhere those that the leaders of
+	// other shards report.
 	Here      int
 	Elsewhere int
-	// HeldBack is how many of those here leave room to items of tenants that have less.
+	// HeldBack counts the items here that wait behind those of tenants with less running work.
 	HeldBack int
 }
 
-// shortItems collects them.
-type shortItems struct {
-	source func() []ShortItems
-	short  *prometheus.Desc
-	held   *prometheus.Desc
+// shortItemCollector collects ShortItems.
+type shortItemCollector struct {
+	source   func() []ShortItems
+	waiting  *prometheus.Desc
+	heldBack *prometheus.Desc
 }
 
-// ShortItems serves what the source lists at each scrape.
+// ShortItems registers a collector of the items that the source returns at each scrape.
 func (s *Set) ShortItems(source func() []ShortItems) {
-	s.registry.MustRegister(shortItems{
-		source: source,
-		short:  prometheus.NewDesc("rockwind_short_items", "Batch items that wait and cannot all be on time, in this process and elsewhere as others tell.", []string{"service", "elsewhere"}, nil),
-		held:   prometheus.NewDesc("rockwind_held_back_items", "Batch items here that leave room to items of tenants which have less running in all shards.", []string{"service"}, nil),
+	s.registry.MustRegister(shortItemCollector{
+		source:   source,
+		waiting:  prometheus.NewDesc("rockwind_short_items", "Batch items that wait and cannot all be on time, in this process and elsewhere as others tell.", []string{"service", "elsewhere"}, nil),
+		heldBack: prometheus.NewDesc("rockwind_held_back_items", "Batch items here that leave room to items of tenants which have less running in all shards.", []string{"service"}, nil),
 	})
 }
 
 // Describe implements prometheus.Collector.
-func (i shortItems) Describe(descriptions chan<- *prometheus.Desc) {
-	descriptions <- i.short
-	descriptions <- i.held
+func (i shortItemCollector) Describe(descriptions chan<- *prometheus.Desc) {
+	descriptions <- i.waiting
+	descriptions <- i.heldBack
 }
 
 // Collect implements prometheus.Collector.
-func (i shortItems) Collect(metrics chan<- prometheus.Metric) {
+func (i shortItemCollector) Collect(metrics chan<- prometheus.Metric) {
 	for _, each := range i.source() {
-		metrics <- prometheus.MustNewConstMetric(i.short, prometheus.GaugeValue, float64(each.Here), each.Service, strconv.FormatBool(false))
-		metrics <- prometheus.MustNewConstMetric(i.short, prometheus.GaugeValue, float64(each.Elsewhere), each.Service, strconv.FormatBool(true))
-		metrics <- prometheus.MustNewConstMetric(i.held, prometheus.GaugeValue, float64(each.HeldBack), each.Service)
+		metrics <- prometheus.MustNewConstMetric(i.waiting, prometheus.GaugeValue, float64(each.Here), each.Service, strconv.FormatBool(false))
+		metrics <- prometheus.MustNewConstMetric(i.waiting, prometheus.GaugeValue, float64(each.Elsewhere), each.Service, strconv.FormatBool(true))
+		metrics <- prometheus.MustNewConstMetric(i.heldBack, prometheus.GaugeValue, float64(each.HeldBack), each.Service)
 	}
 }
--- a/internal/sitemetrics/limits_test.go
+++ b/internal/sitemetrics/limits_test.go
@@ -14,19 +14,19 @@
 	"rockwind.example/rockwind/internal/sitemetrics"
 )
 
-// newSet returns the metrics of a process that logs nothing.
+// newSet returns the metrics of a process that discards its log.
 func newSet(role string) *sitemetrics.Set {
 	return sitemetrics.New(role, decision.NewRecorder(&log.Logger{Handler: discard.New(), Level: log.InfoLevel}, time.Now))
 }
 
-// scrape returns the page of the metrics.
+// scrape returns the metrics page.
 func scrape(set *sitemetrics.Set) string {
-	answer := httptest.NewRecorder()
-	set.Handler().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, sitemetrics.Path, nil))
-	return answer.Body.String()
+	recorder := httptest.NewRecorder()
+	set.Handler().ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, sitemetrics.Path, nil))
+	return recorder.Body.String()
 }
 
-func TestScrapeShowsTheCountsOfRoutes(t *testing.T) {
+func TestScrapeShowsTokenCountsOfRoutes(t *testing.T) {
 	set := newSet("store")
 	waiting := uint64(7)
 	set.Limits(func() []sitemetrics.Limit { return []sitemetrics.Limit{sitemetrics.NewLimit("batch", 1000, waiting)} })
--- a/internal/sitemetrics/metrics.go
+++ b/internal/sitemetrics/metrics.go
@@ -1,5 +1,5 @@
-// Package sitemetrics serves the counters and latency histograms of a site's
-// process on the metrics address of its settings, in the text form of Prometheus.
+// Package sitemetrics serves the counters and latency histograms of a site's process in the
+// Prometheus text format, on the metrics address of its settings.
 package sitemetrics
 
 import (
@@ -16,61 +16,61 @@
 	"rockwind.example/rockwind/internal/site"
 )
 
-// Path is where the metrics are served.
+// Path is the URL path of the metrics.
 const Path = "/metrics"
 
-// stopTimeout bounds the scrapes in progress at a stop.
-const stopTimeout = 200 * time.Millisecond
+// shutdownTimeout bounds the scrapes in progress at a shutdown.
+const shutdownTimeout = 200 * time.Millisecond
 
-// latencyBuckets run from a millisecond to the longest that a request is held, in
+// latencyBuckets range from one millisecond to the longest time that a request is held, in
 // seconds.
 var latencyBuckets = []float64{0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.75, 1, 1.5, 2.5, 4, 6, 10}
 
-// Set is the metrics of one process.
+// Set holds the metrics of one process.
 type Set struct {
-	registry *prometheus.Registry
-	first    *prometheus.HistogramVec
-	held     *prometheus.HistogramVec
+	registry   *prometheus.Registry
+	timeToHead *prometheus.HistogramVec
+	duration   *prometheus.HistogramVec
 }
 
-// New returns metrics of the given role. The counters of decisions come from the
-// recorder.
+// New returns the metrics of a process with the given role. The decision counters are read from
+// the recorder.
 func New(role string, recorder *decision.Recorder) *Set {
 	labels := prometheus.Labels{"role": role}
-	created := &Set{
+	set := &Set{
 		registry: prometheus.NewRegistry(),
-		first: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		timeToHead: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "rockwind_first_byte_seconds", Help: "Time from the receipt of a request to the head of its answer.",
 			ConstLabels: labels, Buckets: latencyBuckets,
 		}, []string{"route_kind"}),
-		held: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		duration: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "rockwind_held_seconds", Help: "Time from the receipt of a request to the end of its answer.",
 			ConstLabels: labels, Buckets: latencyBuckets,
 		}, []string{"route_kind", "outcome"}),
 	}
-	created.registry.MustRegister(created.first, created.held, decisions{recorder: recorder, labels: labels},
+	set.registry.MustRegister(set.timeToHead, set.duration, decisionCollector{recorder: recorder, labels: labels},
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	return created
+	return set
 }
 
-// ObserveRequest takes the end of a request. The time to the head of its answer is zero
-// where there was none.
-func (s *Set) ObserveRequest(routeKind string, outcome decision.Kind, first, held time.Duration) {
-	if first > 0 {
-		s.first.WithLabelValues(routeKind).Observe(first.Seconds())
+// ObserveRequest records a finished request. The time to the response headers is zero if there was
+// no response.
+func (s *Set) ObserveRequest(routeKind string, outcome decision.Kind, timeToHead, duration time.Duration) {
+	if timeToHead > 0 {
+		s.timeToHead.WithLabelValues(routeKind).Observe(timeToHead.Seconds())
 	}
-	s.held.WithLabelValues(routeKind, string(outcome)).Observe(held.Seconds())
+	s.duration.WithLabelValues(routeKind, string(outcome)).Observe(duration.Seconds())
 }
 
-// Handler answers scrapes.
+// Handler returns the handler of scrapes.
 func (s *Set) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET "+Path, promhttp.HandlerFor(s.registry, promhttp.HandlerOpts{}))
 	return mux
 }
 
-// Serve answers on the metrics address of the settings until the context ends; it
-// only waits where there is none.
+// Serve serves the metrics until the context ends. It only waits if the settings have no metrics
+// address.
 func (s *Set) Serve(ctx context.Context, settings *rockwindpb.SiteSettings) error {
 	if settings.GetMetricsListen() == "" {
 		<-ctx.Done()
@@ -80,11 +80,11 @@
 	if err != nil {
 		return err
 	}
-	return site.Serve(ctx, site.NewServer(s.Handler()), listener, stopTimeout)
+	return site.Serve(ctx, site.NewServer(s.Handler()), listener, shutdownTimeout)
 }
 
-// decisions collects the counters of a recorder.
-type decisions struct {
+// decisionCollector collects the counters of a recorder.
+type decisionCollector struct {
 	recorder *decision.Recorder
 	labels   prometheus.Labels
 }
@@ -98,17 +98,17 @@
 )
 
 // Describe implements prometheus.Collector.
-func (d decisions) Describe(descriptions chan<- *prometheus.Desc) {
+func (d decisionCollector) Describe(descriptions chan<- *prometheus.Desc) {
 	descriptions <- prometheus.NewDesc(decidedName, decidedHelp, decisionLabels, d.labels)
 	descriptions <- prometheus.NewDesc(unwrittenName, unwrittenHelp, decisionLabels, d.labels)
 }
 
 // Collect implements prometheus.Collector.
-func (d decisions) Collect(metrics chan<- prometheus.Metric) {
-	decided := prometheus.NewDesc(decidedName, decidedHelp, decisionLabels, d.labels)
+func (d decisionCollector) Collect(metrics chan<- prometheus.Metric) {
+	total := prometheus.NewDesc(decidedName, decidedHelp, decisionLabels, d.labels)
 	unwritten := prometheus.NewDesc(unwrittenName, unwrittenHelp, decisionLabels, d.labels)
 	for kind, count := range d.recorder.Counts() {
-		metrics <- prometheus.MustNewConstMetric(decided, prometheus.CounterValue, float64(count.Decided), string(kind))
+		metrics <- prometheus.MustNewConstMetric(total, prometheus.CounterValue, float64(count.Decided), string(kind))
 		metrics <- prometheus.MustNewConstMetric(unwritten, prometheus.CounterValue, float64(count.Unwritten), string(kind))
 	}
 }
--- a/internal/sitemetrics/metrics_test.go
+++ b/internal/sitemetrics/metrics_test.go
@@ -27,9 +27,9 @@
 	recorder.Record(decision.RequestRefused, "x", nil)
 	set.ObserveRequest("stream", decision.RequestFinished, 30*time.Millisecond, 900*time.Millisecond)
 	set.ObserveRequest("safe", decision.RequestRefused, 0, time.Second)
-	answer := httptest.NewRecorder()
-	set.Handler().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, sitemetrics.Path, nil))
-	page := answer.Body.String()
+	response := httptest.NewRecorder()
+	set.Handler().ServeHTTP(response, httptest.NewRequest(http.MethodGet, sitemetrics.Path, nil))
+	page := response.Body.String()
 	for _, want := range []string{
 		`rockwind_decisions_total{kind="request finished",role="router"} 5`,
 		`rockwind_decisions_total{kind="request refused",role="router"} 1`,
@@ -43,9 +43,9 @@
 		}
 	}
 	if sampledOut == 0 || strings.Contains(page, `rockwind_decisions_unwritten_total{kind="request finished",role="router"} 0`) {
-		t.Error("lines that were sampled out are not counted")
+		t.Error("records that were sampled out are not counted")
 	}
 	if strings.Contains(page, `rockwind_first_byte_seconds_count{role="router",route_kind="safe"}`) {
-		t.Error("a request without an answer counts as one with")
+		t.Error("a request without a response is counted in the time to the response headers")
 	}
 }
--- a/internal/sitemetrics/paces.go
+++ b/internal/sitemetrics/paces.go
@@ -6,35 +6,36 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// paces collects how long work is expected to take at the servers of each service.
-type paces struct {
+// paceCollector collects the pace of the servers of each service, that is how long work takes
+// there as a multiple of the usual time.
+type paceCollector struct {
 	source func() map[string][]float64
 }
 
-var paceDescription = prometheus.NewDesc("rockwind_server_pace",
+var paceDesc = prometheus.NewDesc("rockwind_server_pace",
 	"How long work is expected to take at the servers of a service that tell their pace, as a multiple of what is usual.",
 	[]string{"service"}, nil)
 
-// Paces serves how the servers of each service are expected to differ, as the source tells at
-// each scrape: a summary over the servers, without those services whose servers do not tell.
+// Paces registers a summary of the servers' pace by service. The source is called at each scrape
+// and omits services whose servers report no pace.
 func (s *Set) Paces(source func() map[string][]float64) {
-	s.registry.MustRegister(paces{source: source})
+	s.registry.MustRegister(paceCollector{source: source})
 }
 
 // Describe implements prometheus.Collector.
-func (p paces) Describe(descriptions chan<- *prometheus.Desc) { descriptions <- paceDescription }
+func (p paceCollector) Describe(descriptions chan<- *prometheus.Desc) { descriptions <- paceDesc }
 
 // Collect implements prometheus.Collector.
-func (p paces) Collect(metrics chan<- prometheus.Metric) {
-	for service, known := range p.source() {
-		slices.Sort(known)
+func (p paceCollector) Collect(metrics chan<- prometheus.Metric) {
+	for service, paces := range p.source() {
+		slices.Sort(paces)
 		sum, quantiles := 0.0, make(map[float64]float64)
-		for _, each := range known {
+		for _, each := range paces {
 			sum += each
 		}
-		for _, part := range []float64{0, 0.5, 0.9, 1} {
-			quantiles[part] = known[int(part*float64(len(known)-1))]
+		for _, quantile := range []float64{0, 0.5, 0.9, 1} {
+			quantiles[quantile] = paces[int(quantile*float64(len(paces)-1))]
 		}
-		metrics <- prometheus.MustNewConstSummary(paceDescription, uint64(len(known)), sum, quantiles, service)
+		metrics <- prometheus.MustNewConstSummary(paceDesc, uint64(len(paces)), sum, quantiles, service)
 	}
 }
--- a/internal/sitemetrics/quarantine.go
+++ b/internal/sitemetrics/quarantine.go
@@ -2,8 +2,8 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Quarantined serves how many contents of requests this process holds, which the source counts at
-// each scrape.
+// Quarantined registers a gauge for the number of quarantined request contents, which the source
+// returns at each scrape.
 func (s *Set) Quarantined(source func() int) {
 	s.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "rockwind_held_contents", Help: "Contents of requests that are not run since servers ended under them.",
--- a/internal/sitemetrics/relief.go
+++ b/internal/sitemetrics/relief.go
@@ -2,8 +2,9 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Relief serves whether the router sends clients elsewhere, and how many it has asked to come
-// anew, as the source tells at each scrape.
+// Relief registers metrics for whether an overloaded router sends clients to other routers, and
+// for the number of responses that asked the client to reconnect. The source is called at each
+// scrape.
 func (s *Set) Relief(source func() (closing, unready bool, closed int64)) {
 	s.registry.MustRegister(
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
--- a/internal/sitemetrics/start.go
+++ b/internal/sitemetrics/start.go
@@ -6,8 +6,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// StartupTime serves how long this process took from its start until it could serve, which the
-// source tells at each scrape; zero before that.
+// StartupTime registers a gauge for the time from the start of this process until it was ready to
+// serve, zero before that. The source is called at each scrape.
 func (s *Set) StartupTime(source func() time.Duration) {
 	s.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "rockwind_start_seconds", Help: "Time from the start of this process until it could serve; zero before that.",
--- a/internal/sitemetrics/traffic.go
+++ b/internal/sitemetrics/traffic.go
@@ -6,8 +6,8 @@
 	"rockwind.example/rockwind/internal/loadshare"
 )
 
-// LoadTraffic serves what the process has sent of load digests since its start, as the
-// source tells at each scrape.
+// LoadTraffic registers counters of the load digests that the process has sent. The source is
+// called at each scrape.
 func (s *Set) LoadTraffic(source func() loadshare.Traffic) {
 	counter := func(name, help string, value func(loadshare.Traffic) uint64) {
 		s.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help},
--- a/internal/sitemetrics/waiting_test.go
+++ b/internal/sitemetrics/waiting_test.go
@@ -7,7 +7,7 @@
 	"rockwind.example/rockwind/internal/sitemetrics"
 )
 
-func TestScrapeShowsWhatWaitsAndWhoIsHeldBack(t *testing.T) {
+func TestScrapeShowsWaitingRequestsAndHeldBackTenants(t *testing.T) {
 	set := newSet("router")
 	held := []sitemetrics.HeldBackTenant{{Tenant: "flood", Waiting: 20}, {Tenant: "flood", Waiting: 3}}
 	set.Waiting(func() []sitemetrics.Waiting {
--- a/internal/sitemetrics/zones.go
+++ b/internal/sitemetrics/zones.go
@@ -2,8 +2,8 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// DrainedZones serves how many zones this process knows to be drained, which the source counts
-// at each scrape.
+// DrainedZones registers a gauge for the number of drained zones that this process knows of, which
+// the source returns at each scrape.
 func (s *Set) DrainedZones(source func() int) {
 	s.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "rockwind_drained_zones", Help: "Zones whose servers get nothing new, as far as this process knows.",
