--- a/internal/gateway/auth.go
+++ b/internal/gateway/auth.go
@@ -9,7 +9,7 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Headers that carry an API key.
+// Request headers that carry an API key.
 const (
 	headerAuthorization = "Authorization"
 	headerAPIKey        = "X-Api-Key"
@@ -17,9 +17,10 @@
 )
 
 // tenantKey is the context key of the authenticated tenant.
-type tenantKey struct{}
+type tenantContextKey struct{}
 
-// authenticate admits callers that present an API key of a tenant.
+// authenticate rejects requests without a known API key and puts the tenant of
+// the key into the request's context.
 func (g *Gateway) authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		key := apiKey(r)
@@ -34,7 +35,7 @@
 				"check the key, or ask the operator to add it to the tenant").WithRan(fault.NotRun))
 			return
 		}
-		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), tenantKey{}, tenant)))
+		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), tenantContextKey{}, tenant)))
 	})
 }
 
@@ -45,8 +46,8 @@
 	return r.Header.Get(headerAPIKey)
 }
 
-// tenantOf is the tenant that authenticate found.
+// tenantOf returns the tenant that authenticate put into the context.
 func tenantOf(r *http.Request) *rockwindpb.Tenant {
-	tenant, _ := r.Context().Value(tenantKey{}).(*rockwindpb.Tenant)
+	tenant, _ := r.Context().Value(tenantContextKey{}).(*rockwindpb.Tenant)
 	return tenant
 }
--- a/internal/gateway/batches.go
+++ b/internal/gateway/batches.go
@@ -14,21 +14,23 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Metadata keys that rockwind reads.
+// Metadata keys with a meaning to the gateway.
 const (
-	// metadataClass names the batch class.
-	metadataClass = "batch_class"
-	// metadataClientKey makes a resubmission answer the same job.
+	// metadataBatchClass names the batch class.
+	metadataBatchClass = "batch_class"
+	// metadataClientKey is an idempotency key: submitting a batch again with the
+	// same key returns the existing job.
 	metadataClientKey = "client_key"
 )
 
-// Bounds of batches.
+// Defaults and limits of batches.
 const (
-	// defaultWindow is the time to completion where nothing gives one.
-	defaultWindow = 24 * time.Hour
-	// defaultTries holds where the configuration has no batch class.
+	// defaultCompletionWindow applies if neither the request nor its batch class
+	// sets a deadline.
+	defaultCompletionWindow = 24 * time.Hour
+	// defaultTries applies if the configuration has no batch class.
 	defaultTries = 3
-	// defaultListLimit and maximumListLimit bound a page of batches.
+	// defaultListLimit and maximumListLimit are page sizes of the list of batches.
 	defaultListLimit = 20
 	maximumListLimit = 100
 )
@@ -41,7 +43,7 @@
 	Metadata         map[string]string `json:"metadata"`
 }
 
-// batchObject describes a batch in the published shape.
+// batchObject is a batch in the format of the OpenAI API.
 type batchObject struct {
 	ID               string            `json:"id"`
 	Object           string            `json:"object"`
@@ -69,9 +71,9 @@
 	Failed    uint32 `json:"failed"`
 }
 
-// newBatchObject describes a job; estimate is its expected end in Unix
-// milliseconds, zero when unknown.
-func newBatchObject(job *rockwindpb.Job, estimate int64) batchObject {
+// newBatchObject returns the API representation of a job. estimatedEnd is in Unix
+// milliseconds, zero if unknown.
+func newBatchObject(job *rockwindpb.Job, estimatedEnd int64) batchObject {
 	accepted := job.GetAcceptedUnixMs() / millisecondsPerSecond
 	object := batchObject{
 		ID: job.GetId(), Object: "batch", Endpoint: job.GetEndpoint(), Model: job.GetModel(),
@@ -88,29 +90,29 @@
 	case rockwindpb.JobState_JOB_STATE_CANCELLED:
 		object.Status, object.CancelledAt = "cancelled", ended
 	default:
-		object.EstimatedEndAt = estimate / millisecondsPerSecond
+		object.EstimatedEndAt = estimatedEnd / millisecondsPerSecond
 		return object
 	}
-	object.OutputFileID = madeFile{job: job.GetId()}.id()
+	object.OutputFileID = resultFile{job: job.GetId()}.id()
 	if job.GetFailed() > 0 {
-		object.ErrorFileID = madeFile{job: job.GetId(), failed: true}.id()
+		object.ErrorFileID = resultFile{job: job.GetId(), failed: true}.id()
 	}
 	return object
 }
 
-// serveCreateBatch answers POST /v1/batches.
+// serveCreateBatch handles POST /v1/batches.
 func (g *Gateway) serveCreateBatch(w http.ResponseWriter, r *http.Request) {
 	body, err := readBody(w, r)
 	if err != nil {
 		writeFault(w, err)
 		return
 	}
-	var asked batchRequest
-	if err := json.Unmarshal(body, &asked); err != nil {
+	var request batchRequest
+	if err := json.Unmarshal(body, &request); err != nil {
 		writeFault(w, invalid("send the published shape", "the body is not a valid request: %v", err))
 		return
 	}
-	job, err := g.newJob(r, &asked)
+	job, err := g.newJob(r, &request)
 	if err != nil {
 		writeFault(w, err)
 		return
@@ -123,65 +125,67 @@
 	writeJSON(w, newBatchObject(response.GetJob(), 0))
 }
 
-// newJob makes a job of the request and its input file.
-func (g *Gateway) newJob(r *http.Request, asked *batchRequest) (*rockwindpb.Job, error) {
-	file, err := g.findFile(r, asked.InputFileID)
+// newJob validates the request and its input file and returns the job to submit.
+func (g *Gateway) newJob(r *http.Request, request *batchRequest) (*rockwindpb.Job, error) {
+	file, err := g.findFile(r, request.InputFileID)
 	if err != nil {
 		return nil, err
 	}
 	if file.GetPurpose() != purposeBatch || file.GetLineCount() == 0 {
-		return nil, invalid("upload the file with the purpose batch", "the file %q is no input of a batch", asked.InputFileID)
+		return nil, invalid("upload the file with the purpose batch", "the file %q is no input of a batch", request.InputFileID)
 	}
-	model, url, err := g.firstItem(r, file)
+	model, url, err := g.modelAndURL(r, file)
 	if err != nil {
 		return nil, err
 	}
 	index := g.follower.Current()
-	if asked.Endpoint != url {
-		return nil, invalid("name the url of the file's lines", "the endpoint %q is not that of the file, %q", asked.Endpoint, url)
+	if request.Endpoint != url {
+		return nil, invalid("name the url of the file's lines", "the endpoint %q is not that of the file, %q", request.Endpoint, url)
 	}
 	if _, _, found := index.ResolveModel(model); !found {
 		return nil, invalid("name a model that GET /v1/models lists", "there is no model %q", model)
 	}
-	class, window, err := classAndWindow(index, asked)
+	class, window, err := classAndWindow(index, request)
 	if err != nil {
 		return nil, err
 	}
-	metadata, err := json.Marshal(asked.Metadata)
+	metadata, err := json.Marshal(request.Metadata)
 	if err != nil {
 		return nil, err
 	}
 	tenant := tenantOf(r)
 	return &rockwindpb.Job{
 		Tenant: tenant.GetName(), Group: tenant.GetGroup(), BatchClass: class.GetName(), Tries: class.GetTries(),
-		Model: model, Endpoint: url, ClientKey: clientKey(r, asked), BodyDigest: jobDigest(file, asked),
-		ItemCount: file.GetLineCount(), Input: itemChunks(file), InputFile: file.GetId(),
+		Model: model, Endpoint: url, ClientKey: clientKey(r, request), BodyDigest: jobDigest(file, request),
+		ItemCount: file.GetLineCount(), Input: nonBlankChunks(file), InputFile: file.GetId(),
 		DeadlineUnixMs: time.Now().Add(window).UnixMilli(), MetadataJson: string(metadata),
 	}, nil
 }
 
-// clientKey is the key under which a resubmission answers the same job.
-func clientKey(r *http.Request, asked *batchRequest) string {
+// clientKey returns the idempotency key of a batch, from the header or the
+// metadata.
+func clientKey(r *http.Request, request *batchRequest) string {
 	if key := r.Header.Get(headerIdempotencyKey); key != "" {
 		return key
 	}
-	return asked.Metadata[metadataClientKey]
+	return request.Metadata[metadataClientKey]
 }
 
-// jobDigest ties a client key to the input and what is asked of it. The file
-// counts by its bytes, so that a client may upload it again before it resends.
-func jobDigest(file *rockwindpb.StoredFile, asked *batchRequest) []byte {
-	described := *asked
-	described.InputFileID = ""
-	encoded, _ := json.Marshal(described)
+// jobDigest detects that a client key is reused for a different batch. It covers
+// the content of the input file instead of its ID, so that a client may upload the
+// file again before it resubmits the batch.
+func jobDigest(file *rockwindpb.StoredFile, request *batchRequest) []byte {
+	normalized := *request
+	normalized.InputFileID = ""
+	encoded, _ := json.Marshal(normalized)
 	hash := sha256.New()
 	hash.Write(file.GetDigest())
 	hash.Write(encoded)
 	return hash.Sum(nil)
 }
 
-// itemChunks leaves out chunks that hold blank lines only.
-func itemChunks(file *rockwindpb.StoredFile) []*rockwindpb.InputChunk {
+// nonBlankChunks returns the chunks of a file that contain items.
+func nonBlankChunks(file *rockwindpb.StoredFile) []*rockwindpb.InputChunk {
 	var chunks []*rockwindpb.InputChunk
 	for _, chunk := range file.GetChunks() {
 		if chunk.GetItemCount() > 0 {
@@ -191,10 +195,10 @@
 	return chunks
 }
 
-// firstItem reads model and endpoint from the first item; the upload has
-// checked that the others agree.
-func (g *Gateway) firstItem(r *http.Request, file *rockwindpb.StoredFile) (model, url string, err error) {
-	chunks := itemChunks(file)
+// modelAndURL reads the model and the URL from the first item of a file. The upload
+// has verified that all items have the same.
+func (g *Gateway) modelAndURL(r *http.Request, file *rockwindpb.StoredFile) (model, url string, err error) {
+	chunks := nonBlankChunks(file)
 	if len(chunks) == 0 {
 		return "", "", invalid("give at least one line", "the file holds no items")
 	}
@@ -206,10 +210,10 @@
 	return model, parsed.URL, err
 }
 
-// classAndWindow chooses the batch class and the time to completion. A class
-// that the request names brings its own deadline.
-func classAndWindow(index *configuration.Index, asked *batchRequest) (*rockwindpb.BatchClass, time.Duration, error) {
-	if name := asked.Metadata[metadataClass]; name != "" {
+// classAndWindow returns the batch class and the completion window. The deadline of
+// a class that the request names takes precedence over the requested window.
+func classAndWindow(index *configuration.Index, request *batchRequest) (*rockwindpb.BatchClass, time.Duration, error) {
+	if name := request.Metadata[metadataBatchClass]; name != "" {
 		class, found := index.BatchClass(name)
 		if !found {
 			return nil, 0, invalid("name a batch class of the configuration", "there is no batch class %q", name)
@@ -217,13 +221,13 @@
 		if deadline := class.GetDeadline().AsDuration(); deadline > 0 {
 			return class, deadline, nil
 		}
-		return class, defaultWindow, nil
+		return class, defaultCompletionWindow, nil
 	}
-	window := defaultWindow
-	if asked.CompletionWindow != "" {
-		parsed, err := time.ParseDuration(asked.CompletionWindow)
+	window := defaultCompletionWindow
+	if request.CompletionWindow != "" {
+		parsed, err := time.ParseDuration(request.CompletionWindow)
 		if err != nil || parsed <= 0 {
-			return nil, 0, invalid("give a duration such as 24h", "the completion window %q can't be read", asked.CompletionWindow)
+			return nil, 0, invalid("give a duration such as 24h", "the completion window %q can't be read", request.CompletionWindow)
 		}
 		window = parsed
 	}
@@ -233,7 +237,7 @@
 	return &rockwindpb.BatchClass{Tries: defaultTries}, window, nil
 }
 
-// serveBatch answers GET /v1/batches/{id}.
+// serveBatch handles GET /v1/batches/{id}.
 func (g *Gateway) serveBatch(w http.ResponseWriter, r *http.Request) {
 	response, err := g.findJob(r, chi.URLParam(r, "id"))
 	if err != nil {
@@ -245,30 +249,30 @@
 
 func (g *Gateway) findJob(r *http.Request, id string) (*rockwindpb.GetJobResponse, error) {
 	response, err := g.control.Jobs().Get(r.Context(), &rockwindpb.GetJobRequest{JobId: id, Tenant: tenantOf(r).GetName()})
-	return response, unknownBatch(err, id)
+	return response, batchNotFound(err, id)
 }
 
-// unknownBatch turns the fault of a malformed identifier into that of an
-// unknown one.
-func unknownBatch(err error, id string) error {
+// batchNotFound replaces the error for a malformed batch ID by a NotFound fault and
+// returns other errors unchanged.
+func batchNotFound(err error, id string) error {
 	if fault.Is(err, fault.InvalidArgument) {
 		return fault.Newf(fault.NotFound, "check the identifier", "there is no batch %q", id)
 	}
 	return err
 }
 
-// serveCancelBatch answers POST /v1/batches/{id}/cancel.
+// serveCancelBatch handles POST /v1/batches/{id}/cancel.
 func (g *Gateway) serveCancelBatch(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "id")
 	response, err := g.control.Jobs().Cancel(r.Context(), &rockwindpb.CancelJobRequest{JobId: id, Tenant: tenantOf(r).GetName()})
 	if err != nil {
-		writeFault(w, unknownBatch(err, id))
+		writeFault(w, batchNotFound(err, id))
 		return
 	}
 	writeJSON(w, newBatchObject(response.GetJob(), 0))
 }
 
-// serveBatches answers GET /v1/batches.
+// serveBatches handles GET /v1/batches.
 func (g *Gateway) serveBatches(w http.ResponseWriter, r *http.Request) {
 	limit := defaultListLimit
 	if value := r.URL.Query().Get("limit"); value != "" {
--- a/internal/gateway/certificates.go
+++ b/internal/gateway/certificates.go
@@ -13,7 +13,8 @@
 	"rockwind.example/rockwind/internal/secure"
 )
 
-// certificates are those of the gateway; either may be nil, which turns TLS off.
+// certificates holds the certificate sources for callers and for internal
+// connections. TLS is off where a source is nil.
 type certificates struct {
 	callers  *secure.Source
 	internal *secure.Source
@@ -31,7 +32,7 @@
 	return certificates{callers: callers, internal: internal}, nil
 }
 
-// controlClient returns the client for calls to control machines.
+// controlClient returns the HTTP client for calls to control machines.
 func (c certificates) controlClient() *http.Client {
 	transport := controlclient.NewTransport()
 	if c.internal != nil {
@@ -40,7 +41,7 @@
 	return &http.Client{Transport: transport}
 }
 
-// sources lists the sources that are turned on.
+// sources returns the sources that are not nil.
 func (c certificates) sources() []*secure.Source {
 	var sources []*secure.Source
 	for _, source := range []*secure.Source{c.callers, c.internal} {
@@ -51,21 +52,22 @@
 	return sources
 }
 
-// watch reloads the files in the group until the context ends.
+// watch starts goroutines that reload the certificate files until ctx is done.
 func (c certificates) watch(ctx context.Context, group *errgroup.Group) {
 	for _, source := range c.sources() {
 		group.Go(func() error { source.Run(ctx); return nil })
 	}
 }
 
-// secure puts the certificates in place before the gateway runs.
-func (g *Gateway) secure(opened certificates) {
+// useCertificates sets the certificates and registers their metrics. It must be
+// called before run.
+func (g *Gateway) useCertificates(opened certificates) {
 	g.certificates = opened
 	g.metrics.registry.MustRegister(secure.Metrics(opened.sources()))
 }
 
-// accept serves on a listener, by TLS where there are certificates.
-func accept(server *http.Server, listener net.Listener, source *secure.Source) error {
+// serveListener serves on a listener, over TLS if source is not nil.
+func serveListener(server *http.Server, listener net.Listener, source *secure.Source) error {
 	if source == nil {
 		return server.Serve(listener)
 	}
--- a/internal/gateway/chunks.go
+++ b/internal/gateway/chunks.go
@@ -14,19 +14,18 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Sizes of the chunks in which a file is stored.
+// Limits of uploaded files and of the chunks in which they are stored.
 const (
-	// chunkBytes is the size from which a chunk ends with the current line.
+	// chunkBytes is the size at which a chunk ends after the current line.
 	chunkBytes = 256 << 10
-	// chunksPerStore is how many chunks are stored in one call.
-	chunksPerStore = 8
-	// maximumLine bounds one line in bytes.
-	maximumLine = 16 << 20
-	// maximumBatchItems bounds the items of a batch.
+	// chunksPerStore is the number of chunks in one call to the body store.
+	chunksPerStore    = 8
+	maximumLineBytes  = 16 << 20
 	maximumBatchItems = 1 << 20
 )
 
-// chunkWriter stores a file as chunks of whole lines, as it comes.
+// chunkWriter splits a file into chunks of complete lines and stores them while the
+// upload is still being read.
 type chunkWriter struct {
 	ctx     context.Context
 	bodies  rockwindpb.BodyService
@@ -34,19 +33,19 @@
 	size    uint64
 	items   uint32
 	current bytes.Buffer
-	// first is the first item of the current chunk.
-	first   uint32
-	waiting []*rockwindpb.InputChunk
-	queued  [][]byte
-	stored  []*rockwindpb.InputChunk
-	checker lineChecker
+	// firstItem is the index of the first item in the current chunk.
+	firstItem     uint32
+	pending       []*rockwindpb.InputChunk
+	pendingBodies [][]byte
+	stored        []*rockwindpb.InputChunk
+	checker       lineChecker
 }
 
 func newChunkWriter(ctx context.Context, bodies rockwindpb.BodyService) *chunkWriter {
 	return &chunkWriter{ctx: ctx, bodies: bodies, digest: sha256.New(), checker: newLineChecker()}
 }
 
-// copy reads the file to its end.
+// copy stores the file that source returns.
 func (c *chunkWriter) copy(source io.Reader) error {
 	reader := bufio.NewReaderSize(source, chunkBytes)
 	for {
@@ -65,14 +64,14 @@
 	}
 }
 
-// readLine reads one line with its end.
+// readLine returns the next line, including its newline.
 func readLine(reader *bufio.Reader) ([]byte, error) {
 	var line []byte
 	for {
 		part, err := reader.ReadSlice('\n')
 		line = append(line, part...)
-		if len(line) > maximumLine {
-			return nil, invalid("split the line", "a line is longer than %d bytes", maximumLine)
+		if len(line) > maximumLineBytes {
+			return nil, invalid("split the line", "a line is longer than %d bytes", maximumLineBytes)
 		}
 		if err == bufio.ErrBufferFull {
 			continue
@@ -92,19 +91,19 @@
 		c.checker.check(c.items, trimmed)
 		c.items++
 	}
-	if c.current.Len() >= chunkBytes && c.items > c.first {
-		return c.cut()
+	if c.current.Len() >= chunkBytes && c.items > c.firstItem {
+		return c.endChunk()
 	}
 	return nil
 }
 
-// cut ends the current chunk.
-func (c *chunkWriter) cut() error {
-	c.waiting = append(c.waiting, &rockwindpb.InputChunk{FirstItem: c.first, ItemCount: c.items - c.first})
-	c.queued = append(c.queued, bytes.Clone(c.current.Bytes()))
+// endChunk queues the current chunk and stores the queue once it is full.
+func (c *chunkWriter) endChunk() error {
+	c.pending = append(c.pending, &rockwindpb.InputChunk{FirstItem: c.firstItem, ItemCount: c.items - c.firstItem})
+	c.pendingBodies = append(c.pendingBodies, bytes.Clone(c.current.Bytes()))
 	c.current.Reset()
-	c.first = c.items
-	if len(c.queued) < chunksPerStore {
+	c.firstItem = c.items
+	if len(c.pendingBodies) < chunksPerStore {
 		return nil
 	}
 	return c.store()
@@ -112,35 +111,35 @@
 
 func (c *chunkWriter) flush() error {
 	if c.current.Len() > 0 {
-		if err := c.cut(); err != nil {
+		if err := c.endChunk(); err != nil {
 			return err
 		}
 	}
 	return c.store()
 }
 
-// store writes the queued chunks to the store of bodies.
+// store writes the queued chunks to the body store.
 func (c *chunkWriter) store() error {
-	if len(c.queued) == 0 {
+	if len(c.pendingBodies) == 0 {
 		return nil
 	}
-	response, err := c.bodies.Store(c.ctx, &rockwindpb.StoreBodiesRequest{Bodies: c.queued})
+	response, err := c.bodies.Store(c.ctx, &rockwindpb.StoreBodiesRequest{Bodies: c.pendingBodies})
 	if err != nil {
 		return err
 	}
-	if len(response.GetReferences()) != len(c.queued) {
-		return fault.New(fault.Internal, "the store returned another number of references", "report this with the output of 'rockwind logs'")
+	if len(response.GetReferences()) != len(c.pendingBodies) {
+		return fault.New(fault.Internal, "the store returned a different number of references than bodies", "report this with the output of 'rockwind logs'")
 	}
 	for index, reference := range response.GetReferences() {
-		c.waiting[index].Body = reference
+		c.pending[index].Body = reference
 	}
-	c.stored = append(c.stored, c.waiting...)
-	c.waiting, c.queued = nil, nil
+	c.stored = append(c.stored, c.pending...)
+	c.pending, c.pendingBodies = nil, nil
 	return nil
 }
 
-// finish describes the stored file. The lines of a batch's input must be
-// whole items.
+// finish fills in size, digest and chunks of the stored file. It fails if the
+// file is the input of a batch and a line is not a valid item.
 func (c *chunkWriter) finish(file *rockwindpb.StoredFile) (*rockwindpb.StoredFile, error) {
 	if file.GetPurpose() == purposeBatch {
 		if err := c.checker.result(c.items); err != nil {
@@ -154,58 +153,58 @@
 	return file, nil
 }
 
-// lineChecker checks that the lines of a file are items of one batch.
+// lineChecker verifies that the lines of a file are valid items of one batch.
 type lineChecker struct {
-	seen  map[string]struct{}
-	model string
-	url   string
-	found error
+	customIDs  map[string]struct{}
+	model      string
+	url        string
+	firstFault error
 }
 
 func newLineChecker() lineChecker {
-	return lineChecker{seen: make(map[string]struct{})}
+	return lineChecker{customIDs: make(map[string]struct{})}
 }
 
-// check notes the first fault of the file.
+// check validates one line. Only the first fault of the file is kept.
 func (l *lineChecker) check(item uint32, line []byte) {
-	if l.found != nil || item >= maximumBatchItems {
+	if l.firstFault != nil || item >= maximumBatchItems {
 		return
 	}
 	parsed, model, err := parseItem(line)
 	switch {
 	case err != nil:
-		l.fault(item, "the line is not a request: "+err.Error())
+		l.reject(item, "the line is not a request: "+err.Error())
 	case parsed.CustomID == "":
-		l.fault(item, "the line has no custom_id")
-	case l.repeated(parsed.CustomID):
-		l.fault(item, "the custom_id "+parsed.CustomID+" is used twice")
+		l.reject(item, "the line has no custom_id")
+	case l.isDuplicate(parsed.CustomID):
+		l.reject(item, "the custom_id "+parsed.CustomID+" is used twice")
 	case parsed.Method != "POST":
-		l.fault(item, "the method is not POST")
+		l.reject(item, "the method is not POST")
 	case parsed.URL != pathChatCompletions && parsed.URL != pathCompletions:
-		l.fault(item, "the url is neither "+pathChatCompletions+" nor "+pathCompletions)
+		l.reject(item, "the url is neither "+pathChatCompletions+" nor "+pathCompletions)
 	case model == "":
-		l.fault(item, "the request names no model")
+		l.reject(item, "the request names no model")
 	case l.url != "" && (l.url != parsed.URL || l.model != model):
-		l.fault(item, "the url or the model is not that of the first line")
+		l.reject(item, "the url or the model is not that of the first line")
 	}
 	l.url, l.model = parsed.URL, model
 }
 
-func (l *lineChecker) repeated(id string) bool {
-	_, seen := l.seen[id]
-	l.seen[id] = struct{}{}
+func (l *lineChecker) isDuplicate(id string) bool {
+	_, seen := l.customIDs[id]
+	l.customIDs[id] = struct{}{}
 	return seen
 }
 
-func (l *lineChecker) fault(item uint32, message string) {
-	l.found = invalid("correct the line and upload the file again", "item %d of the file: %s", item+1, message)
+func (l *lineChecker) reject(item uint32, message string) {
+	l.firstFault = invalid("correct the line and upload the file again", "item %d of the file: %s", item+1, message)
 }
 
-// result is the verdict on the whole file.
+// result returns the first fault of a file with the given number of items.
 func (l *lineChecker) result(items uint32) error {
 	switch {
-	case l.found != nil:
-		return l.found
+	case l.firstFault != nil:
+		return l.firstFault
 	case items == 0:
 		return invalid("give at least one line", "the file holds no items")
 	case items > maximumBatchItems:
@@ -214,7 +213,7 @@
 	return nil
 }
 
-// parseItem reads one line and the model that its request names.
+// parseItem parses an input line and returns it with the model of its request.
 func parseItem(line []byte) (batch.InputLine, string, error) {
 	var parsed batch.InputLine
 	if err := json.Unmarshal(line, &parsed); err != nil {
--- a/internal/gateway/completion_request.go
+++ b/internal/gateway/completion_request.go
@@ -13,16 +13,17 @@
 	"rockwind.example/rockwind/internal/serverview"
 )
 
-// Paths of completions.
+// Paths of the completion endpoints.
 const (
 	pathChatCompletions = "/v1/chat/completions"
 	pathCompletions     = "/v1/completions"
 )
 
-// messageText is the content of a message: a string or a list of parts.
+// messageText is the content of a chat message: in JSON a string or a list of
+// parts.
 type messageText string
 
-// UnmarshalJSON joins the text parts of a list; other parts count as nothing.
+// UnmarshalJSON concatenates the text parts of a list and ignores other parts.
 func (t *messageText) UnmarshalJSON(data []byte) error {
 	if len(data) == 0 || data[0] != '[' {
 		return json.Unmarshal(data, (*string)(t))
@@ -41,11 +42,11 @@
 	return nil
 }
 
-// promptText is the prompt of a completion: a string, or other forms that
-// only the engine reads.
+// promptText is the prompt of a completion. It is empty if the prompt is not a
+// string, such as a list of token IDs.
 type promptText string
 
-// UnmarshalJSON takes a string and ignores the rest.
+// UnmarshalJSON accepts a string and ignores other types.
 func (t *promptText) UnmarshalJSON(data []byte) error {
 	if len(data) > 0 && data[0] == '"' {
 		return json.Unmarshal(data, (*string)(t))
@@ -53,8 +54,8 @@
 	return nil
 }
 
-// completionRequest is the part of a completion's body that the gateway reads.
-// Everything else goes to the engine as it came.
+// completionRequest holds the fields of a completion's body that the gateway reads.
+// The engine gets the body unchanged.
 type completionRequest struct {
 	Model    string `json:"model"`
 	Stream   bool   `json:"stream"`
@@ -67,7 +68,7 @@
 	Seed        *int64     `json:"seed"`
 }
 
-// parseCompletion reads and checks the body of a completion.
+// parseCompletion parses and validates the body of a completion.
 func parseCompletion(body []byte) (*completionRequest, error) {
 	parsed := &completionRequest{}
 	if err := json.Unmarshal(body, parsed); err != nil {
@@ -79,31 +80,31 @@
 	return parsed, nil
 }
 
-// deterministic tells whether a second run gives the same tokens.
+// deterministic reports whether another run would produce the same tokens.
 func (r *completionRequest) deterministic() bool {
 	return r.Seed != nil || (r.Temperature != nil && *r.Temperature == 0)
 }
 
-// promptText is the prompt as an engine makes it of the request.
-func (r *completionRequest) promptText() string {
+// prompt returns the prompt text that an engine derives from the request.
+func (r *completionRequest) prompt() string {
 	if len(r.Messages) == 0 {
 		return string(r.Prompt)
 	}
 	messages := make([]engine.Message, len(r.Messages))
-	for number, message := range r.Messages {
-		messages[number] = engine.Message{Role: message.Role, Content: string(message.Content)}
+	for i, message := range r.Messages {
+		messages[i] = engine.Message{Role: message.Role, Content: string(message.Content)}
 	}
 	return engine.ChatPrompt(messages)
 }
 
-// wanted is what the request needs of a back end.
+// wanted returns the model and what the request requires of a back end.
 func (r *completionRequest) wanted(index *configuration.Index) (serverview.Wanted, *rockwindpb.Model, error) {
 	model, adapter, found := index.ResolveModel(r.Model)
 	if !found {
 		return serverview.Wanted{}, nil, fault.Newf(fault.NotFound, "name a model that GET /v1/models lists",
 			"there is no model %q", r.Model).WithRan(fault.NotRun)
 	}
-	prompt := r.promptText()
+	prompt := r.prompt()
 	hashes := engine.BlockHashes(prompt[:min(len(prompt), routing.MaximumPrefixBlocks*engine.BlockBytes)])
 	return serverview.Wanted{
 		Model: model.GetName(), Adapter: adapter, PromptTokens: engine.PromptTokens(prompt),
@@ -112,7 +113,7 @@
 	}, model, nil
 }
 
-// withModel returns the body with another model name.
+// withModel returns the body with the model name replaced.
 func withModel(body []byte, model string) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
@@ -126,10 +127,11 @@
 	return json.Marshal(fields)
 }
 
-// prefixHash is the hint for the engine: the longest prefix, in hexadecimal.
-func prefixHash(found []routing.Prefix) string {
-	if len(found) == 0 {
+// prefixHash returns the hash of the longest prefix in hexadecimal, which engines
+// get in a header.
+func prefixHash(prefixes []routing.Prefix) string {
+	if len(prefixes) == 0 {
 		return ""
 	}
-	return strconv.FormatUint(found[0].Block, 16)
+	return strconv.FormatUint(prefixes[0].Block, 16)
 }
--- a/internal/gateway/completions.go
+++ b/internal/gateway/completions.go
@@ -16,26 +16,26 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// Bounds of completions.
+// Limits and timeouts of completions.
 const (
-	// maximumRequestBody bounds a request's body in bytes.
-	maximumRequestBody = 32 << 20
-	// streamFirstByte bounds the time to the head of a stream.
-	streamFirstByte = 60 * time.Second
-	// betweenTokens is the silence after which a stream counts as hung.
-	betweenTokens = 10 * time.Second
-	// unstreamedAnswer bounds the time to a whole unstreamed answer.
-	unstreamedAnswer = 10 * time.Minute
-	// connectTimeout bounds a connection attempt to a back end; a machine that
-	// answers at all accepts within a few round trips.
+	maximumRequestBytes = 32 << 20
+	// streamFirstByteTimeout bounds the time to the first byte of a stream.
+	streamFirstByteTimeout = 60 * time.Second
+	// betweenBytesTimeout is the time without data after which a response counts as
+	// hung.
+	betweenBytesTimeout = 10 * time.Second
+	// unstreamedResponseTimeout bounds the time to the first byte of an unstreamed
+	// response, which engines send after all tokens are generated.
+	unstreamedResponseTimeout = 10 * time.Minute
+	// connectTimeout bounds one attempt to connect to a back end.
 	connectTimeout = 300 * time.Millisecond
 )
 
-// headerFirstTokenWithin lets callers say, in milliseconds, how soon they need
-// the first token; a request that can't make it is refused at once.
+// headerFirstTokenWithin sets the time in milliseconds within which the caller needs
+// the first token. Requests that would take longer are refused at once.
 const headerFirstTokenWithin = "X-First-Token-Within-Ms"
 
-// serveCompletion answers POST /v1/chat/completions and /v1/completions.
+// serveCompletion handles POST /v1/chat/completions and /v1/completions.
 func (g *Gateway) serveCompletion(w http.ResponseWriter, r *http.Request) {
 	body, err := readBody(w, r)
 	if err != nil {
@@ -53,10 +53,10 @@
 		return
 	}
 	call := &call{gateway: g, writer: w, request: r, body: body, cost: sharing.Cost(wanted.PromptTokens, 0, 0), promptTokens: wanted.PromptTokens}
-	call.chooser = &chooser{view: g.view, wanted: wanted, body: body, versions: len(model.GetVersions())}
+	call.chooser = &chooser{view: g.view, wanted: wanted, body: body, versionCount: len(model.GetVersions())}
 	call.chooser.streamed = parsed.Stream && r.Header.Get(headerIdempotencyKey) == ""
 	call.chooser.wanted.Streamed = call.chooser.streamed
-	call.chooser.hedge = admission.DefaultHedgePolicy
+	call.chooser.hedgePolicy = admission.DefaultHedgePolicy
 	call.chooser.repeatable = completionRepeatable(r)
 	call.upstream = &upstream.Request{
 		ID: uuid.NewString(), Kind: upstream.Engine, Method: http.MethodPost, Path: r.URL.Path, Body: body,
@@ -72,13 +72,13 @@
 
 func completionTimeouts(stream bool) upstream.Timeouts {
 	if stream {
-		return upstream.Timeouts{Connect: connectTimeout, FirstByte: streamFirstByte, BetweenBytes: betweenTokens}
+		return upstream.Timeouts{Connect: connectTimeout, FirstByte: streamFirstByteTimeout, BetweenBytes: betweenBytesTimeout}
 	}
-	return upstream.Timeouts{Connect: connectTimeout, FirstByte: unstreamedAnswer, BetweenBytes: betweenTokens}
+	return upstream.Timeouts{Connect: connectTimeout, FirstByte: unstreamedResponseTimeout, BetweenBytes: betweenBytesTimeout}
 }
 
-// completionRepeatable tells whether a completion may run more than once.
-// Completions may by default; an idempotency key asks for one run at most.
+// completionRepeatable reports whether a completion may run more than once. That is
+// the default for requests without an idempotency key.
 func completionRepeatable(r *http.Request) bool {
 	if value := r.Header.Get(headerRepeatable); value != "" {
 		return value == "true"
@@ -87,14 +87,14 @@
 }
 
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maximumRequestBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maximumRequestBytes))
 	if err != nil {
 		return nil, invalid("send the whole body, of at most 32 MiB", "the body can't be read: %v", err)
 	}
 	return body, nil
 }
 
-// call is one caller's request on its way through the gateway.
+// call handles one request of a caller.
 type call struct {
 	gateway  *Gateway
 	writer   http.ResponseWriter
@@ -102,12 +102,12 @@
 	body     []byte
 	upstream *upstream.Request
 	chooser  *chooser
-	// cost is the service of the prompt in cost units.
+	// cost is the cost of the prompt in cost units.
 	cost         float64
 	promptTokens int
 }
 
-// serve limits, admits and relays the request.
+// serve applies the tenant's limits, runs the request and records its usage.
 func (c *call) serve() {
 	g := c.gateway
 	started := time.Now()
@@ -125,24 +125,24 @@
 		tokens += float64(c.promptTokens)
 	}
 	g.observe(c.upstream, result, started)
-	g.usage.online(tenant.GetGroup(), c.served(result))
-	g.models.online(c.chooser.wanted, c.served(result), result.Begun)
+	g.groupUsage.addOnline(tenant.GetGroup(), c.servedCost(result))
+	g.modelUsage.addOnline(c.chooser.wanted, c.servedCost(result), result.Begun)
 	if result.Begun && !result.Whole && !c.upstream.Stream {
-		// The connection is cut, so that a part is not taken for the whole.
+		// Abort the connection so that the caller does not take the response for complete.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// served is the service that the request received, in cost units.
-func (c *call) served(result upstream.Result) float64 {
+// servedCost returns the cost of the request in cost units, zero if no response began.
+func (c *call) servedCost(result upstream.Result) float64 {
 	if !result.Begun {
 		return 0
 	}
 	return sharing.Cost(c.promptTokens, 0, int(result.Tokens))
 }
 
-// run admits the request and relays it, under its idempotency key if it has
-// one.
+// run refuses the request if it can't start in time. Otherwise it relays the
+// request, with an idempotency record if it has a key.
 func (c *call) run(tenant *rockwindpb.Tenant, started time.Time) upstream.Result {
 	g := c.gateway
 	within, err := firstTokenWithin(c.request)
@@ -156,16 +156,17 @@
 	}
 	g.budget.Deposit(retryRatio(g.follower.Current().Policy()))
 	if key := c.request.Header.Get(headerIdempotencyKey); key != "" {
-		return c.runKeyed(key)
+		return c.runWithIdempotencyKey(key)
 	}
-	sink := g.newCallerSink(c.writer, c.chooser.tokenSeen)
-	sink.onTokens = c.chooser.relayed
+	sink := g.newCallerSink(c.writer, c.chooser.responseBegun)
+	sink.onTokens = c.chooser.tokensRelayed
 	result := g.relay.Run(c.request.Context(), c.upstream, c.chooser, sink)
-	c.finish(result)
+	c.writeFailure(result)
 	return result
 }
 
-// firstTokenWithin reads the caller's deadline; zero means none.
+// firstTokenWithin returns the caller's limit for the time to the first token, zero
+// if there is none.
 func firstTokenWithin(r *http.Request) (time.Duration, error) {
 	value := r.Header.Get(headerFirstTokenWithin)
 	if value == "" {
@@ -178,31 +179,31 @@
 	return time.Duration(milliseconds) * time.Millisecond, nil
 }
 
-// runKeyed runs the request once for its key. It goes on when the caller
-// leaves, so that a resend finds the answer.
-func (c *call) runKeyed(key string) upstream.Result {
+// runWithIdempotencyKey runs the request at most once for its key. The request goes
+// on after the caller disconnects, so that a resend gets its response.
+func (c *call) runWithIdempotencyKey(key string) upstream.Result {
 	g := c.gateway
-	held := g.beginRecord(c.writer, c.request, key, c.body)
-	if held == nil {
+	record := g.beginRecord(c.writer, c.request, key, c.body)
+	if record == nil {
 		return upstream.Result{}
 	}
-	sink := &keepingSink{next: g.newCallerSink(c.writer, c.chooser.tokenSeen)}
+	sink := &recordingSink{next: g.newCallerSink(c.writer, c.chooser.responseBegun)}
 	result := g.relay.Run(context.WithoutCancel(c.request.Context()), c.upstream, c.chooser, sink)
 	if result.Fault != nil && result.Fault.Ran == fault.NotRun {
-		// The key must be free again before the caller is told so.
-		held.end(result, sink)
-		c.finish(result)
+		// Release the key before the caller learns that the request did not run.
+		record.recordOutcome(result, sink)
+		c.writeFailure(result)
 		return result
 	}
-	c.finish(result)
+	c.writeFailure(result)
 	_ = http.NewResponseController(c.writer).Flush()
-	held.end(result, sink)
+	record.recordOutcome(result, sink)
 	return result
 }
 
-// finish tells the caller of a request without a whole answer. Where a part of
-// an unstreamed answer was sent, serve cuts the connection in the end.
-func (c *call) finish(result upstream.Result) {
+// writeFailure reports to the caller that there is no complete response. If an
+// unstreamed response has begun, serve aborts the connection instead.
+func (c *call) writeFailure(result upstream.Result) {
 	switch {
 	case result.Whole || result.CallerLeft:
 	case !result.Begun:
@@ -212,11 +213,10 @@
 	}
 }
 
-// writeStreamFault ends a stream with a typed error event in place of its end
-// marker.
+// writeStreamFault ends a stream with an error event instead of the end marker.
 func writeStreamFault(w http.ResponseWriter, f *fault.Fault) {
 	_, _ = w.Write([]byte("event: error\ndata: "))
-	_, _ = w.Write(encodeError(withAdvice(f)))
+	_, _ = w.Write(encodeError(withDefaultRetryAfter(f)))
 	_, _ = w.Write([]byte("\n\n"))
 	_ = http.NewResponseController(w).Flush()
 }
--- a/internal/gateway/control_test.go
+++ b/internal/gateway/control_test.go
@@ -15,16 +15,16 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// memoryControl is a control plane in memory: the real ledger without
-// replication, and bodies in a map. Its methods may be made to fail.
+// memoryControl implements control in memory, with an unreplicated ledger and a map of
+// bodies. Commands to the ledger can be made to fail.
 type memoryControl struct {
 	mutex  sync.Mutex
 	ledger *ledger.Ledger
 	index  uint64
 	bodies map[uint64][]byte
-	// failures is how many of the next calls fail without effect.
+	// failures is the number of next commands that fail without effect.
 	failures int
-	// completions counts completions by job and item.
+	// changed is closed after each command.
 	changed chan struct{}
 }
 
@@ -38,7 +38,7 @@
 func (c *memoryControl) Bodies() rockwindpb.BodyService    { return memoryBodies{c} }
 func (c *memoryControl) Fleet() rockwindpb.FleetService    { return memoryFleet{c} }
 
-// apply executes a command as the leader of the only shard would.
+// apply executes a command in the ledger, as the leader of its only shard does.
 func apply[T proto.Message](c *memoryControl, command *rockwindpb.JobCommand) (T, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -62,7 +62,7 @@
 	case error:
 		return none, typed
 	}
-	return none, fault.New(fault.Internal, "unexpected result", "mend the test")
+	return none, fault.New(fault.Internal, "unexpected result", "fix the test")
 }
 
 type memoryJobs struct{ *memoryControl }
@@ -102,7 +102,7 @@
 	return c.ledger.ListResults(request)
 }
 
-// AcquireLeases waits for work as a leader does.
+// AcquireLeases waits for work up to the requested time, as a leader does.
 func (c memoryJobs) AcquireLeases(ctx context.Context, request *rockwindpb.AcquireLeasesRequest) (*rockwindpb.AcquireLeasesResponse, error) {
 	deadline := time.NewTimer(time.Duration(request.GetWaitMs()) * time.Millisecond)
 	defer deadline.Stop()
@@ -214,7 +214,7 @@
 	return &rockwindpb.ShareAggregatesResponse{}, nil
 }
 
-// fixedConfiguration is a configuration that is put in force by hand.
+// fixedConfiguration implements configurationFollower; set replaces the configuration.
 type fixedConfiguration struct {
 	mutex   sync.Mutex
 	index   *configuration.Index
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -13,35 +13,35 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// chooser picks back ends for one online request from the view.
+// chooser implements upstream.Chooser for one online request.
 type chooser struct {
 	view   *serverview.View
 	wanted serverview.Wanted
-	// body is rewritten for the version drawn where the model has several.
-	body     []byte
-	versions int
-	// streamed tells that the answer is a stream of tokens.
+	// body is sent with the name of the chosen version if the model has several.
+	body         []byte
+	versionCount int
+	// streamed is set if the response is relayed as a stream of tokens.
 	streamed bool
 
-	// hedge says when a second attempt starts beside a slow one.
-	hedge admission.HedgePolicy
-	// repeatable tells that the request may run more than once.
+	// hedgePolicy decides when a second attempt starts in parallel to a slow one.
+	hedgePolicy admission.HedgePolicy
+	// repeatable is set if the request may run more than once.
 	repeatable bool
 
 	mutex sync.Mutex
-	// open holds the attempts that have not ended; more than one only until the
-	// head of an answer.
-	open []openAttempt
-	// tokens is the number of tokens that the view was told of.
-	tokens uint64
+	// attempts are in progress. There is more than one only until the first response
+	// begins.
+	attempts []runningAttempt
+	// reportedTokens is the number of tokens reported to the view.
+	reportedTokens uint64
 }
 
-// openAttempt is an attempt that has not ended.
-type openAttempt struct {
+// runningAttempt is an attempt in progress.
+type runningAttempt struct {
 	target  upstream.Target
 	attempt serverview.Attempt
-	// firstToken is set once the prompt was processed.
-	firstToken bool
+	// firstTokenReported is set once View.FirstToken was called for the attempt.
+	firstTokenReported bool
 }
 
 // Choose implements upstream.Chooser.
@@ -51,17 +51,17 @@
 		return upstream.Target{}, err
 	}
 	target := choice.Target
-	if c.versions > 1 && c.wanted.Adapter == "" && c.body != nil {
+	if c.versionCount > 1 && c.wanted.Adapter == "" && c.body != nil {
 		if body, rewriteErr := withModel(c.body, choice.Version); rewriteErr == nil {
 			target.Body = body
 		}
 	}
-	if after, ok := admission.HedgeAfter(c.hedge, c.repeatable && c.streamed, choice.Wait); ok {
+	if after, ok := admission.HedgeAfter(c.hedgePolicy, c.repeatable && c.streamed, choice.Wait); ok {
 		target.HedgeAfter = after
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.open = append(c.open, openAttempt{target: target, attempt: choice.Attempt})
+	c.attempts = append(c.attempts, runningAttempt{target: target, attempt: choice.Attempt})
 	return target, nil
 }
 
@@ -69,72 +69,72 @@
 func (c *chooser) Ended(target upstream.Target, report upstream.Report) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for index := range c.open {
-		current := &c.open[index]
+	for index := range c.attempts {
+		current := &c.attempts[index]
 		if current.target.Name != target.Name {
 			continue
 		}
-		c.firstTokenOver(current, false)
+		c.reportFirstToken(current, false)
 		c.view.Ended(target, current.attempt, report)
-		c.open = slices.Delete(c.open, index, index+1)
+		c.attempts = slices.Delete(c.attempts, index, index+1)
 		return
 	}
 }
 
-// firstTokenOver tells the view, once per attempt, that the wait for the first
-// token is over, and whether the token came. The caller holds the lock.
-func (c *chooser) firstTokenOver(current *openAttempt, came bool) {
-	if current.firstToken {
+// reportFirstToken reports to the view, once per attempt, whether the first token was
+// received. The caller holds the mutex.
+func (c *chooser) reportFirstToken(current *runningAttempt, received bool) {
+	if current.firstTokenReported {
 		return
 	}
-	current.firstToken = true
-	c.view.FirstToken(current.target, current.attempt, c.streamed, came)
+	current.firstTokenReported = true
+	c.view.FirstToken(current.target, current.attempt, c.streamed, received)
 }
 
-// tokenSeen tells the view that the prompt was processed. By then the attempt
-// that answers is the only one that has not ended.
-func (c *chooser) tokenSeen() {
+// responseBegun reports the first token to the view. By then the attempt whose
+// response is relayed is the only one in progress.
+func (c *chooser) responseBegun() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if len(c.open) == 1 {
-		c.firstTokenOver(&c.open[0], true)
+	if len(c.attempts) == 1 {
+		c.reportFirstToken(&c.attempts[0], true)
 	}
 }
 
-// relayed tells the view how far the stream has come.
-func (c *chooser) relayed(sequence uint64) {
+// tokensRelayed reports the tokens up to the given sequence number to the view.
+func (c *chooser) tokensRelayed(sequence uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if sequence <= c.tokens || len(c.open) != 1 {
+	if sequence <= c.reportedTokens || len(c.attempts) != 1 {
 		return
 	}
-	count := sequence - c.tokens
-	c.tokens = sequence
-	if current := &c.open[0]; current.attempt.Leads() {
+	count := sequence - c.reportedTokens
+	c.reportedTokens = sequence
+	if current := &c.attempts[0]; current.attempt.Leads() {
 		c.view.Tokens(current.target, current.attempt, int(count))
 	}
 }
 
-// admit refuses a request at once that can't start in time.
+// admit returns a fault if the request is not expected to start in time.
 func (g *Gateway) admit(wanted serverview.Wanted, within time.Duration) error {
 	policy := admission.DefaultPolicy
 	if timeout := g.follower.Current().Policy().GetOnlineQueueTimeout().AsDuration(); timeout > 0 {
 		policy.QueueTimeout = timeout
 	}
 	wait, found := g.view.Estimate(wanted)
-	verdict := admission.Decide(policy, admission.Estimate{Wait: wait, Found: found}, within, 0)
-	if verdict.Admit() {
+	decision := admission.Decide(policy, admission.Estimate{Wait: wait, Found: found}, within, 0)
+	if decision.Admit() {
 		return nil
 	}
 	kind, message := fault.Overloaded, "the request can't start in time"
-	if verdict.Reason == admission.NoBackEnd {
+	if decision.Reason == admission.NoBackEnd {
 		kind, message = fault.Unavailable, "no back end can take the request now"
 	}
 	return fault.New(kind, message, "send the request again after the time in Retry-After").
-		WithRan(fault.NotRun).WithRetryAfter(verdict.RetryAfter)
+		WithRan(fault.NotRun).WithRetryAfter(decision.RetryAfter)
 }
 
-// retryRatio is the retries allowed per first attempt.
+// retryRatio returns the number of retries allowed per request.
 func retryRatio(policy *rockwindpb.Policy) float64 {
 	if ratio := policy.GetRetryRatio(); ratio > 0 {
 		return ratio
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -8,8 +8,8 @@
 	"rockwind.example/rockwind/internal/fault"
 )
 
-// drainState counts the requests in progress and says when none is left. It is
-// safe for concurrent use.
+// drainState counts the requests in progress and signals when a drain has begun and
+// when no request is left. It is safe for concurrent use.
 type drainState struct {
 	mutex    sync.Mutex
 	draining bool
@@ -22,7 +22,7 @@
 	return &drainState{started: make(chan struct{}), idle: make(chan struct{})}
 }
 
-// enter counts a request in, or reports that the gateway is draining.
+// enter counts a new request. It returns false while the gateway drains.
 func (d *drainState) enter() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -33,7 +33,7 @@
 	return true
 }
 
-// leave counts a request out.
+// leave counts the end of a request.
 func (d *drainState) leave() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -41,7 +41,7 @@
 	d.closeIfIdle()
 }
 
-// begin starts the drain; it may be called more than once.
+// begin starts the drain. Further calls have no effect.
 func (d *drainState) begin() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -63,18 +63,19 @@
 	}
 }
 
-// state tells whether the gateway drains and how many requests are in progress.
+// state returns whether the gateway drains and the number of requests in
+// progress.
 func (d *drainState) state() (draining bool, active int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.draining, d.active
 }
 
-// drainRetryAfter is the advice to callers that reach a draining gateway.
+// drainRetryAfter is the Retry-After of requests refused by a draining gateway.
 const drainRetryAfter = 500 * time.Millisecond
 
-// track counts requests in progress and refuses new ones while draining. No
-// request is counted after the drain began, so none is cut at its end.
+// track counts requests in progress and refuses new ones during a drain. No request
+// starts after the drain began, so shutdown interrupts none.
 func (g *Gateway) track(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !g.drain.enter() {
--- a/internal/gateway/errors.go
+++ b/internal/gateway/errors.go
@@ -11,7 +11,7 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// Headers that callers get.
+// Response headers.
 const (
 	headerRetryAfter  = "Retry-After"
 	headerShouldRetry = "X-Should-Retry"
@@ -19,29 +19,29 @@
 	contentTypeJSON   = "application/json"
 )
 
-// errorBody is the body of a failed request.
+// errorBody is the JSON body of an error response.
 type errorBody struct {
 	Error errorObject `json:"error"`
 }
 
-// errorObject is an error in the published shape, with what rockwind adds.
+// errorObject is an error in the format of the OpenAI API, with additional fields.
 type errorObject struct {
 	Message string `json:"message"`
-	// Type is the published class of the error.
+	// Type is the error type of the OpenAI API.
 	Type string `json:"type"`
 	// Code is the kind of the fault.
 	Code  string  `json:"code"`
 	Param *string `json:"param"`
-	// Ran is "not_run" or "outcome_unknown" where the error is about a request.
+	// Ran is "not_run" or "outcome_unknown". It is empty if the error is not about
+	// running a request.
 	Ran string `json:"ran,omitempty"`
-	// RetryAfterMs tells when to come back, in milliseconds.
+	// RetryAfterMs is the delay before a retry in milliseconds.
 	RetryAfterMs int64  `json:"retry_after_ms,omitempty"`
 	Remedy       string `json:"remedy,omitempty"`
 }
 
-// publishedType is the class of error that clients of the published protocol
-// know.
-func publishedType(kind fault.Kind) string {
+// openAIErrorType maps a kind of fault to an error type of the OpenAI API.
+func openAIErrorType(kind fault.Kind) string {
 	switch kind {
 	case fault.InvalidArgument, fault.NotFound, fault.Conflict, fault.Stale:
 		return "invalid_request_error"
@@ -58,12 +58,12 @@
 
 func newErrorBody(f *fault.Fault) errorBody {
 	return errorBody{Error: errorObject{
-		Message: f.Message, Type: publishedType(f.Kind), Code: string(f.Kind),
+		Message: f.Message, Type: openAIErrorType(f.Kind), Code: string(f.Kind),
 		Ran: string(f.Ran), RetryAfterMs: f.RetryAfter.Milliseconds(), Remedy: f.Remedy,
 	}}
 }
 
-// encodeError is the JSON form of a fault.
+// encodeError returns a fault as JSON.
 func encodeError(f *fault.Fault) []byte {
 	encoded, err := json.Marshal(newErrorBody(f))
 	if err != nil {
@@ -72,12 +72,12 @@
 	return encoded
 }
 
-// defaultRetryAfter is the advice where a passing fault brings none.
+// defaultRetryAfter is the Retry-After of transient faults that set none.
 const defaultRetryAfter = time.Second
 
-// withAdvice makes every passing fault of a request that did not run tell when to
-// come back.
-func withAdvice(f *fault.Fault) *fault.Fault {
+// withDefaultRetryAfter sets a retry delay for transient faults without one, unless
+// the request may have run.
+func withDefaultRetryAfter(f *fault.Fault) *fault.Fault {
 	if f.RetryAfter > 0 || f.Ran == fault.RanUnknown {
 		return f
 	}
@@ -89,23 +89,23 @@
 	}
 }
 
-// writeFault answers with a typed error and the status of its kind.
+// writeFault writes an error response with the HTTP status of the fault.
 func writeFault(w http.ResponseWriter, err error) {
 	f := fault.From(err)
 	writeFaultStatus(w, f, f.Kind.HTTPStatus())
 }
 
 func writeFaultStatus(w http.ResponseWriter, f *fault.Fault, status int) {
-	f = withAdvice(f)
+	f = withDefaultRetryAfter(f)
 	header := w.Header()
 	if f.Ran == fault.NotRun {
 		header.Set(upstream.HeaderNotRun, "true")
 	}
 	if f.RetryAfter > 0 {
-		header.Set(headerRetryAfter, strconv.FormatInt(wholeSeconds(f.RetryAfter), 10))
+		header.Set(headerRetryAfter, strconv.FormatInt(ceilSeconds(f.RetryAfter), 10))
 	}
 	if f.Ran == fault.RanUnknown {
-		// Published clients repeat a status of 409 or 500 and above by themselves.
+		// OpenAI clients retry status 409 and statuses from 500 on unless told not to.
 		header.Set(headerShouldRetry, "false")
 	}
 	header.Set(headerContentType, contentTypeJSON)
@@ -113,11 +113,11 @@
 	_, _ = w.Write(encodeError(f))
 }
 
-func wholeSeconds(after time.Duration) int64 {
+func ceilSeconds(after time.Duration) int64 {
 	return int64(math.Ceil(after.Seconds()))
 }
 
-// writeJSON answers with a JSON document.
+// writeJSON writes a JSON response.
 func writeJSON(w http.ResponseWriter, document any) {
 	encoded, err := json.Marshal(document)
 	if err != nil {
@@ -128,7 +128,7 @@
 	_, _ = w.Write(encoded)
 }
 
-// invalid is the fault of a request that is wrong and did not run.
+// invalid returns an InvalidArgument fault for a request that did not run.
 func invalid(remedy, format string, arguments ...any) *fault.Fault {
 	return fault.Newf(fault.InvalidArgument, remedy, format, arguments...).WithRan(fault.NotRun)
 }
--- a/internal/gateway/errors_test.go
+++ b/internal/gateway/errors_test.go
@@ -19,13 +19,14 @@
 	"rockwind.example/rockwind/internal/fault"
 )
 
-// allKinds are the kinds of fault.
+// allKinds lists all kinds of faults.
 var allKinds = []fault.Kind{
 	fault.InvalidArgument, fault.Unauthenticated, fault.NotFound, fault.Conflict, fault.Stale, fault.LimitReached,
 	fault.Overloaded, fault.Unavailable, fault.NotLeader, fault.OutcomeUnknown, fault.Cancelled, fault.Corrupt, fault.Internal,
 }
 
-// TestErrorsTellCallersWhatToDo writes any fault and reads it as a caller does.
+// TestErrorsTellCallersWhatToDo verifies that error responses have consistent fields
+// and headers for any fault, and a retry delay for transient ones.
 func TestErrorsTellCallersWhatToDo(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		written := fault.New(rapid.SampledFrom(allKinds).Draw(t, "kind"), rapid.String().Draw(t, "message"), "do this").
@@ -53,7 +54,7 @@
 		}
 		passing := recorder.Code == http.StatusTooManyRequests || recorder.Code == http.StatusServiceUnavailable
 		if passing && written.Ran != fault.RanUnknown && read.RetryAfterMs <= 0 {
-			t.Fatalf("%+v tells no time to come back", written)
+			t.Fatalf("%+v has no retry delay", written)
 		}
 	})
 	recorder := httptest.NewRecorder()
@@ -63,8 +64,8 @@
 	}
 }
 
-// documentedRow finds a path with its method, and a code with its status, in the
-// tables of the page.
+// documentedRow matches the table rows of docs/API.md that list a path with its method
+// or a code with its status.
 var documentedRow = regexp.MustCompile("(?m)^\\| `([^`]+)` \\| `?([A-Za-z0-9]+)`? \\|")
 
 func TestAPIPageAgreesWithTheGateway(t *testing.T) {
@@ -90,11 +91,11 @@
 		t.Errorf("docs/API.md lacks %s", row)
 	}
 	for _, row := range difference(documented, served) {
-		t.Errorf("docs/API.md has %s, which the gateway has not", row)
+		t.Errorf("docs/API.md has %s, which the gateway does not serve", row)
 	}
 }
 
-// difference lists what one set has and the other has not.
+// difference returns the sorted elements of one that are not in other.
 func difference(one, other map[string]bool) []string {
 	var missing []string
 	for name := range one {
@@ -106,7 +107,7 @@
 	return missing
 }
 
-func TestMethodThatIsNotAllowed(t *testing.T) {
+func TestMethodNotAllowed(t *testing.T) {
 	recorder := httptest.NewRecorder()
 	g := &Gateway{drain: newDrainState(), metrics: newMetrics()}
 	router := g.apiRoutes().(*chi.Mux)
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -9,21 +9,22 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Timing of the exchange.
+// Timing of the exchange with control machines.
 const (
-	// defaultExchangeInterval holds where the settings give none.
+	// defaultExchangeInterval applies if the settings have none.
 	defaultExchangeInterval = time.Second
-	// minimumExchangeInterval bounds what a control machine may ask for.
+	// minimumExchangeInterval and maximumExchangeInterval bound the interval that
+	// control machines may request.
 	minimumExchangeInterval = 100 * time.Millisecond
-	// maximumExchangeInterval bounds what a control machine may ask for.
 	maximumExchangeInterval = 10 * time.Second
-	// exchangeTimeout bounds one exchange.
-	exchangeTimeout = 2 * time.Second
-	// exchangeJitter is the part of the interval that is drawn at random.
+	exchangeTimeout         = 2 * time.Second
+	// exchangeJitter is the relative deviation of each interval, so that gateways do
+	// not call in step.
 	exchangeJitter = 0.1
 )
 
-// exchangeLoop exchanges digests until the context ends.
+// exchangeLoop calls exchange at intervals, and soon after the view has news, until
+// ctx is done.
 func (g *Gateway) exchangeLoop(ctx context.Context) {
 	interval := g.settings.GetExchangeInterval().AsDuration()
 	if interval <= 0 {
@@ -34,8 +35,8 @@
 		pause := interval
 		if response := g.exchange(ctx, version); response != nil {
 			version = response.GetVersion()
-			if asked := time.Duration(response.GetNextExchangeMs()) * time.Millisecond; asked > 0 {
-				pause = min(max(asked, minimumExchangeInterval), maximumExchangeInterval)
+			if requested := time.Duration(response.GetNextExchangeMs()) * time.Millisecond; requested > 0 {
+				pause = min(max(requested, minimumExchangeInterval), maximumExchangeInterval)
 			}
 		}
 		pause = time.Duration(float64(pause) * (1 + exchangeJitter*(2*rand.Float64()-1)))
@@ -51,13 +52,14 @@
 	}
 }
 
-// exchange sends what this gateway knows and merges the answer. It returns nil
-// when no control machine answered.
+// exchange sends server digests and usage to a control machine and applies its
+// response. It returns nil if the call failed; the usage is then sent with the next
+// one.
 func (g *Gateway) exchange(ctx context.Context, version uint64) *rockwindpb.ExchangeResponse {
 	bounded, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	draining, _ := g.drain.state()
-	groups, tenants, models := g.usage.take(g.batch.Demand()), g.limiter.Usage(time.Now()), g.models.take()
+	groups, tenants, models := g.groupUsage.take(g.batch.Demand()), g.limiter.Usage(time.Now()), g.modelUsage.take()
 	response, err := g.control.Fleet().Exchange(bounded, &rockwindpb.ExchangeRequest{
 		Gateway: g.settings.GetName(), Address: g.settings.GetInternalListen(), Zone: g.settings.GetZone(),
 		ConfigurationNumber: g.follower.Current().Number(), Owned: g.view.Digests(),
@@ -66,8 +68,8 @@
 		SinceVersion: version, StartedUnixMs: g.started.UnixMilli(),
 	})
 	if err != nil {
-		g.usage.restore(groups)
-		g.models.restore(models)
+		g.groupUsage.restore(groups)
+		g.modelUsage.restore(models)
 		g.limiter.Restore(tenants)
 		return nil
 	}
--- a/internal/gateway/files.go
+++ b/internal/gateway/files.go
@@ -14,20 +14,19 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Bounds of files.
+// Limits and purposes of files.
 const (
-	// maximumFile bounds an uploaded file in bytes.
-	maximumFile = 256 << 20
-	// maximumField bounds a form field in bytes.
-	maximumField = 4 << 10
-	// purposeBatch is the purpose of files whose lines are checked as the items
-	// of a batch.
+	// maximumFileBytes limits the body of an upload.
+	maximumFileBytes = 256 << 20
+	// maximumFieldBytes limits a form field; the rest of a longer one is ignored.
+	maximumFieldBytes = 4 << 10
+	// purposeBatch is the purpose of input files of batches.
 	purposeBatch = "batch"
-	// purposeOutput is the purpose of the files that batches make.
+	// purposeOutput is the purpose of result files of batches.
 	purposeOutput = "batch_output"
 )
 
-// fileObject describes a file in the published shape.
+// fileObject is a file in the format of the OpenAI API.
 type fileObject struct {
 	ID        string `json:"id"`
 	Object    string `json:"object"`
@@ -47,9 +46,9 @@
 
 const millisecondsPerSecond = 1000
 
-// serveUpload answers POST /v1/files.
+// serveUpload handles POST /v1/files.
 func (g *Gateway) serveUpload(w http.ResponseWriter, r *http.Request) {
-	r.Body = http.MaxBytesReader(w, r.Body, maximumFile)
+	r.Body = http.MaxBytesReader(w, r.Body, maximumFileBytes)
 	file, err := g.receiveFile(r)
 	if err != nil {
 		writeFault(w, err)
@@ -63,7 +62,7 @@
 	writeJSON(w, newFileObject(response.GetFile()))
 }
 
-// receiveFile reads the form and stores the file's bytes as they come.
+// receiveFile reads the form and stores the file while it is being received.
 func (g *Gateway) receiveFile(r *http.Request) (*rockwindpb.StoredFile, error) {
 	form, err := r.MultipartReader()
 	if err != nil {
@@ -98,18 +97,18 @@
 }
 
 func readField(part *multipart.Part) (string, error) {
-	value, err := io.ReadAll(io.LimitReader(part, maximumField))
+	value, err := io.ReadAll(io.LimitReader(part, maximumFieldBytes))
 	if err != nil {
 		return "", invalid("send the whole form", "the form can't be read: %v", err)
 	}
 	return string(value), nil
 }
 
-// serveFile answers GET /v1/files/{id}.
+// serveFile handles GET /v1/files/{id}.
 func (g *Gateway) serveFile(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "id")
-	if made, ok := parseMadeFile(id); ok {
-		g.serveMadeFile(w, r, made)
+	if file, ok := parseResultFile(id); ok {
+		g.serveResultFile(w, r, file)
 		return
 	}
 	file, err := g.findFile(r, id)
@@ -128,11 +127,11 @@
 	return response.GetFile(), err
 }
 
-// serveContent answers GET /v1/files/{id}/content.
+// serveContent handles GET /v1/files/{id}/content.
 func (g *Gateway) serveContent(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "id")
-	if made, ok := parseMadeFile(id); ok {
-		g.serveMadeContent(w, r, made)
+	if file, ok := parseResultFile(id); ok {
+		g.serveResultContent(w, r, file)
 		return
 	}
 	file, err := g.findFile(r, id)
@@ -142,73 +141,75 @@
 	}
 	w.Header().Set(headerContentType, "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.FormatUint(file.GetBytes(), 10))
-	bound := g.newAnswerBound(w)
+	deadline := g.newWriteDeadline(w)
 	for _, chunk := range file.GetChunks() {
 		bodies, err := g.readBodies(r, []*rockwindpb.BodyReference{chunk.GetBody()})
 		if err != nil {
-			g.abandonContent(w, err)
+			g.abortContent(w, err)
 			return
 		}
-		bound.arm()
+		deadline.extend()
 		if _, err := w.Write(bodies[0]); err != nil {
 			return
 		}
 	}
 }
 
-// readBodies reads bodies from the store.
+// readBodies reads bodies from the body store, in the order of the references.
 func (g *Gateway) readBodies(r *http.Request, references []*rockwindpb.BodyReference) ([][]byte, error) {
 	response, err := g.control.Bodies().Read(r.Context(), &rockwindpb.ReadBodiesRequest{References: references})
 	if err != nil {
 		return nil, err
 	}
 	if len(response.GetBodies()) != len(references) {
-		return nil, fault.New(fault.Internal, "the store returned another number of bodies", "report this with the output of 'rockwind logs'")
+		return nil, fault.New(fault.Internal, "the store returned a different number of bodies than requested", "report this with the output of 'rockwind logs'")
 	}
 	return response.GetBodies(), nil
 }
 
-// abandonContent cuts the connection, so that a part of a file is not taken for
-// the whole.
-func (g *Gateway) abandonContent(_ http.ResponseWriter, err error) {
-	g.log.WithError(err).Warn("the content of a file can't be read")
+// abortContent logs the error and aborts the connection, so that the caller does not
+// take a partial file for complete.
+func (g *Gateway) abortContent(_ http.ResponseWriter, err error) {
+	g.log.WithError(err).Warn("can't read the content of a file; connection aborted")
 	panic(http.ErrAbortHandler)
 }
 
-// madeFile names a file that is made from the results of a batch.
-type madeFile struct {
+// resultFile identifies the output file of a batch or, if failed is set, its error
+// file. Both are generated from the results when they are read.
+type resultFile struct {
 	job    string
 	failed bool
 }
 
-// Prefixes of the identifiers of made files.
+// Prefixes of the IDs of result files.
 const (
 	outputPrefix = "output-"
 	errorsPrefix = "errors-"
 )
 
-func parseMadeFile(id string) (madeFile, bool) {
+func parseResultFile(id string) (resultFile, bool) {
 	if job, ok := strings.CutPrefix(id, outputPrefix); ok {
-		return madeFile{job: job}, true
+		return resultFile{job: job}, true
 	}
 	if job, ok := strings.CutPrefix(id, errorsPrefix); ok {
-		return madeFile{job: job, failed: true}, true
+		return resultFile{job: job, failed: true}, true
 	}
-	return madeFile{}, false
+	return resultFile{}, false
 }
 
-// id is the identifier of the made file.
-func (m madeFile) id() string {
-	if m.failed {
-		return errorsPrefix + m.job
+// id returns the file ID.
+func (f resultFile) id() string {
+	if f.failed {
+		return errorsPrefix + f.job
 	}
-	return outputPrefix + m.job
+	return outputPrefix + f.job
 }
 
-// takes tells whether a result belongs into the file.
-func (m madeFile) takes(result *rockwindpb.ItemResult) bool {
-	return (result.GetOutcome() == rockwindpb.ItemOutcome_ITEM_OUTCOME_FAILED) == m.failed
+// includes reports whether a result belongs to the file.
+func (f resultFile) includes(result *rockwindpb.ItemResult) bool {
+	return (result.GetOutcome() == rockwindpb.ItemOutcome_ITEM_OUTCOME_FAILED) == f.failed
 }
 
-// filePause is the advice to callers that ask for a file too early.
-const filePause = time.Second
+// resultFileRetryAfter is the Retry-After of requests for a result file before the
+// batch has ended.
+const resultFileRetryAfter = time.Second
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -27,7 +27,7 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// Names of the test fleet.
+// Names and timeout of the fixture.
 const (
 	testModel   = "writer"
 	testService = "bookings"
@@ -37,87 +37,86 @@
 	testWait    = 20 * time.Second
 )
 
-// fleet is a gateway over stand-ins, in one process on loopback.
-type fleet struct {
-	t        testing.TB
-	control  *memoryControl
-	source   *fixedConfiguration
-	gateway  *Gateway
-	engines  []*standin.Engine
-	service  *standin.Service
-	backEnds []*rockwindpb.BackEnd
-	url      string
-	// probes is the internal listener.
-	probes string
-	// wrapEngine, where it is set, makes the handler of an engine.
+// fixture runs a gateway with stand-in back ends in the process of the test.
+type fixture struct {
+	t              testing.TB
+	control        *memoryControl
+	configurations *fixedConfiguration
+	gateway        *Gateway
+	engines        []*standin.Engine
+	service        *standin.Service
+	backEnds       []*rockwindpb.BackEnd
+	url            string
+	// internalURL is the URL of the internal listener.
+	internalURL string
+	// wrapEngine replaces the HTTP handler of engines if it is not nil.
 	wrapEngine func(*standin.Engine) http.Handler
-	// callerTLS is nil where callers talk in the clear; http is the callers'
-	// client.
-	callerTLS *rockwindpb.TlsSettings
-	http      *http.Client
-	// stalls are the default ones where they are zero.
+	// callerTLS turns TLS for callers on if it is not nil.
+	callerTLS  *rockwindpb.TlsSettings
+	httpClient *http.Client
+	// stalls replaces the default limits if it is not zero.
 	stalls stallLimits
 	stop   context.CancelFunc
 	ended  chan error
 }
 
-// startFleet starts a gateway over so many engines and one service.
-func startFleet(t testing.TB, engines int, config engine.Config) *fleet {
+// startFixture starts a gateway with the given number of engines and one service.
+func startFixture(t testing.TB, engines int, config engine.Config) *fixture {
 	t.Helper()
-	f := newFleet(t)
+	f := newFixture(t)
 	f.start(engines, config)
 	return f
 }
 
-// newFleet is a fleet that is not started yet.
-func newFleet(t testing.TB) *fleet {
-	return &fleet{t: t, control: newMemoryControl(), source: newFixedConfiguration(), ended: make(chan error, 1), http: http.DefaultClient}
+// newFixture returns a fixture that is not started, so that it can be configured.
+func newFixture(t testing.TB) *fixture {
+	return &fixture{t: t, control: newMemoryControl(), configurations: newFixedConfiguration(), ended: make(chan error, 1), httpClient: http.DefaultClient}
 }
 
-func (f *fleet) start(engines int, config engine.Config) {
+func (f *fixture) start(engines int, config engine.Config) {
 	f.t.Helper()
-	for number := range engines {
-		f.startEngine(number, config)
+	for index := range engines {
+		f.startEngine(index, config)
 	}
 	f.startService()
 	f.configure(f.configuration())
 	f.startGateway()
 }
 
-func (f *fleet) startEngine(number int, config engine.Config) {
+func (f *fixture) startEngine(index int, config engine.Config) {
 	config.Loaded = []string{testModel + "@v1"}
-	stand, err := standin.NewEngine(standin.EngineOptions{Name: "engine", Config: config, Seed: int64(number), EventPerToken: true})
+	standIn, err := standin.NewEngine(standin.EngineOptions{Name: "engine", Config: config, Seed: int64(index), EventPerToken: true})
 	must(f.t, err)
-	handler := stand.Handler()
+	handler := standIn.Handler()
 	if f.wrapEngine != nil {
-		handler = f.wrapEngine(stand)
+		handler = f.wrapEngine(standIn)
 	}
 	server := httptest.NewServer(handler)
 	f.t.Cleanup(func() {
 		server.CloseClientConnections()
 		server.Close()
-		_ = stand.Close()
+		_ = standIn.Close()
 	})
-	f.engines = append(f.engines, stand)
+	f.engines = append(f.engines, standIn)
 	f.backEnds = append(f.backEnds, &rockwindpb.BackEnd{
-		Name: "engine-" + string(rune('a'+number)), Kind: rockwindpb.BackEndKind_BACK_END_KIND_ENGINE,
+		Name: "engine-" + string(rune('a'+index)), Kind: rockwindpb.BackEndKind_BACK_END_KIND_ENGINE,
 		Address: server.Listener.Addr().String(), Zone: testZone, Serves: []string{testModel}, Accelerators: 1,
 	})
 }
 
-func (f *fleet) startService() {
-	stand, err := standin.NewService(standin.ServiceOptions{Name: testService, Latency: time.Millisecond, Concurrency: 16})
+func (f *fixture) startService() {
+	standIn, err := standin.NewService(standin.ServiceOptions{Name: testService, Latency: time.Millisecond, Concurrency: 16})
 	must(f.t, err)
-	server := httptest.NewServer(stand.Handler())
+	server := httptest.NewServer(standIn.Handler())
 	f.t.Cleanup(server.Close)
-	f.service = stand
+	f.service = standIn
 	f.backEnds = append(f.backEnds, &rockwindpb.BackEnd{
 		Name: "service-a", Kind: rockwindpb.BackEndKind_BACK_END_KIND_SERVICE,
 		Address: server.Listener.Addr().String(), Zone: testZone, Serves: []string{testService}, Version: "v1",
 	})
 }
 
-func (f *fleet) configuration() *rockwindpb.Configuration {
+func (f *fixture) configuration() *rockwindpb.Configuration {
 	hash := sha256.Sum256([]byte(testKey))
 	version := []*rockwindpb.Version{{Name: "v1", Weight: 1, WeightsId: "w"}}
 	return &rockwindpb.Configuration{
@@ -136,13 +135,13 @@
 	}
 }
 
-func (f *fleet) configure(next *rockwindpb.Configuration) {
+func (f *fixture) configure(next *rockwindpb.Configuration) {
 	index, err := configuration.NewIndex(next)
 	must(f.t, err)
-	f.source.set(index)
+	f.configurations.set(index)
 }
 
-func (f *fleet) startGateway() {
+func (f *fixture) startGateway() {
 	folder := f.t.TempDir()
 	wanted := &rockwindpb.GatewaySettings{
 		Name: "gateway-a", Zone: testZone, Listen: "127.0.0.1:0", InternalListen: "127.0.0.1:0", DataFolder: folder,
@@ -153,8 +152,8 @@
 	wanted.CallerTls = f.callerTLS
 	opened, err := openCertificates(wanted, logger)
 	must(f.t, err)
-	f.gateway = assemble(wanted, ring, logger, f.source, f.control, upstream.NewClient())
-	f.gateway.secure(opened)
+	f.gateway = assemble(wanted, ring, logger, f.configurations, f.control, upstream.NewClient())
+	f.gateway.useCertificates(opened)
 	if f.stalls != (stallLimits{}) {
 		f.gateway.stalls = f.stalls
 	}
@@ -170,11 +169,11 @@
 		scheme = "https://"
 	}
 	f.url = scheme + f.awaitFile(filepath.Join(folder, settings.AddressFile))
-	f.probes = "http://" + f.awaitFile(filepath.Join(folder, settings.InternalAddressFile))
+	f.internalURL = "http://" + f.awaitFile(filepath.Join(folder, settings.InternalAddressFile))
 }
 
-// awaitFile waits until a file is there.
-func (f *fleet) awaitFile(path string) string {
+// awaitFile waits until the file exists and returns its content.
+func (f *fixture) awaitFile(path string) string {
 	var content []byte
 	f.await("the file "+path, func() bool {
 		var err error
@@ -184,21 +183,21 @@
 	return string(content)
 }
 
-// await waits for a condition that other goroutines bring about.
-func (f *fleet) await(what string, met func() bool) {
+// await polls until the condition is met, and fails the test after testWait.
+func (f *fixture) await(what string, met func() bool) {
 	f.t.Helper()
 	deadline := time.Now().Add(testWait)
 	for !met() {
 		if time.Now().After(deadline) {
-			f.t.Fatalf("waited in vain for %s", what)
+			f.t.Fatalf("timed out waiting for %s", what)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func (f *fleet) client(options ...option.RequestOption) openai.Client {
+func (f *fixture) client(options ...option.RequestOption) openai.Client {
 	all := append([]option.RequestOption{
-		option.WithBaseURL(f.url + "/v1/"), option.WithAPIKey(testKey), option.WithMaxRetries(0), option.WithHTTPClient(f.http),
+		option.WithBaseURL(f.url + "/v1/"), option.WithAPIKey(testKey), option.WithMaxRetries(0), option.WithHTTPClient(f.httpClient),
 	}, options...)
 	return openai.NewClient(all...)
 }
--- a/internal/gateway/hedge_test.go
+++ b/internal/gateway/hedge_test.go
@@ -9,15 +9,14 @@
 	"rockwind.example/rockwind/internal/standin"
 )
 
-// TestStreamsAreAnsweredWhileAnEngineHangs stops one of two engines in silence
-// and starts streams at once, some of which go to it: each gets its whole answer
-// from the other long before the limit of silence of a single attempt, and the
-// view is left with no attempt in progress.
+// TestStreamsAreAnsweredWhileAnEngineHangs verifies that hedging completes streams
+// before the first byte timeout while one of two engines hangs, and that no attempt
+// remains counted as in progress.
 func TestStreamsAreAnsweredWhileAnEngineHangs(t *testing.T) {
-	f := startFleet(t, 2, slowConfig())
+	f := startFixture(t, 2, slowConfig())
 	client := f.client()
 	f.engines[0].Inject(standin.FaultOrder{Kind: engine.FaultHang})
-	ctx, cancel := context.WithTimeout(context.Background(), streamFirstByte/2)
+	ctx, cancel := context.WithTimeout(context.Background(), streamFirstByteTimeout/2)
 	defer cancel()
 	var streams sync.WaitGroup
 	for range 8 {
--- a/internal/gateway/once_test.go
+++ b/internal/gateway/idempotency_test.go
@@ -18,21 +18,21 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Headers between the test and its service.
+// Headers that tell the test service which request it gets and how to respond.
 const (
 	headerTestRequest = "X-Test-Request"
 	headerTestMode    = "X-Test-Mode"
 )
 
-// The ways in which the service treats a request.
+// Values of headerTestMode.
 const (
 	modeAnswer = "answer"
 	modeFail   = "fail"
-	modeCut    = "cut"
+	modeAbort  = "abort"
 	modeRefuse = "refuse"
 )
 
-// countingService counts how often each request ran.
+// countingService is a service that counts the runs of each request.
 type countingService struct {
 	mutex sync.Mutex
 	runs  map[string]int
@@ -51,14 +51,14 @@
 	switch mode {
 	case modeFail:
 		w.WriteHeader(http.StatusInternalServerError)
-	case modeCut:
+	case modeAbort:
 		panic(http.ErrAbortHandler)
 	default:
-		_, _ = io.WriteString(w, answerOf(r.Header.Get(headerTestRequest)))
+		_, _ = io.WriteString(w, bodyFor(r.Header.Get(headerTestRequest)))
 	}
 }
 
-func answerOf(request string) string { return "confirmed " + request }
+func bodyFor(request string) string { return "confirmed " + request }
 
 func (s *countingService) count(request string) int {
 	s.mutex.Lock()
@@ -66,31 +66,31 @@
 	return s.runs[request]
 }
 
-// sent is what a caller got.
-type sent struct {
+// reply is the response that a caller received; aborted is set if it has no end.
+type reply struct {
 	status   int
 	body     string
 	ran      fault.Ran
 	replayed bool
-	cut      bool
+	aborted  bool
 }
 
-// onceFleet is a gateway over a counting service.
-type onceFleet struct {
-	*fleet
+// idempotencyFixture is a fixture with a countingService at two addresses.
+type idempotencyFixture struct {
+	*fixture
 	service *countingService
 	client  *http.Client
 }
 
-func startOnceFleet(t *testing.T) *onceFleet {
-	f := &onceFleet{service: &countingService{runs: make(map[string]int)}}
+func startIdempotencyFixture(t *testing.T) *idempotencyFixture {
+	f := &idempotencyFixture{service: &countingService{runs: make(map[string]int)}}
 	servers := make([]string, 2)
-	for number := range servers {
+	for i := range servers {
 		server := httptest.NewServer(f.service)
 		t.Cleanup(server.Close)
-		servers[number] = server.Listener.Addr().String()
+		servers[i] = server.Listener.Addr().String()
 	}
-	f.fleet = startFleet(t, 1, engine.FastConfig())
+	f.fixture = startFixture(t, 1, engine.FastConfig())
 	transport := &http.Transport{}
 	t.Cleanup(transport.CloseIdleConnections)
 	f.client = &http.Client{Transport: transport}
@@ -112,8 +112,8 @@
 	return f
 }
 
-// send posts a request to the service.
-func (f *onceFleet) send(name, mode string, header http.Header) sent {
+// send posts a request to the service through the gateway.
+func (f *idempotencyFixture) send(name, mode string, header http.Header) reply {
 	request, err := http.NewRequest(http.MethodPost, f.url+servicesPrefix+testService+"/confirm", strings.NewReader("body of "+name))
 	must(f.t, err)
 	for key, values := range header {
@@ -124,14 +124,14 @@
 	request.Header.Set(headerTestMode, mode)
 	response, err := f.client.Do(request)
 	if err != nil {
-		return sent{cut: true}
+		return reply{aborted: true}
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return sent{cut: true}
+		return reply{aborted: true}
 	}
-	got := sent{status: response.StatusCode, body: string(body), replayed: response.Header.Get(headerReplayed) == "true"}
+	got := reply{status: response.StatusCode, body: string(body), replayed: response.Header.Get(headerReplayed) == "true"}
 	if response.Header.Get("X-Not-Run") == "true" {
 		got.ran = fault.NotRun
 	} else if response.Header.Get(headerShouldRetry) == "false" {
@@ -140,31 +140,31 @@
 	return got
 }
 
-// check judges one send by how often the request ran before and after it.
-func (f *onceFleet) check(t *rapid.T, name string, before int, got sent) {
+// check verifies a reply against the number of runs of the request before and after
+// it was sent.
+func (f *idempotencyFixture) check(t *rapid.T, name string, before int, got reply) {
 	after := f.service.count(name)
 	if after > 1 {
 		t.Fatalf("%s ran %d times", name, after)
 	}
 	if got.ran == fault.NotRun && after != before {
-		t.Fatalf("%s was refused as not run, and ran: %+v", name, got)
+		t.Fatalf("%s was refused as not run but ran: %+v", name, got)
 	}
-	if got.status == http.StatusOK && (got.body != answerOf(name) || after != 1) {
+	if got.status == http.StatusOK && (got.body != bodyFor(name) || after != 1) {
 		t.Fatalf("%s got %+v after %d runs", name, got, after)
 	}
 	if got.replayed && before != 1 {
-		t.Fatalf("%s got a kept answer after %d runs", name, before)
+		t.Fatalf("%s got a recorded response after %d runs", name, before)
 	}
 }
 
-// TestRequestsThatMayNotBeRepeatedRunOnce sends requests to a service that
-// answers, fails, cuts or refuses, while the records can't be written now and
-// then: whatever comes, no request runs twice, none that was refused as not run
-// ran, and a whole answer comes again.
+// TestRequestsThatMayNotBeRepeatedRunOnce verifies, with failing services and records,
+// that no such request runs twice, that none reported as not run has run, and that a
+// resend gets no other response than the first.
 func TestRequestsThatMayNotBeRepeatedRunOnce(t *testing.T) {
-	f := startOnceFleet(t)
+	f := startIdempotencyFixture(t)
 	next := 0
-	modes := rapid.SampledFrom([]string{modeAnswer, modeFail, modeCut, modeRefuse})
+	modes := rapid.SampledFrom([]string{modeAnswer, modeFail, modeAbort, modeRefuse})
 	rapid.Check(t, func(t *rapid.T) {
 		next++
 		name := "request-" + strconv.Itoa(next)
@@ -186,7 +186,7 @@
 		if !whole || header.Get(headerIdempotencyKey) == "" {
 			return
 		}
-		// The whole answer was given once, and is never another one.
+		// A resend must get the same response or none.
 		again := f.send(name, modeAnswer, header)
 		f.check(t, name, 1, again)
 		if again.status != http.StatusOK && again.ran != fault.RanUnknown {
@@ -199,9 +199,10 @@
 	})
 }
 
-// TestResendsAtOnceRunOnce sends the same keyed request many times at once.
+// TestResendsAtOnceRunOnce verifies that concurrent requests with the same idempotency
+// key run once.
 func TestResendsAtOnceRunOnce(t *testing.T) {
-	f := startOnceFleet(t)
+	f := startIdempotencyFixture(t)
 	for round := range 20 {
 		name := fmt.Sprintf("at-once-%d", round)
 		var group sync.WaitGroup
@@ -217,13 +218,13 @@
 		if runs := f.service.count(name); runs != 1 {
 			t.Errorf("%s ran %d times", name, runs)
 		}
-		f.await("the kept answer", func() bool {
+		f.await("the recorded response", func() bool {
 			return f.send(name, modeAnswer, http.Header{headerIdempotencyKey: {name}}).replayed
 		})
 	}
 }
 
-// fail makes the next calls fail without effect.
+// fail makes the next commands fail without effect.
 func (c *memoryControl) fail(calls int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/gateway/internal.go
+++ b/internal/gateway/internal.go
@@ -13,11 +13,11 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// role is the gateway's role in answers to operators.
+// role is the role reported by State.
 const role = "gateway"
 
-// internalRoutes are the paths that operators and probes use. Profiles of the
-// process are under /debug/pprof.
+// internalRoutes returns the handler of the internal listener: health checks,
+// metrics, profiles and the admin service.
 func (g *Gateway) internalRoutes() http.Handler {
 	router := chi.NewRouter()
 	router.Get(pathAlive, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
@@ -32,7 +32,7 @@
 	return router
 }
 
-// serveReady tells whether the gateway takes requests: it has a configuration
+// serveReady handles readiness checks. The gateway is ready if it has a configuration
 // and does not drain.
 func (g *Gateway) serveReady(w http.ResponseWriter, _ *http.Request) {
 	draining, _ := g.drain.state()
@@ -48,13 +48,13 @@
 	gateway *Gateway
 }
 
-// Logs returns the last log entries.
+// Logs returns the latest log entries.
 func (s adminService) Logs(_ context.Context, request *rockwindpb.LogsRequest) (*rockwindpb.LogsResponse, error) {
 	return &rockwindpb.LogsResponse{Lines: s.gateway.ring.Lines(int(request.GetLimit()))}, nil
 }
 
-// Drain starts the drain and returns once no request is in progress, or the
-// deadline has passed. The daemon ends then.
+// Drain starts the drain and returns once no request is in progress or the deadline
+// has passed. The daemon exits when the drain is over.
 func (s adminService) Drain(ctx context.Context, request *rockwindpb.DrainRequest) (*rockwindpb.DrainResponse, error) {
 	s.gateway.drain.begin()
 	if milliseconds := request.GetDeadlineMs(); milliseconds > 0 {
@@ -69,7 +69,8 @@
 	return &rockwindpb.DrainResponse{}, nil
 }
 
-// State describes the daemon.
+// State returns the daemon's configuration number, drain state and requests in
+// progress.
 func (s adminService) State(context.Context, *rockwindpb.DaemonStateRequest) (*rockwindpb.DaemonStateResponse, error) {
 	g := s.gateway
 	draining, active := g.drain.state()
--- a/internal/gateway/limiting.go
+++ b/internal/gateway/limiting.go
@@ -8,27 +8,28 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// admitTenant takes the request out of its tenant's limits, or counts the refusal
-// and returns it. Done must be called on the grant at the end of the request.
-func (g *Gateway) admitTenant(tenant *rockwindpb.Tenant, bounds *rockwindpb.Limits, now time.Time) (*limits.Grant, error) {
-	grant, err := g.limiter.Admit(tenant.GetName(), bounds, now)
+// admitTenant counts the request against its tenant's limits. If one is exceeded, it
+// returns a fault. Otherwise the caller must call Done on the grant at the end of the
+// request.
+func (g *Gateway) admitTenant(tenant *rockwindpb.Tenant, tenantLimits *rockwindpb.Limits, now time.Time) (*limits.Grant, error) {
+	grant, err := g.limiter.Admit(tenant.GetName(), tenantLimits, now)
 	if err != nil {
 		g.metrics.refused.WithLabelValues("limit").Inc()
 	}
 	return grant, err
 }
 
-// limitWrites holds requests that write to the disks of the control machines to
-// their tenant's limits, from before the first read of the body to the end of the
-// handler. Tokens count for completions only.
+// limitWrites applies the tenant's request rate and concurrency limits to requests
+// that store data on control machines, before their body is read. The token limit
+// applies to completions only.
 func (g *Gateway) limitWrites(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		tenant := tenantOf(r)
-		bounds := &rockwindpb.Limits{
+		tenantLimits := &rockwindpb.Limits{
 			RequestsPerSecond: tenant.GetLimits().GetRequestsPerSecond(),
 			Concurrency:       tenant.GetLimits().GetConcurrency(),
 		}
-		grant, err := g.admitTenant(tenant, bounds, time.Now())
+		grant, err := g.admitTenant(tenant, tenantLimits, time.Now())
 		if err != nil {
 			g.refuseUnread(w, r, err)
 			return
@@ -38,19 +39,19 @@
 	})
 }
 
-// refuseUnread refuses a request whose body was not read, at once.
+// refuseUnread writes an error response to a request whose body was not read.
 func (g *Gateway) refuseUnread(w http.ResponseWriter, r *http.Request, err error) {
-	g.abandonBody(w, r)
+	g.closeAfterResponse(w, r)
 	writeFault(w, err)
 }
 
-// abandonBody lets the answer go out at once. Without it the server waits for a
-// part of the unread body first, for as long as the caller likes. HTTP/2 ends the
-// stream alone and needs none of it.
-func (g *Gateway) abandonBody(w http.ResponseWriter, r *http.Request) {
+// closeAfterResponse closes an HTTP/1 connection after the response. Otherwise the
+// HTTP server would first read a part of the unread body, and a slow caller could
+// delay the response. HTTP/2 resets only the stream.
+func (g *Gateway) closeAfterResponse(w http.ResponseWriter, r *http.Request) {
 	if r.ProtoMajor != 1 {
 		return
 	}
 	w.Header().Set("Connection", "close")
-	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(g.stalls.body))
+	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(g.stalls.requestBody))
 }
--- a/internal/gateway/limiting_test.go
+++ b/internal/gateway/limiting_test.go
@@ -16,23 +16,22 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// limitTenant puts limits of the test tenant in force.
-func (f *fleet) limitTenant(limits *rockwindpb.Limits) {
+// limitTenant sets the limits of the test tenant.
+func (f *fixture) limitTenant(limits *rockwindpb.Limits) {
 	next := proto.CloneOf(f.configuration())
-	next.Number = f.source.Current().Number() + 1
+	next.Number = f.configurations.Current().Number() + 1
 	next.Tenants[0].Limits = limits
 	f.configure(next)
 }
 
-// stored counts what the control machines hold: bodies, and commands such as the
-// record of a file or a job.
-func (f *fleet) stored() (bodies int, commands uint64) {
+// stored returns the number of stored bodies and of commands to the ledger.
+func (f *fixture) stored() (bodies int, commands uint64) {
 	f.control.mutex.Lock()
 	defer f.control.mutex.Unlock()
 	return len(f.control.bodies), f.control.index
 }
 
-// expectLimited checks a refusal by a limit.
+// expectLimited verifies that the response is a refusal by the given limit.
 func expectLimited(t *testing.T, response *http.Response, limit string) {
 	t.Helper()
 	refusal := errorOf(t, response)
@@ -42,15 +41,15 @@
 	}
 }
 
-// expectWritesLimited checks that uploads and new batches are refused by the limit
-// before any of their body is there, and that nothing of them is stored.
-func (f *fleet) expectWritesLimited(t *testing.T, limit string) {
+// expectWritesLimited verifies that the limit refuses uploads and new batches before
+// their body is received, and that nothing is stored.
+func (f *fixture) expectWritesLimited(t *testing.T, limit string) {
 	t.Helper()
 	bodiesBefore, commandsBefore := f.stored()
 	for _, path := range []string{pathFiles, pathBatches} {
-		// The server would wait for the rest of a short body.
-		for _, length := range []int{1000, maximumFile} {
-			conn := f.open(path, length, "")
+		// The HTTP server would wait for the rest of a short body before it responds.
+		for _, length := range []int{1000, maximumFileBytes} {
+			conn := f.sendPartial(path, length, "")
 			must(t, conn.SetReadDeadline(time.Now().Add(testWait)))
 			response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			must(t, err)
@@ -58,10 +57,10 @@
 			conn.Close()
 		}
 	}
-	whole, contentType := wholeUpload(t)
-	request := f.request(pathFiles, whole)
+	form, contentType := uploadForm(t)
+	request := f.request(pathFiles, form)
 	request.Header.Set(headerContentType, contentType)
-	response, err := f.http.Do(request)
+	response, err := f.httpClient.Do(request)
 	must(t, err)
 	expectLimited(t, response, limit)
 	if bodies, commands := f.stored(); bodies != bodiesBefore || commands != commandsBefore {
@@ -69,39 +68,39 @@
 	}
 }
 
-// wholeUpload is the form of a valid upload.
-func wholeUpload(t *testing.T) (body, contentType string) {
+// uploadForm returns the form of a valid upload.
+func uploadForm(t *testing.T) (body, contentType string) {
 	var encoded strings.Builder
 	form := multipart.NewWriter(&encoded)
 	must(t, form.WriteField("purpose", purposeBatch))
 	file, err := form.CreateFormFile("file", "items.jsonl")
 	must(t, err)
-	_, err = io.WriteString(file, inputFile(texts(3, "clue"), 8))
+	_, err = io.WriteString(file, inputFile(numberedTexts(3, "clue"), 8))
 	must(t, err)
 	must(t, form.Close())
 	return encoded.String(), form.FormDataContentType()
 }
 
-// slowUpload is an upload whose caller has sent a part that is stored already.
-type slowUpload struct {
+// partialUpload is an upload in progress, of which a part has been stored.
+type partialUpload struct {
 	form   *multipart.Writer
 	body   *io.PipeWriter
 	cancel context.CancelFunc
 	status chan int
 }
 
-func (f *fleet) beginUpload(t *testing.T) *slowUpload {
+func (f *fixture) beginUpload(t *testing.T) *partialUpload {
 	t.Helper()
 	before, _ := f.stored()
 	source, sink := io.Pipe()
 	ctx, cancel := context.WithTimeout(context.Background(), testWait)
 	t.Cleanup(cancel)
-	u := &slowUpload{form: multipart.NewWriter(sink), body: sink, cancel: cancel, status: make(chan int, 1)}
+	u := &partialUpload{form: multipart.NewWriter(sink), body: sink, cancel: cancel, status: make(chan int, 1)}
 	request := f.request(pathFiles, "").WithContext(ctx)
 	request.Body, request.ContentLength = source, -1
 	request.Header.Set(headerContentType, u.form.FormDataContentType())
 	go func() {
-		response, err := f.http.Do(request)
+		response, err := f.httpClient.Do(request)
 		if err != nil {
 			u.status <- 0
 			return
@@ -121,7 +120,7 @@
 	return u
 }
 
-func (u *slowUpload) finish(t *testing.T) {
+func (u *partialUpload) finish(t *testing.T) {
 	t.Helper()
 	must(t, u.form.Close())
 	must(t, u.body.Close())
@@ -130,11 +129,11 @@
 	}
 }
 
-// TestUploadHoldsItsPlace takes the only place of a tenant by an upload: until it
-// has ended other uploads, batches and completions are refused, and afterwards,
-// however it ended, the place is free.
-func TestUploadHoldsItsPlace(t *testing.T) {
-	f := startFleet(t, 1, engine.FastConfig())
+// TestUploadCountsForConcurrency verifies that an upload in progress counts for the
+// concurrency limit of its tenant, and no longer does after it completed or was
+// aborted.
+func TestUploadCountsForConcurrency(t *testing.T) {
+	f := startFixture(t, 1, engine.FastConfig())
 	f.limitTenant(&rockwindpb.Limits{Concurrency: 1})
 	ctx, cancel := context.WithTimeout(context.Background(), testWait)
 	defer cancel()
@@ -155,24 +154,24 @@
 
 	client := f.client()
 	for range 3 {
-		file := uploadBatch(ctx, t, client, inputFile(texts(3, "clue"), 8))
+		file := uploadBatch(ctx, t, client, inputFile(numberedTexts(3, "clue"), 8))
 		submitBatch(ctx, t, client, file.ID)
 	}
 }
 
-// TestWritesTakeFromTheRequestRate uses the rate up by an upload.
+// TestWritesTakeFromTheRequestRate verifies that uploads count for the request rate.
 func TestWritesTakeFromTheRequestRate(t *testing.T) {
-	f := startFleet(t, 1, engine.FastConfig())
+	f := startFixture(t, 1, engine.FastConfig())
 	f.limitTenant(&rockwindpb.Limits{RequestsPerSecond: 0.001})
 	ctx, cancel := context.WithTimeout(context.Background(), testWait)
 	defer cancel()
-	uploadBatch(ctx, t, f.client(), inputFile(texts(3, "clue"), 8))
+	uploadBatch(ctx, t, f.client(), inputFile(numberedTexts(3, "clue"), 8))
 	f.expectWritesLimited(t, "requests_per_second")
 }
 
-// TestWritesTakeNoTokens uploads while the tenant's tokens are used up.
+// TestWritesTakeNoTokens verifies that the token limit does not apply to writes.
 func TestWritesTakeNoTokens(t *testing.T) {
-	f := startFleet(t, 1, engine.FastConfig())
+	f := startFixture(t, 1, engine.FastConfig())
 	f.limitTenant(&rockwindpb.Limits{TokensPerSecond: 0.001, Concurrency: 1})
 	ctx, cancel := context.WithTimeout(context.Background(), testWait)
 	defer cancel()
@@ -183,6 +182,6 @@
 	response, err := f.post(pathChatCompletions, shortRequest)
 	must(t, err)
 	expectLimited(t, response, "tokens_per_second")
-	file := uploadBatch(ctx, t, client, inputFile(texts(3, "clue"), 8))
+	file := uploadBatch(ctx, t, client, inputFile(numberedTexts(3, "clue"), 8))
 	submitBatch(ctx, t, client, file.ID)
 }
--- a/internal/gateway/listeners.go
+++ b/internal/gateway/listeners.go
@@ -17,20 +17,20 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// Timing of the listeners.
+// Timeouts of the listeners.
 const (
-	// headerTimeout bounds the time that a caller takes to send a head.
+	// headerTimeout bounds the time to receive the request header.
 	headerTimeout = 10 * time.Second
-	// idleTimeout bounds how long a kept connection may be idle.
+	// idleTimeout closes keep-alive connections without requests.
 	idleTimeout = 2 * time.Minute
-	// refusalPeriod is how long a draining gateway goes on to answer new
-	// requests with a typed refusal before it stops listening.
+	// refusalPeriod is the minimum time for which a draining gateway refuses new
+	// requests before it stops listening.
 	refusalPeriod = time.Second
-	// shutdownTimeout bounds the end of connections that carry no request.
+	// shutdownTimeout bounds the closing of idle connections.
 	shutdownTimeout = 5 * time.Second
 )
 
-// listeners are the callers' and the internal listener.
+// listeners holds the listeners and servers for callers and for internal requests.
 type listeners struct {
 	callers        net.Listener
 	internal       net.Listener
@@ -38,12 +38,13 @@
 	internalServer *http.Server
 }
 
-// openDataFolder locks the gateway's folder until release is called.
+// openDataFolder opens and locks the data folder until release is called.
 func openDataFolder(folder string) (release func(), err error) {
 	return settings.OpenDataFolder(folder)
 }
 
-// listen opens both listeners and writes their addresses to the data folder.
+// listen opens both listeners and writes their addresses to files in the data
+// folder.
 func (g *Gateway) listen() (*listeners, error) {
 	callers, err := settings.Listen("listen", g.settings.GetListen())
 	if err != nil {
@@ -74,13 +75,13 @@
 	}
 }
 
-// serve runs both servers in the group.
+// serve starts both servers in the group.
 func (l *listeners) serve(group *errgroup.Group, g *Gateway) {
-	group.Go(func() error { return served(accept(l.callerServer, l.callers, g.certificates.callers)) })
-	group.Go(func() error { return served(accept(l.internalServer, l.internal, g.certificates.internal)) })
+	group.Go(func() error { return serveError(serveListener(l.callerServer, l.callers, g.certificates.callers)) })
+	group.Go(func() error { return serveError(serveListener(l.internalServer, l.internal, g.certificates.internal)) })
 }
 
-func served(err error) error {
+func serveError(err error) error {
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
@@ -92,15 +93,15 @@
 	l.internal.Close()
 }
 
-// stop drains the gateway: callers get refusals until the last request in
-// progress has ended, and then the listeners close.
-func (g *Gateway) stop(l *listeners) {
+// drainAndClose refuses new requests until those in progress have ended, and for
+// refusalPeriod at least. Then it closes the listeners.
+func (g *Gateway) drainAndClose(l *listeners) {
 	g.drain.begin()
 	g.log.Info("draining")
-	refusing := time.NewTimer(refusalPeriod)
-	defer refusing.Stop()
+	refusalTimer := time.NewTimer(refusalPeriod)
+	defer refusalTimer.Stop()
 	<-g.drain.idle
-	<-refusing.C
+	<-refusalTimer.C
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	_ = l.callerServer.Shutdown(ctx)
@@ -108,14 +109,14 @@
 	l.close()
 }
 
-// Paths of probes.
+// Paths of health checks.
 const (
 	pathAlive = "/healthz"
 	pathReady = "/readyz"
 )
 
-// callerRoutes are the paths that callers use, and probes without an API key for
-// what balances load over gateways.
+// callerRoutes returns the handler of the callers' listener: the API, and health
+// checks without an API key for load balancers.
 func (g *Gateway) callerRoutes() http.Handler {
 	callers := g.apiRoutes()
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -133,16 +134,16 @@
 	})
 }
 
-// Paths of requests that make the control machines store something.
+// Paths of requests that store data on control machines.
 const (
 	pathFiles   = "/v1/files"
 	pathBatches = "/v1/batches"
 )
 
-// apiRoutes are the paths that need an API key.
+// apiRoutes returns the handler of the paths that require an API key.
 func (g *Gateway) apiRoutes() http.Handler {
 	router := chi.NewRouter()
-	router.Use(identify, g.track, g.recoverDefects, g.boundBody, g.authenticate)
+	router.Use(assignRequestID, g.track, g.recoverPanics, g.limitBodyStalls, g.authenticate)
 	router.Get("/v1/models", g.serveModels)
 	router.Get("/v1/models/{id}", g.serveModel)
 	router.Post(pathChatCompletions, g.serveCompletion)
@@ -165,11 +166,11 @@
 	return router
 }
 
-// maximumRequestID bounds a caller's own request identity in bytes.
+// maximumRequestID is the longest request ID accepted from a caller, in bytes.
 const maximumRequestID = 128
 
-// identify gives back the caller's request identity, or a new one.
-func identify(next http.Handler) http.Handler {
+// assignRequestID sets the request ID of the response: the caller's own or a new one.
+func assignRequestID(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get(upstream.HeaderRequestID)
 		if id == "" || len(id) > maximumRequestID {
@@ -180,19 +181,19 @@
 	})
 }
 
-// recoverDefects turns a panic into a typed error. An aborted answer stays
-// aborted, so that a part is not taken for the whole.
-func (g *Gateway) recoverDefects(next http.Handler) http.Handler {
+// recoverPanics logs panics and aborts the connection. Panics with
+// http.ErrAbortHandler, which abort it on purpose, are not logged.
+func (g *Gateway) recoverPanics(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer func() {
-			found := recover()
-			if found == nil {
+			recovered := recover()
+			if recovered == nil {
 				return
 			}
-			if found == http.ErrAbortHandler {
-				panic(found)
+			if recovered == http.ErrAbortHandler {
+				panic(recovered)
 			}
-			g.log.WithField("panic", found).WithField("path", r.URL.Path).Error("a request met a defect")
+			g.log.WithField("panic", recovered).WithField("path", r.URL.Path).Error("panic in a request handler")
 			panic(http.ErrAbortHandler)
 		}()
 		next.ServeHTTP(w, r)
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -12,8 +12,7 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// metrics are the gateway's counters under the names that
-// docs/operations/metrics.md lists.
+// metrics holds the gateway's metrics, which docs/operations/metrics.md documents.
 type metrics struct {
 	registry   *prometheus.Registry
 	requests   *prometheus.CounterVec
@@ -69,8 +68,8 @@
 	return m
 }
 
-// describeState adds what is read from the gateway when the metrics are.
-func (m *metrics) describeState(configurationNumber func() uint64, drain *drainState) {
+// registerState registers the metrics that are computed when they are collected.
+func (m *metrics) registerState(configurationNumber func() uint64, drain *drainState) {
 	m.registry.MustRegister(
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "rockwind_gateway_configuration_number", Help: "Number of the configuration in force here.",
@@ -86,22 +85,22 @@
 	)
 }
 
-// DescribeMetrics sends the descriptions of all metrics of a gateway, for checks
-// of their documentation.
+// DescribeMetrics sends the descriptions of all metrics of a gateway. It is used to
+// verify their documentation.
 func DescribeMetrics(descriptions chan<- *prometheus.Desc) {
 	m := newMetrics()
-	m.describeState(nil, nil)
+	m.registerState(nil, nil)
 	m.registry.MustRegister(serverStates{})
 	m.registry.Describe(descriptions)
 	secure.Metrics(nil).Describe(descriptions)
 }
 
-// itemEnded counts a batch item.
+// itemEnded counts a batch item that ended with the given outcome.
 func (m *metrics) itemEnded(outcome rockwindpb.ItemOutcome) {
 	m.items.WithLabelValues(outcomeLabels[outcome]).Inc()
 }
 
-// outcomeLabels are the outcomes of items in metrics.
+// outcomeLabels maps the outcomes of items to label values.
 var outcomeLabels = map[rockwindpb.ItemOutcome]string{
 	rockwindpb.ItemOutcome_ITEM_OUTCOME_COMPLETED: "completed",
 	rockwindpb.ItemOutcome_ITEM_OUTCOME_FAILED:    "failed",
@@ -109,7 +108,7 @@
 	rockwindpb.ItemOutcome_ITEM_OUTCOME_RETURNED:  "returned",
 }
 
-// observe counts a request that ended.
+// observe records the metrics of a request that ended.
 func (g *Gateway) observe(request *upstream.Request, result upstream.Result, started time.Time) {
 	kind := "engine"
 	if request.Kind == upstream.Service {
--- a/internal/gateway/model_usage.go
+++ b/internal/gateway/model_usage.go
@@ -8,8 +8,8 @@
 	"rockwind.example/rockwind/internal/sharing"
 )
 
-// modelUsage counts what was asked of models since the last exchange, in cost
-// units, for placement. It is safe for concurrent use.
+// modelUsage accumulates the cost of served and refused requests by model since the
+// last exchange. Placement is based on it. It is safe for concurrent use.
 type modelUsage struct {
 	mutex  sync.Mutex
 	models map[string]*rockwindpb.ModelUsage
@@ -19,11 +19,10 @@
 	return &modelUsage{models: make(map[string]*rockwindpb.ModelUsage)}
 }
 
-// refusedTokens is the answer assumed for a request that was refused.
-const refusedTokens = 100
+// assumedOutputTokens estimates the output of requests that were refused.
+const assumedOutputTokens = 100
 
-// modelName is the name under which a request counts: that of the adapter, where
-// it names one.
+// modelName returns the name under which a request counts, including its adapter.
 func modelName(wanted serverview.Wanted) string {
 	if wanted.Adapter != "" {
 		return wanted.Model + ":" + wanted.Adapter
@@ -31,9 +30,9 @@
 	return wanted.Model
 }
 
-// online counts an online request: what it received or, where it did not begin,
-// what it would have. Services count nothing.
-func (u *modelUsage) online(wanted serverview.Wanted, served float64, begun bool) {
+// addOnline adds the cost of an online request: the served cost if its response
+// began, otherwise the estimated cost as refused. Requests to services are ignored.
+func (u *modelUsage) addOnline(wanted serverview.Wanted, served float64, begun bool) {
 	if wanted.Model == "" {
 		return
 	}
@@ -44,11 +43,11 @@
 		usage.OnlineCost += served
 		return
 	}
-	usage.RefusedCost += sharing.Cost(wanted.PromptTokens, 0, refusedTokens)
+	usage.RefusedCost += sharing.Cost(wanted.PromptTokens, 0, assumedOutputTokens)
 }
 
-// batch counts service to a batch item.
-func (u *modelUsage) batch(model string, cost float64) {
+// addBatch adds the cost of a batch item.
+func (u *modelUsage) addBatch(model string, cost float64) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	u.model(model).BatchCost += cost
@@ -63,23 +62,23 @@
 	return found
 }
 
-// take returns the counts and starts anew.
+// take returns the accumulated usage and resets it.
 func (u *modelUsage) take() []*rockwindpb.ModelUsage {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
-	taken := make([]*rockwindpb.ModelUsage, 0, len(u.models))
+	counts := make([]*rockwindpb.ModelUsage, 0, len(u.models))
 	for _, usage := range u.models {
-		taken = append(taken, usage)
+		counts = append(counts, usage)
 	}
 	u.models = make(map[string]*rockwindpb.ModelUsage)
-	return taken
+	return counts
 }
 
-// restore gives back counts that were not delivered.
-func (u *modelUsage) restore(taken []*rockwindpb.ModelUsage) {
+// restore adds back usage that could not be delivered.
+func (u *modelUsage) restore(counts []*rockwindpb.ModelUsage) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
-	for _, usage := range taken {
+	for _, usage := range counts {
 		found := u.model(usage.GetModel())
 		found.OnlineCost += usage.GetOnlineCost()
 		found.BatchCost += usage.GetBatchCost()
--- a/internal/gateway/model_usage_test.go
+++ b/internal/gateway/model_usage_test.go
@@ -7,27 +7,26 @@
 	"rockwind.example/rockwind/internal/sharing"
 )
 
-// TestModelUsageCountsServedAndRefused: what was served counts as such, what was
-// refused counts as what it would have cost, services count nothing, and counts
-// that were not delivered are delivered with the next.
+// TestModelUsageCountsServedAndRefused verifies the cost of served and refused
+// requests, and that restored usage is delivered exactly once.
 func TestModelUsageCountsServedAndRefused(t *testing.T) {
 	usage := newModelUsage()
 	plain := serverview.Wanted{Model: "m", PromptTokens: 50}
-	usage.online(plain, 7, true)
-	usage.online(plain, 0, false)
-	usage.online(serverview.Wanted{Model: "m", Adapter: "a"}, 3, true)
-	usage.online(serverview.Wanted{Service: "s"}, 9, true)
-	usage.batch("m", 5)
+	usage.addOnline(plain, 7, true)
+	usage.addOnline(plain, 0, false)
+	usage.addOnline(serverview.Wanted{Model: "m", Adapter: "a"}, 3, true)
+	usage.addOnline(serverview.Wanted{Service: "s"}, 9, true)
+	usage.addBatch("m", 5)
 	usage.restore(usage.take())
-	usage.batch("m", 5)
+	usage.addBatch("m", 5)
 	found := make(map[string][3]float64)
 	for _, entry := range usage.take() {
 		found[entry.GetModel()] = [3]float64{entry.GetOnlineCost(), entry.GetBatchCost(), entry.GetRefusedCost()}
 	}
-	if len(found) != 2 || found["m"] != [3]float64{7, 10, sharing.Cost(50, 0, refusedTokens)} || found["m:a"] != [3]float64{3, 0, 0} {
+	if len(found) != 2 || found["m"] != [3]float64{7, 10, sharing.Cost(50, 0, assumedOutputTokens)} || found["m:a"] != [3]float64{3, 0, 0} {
 		t.Fatalf("%v", found)
 	}
 	if left := usage.take(); len(left) != 0 {
-		t.Fatalf("counts were delivered twice: %v", left)
+		t.Fatalf("usage was delivered twice: %v", left)
 	}
 }
--- a/internal/gateway/models.go
+++ b/internal/gateway/models.go
@@ -9,7 +9,7 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// modelObject describes a model in the published shape.
+// modelObject is a model in the format of the OpenAI API.
 type modelObject struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
@@ -17,7 +17,7 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// listObject is a list in the published shape.
+// listObject is a list in the format of the OpenAI API.
 type listObject[T any] struct {
 	Object  string `json:"object"`
 	Data    []T    `json:"data"`
@@ -26,14 +26,14 @@
 	HasMore bool   `json:"has_more"`
 }
 
-// owner is who the models belong to, for clients of the published protocol.
-const owner = "rockwind"
+// modelOwner is the owned_by value of all models.
+const modelOwner = "rockwind"
 
 func newModelObject(id string) modelObject {
-	return modelObject{ID: id, Object: "model", OwnedBy: owner}
+	return modelObject{ID: id, Object: "model", OwnedBy: modelOwner}
 }
 
-// modelObjects lists a model and its adapters.
+// modelObjects returns the objects of a model and its adapters.
 func modelObjects(model *rockwindpb.Model) []modelObject {
 	objects := []modelObject{newModelObject(model.GetName())}
 	for _, adapter := range model.GetAdapters() {
@@ -42,7 +42,7 @@
 	return objects
 }
 
-// serveModels answers GET /v1/models.
+// serveModels handles GET /v1/models.
 func (g *Gateway) serveModels(w http.ResponseWriter, _ *http.Request) {
 	list := listObject[modelObject]{Object: "list", Data: []modelObject{}}
 	for _, model := range g.follower.Current().Models() {
@@ -51,7 +51,7 @@
 	writeJSON(w, list)
 }
 
-// serveModel answers GET /v1/models/{id}.
+// serveModel handles GET /v1/models/{id}.
 func (g *Gateway) serveModel(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "id")
 	if _, _, found := g.follower.Current().ResolveModel(id); !found {
--- a/internal/gateway/openai_test.go
+++ b/internal/gateway/openai_test.go
@@ -15,9 +15,9 @@
 	"rockwind.example/rockwind/internal/engine"
 )
 
-// TestOpenAIClient drives the gateway with the published client.
+// TestOpenAIClient uses the gateway through the OpenAI client library.
 func TestOpenAIClient(t *testing.T) {
-	f := startFleet(t, 2, engine.FastConfig())
+	f := startFixture(t, 2, engine.FastConfig())
 	client := f.client()
 	ctx, cancel := context.WithTimeout(context.Background(), testWait)
 	defer cancel()
@@ -36,7 +36,7 @@
 	}
 }
 
-// answerTo is the text that an engine gives to a user's message.
+// answerTo returns the text with which an engine responds to a user's message.
 func answerTo(text string, tokens int) string {
 	return engine.ExpectedText(engine.UserPrompt(text), tokens)
 }
@@ -77,32 +77,32 @@
 	}
 }
 
-func checkErrors(ctx context.Context, t *testing.T, f *fleet) {
+func checkErrors(ctx context.Context, t *testing.T, f *fixture) {
 	client := f.client()
 	_, err := client.Chat.Completions.New(ctx, chatParameters("unknown", "x", 1))
 	expectError(t, err, 404, "not_found")
-	stranger := f.client(option.WithAPIKey("nobody"))
-	_, err = stranger.Chat.Completions.New(ctx, chatParameters(testModel, "x", 1))
+	unknownCaller := f.client(option.WithAPIKey("nobody"))
+	_, err = unknownCaller.Chat.Completions.New(ctx, chatParameters(testModel, "x", 1))
 	expectError(t, err, 401, "unauthenticated")
 }
 
-// inputFile is a batch input with one item for each text.
+// inputFile returns a batch input file with one item for each text.
 func inputFile(texts []string, tokens int) string {
 	var file strings.Builder
-	for number, text := range texts {
+	for i, text := range texts {
 		fmt.Fprintf(&file, `{"custom_id":"item-%d","method":"POST","url":"/v1/chat/completions","body":`+
-			`{"model":%q,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}}`+"\n", number, testModel, tokens, text)
+			`{"model":%q,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}}`+"\n", i, testModel, tokens, text)
 	}
 	return file.String()
 }
 
-// texts makes different messages.
-func texts(count int, about string) []string {
-	made := make([]string, count)
-	for number := range made {
-		made[number] = fmt.Sprintf("%s number %d", about, number)
+// numberedTexts returns distinct messages.
+func numberedTexts(count int, about string) []string {
+	texts := make([]string, count)
+	for i := range texts {
+		texts[i] = fmt.Sprintf("%s number %d", about, i)
 	}
-	return made
+	return texts
 }
 
 func uploadBatch(ctx context.Context, t testing.TB, client openai.Client, content string) *openai.FileObject {
@@ -122,7 +122,7 @@
 	return created
 }
 
-// outputLine is one line of the output as a client reads it.
+// outputLine is a line of the output file of a batch.
 type outputLine struct {
 	CustomID string `json:"custom_id"`
 	Response struct {
@@ -131,30 +131,30 @@
 	} `json:"response"`
 }
 
-// checkOutput checks that the output holds the whole answer to every item, in
-// order and once.
-func checkOutput(ctx context.Context, t testing.TB, client openai.Client, id string, asked []string, tokens int) {
+// checkOutput verifies that the output file has the complete response to each item,
+// once and in order.
+func checkOutput(ctx context.Context, t testing.TB, client openai.Client, id string, texts []string, tokens int) {
 	response, err := client.Files.Content(ctx, id)
 	must(t, err)
 	defer response.Body.Close()
 	content, err := io.ReadAll(response.Body)
 	must(t, err)
 	lines := strings.Split(strings.TrimSpace(string(content)), "\n")
-	if len(lines) != len(asked) {
-		t.Fatalf("%d lines of output for %d items", len(lines), len(asked))
+	if len(lines) != len(texts) {
+		t.Fatalf("%d lines of output for %d items", len(lines), len(texts))
 	}
-	for number, line := range lines {
+	for i, line := range lines {
 		var parsed outputLine
 		must(t, json.Unmarshal([]byte(line), &parsed))
-		want := answerTo(asked[number], tokens)
-		if parsed.CustomID != fmt.Sprintf("item-%d", number) || parsed.Response.Body.Choices[0].Message.Content != want {
-			t.Fatalf("line %d is %s, want %q", number, line, want)
+		want := answerTo(texts[i], tokens)
+		if parsed.CustomID != fmt.Sprintf("item-%d", i) || parsed.Response.Body.Choices[0].Message.Content != want {
+			t.Fatalf("line %d is %s, want %q", i, line, want)
 		}
 	}
 }
 
-// awaitBatch asks for a batch until it has ended.
-func awaitBatch(ctx context.Context, t testing.TB, f *fleet, client openai.Client, id string) *openai.Batch {
+// awaitBatch polls a batch until it has ended.
+func awaitBatch(ctx context.Context, t testing.TB, f *fixture, client openai.Client, id string) *openai.Batch {
 	var found *openai.Batch
 	f.await("the end of batch "+id, func() bool {
 		var err error
@@ -165,10 +165,10 @@
 	return found
 }
 
-func checkBatch(ctx context.Context, t *testing.T, f *fleet) {
+func checkBatch(ctx context.Context, t *testing.T, f *fixture) {
 	client := f.client()
-	asked := texts(1500, "clue")
-	file := uploadBatch(ctx, t, client, inputFile(asked, 8))
+	texts := numberedTexts(1500, "clue")
+	file := uploadBatch(ctx, t, client, inputFile(texts, 8))
 	again, err := client.Files.Get(ctx, file.ID)
 	must(t, err)
 	if again.Bytes != file.Bytes || again.Filename != "items.jsonl" {
@@ -179,10 +179,10 @@
 		t.Fatalf("a resubmission made another batch: %s and %s", resent.ID, created.ID)
 	}
 	ended := awaitBatch(ctx, t, f, client, created.ID)
-	if ended.Status != openai.BatchStatusCompleted || ended.RequestCounts.Completed != int64(len(asked)) {
+	if ended.Status != openai.BatchStatusCompleted || ended.RequestCounts.Completed != int64(len(texts)) {
 		t.Fatalf("batch ended as %s with %+v", ended.Status, ended.RequestCounts)
 	}
-	checkOutput(ctx, t, client, ended.OutputFileID, asked, 8)
+	checkOutput(ctx, t, client, ended.OutputFileID, texts, 8)
 	page, err := client.Batches.List(ctx, openai.BatchListParams{})
 	must(t, err)
 	if len(page.Data) != 1 || page.Data[0].ID != created.ID {
@@ -190,9 +190,9 @@
 	}
 }
 
-func checkCancel(ctx context.Context, t *testing.T, f *fleet) {
+func checkCancel(ctx context.Context, t *testing.T, f *fixture) {
 	client := f.client()
-	file := uploadBatch(ctx, t, client, inputFile(texts(500, "rebuild"), 3000))
+	file := uploadBatch(ctx, t, client, inputFile(numberedTexts(500, "rebuild"), 3000))
 	created := submitBatch(ctx, t, client, file.ID)
 	f.await("a running item", func() bool { return len(f.gateway.batch.Demand()) > 0 })
 	cancelled, err := client.Batches.Cancel(ctx, created.ID)
@@ -203,12 +203,12 @@
 	f.await("the items to stop", func() bool { return len(f.gateway.batch.Demand()) == 0 })
 }
 
-// expectError checks a typed error as the published client reads it.
+// expectError verifies the status and code of an error of the OpenAI client.
 func expectError(t *testing.T, err error, status int, code string) *openai.Error {
 	t.Helper()
 	var typed *openai.Error
 	if !errors.As(err, &typed) {
-		t.Fatalf("error %v, want a typed one", err)
+		t.Fatalf("error %v, want an *openai.Error", err)
 	}
 	if typed.StatusCode != status || typed.Code != code {
 		t.Fatalf("status %d code %q, want %d %q", typed.StatusCode, typed.Code, status, code)
--- a/internal/gateway/options.go
+++ b/internal/gateway/options.go
@@ -10,54 +10,53 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// Option changes how a gateway runs.
+// Option configures a gateway.
 type Option func(*options)
 
 type options struct {
-	controlClient *http.Client
-	backEndClient *upstream.Client
-	observe       func(*configuration.Index)
-	ring          *logring.Ring
-	links         *linkfault.Links
+	controlClient   *http.Client
+	backEndClient   *upstream.Client
+	onConfiguration func(*configuration.Index)
+	ring            *logring.Ring
+	links           *linkfault.Links
 }
 
-// WithControlClient sets the HTTP client of all calls to control machines, in
-// place of one that the settings describe.
+// WithControlClient sets the HTTP client for calls to control machines. The default
+// client is created from the settings.
 func WithControlClient(client *http.Client) Option {
 	return func(o *options) { o.controlClient = client }
 }
 
-// WithBackEndDial sets how connections to back ends are opened.
+// WithBackEndDial sets the function that connects to back ends.
 func WithBackEndDial(dial upstream.DialFunc) Option {
 	return func(o *options) { o.backEndClient = upstream.NewClientWithDial(dial) }
 }
 
-// WithConfigurationObserver calls observe whenever a configuration is put in
-// force, from the goroutine that follows configurations.
+// WithConfigurationObserver sets a function that is called with each configuration
+// that the gateway has applied. The calls are not concurrent.
 func WithConfigurationObserver(observe func(*configuration.Index)) Option {
-	return func(o *options) { o.observe = observe }
+	return func(o *options) { o.onConfiguration = observe }
 }
 
-// WithLinkFaults cuts the links to control machines over HTTP at the internal
-// address, for experiments.
+// WithLinkFaults allows experiments to cut the connections to control machines by
+// HTTP requests to the internal address.
 func WithLinkFaults(links *linkfault.Links) Option {
 	return func(o *options) { o.links = links }
 }
 
-// WithLogs makes the gateway log to the given ring, which its owner can write
-// out.
+// WithLogs sets the ring buffer that the gateway logs to.
 func WithLogs(ring *logring.Ring) Option {
 	return func(o *options) { o.ring = ring }
 }
 
-func collect(given []Option) options {
-	collected := options{
-		backEndClient: upstream.NewClient(),
-		observe:       func(*configuration.Index) {},
-		ring:          logring.New(logring.DefaultCapacity, os.Stderr),
+func collect(opts []Option) options {
+	result := options{
+		backEndClient:   upstream.NewClient(),
+		onConfiguration: func(*configuration.Index) {},
+		ring:            logring.New(logring.DefaultCapacity, os.Stderr),
 	}
-	for _, option := range given {
-		option(&collected)
+	for _, option := range opts {
+		option(&result)
 	}
-	return collected
+	return result
 }
--- a/internal/gateway/poison_test.go
+++ b/internal/gateway/poison_test.go
@@ -15,12 +15,12 @@
 	"rockwind.example/rockwind/internal/standin"
 )
 
-// poison is a word in a prompt that brings the engine down.
+// poison is a prompt that crashes the engine.
 const poison = "poison"
 
-// breakOnPoison is an engine that loses all its requests when it is asked a
-// poisonous one, and comes back at once.
-func breakOnPoison(stand *standin.Engine) http.Handler {
+// crashOnPoison returns the handler of an engine that crashes on the poison prompt,
+// loses all requests in progress and restarts at once.
+func crashOnPoison(standIn *standin.Engine) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		body, err := io.ReadAll(request.Body)
 		if err != nil {
@@ -28,31 +28,30 @@
 		}
 		request.Body = io.NopCloser(bytes.NewReader(body))
 		if bytes.Contains(body, []byte(poison)) {
-			stand.Inject(standin.FaultOrder{Kind: engine.FaultDie, DurationMs: 1})
+			standIn.Inject(standin.FaultOrder{Kind: engine.FaultDie, DurationMs: 1})
 			panic(http.ErrAbortHandler)
 		}
-		stand.Handler().ServeHTTP(writer, request)
+		standIn.Handler().ServeHTTP(writer, request)
 	})
 }
 
-// TestPoisonItemTakesNoOtherAlong runs a job with one item that brings the engine
-// down each time. It must end as failed, and every other item must complete,
-// although they run beside it.
-func TestPoisonItemTakesNoOtherAlong(t *testing.T) {
+// TestPoisonItemFailsAlone verifies that an item which crashes the engine each time
+// fails, while the items that run concurrently complete.
+func TestPoisonItemFailsAlone(t *testing.T) {
 	const poisoned = 5
-	f := newFleet(t)
-	f.wrapEngine = breakOnPoison
+	f := newFixture(t)
+	f.wrapEngine = crashOnPoison
 	f.start(1, engine.FastConfig())
 	ctx, cancel := context.WithTimeout(t.Context(), 3*testWait)
 	defer cancel()
 	client := f.client()
-	asked := texts(12, "clue")
-	asked[poisoned] = poison
-	file := uploadBatch(ctx, t, client, inputFile(asked, 100))
+	texts := numberedTexts(12, "clue")
+	texts[poisoned] = poison
+	file := uploadBatch(ctx, t, client, inputFile(texts, 100))
 	created := submitBatch(ctx, t, client, file.ID)
 	ended := awaitBatch(ctx, t, f, client, created.ID)
 	counts := ended.RequestCounts
-	if ended.Status != openai.BatchStatusCompleted || counts.Failed != 1 || counts.Completed != int64(len(asked)-1) {
+	if ended.Status != openai.BatchStatusCompleted || counts.Failed != 1 || counts.Completed != int64(len(texts)-1) {
 		t.Fatalf("batch ended as %s with %+v", ended.Status, counts)
 	}
 	response, err := client.Files.Content(ctx, ended.ErrorFileID)
--- a/internal/gateway/records.go
+++ b/internal/gateway/records.go
@@ -13,36 +13,37 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// Headers of repeatability.
+// Headers of idempotency.
 const (
 	headerIdempotencyKey = "Idempotency-Key"
 	headerRepeatable     = "X-Repeatable"
-	// headerReplayed marks an answer that was kept from the first run.
+	// headerReplayed marks a recorded response to a resend.
 	headerReplayed = "X-Idempotent-Replay"
 )
 
-// Timing of idempotency records.
+// Limits and timeouts of idempotency records.
 const (
-	// maximumKeyLength bounds an idempotency key in bytes.
+	// maximumKeyLength is the longest idempotency key in bytes.
 	maximumKeyLength = 255
-	// beginTimeout bounds the grant before dispatch; without it the request is
+	// beginTimeout bounds the creation of a record. If it fails, the request is
 	// refused as not run.
 	beginTimeout = 5 * time.Second
-	// finishTimeout bounds the record of an answer.
+	// finishTimeout bounds each call that stores the outcome of a request.
 	finishTimeout = 10 * time.Second
-	// inProgressRetryAfter is the advice while the first run goes on.
+	// inProgressRetryAfter is the Retry-After of resends while the first run lasts.
 	inProgressRetryAfter = time.Second
 )
 
-// heldRecord is the permission of one owner to dispatch a keyed request.
-type heldRecord struct {
+// ownedRecord is an idempotency record that was granted to this request, which may
+// therefore be dispatched.
+type ownedRecord struct {
 	gateway *Gateway
 	tenant  string
 	key     string
 	owner   string
 }
 
-// requestDigest ties an idempotency key to one request.
+// requestDigest detects that an idempotency key is reused for a different request.
 func requestDigest(r *http.Request, body []byte) []byte {
 	hash := sha256.New()
 	for _, part := range []string{r.Method, r.URL.EscapedPath(), r.URL.RawQuery} {
@@ -53,34 +54,35 @@
 	return hash.Sum(nil)
 }
 
-// beginRecord asks for the permission to dispatch a keyed request. Without it
-// the answer has been written: the first answer again, or why there is none.
-func (g *Gateway) beginRecord(w http.ResponseWriter, r *http.Request, key string, body []byte) *heldRecord {
+// beginRecord creates the idempotency record of a request. It returns nil if the
+// request must not be dispatched; it has then written the recorded response or an
+// error.
+func (g *Gateway) beginRecord(w http.ResponseWriter, r *http.Request, key string, body []byte) *ownedRecord {
 	if len(key) > maximumKeyLength {
 		writeFault(w, invalid("use a shorter key", "the idempotency key is longer than %d bytes", maximumKeyLength))
 		return nil
 	}
-	held := &heldRecord{gateway: g, tenant: tenantOf(r).GetName(), key: key, owner: g.settings.GetName() + "/" + uuid.NewString()}
+	owned := &ownedRecord{gateway: g, tenant: tenantOf(r).GetName(), key: key, owner: g.settings.GetName() + "/" + uuid.NewString()}
 	ctx, cancel := context.WithTimeout(r.Context(), beginTimeout)
 	defer cancel()
 	response, err := g.control.Records().Begin(ctx, &rockwindpb.BeginRequestRequest{
-		Tenant: held.tenant, Key: key, BodyDigest: requestDigest(r, body), Owner: held.owner,
+		Tenant: owned.tenant, Key: key, BodyDigest: requestDigest(r, body), Owner: owned.owner,
 	})
 	if err != nil {
-		// Only this owner could use a grant whose confirmation is lost, and it
-		// does not: the request did not run.
-		go held.finish(rockwindpb.RecordState_RECORD_STATE_NOT_RUN, 0, "", nil)
-		writeFault(w, notBegun(err))
+		// The record may have been granted although the call failed. Release the key,
+		// since the request does not run.
+		go owned.finish(rockwindpb.RecordState_RECORD_STATE_NOT_RUN, 0, "", nil)
+		writeFault(w, beginFault(err))
 		return nil
 	}
 	if response.GetGranted() {
-		return held
+		return owned
 	}
 	g.replay(w, r, response.GetRecord())
 	return nil
 }
 
-func notBegun(err error) *fault.Fault {
+func beginFault(err error) *fault.Fault {
 	f := fault.From(err)
 	if f.Kind == fault.Conflict || f.Kind == fault.InvalidArgument {
 		return f.WithRan(fault.NotRun)
@@ -89,11 +91,11 @@
 		"send the request again with the same key").WithRan(fault.NotRun).WithRetryAfter(time.Second)
 }
 
-// replay answers a resend.
+// replay responds to a resend according to the state of the record.
 func (g *Gateway) replay(w http.ResponseWriter, r *http.Request, record *rockwindpb.RequestRecord) {
 	switch record.GetState() {
 	case rockwindpb.RecordState_RECORD_STATE_FINISHED:
-		g.replayAnswer(w, r, record)
+		g.replayResponse(w, r, record)
 	case rockwindpb.RecordState_RECORD_STATE_STARTED:
 		writeFault(w, fault.New(fault.Conflict, "the first request with this idempotency key is still in progress",
 			"send it again later with the same key to get its answer").
@@ -105,14 +107,14 @@
 	}
 }
 
-func (g *Gateway) replayAnswer(w http.ResponseWriter, r *http.Request, record *rockwindpb.RequestRecord) {
+func (g *Gateway) replayResponse(w http.ResponseWriter, r *http.Request, record *rockwindpb.RequestRecord) {
 	var body []byte
 	if record.GetBody() != nil {
 		read, err := g.control.Bodies().Read(r.Context(), &rockwindpb.ReadBodiesRequest{
 			References: []*rockwindpb.BodyReference{record.GetBody()},
 		})
 		if err != nil || len(read.GetBodies()) != 1 {
-			writeFault(w, fault.New(fault.Unavailable, "the kept answer can't be read now",
+			writeFault(w, fault.New(fault.Unavailable, "the recorded response can't be read now",
 				"send the request again later with the same key").WithRan(fault.RanUnknown).WithRetryAfter(time.Second))
 			return
 		}
@@ -124,42 +126,42 @@
 	_, _ = w.Write(body)
 }
 
-// end records how the request ended.
-func (h *heldRecord) end(result upstream.Result, sink *keepingSink) {
+// recordOutcome finishes the record after the request has ended.
+func (o *ownedRecord) recordOutcome(result upstream.Result, sink *recordingSink) {
 	switch {
-	case result.Whole && !sink.tooLong:
-		h.keep(sink)
+	case result.Whole && !sink.tooLarge:
+		o.recordResponse(sink)
 	case result.Fault != nil && result.Fault.Ran == fault.NotRun:
-		h.finish(rockwindpb.RecordState_RECORD_STATE_NOT_RUN, 0, "", nil)
+		o.finish(rockwindpb.RecordState_RECORD_STATE_NOT_RUN, 0, "", nil)
 	default:
-		h.finish(rockwindpb.RecordState_RECORD_STATE_UNKNOWN, 0, "", nil)
+		o.finish(rockwindpb.RecordState_RECORD_STATE_UNKNOWN, 0, "", nil)
 	}
 }
 
-// keep stores the answer and then names it in the record.
-func (h *heldRecord) keep(sink *keepingSink) {
+// recordResponse stores the response body and finishes the record with it.
+func (o *ownedRecord) recordResponse(sink *recordingSink) {
 	var reference *rockwindpb.BodyReference
-	if sink.kept.Len() > 0 {
+	if sink.body.Len() > 0 {
 		ctx, cancel := context.WithTimeout(context.Background(), finishTimeout)
 		defer cancel()
-		stored, err := h.gateway.control.Bodies().Store(ctx, &rockwindpb.StoreBodiesRequest{Bodies: [][]byte{sink.kept.Bytes()}})
+		stored, err := o.gateway.control.Bodies().Store(ctx, &rockwindpb.StoreBodiesRequest{Bodies: [][]byte{sink.body.Bytes()}})
 		if err != nil || len(stored.GetReferences()) != 1 {
-			h.finish(rockwindpb.RecordState_RECORD_STATE_UNKNOWN, 0, "", nil)
+			o.finish(rockwindpb.RecordState_RECORD_STATE_UNKNOWN, 0, "", nil)
 			return
 		}
 		reference = stored.GetReferences()[0]
 	}
-	h.finish(rockwindpb.RecordState_RECORD_STATE_FINISHED, int32(sink.status), sink.contentType, reference)
+	o.finish(rockwindpb.RecordState_RECORD_STATE_FINISHED, int32(sink.status), sink.contentType, reference)
 }
 
-func (h *heldRecord) finish(state rockwindpb.RecordState, status int32, contentType string, body *rockwindpb.BodyReference) {
+func (o *ownedRecord) finish(state rockwindpb.RecordState, status int32, contentType string, body *rockwindpb.BodyReference) {
 	ctx, cancel := context.WithTimeout(context.Background(), finishTimeout)
 	defer cancel()
-	_, err := h.gateway.control.Records().Finish(ctx, &rockwindpb.FinishRequestRequest{
-		Tenant: h.tenant, Key: h.key, Owner: h.owner, State: state,
+	_, err := o.gateway.control.Records().Finish(ctx, &rockwindpb.FinishRequestRequest{
+		Tenant: o.tenant, Key: o.key, Owner: o.owner, State: state,
 		Status: status, ContentType: contentType, Body: body,
 	})
 	if err != nil {
-		h.gateway.log.WithError(err).Warn("record of an idempotency key is left open")
+		o.gateway.log.WithError(err).Warn("can't finish the record of an idempotency key")
 	}
 }
--- a/internal/gateway/results.go
+++ b/internal/gateway/results.go
@@ -10,13 +10,13 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Sizes of reading results.
+// Limits of the reads of results.
 const (
-	// resultsPage is how many results are listed in one call.
+	// resultsPage is the number of results listed in one call.
 	resultsPage = 1000
-	// readGroupBytes bounds the bodies of one read.
+	// readGroupBytes is the size at which a group of bodies is read.
 	readGroupBytes = 2 << 20
-	// readGroupItems bounds the items of one read.
+	// readGroupItems is the most items in a group.
 	readGroupItems = 256
 )
 
@@ -30,31 +30,31 @@
 	return nil
 }
 
-// endedJob returns the job of a made file once the job has ended.
-func (g *Gateway) endedJob(r *http.Request, made madeFile) (*rockwindpb.Job, error) {
-	response, err := g.findJob(r, made.job)
+// endedJob returns the job of a result file. It fails if the job is still running.
+func (g *Gateway) endedJob(r *http.Request, file resultFile) (*rockwindpb.Job, error) {
+	response, err := g.findJob(r, file.job)
 	if err != nil {
 		return nil, err
 	}
 	job := response.GetJob()
 	if job.GetState() == rockwindpb.JobState_JOB_STATE_RUNNING {
-		return nil, fault.New(fault.NotFound, "the batch has not ended, so the file is not whole",
-			"ask for the batch until its status is completed or cancelled").WithRetryAfter(filePause)
+		return nil, fault.New(fault.NotFound, "the batch has not ended, so the file is not complete",
+			"ask for the batch until its status is completed or cancelled").WithRetryAfter(resultFileRetryAfter)
 	}
 	return job, nil
 }
 
-// serveMadeFile describes a file that is made from results.
-func (g *Gateway) serveMadeFile(w http.ResponseWriter, r *http.Request, made madeFile) {
-	job, err := g.endedJob(r, made)
+// serveResultFile handles GET /v1/files/{id} of a result file.
+func (g *Gateway) serveResultFile(w http.ResponseWriter, r *http.Request, file resultFile) {
+	job, err := g.endedJob(r, file)
 	if err != nil {
 		writeFault(w, err)
 		return
 	}
 	var size uint64
-	err = g.eachPage(r, job, func(results []*rockwindpb.ItemResult) error {
+	err = g.forEachResultPage(r, job, func(results []*rockwindpb.ItemResult) error {
 		for _, result := range results {
-			if made.takes(result) {
+			if file.includes(result) {
 				size += uint64(result.GetResult().GetLength()) + 1
 			}
 		}
@@ -65,13 +65,13 @@
 		return
 	}
 	writeJSON(w, fileObject{
-		ID: made.id(), Object: "file", Bytes: size, CreatedAt: job.GetEndedUnixMs() / millisecondsPerSecond,
-		Filename: made.id() + ".jsonl", Purpose: purposeOutput, Status: "processed",
+		ID: file.id(), Object: "file", Bytes: size, CreatedAt: job.GetEndedUnixMs() / millisecondsPerSecond,
+		Filename: file.id() + ".jsonl", Purpose: purposeOutput, Status: "processed",
 	})
 }
 
-// eachPage visits a job's results in the order of items.
-func (g *Gateway) eachPage(r *http.Request, job *rockwindpb.Job, visit func([]*rockwindpb.ItemResult) error) error {
+// forEachResultPage calls visit with the pages of a job's results in the order of items.
+func (g *Gateway) forEachResultPage(r *http.Request, job *rockwindpb.Job, visit func([]*rockwindpb.ItemResult) error) error {
 	for next := uint32(0); next < job.GetItemCount(); {
 		response, err := g.control.Jobs().ListResults(r.Context(), &rockwindpb.ListResultsRequest{
 			JobId: job.GetId(), Tenant: job.GetTenant(), FromItem: next, Limit: resultsPage,
@@ -90,31 +90,33 @@
 	return nil
 }
 
-// serveMadeContent writes the lines of a made file in the order of items.
-func (g *Gateway) serveMadeContent(w http.ResponseWriter, r *http.Request, made madeFile) {
-	job, err := g.endedJob(r, made)
+// serveResultContent handles GET /v1/files/{id}/content of a result file. The lines
+// are in the order of items.
+func (g *Gateway) serveResultContent(w http.ResponseWriter, r *http.Request, file resultFile) {
+	job, err := g.endedJob(r, file)
 	if err != nil {
 		writeFault(w, err)
 		return
 	}
-	output := &contentWriter{writer: w, bound: g.newAnswerBound(w)}
-	err = g.eachPage(r, job, func(results []*rockwindpb.ItemResult) error {
-		return g.writeResults(output, r, job, made, results)
+	output := &contentWriter{writer: w, deadline: g.newWriteDeadline(w)}
+	err = g.forEachResultPage(r, job, func(results []*rockwindpb.ItemResult) error {
+		return g.writeResults(output, r, job, file, results)
 	})
 	if err == nil {
 		return
 	}
 	if output.begun {
-		g.abandonContent(w, err)
+		g.abortContent(w, err)
 	}
 	writeFault(w, err)
 }
 
-// contentWriter notes whether anything was written.
+// contentWriter writes the content of a result file. begun is set after the first
+// write.
 type contentWriter struct {
-	writer http.ResponseWriter
-	bound  answerBound
-	begun  bool
+	writer   http.ResponseWriter
+	deadline writeDeadline
+	begun    bool
 }
 
 // Write implements io.Writer.
@@ -123,31 +125,31 @@
 		c.begun = true
 		c.writer.Header().Set(headerContentType, "application/jsonl")
 	}
-	c.bound.arm()
+	c.deadline.extend()
 	return c.writer.Write(p)
 }
 
-// writeResults writes those results of a page that belong into the file.
-func (g *Gateway) writeResults(output io.Writer, r *http.Request, job *rockwindpb.Job, made madeFile, results []*rockwindpb.ItemResult) error {
-	var taken []*rockwindpb.ItemResult
+// writeResults writes the results of a page that belong to the file.
+func (g *Gateway) writeResults(output io.Writer, r *http.Request, job *rockwindpb.Job, file resultFile, results []*rockwindpb.ItemResult) error {
+	var selected []*rockwindpb.ItemResult
 	size := 0
 	for _, result := range results {
-		if !made.takes(result) {
+		if !file.includes(result) {
 			continue
 		}
-		taken = append(taken, result)
+		selected = append(selected, result)
 		size += int(result.GetResult().GetLength())
-		if size >= readGroupBytes || len(taken) >= readGroupItems {
-			if err := g.writeGroup(output, r, job, taken); err != nil {
+		if size >= readGroupBytes || len(selected) >= readGroupItems {
+			if err := g.writeGroup(output, r, job, selected); err != nil {
 				return err
 			}
-			taken, size = nil, 0
+			selected, size = nil, 0
 		}
 	}
-	return g.writeGroup(output, r, job, taken)
+	return g.writeGroup(output, r, job, selected)
 }
 
-// writeGroup reads the bodies of some results and writes a line for each.
+// writeGroup reads the bodies of the results and writes a line for each.
 func (g *Gateway) writeGroup(output io.Writer, r *http.Request, job *rockwindpb.Job, results []*rockwindpb.ItemResult) error {
 	var references []*rockwindpb.BodyReference
 	for _, result := range results {
@@ -179,7 +181,7 @@
 	return nil
 }
 
-// failureLine describes an item that used up its tries without an answer.
+// failureLine returns the line of an item that has no response after all its tries.
 func (g *Gateway) failureLine(r *http.Request, job *rockwindpb.Job, result *rockwindpb.ItemResult) ([]byte, error) {
 	customID, err := g.customID(r, job, result.GetItem())
 	if err != nil {
@@ -189,7 +191,7 @@
 		"submit the item again in another batch", "the item was started %d times and gave no answer", result.GetTries()))
 }
 
-// customID reads the caller's name of an item from the input.
+// customID returns the custom_id of an item from the input file.
 func (g *Gateway) customID(r *http.Request, job *rockwindpb.Job, item uint32) (string, error) {
 	for _, chunk := range job.GetInput() {
 		if item < chunk.GetFirstItem() || item >= chunk.GetFirstItem()+chunk.GetItemCount() {
@@ -199,17 +201,17 @@
 		if err != nil {
 			return "", err
 		}
-		number := chunk.GetFirstItem()
+		current := chunk.GetFirstItem()
 		for line := range bytes.Lines(bodies[0]) {
 			trimmed := bytes.TrimSpace(line)
 			if len(trimmed) == 0 {
 				continue
 			}
-			if number == item {
+			if current == item {
 				parsed, _, err := parseItem(trimmed)
 				return parsed.CustomID, err
 			}
-			number++
+			current++
 		}
 	}
 	return "", nil
--- a/internal/gateway/services.go
+++ b/internal/gateway/services.go
@@ -12,13 +12,14 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// servicesPrefix is where services are found.
+// servicesPrefix is the path prefix of services.
 const servicesPrefix = "/services/"
 
-// defaultServiceTimeout bounds a service's silence when none is configured.
+// defaultServiceTimeout bounds the time to the first byte and between bytes of a
+// response if the service has no timeout configured.
 const defaultServiceTimeout = 30 * time.Second
 
-// serveService passes a request on to a plain HTTP service.
+// serveService relays a request to a plain HTTP service.
 func (g *Gateway) serveService(w http.ResponseWriter, r *http.Request) {
 	name := chi.URLParam(r, "service")
 	service, found := g.follower.Current().Service(name)
@@ -39,13 +40,13 @@
 	call.chooser = &chooser{view: g.view, wanted: serverview.Wanted{Service: name}}
 	call.upstream = &upstream.Request{
 		ID: w.Header().Get(upstream.HeaderRequestID), Kind: upstream.Service, Method: r.Method, Path: servicePath(r, name), Body: body,
-		Header: serviceHeader(r.Header), Repeatable: serviceRepeatable(r),
+		Header: forwardedHeader(r.Header), Repeatable: serviceRepeatable(r),
 		Timeouts: upstream.Timeouts{Connect: connectTimeout, FirstByte: timeout, BetweenBytes: timeout},
 	}
 	call.serve()
 }
 
-// servicePath is the path at the service, with the query.
+// servicePath returns the path and query of the request at the service.
 func servicePath(r *http.Request, name string) string {
 	path := strings.TrimPrefix(r.URL.EscapedPath(), servicesPrefix+name)
 	if !strings.HasPrefix(path, "/") {
@@ -57,21 +58,21 @@
 	return path
 }
 
-// serviceHeader is what a service gets of the caller's headers. API keys are
-// for the gateway only.
-func serviceHeader(header http.Header) http.Header {
-	passed := make(http.Header, len(header))
+// forwardedHeader returns the headers that are forwarded to a service. API keys are
+// removed.
+func forwardedHeader(header http.Header) http.Header {
+	forwarded := make(http.Header, len(header))
 	for name, values := range header {
-		if hopHeaders[name] || name == headerAuthorization || name == headerAPIKey {
+		if hopByHopHeaders[name] || name == headerAuthorization || name == headerAPIKey {
 			continue
 		}
-		passed[name] = values
+		forwarded[name] = values
 	}
-	return passed
+	return forwarded
 }
 
-// serviceRepeatable tells whether a request to a service may run more than
-// once: where the caller says so, and else where its method is safe.
+// serviceRepeatable reports whether a request to a service may run more than once: as
+// the caller specifies, otherwise if its method is safe.
 func serviceRepeatable(r *http.Request) bool {
 	if value := r.Header.Get(headerRepeatable); value != "" {
 		return value == "true"
--- a/internal/gateway/serving_test.go
+++ b/internal/gateway/serving_test.go
@@ -25,7 +25,8 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// slowConfig is an engine whose streams last long enough to meet a stop.
+// slowConfig configures an engine whose streams last long enough for a drain to begin
+// during them.
 func slowConfig() engine.Config {
 	config := engine.FastConfig()
 	config.TokensPerStep = 1
@@ -33,16 +34,16 @@
 	return config
 }
 
-// status is what a probe answers.
-func (f *fleet) status(url string) int {
+// getStatus returns the HTTP status of a GET request.
+func (f *fixture) getStatus(url string) int {
 	f.t.Helper()
-	response, err := f.http.Get(url)
+	response, err := f.httpClient.Get(url)
 	must(f.t, err)
 	defer response.Body.Close()
 	return response.StatusCode
 }
 
-// errorOf reads a typed error.
+// errorOf decodes an error response.
 func errorOf(t *testing.T, response *http.Response) errorObject {
 	t.Helper()
 	defer response.Body.Close()
@@ -52,12 +53,12 @@
 }
 
 // post sends a request as the test tenant.
-func (f *fleet) post(path, body string) (*http.Response, error) {
-	return f.http.Do(f.request(path, body))
+func (f *fixture) post(path, body string) (*http.Response, error) {
+	return f.httpClient.Do(f.request(path, body))
 }
 
-// request makes a request of the test tenant.
-func (f *fleet) request(path, body string) *http.Request {
+// request returns a POST request of the test tenant.
+func (f *fixture) request(path, body string) *http.Request {
 	request, err := http.NewRequest(http.MethodPost, f.url+path, strings.NewReader(body))
 	must(f.t, err)
 	request.Header.Set(headerAuthorization, bearerPrefix+testKey)
@@ -66,43 +67,43 @@
 
 const shortRequest = `{"model":"` + testModel + `","max_tokens":1,"messages":[{"role":"user","content":"x"}]}`
 
-// keptConnection is a caller's connection that stays open between requests.
-type keptConnection struct {
+// keepAliveConnection sends several requests over one connection.
+type keepAliveConnection struct {
 	t      testing.TB
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-func (f *fleet) keepConnection() *keptConnection {
+func (f *fixture) dialKeepAlive() *keepAliveConnection {
 	conn, err := net.Dial("tcp", strings.TrimPrefix(f.url, "http://"))
 	must(f.t, err)
 	f.t.Cleanup(func() { conn.Close() })
-	return &keptConnection{t: f.t, conn: conn, reader: bufio.NewReader(conn)}
+	return &keepAliveConnection{t: f.t, conn: conn, reader: bufio.NewReader(conn)}
 }
 
-func (k *keptConnection) send(request *http.Request) *http.Response {
+func (k *keepAliveConnection) send(request *http.Request) *http.Response {
 	must(k.t, request.Write(k.conn))
 	response, err := http.ReadResponse(k.reader, request)
 	must(k.t, err)
 	return response
 }
 
-// TestDrainAnswersKeptConnections sends a request by a connection that was idle
-// when the drain began: it is refused as not run, and not cut off.
+// TestDrainAnswersKeptConnections verifies that a request on a keep-alive connection
+// that was idle when the drain began gets a response and is not cut off.
 func TestDrainAnswersKeptConnections(t *testing.T) {
-	f := startFleet(t, 1, slowConfig())
+	f := startFixture(t, 1, slowConfig())
 	client := f.client()
 	stream := client.Chat.Completions.NewStreaming(context.Background(), chatParameters(testModel, "a long saga", 100))
 	defer stream.Close()
 	if !stream.Next() {
 		t.Fatal(stream.Err())
 	}
-	kept := f.keepConnection()
-	first := kept.send(f.request(pathChatCompletions, shortRequest))
+	connection := f.dialKeepAlive()
+	first := connection.send(f.request(pathChatCompletions, shortRequest))
 	_, _ = io.Copy(io.Discard, first.Body)
 	f.stop()
 	<-f.gateway.drain.started
-	answer := kept.send(f.request(pathChatCompletions, shortRequest))
+	answer := connection.send(f.request(pathChatCompletions, shortRequest))
 	if refusal := errorOf(t, answer); answer.StatusCode != http.StatusServiceUnavailable || refusal.Ran != "not_run" || !answer.Close {
 		t.Errorf("answered with %d %+v, closing %v", answer.StatusCode, refusal, answer.Close)
 	}
@@ -112,17 +113,17 @@
 }
 
 func TestStopCutsNoStream(t *testing.T) {
-	t.Run("HTTP/1.1 in the clear", func(t *testing.T) { checkStop(t, startFleet(t, 1, slowConfig())) })
-	t.Run("HTTP/2 by TLS", func(t *testing.T) {
-		f := newFleet(t)
-		f.secureCallers()
+	t.Run("HTTP/1.1 without TLS", func(t *testing.T) { checkStop(t, startFixture(t, 1, slowConfig())) })
+	t.Run("HTTP/2 over TLS", func(t *testing.T) {
+		f := newFixture(t)
+		f.enableTLS()
 		f.start(1, slowConfig())
 		checkStop(t, f)
 	})
 }
 
-func checkStop(t *testing.T, f *fleet) {
-	if f.status(f.url+pathReady) != http.StatusOK || f.status(f.probes+pathReady) != http.StatusOK {
+func checkStop(t *testing.T, f *fixture) {
+	if f.getStatus(f.url+pathReady) != http.StatusOK || f.getStatus(f.internalURL+pathReady) != http.StatusOK {
 		t.Fatal("the gateway is not ready")
 	}
 	client := f.client()
@@ -136,11 +137,11 @@
 	text := stream.Current().Choices[0].Delta.Content
 	f.stop()
 	<-f.gateway.drain.started
-	for _, base := range []string{f.url, f.probes} {
-		if status := f.status(base + pathReady); status != http.StatusServiceUnavailable {
+	for _, base := range []string{f.url, f.internalURL} {
+		if status := f.getStatus(base + pathReady); status != http.StatusServiceUnavailable {
 			t.Errorf("readiness while draining is %d", status)
 		}
-		if status := f.status(base + pathAlive); status != http.StatusOK {
+		if status := f.getStatus(base + pathAlive); status != http.StatusOK {
 			t.Errorf("health while draining is %d", status)
 		}
 	}
@@ -150,7 +151,7 @@
 		t.Errorf("a new request was answered with %d %+v", response.StatusCode, refusal)
 	}
 	if draining, active := f.gateway.drain.state(); !draining || active == 0 {
-		t.Error("the stream ended before the stop was looked at")
+		t.Error("the stream ended before the drain was checked")
 	}
 	select {
 	case <-f.gateway.drain.idle:
@@ -169,10 +170,10 @@
 }
 
 func TestLimitsOfTenants(t *testing.T) {
-	f := startFleet(t, 1, slowConfig())
+	f := startFixture(t, 1, slowConfig())
 	limit := func(limits *rockwindpb.Limits) {
 		next := f.configuration()
-		next.Number = f.source.Current().Number() + 1
+		next.Number = f.configurations.Current().Number() + 1
 		next.Tenants[0].Limits = limits
 		f.configure(next)
 	}
@@ -210,17 +211,17 @@
 	expectRefusal("tokens_per_second")
 }
 
-// TestCutAnswerEndsItsGrant sends requests to a service that breaks its answers
-// off: the caller sees no whole answer, and the tenant's concurrency is free
-// again.
-func TestCutAnswerEndsItsGrant(t *testing.T) {
+// TestAbortedResponseReleasesConcurrency verifies that a request whose response the
+// service aborts is aborted for the caller too and no longer counts for the
+// concurrency limit.
+func TestAbortedResponseReleasesConcurrency(t *testing.T) {
 	broken := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "a part")
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	}))
 	t.Cleanup(broken.Close)
-	f := startFleet(t, 1, engine.FastConfig())
+	f := startFixture(t, 1, engine.FastConfig())
 	next := proto.CloneOf(f.configuration())
 	next.Number = 2
 	next.Tenants[0].Limits = &rockwindpb.Limits{Concurrency: 1}
@@ -237,7 +238,7 @@
 		}
 		defer response.Body.Close()
 		if response.StatusCode == http.StatusTooManyRequests {
-			t.Fatal("the concurrency is used up by requests that have ended")
+			t.Fatal("requests that have ended still count for the concurrency limit")
 		}
 		_, err = io.ReadAll(response.Body)
 		return err != nil
@@ -251,8 +252,8 @@
 	}
 }
 
-// secureCallers turns TLS for callers on; the callers may use HTTP/2.
-func (f *fleet) secureCallers() {
+// enableTLS turns TLS for callers on and makes the client use HTTP/2.
+func (f *fixture) enableTLS() {
 	signer, err := authority.New("callers", time.Hour)
 	must(f.t, err)
 	folder := f.t.TempDir()
@@ -264,36 +265,36 @@
 	pool.AppendCertsFromPEM(signer.Certificate())
 	transport := &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}, ForceAttemptHTTP2: true}
 	f.t.Cleanup(transport.CloseIdleConnections)
-	f.http = &http.Client{Transport: transport}
+	f.httpClient = &http.Client{Transport: transport}
 }
 
 func TestCallersOverTLS(t *testing.T) {
-	f := newFleet(t)
-	f.secureCallers()
+	f := newFixture(t)
+	f.enableTLS()
 	f.start(1, engine.FastConfig())
 	ctx, cancel := context.WithTimeout(context.Background(), testWait)
 	defer cancel()
 	client := f.client()
-	response, err := f.http.Get(f.url + pathAlive)
+	response, err := f.httpClient.Get(f.url + pathAlive)
 	must(t, err)
 	response.Body.Close()
 	if response.ProtoMajor != 2 {
-		t.Errorf("callers by TLS speak %s", response.Proto)
+		t.Errorf("callers over TLS use %s", response.Proto)
 	}
 	checkChat(ctx, t, client)
 	checkStream(ctx, t, client)
 	checkBatchOverTLS(ctx, t, f, client)
 
-	distrustful := f.client(option.WithHTTPClient(http.DefaultClient))
-	_, err = distrustful.Models.List(ctx)
+	untrustingCaller := f.client(option.WithHTTPClient(http.DefaultClient))
+	_, err = untrustingCaller.Models.List(ctx)
 	if err == nil || !strings.Contains(err.Error(), "unknown authority") {
-		t.Errorf("a caller that does not know the authority got %v", err)
+		t.Errorf("a caller that does not trust the certificate authority got %v", err)
 	}
 }
 
-func checkBatchOverTLS(ctx context.Context, t *testing.T, f *fleet, client openai.Client) {
-	asked := texts(20, "clue")
-	created := submitBatch(ctx, t, client, uploadBatch(ctx, t, client, inputFile(asked, 8)).ID)
+func checkBatchOverTLS(ctx context.Context, t *testing.T, f *fixture, client openai.Client) {
+	texts := numberedTexts(20, "clue")
+	created := submitBatch(ctx, t, client, uploadBatch(ctx, t, client, inputFile(texts, 8)).ID)
 	ended := awaitBatch(ctx, t, f, client, created.ID)
-	checkOutput(ctx, t, client, ended.OutputFileID, asked, 8)
+	checkOutput(ctx, t, client, ended.OutputFileID, texts, 8)
 }
--- a/internal/gateway/sink.go
+++ b/internal/gateway/sink.go
@@ -8,36 +8,36 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// hopHeaders are headers that concern one connection only, or that the gateway
-// sets itself. They are not passed on in either direction.
-var hopHeaders = map[string]bool{
+// hopByHopHeaders are not forwarded in either direction: they apply to a single
+// connection or are set by the gateway.
+var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Proxy-Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 	"Content-Length": true, upstream.HeaderRequestID: true,
 }
 
-// callerSink writes an answer to the caller.
+// callerSink writes a response to the caller.
 type callerSink struct {
-	writer http.ResponseWriter
-	bound  answerBound
-	// onBegin is called with the first byte of the answer; it may be nil.
+	writer   http.ResponseWriter
+	deadline writeDeadline
+	// onBegin is called when the response begins; it may be nil.
 	onBegin func()
-	// onTokens is called with the number of the last token passed on; it may be
-	// nil.
+	// onTokens is called with the sequence number of the last token relayed; it may
+	// be nil.
 	onTokens func(sequence uint64)
-	// flush is set for answers that are passed on as they come.
+	// flush is set for responses of unknown length, which are flushed after each write.
 	flush bool
 }
 
 func (g *Gateway) newCallerSink(w http.ResponseWriter, onBegin func()) *callerSink {
-	return &callerSink{writer: w, bound: g.newAnswerBound(w), onBegin: onBegin}
+	return &callerSink{writer: w, deadline: g.newWriteDeadline(w), onBegin: onBegin}
 }
 
 // Begin implements upstream.Sink.
 func (s *callerSink) Begin(status int, header http.Header, length int64) error {
 	target := s.writer.Header()
 	for name, values := range header {
-		if !hopHeaders[name] {
+		if !hopByHopHeaders[name] {
 			target[name] = values
 		}
 	}
@@ -54,12 +54,12 @@
 
 // Write implements upstream.Sink.
 func (s *callerSink) Write(p []byte) error {
-	s.bound.arm()
+	s.deadline.extend()
 	if _, err := s.writer.Write(p); err != nil {
 		return err
 	}
 	if s.flush {
-		return s.bound.control.Flush()
+		return s.deadline.control.Flush()
 	}
 	return nil
 }
@@ -71,42 +71,42 @@
 	}
 }
 
-// maximumKeptAnswer bounds the answer that is kept under an idempotency key.
-const maximumKeptAnswer = 4 << 20
+// maximumRecordedBytes limits the response body recorded for an idempotency key.
+const maximumRecordedBytes = 4 << 20
 
-// keepingSink passes an answer on and keeps a copy. It goes on when the caller
-// is gone, so that a resend finds the whole answer.
-type keepingSink struct {
+// recordingSink forwards a response to the next sink and keeps a copy. It goes on
+// after the caller disconnected, so that a resend gets the complete response.
+type recordingSink struct {
 	next        upstream.Sink
-	callerGone  bool
+	callerLeft  bool
 	status      int
 	contentType string
-	kept        bytes.Buffer
-	tooLong     bool
+	body        bytes.Buffer
+	tooLarge    bool
 }
 
 // Begin implements upstream.Sink.
-func (s *keepingSink) Begin(status int, header http.Header, length int64) error {
+func (s *recordingSink) Begin(status int, header http.Header, length int64) error {
 	s.status = status
 	s.contentType = header.Get(headerContentType)
 	if err := s.next.Begin(status, header, length); err != nil {
-		s.callerGone = true
+		s.callerLeft = true
 	}
 	return nil
 }
 
 // Write implements upstream.Sink.
-func (s *keepingSink) Write(p []byte) error {
-	if s.kept.Len()+len(p) > maximumKeptAnswer {
-		s.tooLong = true
+func (s *recordingSink) Write(p []byte) error {
+	if s.body.Len()+len(p) > maximumRecordedBytes {
+		s.tooLarge = true
 	} else {
-		s.kept.Write(p)
+		s.body.Write(p)
 	}
-	if s.callerGone {
+	if s.callerLeft {
 		return nil
 	}
 	if err := s.next.Write(p); err != nil {
-		s.callerGone = true
+		s.callerLeft = true
 	}
 	return nil
 }
--- a/internal/gateway/stall.go
+++ b/internal/gateway/stall.go
@@ -6,40 +6,41 @@
 	"time"
 )
 
-// stallLimits bound how long a caller may stand still in the middle of a request,
-// so that it holds neither a place nor a planned stop for ever.
+// stallLimits bounds how long a caller may stall in the middle of a request, so that
+// it can't occupy a concurrency slot or delay a shutdown indefinitely.
 type stallLimits struct {
-	// body is how long a caller may send nothing of a request's body.
-	body time.Duration
-	// answer is how long a caller may take nothing of an answer; it is noticed
-	// after up to a quarter more.
-	answer time.Duration
+	// requestBody is the longest time without data of the request body.
+	requestBody time.Duration
+	// response is the longest time for which the caller may read nothing of the
+	// response. Up to a quarter more may pass before the request is cancelled.
+	response time.Duration
 }
 
-// defaultStallLimits are those of a daemon.
-var defaultStallLimits = stallLimits{body: 30 * time.Second, answer: 2 * time.Minute}
+// defaultStallLimits apply outside of tests.
+var defaultStallLimits = stallLimits{requestBody: 30 * time.Second, response: 2 * time.Minute}
 
-// boundBody makes reads of the body fail when the caller stands still.
-func (g *Gateway) boundBody(next http.Handler) http.Handler {
+// limitBodyStalls makes reads of the request body fail if the caller stalls.
+func (g *Gateway) limitBodyStalls(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Body != nil && r.Body != http.NoBody {
-			r.Body = &boundedBody{ReadCloser: r.Body, control: http.NewResponseController(w), limit: g.stalls.body}
+			r.Body = &stallLimitedBody{ReadCloser: r.Body, control: http.NewResponseController(w), limit: g.stalls.requestBody}
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// boundedBody is a request's body whose silence is bounded.
-type boundedBody struct {
+// stallLimitedBody is a request body with a deadline for each read.
+type stallLimitedBody struct {
 	io.ReadCloser
 	control *http.ResponseController
 	limit   time.Duration
 }
 
-// Read implements io.Reader. Behind the end of the body the server waits for the
-// caller to leave, which has no limit. After any other error the limit stays over,
-// so that the server does not wait for the rest of the body.
-func (b *boundedBody) Read(p []byte) (int, error) {
+// Read implements io.Reader. At the end of the body it clears the deadline, because
+// the server then reads in the background to detect that the caller disconnects.
+// After other errors the deadline remains, so that the server does not wait for the
+// rest of the body.
+func (b *stallLimitedBody) Read(p []byte) (int, error) {
 	_ = b.control.SetReadDeadline(time.Now().Add(b.limit))
 	n, err := b.ReadCloser.Read(p)
 	if err == io.EOF {
@@ -48,24 +49,24 @@
 	return n, err
 }
 
-// answerBound makes writes of an answer fail when the caller stands still.
-type answerBound struct {
-	control    *http.ResponseController
-	limit      time.Duration
-	armedUntil time.Time
+// writeDeadline makes writes of a response fail if the caller stalls.
+type writeDeadline struct {
+	control *http.ResponseController
+	limit   time.Duration
+	until   time.Time
 }
 
-func (g *Gateway) newAnswerBound(w http.ResponseWriter) answerBound {
-	return answerBound{control: http.NewResponseController(w), limit: g.stalls.answer}
+func (g *Gateway) newWriteDeadline(w http.ResponseWriter) writeDeadline {
+	return writeDeadline{control: http.NewResponseController(w), limit: g.stalls.response}
 }
 
-// arm is called before each write. It moves the deadline only when a quarter of
-// the limit has passed, so that no timer is touched for a token.
-func (a *answerBound) arm() {
+// extend must be called before each write. It moves the deadline only after a quarter
+// of the limit has passed, because resetting a timer for each token is expensive.
+func (d *writeDeadline) extend() {
 	now := time.Now()
-	if a.armedUntil.Sub(now) > a.limit {
+	if d.until.Sub(now) > d.limit {
 		return
 	}
-	a.armedUntil = now.Add(a.limit + a.limit/4)
-	_ = a.control.SetWriteDeadline(a.armedUntil)
+	d.until = now.Add(d.limit + d.limit/4)
+	_ = d.control.SetWriteDeadline(d.until)
 }
--- a/internal/gateway/stall_test.go
+++ b/internal/gateway/stall_test.go
@@ -17,18 +17,18 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// shortStall is a limit that a caller in a test is meant to reach.
+// shortStall is a stall limit for tests in which the caller exceeds it.
 const shortStall = 50 * time.Millisecond
 
-// open sends the head of a request, and so much of its body, by a connection of
-// its own.
-func (f *fleet) open(path string, length int, part string) net.Conn {
+// sendPartial sends the header of a request and a part of its body over a new
+// connection.
+func (f *fixture) sendPartial(path string, length int, part string) net.Conn {
 	f.t.Helper()
-	return f.openAs(testKey, path, length, part)
+	return f.sendPartialAs(testKey, path, length, part)
 }
 
-// openAs is open with another API key.
-func (f *fleet) openAs(key, path string, length int, part string) net.Conn {
+// sendPartialAs is sendPartial with the given API key.
+func (f *fixture) sendPartialAs(key, path string, length int, part string) net.Conn {
 	f.t.Helper()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(f.url, "http://"))
 	must(f.t, err)
@@ -38,19 +38,19 @@
 	return conn
 }
 
-func (f *fleet) awaitIdle() {
+func (f *fixture) awaitIdle() {
 	f.t.Helper()
 	f.await("the end of all requests", func() bool { _, active := f.gateway.drain.state(); return active == 0 })
 }
 
-// TestCallerThatStopsSendingIsRefused begins requests and never ends them: each is
-// refused as not run, and none holds up a stop.
+// TestCallerThatStopsSendingIsRefused verifies that requests whose body is never
+// completed are refused as not run and no longer count as in progress.
 func TestCallerThatStopsSendingIsRefused(t *testing.T) {
-	f := newFleet(t)
-	f.stalls = stallLimits{body: shortStall, answer: testWait}
+	f := newFixture(t)
+	f.stalls = stallLimits{requestBody: shortStall, response: testWait}
 	f.start(1, engine.FastConfig())
 	for _, path := range []string{pathChatCompletions, "/v1/batches", servicesPrefix + testService + "/book"} {
-		conn := f.open(path, 1000, "{")
+		conn := f.sendPartial(path, 1000, "{")
 		response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		must(t, err)
 		if refusal := errorOf(t, response); response.StatusCode != http.StatusBadRequest || refusal.Ran != "not_run" {
@@ -60,11 +60,11 @@
 	f.awaitIdle()
 }
 
-// TestLongAnswerOutlastsTheLimitOfTheBody reads a stream that lasts longer than a
-// caller may stand still while it sends.
-func TestLongAnswerOutlastsTheLimitOfTheBody(t *testing.T) {
-	f := newFleet(t)
-	f.stalls = stallLimits{body: shortStall, answer: testWait}
+// TestResponseMayOutlastBodyLimit verifies that the stall limit of the request body
+// does not end a longer response.
+func TestResponseMayOutlastBodyLimit(t *testing.T) {
+	f := newFixture(t)
+	f.stalls = stallLimits{requestBody: shortStall, response: testWait}
 	f.start(1, slowConfig())
 	body := strings.Replace(shortRequest, `"max_tokens":1`, `"max_tokens":30,"stream":true`, 1)
 	response, err := f.post(pathChatCompletions, body)
@@ -77,9 +77,9 @@
 	}
 }
 
-// TestCallerThatStopsReadingIsLeft asks for an answer without end and reads
-// nothing of it.
-func TestCallerThatStopsReadingIsLeft(t *testing.T) {
+// TestCallerThatStopsReadingIsDisconnected verifies that a request ends if its caller
+// does not read the response.
+func TestCallerThatStopsReadingIsDisconnected(t *testing.T) {
 	part := strings.Repeat("x", 64<<10)
 	endless := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		for {
@@ -89,8 +89,8 @@
 		}
 	}))
 	t.Cleanup(endless.Close)
-	f := newFleet(t)
-	f.stalls = stallLimits{body: testWait, answer: shortStall}
+	f := newFixture(t)
+	f.stalls = stallLimits{requestBody: testWait, response: shortStall}
 	f.start(1, engine.FastConfig())
 	next := proto.CloneOf(f.configuration())
 	next.Number = 2
@@ -101,17 +101,17 @@
 	}
 	f.configure(next)
 	f.await("the endless service to be in use", func() bool {
-		conn := f.open(servicesPrefix+testService+"/book", 0, "")
+		conn := f.sendPartial(servicesPrefix+testService+"/book", 0, "")
 		response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		return err == nil && response.StatusCode == http.StatusOK && response.ContentLength < 0
 	})
 	f.awaitIdle()
 }
 
-// TestRefusalsDoNotWaitForTheBody sends heads whose short bodies never come, with a
-// key that is not known and to a gateway that drains.
+// TestRefusalsDoNotWaitForTheBody verifies that requests with an unknown API key, or to
+// a draining gateway, are refused before their body is received.
 func TestRefusalsDoNotWaitForTheBody(t *testing.T) {
-	f := startFleet(t, 1, slowConfig())
+	f := startFixture(t, 1, slowConfig())
 	expect := func(conn net.Conn, status int) {
 		t.Helper()
 		must(t, conn.SetReadDeadline(time.Now().Add(testWait)))
@@ -121,7 +121,7 @@
 			t.Errorf("answered with %d %+v", response.StatusCode, refusal)
 		}
 	}
-	expect(f.openAs("unknown", pathFiles, 1000, ""), http.StatusUnauthorized)
+	expect(f.sendPartialAs("unknown", pathFiles, 1000, ""), http.StatusUnauthorized)
 	client := f.client()
 	stream := client.Chat.Completions.NewStreaming(t.Context(), chatParameters(testModel, "a long saga", 1000))
 	defer stream.Close()
@@ -130,5 +130,5 @@
 	}
 	f.stop()
 	<-f.gateway.drain.started
-	expect(f.open(pathFiles, 1000, ""), http.StatusServiceUnavailable)
+	expect(f.sendPartial(pathFiles, 1000, ""), http.StatusServiceUnavailable)
 }
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -6,8 +6,8 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// groupUsage counts the service that groups received since the last exchange,
-// in cost units. It is safe for concurrent use.
+// groupUsage accumulates the cost of served requests by tenant group since the last
+// exchange. It is safe for concurrent use.
 type groupUsage struct {
 	mutex  sync.Mutex
 	groups map[string]*rockwindpb.GroupUsage
@@ -26,47 +26,47 @@
 	return found
 }
 
-// online counts service to online requests.
-func (u *groupUsage) online(group string, cost float64) {
+// addOnline adds the cost of an online request.
+func (u *groupUsage) addOnline(group string, cost float64) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	u.group(group).OnlineCost += cost
 }
 
-// batch counts service to batch items.
-func (u *groupUsage) batch(group string, cost float64) {
+// addBatch adds the cost of a batch item.
+func (u *groupUsage) addBatch(group string, cost float64) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	u.group(group).BatchCost += cost
 }
 
-// servedBatch counts service to a batch item for its group and its model.
-func (g *Gateway) servedBatch(group, model string, cost float64) {
-	g.usage.batch(group, cost)
-	g.models.batch(model, cost)
+// addBatchUsage adds the cost of a batch item to its group and its model.
+func (g *Gateway) addBatchUsage(group, model string, cost float64) {
+	g.groupUsage.addBatch(group, cost)
+	g.modelUsage.addBatch(model, cost)
 }
 
-// take returns the counts and starts anew; demand is the cost of batch work
-// that waits, by group.
+// take returns the accumulated usage and resets it. demand is the cost of the batch
+// items that wait or run, by group.
 func (u *groupUsage) take(demand map[string]float64) []*rockwindpb.GroupUsage {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	for group, cost := range demand {
 		u.group(group).Demand = cost
 	}
-	taken := make([]*rockwindpb.GroupUsage, 0, len(u.groups))
+	counts := make([]*rockwindpb.GroupUsage, 0, len(u.groups))
 	for _, usage := range u.groups {
-		taken = append(taken, usage)
+		counts = append(counts, usage)
 	}
 	u.groups = make(map[string]*rockwindpb.GroupUsage)
-	return taken
+	return counts
 }
 
-// restore gives back counts that were not delivered.
-func (u *groupUsage) restore(taken []*rockwindpb.GroupUsage) {
+// restore adds back usage that could not be delivered.
+func (u *groupUsage) restore(counts []*rockwindpb.GroupUsage) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
-	for _, usage := range taken {
+	for _, usage := range counts {
 		found := u.group(usage.GetGroup())
 		found.OnlineCost += usage.GetOnlineCost()
 		found.BatchCost += usage.GetBatchCost()
