--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -143,16 +143,16 @@
 
 func (f *fixture) startGateway() {
 	folder := f.t.TempDir()
-	wanted := &rockwindpb.GatewaySettings{
+	gatewaySettings := &rockwindpb.GatewaySettings{
 		Name: "gateway-a", Zone: testZone, Listen: "127.0.0.1:0", InternalListen: "127.0.0.1:0", DataFolder: folder,
 		ExchangeInterval: durationpb.New(100 * time.Millisecond), BatchConcurrency: 64,
 	}
 	ring := logring.New(64, io.Discard)
 	logger := &log.Logger{Handler: ring, Level: log.InfoLevel}
-	wanted.CallerTls = f.callerTLS
-	opened, err := openCertificates(wanted, logger)
+	gatewaySettings.CallerTls = f.callerTLS
+	opened, err := openCertificates(gatewaySettings, logger)
 	must(f.t, err)
-	f.gateway = assemble(wanted, ring, logger, f.configurations, f.control, upstream.NewClient())
+	f.gateway = assemble(gatewaySettings, ring, logger, f.configurations, f.control, upstream.NewClient())
 	f.gateway.useCertificates(opened)
 	if f.stalls != (stallLimits{}) {
 		f.gateway.stalls = f.stalls
--- a/internal/gateway/limiting.go
+++ b/internal/gateway/limiting.go
@@ -45,9 +45,9 @@
 	writeFault(w, err)
 }
 
-// closeAfterResponse closes an HTTP/1 connection after the response. Otherwise the
-// HTTP server would first read a part of the unread body, and a slow caller could
-// delay the response. HTTP/2 resets only the stream.
+// closeAfterResponse closes an HTTP/1 connection after the response and limits the
+// wait for the unread body. Otherwise the HTTP server would first read a part of it,
+// and a slow caller could delay the response. HTTP/2 resets only the stream.
 func (g *Gateway) closeAfterResponse(w http.ResponseWriter, r *http.Request) {
 	if r.ProtoMajor != 1 {
 		return
--- a/internal/gateway/openai_test.go
+++ b/internal/gateway/openai_test.go
@@ -42,9 +42,9 @@
 }
 
 func checkChat(ctx context.Context, t *testing.T, client openai.Client) {
-	answer, err := client.Chat.Completions.New(ctx, chatParameters(testModel, "when is the next free chair", 24))
+	completion, err := client.Chat.Completions.New(ctx, chatParameters(testModel, "when is the next free chair", 24))
 	must(t, err)
-	if got, want := answer.Choices[0].Message.Content, answerTo("when is the next free chair", 24); got != want {
+	if got, want := completion.Choices[0].Message.Content, answerTo("when is the next free chair", 24); got != want {
 		t.Fatalf("answer %q, want %q", got, want)
 	}
 }
--- a/internal/gateway/serving_test.go
+++ b/internal/gateway/serving_test.go
@@ -103,9 +103,9 @@
 	_, _ = io.Copy(io.Discard, first.Body)
 	f.stop()
 	<-f.gateway.drain.started
-	answer := connection.send(f.request(pathChatCompletions, shortRequest))
-	if refusal := errorOf(t, answer); answer.StatusCode != http.StatusServiceUnavailable || refusal.Ran != "not_run" || !answer.Close {
-		t.Errorf("answered with %d %+v, closing %v", answer.StatusCode, refusal, answer.Close)
+	response := connection.send(f.request(pathChatCompletions, shortRequest))
+	if refusal := errorOf(t, response); response.StatusCode != http.StatusServiceUnavailable || refusal.Ran != "not_run" || !response.Close {
+		t.Errorf("answered with %d %+v, closing %v", response.StatusCode, refusal, response.Close)
 	}
 	for stream.Next() {
 	}
--- a/internal/gateway/stall_test.go
+++ b/internal/gateway/stall_test.go
@@ -70,10 +70,10 @@
 	response, err := f.post(pathChatCompletions, body)
 	must(t, err)
 	defer response.Body.Close()
-	answer, err := io.ReadAll(response.Body)
+	content, err := io.ReadAll(response.Body)
 	must(t, err)
-	if !strings.Contains(string(answer), "data: [DONE]") {
-		t.Errorf("the stream ended with %q", answer[max(0, len(answer)-200):])
+	if !strings.Contains(string(content), "data: [DONE]") {
+		t.Errorf("the stream ended with %q", content[max(0, len(content)-200):])
 	}
 }
 
