--- a/internal/follower/export_test.go
+++ b/internal/follower/export_test.go
@@ -1,4 +1,4 @@
 package follower
 
-// Its figure that the tests use.
-const LongestAvoidance = longestAvoidance
+// MaxAvoidDuration is exported for tests.
+const MaxAvoidDuration = maxAvoidDuration
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -1,7 +1,7 @@
-// Package follower keeps a daemon on the newest configuration. It asks the
-// control replicas in turn, verifies the checksum of the whole, syncs the
-// configuration to disk and only then puts it in force. It never moves to a lower
-// number, and goes on with the last configuration while control is away.
+// Package follower keeps a daemon on the latest configuration. It polls the control replicas in
+// turn, verifies the checksum of the full configuration, syncs it to disk and then makes it
+// current. It never goes back to a lower number, and keeps the last configuration while control is
+// unreachable.
 package follower
 
 import (
@@ -22,102 +22,101 @@
 
 // Defaults of the options.
 const (
-	// DefaultWait is how long a replica may hold a call without news. It also
-	// bounds how long a replica that is cut off can keep a daemon behind.
+	// DefaultWait is how long a replica may hold a call without news. It also bounds how long a
+	// partitioned replica can delay an update.
 	DefaultWait = 3 * time.Second
-	// firstWait is how long a replica may hold a call of a daemon that has no
-	// configuration yet.
-	firstWait = 500 * time.Millisecond
+	// initialWait is how long a replica may hold a call of a daemon that has no configuration yet.
+	initialWait = 500 * time.Millisecond
 	// DefaultGrace is how much longer than the wait an answer may take.
 	DefaultGrace = time.Second
-	// DefaultRetry is the first pause after a failed call, and the pause after an
-	// empty answer that came too early.
+	// DefaultRetry is the first pause after a failed call, and the pause after an answer without
+	// news that came too early.
 	DefaultRetry = 200 * time.Millisecond
-	// DefaultMaximumRetry bounds the pause after many failures.
+	// DefaultMaximumRetry bounds the pause after repeated failures.
 	DefaultMaximumRetry = 3 * time.Second
 )
 
-// Options of a follower.
+// Options are the options of a follower.
 type Options struct {
-	// Sources are the control replicas. They are asked in turn, so that one that
-	// is cut off or frozen delays a change by one wait at most.
+	// Sources are the control replicas. They are polled in turn, so that a partitioned or hanging
+	// one delays an update by one wait at most.
 	Sources []rockwindpb.ConfigurationService
-	// Folder holds the configurations on disk; it is created. A daemon without a
-	// disk leaves it empty and has no configuration after a restart.
+	// Folder holds the configurations on disk and is created if needed. If it is empty, nothing is
+	// stored and there is no configuration after a restart.
 	Folder string
-	// Log may be nil.
+	// Log is the destination of log messages; the default logger if nil.
 	Log log.Interface
-	// Random spreads the retries of many daemons; nil takes a random seed.
+	// Random adds jitter to retries; a randomly seeded source if nil.
 	Random *rand.Rand
-	// Wait, Grace, Retry and MaximumRetry replace the defaults when above zero.
+	// Wait, Grace, Retry and MaximumRetry override the defaults if they are positive.
 	Wait         time.Duration
 	Grace        time.Duration
 	Retry        time.Duration
 	MaximumRetry time.Duration
 }
 
-// Follower keeps one daemon on the newest configuration. Run owns its state;
-// the other methods may be called by any goroutine.
+// Follower keeps one daemon on the latest configuration. Run owns its state; the other methods may
+// be called by any goroutine.
 type Follower struct {
 	options Options
 	store   *store
 	current atomic.Pointer[configuration.Index]
-	// heard is when a replica last answered, in Unix milliseconds.
-	heard atomic.Int64
-	// hint wakes Run when a newer number is known to exist.
-	hint chan struct{}
-	// hinted is the highest number that a hint named.
-	hinted atomic.Uint64
+	// lastHeard is when a replica last answered, in Unix milliseconds.
+	lastHeard atomic.Int64
+	// wakeups wakes Run when a newer configuration is known to exist.
+	wakeups chan struct{}
+	// highestHint is the highest number passed to Hint or Redirect.
+	highestHint atomic.Uint64
 
 	mutex   sync.Mutex
 	changed chan struct{}
 
 	// Owned by Run.
-	sources []*source
-	next    int
-	// storeFailures counts the failures to keep a configuration since the last
-	// success.
-	storeFailures int
-	full          bool
-	hooks         hooks
+	sources    []*source
+	nextSource int
+	// saveFailures counts the failed attempts to save a configuration since the last success.
+	saveFailures int
+	// requestFull asks for a full configuration, because a change could not be applied.
+	requestFull bool
+	hooks       testHooks
 }
 
-// hooks let tests break the follower on purpose.
-type hooks struct {
-	acceptLower bool
-	forceFirst  bool
+// testHooks let tests inject defects.
+type testHooks struct {
+	acceptOlder  bool
+	publishFirst bool
 }
 
-// New loads the newest intact configuration from the folder and puts it in
-// force; Current is the empty configuration where there is none.
+// New loads the latest intact configuration from the folder. Without one, Current returns the
+// empty configuration.
 func New(options Options) (*Follower, error) {
 	if len(options.Sources) == 0 {
-		return nil, fault.New(fault.InvalidArgument, "there is no control replica to follow", "list the control machines in the settings")
+		return nil, fault.New(fault.InvalidArgument, "no control replica is configured", "list the control machines in the settings")
 	}
-	options.complete()
-	opened, err := openStore(options.Folder, options.Random)
+	options.setDefaults()
+	store, err := openStore(options.Folder, options.Random)
 	if err != nil {
 		return nil, err
 	}
 	follower := &Follower{
-		options: options,
-		store:   opened,
-		hint:    make(chan struct{}, 1),
-		changed: make(chan struct{}),
-		next:    options.Random.IntN(len(options.Sources)),
+		options:    options,
+		store:      store,
+		wakeups:    make(chan struct{}, 1),
+		changed:    make(chan struct{}),
+		nextSource: options.Random.IntN(len(options.Sources)),
 	}
 	for _, service := range options.Sources {
 		follower.sources = append(follower.sources, &source{service: service})
 	}
-	index, damaged := opened.load()
-	for _, err := range damaged {
-		options.Log.WithError(err).Warn("a configuration on disk is damaged; an older one is used")
+	index, loadErrs := store.load()
+	for _, err := range loadErrs {
+		options.Log.WithError(err).Warn("a configuration on disk is damaged; using an older one")
 	}
 	follower.current.Store(index)
 	return follower, nil
 }
 
-func (o *Options) complete() {
+func (o *Options) setDefaults() {
 	if o.Log == nil {
 		o.Log = log.Log
 	}
@@ -130,77 +129,75 @@
 	setDefault(&o.MaximumRetry, DefaultMaximumRetry)
 }
 
-func setDefault(value *time.Duration, standard time.Duration) {
+func setDefault(value *time.Duration, fallback time.Duration) {
 	if *value <= 0 {
-		*value = standard
+		*value = fallback
 	}
 }
 
-// Current is the configuration in force. It is never nil.
+// Current returns the current configuration. It is never nil.
 func (f *Follower) Current() *configuration.Index {
 	return f.current.Load()
 }
 
-// Changed returns a channel that is closed when the configuration in force
-// moves past the one at the time of the call.
+// Changed returns a channel that is closed when the configuration changes after the call.
 func (f *Follower) Changed() <-chan struct{} {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.changed
 }
 
-// LastHeard is when a control replica last answered; zero before the first.
+// LastHeard returns when a control replica last answered, the zero time if none has.
 func (f *Follower) LastHeard() time.Time {
-	milliseconds := f.heard.Load()
+	milliseconds := f.lastHeard.Load()
 	if milliseconds == 0 {
 		return time.Time{}
 	}
 	return time.UnixMilli(milliseconds)
 }
 
-// Hint tells the follower that a configuration with the number was accepted. If
-// it is newer than the one in force, the follower asks the next replica at once.
-// It does so once for each number: hints come every few seconds, and a transfer
-// that takes longer must not be given up for the same news again.
+// Hint tells the follower that a configuration with the number was accepted. If it is newer than
+// the current one, the follower polls the next replica at once. It does so once for each number:
+// hints are repeated every few seconds, and must not abort a transfer that takes longer.
 func (f *Follower) Hint(number uint64) {
-	if number > f.Current().Number() && f.firstHint(number) {
+	if number > f.Current().Number() && f.raiseHint(number) {
 		f.wake()
 	}
 }
 
-// Redirect tells the follower that the replica to ask has changed, and that the new
-// one knows a number. A call that hangs at the former one is given up if there is
-// something to fetch.
+// Redirect tells the follower that another replica is to be asked now, which has a configuration
+// with the number. If it is newer than the current one, a call in progress at the previous replica
+// is aborted.
 func (f *Follower) Redirect(number uint64) {
 	if number <= f.Current().Number() {
 		return
 	}
-	f.firstHint(number)
+	f.raiseHint(number)
 	f.wake()
 }
 
-// wake makes Run ask at once.
+// wake makes Run poll at once.
 func (f *Follower) wake() {
 	select {
-	case f.hint <- struct{}{}:
+	case f.wakeups <- struct{}{}:
 	default:
 	}
 }
 
-// firstHint tells whether no hint named the number or a higher one before.
-func (f *Follower) firstHint(number uint64) bool {
+// raiseHint records a hinted number, and reports whether it is higher than all before.
+func (f *Follower) raiseHint(number uint64) bool {
 	for {
-		highest := f.hinted.Load()
+		highest := f.highestHint.Load()
 		if number <= highest {
 			return false
 		}
-		if f.hinted.CompareAndSwap(highest, number) {
+		if f.highestHint.CompareAndSwap(highest, number) {
 			return true
 		}
 	}
 }
 
-// Run follows until the context ends, and returns its error.
+// Run follows until the context ends, and returns the context's error.
 func (f *Follower) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		pause := f.step(ctx)
@@ -210,7 +207,7 @@
 		timer := time.NewTimer(pause)
 		select {
 		case <-timer.C:
-		case <-f.hint:
+		case <-f.wakeups:
 		case <-ctx.Done():
 		}
 		timer.Stop()
@@ -218,38 +215,36 @@
 	return ctx.Err()
 }
 
-// step asks one replica and returns how long to pause before the next.
+// step polls one replica and returns the pause before the next step.
 func (f *Follower) step(ctx context.Context) time.Duration {
-	asked := time.Now()
-	chosen, due := f.choose(asked)
-	if due.After(asked) {
-		return due.Sub(asked)
+	startedAt := time.Now()
+	selected, retryAt := f.selectSource(startedAt)
+	if retryAt.After(startedAt) {
+		return retryAt.Sub(startedAt)
 	}
-	response, hinted, err := f.watch(ctx, chosen.service)
-	if hinted || ctx.Err() != nil {
+	response, interrupted, err := f.watch(ctx, selected.service)
+	if interrupted || ctx.Err() != nil {
 		return 0
 	}
 	if err != nil {
-		f.options.Log.WithError(err).Debug("a control replica did not answer for configuration")
-		f.failed(chosen, fault.From(err))
+		f.options.Log.WithError(err).Debug("a control replica did not answer a configuration watch")
+		f.recordFailure(selected, fault.From(err))
 		return 0
 	}
-	chosen.answered()
-	f.heard.Store(time.Now().UnixMilli())
+	selected.recordSuccess()
+	f.lastHeard.Store(time.Now().UnixMilli())
 	if response.GetChange() == nil {
-		// An answer without news before the wait is over must not turn into a
-		// stream of calls.
-		if time.Since(asked) < f.options.Wait/2 {
+		// Early answers without news must not cause a busy loop.
+		if time.Since(startedAt) < f.options.Wait/2 {
 			return f.jitter(f.options.Retry)
 		}
 		return 0
 	}
-	return f.take(response.GetChange())
+	return f.applyChange(response.GetChange())
 }
 
-// watch makes one call. It gives up early when a hint says that another replica
-// knows more.
-func (f *Follower) watch(ctx context.Context, source rockwindpb.ConfigurationService) (response *rockwindpb.WatchConfigurationResponse, hinted bool, err error) {
+// watch makes one call, which Hint and Redirect interrupt.
+func (f *Follower) watch(ctx context.Context, source rockwindpb.ConfigurationService) (response *rockwindpb.WatchConfigurationResponse, interrupted bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, f.options.Wait+f.options.Grace)
 	defer cancel()
 	done := make(chan struct{})
@@ -260,7 +255,7 @@
 	select {
 	case <-done:
 		return response, false, err
-	case <-f.hint:
+	case <-f.wakeups:
 		cancel()
 		<-done
 		return response, err != nil, err
@@ -270,73 +265,73 @@
 	}
 }
 
-// request asks for what comes after the configuration in force. Without any, the
-// answer is a whole configuration: the wait is short then, so that most of the
-// call's time is left for the transfer.
+// request returns the request for what is newer than the current configuration. The first answer
+// is a full configuration, for which the wait is short to leave most of the timeout for the
+// transfer.
 func (f *Follower) request() *rockwindpb.WatchConfigurationRequest {
 	current := f.Current()
 	wait := f.options.Wait
 	if current.Number() == 0 {
-		wait = min(wait, firstWait)
+		wait = min(wait, initialWait)
 	}
 	return &rockwindpb.WatchConfigurationRequest{
 		HaveNumber:   current.Number(),
 		HaveChecksum: current.Checksum(),
 		WaitMs:       uint32(wait.Milliseconds()),
-		Full:         f.full,
+		Full:         f.requestFull,
 	}
 }
 
-// take puts a change in force, if it is one forward, and returns how long to
-// pause.
-func (f *Follower) take(change *rockwindpb.ConfigurationChange) time.Duration {
+// applyChange applies a change if it is newer, saves the result and makes it current. It returns
+// the pause before the next step.
+func (f *Follower) applyChange(change *rockwindpb.ConfigurationChange) time.Duration {
 	current := f.Current()
-	if !forward(current, change) && !f.hooks.acceptLower {
-		// A replica that is behind, or that answered an older call.
-		f.full = false
+	if !isNewer(current, change) && !f.hooks.acceptOlder {
+		// The replica is behind, or the answer belongs to an earlier call.
+		f.requestFull = false
 		return f.jitter(f.options.Retry)
 	}
 	next, err := current.Apply(change)
 	if err != nil {
-		f.full = true
-		f.options.Log.WithError(err).Warn("a change of configuration does not fit; the whole is asked for")
+		f.requestFull = true
+		f.options.Log.WithError(err).Warn("cannot apply a configuration change; requesting the full configuration")
 		return f.jitter(f.options.Retry)
 	}
-	f.full = false
-	if err := f.putInForce(change, next); err != nil {
-		f.options.Log.WithError(err).Error("the new configuration cannot be kept on disk and is not in force; free or mend the disk")
+	f.requestFull = false
+	if err := f.saveAndPublish(change, next); err != nil {
+		f.options.Log.WithError(err).Error("cannot save the new configuration, which is not applied; free or repair the disk")
 		return f.backOff()
 	}
-	f.storeFailures = 0
+	f.saveFailures = 0
 	if err := f.store.compact(next); err != nil {
-		f.options.Log.WithError(err).Warn("the whole configuration cannot be saved; its changes are kept")
+		f.options.Log.WithError(err).Warn("cannot save the full configuration; keeping its changes")
 	}
 	return 0
 }
 
-// forward tells whether a change leads to a higher number. A whole configuration
-// with the same number and another checksum also counts: control is the
-// authority on what was accepted under the number.
-func forward(current *configuration.Index, change *rockwindpb.ConfigurationChange) bool {
+// isNewer reports whether a change leads to a higher number. A full configuration with the same
+// number and another checksum also counts, because control is the authority on the configurations.
+func isNewer(current *configuration.Index, change *rockwindpb.ConfigurationChange) bool {
 	if change.GetNumber() != current.Number() {
 		return change.GetNumber() > current.Number()
 	}
 	return change.GetFull() && !bytes.Equal(change.GetChecksum(), current.Checksum())
 }
 
-// putInForce syncs the configuration to disk and then makes it current.
-func (f *Follower) putInForce(change *rockwindpb.ConfigurationChange, next *configuration.Index) error {
-	if f.hooks.forceFirst {
-		f.announce(next)
+// saveAndPublish syncs the configuration to disk and then makes it current.
+func (f *Follower) saveAndPublish(change *rockwindpb.ConfigurationChange, next *configuration.Index) error {
+	if f.hooks.publishFirst {
+		f.publish(next)
 	}
 	if err := f.store.save(change, next); err != nil {
-		return errors.Wrapf(err, "keep configuration %d", next.Number())
+		return errors.Wrapf(err, "save configuration %d", next.Number())
 	}
-	f.announce(next)
+	f.publish(next)
 	return nil
 }
 
-func (f *Follower) announce(next *configuration.Index) {
+// publish makes a configuration current and notifies the callers of Changed.
+func (f *Follower) publish(next *configuration.Index) {
 	f.current.Store(next)
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -344,16 +339,15 @@
 	f.changed = make(chan struct{})
 }
 
-// backOff is the pause after one more failure of the disk: it doubles, with
-// jitter.
+// backOff returns the pause after another failure to save: exponential, with jitter.
 func (f *Follower) backOff() time.Duration {
 	const maximumDoublings = 16
-	pause := f.options.Retry << min(f.storeFailures, maximumDoublings)
-	f.storeFailures++
+	pause := f.options.Retry << min(f.saveFailures, maximumDoublings)
+	f.saveFailures++
 	return f.jitter(min(pause, f.options.MaximumRetry))
 }
 
-// jitter spreads a pause over half to one and a half times its length.
+// jitter returns a random pause of half to one and a half times the given one.
 func (f *Follower) jitter(pause time.Duration) time.Duration {
 	return pause/2 + time.Duration(f.options.Random.Int64N(int64(pause)))
 }
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -21,8 +21,8 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// controlReplica answers at once from one state of the root group, or with a
-// prepared answer, such as one to an older call.
+// controlReplica answers at once with the state of one view, or with a prepared answer, such as
+// one to an earlier call.
 type controlReplica struct {
 	rockwindpb.ConfigurationService
 	view     *catalog.View
@@ -39,47 +39,47 @@
 	return &rockwindpb.WatchConfigurationResponse{Change: c.view.ChangeSince(request.GetHaveNumber(), request.GetHaveChecksum())}, nil
 }
 
-// world is control, one daemon with its disk, and what must hold of them.
-type world struct {
+// simulation is the state machine of the property test: control, one daemon and its disk.
+type simulation struct {
 	folder   string
 	machine  *catalog.Machine
 	views    []*catalog.View
 	answers  []*rockwindpb.ConfigurationChange
 	control  *controlReplica
 	follower *Follower
-	hooks    hooks
+	hooks    testHooks
 	highest  uint64
 }
 
-func newWorld(t *rapid.T, broken hooks) *world {
+func newSimulation(t *rapid.T, defects testHooks) *simulation {
 	folder, err := os.MkdirTemp("", "follower")
 	if err != nil {
 		t.Fatal(err)
 	}
 	machine := catalog.New()
-	w := &world{folder: folder, machine: machine, views: []*catalog.View{machine.View()}, control: &controlReplica{view: machine.View()}, hooks: broken}
-	w.start(t)
-	return w
+	s := &simulation{folder: folder, machine: machine, views: []*catalog.View{machine.View()}, control: &controlReplica{view: machine.View()}, hooks: defects}
+	s.start(t)
+	return s
 }
 
-// start starts the daemon on what its disk holds.
-func (w *world) start(t *rapid.T) {
+// start starts the daemon with the configurations on its disk.
+func (s *simulation) start(t *rapid.T) {
 	started, err := New(Options{
-		Sources: []rockwindpb.ConfigurationService{w.control}, Folder: w.folder,
+		Sources: []rockwindpb.ConfigurationService{s.control}, Folder: s.folder,
 		Log: &log.Logger{Handler: discard.New()}, Random: rand.New(rand.NewPCG(1, 2)),
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Three changes or so to a whole configuration.
-	started.store.shortJournal = 300
-	started.hooks = w.hooks
-	w.follower = started
+	// A full configuration is saved after about three changes.
+	started.store.minCompactionSize = 300
+	started.hooks = s.hooks
+	s.follower = started
 }
 
-// Accept accepts one more configuration.
-func (w *world) Accept(t *rapid.T) {
-	before := w.machine.View().Index()
+// Accept accepts another configuration.
+func (s *simulation) Accept(t *rapid.T) {
+	before := s.machine.View().Index()
 	next := &rockwindpb.Configuration{Number: before.Number() + 1}
 	for number := range rapid.IntRange(1, 12).Draw(t, "groups") {
 		share := rapid.SampledFrom([]float64{1, 2}).Draw(t, "share")
@@ -95,77 +95,76 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.machine.Apply(0, command)
-	w.views = append(w.views, w.machine.View())
-	w.answers = append(w.answers, change)
+	s.machine.Apply(0, command)
+	s.views = append(s.views, s.machine.View())
+	s.answers = append(s.answers, change)
 }
 
-// Ask lets the daemon ask the newest replica, or one that was cut off long ago.
-func (w *world) Ask(t *rapid.T) {
-	w.control.view = w.views[len(w.views)-1]
-	if rapid.IntRange(0, 2).Draw(t, "cut off") == 0 {
-		w.control.view = rapid.SampledFrom(w.views).Draw(t, "view")
+// AskReplica lets the daemon poll an up-to-date replica or a stale one.
+func (s *simulation) AskReplica(t *rapid.T) {
+	s.control.view = s.views[len(s.views)-1]
+	if rapid.IntRange(0, 2).Draw(t, "stale replica") == 0 {
+		s.control.view = rapid.SampledFrom(s.views).Draw(t, "view")
 	}
-	w.step(nil)
+	s.step(nil)
 }
 
-// Late gives the daemon an answer to any earlier call, or a damaged one.
-func (w *world) Late(t *rapid.T) {
-	if len(w.answers) == 0 {
+// DeliverStale answers with a change from any earlier call, or a damaged one.
+func (s *simulation) DeliverStale(t *rapid.T) {
+	if len(s.answers) == 0 {
 		t.Skip("no answers yet")
 	}
-	late := proto.CloneOf(rapid.SampledFrom(w.answers).Draw(t, "answer"))
+	stale := proto.CloneOf(rapid.SampledFrom(s.answers).Draw(t, "answer"))
 	switch rapid.IntRange(0, 3).Draw(t, "kind") {
 	case 0:
-		late = rapid.SampledFrom(w.views).Draw(t, "whole").Full()
+		stale = rapid.SampledFrom(s.views).Draw(t, "full").Full()
 	case 1:
-		late.Checksum[0] ^= 1
+		stale.Checksum[0] ^= 1
 	}
-	w.step(late)
+	s.step(stale)
 }
 
-func (w *world) step(prepared *rockwindpb.ConfigurationChange) {
-	w.control.prepared = prepared
-	w.follower.step(context.Background())
-	w.highest = max(w.highest, w.follower.Current().Number())
+func (s *simulation) step(prepared *rockwindpb.ConfigurationChange) {
+	s.control.prepared = prepared
+	s.follower.step(context.Background())
+	s.highest = max(s.highest, s.follower.Current().Number())
 }
 
-// Restart starts the daemon again, perhaps after it was killed in the middle of a
-// write of a change that was not in force.
-func (w *world) Restart(t *rapid.T) {
-	if torn := w.follower.store.changes; torn != nil && rapid.Bool().Draw(t, "torn") {
-		tear(t, torn.path)
+// Restart restarts the daemon, sometimes with an incomplete record at the end of its journal.
+func (s *simulation) Restart(t *rapid.T) {
+	if torn := s.follower.store.journal; torn != nil && rapid.Bool().Draw(t, "torn") {
+		appendTornRecord(t, torn.path)
 	}
-	w.restart(t)
+	s.restart(t)
 }
 
-// DamageNewest changes bytes of the newest whole configuration, of which an older
-// one and its changes are there.
-func (w *world) DamageNewest(t *rapid.T) {
-	const changesToTwoWholes = 8
-	for range changesToTwoWholes {
-		w.Accept(t)
-		w.control.view = w.views[len(w.views)-1]
-		w.step(nil)
+// DamageNewestFull damages the latest full configuration, which can be restored from an older one
+// and its journal.
+func (s *simulation) DamageNewestFull(t *rapid.T) {
+	const changesForTwoFullFiles = 8
+	for range changesForTwoFullFiles {
+		s.Accept(t)
+		s.control.view = s.views[len(s.views)-1]
+		s.step(nil)
 	}
-	numbers := w.follower.store.numbers()
-	if len(numbers) < 2 || !(&store{folder: w.folder}).leadsTo(numbers[1], numbers[0]) {
-		t.Skip("one way to the newest configuration")
+	numbers := s.follower.store.numbers()
+	if len(numbers) < 2 || !(&store{folder: s.folder}).journalLeadsTo(numbers[1], numbers[0]) {
+		t.Skip("no other way to the latest configuration")
 	}
-	damage(t, w.follower.store.path(numbers[0]))
-	w.restart(t)
+	damage(t, s.follower.store.path(numbers[0]))
+	s.restart(t)
 }
 
-// DamageChanges changes bytes of the changes since the newest whole configuration.
-// The daemon comes back with one that was accepted, which may be an older one.
-func (w *world) DamageChanges(t *rapid.T) {
-	changes := w.follower.store.changes
-	if changes == nil || changes.bytes == 0 {
+// DamageJournal damages the journal. The daemon restarts with an accepted configuration, which may
+// be an older one.
+func (s *simulation) DamageJournal(t *rapid.T) {
+	journal := s.follower.store.journal
+	if journal == nil || journal.size == 0 {
 		t.Skip("no changes")
 	}
-	damage(t, changes.path)
-	w.start(t)
-	w.highest = w.follower.Current().Number()
+	damage(t, journal.path)
+	s.start(t)
+	s.highest = s.follower.Current().Number()
 }
 
 func damage(t *rapid.T, path string) {
@@ -179,31 +178,31 @@
 	}
 }
 
-// leadsTo tells whether the changes after one whole configuration reach another.
-func (s *store) leadsTo(base, number uint64) bool {
+// journalLeadsTo reports whether the journal of one full configuration leads to another one.
+func (s *store) journalLeadsTo(base, number uint64) bool {
 	index, err := s.read(base)
 	return err == nil && newJournal(s.folder, base).replay(index).Number() == number
 }
 
-// RefuseWrites lets the disk refuse a change, and starts the daemon again.
-func (w *world) RefuseWrites(t *rapid.T) {
-	w.control.view = w.views[len(w.views)-1]
-	whole := w.follower.store
-	w.follower.store = &store{folder: filepath.Join(w.folder, "missing")}
-	w.step(nil)
-	w.follower.store = whole
-	w.restart(t)
+// FailWrite makes the write of a change fail and restarts the daemon.
+func (s *simulation) FailWrite(t *rapid.T) {
+	s.control.view = s.views[len(s.views)-1]
+	intact := s.follower.store
+	s.follower.store = &store{folder: filepath.Join(s.folder, "missing")}
+	s.step(nil)
+	s.follower.store = intact
+	s.restart(t)
 }
 
-func (w *world) restart(t *rapid.T) {
-	before := w.follower.Current()
-	w.start(t)
-	if !bytes.Equal(w.follower.Current().Checksum(), before.Checksum()) {
-		t.Fatalf("configuration %d was in force before the restart, and %d after it", before.Number(), w.follower.Current().Number())
+func (s *simulation) restart(t *rapid.T) {
+	before := s.follower.Current()
+	s.start(t)
+	if !bytes.Equal(s.follower.Current().Checksum(), before.Checksum()) {
+		t.Fatalf("configuration %d was current before the restart, and %d after it", before.Number(), s.follower.Current().Number())
 	}
 }
 
-func tear(t *rapid.T, path string) {
+func appendTornRecord(t *rapid.T, path string) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, filePermissions)
 	if err != nil {
 		t.Fatal(err)
@@ -215,32 +214,32 @@
 }
 
 // Check is called after each action.
-func (w *world) Check(t *rapid.T) {
-	current := w.follower.Current()
-	if current.Number() < w.highest {
-		t.Fatalf("configuration %d is in force after %d", current.Number(), w.highest)
+func (s *simulation) Check(t *rapid.T) {
+	current := s.follower.Current()
+	if current.Number() < s.highest {
+		t.Fatalf("configuration %d is current after %d", current.Number(), s.highest)
 	}
-	if !bytes.Equal(current.Checksum(), w.views[current.Number()].Index().Checksum()) {
-		t.Fatalf("configuration %d is not the one that was accepted", current.Number())
+	if !bytes.Equal(current.Checksum(), s.views[current.Number()].Index().Checksum()) {
+		t.Fatalf("configuration %d differs from the accepted one", current.Number())
 	}
 }
 
-// run drives a daemon through arbitrary answers, restarts and damage.
-func run(t *rapid.T, broken hooks) {
-	w := newWorld(t, broken)
-	defer os.RemoveAll(w.folder)
-	t.Repeat(rapid.StateMachineActions(w))
-	w.control.view = w.views[len(w.views)-1]
-	// A change that does not fit is followed by a request for the whole.
-	w.step(nil)
-	w.step(nil)
-	if newest := w.views[len(w.views)-1].Index().Number(); w.follower.Current().Number() != newest {
-		t.Fatalf("configuration %d is in force, and %d was accepted", w.follower.Current().Number(), newest)
+// checkFollower runs a daemon through random answers, restarts and damage.
+func checkFollower(t *rapid.T, defects testHooks) {
+	s := newSimulation(t, defects)
+	defer os.RemoveAll(s.folder)
+	t.Repeat(rapid.StateMachineActions(s))
+	s.control.view = s.views[len(s.views)-1]
+	// If a change cannot be applied, a second step requests the full configuration.
+	s.step(nil)
+	s.step(nil)
+	if newest := s.views[len(s.views)-1].Index().Number(); s.follower.Current().Number() != newest {
+		t.Fatalf("configuration %d is current, and %d was accepted", s.follower.Current().Number(), newest)
 	}
 }
 
-// TestMain fixes the seed, so that each run gives the same verdict. Flags on the
-// command line go before.
+// TestMain fixes the seed, so that runs are reproducible. Flags on the command line take
+// precedence.
 func TestMain(m *testing.M) {
 	for _, setting := range [][2]string{
 		{"rapid.seed", "20261202"}, {"rapid.checks", "50"}, {"rapid.steps", "30"}, {"rapid.nofailfile", "true"},
@@ -253,17 +252,17 @@
 }
 
 func TestFollowerNeverMovesBack(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { run(t, hooks{}) })
+	rapid.Check(t, func(t *rapid.T) { checkFollower(t, testHooks{}) })
 }
 
 func TestDefectsAreNoticed(t *testing.T) {
-	for name, broken := range map[string]hooks{
-		"accept a lower number": {acceptLower: true},
-		"in force before saved": {forceFirst: true},
+	for name, defects := range map[string]testHooks{
+		"accept an older configuration": {acceptOlder: true},
+		"publish before saving":         {publishFirst: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if !mutant.Noticed(t, func(t *rapid.T) { run(t, broken) }) {
-				t.Error("the property holds for a follower that is broken on purpose")
+			if !mutant.Noticed(t, func(t *rapid.T) { checkFollower(t, defects) }) {
+				t.Error("the property holds for a defective follower")
 			}
 		})
 	}
--- a/internal/follower/journal.go
+++ b/internal/follower/journal.go
@@ -14,23 +14,22 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Names of the files of changes.
+// Parts of the names of journal files.
 const (
 	journalPrefix = "changes-"
 	journalSuffix = ".binpb"
 )
 
-// journal is the changes that were put in force after a whole configuration was
-// saved. A change is durable once its record, a length and a ConfigurationChange,
-// is synced. Every change carries the checksum of the whole after it, so records
-// need none of their own.
+// journal is the file of the changes since a full configuration was saved. A change is durable
+// once its record, a length-prefixed ConfigurationChange, is synced. Records need no checksum,
+// because each change carries the checksum of the resulting configuration.
 type journal struct {
 	path string
-	// bytes is the length of the file; zero means that there is none yet.
-	bytes int64
-	// broken tells that the end of the file is not known to be whole, so that
-	// nothing can be appended.
-	broken bool
+	// size is the length of the file, zero if it does not exist.
+	size int64
+	// damaged is set if the file may end with an incomplete or unusable record, so that nothing
+	// can be appended.
+	damaged bool
 }
 
 func journalPath(folder string, base uint64) string {
@@ -41,18 +40,18 @@
 	return &journal{path: journalPath(folder, base)}
 }
 
-// exists tells whether there is a file of changes.
+// exists reports whether the file exists.
 func (j *journal) exists() bool {
 	_, err := os.Stat(j.path)
 	return err == nil
 }
 
-// append returns once the change is synced. After an error the journal is broken.
+// append returns once the change is synced. An error leaves the journal damaged.
 func (j *journal) append(change *rockwindpb.ConfigurationChange) error {
-	if j.broken {
-		return errors.New("the changes on disk end in the middle of one")
+	if j.damaged {
+		return errors.New("the journal ends with an incomplete record")
 	}
-	j.broken = true
+	j.damaged = true
 	file, err := os.OpenFile(j.path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, filePermissions)
 	if err != nil {
 		return err
@@ -64,43 +63,42 @@
 	if err = errors.CombineErrors(err, file.Close()); err != nil {
 		return err
 	}
-	if j.bytes == 0 {
+	if j.size == 0 {
 		if err := syncFolder(filepath.Dir(j.path)); err != nil {
 			return err
 		}
 	}
-	j.bytes += int64(written)
-	j.broken = false
+	j.size += int64(written)
+	j.damaged = false
 	return nil
 }
 
-// replay returns the configuration after the changes in the file, up to the first
-// that is torn, does not follow on, or does not fit. Where there is such a one the
-// journal is broken. The file is synced first: a process that was killed in a write
-// may have left a record that can be read and would not outlast a power cut.
+// replay applies the changes of the file to base, up to the first that is incomplete, is not
+// consecutive or cannot be applied, which marks the journal as damaged. It syncs the file first,
+// because a record that a killed process wrote may be readable without being durable.
 func (j *journal) replay(base *configuration.Index) *configuration.Index {
 	file, err := os.Open(j.path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return base
 	}
 	if err != nil {
-		j.broken = true
+		j.damaged = true
 		return base
 	}
 	defer file.Close()
 	if err := file.Sync(); err != nil {
-		j.broken = true
+		j.damaged = true
 		return base
 	}
 	changes := j.read(file, base.Number())
 	if len(changes) == 0 {
 		return base
 	}
-	// One merged change costs a fraction of one after the other.
+	// Applying one merged change is much cheaper than applying all in sequence.
 	if merged, err := base.Apply(configuration.Merge(changes)); err == nil {
 		return merged
 	}
-	j.broken = true
+	j.damaged = true
 	for _, change := range changes {
 		next, err := base.Apply(change)
 		if err != nil {
@@ -111,24 +109,24 @@
 	return base
 }
 
-// read returns the changes that follow on from a number.
+// read returns the consecutive changes after a configuration number.
 func (j *journal) read(file *os.File, number uint64) []*rockwindpb.ConfigurationChange {
 	info, err := file.Stat()
 	if err != nil {
-		j.broken = true
+		j.damaged = true
 		return nil
 	}
-	j.bytes = info.Size()
+	j.size = info.Size()
 	var changes []*rockwindpb.ConfigurationChange
 	reader := bufio.NewReader(file)
-	options := protodelim.UnmarshalOptions{MaxSize: j.bytes}
+	options := protodelim.UnmarshalOptions{MaxSize: j.size}
 	for {
 		if _, err := reader.Peek(1); err != nil {
 			return changes
 		}
 		change := &rockwindpb.ConfigurationChange{}
 		if err := options.UnmarshalFrom(reader, change); err != nil || change.GetFromNumber() != number || change.GetNumber() <= number {
-			j.broken = true
+			j.damaged = true
 			return changes
 		}
 		number = change.GetNumber()
--- a/internal/follower/sources.go
+++ b/internal/follower/sources.go
@@ -8,60 +8,57 @@
 )
 
 const (
-	// longestAvoidance bounds how long a replica that does not answer is asked
-	// after the others.
-	longestAvoidance = 30 * time.Second
-	// strangerAvoidance is how long a machine that does not replicate the
-	// configuration is asked after the others.
-	strangerAvoidance = 5 * time.Minute
+	// maxAvoidDuration bounds how long a replica that does not answer is asked after the others.
+	maxAvoidDuration = 30 * time.Second
+	// nonReplicaAvoidDuration is how long a machine that does not replicate the configuration is
+	// asked after the others.
+	nonReplicaAvoidDuration = 5 * time.Minute
 )
 
-// source is one control machine with what its last answers say of it. It belongs
-// to the goroutine that follows.
+// source is a control machine and its recent results. It belongs to the goroutine of Run.
 type source struct {
 	service rockwindpb.ConfigurationService
 	// failures counts the failed calls since the last answer.
 	failures int
-	// due is when it may be asked again at all, avoidedUntil when it may be asked
-	// although another machine answers.
-	due, avoidedUntil time.Time
+	// retryAt is when the source may be asked again at all, avoidedUntil when it may be asked
+	// although other sources answer.
+	retryAt, avoidedUntil time.Time
 }
 
-// answered notes that the source is good.
-func (s *source) answered() {
-	s.failures, s.due, s.avoidedUntil = 0, time.Time{}, time.Time{}
+// recordSuccess notes that the source answered.
+func (s *source) recordSuccess() {
+	s.failures, s.retryAt, s.avoidedUntil = 0, time.Time{}, time.Time{}
 }
 
-// choose returns the source to ask and when. Those that answer are asked in turn
-// and at once, so that a machine that is cut off in silence holds a change up by
-// one call at most; the others only while there is no such source, each after a
-// pause of its own.
-func (f *Follower) choose(now time.Time) (*source, time.Time) {
+// selectSource returns the source to ask and when to ask it. Sources that answer are asked in turn
+// and at once, so that one that hangs delays an update by one call at most. The others are asked
+// only if no source answers, each after a backoff.
+func (f *Follower) selectSource(now time.Time) (*source, time.Time) {
 	var earliest *source
 	for offset := range f.sources {
-		position := (f.next + offset) % len(f.sources)
+		position := (f.nextSource + offset) % len(f.sources)
 		candidate := f.sources[position]
 		if !now.Before(candidate.avoidedUntil) {
-			f.next = (position + 1) % len(f.sources)
+			f.nextSource = (position + 1) % len(f.sources)
 			return candidate, now
 		}
-		if earliest == nil || candidate.due.Before(earliest.due) {
+		if earliest == nil || candidate.retryAt.Before(earliest.retryAt) {
 			earliest = candidate
 		}
 	}
-	return earliest, earliest.due
+	return earliest, earliest.retryAt
 }
 
-// failed notes that a source gave no answer. Pauses double with each failure.
-func (f *Follower) failed(asked *source, err error) {
+// recordFailure notes that a source did not answer. The pauses grow exponentially.
+func (f *Follower) recordFailure(failed *source, err error) {
 	const maximumDoublings = 16
-	pause := f.options.Retry << min(asked.failures, maximumDoublings)
-	asked.failures++
+	pause := f.options.Retry << min(failed.failures, maximumDoublings)
+	failed.failures++
 	now := time.Now()
-	asked.due = now.Add(f.jitter(min(pause, f.options.MaximumRetry)))
-	avoidance := min(pause, longestAvoidance)
+	failed.retryAt = now.Add(f.jitter(min(pause, f.options.MaximumRetry)))
+	avoidFor := min(pause, maxAvoidDuration)
 	if fault.Is(err, fault.NotLeader) {
-		avoidance = strangerAvoidance
+		avoidFor = nonReplicaAvoidDuration
 	}
-	asked.avoidedUntil = now.Add(f.jitter(avoidance))
+	failed.avoidedUntil = now.Add(f.jitter(avoidFor))
 }
--- a/internal/follower/sources_test.go
+++ b/internal/follower/sources_test.go
@@ -18,37 +18,37 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// behaviour is how a stand-in for a control machine treats calls.
-type behaviour int
+// behavior is how a fakeMachine treats calls.
+type behavior int
 
 const (
-	// replicates answers with news as soon as there is some.
-	replicates behaviour = iota
-	// stranger does not replicate the configuration and says so.
-	stranger
-	// refuses answers no connection.
-	refuses
+	// replica answers with news as soon as there is some.
+	replica behavior = iota
+	// nonReplica reports that it does not replicate the configuration.
+	nonReplica
+	// refusesConnections fails all calls.
+	refusesConnections
 	// frozen never answers.
 	frozen
 )
 
-// machine is a stand-in for a control machine.
-type machine struct {
+// fakeMachine is a fake control machine.
+type fakeMachine struct {
 	rockwindpb.ConfigurationService
-	behaviour behaviour
-	accepted  *atomic.Pointer[configuration.Index]
-	calls     int
+	behavior behavior
+	accepted *atomic.Pointer[configuration.Index]
+	calls    int
 }
 
-// look is how often a stand-in looks for news.
-const look = 10 * time.Millisecond
+// pollInterval is how often a fakeMachine checks for news.
+const pollInterval = 10 * time.Millisecond
 
-func (m *machine) Watch(ctx context.Context, request *rockwindpb.WatchConfigurationRequest) (*rockwindpb.WatchConfigurationResponse, error) {
+func (m *fakeMachine) Watch(ctx context.Context, request *rockwindpb.WatchConfigurationRequest) (*rockwindpb.WatchConfigurationResponse, error) {
 	m.calls++
-	switch m.behaviour {
-	case stranger:
+	switch m.behavior {
+	case nonReplica:
 		return nil, fault.ToTwirp(fault.New(fault.NotLeader, "not here", "ask another"))
-	case refuses:
+	case refusesConnections:
 		return nil, context.DeadlineExceeded
 	case frozen:
 		<-ctx.Done()
@@ -62,13 +62,13 @@
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-time.After(look):
+		case <-time.After(pollInterval):
 		}
 	}
 	return &rockwindpb.WatchConfigurationResponse{}, nil
 }
 
-func numbered(t interface{ Fatal(...any) }, number uint64) *configuration.Index {
+func newIndex(t interface{ Fatal(...any) }, number uint64) *configuration.Index {
 	index, err := configuration.NewIndex(&rockwindpb.Configuration{Number: number})
 	if err != nil {
 		t.Fatal(err)
@@ -76,22 +76,21 @@
 	return index
 }
 
-// A change is in force soon after it was accepted, wherever it falls, when most
-// control machines do not replicate the configuration and some do not answer: one
-// replica that answers is enough.
+// TestChangeIsInForceSoonAmongManyMachines verifies that one replica that answers is enough to get
+// a change soon, although most machines do not replicate the configuration and some do not answer.
 func TestChangeIsInForceSoonAmongManyMachines(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		kinds := rapid.SliceOfN(rapid.SampledFrom([]behaviour{replicates, stranger, stranger, refuses, frozen}), 0, 13).Draw(rt, "machines")
+		kinds := rapid.SliceOfN(rapid.SampledFrom([]behavior{replica, nonReplica, nonReplica, refusesConnections, frozen}), 0, 13).Draw(rt, "machines")
 		position := rapid.IntRange(0, len(kinds)).Draw(rt, "position")
-		kinds = append(kinds[:position:position], append([]behaviour{replicates}, kinds[position:]...)...)
+		kinds = append(kinds[:position:position], append([]behavior{replica}, kinds[position:]...)...)
 		after := time.Duration(rapid.IntRange(0, 400).Draw(rt, "after")) * 100 * time.Millisecond
 		folder := t.TempDir()
 		synctest.Test(t, func(t *testing.T) {
 			var accepted atomic.Pointer[configuration.Index]
-			accepted.Store(numbered(t, 1))
-			machines, sources, awkward := stand(kinds, &accepted)
+			accepted.Store(newIndex(t, 1))
+			machines, sources, frozenCount := newMachines(kinds, &accepted)
 			following, err := follower.New(follower.Options{
-				Sources: sources, Folder: folder, Log: &log.Logger{Handler: discard.Default}, Random: randomOf(position),
+				Sources: sources, Folder: folder, Log: &log.Logger{Handler: discard.Default}, Random: newRandom(position),
 			})
 			if err != nil {
 				t.Fatal(err)
@@ -100,15 +99,15 @@
 			ended := make(chan struct{})
 			go func() { defer close(ended); _ = following.Run(ctx) }()
 			time.Sleep(time.Minute + after)
-			accepted.Store(numbered(t, 2))
+			accepted.Store(newIndex(t, 2))
 			begun := time.Now()
 			for following.Current().Number() < 2 {
 				<-following.Changed()
 			}
-			// Each machine that does not answer may hold it up by one call.
-			limit := follower.DefaultWait + time.Duration(awkward)*(follower.DefaultWait+follower.DefaultGrace)
+			// Each frozen machine may delay the change by one call.
+			limit := follower.DefaultWait + time.Duration(frozenCount)*(follower.DefaultWait+follower.DefaultGrace)
 			if took := time.Since(begun); took > limit {
-				t.Fatalf("the change came in force after %s, limit %s", took, limit)
+				t.Fatalf("the change was applied after %s, limit %s", took, limit)
 			}
 			cancel()
 			<-ended
@@ -117,34 +116,35 @@
 	})
 }
 
-// stand makes the stand-ins; awkward counts those that hold calls up.
-func stand(kinds []behaviour, accepted *atomic.Pointer[configuration.Index]) (machines []*machine, sources []rockwindpb.ConfigurationService, awkward int) {
+// newMachines returns machines with the given behaviors, also as sources. frozenCount counts those
+// that delay calls.
+func newMachines(kinds []behavior, accepted *atomic.Pointer[configuration.Index]) (machines []*fakeMachine, sources []rockwindpb.ConfigurationService, frozenCount int) {
 	for _, kind := range kinds {
-		created := &machine{behaviour: kind, accepted: accepted}
+		created := &fakeMachine{behavior: kind, accepted: accepted}
 		machines, sources = append(machines, created), append(sources, created)
 		if kind == frozen {
-			awkward++
+			frozenCount++
 		}
 	}
-	return machines, sources, awkward
+	return machines, sources, frozenCount
 }
 
 // checkCalls checks that machines that do not answer are asked rarely.
-func checkCalls(t *testing.T, machines []*machine, length time.Duration) {
+func checkCalls(t *testing.T, machines []*fakeMachine, length time.Duration) {
 	for _, each := range machines {
-		most := 10 + int(length/follower.LongestAvoidance)*3
-		if each.behaviour == stranger {
-			most = 2
+		maxCalls := 10 + int(length/follower.MaxAvoidDuration)*3
+		if each.behavior == nonReplica {
+			maxCalls = 2
 		}
-		if each.behaviour != replicates && each.calls > most {
-			t.Fatalf("a machine that does not answer (%d) was asked %d times in %s", each.behaviour, each.calls, length)
+		if each.behavior != replica && each.calls > maxCalls {
+			t.Fatalf("a machine that does not answer (%d) was asked %d times in %s", each.behavior, each.calls, length)
 		}
 	}
 }
 
-func randomOf(seed int) *rand.Rand { return rand.New(rand.NewPCG(uint64(seed), 1)) }
+func newRandom(seed int) *rand.Rand { return rand.New(rand.NewPCG(uint64(seed), 1)) }
 
-// slowMachine answers with news after a transfer that takes its time.
+// slowMachine answers with news after a slow transfer.
 type slowMachine struct {
 	rockwindpb.ConfigurationService
 	accepted *configuration.Index
@@ -160,16 +160,16 @@
 	}
 }
 
-// Hints that repeat the same news do not break off a transfer that takes longer
-// than the time between them.
-func TestRepeatedHintsLetTransfersEnd(t *testing.T) {
+// TestRepeatedHintsDoNotAbortATransfer guards against repeated hints that restart a transfer which
+// takes longer than the time between them.
+func TestRepeatedHintsDoNotAbortATransfer(t *testing.T) {
 	const transfer, between, limit = 3 * time.Second, time.Second, 10 * time.Second
 	folder := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
-		source := slowMachine{accepted: numbered(t, 1), transfer: transfer}
+		source := slowMachine{accepted: newIndex(t, 1), transfer: transfer}
 		following, err := follower.New(follower.Options{
 			Sources: []rockwindpb.ConfigurationService{source, source}, Folder: folder,
-			Log: &log.Logger{Handler: discard.Default}, Random: randomOf(1),
+			Log: &log.Logger{Handler: discard.Default}, Random: newRandom(1),
 		})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/follower/store.go
+++ b/internal/follower/store.go
@@ -25,15 +25,15 @@
 	temporaryFile = "configuration.tmp"
 )
 
-// keptFiles is how many whole configurations stay on disk: the newest and the one
-// before, whose changes lead to the newest, in case that cannot be read any more.
-const keptFiles = 2
+// keptFullFiles is the number of full configurations on disk: the latest, and the previous one
+// with the journal that leads to the latest, in case the latest is unreadable.
+const keptFullFiles = 2
 
-// A whole configuration is saved in place of more changes where these take more
-// than shortJournalBytes and more than one journalPart of the whole.
+// A full configuration is saved once the journal is larger than minCompactionBytes and than one
+// journalFraction-th of the full configuration.
 const (
-	shortJournalBytes = 64 << 10
-	journalPart       = 4
+	minCompactionBytes = 64 << 10
+	journalFraction    = 4
 )
 
 const (
@@ -41,20 +41,20 @@
 	filePermissions   = 0o640
 )
 
-// store keeps the configuration in force on disk: a whole one in a file, and the
-// changes since in another. A change of a large configuration thus costs a small
-// write and one sync.
+// store keeps the current configuration on disk: a full configuration in one file and the changes
+// since then in a journal. A change of a large configuration thus costs a small write and one
+// sync.
 type store struct {
 	folder string
-	// factor, from 1 to 2, keeps daemons that follow the same changes from saving
-	// whole configurations at the same time.
-	factor float64
-	// changes belongs to the newest whole configuration, which is of wholeBytes. It
-	// is nil while there is none.
-	changes    *journal
-	wholeBytes int64
-	// shortJournal is the size up to which a journal is never too long.
-	shortJournal int64
+	// compactionFactor, between 1 and 2, keeps daemons that receive the same changes from saving
+	// full configurations at the same time.
+	compactionFactor float64
+	// journal belongs to the latest full configuration, whose file has fullSize bytes. It is nil
+	// if there is no full configuration.
+	journal  *journal
+	fullSize int64
+	// minCompactionSize is the size up to which the journal is not compacted.
+	minCompactionSize int64
 }
 
 func openStore(folder string, random *rand.Rand) (*store, error) {
@@ -64,64 +64,63 @@
 	if err := os.MkdirAll(folder, folderPermissions); err != nil {
 		return nil, errors.Wrap(err, "create the folder for configurations")
 	}
-	// What a killed process left is to be in force: it must be durable first.
+	// Files that a killed process left may become current, so they must be durable first.
 	if err := syncFolder(folder); err != nil {
 		return nil, errors.Wrap(err, "sync the folder of configurations")
 	}
-	return &store{folder: folder, factor: 1 + random.Float64(), shortJournal: shortJournalBytes}, nil
+	return &store{folder: folder, compactionFactor: 1 + random.Float64(), minCompactionSize: minCompactionBytes}, nil
 }
 
-// load returns the newest configuration that is intact, or the empty one, and
-// the errors of files that are not.
+// load returns the latest intact configuration, or the empty one, and the errors of damaged files.
 func (s *store) load() (*configuration.Index, []error) {
 	if s.folder == "" {
 		return configuration.Empty(), nil
 	}
-	var damaged []error
+	var fileErrs []error
 	for _, number := range s.numbers() {
 		base, err := s.read(number)
 		if err != nil {
-			damaged = append(damaged, err)
+			fileErrs = append(fileErrs, err)
 			continue
 		}
-		return s.replayFrom(base), damaged
+		return s.replayJournals(base), fileErrs
 	}
-	return configuration.Empty(), damaged
+	return configuration.Empty(), fileErrs
 }
 
-// replayFrom returns the configuration after the changes since a whole one. Where
-// a newer whole one is damaged, its journal goes on where that of the older ends.
-func (s *store) replayFrom(base *configuration.Index) *configuration.Index {
-	s.changes = newJournal(s.folder, base.Number())
-	current := s.changes.replay(base)
-	for next := newJournal(s.folder, current.Number()); next.exists() && next.path != s.changes.path; next = newJournal(s.folder, current.Number()) {
-		s.changes = next
+// replayJournals returns the configuration after the changes since a full one. If a newer full
+// configuration is damaged, its journal continues where that of the older one ends.
+func (s *store) replayJournals(base *configuration.Index) *configuration.Index {
+	s.journal = newJournal(s.folder, base.Number())
+	current := s.journal.replay(base)
+	for next := newJournal(s.folder, current.Number()); next.exists() && next.path != s.journal.path; next = newJournal(s.folder, current.Number()) {
+		s.journal = next
 		current = next.replay(current)
 	}
 	return current
 }
 
-// save returns once the configuration is synced, which a change has led to.
+// save returns once the configuration that results from a change is durable.
 func (s *store) save(change *rockwindpb.ConfigurationChange, next *configuration.Index) error {
 	if s.folder == "" {
 		return nil
 	}
-	if change.GetFull() || s.changes == nil || s.changes.broken {
-		return s.saveWhole(next)
+	if change.GetFull() || s.journal == nil || s.journal.damaged {
+		return s.saveFull(next)
 	}
-	return s.changes.append(change)
+	return s.journal.append(change)
 }
 
-// compact saves the whole configuration where the changes since the last one have
-// grown long. The configuration is durable without it.
+// compact saves the full configuration if the journal has become long. The configuration is
+// already durable.
 func (s *store) compact(current *configuration.Index) error {
-	if s.changes == nil || float64(s.changes.bytes) <= s.factor*float64(max(s.shortJournal, s.wholeBytes/journalPart)) {
+	if s.journal == nil || float64(s.journal.size) <= s.compactionFactor*float64(max(s.minCompactionSize, s.fullSize/journalFraction)) {
 		return nil
 	}
-	return s.saveWhole(current)
+	return s.saveFull(current)
 }
 
-// numbers lists the numbers of the files, the highest first.
+// numbers lists the configuration numbers of the files in descending order.
 func (s *store) numbers() []uint64 {
 	entries, err := os.ReadDir(s.folder)
 	if err != nil {
@@ -152,7 +151,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "read the configuration on disk")
 	}
-	s.wholeBytes = int64(len(data))
+	s.fullSize = int64(len(data))
 	record := &rockwindpb.FollowerRecord{}
 	if err := proto.Unmarshal(data, record); err != nil {
 		return nil, errors.Wrapf(err, "decode %s", s.path(number))
@@ -167,31 +166,30 @@
 	return index, nil
 }
 
-// saveWhole returns once the configuration is synced under its own name. Older
-// files but one are removed afterwards.
-func (s *store) saveWhole(index *configuration.Index) error {
+// saveFull returns once the configuration is synced under its final name. It then removes old
+// files.
+func (s *store) saveFull(index *configuration.Index) error {
 	record := &rockwindpb.FollowerRecord{Configuration: index.Configuration(), Checksum: index.Checksum()}
 	data, err := proto.Marshal(record)
 	if err != nil {
 		return errors.Wrap(err, "encode the configuration")
 	}
-	temporary := filepath.Join(s.folder, temporaryFile)
-	if err := writeSynced(temporary, data); err != nil {
+	tempPath := filepath.Join(s.folder, temporaryFile)
+	if err := writeSynced(tempPath, data); err != nil {
 		return errors.Wrap(err, "write the configuration")
 	}
-	if err := os.Rename(temporary, s.path(index.Number())); err != nil {
-		return errors.Wrap(err, "name the configuration's file")
+	if err := os.Rename(tempPath, s.path(index.Number())); err != nil {
+		return errors.Wrap(err, "rename the configuration file")
 	}
 	if err := syncFolder(s.folder); err != nil {
 		return errors.Wrap(err, "sync the folder of configurations")
 	}
-	s.wholeBytes = int64(len(data))
-	s.changes = newJournal(s.folder, index.Number())
-	// A journal of the same base would be one of another configuration that had
-	// the same number.
-	err = os.Remove(s.changes.path)
-	s.changes.broken = err != nil && !errors.Is(err, fs.ErrNotExist)
-	s.removeOld(index.Number())
+	s.fullSize = int64(len(data))
+	s.journal = newJournal(s.folder, index.Number())
+	// An existing journal with this base belongs to another configuration of the same number.
+	err = os.Remove(s.journal.path)
+	s.journal.damaged = err != nil && !errors.Is(err, fs.ErrNotExist)
+	s.removeOldFiles(index.Number())
 	return nil
 }
 
@@ -215,16 +213,16 @@
 	return errors.CombineErrors(folder.Sync(), folder.Close())
 }
 
-// removeOld keeps the file just written and the newest one below it. Files with
-// higher numbers were found damaged, or they would be in force.
-func (s *store) removeOld(current uint64) {
+// removeOldFiles keeps the file just written and the latest one before it. Files with higher
+// numbers are damaged, otherwise they would be current.
+func (s *store) removeOldFiles(current uint64) {
 	kept := 0
 	for _, number := range s.numbers() {
-		if number <= current && kept < keptFiles {
+		if number <= current && kept < keptFullFiles {
 			kept++
 			continue
 		}
-		// A file that stays behind does no harm; the next save tries again.
+		// A failure is harmless: the next save tries again.
 		_ = os.Remove(s.path(number))
 		_ = os.Remove(journalPath(s.folder, number))
 	}
