--- a/internal/jobclient/call_test.go
+++ b/internal/jobclient/call_test.go
@@ -15,23 +15,23 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// fakeStore is a store of which a test says what it does with a job.
+// fakeStore is a store whose response to Submit is defined by the test.
 type fakeStore struct {
 	rockwindpb.JobStoreService
 	submit func(ctx context.Context) error
-	asked  atomic.Int64
+	calls  atomic.Int64
 }
 
 // Submit implements rockwindpb.JobStoreService.
 func (f *fakeStore) Submit(ctx context.Context, _ *rockwindpb.SubmitStoredJobRequest) (*rockwindpb.SubmitStoredJobResponse, error) {
-	f.asked.Add(1)
+	f.calls.Add(1)
 	if err := f.submit(ctx); err != nil {
 		return nil, fault.ToTwirp(err)
 	}
 	return &rockwindpb.SubmitStoredJobResponse{}, nil
 }
 
-// fakeSite has the given stores and one shard.
+// fakeSite is a site with the given stores and one shard.
 type fakeSite struct {
 	view   *directory.View
 	stores []*rockwindpb.Machine
@@ -56,12 +56,12 @@
 	return jobclient.New(site, &http.Client{}), addresses
 }
 
-func silent(ctx context.Context) error {
+func unresponsive(ctx context.Context) error {
 	<-ctx.Done()
-	return fault.New(fault.Unavailable, "silent", "none")
+	return fault.New(fault.Unavailable, "unresponsive", "none")
 }
 
-func leads(context.Context) error { return nil }
+func succeeds(context.Context) error { return nil }
 
 func notLeader(leader string) func(context.Context) error {
 	return func(context.Context) error {
@@ -71,18 +71,17 @@
 	}
 }
 
-// TestSilentLeaderDoesNotHoldUpACall: the leader that the client knows loses its
-// power; another store leads soon. The client waited for the whole time of an attempt
-// before it asked that one, and the job's acknowledgement came too late.
+// TestSilentLeaderDoesNotHoldUpACall guards against waiting for the full timeout of an attempt
+// when the known leader fails and another store has become the leader.
 func TestSilentLeaderDoesNotHoldUpACall(t *testing.T) {
 	const soon = 400 * time.Millisecond
-	former, next := &fakeStore{submit: leads}, &fakeStore{}
-	client, addresses := newClient(t, former, next)
-	next.submit = notLeader(addresses[0])
+	oldLeader, newLeader := &fakeStore{submit: succeeds}, &fakeStore{}
+	client, addresses := newClient(t, oldLeader, newLeader)
+	newLeader.submit = notLeader(addresses[0])
 	if err := client.Submit(t.Context(), &rockwindpb.StoredJob{Id: "first"}, 0); err != nil {
 		t.Fatal(err)
 	}
-	former.submit, next.submit = silent, leads
+	oldLeader.submit, newLeader.submit = unresponsive, succeeds
 	began := time.Now()
 	if err := client.Submit(t.Context(), &rockwindpb.StoredJob{Id: "second"}, 0); err != nil {
 		t.Fatal(err)
@@ -92,13 +91,13 @@
 	}
 }
 
-// TestHintsAtTheSilentLeaderDoNotEndTheSearch: while no store leads, all name the one
-// that is silent.
-func TestHintsAtTheSilentLeaderDoNotEndTheSearch(t *testing.T) {
-	former, next := &fakeStore{submit: silent}, &fakeStore{}
-	client, addresses := newClient(t, former, next)
+// TestHintsAtAnUnresponsiveLeaderDoNotEndTheSearch verifies that the new leader is found after
+// stores have named the unresponsive one.
+func TestHintsAtAnUnresponsiveLeaderDoNotEndTheSearch(t *testing.T) {
+	oldLeader, newLeader := &fakeStore{submit: unresponsive}, &fakeStore{}
+	client, addresses := newClient(t, oldLeader, newLeader)
 	elected := time.Now().Add(300 * time.Millisecond)
-	next.submit = func(ctx context.Context) error {
+	newLeader.submit = func(ctx context.Context) error {
 		if time.Now().Before(elected) {
 			return notLeader(addresses[0])(ctx)
 		}
@@ -108,13 +107,13 @@
 		t.Fatal(err)
 	}
 	if late := time.Since(elected); late > 300*time.Millisecond {
-		t.Fatalf("the leader was asked %v after its election", late)
+		t.Fatalf("the call ended %v after the election of the leader", late)
 	}
 }
 
-// TestUnansweredCallIsInDoubt: a silent store may have taken the job.
-func TestUnansweredCallIsInDoubt(t *testing.T) {
-	client, _ := newClient(t, &fakeStore{submit: silent})
+// TestUnansweredCallHasUnknownOutcome: an unresponsive store may have accepted the job.
+func TestUnansweredCallHasUnknownOutcome(t *testing.T) {
+	client, _ := newClient(t, &fakeStore{submit: unresponsive})
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
 	err := client.Submit(ctx, &rockwindpb.StoredJob{Id: "job"}, 0)
@@ -123,76 +122,77 @@
 	}
 }
 
-// TestCallIsSentToOneStoreWhereItAnswersSoon: hedging costs nothing in calm times.
-func TestCallIsSentToOneStoreWhereItAnswersSoon(t *testing.T) {
-	first, second := &fakeStore{submit: leads}, &fakeStore{submit: leads}
+// TestPromptAnswerNeedsOneAttempt verifies that calls are not hedged while stores answer promptly.
+func TestPromptAnswerNeedsOneAttempt(t *testing.T) {
+	first, second := &fakeStore{submit: succeeds}, &fakeStore{submit: succeeds}
 	client, _ := newClient(t, first, second)
 	for range 20 {
 		if err := client.Submit(t.Context(), &rockwindpb.StoredJob{Id: "job"}, 0); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if asked := first.asked.Load() + second.asked.Load(); asked != 20 {
+	if asked := first.calls.Load() + second.calls.Load(); asked != 20 {
 		t.Fatalf("20 calls were sent %d times", asked)
 	}
 }
 
-func full(context.Context) error {
+func limitReached(context.Context) error {
 	return fault.New(fault.LimitReached, "full", "come back").WithRan(fault.NotRun).WithRetryAfter(2 * time.Second)
 }
 
-// TestLimitEndsACallWithTheTimeToComeBack, at once and not at another store.
-func TestLimitEndsACallWithTheTimeToComeBack(t *testing.T) {
-	store := &fakeStore{submit: full}
+// TestLimitReachedEndsACallWithRetryAfter verifies that the call ends at once and asks no other
+// store.
+func TestLimitReachedEndsACallWithRetryAfter(t *testing.T) {
+	store := &fakeStore{submit: limitReached}
 	client, _ := newClient(t, store)
 	err := client.Submit(t.Context(), &rockwindpb.StoredJob{Id: "job"}, 7)
 	failure := fault.From(err)
-	if failure == nil || failure.Kind != fault.LimitReached || failure.RetryAfter != 2*time.Second || store.asked.Load() != 1 {
-		t.Fatalf("the call ends with %v after %d attempts", err, store.asked.Load())
+	if failure == nil || failure.Kind != fault.LimitReached || failure.RetryAfter != 2*time.Second || store.calls.Load() != 1 {
+		t.Fatalf("the call ends with %v after %d attempts", err, store.calls.Load())
 	}
 }
 
-// TestLimitAfterALostAttemptPromisesNothing: the attempt that got no answer may have
-// taken the job, so the caller must not be told that it never runs.
+// TestLimitAfterALostAttemptPromisesNothing: an attempt without an answer may have accepted the
+// job, so the call must not report that it will never run.
 func TestLimitAfterALostAttemptPromisesNothing(t *testing.T) {
-	former, next := &fakeStore{submit: leads}, &fakeStore{}
-	client, addresses := newClient(t, former, next)
-	next.submit = notLeader(addresses[0])
+	oldLeader, newLeader := &fakeStore{submit: succeeds}, &fakeStore{}
+	client, addresses := newClient(t, oldLeader, newLeader)
+	newLeader.submit = notLeader(addresses[0])
 	if err := client.Submit(t.Context(), &rockwindpb.StoredJob{Id: "first"}, 7); err != nil {
 		t.Fatal(err)
 	}
-	former.submit, next.submit = silent, full
+	oldLeader.submit, newLeader.submit = unresponsive, limitReached
 	err := client.Submit(t.Context(), &rockwindpb.StoredJob{Id: "second"}, 7)
 	if failure := fault.From(err); failure == nil || failure.Kind != fault.OutcomeUnknown {
 		t.Fatalf("the call ends with %v", err)
 	}
 }
 
-// TestSilentLeaderIsForgottenByCallsWithLittlePatience: a call that gave up before its
-// attempt had ended forgot nothing, and each one after it asked the silent leader again.
+// TestSilentLeaderIsForgottenByCallsWithLittlePatience guards against calls with short timeouts
+// that keep asking an unresponsive leader, because none of them waits for the attempt to fail.
 func TestSilentLeaderIsForgottenByCallsWithLittlePatience(t *testing.T) {
-	former, next := &fakeStore{submit: leads}, &fakeStore{}
-	client, addresses := newClient(t, former, next)
-	next.submit = notLeader(addresses[0])
+	oldLeader, newLeader := &fakeStore{submit: succeeds}, &fakeStore{}
+	client, addresses := newClient(t, oldLeader, newLeader)
+	newLeader.submit = notLeader(addresses[0])
 	if err := client.Submit(t.Context(), &rockwindpb.StoredJob{Id: "first"}, 0); err != nil {
 		t.Fatal(err)
 	}
-	former.submit, next.submit = silent, leads
+	oldLeader.submit, newLeader.submit = unresponsive, succeeds
 	short := func() error {
 		ctx, cancel := context.WithTimeout(t.Context(), 80*time.Millisecond)
 		defer cancel()
 		return client.Submit(ctx, &rockwindpb.StoredJob{Id: "second"}, 0)
 	}
 	if err := short(); err == nil {
-		t.Fatal("the silent leader has answered")
+		t.Fatal("the unresponsive leader has answered")
 	}
 	if err := short(); err != nil {
 		t.Fatalf("the next call ends with %v", err)
 	}
 }
 
-// TestHintIsFollowedAtOnce: a caller with little patience finds the leader through another
-// store, and through stores that know nothing of it.
+// TestHintIsFollowedAtOnce verifies that a call with a short timeout finds the leader among stores
+// that do not know it.
 func TestHintIsFollowedAtOnce(t *testing.T) {
 	const stores = 8
 	var all []*fakeStore
@@ -200,7 +200,7 @@
 		all = append(all, &fakeStore{submit: notLeader("")})
 	}
 	client, _ := newClient(t, all...)
-	all[stores-1].submit = leads
+	all[stores-1].submit = succeeds
 	ctx, cancel := context.WithTimeout(t.Context(), 60*time.Millisecond)
 	defer cancel()
 	if err := client.Submit(ctx, &rockwindpb.StoredJob{Id: "job"}, 0); err != nil {
--- a/internal/jobclient/patience_test.go
+++ b/internal/jobclient/deadline_test.go
@@ -15,31 +15,33 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// carrier hands calls to stores in this process, by address, so that they run in virtual time.
-type carrier map[string]http.Handler
+// handlerTransport passes requests to handlers in this process, by address, so that they run in
+// virtual time.
+type handlerTransport map[string]http.Handler
 
 // RoundTrip implements http.RoundTripper.
-func (c carrier) RoundTrip(request *http.Request) (*http.Response, error) {
-	answered := make(chan *http.Response, 1)
+func (h handlerTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+	responses := make(chan *http.Response, 1)
 	go func() {
 		recorder := httptest.NewRecorder()
-		c[request.URL.Host].ServeHTTP(recorder, request)
-		answered <- recorder.Result()
+		h[request.URL.Host].ServeHTTP(recorder, request)
+		responses <- recorder.Result()
 	}()
 	select {
-	case response := <-answered:
+	case response := <-responses:
 		return response, nil
 	case <-request.Context().Done():
 		return nil, request.Context().Err()
 	}
 }
 
-// virtualClient is a client of the given stores, by address, in virtual time.
-func virtualClient(stores map[string]*fakeStore) *jobclient.Client {
+// newVirtualTimeClient returns a client of the given stores, by address, for tests in virtual
+// time.
+func newVirtualTimeClient(stores map[string]*fakeStore) *jobclient.Client {
 	site := fakeSite{view: directory.Merge(nil, &rockwindpb.WatchDirectoryResponse{
 		Revision: 1, Full: true, StoreCluster: &rockwindpb.FoundRequest{ClusterId: "c", Groups: []*rockwindpb.FoundingGroup{{Group: 1}}},
 	})}
-	handlers := carrier{}
+	handlers := handlerTransport{}
 	for address, store := range stores {
 		handlers[address] = rockwindpb.NewJobStoreServiceServer(store)
 		site.stores = append(site.stores, &rockwindpb.Machine{Name: address, Address: address})
@@ -47,8 +49,9 @@
 	return jobclient.New(site, &http.Client{Transport: handlers})
 }
 
-// leadsAfter is a store that is elected after a time; before that it knows no leader.
-func leadsAfter(election time.Duration) func(context.Context) error {
+// electedAfter returns the behavior of a store that becomes the leader after a time and knows no
+// leader before.
+func electedAfter(election time.Duration) func(context.Context) error {
 	elected := time.Now().Add(election)
 	return func(ctx context.Context) error {
 		if time.Now().Before(elected) {
@@ -58,39 +61,37 @@
 	}
 }
 
-// TestSilentLeaderThatOthersNameIsNotAskedForAllTheTime: while the leader was silent and the
-// others named it, a call asked them again without a pause, thousands of times a second. Beside
-// load that took the time that the stores needed to elect another one.
+// TestSilentLeaderThatOthersNameIsNotAskedForAllTheTime guards against a busy loop while the other
+// stores name an unresponsive leader.
 func TestSilentLeaderThatOthersNameIsNotAskedForAllTheTime(t *testing.T) {
-	const patience = time.Second
+	const timeout = time.Second
 	synctest.Test(t, func(t *testing.T) {
 		const leader = "1.1.1.1:1"
-		// A call takes a millisecond, so that one that never pauses gets no further than time does.
-		names := func(ctx context.Context) error {
+		// A call takes a millisecond, because virtual time does not advance in a busy loop.
+		namesLeader := func(ctx context.Context) error {
 			time.Sleep(time.Millisecond)
 			return notLeader(leader)(ctx)
 		}
-		second, third := &fakeStore{submit: names}, &fakeStore{submit: names}
-		client := virtualClient(map[string]*fakeStore{leader: {submit: silent}, "1.1.1.1:2": second, "1.1.1.1:3": third})
-		ctx, cancel := context.WithTimeout(t.Context(), patience)
+		second, third := &fakeStore{submit: namesLeader}, &fakeStore{submit: namesLeader}
+		client := newVirtualTimeClient(map[string]*fakeStore{leader: {submit: unresponsive}, "1.1.1.1:2": second, "1.1.1.1:3": third})
+		ctx, cancel := context.WithTimeout(t.Context(), timeout)
 		defer cancel()
 		if err := client.Submit(ctx, &rockwindpb.StoredJob{Id: "job"}, 0); err == nil {
-			t.Fatal("nobody leads, and the call is answered")
+			t.Fatal("the call succeeded without a leader")
 		}
-		if asked := second.asked.Load() + third.asked.Load(); asked < 10 || asked > 100 {
-			t.Fatalf("the other stores were asked %d times in %v", asked, patience)
+		if asked := second.calls.Load() + third.calls.Load(); asked < 10 || asked > 100 {
+			t.Fatalf("the other stores were asked %d times in %v", asked, timeout)
 		}
 	})
 }
 
-// TestCallOutlivesALongElection: beside load the leader of a shard lost its lease, and no other
-// was elected for longer than a call lived. Its caller, who waited, was told that the job's
-// shard can't be reached.
+// TestCallOutlivesALongElection guards against calls that end during a long election although the
+// caller still waits.
 func TestCallOutlivesALongElection(t *testing.T) {
 	const election = 6 * time.Second
 	synctest.Test(t, func(t *testing.T) {
-		client := virtualClient(map[string]*fakeStore{
-			"1.1.1.1:1": {submit: silent}, "1.1.1.1:2": {submit: notLeader("1.1.1.1:1")}, "1.1.1.1:3": {submit: leadsAfter(election)},
+		client := newVirtualTimeClient(map[string]*fakeStore{
+			"1.1.1.1:1": {submit: unresponsive}, "1.1.1.1:2": {submit: notLeader("1.1.1.1:1")}, "1.1.1.1:3": {submit: electedAfter(election)},
 		})
 		began := time.Now()
 		if err := client.Submit(t.Context(), &rockwindpb.StoredJob{Id: "job"}, 0); err != nil {
@@ -102,10 +103,10 @@
 	})
 }
 
-// TestCallIsGivenUpSoonWhereNoStoreIsHeard: another router may reach the stores.
-func TestCallIsGivenUpSoonWhereNoStoreIsHeard(t *testing.T) {
+// TestCallEndsSoonIfNoStoreResponds: another router may reach the stores.
+func TestCallEndsSoonIfNoStoreResponds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		client := virtualClient(map[string]*fakeStore{"1.1.1.1:1": {submit: silent}, "1.1.1.1:2": {submit: silent}})
+		client := newVirtualTimeClient(map[string]*fakeStore{"1.1.1.1:1": {submit: unresponsive}, "1.1.1.1:2": {submit: unresponsive}})
 		began := time.Now()
 		err := client.Submit(t.Context(), &rockwindpb.StoredJob{Id: "job"}, 0)
 		if failure := fault.From(err); failure == nil || failure.Kind != fault.OutcomeUnknown {
@@ -117,16 +118,16 @@
 	})
 }
 
-// TestCallEndsAlthoughNoStoreIsEverElected: a quorum of the shard is gone for good. The stores
-// that are left are not asked without end, nor all the time.
-func TestCallEndsAlthoughNoStoreIsEverElected(t *testing.T) {
+// TestCallEndsIfNoLeaderIsElected covers the permanent loss of a shard's quorum. The remaining
+// stores must not be asked forever or too often.
+func TestCallEndsIfNoLeaderIsElected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		only := &fakeStore{submit: notLeader("")}
-		client := virtualClient(map[string]*fakeStore{"1.1.1.1:1": only})
+		client := newVirtualTimeClient(map[string]*fakeStore{"1.1.1.1:1": only})
 		began := time.Now()
 		err := client.Submit(t.Context(), &rockwindpb.StoredJob{Id: "job"}, 0)
 		failure := fault.From(err)
-		// An attempt may be under way as the call ends: then its outcome is in doubt.
+		// If an attempt is in progress at the end of the call, the outcome is unknown.
 		if failure == nil || (failure.Kind == fault.Unavailable) != (failure.Ran == fault.NotRun) ||
 			(failure.Kind != fault.Unavailable && failure.Kind != fault.OutcomeUnknown) {
 			t.Fatalf("the call ends with %v", err)
@@ -134,21 +135,21 @@
 		if took := time.Since(began); took > 15*time.Second {
 			t.Fatalf("the call took %v", took)
 		}
-		if asked := only.asked.Load(); asked > 200 {
+		if asked := only.calls.Load(); asked > 200 {
 			t.Fatalf("the store was asked %d times", asked)
 		}
 	})
 }
 
-// TestCallEndsWithItsCaller, also while an election goes on.
-func TestCallEndsWithItsCaller(t *testing.T) {
+// TestCallEndsWithItsContext verifies that a call ends with its context during an election.
+func TestCallEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		client := virtualClient(map[string]*fakeStore{"1.1.1.1:1": {submit: notLeader("")}})
+		client := newVirtualTimeClient(map[string]*fakeStore{"1.1.1.1:1": {submit: notLeader("")}})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		began := time.Now()
 		if err := client.Submit(ctx, &rockwindpb.StoredJob{Id: "job"}, 0); err == nil {
-			t.Fatal("nobody leads, and the call is answered")
+			t.Fatal("the call succeeded without a leader")
 		}
 		if took := time.Since(began); took != time.Second {
 			t.Fatalf("the call took %v", took)
@@ -156,10 +157,10 @@
 	})
 }
 
-// TestManyStoresWithoutALeaderAreNotAskedTheMoreOften: while a shard has no leader a call asks one
-// store after the other, however many there are.
+// TestManyStoresWithoutALeaderAreNotAskedTheMoreOften verifies that the rate of attempts at a
+// shard without a leader does not grow with the number of stores.
 func TestManyStoresWithoutALeaderAreNotAskedTheMoreOften(t *testing.T) {
-	const stores, patience, most = 14, time.Second, 60
+	const stores, timeout, maxAttempts = 14, time.Second, 60
 	synctest.Test(t, func(t *testing.T) {
 		all := make(map[string]*fakeStore)
 		for i := range stores {
@@ -168,32 +169,33 @@
 				return notLeader("")(ctx)
 			}}
 		}
-		client := virtualClient(all)
-		ctx, cancel := context.WithTimeout(t.Context(), patience)
+		client := newVirtualTimeClient(all)
+		ctx, cancel := context.WithTimeout(t.Context(), timeout)
 		defer cancel()
 		if err := client.Submit(ctx, &rockwindpb.StoredJob{Id: "job"}, 0); err == nil {
-			t.Fatal("nobody leads, and the call is answered")
+			t.Fatal("the call succeeded without a leader")
 		}
 		asked := int64(0)
 		for _, each := range all {
-			asked += each.asked.Load()
+			asked += each.calls.Load()
 		}
-		if asked < stores || asked > most {
-			t.Fatalf("%d attempts in %v, want at most %d", asked, patience, most)
+		if asked < stores || asked > maxAttempts {
+			t.Fatalf("%d attempts in %v, want at most %d", asked, timeout, maxAttempts)
 		}
 	})
 }
 
-// TestCallsEndSoonOnceTheProcessLeaves: its clients are answered before their connections are cut.
+// TestCallsEndSoonOnceTheProcessLeaves verifies that clients get an answer before their
+// connections are closed.
 func TestCallsEndSoonOnceTheProcessLeaves(t *testing.T) {
-	const leaves, most = 5 * time.Second, 8 * time.Second
+	const shutdownAfter, maxDuration = 5 * time.Second, 8 * time.Second
 	synctest.Test(t, func(t *testing.T) {
-		client := virtualClient(map[string]*fakeStore{"1.1.1.1:1": {submit: notLeader("")}, "1.1.1.1:2": {submit: notLeader("")}})
-		time.AfterFunc(leaves, client.BeginShutdown)
+		client := newVirtualTimeClient(map[string]*fakeStore{"1.1.1.1:1": {submit: notLeader("")}, "1.1.1.1:2": {submit: notLeader("")}})
+		time.AfterFunc(shutdownAfter, client.BeginShutdown)
 		began := time.Now()
 		err := client.Submit(t.Context(), &rockwindpb.StoredJob{Id: "job"}, 0)
-		if took := time.Since(began); err == nil || took <= leaves || took >= most {
-			t.Fatalf("the call ended after %v with %v; the process left after %v", took, err, leaves)
+		if took := time.Since(began); err == nil || took <= shutdownAfter || took >= maxDuration {
+			t.Fatalf("the call ended after %v with %v; the shutdown began after %v", took, err, shutdownAfter)
 		}
 	})
 }
