--- a/internal/linkfault/linkfault.go
+++ b/internal/linkfault/linkfault.go
@@ -1,7 +1,6 @@
-// Package linkfault cuts the links of one process to others, in silence, for
-// experiments with real processes: a call over a cut link is not sent and gets
-// no answer until its own deadline. A daemon uses it only under a flag that is
-// meant for experiments.
+// Package linkfault blocks the links from one process to others for fault-injection
+// experiments with real processes: a call over a blocked link is not sent and gets no
+// response until its own deadline. Daemons use it only if an experimental flag is set.
 package linkfault
 
 import (
@@ -14,36 +13,36 @@
 // Path is where the handler is mounted.
 const Path = "/fault-injection/blocked-links"
 
-// Links are the cut links of a process. The zero value cuts none; it is safe for
-// concurrent use.
+// Links holds the blocked links of a process. The zero value blocks none; it is safe
+// for concurrent use.
 type Links struct {
-	mutex sync.RWMutex
-	cut   map[string]bool
+	mutex   sync.RWMutex
+	blocked map[string]bool
 }
 
-// Block drops all calls to an address from now on.
+// Block blocks all calls to an address.
 func (l *Links) Block(address string) { l.set(address, true) }
 
-// Unblock lets calls to an address pass again.
+// Unblock unblocks calls to an address.
 func (l *Links) Unblock(address string) { l.set(address, false) }
 
-func (l *Links) set(address string, cut bool) {
+func (l *Links) set(address string, blocked bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.cut == nil {
-		l.cut = map[string]bool{}
+	if l.blocked == nil {
+		l.blocked = map[string]bool{}
 	}
-	l.cut[address] = cut
+	l.blocked[address] = blocked
 }
 
-func (l *Links) isCut(address string) bool {
+func (l *Links) isBlocked(address string) bool {
 	l.mutex.RLock()
 	defer l.mutex.RUnlock()
-	return l.cut[address]
+	return l.blocked[address]
 }
 
-// Transport returns a round tripper that sends calls through next unless their
-// link is cut.
+// Transport returns a round tripper that forwards calls to next unless their link is
+// blocked.
 func (l *Links) Transport(next http.RoundTripper) http.RoundTripper {
 	return &transport{links: l, next: next}
 }
@@ -53,13 +52,13 @@
 	next  http.RoundTripper
 }
 
-// RoundTrip implements http.RoundTripper. A call whose link is cut before or
-// while it is answered fails when its context ends, as over a dead network.
+// RoundTrip implements http.RoundTripper. A call whose link is blocked before or during
+// the exchange fails when its context ends, as on a network that drops packets.
 func (t *transport) RoundTrip(request *http.Request) (*http.Response, error) {
 	address := request.URL.Host
-	if !t.links.isCut(address) {
+	if !t.links.isBlocked(address) {
 		response, err := t.next.RoundTrip(request)
-		if err != nil || !t.links.isCut(address) {
+		if err != nil || !t.links.isBlocked(address) {
 			return response, err
 		}
 		response.Body.Close()
@@ -68,7 +67,7 @@
 	return nil, request.Context().Err()
 }
 
-// Handler cuts a link at PUT /{address} and heals it at DELETE /{address}.
+// Handler blocks a link at PUT /{address} and unblocks it at DELETE /{address}.
 func (l *Links) Handler() http.Handler {
 	router := chi.NewRouter()
 	router.Put("/{address}", func(writer http.ResponseWriter, request *http.Request) {
