--- a/internal/fingerprint/fingerprint.go
+++ b/internal/fingerprint/fingerprint.go
@@ -1,5 +1,5 @@
-// Package fingerprint identifies requests by their content. Clients that come again do so
-// with another identifier and at another router, so that the content alone tells that a
+// Package fingerprint identifies requests by their content. A client may retry with
+// another request ID and through another router, so only the content shows that a
 // request is the same as an earlier one. The package is pure.
 package fingerprint
 
@@ -9,37 +9,37 @@
 	"encoding/hex"
 )
 
-// Size is the length of a fingerprint in bytes: long enough that nobody finds two requests
-// with the same one, so that no caller can have the request of another one held.
+// Size is the length of a fingerprint in bytes. It makes collisions infeasible, so that
+// no caller can have another caller's request held.
 const Size = 16
 
-// Fingerprint is the short name of a request's content. It can be a key of maps.
+// Fingerprint is a truncated hash of a request's content.
 type Fingerprint [Size]byte
 
-// Content is what makes two requests the same.
+// Content holds what identifies a request.
 type Content struct {
-	// Tenant is the caller, empty where callers are not told apart.
+	// Tenant is the caller, empty if callers are not distinguished.
 	Tenant string
-	// Method, Host and Target are those of the request line; Target has the query.
+	// Method, Host and Target are those of the request line; Target includes the query.
 	Method string
 	Host   string
 	Target string
-	// Body is the whole body.
-	Body []byte
+	Body   []byte
 }
 
 // Of returns the fingerprint of a content.
 func Of(content Content) Fingerprint {
 	digest := sha256.New()
 	for _, part := range [][]byte{[]byte(content.Tenant), []byte(content.Method), []byte(content.Host), []byte(content.Target), content.Body} {
-		// The lengths keep a part from running into the next one. A hash never fails to write.
+		// Length prefixes keep the parts apart. Writes to a hash never fail.
 		_, _ = digest.Write(binary.AppendUvarint(nil, uint64(len(part))))
 		_, _ = digest.Write(part)
 	}
 	return Fingerprint(digest.Sum(nil)[:Size])
 }
 
-// FromBytes reads a fingerprint from its bytes, and tells whether they are one.
+// FromBytes returns the fingerprint with the given bytes, and false if their length is
+// wrong.
 func FromBytes(encoded []byte) (Fingerprint, bool) {
 	if len(encoded) != Size {
 		return Fingerprint{}, false
@@ -50,5 +50,5 @@
 // Bytes returns the fingerprint's bytes.
 func (f Fingerprint) Bytes() []byte { return f[:] }
 
-// String returns the fingerprint as logs and operators write it, in hexadecimal.
+// String returns the fingerprint in hexadecimal.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
--- a/internal/fingerprint/fingerprint_test.go
+++ b/internal/fingerprint/fingerprint_test.go
@@ -6,34 +6,34 @@
 	"rockwind.example/rockwind/internal/fingerprint"
 )
 
-func TestEveryPartOfTheContentCounts(t *testing.T) {
+func TestEveryFieldChangesFingerprint(t *testing.T) {
 	base := fingerprint.Content{Tenant: "t", Method: "POST", Host: "h", Target: "/p?q", Body: []byte("b")}
 	others := map[string]fingerprint.Content{
-		"tenant":          {Tenant: "u", Method: "POST", Host: "h", Target: "/p?q", Body: []byte("b")},
-		"method":          {Tenant: "t", Method: "PUT", Host: "h", Target: "/p?q", Body: []byte("b")},
-		"host":            {Tenant: "t", Method: "POST", Host: "i", Target: "/p?q", Body: []byte("b")},
-		"target":          {Tenant: "t", Method: "POST", Host: "h", Target: "/p?r", Body: []byte("b")},
-		"body":            {Tenant: "t", Method: "POST", Host: "h", Target: "/p?q", Body: []byte("c")},
-		"bounds of parts": {Tenant: "t", Method: "POST", Host: "h", Target: "/p?", Body: []byte("qb")},
+		"tenant":           {Tenant: "u", Method: "POST", Host: "h", Target: "/p?q", Body: []byte("b")},
+		"method":           {Tenant: "t", Method: "PUT", Host: "h", Target: "/p?q", Body: []byte("b")},
+		"host":             {Tenant: "t", Method: "POST", Host: "i", Target: "/p?q", Body: []byte("b")},
+		"target":           {Tenant: "t", Method: "POST", Host: "h", Target: "/p?r", Body: []byte("b")},
+		"body":             {Tenant: "t", Method: "POST", Host: "h", Target: "/p?q", Body: []byte("c")},
+		"field boundaries": {Tenant: "t", Method: "POST", Host: "h", Target: "/p?", Body: []byte("qb")},
 	}
 	for name, other := range others {
 		if fingerprint.Of(base) == fingerprint.Of(other) {
-			t.Errorf("the %s does not count", name)
+			t.Errorf("the fingerprint does not depend on the %s", name)
 		}
 	}
 	same := fingerprint.Content{Tenant: "t", Method: "POST", Host: "h", Target: "/p?q", Body: []byte("b")}
 	if fingerprint.Of(base) != fingerprint.Of(same) {
-		t.Error("the same content has two fingerprints")
+		t.Error("the same content has different fingerprints")
 	}
 }
 
-func TestBytesAreReadBack(t *testing.T) {
+func TestFromBytesRestoresFingerprint(t *testing.T) {
 	known := fingerprint.Of(fingerprint.Content{Body: []byte("b")})
 	if read, ok := fingerprint.FromBytes(known.Bytes()); !ok || read != known {
 		t.Fatalf("%v became %v", known, read)
 	}
 	if _, ok := fingerprint.FromBytes([]byte("short")); ok {
-		t.Fatal("bytes of another length were read")
+		t.Fatal("bytes of the wrong length were accepted")
 	}
 }
 
