--- a/internal/relaybudget/budget_test.go
+++ b/internal/relaybudget/budget_test.go
@@ -12,18 +12,18 @@
 	chunk = 8 << 10
 )
 
-// clock is a moment that tests move.
+// clock is the time at the start of a test.
 var clock = time.UnixMilli(1)
 
 type reader = relaybudget.Reader[string]
 
-// fill keeps chunks for a reader until the budget says otherwise, and returns what it said.
+// fill reserves up to the given number of chunks for a reader until one is not granted, and returns the last verdict.
 func fill(t *testing.T, budget *relaybudget.Budget[string], of *reader, most int, now time.Time) relaybudget.Verdict {
 	t.Helper()
 	for range most {
 		verdict, ended := budget.Reserve(of, chunk, now)
 		if len(ended) > 0 {
-			t.Fatalf("%s ends %s", of.Owner(), ended[0].Owner())
+			t.Fatalf("%s caused the end of %s", of.Owner(), ended[0].Owner())
 		}
 		if verdict != relaybudget.Granted {
 			return verdict
@@ -39,13 +39,13 @@
 	}
 }
 
-// TestHugeReadersWaitAndThousandOthersDoNot: three clients that read nothing of huge answers
-// take what is free, and wait. A thousand that fall behind a little beside them never do.
-func TestHugeReadersWaitAndThousandOthersDoNot(t *testing.T) {
+// TestLargeReadersWaitAndSmallReadersDoNot: three clients that do not read their huge
+// responses must wait, and a thousand small readers beside them must not.
+func TestLargeReadersWaitAndSmallReadersDoNot(t *testing.T) {
 	budget := relaybudget.New[string](limit)
 	for range 3 {
 		if verdict := fill(t, budget, relaybudget.NewReader("huge"), limit/chunk, clock); verdict != relaybudget.Wait {
-			t.Fatalf("a huge reader gets %v", verdict)
+			t.Fatalf("a large reader gets %v", verdict)
 		}
 	}
 	for i := range 1000 {
@@ -60,15 +60,15 @@
 	}
 }
 
-// TestSlowestAndLargestReaderIsEndedFirst: where all is used up, the room comes from the
-// reader that holds much and takes little, neither from one that is as large and reads on,
-// nor from a small one that reads nothing.
-func TestSlowestAndLargestReaderIsEndedFirst(t *testing.T) {
+// TestSlowestLargeReaderIsEndedFirst: when memory is used up, the reader that holds much and
+// reads little must be ended, rather than an equally large one that reads or a small one
+// that does not.
+func TestSlowestLargeReaderIsEndedFirst(t *testing.T) {
 	budget := relaybudget.New[string](limit)
-	dark, brisk, small := relaybudget.NewReader("dark"), relaybudget.NewReader("brisk"), relaybudget.NewReader("small")
+	unreading, brisk, small := relaybudget.NewReader("dark"), relaybudget.NewReader("brisk"), relaybudget.NewReader("small")
 	fill(t, budget, small, 2, clock)
 	for range 500 {
-		fill(t, budget, dark, 1, clock)
+		fill(t, budget, unreading, 1, clock)
 		fill(t, budget, brisk, 1, clock)
 	}
 	later := clock.Add(2 * time.Second)
@@ -85,22 +85,23 @@
 		if len(ended) == 0 {
 			continue
 		}
-		if len(ended) != 1 || ended[0] != dark || dark.Unread() != 0 {
-			t.Fatalf("ended was %s", ended[0].Owner())
+		if len(ended) != 1 || ended[0] != unreading || unreading.Unread() != 0 {
+			t.Fatalf("ended reader: %s", ended[0].Owner())
 		}
 		return
 	}
 }
 
-// TestWaitingReaderGoesOnWhenOthersHaveRead: what a reader takes is room again.
-func TestWaitingReaderGoesOnWhenOthersHaveRead(t *testing.T) {
+// TestWaitingReaderContinuesAfterOthersLeave: memory of a removed reader must be available
+// again.
+func TestWaitingReaderContinuesAfterOthersLeave(t *testing.T) {
 	budget := relaybudget.New[string](limit)
 	first, second := relaybudget.NewReader("first"), relaybudget.NewReader("second")
 	fill(t, budget, first, limit, clock)
 	fill(t, budget, second, 1, clock)
 	budget.Remove(first)
 	if !budget.HasRoom(chunk) {
-		t.Fatal("no room is left")
+		t.Fatal("no memory is left")
 	}
 	if verdict, _ := budget.Reserve(second, chunk, clock); verdict != relaybudget.Granted {
 		t.Fatalf("got %v", verdict)
@@ -108,8 +109,8 @@
 	check(t, budget)
 }
 
-// TestLargeBodiesAreRefusedWhileSmallOnesAreTaken: bodies gather before slow servers.
-func TestLargeBodiesAreRefusedWhileSmallOnesAreTaken(t *testing.T) {
+// TestLargeBodiesAreRefusedBeforeSmallOnes guards the memory for small bodies.
+func TestLargeBodiesAreRefusedBeforeSmallOnes(t *testing.T) {
 	budget := relaybudget.New[string](limit)
 	large, taken := int64(1<<20), 0
 	for {
@@ -120,24 +121,24 @@
 		taken++
 	}
 	if taken != 27 {
-		t.Errorf("%d bodies of 1 MB are taken of 36 MB", taken)
+		t.Errorf("%d bodies of 1 MB were accepted in 36 MB", taken)
 	}
 	if verdict, _ := budget.ReserveBody(chunk, chunk, clock); verdict != relaybudget.Granted {
 		t.Errorf("a small body gets %v", verdict)
 	}
 	budget.ReleaseBody(large)
 	if verdict, _ := budget.ReserveBody(large, large, clock); verdict != relaybudget.Refused {
-		t.Error("the room of small bodies goes to a large one")
+		t.Error("a large body got the memory for small ones")
 	}
 	budget.ReleaseBody(chunk)
 	if verdict, _ := budget.ReserveBody(large, large, clock); verdict != relaybudget.Granted {
-		t.Error("a body that has left leaves no room")
+		t.Error("a released body left no room")
 	}
 	check(t, budget)
 }
 
-// TestReaderOfALastPlaceIsRefusedWhereBodiesHoldAll: nothing that could be ended is left.
-func TestReaderOfALastPlaceIsRefusedWhereBodiesHoldAll(t *testing.T) {
+// TestReaderIsRefusedWhenBodiesUseAllMemory: there is no reader that could be ended.
+func TestReaderIsRefusedWhenBodiesUseAllMemory(t *testing.T) {
 	budget := relaybudget.New[string](limit)
 	for {
 		if verdict, _ := budget.ReserveBody(chunk, chunk, clock); verdict != relaybudget.Granted {
