--- a/internal/relief/relief.go
+++ b/internal/relief/relief.go
@@ -1,74 +1,73 @@
-// Package relief decides when a router that is short of what it runs on sends clients
-// elsewhere, and how.
+// Package relief decides when an overloaded router sends clients to other routers, and how.
 //
-// It answers uneven load: clients come to routers by a hash, so that shares differ, and
-// machines of one zone differ by three times in processor and link. A router that is short
-// is late for all of its clients, while others beside it have room. It answers machines that
-// are slowed for longer than seconds in the same way. A freeze, or a burst of a second, is
-// over before clients could have moved, and is no ground.
+// Load is uneven: clients choose routers by a hash, and the processors and links of the
+// machines in a zone differ by up to a factor of three. An overloaded router delays all of its
+// clients although others have capacity. The same applies to machines that are slowed for
+// longer than seconds. Freezes and bursts of about a second are ignored, because they
+// are over before clients could move.
 //
-// What a router lacks is judged over a window of samples. Short in most of a window, it asks
-// some of its clients to come anew (they may reach another router); short for longer, it also
-// says that it is not ready for new clients, when it is its turn. Turns go by the clock and
-// the router's place among those of its zone, so that no messages are needed: at any moment
-// a quarter of a zone's routers at most have their turn, and none where there are few.
+// A router is overloaded if most samples in a window show a shortage of the same resource. It
+// then asks some of its clients to reconnect, which may lead them to another router. If the
+// overload continues, it also reports itself as not ready for new clients when it is its turn.
+// Turns follow from the clock and the router's position in its zone and need no messages: at
+// any moment at most a quarter of a zone's routers have their turn, and none in a small zone.
 //
-// Judge is not safe for concurrent use.
+// Detector is not safe for concurrent use.
 package relief
 
 import "time"
 
-// Interval is the time between two samples: short enough to see a lateness of LateTimer, at a
-// thousandth of the smallest machine's processor.
+// Interval is the time between two samples. It is short enough to detect delays of
+// MaxTimerDelay and costs a thousandth of the smallest machine's processor.
 const Interval = 100 * time.Millisecond
 
 const (
-	// window is over how many samples a lack is judged. 2 s are four times what a burst of
-	// requests takes that is worked off within callers' objectives of 300 to 400 ms, and the
-	// shortest time after which clients that left have come to another router.
+	// window is the number of samples that are evaluated together. Its 2 s are longer than
+	// bursts that callers tolerate, and about as long as clients need to move to another
+	// router.
 	window = 20
-	// MaxTimerDelay is how late a timer is on a machine short of processor: a request passes
-	// through the router some four times on its way, which adds up to half of the shortest
-	// objective.
+	// MaxTimerDelay is the timer delay that shows a processor shortage. A request
+	// passes through the router some four times, so the delays add up to half of the
+	// shortest latency objective.
 	MaxTimerDelay = 40 * time.Millisecond
-	// memoryPart is the part of the budget for slow readers from which memory is short: the
-	// part from which large bodies are refused.
-	memoryPart = 0.75
-	// descriptorPart is the part of the descriptors from which they are short: what is left
-	// serves for reconnects to all servers.
-	descriptorPart = 0.8
-	// unsentTime is how long the bytes that wait for clients need on the link, from which the
-	// link is short: a third of the shortest objective.
-	unsentTime = 100 * time.Millisecond
-	// behindPart is the part of requests in progress whose clients are behind from which
-	// that is the link's lack and not the clients'.
-	behindPart = 0.5
-	// leastBehind is how many clients must be behind for that: fewer slow clients of a router
-	// with little else to do say nothing of its link.
-	leastBehind = 8
-	// turnAfter is how long a router is short before it says that it is not ready: closing
-	// connections has had time to help.
-	turnAfter = 4 * time.Second
-	// calmAfter is how long a router must not be short to take all clients again.
-	calmAfter = 5 * time.Second
-	// turnLength is how long a turn lasts: the platform needs two questions to notice, a
-	// second apart, and clients that come then a few seconds to spread.
-	turnLength = 6 * time.Second
-	// turns is how many turns there are: a quarter of the zone's routers have theirs at once,
-	// so that three quarters stay ready even if all are short.
+	// memoryFraction is the used fraction of the relay memory that shows a memory shortage.
+	// From this fraction, large bodies are refused.
+	memoryFraction = 0.75
+	// descriptorFraction is the used fraction of the file descriptors that shows a shortage.
+	// The rest is left for reconnecting to all servers.
+	descriptorFraction = 0.8
+	// maxSendTime is how long sending the unread bytes may take before the link counts as
+	// short: a third of the shortest latency objective.
+	maxSendTime = 100 * time.Millisecond
+	// behindFraction is the fraction of requests whose clients are behind that shows a shortage
+	// of the link; below it, the clients themselves are slow.
+	behindFraction = 0.5
+	// minimumBehind is how many clients must be behind for that, because a few slow clients
+	// of an idle router are not evidence of a slow link.
+	minimumBehind = 8
+	// unreadyAfter is how long a router is overloaded before it reports itself as not ready,
+	// so that closing connections has time to take effect.
+	unreadyAfter = 4 * time.Second
+	// recoveryTime is how long there must be no shortage before all clients are accepted again.
+	recoveryTime = 5 * time.Second
+	// turnDuration is how long a turn lasts: the platform needs two readiness probes, a second
+	// apart, and clients need a few seconds to move.
+	turnDuration = 6 * time.Second
+	// turns is the number of turns. A quarter of the zone's routers have their turn at the
+	// same time, so that three quarters stay ready even if all are overloaded.
 	turns = 4
-	// leastRouters is how many routers a zone needs for any to have a turn.
-	leastRouters = 4
-	// CloseOneIn is how many answers a router that is short gives for one that asks its client
-	// to come anew: with ten requests a second on each connection half of the clients go in
-	// a second, with one request in ten seconds half of them in a minute.
+	// minimumRouters is the smallest zone in which routers have turns.
+	minimumRouters = 4
+	// CloseOneIn is the number of responses of an overloaded router per response that asks its
+	// client to reconnect. With ten requests a second per connection, half of the clients
+	// leave within a second; with one request in ten seconds, within a minute.
 	CloseOneIn = 8
 )
 
-// Shortage is what a router is short of.
+// Shortage is the resource that a router is short of.
 type Shortage string
 
-// The lacks.
+// The resources.
 const (
 	None        Shortage = ""
 	Processor   Shortage = "processor"
@@ -77,116 +76,116 @@
 	Descriptors Shortage = "descriptors"
 )
 
-// lacks lists them in the order in which they are told.
-var lacks = []Shortage{Processor, Memory, Descriptors, Link}
+// shortages lists them in order of precedence.
+var shortages = []Shortage{Processor, Memory, Descriptors, Link}
 
-// Sample is what a router measured at one moment.
+// Sample is a measurement of a router's load.
 type Sample struct {
-	// TimerDelay is how late its timer was.
+	// TimerDelay is how late the sampling timer fired.
 	TimerDelay time.Duration
-	// MemoryFraction and DescriptorFraction are the parts of its budget and descriptors in use.
+	// MemoryFraction and DescriptorFraction are the used fractions of the relay memory and
+	// the file descriptors.
 	MemoryFraction, DescriptorFraction float64
-	// InProgress is how many requests it has, and Behind the clients among theirs that have
-	// not read what there is for them.
+	// InProgress is the number of requests, and Behind the number of clients with unread
+	// bytes.
 	InProgress, Behind int
-	// SendTime is how long what waits for clients needs on the link; zero where the link's rate
-	// is not known.
+	// SendTime is how long sending the unread bytes would take, zero if the link's rate is
+	// unknown.
 	SendTime time.Duration
 }
 
-// short tells whether the sample shows a lack.
-func (s Sample) short(lack Shortage) bool {
-	switch lack {
+// shows reports whether the sample shows a shortage.
+func (s Sample) shows(shortage Shortage) bool {
+	switch shortage {
 	case Processor:
 		return s.TimerDelay >= MaxTimerDelay
 	case Memory:
-		return s.MemoryFraction >= memoryPart
+		return s.MemoryFraction >= memoryFraction
 	case Descriptors:
-		return s.DescriptorFraction >= descriptorPart
+		return s.DescriptorFraction >= descriptorFraction
 	case Link:
-		return s.SendTime >= unsentTime && s.Behind >= leastBehind && float64(s.Behind) >= behindPart*float64(s.InProgress)
+		return s.SendTime >= maxSendTime && s.Behind >= minimumBehind && float64(s.Behind) >= behindFraction*float64(s.InProgress)
 	}
 	return false
 }
 
-// ZonePosition is the place of a router among those of its zone.
+// ZonePosition is the position of a router among the routers of its zone.
 type ZonePosition struct {
-	// Position of the router in the order of their names, and how many Routers there are.
+	// Position is the router's index in the order of their names, and Routers their number.
 	Position, Routers int
 }
 
-// Advice is what a router does.
+// Advice is what a router should do.
 type Advice struct {
-	// Shortage is what it is short of, None where it does nothing.
+	// Shortage is the reason, None if nothing should be done.
 	Shortage Shortage
-	// Close has one of CloseOneIn answers ask the client to come anew.
+	// Close is set if one in CloseOneIn responses should ask the client to reconnect.
 	Close bool
-	// Unready has it say that it is not ready.
+	// Unready is set if the router should report itself as not ready.
 	Unready bool
 }
 
-// Detector judges one router.
+// Detector detects the overload of one router.
 type Detector struct {
 	samples []Sample
 	next    int
-	// began is when the router became short, and lasted until when it was; zero while it is
-	// not.
-	began, lasted time.Time
-	lack          Shortage
+	// overloadedSince is when the overload began, and lastShort when a shortage was last detected.
+	overloadedSince, lastShort time.Time
+	shortage                   Shortage
 }
 
-// Observe takes a sample and returns what to do until the next one.
-func (j *Detector) Observe(sample Sample, zone ZonePosition, now time.Time) Advice {
-	j.add(sample)
-	if lack := j.lacking(); lack != None {
-		if j.lack == None {
-			j.began = now
+// Observe adds a sample and returns what to do until the next one.
+func (d *Detector) Observe(sample Sample, position ZonePosition, now time.Time) Advice {
+	d.add(sample)
+	if shortage := d.current(); shortage != None {
+		if d.shortage == None {
+			d.overloadedSince = now
 		}
-		j.lack, j.lasted = lack, now
+		d.shortage, d.lastShort = shortage, now
 	}
-	if j.lack == None || now.Sub(j.lasted) >= calmAfter {
-		j.lack = None
+	if d.shortage == None || now.Sub(d.lastShort) >= recoveryTime {
+		d.shortage = None
 		return Advice{}
 	}
-	longShort := now.Sub(j.began) >= turnAfter
-	return Advice{Shortage: j.lack, Close: true, Unready: longShort && zone.hasTurn(now)}
+	overloadedLong := now.Sub(d.overloadedSince) >= unreadyAfter
+	return Advice{Shortage: d.shortage, Close: true, Unready: overloadedLong && position.hasTurn(now)}
 }
 
-func (j *Detector) add(sample Sample) {
-	if len(j.samples) < window {
-		j.samples = append(j.samples, sample)
+func (d *Detector) add(sample Sample) {
+	if len(d.samples) < window {
+		d.samples = append(d.samples, sample)
 		return
 	}
-	j.samples[j.next] = sample
-	j.next = (j.next + 1) % window
+	d.samples[d.next] = sample
+	d.next = (d.next + 1) % window
 }
 
-// lacking is what most of a whole window shows a lack of.
-func (j *Detector) lacking() Shortage {
-	if len(j.samples) < window {
+// current returns the shortage that most samples of a full window show.
+func (d *Detector) current() Shortage {
+	if len(d.samples) < window {
 		return None
 	}
-	for _, lack := range lacks {
+	for _, shortage := range shortages {
 		count := 0
-		for _, sample := range j.samples {
-			if sample.short(lack) {
+		for _, sample := range d.samples {
+			if sample.shows(shortage) {
 				count++
 			}
 		}
 		if count > window/2 {
-			return lack
+			return shortage
 		}
 	}
 	return None
 }
 
-// hasTurn tells whether the router may say now that it is not ready.
+// hasTurn reports whether the router may report itself as not ready now.
 func (z ZonePosition) hasTurn(now time.Time) bool {
-	if z.Routers < leastRouters {
+	if z.Routers < minimumRouters {
 		return false
 	}
 	most := z.Routers / turns
 	cycle := (z.Routers + most - 1) / most
-	turn := now.UnixNano() / int64(turnLength)
+	turn := now.UnixNano() / int64(turnDuration)
 	return (int64(z.Position)+turn)%int64(cycle) == 0
 }
--- a/internal/relief/relief_test.go
+++ b/internal/relief/relief_test.go
@@ -14,10 +14,11 @@
 	zone  = relief.ZonePosition{Position: 0, Routers: 24}
 )
 
-// seconds gives a judge the same sample for a while. It returns what came of it.
-func seconds(judge *relief.Detector, sample relief.Sample, of relief.ZonePosition, from time.Time, length time.Duration) (last relief.Advice, closed, unready time.Duration) {
+// observe feeds a detector the same sample for a while. It returns the last advice and for how
+// long clients were asked to reconnect and the router was not ready.
+func observe(detector *relief.Detector, sample relief.Sample, of relief.ZonePosition, from time.Time, length time.Duration) (last relief.Advice, closed, unready time.Duration) {
 	for passed := time.Duration(0); passed < length; passed += relief.Interval {
-		last = judge.Observe(sample, of, from.Add(passed))
+		last = detector.Observe(sample, of, from.Add(passed))
 		if last.Close {
 			closed += relief.Interval
 		}
@@ -28,78 +29,77 @@
 	return last, closed, unready
 }
 
-// TestOrdinaryDaysBringNothing: timers of a machine that has room are a few ms late, a few
-// clients are behind, and now and then something takes long.
-func TestOrdinaryDaysBringNothing(t *testing.T) {
-	var judge relief.Detector
+// TestNormalLoadGivesNoAdvice: small timer delays, a few slow clients and single long delays
+// must be ignored.
+func TestNormalLoadGivesNoAdvice(t *testing.T) {
+	var detector relief.Detector
 	for i := range 10 * 60 * 60 {
 		sample := relief.Sample{TimerDelay: time.Duration(i%20) * time.Millisecond, MemoryFraction: 0.2, DescriptorFraction: 0.3, InProgress: 30, Behind: 3, SendTime: 300 * time.Millisecond}
 		if i%4 == 0 {
 			sample.TimerDelay = 100 * time.Millisecond
 		}
-		if advice := judge.Observe(sample, zone, clock.Add(time.Duration(i)*relief.Interval)); advice != (relief.Advice{}) {
-			t.Fatalf("sample %d brings %+v", i, advice)
+		if advice := detector.Observe(sample, zone, clock.Add(time.Duration(i)*relief.Interval)); advice != (relief.Advice{}) {
+			t.Fatalf("sample %d causes %+v", i, advice)
 		}
 	}
 }
 
-// TestFreezeOfSecondsBringsNothing: one timer is late by the whole freeze, and those of the
-// half second in which the machine works off what has come.
-func TestFreezeOfSecondsBringsNothing(t *testing.T) {
-	var judge relief.Detector
-	seconds(&judge, calm, zone, clock, 5*time.Second)
+// TestFreezeOfSecondsGivesNoAdvice: one timer is late by the whole freeze, and the timers of the
+// next half second are late while the backlog is processed.
+func TestFreezeOfSecondsGivesNoAdvice(t *testing.T) {
+	var detector relief.Detector
+	observe(&detector, calm, zone, clock, 5*time.Second)
 	frozen := calm
 	frozen.TimerDelay = 4 * time.Second
-	judge.Observe(frozen, zone, clock.Add(9*time.Second))
-	_, closed, _ := seconds(&judge, late, zone, clock.Add(9*time.Second), 500*time.Millisecond)
-	_, after, _ := seconds(&judge, calm, zone, clock.Add(9500*time.Millisecond), 10*time.Second)
+	detector.Observe(frozen, zone, clock.Add(9*time.Second))
+	_, closed, _ := observe(&detector, late, zone, clock.Add(9*time.Second), 500*time.Millisecond)
+	_, after, _ := observe(&detector, calm, zone, clock.Add(9500*time.Millisecond), 10*time.Second)
 	if closed+after > 0 {
-		t.Errorf("clients are sent away for %v", closed+after)
+		t.Errorf("clients were asked to reconnect for %v", closed+after)
 	}
 }
 
-// TestSlowedMachineSendsClientsAwayUntilItIsWell: it asks clients to come anew, then says
-// that it is not ready in its turn, and takes all again when it is well.
-func TestSlowedMachineSendsClientsAwayUntilItIsWell(t *testing.T) {
-	var judge relief.Detector
-	seconds(&judge, calm, zone, clock, 5*time.Second)
+// TestSlowedMachineSendsClientsAwayUntilItRecovers: it must first ask clients to reconnect, then
+// also report itself as not ready in its turn, and accept all clients again after it recovers.
+func TestSlowedMachineSendsClientsAwayUntilItRecovers(t *testing.T) {
+	var detector relief.Detector
+	observe(&detector, calm, zone, clock, 5*time.Second)
 	slowed := clock.Add(5 * time.Second)
-	last, closed, unready := seconds(&judge, late, zone, slowed, 30*time.Second)
+	last, closed, unready := observe(&detector, late, zone, slowed, 30*time.Second)
 	if last.Shortage != relief.Processor || closed < 27*time.Second {
-		t.Errorf("clients are asked to leave for %v, %+v", closed, last)
+		t.Errorf("clients were asked to reconnect for %v, %+v", closed, last)
 	}
 	if unready < 4*time.Second || unready > 12*time.Second {
-		t.Errorf("it is not ready for %v of 30 s", unready)
+		t.Errorf("not ready for %v of 30 s", unready)
 	}
-	last, closed, _ = seconds(&judge, calm, zone, slowed.Add(30*time.Second), 10*time.Second)
+	last, closed, _ = observe(&detector, calm, zone, slowed.Add(30*time.Second), 10*time.Second)
 	if last != (relief.Advice{}) || closed > 7*time.Second {
-		t.Errorf("10 s after it is well, %v of them sending clients away: %+v", closed, last)
+		t.Errorf("10 s after recovery, with clients asked to reconnect for %v: %+v", closed, last)
 	}
 }
 
-// TestWholeZoneThatIsShortStaysReady: all routers of a zone are short at once. At any moment
-// three quarters stay ready, and in a small zone all.
-func TestWholeZoneThatIsShortStaysReady(t *testing.T) {
+// TestOverloadedZoneStaysMostlyReady: if all routers of a zone are overloaded, three quarters must
+// stay ready at any moment, and all of them in a small zone.
+func TestOverloadedZoneStaysMostlyReady(t *testing.T) {
 	for _, routers := range []int{1, 2, 3, 4, 5, 7, 24, 28} {
-		judges := make([]relief.Detector, routers)
+		detectors := make([]relief.Detector, routers)
 		most := 0
 		for passed := time.Duration(0); passed < time.Minute; passed += relief.Interval {
 			unready := 0
-			for position := range judges {
-				if judges[position].Observe(late, relief.ZonePosition{Position: position, Routers: routers}, clock.Add(passed)).Unready {
+			for position := range detectors {
+				if detectors[position].Observe(late, relief.ZonePosition{Position: position, Routers: routers}, clock.Add(passed)).Unready {
 					unready++
 				}
 			}
 			most = max(most, unready)
 		}
 		if most != routers/4 {
-			t.Errorf("of %d routers %d are not ready at once", routers, most)
+			t.Errorf("%[2]d of %[1]d routers are not ready at the same time", routers, most)
 		}
 	}
 }
 
-// TestEachLackIsSeen: what a router is short of is told.
-func TestEachLackIsSeen(t *testing.T) {
+func TestEachShortageIsDetected(t *testing.T) {
 	for _, each := range []struct {
 		want   relief.Shortage
 		sample relief.Sample
@@ -108,14 +108,14 @@
 		{relief.Memory, relief.Sample{MemoryFraction: 0.8}},
 		{relief.Descriptors, relief.Sample{DescriptorFraction: 0.9}},
 		{relief.Link, relief.Sample{SendTime: 200 * time.Millisecond, InProgress: 20, Behind: 15}},
-		// A part of the clients is slow.
+		// Only some of the clients are slow.
 		{relief.None, relief.Sample{SendTime: 200 * time.Millisecond, InProgress: 40, Behind: 15}},
-		// A few slow clients are all that an idle router has.
+		// A few slow clients of an idle router.
 		{relief.None, relief.Sample{SendTime: 2 * time.Second, Behind: 3}},
 	} {
-		var judge relief.Detector
-		if last, _, _ := seconds(&judge, each.sample, zone, clock, 3*time.Second); last.Shortage != each.want {
-			t.Errorf("%+v is taken for a lack of %q", each.sample, last.Shortage)
+		var detector relief.Detector
+		if last, _, _ := observe(&detector, each.sample, zone, clock, 3*time.Second); last.Shortage != each.want {
+			t.Errorf("%+v is reported as a shortage of %q", each.sample, last.Shortage)
 		}
 	}
 }
