--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -1,12 +1,11 @@
-// Package health judges servers by the outcomes of real traffic. It is pure:
-// time and randomness are arguments. One goroutine owns a Tracker; it publishes
-// the verdicts to the routing views.
+// Package health tracks the health of servers by the outcomes of their requests. It
+// is pure: time and randomness are arguments. One goroutine owns a Tracker.
 //
-// A server is Healthy, Suspect after a few failures or while it is much slower
-// than its peers, and Ejected when failures go on. An ejected server stays out
-// for a hold-down with jitter that doubles with each ejection, then takes single
-// trial requests; enough good trials bring it back with a slow start. Never more
-// than a set part of the servers is ejected at a time.
+// A server is Healthy, Suspect after a few failures or while it is much slower than
+// its peers, and Ejected if failures continue. An ejected server stays out for a
+// hold-down with jitter that doubles with each ejection, and then gets single trial
+// requests; enough successful trials bring it back with a slow start. The fraction
+// of servers that are ejected at the same time is limited.
 package health
 
 import (
@@ -16,68 +15,68 @@
 	"time"
 )
 
-// State is the verdict on a server.
+// State is the health of a server.
 type State uint8
 
 // The states of a server.
 const (
-	// Healthy servers take traffic.
+	// Healthy servers receive traffic.
 	Healthy State = iota
-	// Suspect servers take traffic only where no healthy one can.
+	// Suspect servers receive traffic only if no healthy one is available.
 	Suspect
-	// Ejected servers take none, except trials.
+	// Ejected servers receive only trial requests.
 	Ejected
 )
 
-// Outcome is how an exchange with a server ended, as far as it says something
-// of the server.
+// Outcome is how an exchange ended, as far as it is evidence of the server's health.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes of an exchange.
 const (
-	// Success: a whole answer, or a first token.
+	// Success: a complete response, or a first token.
 	Success Outcome = iota
-	// Failure: a connection error, a broken stream, a status 500 or above other
+	// Failure: a connection error, a broken stream, or a status of 500 or above other
 	// than a refusal.
 	Failure
-	// Timeout: no answer in the time allowed.
+	// Timeout: no response in time.
 	Timeout
-	// Refused: the server refused before anything ran. It is evidence of load,
-	// not of sickness.
+	// Refused: the server refused the request before running it. This is evidence of
+	// load, not of failure.
 	Refused
 )
 
-// Policy holds the thresholds.
+// Policy holds the thresholds of a Tracker.
 type Policy struct {
-	// SuspectAfter and EjectAfter are failure scores; each failure adds 1, each
-	// timeout 2, each success halves the score, and it decays with HalfLife.
+	// SuspectAfter and EjectAfter are failure scores. Each failure adds 1 and each
+	// timeout 2; each success halves the score, and it decays with HalfLife.
 	SuspectAfter float64
 	EjectAfter   float64
 	HalfLife     time.Duration
-	// HoldDown is the first time out; it doubles up to MaxHoldDown.
+	// HoldDown is the duration of the first ejection; it doubles up to MaxHoldDown.
 	HoldDown    time.Duration
 	MaxHoldDown time.Duration
-	// Jitter is the part of a hold-down that is drawn at random.
+	// Jitter is the largest random addition to a hold-down, as a fraction of it.
 	Jitter float64
-	// TrialsToReturn is how many trials in a row must succeed.
+	// TrialsToReturn is how many consecutive trials must succeed.
 	TrialsToReturn int
-	// SlowStart is how long a server that is back takes to get full traffic.
+	// SlowStart is how long a recovered server takes to return to full traffic.
 	SlowStart time.Duration
-	// MaxEjectedFraction is the largest part of the servers ejected at a time.
+	// MaxEjectedFraction is the largest fraction of the servers ejected at a time.
 	MaxEjectedFraction float64
-	// SlowFactor makes a server suspect when its latency exceeds the median of
-	// its peers so many times, SlowFor so long.
+	// SlowFactor is the multiple of its peers' median latency above which a server is
+	// an outlier. It becomes suspect after being one for SlowAfter.
 	SlowFactor float64
 	SlowAfter  time.Duration
-	// SilenceTimeout is how long no first token may come from a server while some are
-	// awaited; SilentFactor allows longer where the wait was expected to be long.
+	// SilenceTimeout is how long a server may send no first token while some are
+	// pending. It is extended to SilenceFactor times the expected wait.
 	SilenceTimeout time.Duration
 	SilenceFactor  float64
-	// EjectionDecay forgets one doubling of the hold-down after so long in health.
+	// EjectionDecay is the healthy time after which one doubling of the hold-down is
+	// forgotten.
 	EjectionDecay time.Duration
 }
 
-// DefaultPolicy is what gateways use.
+// DefaultPolicy is the policy of gateways.
 var DefaultPolicy = Policy{
 	SuspectAfter:       2,
 	EjectAfter:         4,
@@ -95,52 +94,52 @@
 	EjectionDecay:      time.Minute,
 }
 
-// minimumSlowStart is the traffic weight of a server that has just come back.
-const minimumSlowStart = 0.1
+// minimumWeight is the traffic weight of a server that has just recovered.
+const minimumWeight = 0.1
 
-// latencyWeight is the weight of a new sample in the moving mean of latency.
+// latencyWeight is the weight of a new sample in the moving average of latency.
 const latencyWeight = 0.1
 
-// Scores of failures.
+// Scores added by failures.
 const (
-	failureScore = 1
-	timeoutScore = 2
+	scorePerFailure = 1
+	scorePerTimeout = 2
 )
 
 // record is the state of one server.
 type record struct {
-	state         State
-	failures      float64
-	failuresAt    time.Duration
-	ejections     int
-	heldUntil     time.Duration
-	trialOpen     bool
-	trialsPassed  int
-	returnedAt    time.Duration
-	returned      bool
-	healthySince  time.Duration
-	latency       float64
-	samples       int
-	slowSince     time.Duration
-	slow          bool
-	wantsEjection bool
-	silence       silence
-	// touched tells that its server is listed among those with evidence.
-	touched bool
+	state           State
+	failures        float64
+	decayedAt       time.Duration
+	ejections       int
+	ejectedUntil    time.Duration
+	trialRunning    bool
+	trialsPassed    int
+	recoveredAt     time.Duration
+	recovered       bool
+	healthySince    time.Duration
+	latency         float64
+	samples         int
+	outlierSince    time.Duration
+	slow            bool
+	ejectionPending bool
+	silence         silence
+	// hasEvidence is set if the server is in Tracker.withEvidence.
+	hasEvidence bool
 }
 
-// Tracker judges a set of servers, known by index.
+// Tracker tracks the health of servers, which are identified by index.
 type Tracker struct {
 	policy  Policy
 	records []record
 	ejected int
 	scratch []float64
-	// touched lists the servers with evidence in order. Of 10,000 servers a process of a large site
-	// sends to a few each second, and what depends on time concerns these alone.
-	touched []int
+	// withEvidence lists the servers with evidence in ascending order. Evaluate only
+	// visits these, because at a large site a process uses few of thousands of servers.
+	withEvidence []int
 }
 
-// NewTracker returns a tracker of so many servers, all healthy.
+// NewTracker returns a tracker of the given number of healthy servers.
 func NewTracker(policy Policy, servers int) *Tracker {
 	return &Tracker{policy: policy, records: make([]record, servers)}
 }
@@ -152,52 +151,53 @@
 	}
 	if servers <= len(t.records) {
 		t.records = t.records[:servers]
-		place, _ := slices.BinarySearch(t.touched, servers)
-		t.touched = t.touched[:place]
+		place, _ := slices.BinarySearch(t.withEvidence, servers)
+		t.withEvidence = t.withEvidence[:place]
 		return
 	}
 	t.records = append(t.records, make([]record, servers-len(t.records))...)
 }
 
-// Forget makes a server healthy without history, for a server that was replaced.
+// Forget makes a server healthy and clears its history, for a server that was
+// replaced.
 func (t *Tracker) Forget(server int) {
 	if t.records[server].state == Ejected {
 		t.ejected--
 	}
-	t.records[server] = record{touched: t.records[server].touched}
+	t.records[server] = record{hasEvidence: t.records[server].hasEvidence}
 }
 
-// touch returns the record of a server that there is evidence of.
-func (t *Tracker) touch(server int) *record {
+// recordWithEvidence returns the record of a server and lists it as having evidence.
+func (t *Tracker) recordWithEvidence(server int) *record {
 	entry := &t.records[server]
-	if !entry.touched {
-		entry.touched = true
-		place, _ := slices.BinarySearch(t.touched, server)
-		t.touched = slices.Insert(t.touched, place, server)
+	if !entry.hasEvidence {
+		entry.hasEvidence = true
+		place, _ := slices.BinarySearch(t.withEvidence, server)
+		t.withEvidence = slices.Insert(t.withEvidence, place, server)
 	}
 	return entry
 }
 
-// Record takes the outcome of one exchange with a server. Latency is the time
-// to the first token or to the answer's head; zero means not measured.
+// Record records the outcome of an exchange with a server. Latency is the time to
+// the first token or the response headers; zero if not measured.
 func (t *Tracker) Record(server int, outcome Outcome, latency, now time.Duration, random *rand.Rand) {
-	entry := t.touch(server)
+	entry := t.recordWithEvidence(server)
 	entry.decay(now, t.policy.HalfLife)
 	switch outcome {
 	case Success:
 		t.succeeded(entry, latency, now)
 	case Failure:
-		t.failed(entry, failureScore, now, random)
+		t.failed(entry, scorePerFailure, now, random)
 	case Timeout:
-		t.failed(entry, timeoutScore, now, random)
+		t.failed(entry, scorePerTimeout, now, random)
 	case Refused:
-		entry.trialOpen = false
+		entry.trialRunning = false
 	}
 }
 
 func (r *record) decay(now, halfLife time.Duration) {
-	elapsed := now - r.failuresAt
-	r.failuresAt = now
+	elapsed := now - r.decayedAt
+	r.decayedAt = now
 	if elapsed <= 0 || halfLife <= 0 || r.failures == 0 {
 		return
 	}
@@ -206,19 +206,19 @@
 
 func (t *Tracker) succeeded(entry *record, latency, now time.Duration) {
 	entry.failures /= 2
-	entry.observe(latency)
+	entry.recordLatency(latency)
 	if entry.state == Ejected {
 		t.passTrial(entry, now)
 		return
 	}
-	entry.wantsEjection = entry.wantsEjection && entry.failures >= t.policy.EjectAfter
+	entry.ejectionPending = entry.ejectionPending && entry.failures >= t.policy.EjectAfter
 	if entry.state == Suspect && entry.failures < t.policy.SuspectAfter/2 && !entry.slow {
 		entry.state = Healthy
 		entry.healthySince = now
 	}
 }
 
-func (r *record) observe(latency time.Duration) {
+func (r *record) recordLatency(latency time.Duration) {
 	if latency <= 0 {
 		return
 	}
@@ -228,22 +228,22 @@
 }
 
 func (t *Tracker) passTrial(entry *record, now time.Duration) {
-	if !entry.trialOpen {
+	if !entry.trialRunning {
 		return
 	}
-	entry.trialOpen = false
+	entry.trialRunning = false
 	entry.trialsPassed++
 	if entry.trialsPassed < t.policy.TrialsToReturn {
 		return
 	}
 	t.ejected--
 	ejections := entry.ejections
-	*entry = record{touched: true, ejections: ejections, returned: true, returnedAt: now, healthySince: now, failuresAt: now, silence: entry.silence}
+	*entry = record{hasEvidence: true, ejections: ejections, recovered: true, recoveredAt: now, healthySince: now, decayedAt: now, silence: entry.silence}
 }
 
 func (t *Tracker) failed(entry *record, weight float64, now time.Duration, random *rand.Rand) {
 	if entry.state == Ejected {
-		if entry.trialOpen {
+		if entry.trialRunning {
 			t.hold(entry, now, random)
 		}
 		return
@@ -251,7 +251,7 @@
 	entry.failures += weight
 	if entry.failures >= t.policy.EjectAfter {
 		entry.state = Suspect
-		entry.wantsEjection = true
+		entry.ejectionPending = true
 		t.tryEject(entry, now, random)
 		return
 	}
@@ -260,7 +260,7 @@
 	}
 }
 
-// tryEject ejects a server unless the cap on ejected servers is reached; then it
+// tryEject ejects a server unless that would exceed MaxEjectedFraction; then it
 // stays suspect.
 func (t *Tracker) tryEject(entry *record, now time.Duration, random *rand.Rand) {
 	if float64(t.ejected+1) > t.policy.MaxEjectedFraction*float64(len(t.records)) {
@@ -268,54 +268,55 @@
 	}
 	t.ejected++
 	entry.state = Ejected
-	entry.wantsEjection = false
+	entry.ejectionPending = false
 	t.hold(entry, now, random)
 }
 
-// maxDoublings bounds the exponent of the hold-down.
-const maxDoublings = 16
+// maximumDoublings bounds the exponent of the hold-down.
+const maximumDoublings = 16
 
 func (t *Tracker) hold(entry *record, now time.Duration, random *rand.Rand) {
-	doublings := min(entry.ejections, maxDoublings)
+	doublings := min(entry.ejections, maximumDoublings)
 	entry.ejections++
 	hold := min(t.policy.HoldDown<<doublings, t.policy.MaxHoldDown)
 	jitter := time.Duration(t.policy.Jitter * random.Float64() * float64(hold))
-	entry.heldUntil = now + hold + jitter
-	entry.trialOpen = false
+	entry.ejectedUntil = now + hold + jitter
+	entry.trialRunning = false
 	entry.trialsPassed = 0
 }
 
-// StartTrial tells whether a request may go to an ejected server as its single
-// trial, and opens the trial. The outcome must be recorded.
+// StartTrial reports whether a request may be sent to an ejected server as a trial,
+// and starts the trial. Its outcome must be recorded.
 func (t *Tracker) StartTrial(server int, now time.Duration) bool {
 	entry := &t.records[server]
-	if entry.state != Ejected || entry.trialOpen || now < entry.heldUntil {
+	if entry.state != Ejected || entry.trialRunning || now < entry.ejectedUntil {
 		return false
 	}
-	entry.trialOpen = true
+	entry.trialRunning = true
 	return true
 }
 
-// State returns the verdict on a server and the weight of its traffic, above 0
-// and at most 1, which rises over the slow start.
+// State returns the state of a server and its traffic weight, which is greater than
+// 0 and rises to 1 during the slow start.
 func (t *Tracker) State(server int, now time.Duration) (State, float32) {
 	entry := &t.records[server]
-	if !entry.returned || t.policy.SlowStart <= 0 {
+	if !entry.recovered || t.policy.SlowStart <= 0 {
 		return entry.state, 1
 	}
-	part := float64(now-entry.returnedAt) / float64(t.policy.SlowStart)
-	return entry.state, float32(min(1, max(minimumSlowStart, part)))
+	fraction := float64(now-entry.recoveredAt) / float64(t.policy.SlowStart)
+	return entry.state, float32(min(1, max(minimumWeight, fraction)))
 }
 
-// Failing tells whether a server is suspect or ejected for failures or silence, not for
-// being slow. It is not while an ejected server waits for a trial: others may try it then.
+// Failing reports whether a server is suspect or ejected because of failures or
+// silence, as opposed to slowness. It is false once an ejected server may get a
+// trial.
 func (t *Tracker) Failing(server int, now time.Duration) bool {
 	entry := &t.records[server]
 	switch entry.state {
 	case Suspect:
 		return entry.failures >= t.policy.SuspectAfter/2
 	case Ejected:
-		return now < entry.heldUntil
+		return now < entry.ejectedUntil
 	}
 	return false
 }
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -12,7 +12,7 @@
 	return rand.New(rand.NewPCG(1, 2))
 }
 
-func TestCapOnEjectedServersHolds(t *testing.T) {
+func TestEjectedFractionIsCapped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		servers := rapid.IntRange(1, 20).Draw(t, "servers")
 		tracker := NewTracker(DefaultPolicy, servers)
@@ -27,12 +27,12 @@
 			if rapid.Bool().Draw(t, "evaluate") {
 				tracker.Evaluate(now, random)
 			}
-			checkCap(t, tracker, servers, now)
+			checkEjectedFraction(t, tracker, servers, now)
 		}
 	})
 }
 
-func checkCap(t *rapid.T, tracker *Tracker, servers int, now time.Duration) {
+func checkEjectedFraction(t *rapid.T, tracker *Tracker, servers int, now time.Duration) {
 	ejected := 0
 	for server := range servers {
 		state, weight := tracker.State(server, now)
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestEjectedServerComesBackThroughTrialsAndSlowStart(t *testing.T) {
+func TestEjectedServerRecoversThroughTrialsAndSlowStart(t *testing.T) {
 	tracker := NewTracker(DefaultPolicy, 10)
 	random := newRandom()
 	for range 4 {
@@ -61,28 +61,28 @@
 		t.Fatalf("state %v after four failures", state)
 	}
 	if tracker.StartTrial(0, time.Second+DefaultPolicy.HoldDown/2) {
-		t.Fatal("a trial during the hold-down")
+		t.Fatal("a trial was started during the hold-down")
 	}
 	now := time.Minute
 	for range DefaultPolicy.TrialsToReturn {
 		if !tracker.StartTrial(0, now) {
-			t.Fatal("no trial after the hold-down")
+			t.Fatal("no trial was started after the hold-down")
 		}
 		if tracker.StartTrial(0, now) {
-			t.Fatal("two trials at a time")
+			t.Fatal("two trials were started at the same time")
 		}
 		tracker.Record(0, Success, time.Millisecond, now, random)
 	}
 	state, weight := tracker.State(0, now)
-	if state != Healthy || weight != minimumSlowStart {
-		t.Fatalf("state %v weight %v right after the return", state, weight)
+	if state != Healthy || weight != minimumWeight {
+		t.Fatalf("state %v weight %v right after the recovery", state, weight)
 	}
 	if _, weight = tracker.State(0, now+DefaultPolicy.SlowStart); weight != 1 {
 		t.Fatalf("weight %v after the slow start", weight)
 	}
 }
 
-func TestHoldDownGrowsWhileAServerFlaps(t *testing.T) {
+func TestHoldDownGrowsWhileServerFlaps(t *testing.T) {
 	tracker := NewTracker(DefaultPolicy, 10)
 	random := newRandom()
 	now := time.Second
@@ -91,7 +91,7 @@
 		for range 4 {
 			tracker.Record(0, Failure, 0, now, random)
 		}
-		hold := tracker.records[0].heldUntil - now
+		hold := tracker.records[0].ejectedUntil - now
 		if hold <= last {
 			t.Fatalf("hold-down %v after %v", hold, last)
 		}
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestSlowOutlierIsSuspectAndClearsWhenFastAgain(t *testing.T) {
+func TestSlowOutlierIsSuspectUntilFastAgain(t *testing.T) {
 	tracker := NewTracker(DefaultPolicy, 6)
 	random := newRandom()
 	now := time.Duration(0)
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestRefusalsAreNoEvidenceOfSickness(t *testing.T) {
+func TestRefusalsAreNotEvidenceOfFailure(t *testing.T) {
 	tracker := NewTracker(DefaultPolicy, 10)
 	for range 100 {
 		tracker.Record(0, Refused, 0, time.Second, newRandom())
--- a/internal/health/silence_test.go
+++ b/internal/health/silence_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestServerThatStopsIsEjectedThoughItAnswersProbes lets one server keep its
-// first tokens back while others answer.
-func TestServerThatStopsIsEjectedThoughItAnswersProbes(t *testing.T) {
+// TestServerWithoutFirstTokensIsEjected: a server that sends no first tokens while
+// others do must be ejected.
+func TestServerWithoutFirstTokensIsEjected(t *testing.T) {
 	tracker := NewTracker(DefaultPolicy, 10)
 	random := newRandom()
 	now := time.Second
@@ -22,14 +22,14 @@
 		states = append(states, state)
 	}
 	if states[0] != Suspect || states[4] != Ejected {
-		t.Fatalf("states %v of a silent server, by the second", states)
+		t.Fatalf("states %v of a silent server in successive seconds", states)
 	}
 	if state, _ := tracker.State(1, now); state != Healthy {
 		t.Fatalf("state %v of a server that answers", state)
 	}
 }
 
-func TestSilenceThatTheLoadExplainsIsNoEvidence(t *testing.T) {
+func TestExpectedSilenceIsNotEvidence(t *testing.T) {
 	tracker := NewTracker(DefaultPolicy, 10)
 	random := newRandom()
 	now := time.Second
@@ -45,6 +45,6 @@
 	now += time.Minute
 	tracker.Evaluate(now, random)
 	if state, _ := tracker.State(0, now); state != Healthy {
-		t.Fatalf("state %v of a server of which nothing is awaited", state)
+		t.Fatalf("state %v of a server without pending requests", state)
 	}
 }
--- a/internal/health/size_test.go
+++ b/internal/health/size_test.go
@@ -9,9 +9,9 @@
 	"rockwind.example/rockwind/internal/health"
 )
 
-// TestEvidenceIsJudgedWhereverItIs: servers that were forgotten, and places that are no more, come
-// back without history, and those with evidence are judged whatever was there before.
-func TestEvidenceIsJudgedWhereverItIs(t *testing.T) {
+// TestForgottenAndRemovedServersReturnWithoutHistory guards against records and the
+// list of servers with evidence getting out of step.
+func TestForgottenAndRemovedServersReturnWithoutHistory(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	tracker := health.NewTracker(health.DefaultPolicy, 10)
 	fail := func(server int, now time.Duration) {
@@ -36,18 +36,18 @@
 	tracker.Resize(10)
 	fail(7, time.Second)
 	if state(7, time.Second) != health.Ejected || tracker.Ejected() != 1 {
-		t.Fatal("a server at a place that was no more is not judged")
+		t.Fatal("a server at a removed and restored index is not ejected")
 	}
 	tracker.RecordSent(3, 0, time.Second)
 	for now := time.Second; now < 20*time.Second; now += 250 * time.Millisecond {
 		tracker.Evaluate(now, random)
 	}
 	if state(3, 20*time.Second) == health.Healthy {
-		t.Fatal("a server that is silent for long is healthy")
+		t.Fatal("a server that was silent for 19 s is healthy")
 	}
 }
 
-// BenchmarkEvaluate is what depends on time, at a process that has sent to 100 of so many servers.
+// BenchmarkEvaluate measures Evaluate with evidence of 100 servers.
 func BenchmarkEvaluate(b *testing.B) {
 	for _, servers := range []int{300, 1000, 3000, 10_000, 20_000} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
