--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -7,15 +7,15 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// List is what a router or store knows of the quarantine. It is immutable and may be used by
-// any goroutine; a nil list is empty.
+// List is the quarantine as known to a router or store. It is immutable and safe for
+// concurrent use; a nil list is empty.
 type List struct {
 	revision uint64
-	// held holds until when each suspected content is held, zero for one that is not.
+	// held maps each suspected content to the time until which it is held, zero if it is not.
 	held map[fingerprint.Fingerprint]time.Time
 }
 
-// NewList returns what a coordinator told at the given moment.
+// NewList returns the list that a coordinator sent at the given time.
 func NewList(revision uint64, notices []*rockwindpb.SuspectNotice, now time.Time) *List {
 	list := &List{revision: revision, held: make(map[fingerprint.Fingerprint]time.Time, len(notices))}
 	for _, each := range notices {
@@ -31,7 +31,7 @@
 	return list
 }
 
-// Revision is that of the register which the list was taken from.
+// Revision returns the revision of the registry that the list was made from.
 func (l *List) Revision() uint64 {
 	if l == nil {
 		return 0
@@ -39,11 +39,10 @@
 	return l.revision
 }
 
-// Empty tells whether no content is suspected: then nobody needs to compute fingerprints.
+// Empty reports whether no content is suspected, so that fingerprints are not needed.
 func (l *List) Empty() bool { return l == nil || len(l.held) == 0 }
 
-// Suspected tells whether several servers ended under a content. An answer to it is to be
-// told.
+// Suspected reports whether a content is suspected. A response to it must be reported.
 func (l *List) Suspected(content fingerprint.Fingerprint) bool {
 	if l == nil {
 		return false
@@ -52,7 +51,7 @@
 	return suspected
 }
 
-// HeldFor is for how much longer a content is held, zero where it may run.
+// HeldFor returns for how much longer a content is held, zero if it may run.
 func (l *List) HeldFor(content fingerprint.Fingerprint, now time.Time) time.Duration {
 	if l == nil {
 		return 0
@@ -60,20 +59,20 @@
 	return max(0, l.held[content].Sub(now))
 }
 
-// Notices lists what others have to know.
+// Notices returns the list in the form in which it is sent to others.
 func (l *List) Notices(now time.Time) []*rockwindpb.SuspectNotice {
 	if l == nil {
 		return nil
 	}
-	told := make([]*rockwindpb.SuspectNotice, 0, len(l.held))
+	notices := make([]*rockwindpb.SuspectNotice, 0, len(l.held))
 	for content, until := range l.held {
 		left := max(0, until.Sub(now))
-		told = append(told, &rockwindpb.SuspectNotice{Content: content.Bytes(), HeldMs: uint64(left.Milliseconds())})
+		notices = append(notices, &rockwindpb.SuspectNotice{Content: content.Bytes(), HeldMs: uint64(left.Milliseconds())})
 	}
-	return told
+	return notices
 }
 
-// Held counts the contents that are held.
+// Held returns the number of held contents.
 func (l *List) Held(now time.Time) int {
 	held := 0
 	if l == nil {
--- a/internal/quarantine/property_test.go
+++ b/internal/quarantine/property_test.go
@@ -12,39 +12,39 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// siteModel plays requests at a site of many routers in virtual time. Some contents end each
+// siteModel simulates a site of many routers in virtual time. Some contents crash each
 // server that runs them; others run beside them.
 type siteModel struct {
 	*driver
-	// lags is how long news take to reach each router.
+	// lags is how long each router takes to learn of a change.
 	lags []time.Duration
-	// published holds what was to be known since when.
+	// published holds the list after each change.
 	published []publication
 	servers   int
-	// ends counts the servers that each content has ended, and convictedAt is when the third
-	// one did.
-	ends        map[string]int
-	convictedAt map[string]time.Time
-	// late counts the runs of a content that began after the contact time was over.
+	// crashes counts the servers that each content has crashed, and confirmedAt is the time of
+	// its third crash.
+	crashes     map[string]int
+	confirmedAt map[string]time.Time
+	// late counts the runs of a content that started later than noticeTime after that.
 	late map[string]int
 }
 
-// publication is a list that routers hear of at some time after it came about.
+// publication is a list and the time of its publication.
 type publication struct {
 	at   time.Time
 	list *quarantine.List
 }
 
-// contactTime is how long the routers have to learn of an end.
-const contactTime = 3 * time.Second
+// noticeTime is how long the routers may take to learn of a crash.
+const noticeTime = 3 * time.Second
 
-// publish notes what the register tells from now on.
+// publish adds the current list of the registry.
 func (s *siteModel) publish() {
-	view := s.register.View()
+	view := s.registry.View()
 	s.published = append(s.published, publication{at: s.now, list: quarantine.NewList(view.Revision(), view.Notices(s.now), s.now)})
 }
 
-// known is what a router has heard by now.
+// known returns the list that a router has received so far.
 func (s *siteModel) known(router int) *quarantine.List {
 	var known *quarantine.List
 	for _, each := range s.published {
@@ -55,36 +55,37 @@
 	return known
 }
 
-// send plays one try of a content that ends its server, beside others that are there.
+// send runs a content that crashes its server, beside other contents.
 func (s *siteModel) send(router int, content string, beside []string) {
 	if s.known(router).HeldFor(contentOf(content), s.now) > 0 {
 		return
 	}
 	s.servers++
 	server := fmt.Sprint("server", s.servers)
-	s.ends[content]++
-	if s.ends[content] == 3 {
-		s.convictedAt[content] = s.now
+	s.crashes[content]++
+	if s.crashes[content] == 3 {
+		s.confirmedAt[content] = s.now
 	}
-	if third := s.convictedAt[content]; !third.IsZero() && s.now.Sub(third) > contactTime {
+	if third := s.confirmedAt[content]; !third.IsZero() && s.now.Sub(third) > noticeTime {
 		s.late[content]++
 	}
-	ends := []*rockwindpb.ServerEnd{endOf(content, server, shortRun)}
+	crashes := []*rockwindpb.ServerEnd{crashOf(content, server, shortRun)}
 	for _, other := range beside {
-		ends = append(ends, endOf(other, server, shortRun))
+		crashes = append(crashes, crashOf(other, server, shortRun))
 	}
 	s.now = s.now.Add(shortRun)
-	s.ended(ends...)
+	s.crashed(crashes...)
 	s.publish()
 }
 
-// TestRequestsThatEndServersReachFewMore: whatever the routers, their lag and the times
-// between tries, a content that ends servers reaches at most three more later than the contact
-// time after the third, and one that is answered in between is never held for long.
-func TestRequestsThatEndServersReachFewMore(t *testing.T) {
+// TestCrashingContentReachesFewMoreServers: regardless of the routers, their lags and the times
+// between attempts, a content that crashes servers may reach at most three more servers
+// later than noticeTime after its third crash, and one that is answered in between must not be
+// held.
+func TestCrashingContentReachesFewMoreServers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		site := &siteModel{
-			driver: newDriver(nil), ends: make(map[string]int), convictedAt: make(map[string]time.Time), late: make(map[string]int),
+			driver: newDriver(nil), crashes: make(map[string]int), confirmedAt: make(map[string]time.Time), late: make(map[string]int),
 		}
 		for range rapid.IntRange(1, 250).Draw(t, "routers") {
 			lag := rapid.IntRange(0, 400).Draw(t, "lag in ms")
@@ -96,20 +97,20 @@
 			content := rapid.SampledFrom([]string{"first", "second"}).Draw(t, "content")
 			site.send(router, content, []string{"popular"})
 			if rapid.IntRange(0, 9).Draw(t, "another leader") == 0 {
-				saved := site.register.Save()
-				site.register = quarantine.New()
-				site.register.Load(proto.CloneOf(saved))
+				saved := site.registry.Save()
+				site.registry = quarantine.New()
+				site.registry.Load(proto.CloneOf(saved))
 			}
 			site.now = site.now.Add(20 * time.Millisecond)
 			site.answered("popular")
 			site.publish()
 			if site.heldFor("popular") > 0 {
-				t.Fatal("a content that is answered is held")
+				t.Fatal("an answered content is held")
 			}
 		}
 		for content, late := range site.late {
 			if late > 3 {
-				t.Fatalf("%s reached %d servers later than the contact time", content, late)
+				t.Fatalf("%s reached %d servers after the notice time", content, late)
 			}
 		}
 	})
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -1,23 +1,24 @@
-// Package quarantine is the state machine that remembers the requests under which servers
-// ended, by the fingerprint of their content, and decides which of them are held. It is part
-// of the root group's state, so that what the routers and stores saw adds up, and outlives
-// each of them. The package is pure: time comes in the commands.
+// Package quarantine implements the state machine that records which requests were
+// running when servers crashed, by the fingerprint of their content, and decides
+// which contents are held back. It is part of the root group's state, so that it
+// combines the reports of all routers and stores and survives their restarts. The
+// package is pure: time is part of the commands.
 //
-// A server that ends takes all its requests along, so that each of them is suspected. Three
-// things tell the one that ends servers from those that ran beside it:
-//   - an answer: a request that a server has answered does not end servers, and what was held
-//     against it is forgotten;
-//   - order: three ends hold a request only if one of its runs began after an earlier end. A
-//     request that many clients send at once is at several servers that fail together; it is
-//     answered elsewhere before it is at another one;
-//   - another request that is held: it explains the ends of its servers, which do not count
-//     against items of jobs any more. These are run again at once, so that they are beside the
-//     same request several times.
+// A crashing server takes down all of its requests, so each of them is suspected.
+// Three kinds of evidence distinguish the one that causes crashes:
+//   - responses: a content that a server has answered does not crash servers, and its
+//     record is deleted;
+//   - order: three crashes hold a content only if one of its runs started after an
+//     earlier crash. A content that many clients send at the same time runs on several
+//     servers that fail together, but is answered elsewhere before it is affected again;
+//   - other held contents: crashes that a held content explains do not count against
+//     items of batch jobs. Such items are rerun immediately, so they may run beside the
+//     same crashing request several times.
 //
 // Invariants:
-//   - an end counts once for a content, whoever tells of it and how often;
-//   - the memory is bounded, and a content without new ends is forgotten;
-//   - the revision rises whenever what routers and stores have to know changes.
+//   - a crash counts once per content, no matter who reports it and how often;
+//   - the number of records is bounded, and a content without new crashes expires;
+//   - the revision increases whenever the notices to routers and stores change.
 package quarantine
 
 import (
@@ -33,53 +34,54 @@
 )
 
 const (
-	// endsToSuspect is how many servers have to end under a content before routers and
-	// stores are told of it, and endsToHold how many before it is held.
-	endsToSuspect = 2
-	endsToHold    = 3
-	// holdFor is how long a request is held after the last end. Then one more run is its
-	// trial: if the server ends, it is held again.
-	holdFor = 10 * time.Minute
-	// suspectFor and convictFor are how long after its last end a content is remembered, that
-	// of a request which was not held and of one that was.
-	suspectFor = 10 * time.Minute
-	convictFor = time.Hour
-	// maximumSuspects bounds the contents that are remembered: some 200 bytes each.
+	// crashesToSuspect is the number of server crashes after which routers and stores
+	// are notified of a content, and crashesToHold the number after which it is held.
+	crashesToSuspect = 2
+	crashesToHold    = 3
+	// holdDuration is how long a request is held after the last crash. It may then run
+	// once more; if the server crashes, the request is held again.
+	holdDuration = 10 * time.Minute
+	// suspectTTL and confirmedTTL are how long after its last crash a content is kept,
+	// if it is suspected only and if it is confirmed.
+	suspectTTL   = 10 * time.Minute
+	confirmedTTL = time.Hour
+	// maximumSuspects bounds the number of contents, which take some 200 bytes each.
 	maximumSuspects = 1024
-	// maximumServers bounds the servers that are remembered for a content.
+	// maximumServers bounds the crashed servers that are recorded per content.
 	maximumServers = 8
 )
 
-// itemTrials is for how long an item of a job is held after its third, fourth end and so on; later
-// ones hold it for holdFor. Nobody sends an item again but the store, and a job waits for each of
-// its items, so that one that ran beside others is tried again soon.
-var itemTrials = []time.Duration{5 * time.Second, 15 * time.Second}
+// itemHolds is how long an item of a batch job is held after its third and fourth
+// crash; later crashes hold it for holdDuration. Only the store reruns an item, and a job
+// waits for all of its items, so an item that may only have run beside the cause is retried
+// soon.
+var itemHolds = []time.Duration{5 * time.Second, 15 * time.Second}
 
-// Registry is the replicated state. Its owner goroutine alone may call Apply and Load; the
-// View that it hands out is immutable.
+// Registry is the replicated state. Apply and Load may only be called by the goroutine
+// that owns it; the View that it returns is immutable.
 type Registry struct {
 	revision uint64
 	suspects map[fingerprint.Fingerprint]*rockwindpb.Suspect
 	view     *View
 }
 
-// New returns an empty register.
+// New returns an empty registry.
 func New() *Registry {
 	r := &Registry{suspects: make(map[fingerprint.Fingerprint]*rockwindpb.Suspect)}
 	r.publish(nil)
 	return r
 }
 
-// View is the register at one moment.
+// View returns the current state.
 func (r *Registry) View() *View { return r.view }
 
-// Apply executes a committed command. Contents that are no fingerprints are passed over.
+// Apply executes a committed command. It ignores contents that are not fingerprints.
 func (r *Registry) Apply(command *rockwindpb.QuarantineCommand) {
 	now := command.GetNowUnixMs()
 	switch content := command.GetCommand().(type) {
 	case *rockwindpb.QuarantineCommand_Report:
-		for _, end := range content.Report.GetEnds() {
-			r.end(end, now)
+		for _, crash := range content.Report.GetEnds() {
+			r.recordCrash(crash, now)
 		}
 		for _, answered := range content.Report.GetAnswered() {
 			r.forget(answered)
@@ -87,28 +89,28 @@
 	case *rockwindpb.QuarantineCommand_Release:
 		r.forget(content.Release.GetContent())
 	}
-	r.dropOld(now)
-	r.bound()
+	r.dropExpired(now)
+	r.evictSurplus()
 	r.publish(r.view.notices)
 }
 
-// end takes the end of a server under a content.
-func (r *Registry) end(end *rockwindpb.ServerEnd, now int64) {
-	content, ok := fingerprint.FromBytes(end.GetContent())
+// recordCrash records the crash of a server that ran a content.
+func (r *Registry) recordCrash(crash *rockwindpb.ServerEnd, now int64) {
+	content, ok := fingerprint.FromBytes(crash.GetContent())
 	if !ok {
 		return
 	}
 	known := r.suspects[content]
-	if slices.Contains(known.GetServers(), end.GetServer()) {
+	if slices.Contains(known.GetServers(), crash.GetServer()) {
 		return
 	}
-	next := &rockwindpb.Suspect{Content: end.GetContent(), FirstUnixMs: now, Route: end.GetRoute(), Tenant: end.GetTenant(), Item: end.GetItem()}
+	next := &rockwindpb.Suspect{Content: crash.GetContent(), FirstUnixMs: now, Route: crash.GetRoute(), Tenant: crash.GetTenant(), Item: crash.GetItem()}
 	if known != nil {
 		next = proto.CloneOf(known)
-		next.Later = next.GetLater() || now-int64(end.GetBeganMsAgo()) >= next.GetFirstUnixMs()
+		next.Later = next.GetLater() || now-int64(crash.GetBeganMsAgo()) >= next.GetFirstUnixMs()
 	}
 	next.LastUnixMs = now
-	next.Servers = append(next.Servers, end.GetServer())
+	next.Servers = append(next.Servers, crash.GetServer())
 	if surplus := len(next.Servers) - maximumServers; surplus > 0 {
 		next.Servers = slices.Delete(next.Servers, 0, surplus)
 	}
@@ -121,57 +123,60 @@
 	}
 }
 
-// dropOld forgets contents without ends for long.
-func (r *Registry) dropOld(now int64) {
+// dropExpired deletes contents without recent crashes.
+func (r *Registry) dropExpired(now int64) {
 	maps.DeleteFunc(r.suspects, func(_ fingerprint.Fingerprint, suspect *rockwindpb.Suspect) bool {
-		kept := suspectFor
-		if convicted(suspect) {
-			kept = convictFor
+		kept := suspectTTL
+		if confirmed(suspect) {
+			kept = confirmedTTL
 		}
 		return now-suspect.GetLastUnixMs() > kept.Milliseconds()
 	})
 }
 
-// bound forgets those with the fewest ends, and of these the oldest, beyond what is remembered.
-func (r *Registry) bound() {
+// evictSurplus deletes contents beyond maximumSuspects, those with the fewest crashes
+// first and among these the oldest.
+func (r *Registry) evictSurplus() {
 	surplus := len(r.suspects) - maximumSuspects
 	if surplus <= 0 {
 		return
 	}
-	for _, suspect := range byWeight(r.suspects)[:surplus] {
+	for _, suspect := range sortedByCrashes(r.suspects)[:surplus] {
 		r.forget(suspect.GetContent())
 	}
 }
 
-// byWeight lists suspects, those with the fewest ends and of these the oldest first.
-func byWeight(suspects map[fingerprint.Fingerprint]*rockwindpb.Suspect) []*rockwindpb.Suspect {
+// sortedByCrashes returns the suspects in ascending order of crashes and then of their last
+// crash.
+func sortedByCrashes(suspects map[fingerprint.Fingerprint]*rockwindpb.Suspect) []*rockwindpb.Suspect {
 	return slices.SortedFunc(maps.Values(suspects), func(a, b *rockwindpb.Suspect) int {
 		return cmp.Or(cmp.Compare(len(a.GetServers()), len(b.GetServers())), cmp.Compare(a.GetLastUnixMs(), b.GetLastUnixMs()),
 			slices.Compare(a.GetContent(), b.GetContent()))
 	})
 }
 
-// convicted tells whether enough servers have ended under a content, not all of them at once.
-func convicted(suspect *rockwindpb.Suspect) bool {
-	return len(suspect.GetServers()) >= endsToHold && suspect.GetLater()
+// confirmed reports whether enough servers crashed while running a content, and not all of
+// them at the same time.
+func confirmed(suspect *rockwindpb.Suspect) bool {
+	return len(suspect.GetServers()) >= crashesToHold && suspect.GetLater()
 }
 
-// publish replaces the view, and raises the revision where routers and stores have to know
-// more or less than the given notices told them.
-func (r *Registry) publish(told []notice) {
+// publish replaces the view. It increases the revision if the notices differ from the given
+// ones.
+func (r *Registry) publish(previous []notice) {
 	notices := noticesOf(r.suspects)
-	if !slices.Equal(told, notices) {
+	if !slices.Equal(previous, notices) {
 		r.revision++
 	}
 	r.view = &View{revision: r.revision, suspects: maps.Clone(r.suspects), notices: notices}
 }
 
-// Save returns the whole state, sorted.
+// Save returns the whole state in a fixed order.
 func (r *Registry) Save() *rockwindpb.QuarantineSnapshot {
-	return &rockwindpb.QuarantineSnapshot{Revision: r.revision, Suspects: byWeight(r.suspects)}
+	return &rockwindpb.QuarantineSnapshot{Revision: r.revision, Suspects: sortedByCrashes(r.suspects)}
 }
 
-// Load replaces the whole state with one that Save returned.
+// Load replaces the whole state with one returned by Save.
 func (r *Registry) Load(snapshot *rockwindpb.QuarantineSnapshot) {
 	r.suspects = make(map[fingerprint.Fingerprint]*rockwindpb.Suspect, len(snapshot.GetSuspects()))
 	for _, suspect := range snapshot.GetSuspects() {
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -12,15 +12,15 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// driver applies commands to a register at times of its own.
+// driver applies commands to a registry in virtual time.
 type driver struct {
 	t        *testing.T
-	register *quarantine.Registry
+	registry *quarantine.Registry
 	now      time.Time
 }
 
 func newDriver(t *testing.T) *driver {
-	return &driver{t: t, register: quarantine.New(), now: time.UnixMilli(1_000_000)}
+	return &driver{t: t, registry: quarantine.New(), now: time.UnixMilli(1_000_000)}
 }
 
 func contentOf(name string) fingerprint.Fingerprint {
@@ -29,33 +29,33 @@
 
 func (d *driver) apply(command *rockwindpb.QuarantineCommand) {
 	command.NowUnixMs = d.now.UnixMilli()
-	d.register.Apply(command)
+	d.registry.Apply(command)
 }
 
 func (d *driver) report(report *rockwindpb.ReportQuarantineRequest) {
 	d.apply(&rockwindpb.QuarantineCommand{Command: &rockwindpb.QuarantineCommand_Report{Report: report}})
 }
 
-func endOf(content, server string, ago time.Duration) *rockwindpb.ServerEnd {
+func crashOf(content, server string, ago time.Duration) *rockwindpb.ServerEnd {
 	return &rockwindpb.ServerEnd{Content: contentOf(content).Bytes(), Server: server, BeganMsAgo: uint64(ago.Milliseconds())}
 }
 
-func itemEnd(content, server string, ago time.Duration) *rockwindpb.ServerEnd {
-	end := endOf(content, server, ago)
-	end.Item = true
-	return end
+func itemCrashOf(content, server string, ago time.Duration) *rockwindpb.ServerEnd {
+	crash := crashOf(content, server, ago)
+	crash.Item = true
+	return crash
 }
 
-// ended tells of servers that ended.
-func (d *driver) ended(ends ...*rockwindpb.ServerEnd) {
-	d.report(&rockwindpb.ReportQuarantineRequest{Ends: ends})
+// crashed reports server crashes.
+func (d *driver) crashed(crashes ...*rockwindpb.ServerEnd) {
+	d.report(&rockwindpb.ReportQuarantineRequest{Ends: crashes})
 }
 
-// hold ends three servers under a content, one after the other.
+// hold crashes three servers with a content, one after the other.
 func (d *driver) hold(content string) {
 	for place := range 3 {
 		d.now = d.now.Add(gap)
-		d.ended(endOf(content, fmt.Sprint("s", place), shortRun))
+		d.crashed(crashOf(content, fmt.Sprint("s", place), shortRun))
 	}
 }
 
@@ -63,13 +63,13 @@
 	d.report(&rockwindpb.ReportQuarantineRequest{Answered: [][]byte{contentOf(content).Bytes()}})
 }
 
-// heldFor is what a router that was told just now holds.
+// heldFor returns for how long a router with an up-to-date list holds a content.
 func (d *driver) heldFor(content string) time.Duration {
-	view := d.register.View()
+	view := d.registry.View()
 	return quarantine.NewList(view.Revision(), view.Notices(d.now), d.now).HeldFor(contentOf(content), d.now)
 }
 
-func (d *driver) wantHeld(content string, want bool) {
+func (d *driver) checkHeld(content string, want bool) {
 	d.t.Helper()
 	if held := d.heldFor(content); (held > 0) != want {
 		d.t.Errorf("%s is held for %v", content, held)
@@ -81,67 +81,67 @@
 	gap      = 200 * time.Millisecond
 )
 
-func TestThirdEndHoldsAContent(t *testing.T) {
+func TestThirdCrashHoldsContent(t *testing.T) {
 	d := newDriver(t)
 	for place, held := range []bool{false, false, true} {
 		d.now = d.now.Add(gap)
-		d.ended(endOf("a", fmt.Sprint("s", place), shortRun))
-		d.wantHeld("a", held)
+		d.crashed(crashOf("a", fmt.Sprint("s", place), shortRun))
+		d.checkHeld("a", held)
 	}
-	d.wantHeld("b", false)
+	d.checkHeld("b", false)
 }
 
-func TestAnEndCountsOnceWhoeverTellsIt(t *testing.T) {
+func TestRepeatedReportsOfACrashCountOnce(t *testing.T) {
 	d := newDriver(t)
 	for range 10 {
 		d.now = d.now.Add(gap)
-		d.ended(endOf("a", "s", shortRun), endOf("a", "s", shortRun))
+		d.crashed(crashOf("a", "s", shortRun), crashOf("a", "s", shortRun))
 	}
-	d.wantHeld("a", false)
-	if suspect, _ := d.register.View().Suspect(contentOf("a")); len(suspect.GetServers()) != 1 {
-		t.Fatalf("%d ends", len(suspect.GetServers()))
+	d.checkHeld("a", false)
+	if suspect, _ := d.registry.View().Suspect(contentOf("a")); len(suspect.GetServers()) != 1 {
+		t.Fatalf("%d crashes", len(suspect.GetServers()))
 	}
 }
 
-// TestServersThatEndTogetherDoNotHoldWhatManyAsk: a request that is asked all the time is at
-// each of the servers that fail at once.
-func TestServersThatEndTogetherDoNotHoldWhatManyAsk(t *testing.T) {
+// TestSimultaneousCrashesDoNotHoldPopularContent: a content that is requested all the time runs
+// on each of the servers that fail at the same time.
+func TestSimultaneousCrashesDoNotHoldPopularContent(t *testing.T) {
 	d := newDriver(t)
 	for place := range 5 {
 		d.now = d.now.Add(10 * time.Millisecond)
-		d.ended(endOf("popular", fmt.Sprint("s", place), shortRun+time.Duration(place)*10*time.Millisecond))
+		d.crashed(crashOf("popular", fmt.Sprint("s", place), shortRun+time.Duration(place)*10*time.Millisecond))
 	}
-	d.wantHeld("popular", false)
+	d.checkHeld("popular", false)
 	d.now = d.now.Add(gap)
 	d.answered("popular")
 	for wave := range 3 {
 		d.now = d.now.Add(gap)
-		d.ended(endOf("popular", fmt.Sprint("later", wave), shortRun))
-		d.wantHeld("popular", false)
+		d.crashed(crashOf("popular", fmt.Sprint("later", wave), shortRun))
+		d.checkHeld("popular", false)
 		d.answered("popular")
 	}
 }
 
-func TestAnswerClearsAContent(t *testing.T) {
+func TestResponseClearsContent(t *testing.T) {
 	d := newDriver(t)
 	d.hold("a")
-	d.wantHeld("a", true)
-	revision := d.register.View().Revision()
+	d.checkHeld("a", true)
+	revision := d.registry.View().Revision()
 	d.answered("a")
-	d.wantHeld("a", false)
-	if d.register.View().Revision() == revision {
-		t.Error("routers are not told")
+	d.checkHeld("a", false)
+	if d.registry.View().Revision() == revision {
+		t.Error("the revision did not change")
 	}
 }
 
-func TestHeldContentIsTriedAgainAndHeldAgain(t *testing.T) {
+func TestHeldContentIsRetriedAndHeldAgain(t *testing.T) {
 	d := newDriver(t)
 	d.hold("a")
 	d.now = d.now.Add(d.heldFor("a"))
-	d.wantHeld("a", false)
+	d.checkHeld("a", false)
 	d.now = d.now.Add(gap)
-	d.ended(endOf("a", "trial", shortRun))
-	d.wantHeld("a", true)
+	d.crashed(crashOf("a", "trial", shortRun))
+	d.checkHeld("a", true)
 }
 
 func TestReleasedContentMayRun(t *testing.T) {
@@ -150,91 +150,91 @@
 	d.apply(&rockwindpb.QuarantineCommand{Command: &rockwindpb.QuarantineCommand_Release{
 		Release: &rockwindpb.ReleaseContentRequest{Content: contentOf("a").Bytes()},
 	}})
-	d.wantHeld("a", false)
+	d.checkHeld("a", false)
 }
 
-// TestItemBesideAHeldRequestIsNotHeld: the store runs an item again at once, so that it is
-// beside the request that ends the servers each time.
-func TestItemBesideAHeldRequestIsNotHeld(t *testing.T) {
+// TestItemBesideHeldRequestIsNotHeld: the store reruns an item immediately, so that it runs
+// beside the crashing request each time.
+func TestItemBesideHeldRequestIsNotHeld(t *testing.T) {
 	d := newDriver(t)
 	for place := range 4 {
 		d.now = d.now.Add(gap)
 		server := fmt.Sprint("s", place)
-		d.ended(itemEnd("beside", server, shortRun), endOf("ends servers", server, shortRun))
+		d.crashed(itemCrashOf("beside", server, shortRun), crashOf("crashing", server, shortRun))
 	}
-	d.wantHeld("ends servers", true)
-	d.wantHeld("beside", false)
+	d.checkHeld("crashing", true)
+	d.checkHeld("beside", false)
 }
 
-// TestItemThatEndsServersIsTriedLessAndLess: at most five servers end in ten minutes.
-func TestItemThatEndsServersIsTriedLessAndLess(t *testing.T) {
+// TestCrashingItemIsRetriedLessOften: at most five servers may crash in ten minutes.
+func TestCrashingItemIsRetriedLessOften(t *testing.T) {
 	d := newDriver(t)
-	began, ends := d.now, 0
+	began, crashes := d.now, 0
 	for d.now.Sub(began) < 10*time.Minute {
 		d.now = d.now.Add(gap)
 		if d.heldFor("item") > 0 {
 			continue
 		}
-		ends++
-		d.ended(itemEnd("item", fmt.Sprint("s", ends), shortRun))
+		crashes++
+		d.crashed(itemCrashOf("item", fmt.Sprint("s", crashes), shortRun))
 	}
-	if ends != 5 {
-		t.Fatalf("%d servers ended", ends)
+	if crashes != 5 {
+		t.Fatalf("%d servers crashed", crashes)
 	}
 }
 
-func TestMemoryIsBoundedAndForgets(t *testing.T) {
+func TestSuspectsAreBoundedAndExpire(t *testing.T) {
 	d := newDriver(t)
 	d.hold("held")
 	for i := range 5000 {
-		d.ended(endOf(fmt.Sprint("other", i), "s", shortRun))
+		d.crashed(crashOf(fmt.Sprint("other", i), "s", shortRun))
 	}
-	if listed := len(d.register.View().List(d.now)); listed > 1024 {
-		t.Fatalf("%d contents are remembered", listed)
+	if listed := len(d.registry.View().List(d.now)); listed > 1024 {
+		t.Fatalf("%d contents are stored", listed)
 	}
-	d.wantHeld("held", true)
+	d.checkHeld("held", true)
 	d.now = d.now.Add(2 * time.Hour)
 	d.answered("nothing")
-	if listed := len(d.register.View().List(d.now)); listed != 0 {
-		t.Fatalf("%d contents are remembered after two hours", listed)
+	if listed := len(d.registry.View().List(d.now)); listed != 0 {
+		t.Fatalf("%d contents are stored after two hours", listed)
 	}
 }
 
-func TestSnapshotHoldsEverything(t *testing.T) {
+func TestSnapshotRestoresState(t *testing.T) {
 	d := newDriver(t)
 	for place := range 3 {
 		d.now = d.now.Add(gap)
-		d.ended(endOf("a", fmt.Sprint("s", place), shortRun), endOf("b", "s0", shortRun))
+		d.crashed(crashOf("a", fmt.Sprint("s", place), shortRun), crashOf("b", "s0", shortRun))
 	}
-	saved := d.register.Save()
+	saved := d.registry.Save()
 	loaded := quarantine.New()
 	loaded.Load(proto.CloneOf(saved))
 	if !proto.Equal(saved, loaded.Save()) {
-		t.Fatal("the state changed")
+		t.Fatal("the loaded state differs")
 	}
-	d.register = loaded
-	d.wantHeld("a", true)
-	// The next end counts on.
+	d.registry = loaded
+	d.checkHeld("a", true)
+	// Later crashes must add to the restored ones.
 	d.now = d.now.Add(gap)
-	d.ended(endOf("b", "s1", shortRun))
+	d.crashed(crashOf("b", "s1", shortRun))
 	d.now = d.now.Add(gap)
-	d.ended(endOf("b", "s2", shortRun))
-	d.wantHeld("b", true)
+	d.crashed(crashOf("b", "s2", shortRun))
+	d.checkHeld("b", true)
 }
 
-func TestNonsenseIsPassedOver(t *testing.T) {
+func TestInvalidContentsAreIgnored(t *testing.T) {
 	d := newDriver(t)
-	d.ended(&rockwindpb.ServerEnd{Content: []byte("short"), Server: "s"})
+	d.crashed(&rockwindpb.ServerEnd{Content: []byte("short"), Server: "s"})
 	d.report(&rockwindpb.ReportQuarantineRequest{Answered: [][]byte{nil, []byte("short")}})
 	d.apply(&rockwindpb.QuarantineCommand{})
-	if len(d.register.View().List(d.now)) != 0 {
-		t.Fatal("something was remembered")
+	if len(d.registry.View().List(d.now)) != 0 {
+		t.Fatal("an invalid content was stored")
 	}
 	if quarantine.NewList(1, []*rockwindpb.SuspectNotice{{Content: []byte("short"), HeldMs: 5}}, d.now).Held(d.now) != 0 {
-		t.Fatal("a list took nonsense")
+		t.Fatal("a list accepted an invalid content")
 	}
 	var none *quarantine.List
 	if !none.Empty() || none.Suspected(contentOf("a")) || none.HeldFor(contentOf("a"), d.now) != 0 || none.Held(d.now) != 0 || none.Revision() != 0 {
-		t.Fatal("a list before the first is not empty")
+		t.Fatal("a nil list is not empty")
 	}
 }
--- a/internal/quarantine/view.go
+++ b/internal/quarantine/view.go
@@ -11,40 +11,40 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// View is the register at one moment. It is immutable and may be used by any goroutine; the
-// messages that it returns must not be changed.
+// View is the registry at one moment. It is immutable and safe for concurrent use; the
+// messages that it returns must not be modified.
 type View struct {
 	revision uint64
 	suspects map[fingerprint.Fingerprint]*rockwindpb.Suspect
 	notices  []notice
 }
 
-// notice is what routers and stores have to know of a content.
+// notice is what routers and stores need to know of a content.
 type notice struct {
 	content fingerprint.Fingerprint
-	// heldUntil is in Unix milliseconds, zero for one that is not held.
+	// heldUntil is in Unix milliseconds, zero if the content is not held.
 	heldUntil int64
 }
 
-// Revision counts the changes of what routers and stores have to know.
+// Revision counts the changes of the notices.
 func (v *View) Revision() uint64 { return v.revision }
 
-// Notices lists what routers and stores have to know.
+// Notices returns what routers and stores need to know.
 func (v *View) Notices(now time.Time) []*rockwindpb.SuspectNotice {
-	told := make([]*rockwindpb.SuspectNotice, 0, len(v.notices))
+	notices := make([]*rockwindpb.SuspectNotice, 0, len(v.notices))
 	for _, each := range v.notices {
-		told = append(told, &rockwindpb.SuspectNotice{Content: each.content.Bytes(), HeldMs: heldMs(each.heldUntil, now)})
+		notices = append(notices, &rockwindpb.SuspectNotice{Content: each.content.Bytes(), HeldMs: heldMs(each.heldUntil, now)})
 	}
-	return told
+	return notices
 }
 
-// HeldFor is for how much longer a content is held, zero where it may run.
+// HeldFor returns for how much longer a content is held, zero if it may run.
 func (v *View) HeldFor(content fingerprint.Fingerprint, now time.Time) time.Duration {
 	found, _ := v.notice(content)
 	return time.Duration(heldMs(found.heldUntil, now)) * time.Millisecond
 }
 
-// notice is that of a content, where there is one.
+// notice returns the notice of a content, if there is one.
 func (v *View) notice(content fingerprint.Fingerprint) (found notice, known bool) {
 	place := slices.IndexFunc(v.notices, func(each notice) bool { return each.content == content })
 	if place < 0 {
@@ -53,10 +53,10 @@
 	return v.notices[place], true
 }
 
-// List returns all contents that are remembered, those with the most ends first.
+// List returns all suspects, those with the most crashes first.
 func (v *View) List(now time.Time) []*rockwindpb.Suspect {
 	var listed []*rockwindpb.Suspect
-	for _, suspect := range slices.Backward(byWeight(v.suspects)) {
+	for _, suspect := range slices.Backward(sortedByCrashes(v.suspects)) {
 		shown := proto.CloneOf(suspect)
 		shown.HeldMs = uint64(v.HeldFor(fingerprint.Fingerprint(suspect.GetContent()), now).Milliseconds())
 		listed = append(listed, shown)
@@ -64,7 +64,7 @@
 	return listed
 }
 
-// Suspect returns what is known of a content.
+// Suspect returns the record of a content.
 func (v *View) Suspect(content fingerprint.Fingerprint) (*rockwindpb.Suspect, bool) {
 	suspect, known := v.suspects[content]
 	return suspect, known
@@ -72,14 +72,14 @@
 
 func heldMs(until int64, now time.Time) uint64 { return uint64(max(0, until-now.UnixMilli())) }
 
-// noticesOf lists the contents under which several servers ended, sorted.
+// noticesOf returns the notices of all suspected contents, sorted by content.
 func noticesOf(suspects map[fingerprint.Fingerprint]*rockwindpb.Suspect) []notice {
-	explained := explainedEnds(suspects)
+	attributed := attributedCrashes(suspects)
 	var notices []notice
 	for _, content := range slices.SortedFunc(maps.Keys(suspects), compareFingerprints) {
 		suspect := suspects[content]
-		if len(suspect.GetServers()) >= endsToSuspect {
-			notices = append(notices, notice{content: content, heldUntil: heldUntil(suspect, explained)})
+		if len(suspect.GetServers()) >= crashesToSuspect {
+			notices = append(notices, notice{content: content, heldUntil: heldUntil(suspect, attributed)})
 		}
 	}
 	return notices
@@ -87,40 +87,40 @@
 
 func compareFingerprints(a, b fingerprint.Fingerprint) int { return slices.Compare(a[:], b[:]) }
 
-// explainedEnds holds the servers whose ends a request that is held explains.
-func explainedEnds(suspects map[fingerprint.Fingerprint]*rockwindpb.Suspect) map[string]bool {
-	explained := make(map[string]bool)
+// attributedCrashes returns the servers whose crashes are attributed to a held request.
+func attributedCrashes(suspects map[fingerprint.Fingerprint]*rockwindpb.Suspect) map[string]bool {
+	attributed := make(map[string]bool)
 	for _, suspect := range suspects {
-		if suspect.GetItem() || !convicted(suspect) {
+		if suspect.GetItem() || !confirmed(suspect) {
 			continue
 		}
 		for _, server := range suspect.GetServers() {
-			explained[server] = true
+			attributed[server] = true
 		}
 	}
-	return explained
+	return attributed
 }
 
-// heldUntil is until when a content is held, in Unix milliseconds, zero for one that is not.
-func heldUntil(suspect *rockwindpb.Suspect, explained map[string]bool) int64 {
-	if !convicted(suspect) {
+// heldUntil returns until when a content is held, in Unix milliseconds, zero if it is not.
+func heldUntil(suspect *rockwindpb.Suspect, attributed map[string]bool) int64 {
+	if !confirmed(suspect) {
 		return 0
 	}
 	if !suspect.GetItem() {
-		return suspect.GetLastUnixMs() + holdFor.Milliseconds()
+		return suspect.GetLastUnixMs() + holdDuration.Milliseconds()
 	}
-	ends := 0
+	crashes := 0
 	for _, server := range suspect.GetServers() {
-		if !explained[server] {
-			ends++
+		if !attributed[server] {
+			crashes++
 		}
 	}
-	if ends < endsToHold {
+	if crashes < crashesToHold {
 		return 0
 	}
-	held := holdFor
-	if trial := ends - endsToHold; trial < len(itemTrials) {
-		held = itemTrials[trial]
+	held := holdDuration
+	if trial := crashes - crashesToHold; trial < len(itemHolds) {
+		held = itemHolds[trial]
 	}
 	return suspect.GetLastUnixMs() + held.Milliseconds()
 }
