--- a/internal/clientconn/body.go
+++ b/internal/clientconn/body.go
@@ -5,25 +5,26 @@
 	"io"
 )
 
-// bodyStep is by how much memory is asked for a body as it is read, in bytes.
+// bodyStep is the unit in which memory is reserved while a body is read, in bytes.
 const bodyStep = 8 << 10
 
-// ErrMemoryFull tells that there is no memory for a body.
-var ErrMemoryFull = errors.New("the memory for bodies is full")
+// ErrMemoryFull means that there is no memory for a body.
+var ErrMemoryFull = errors.New("body memory is full")
 
-// Body is the memory of one body, of a request or an answer that is read whole, from before
-// it is read until GiveBack. It is not safe for concurrent use.
+// Body tracks the memory of one body that is read in full, of a request or a response, from
+// before it is read until Release. It is not safe for concurrent use.
 type Body struct {
-	buffers *Buffers
-	taken   int64
+	buffers  *Buffers
+	reserved int64
 }
 
-// NewBody returns the memory of a body that was not read.
+// NewBody returns a Body without reserved memory.
 func (b *Buffers) NewBody() Body { return Body{buffers: b} }
 
-// Read reads a body of the given length, negative where it is not known. It fails with
-// ErrFull where there is no memory for it: before it is read where the announced length shows
-// it, else with what was read. Memory is taken as the body comes, whatever was announced.
+// Read reads a body of the given length, negative if unknown. If there is no memory for it, Read
+// returns ErrMemoryFull: before reading if the announced length is too large, otherwise together
+// with what was read. Memory is reserved as the body arrives, regardless of the announced
+// length.
 func (m *Body) Read(source io.Reader, length int64) ([]byte, error) {
 	if length > 0 && !m.buffers.hasRoomForBody(length) {
 		return nil, ErrMemoryFull
@@ -31,28 +32,28 @@
 	return io.ReadAll(&countedBody{memory: m, source: source, length: length})
 }
 
-// Release tells that the body is not kept any more.
+// Release releases the memory of the body.
 func (m *Body) Release() {
-	if m.taken > 0 {
-		m.buffers.ReleaseBody(m.taken)
-		m.taken = 0
+	if m.reserved > 0 {
+		m.buffers.ReleaseBody(m.reserved)
+		m.reserved = 0
 	}
 }
 
-// take asks for so many bytes more of a body of the given size.
-func (m *Body) take(bytes, size int64) bool {
+// reserve reserves additional bytes for a body of the given size.
+func (m *Body) reserve(bytes, size int64) bool {
 	if !m.buffers.ReserveBody(bytes, size) {
 		return false
 	}
-	m.taken += bytes
+	m.reserved += bytes
 	return true
 }
 
-// countedBody asks for memory as the body is read.
+// countedBody reserves memory as the body is read.
 type countedBody struct {
 	memory *Body
 	source io.Reader
-	// length is the announced one, negative where there is none.
+	// length is the announced length, negative if unknown.
 	length, read int64
 }
 
@@ -60,12 +61,12 @@
 func (c *countedBody) Read(p []byte) (int, error) {
 	n, err := c.source.Read(p)
 	c.read += int64(n)
-	for c.read > c.memory.taken {
+	for c.read > c.memory.reserved {
 		step := int64(bodyStep)
-		if left := c.length - c.memory.taken; left > 0 {
+		if left := c.length - c.memory.reserved; left > 0 {
 			step = min(step, left)
 		}
-		if !c.memory.take(step, max(c.length, c.memory.taken+step)) {
+		if !c.memory.reserve(step, max(c.length, c.memory.reserved+step)) {
 			return n, ErrMemoryFull
 		}
 	}
--- a/internal/clientconn/body_test.go
+++ b/internal/clientconn/body_test.go
@@ -16,8 +16,8 @@
 	"rockwind.example/rockwind/internal/clientconn"
 )
 
-// darkServer accepts connections and never reads from them.
-func darkServer(t *testing.T) string {
+// unreadingServer accepts connections and never reads from them.
+func unreadingServer(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -36,8 +36,8 @@
 	return listener.Addr().String()
 }
 
-// passOn writes a body to a server until the client leaves.
-func passOn(request *http.Request, server string, body []byte) error {
+// forward writes a body to a server until the client disconnects.
+func forward(request *http.Request, server string, body []byte) error {
 	conn, err := (&net.Dialer{}).DialContext(request.Context(), "tcp", server)
 	if err != nil {
 		return err
@@ -52,9 +52,9 @@
 	return nil
 }
 
-// TestTenDarkServersFillTheMemoryNoFurther: bodies of 1 MB gather before ten servers that read
-// nothing. Those without room are refused before they are read, and small bodies go through.
-func TestTenDarkServersFillTheMemoryNoFurther(t *testing.T) {
+// TestBodiesForUnreadingServersAreBounded: bodies of 1 MB accumulate for ten servers that read
+// nothing. Large bodies must be refused before memory is full, and small ones still accepted.
+func TestBodiesForUnreadingServersAreBounded(t *testing.T) {
 	const (
 		limit = 36 << 20
 		size  = 1 << 20
@@ -63,7 +63,7 @@
 	buffers := clientconn.NewBuffers(limit, func(clientconn.EndedResponse) {})
 	var servers []string
 	for range 10 {
-		servers = append(servers, darkServer(t))
+		servers = append(servers, unreadingServer(t))
 	}
 	var next, refused atomic.Int64
 	address, _ := serve(t, buffers, func(writer http.ResponseWriter, request *http.Request) {
@@ -76,7 +76,7 @@
 			return
 		}
 		if err == nil && len(body) == size {
-			err = passOn(request, servers[next.Add(1)%10], body)
+			err = forward(request, servers[next.Add(1)%10], body)
 		}
 		if err != nil {
 			t.Error(err)
@@ -89,7 +89,7 @@
 	large := strings.Repeat("x", size)
 	ended := make(chan struct{}, sent)
 	for i := range sent {
-		// Every other body comes in chunks.
+		// Send every other body in chunks.
 		body := io.Reader(strings.NewReader(large))
 		if i%2 == 0 {
 			body = io.MultiReader(body)
@@ -106,32 +106,32 @@
 			ended <- struct{}{}
 		}()
 	}
-	until(t, "some are refused, and the others are at servers", func() bool {
+	until(t, "some requests are refused and the others forwarded", func() bool {
 		return refused.Load() > sent/4 && next.Load()+refused.Load() == sent
 	})
 	usage := buffers.Usage()
 	if usage.Bodies > limit*3/4 || usage.Bodies < limit/2 {
-		t.Errorf("kept are %+v", usage)
+		t.Errorf("memory use: %+v", usage)
 	}
-	// A body that was read in steps lies in up to twice its memory.
+	// Reading a body in steps allocates up to twice its size.
 	if grown := heap() - before; grown > 2*limit {
 		t.Errorf("the heap grew by %d MB", grown>>20)
 	}
 	response, err := client.Post("http://"+address, "", bytes.NewReader(make([]byte, 4<<10)))
 	if err != nil || response.StatusCode != http.StatusOK {
-		t.Fatalf("a small body: %v %v", response, err)
+		t.Fatalf("request with a small body: %v %v", response, err)
 	}
 	_ = response.Body.Close()
 	leave()
 	for range sent {
 		<-ended
 	}
-	until(t, "nothing is kept any more", func() bool { return buffers.Usage().Bodies == 0 })
+	until(t, "nothing is buffered any more", func() bool { return buffers.Usage().Bodies == 0 })
 }
 
-// TestAnnouncedBodyThatDoesNotComeTakesNoMemory: clients announce more than there is room for
-// and send little of it.
-func TestAnnouncedBodyThatDoesNotComeTakesNoMemory(t *testing.T) {
+// TestAnnouncedButUnsentBodiesReserveNoMemory: clients announce more than there is memory for and
+// send little of it.
+func TestAnnouncedButUnsentBodiesReserveNoMemory(t *testing.T) {
 	const (
 		limit   = 4 << 20
 		size    = 1 << 20
@@ -147,7 +147,7 @@
 			memory := buffers.NewBody()
 			defer memory.Release()
 			_, err := memory.Read(reader, size)
-			// A body that is refused is read no further: what its client still sends fails.
+			// A refused body is not read further, so its sender's writes fail.
 			_ = reader.CloseWithError(err)
 			read <- err
 		}()
@@ -155,18 +155,18 @@
 			t.Fatalf("body %d of %d is not read: %v", i+1, stalled, err)
 		}
 	}
-	until(t, "what came is taken", func() bool { return buffers.Usage().Bodies > 0 })
+	until(t, "memory is reserved for what arrived", func() bool { return buffers.Usage().Bodies > 0 })
 	if usage := buffers.Usage(); usage.Bodies > stalled*8<<10 {
-		t.Errorf("kept are %+v", usage)
+		t.Errorf("memory use: %+v", usage)
 	}
-	whole := buffers.NewBody()
-	defer whole.Release()
-	if body, err := whole.Read(bytes.NewReader(make([]byte, size)), size); err != nil || len(body) != size {
-		t.Errorf("beside them: %d bytes, %v", len(body), err)
+	complete := buffers.NewBody()
+	defer complete.Release()
+	if body, err := complete.Read(bytes.NewReader(make([]byte, size)), size); err != nil || len(body) != size {
+		t.Errorf("reading another body: %d bytes, %v", len(body), err)
 	}
 	tooLarge := buffers.NewBody()
-	if _, err := tooLarge.Read(iotest.ErrReader(errors.New("it is read")), limit); !errors.Is(err, clientconn.ErrMemoryFull) {
-		t.Errorf("a body without room: %v", err)
+	if _, err := tooLarge.Read(iotest.ErrReader(errors.New("the body was read")), limit); !errors.Is(err, clientconn.ErrMemoryFull) {
+		t.Errorf("reading a body that does not fit: %v", err)
 	}
 	for _, source := range sources {
 		_ = source.CloseWithError(io.ErrUnexpectedEOF)
@@ -174,6 +174,6 @@
 			t.Error(err)
 		}
 	}
-	whole.Release()
-	until(t, "all is given back", func() bool { return buffers.Usage().Bodies == 0 })
+	complete.Release()
+	until(t, "all memory is released", func() bool { return buffers.Usage().Bodies == 0 })
 }
--- a/internal/clientconn/buffers.go
+++ b/internal/clientconn/buffers.go
@@ -1,11 +1,11 @@
-// Package clientconn holds the connections of clients of which some read slowly. What such a
-// client does not take at once is kept in memory and written to it by and by, so that an
-// answer is read from its server as fast as that gives it. What is kept for all connections
-// of the process is bounded: see package relaybudget, which decides who waits and whose
-// answer is ended. An answer that is ended never looks whole: its connection is reset.
+// Package clientconn buffers responses to clients that read slowly. What a client does not
+// accept immediately is buffered and written later, so that a response is read from its server
+// at full speed. The memory for all connections of the process is limited: package
+// relaybudget decides which responses wait and which are cut off. A response that is cut off
+// never looks complete: its connection is reset.
 //
-// A client that keeps up costs nothing beyond the write itself: no copy, no goroutine and no
-// allocation. Each write is tried once without waiting, and only its rest is kept.
+// A client that keeps up costs no copy, goroutine or allocation. Each write is tried once
+// without blocking, and only the rest is buffered.
 package clientconn
 
 import (
@@ -26,19 +26,18 @@
 )
 
 const (
-	// chunkSize is the unit in which unread bytes are kept and counted.
+	// chunkSize is the unit in which unread bytes are buffered and counted.
 	chunkSize = 8 << 10
-	// kernelBuffer is what the kernel is asked to keep unread for a connection at most, in
-	// bytes. It doubles that for its own needs: a client 10 ms away still gets 25 Mbit/s, and a
-	// thousand slow ones cost 64 MB at most where the kernel would take some MB for each.
+	// kernelBuffer is the requested size of the kernel's send buffer per connection in bytes. The
+	// kernel doubles it: a client 10 ms away still gets 25 Mbit/s, and a thousand slow clients
+	// take at most 64 MB.
 	kernelBuffer = 32 << 10
-	// drainInterval is the time between two looks at whether all clients have read what is
-	// kept for them.
+	// drainInterval is how often Drain checks whether all clients have read their buffered bytes.
 	drainInterval = 10 * time.Millisecond
 )
 
-// Buffers is what a process keeps for the clients of its connections, and the bodies of
-// requests. It is safe for concurrent use.
+// Buffers holds the buffered responses of a process's client connections, and accounts for the
+// bodies of requests. It is safe for concurrent use.
 type Buffers struct {
 	ended func(EndedResponse)
 
@@ -51,49 +50,50 @@
 	open atomic.Int64
 }
 
-// Usage is what is kept at a moment.
+// Usage is the memory use at one moment.
 type Usage struct {
-	// Limit, Unread and Bodies are bytes: of the budget, of answers and of requests.
+	// Limit, Unread and Bodies are in bytes: the budget, unread responses, and bodies.
 	Limit, Unread, Bodies int64
-	// Readers is how many clients are behind, and Waiting how many answers wait for room.
+	// Readers is the number of clients with unread bytes, and Waiting the number of responses that
+	// wait for memory.
 	Readers, Waiting int
-	// Open is how many connections of clients there are.
+	// Open is the number of client connections.
 	Open int
-	// Taken is how many bytes clients took that had to be kept for them, since the start.
+	// Taken is how many buffered bytes clients have read since the start.
 	Taken int64
 }
 
-// Fraction is the part of the limit that is in use.
+// Fraction returns the used fraction of the limit.
 func (u Usage) Fraction() float64 { return float64(u.Unread+u.Bodies) / float64(u.Limit) }
 
-// Reason is why the answer of a reader was ended.
+// Reason is why a response was cut off.
 type Reason string
 
 // The reasons.
 const (
 	// ReasonMemoryNeeded: other requests needed the memory.
 	ReasonMemoryNeeded Reason = "others needed the memory"
-	// ReasonStalled: it waited for memory, and the client read nothing.
+	// ReasonStalled: the response waited for memory, and the client read nothing.
 	ReasonStalled Reason = "the client read nothing while memory was short"
-	// ReasonWriteFailed: nothing could be written to the client any more, or its time was over.
+	// ReasonWriteFailed: writing to the client failed, or the deadline passed.
 	ReasonWriteFailed Reason = "the client read nothing until its time was over, or left"
 )
 
-// EndedResponse is a reader whose answer was ended.
+// EndedResponse describes a response that was cut off.
 type EndedResponse struct {
-	// RequestID is the identifier that Conn.Begin was told.
+	// RequestID is the ID passed to Conn.BeginRequest.
 	RequestID string
 	Reason    Reason
-	// Unread is how many bytes were kept for it, Taken how many it took since it fell behind,
-	// and Behind how long ago that was.
+	// Unread is how many bytes were buffered for the client, Taken how many it had read since it fell
+	// behind, and Behind how long ago that was.
 	Unread, Taken int64
 	Behind        time.Duration
-	// Cause is the error of the connection, nil where there was none.
+	// Cause is the error of the connection, if any.
 	Cause error
 }
 
-// NewBuffers returns buffers of so many bytes in all. The function is told of readers whose
-// answer was ended; it must not block.
+// NewBuffers returns buffers with the given limit in bytes. The function is called for each
+// response that was cut off; it must not block.
 func NewBuffers(limit int64, ended func(EndedResponse)) *Buffers {
 	return &Buffers{
 		ended:   ended,
@@ -103,7 +103,7 @@
 	}
 }
 
-// Usage returns what is kept now.
+// Usage returns the current memory use.
 func (b *Buffers) Usage() Usage {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -113,21 +113,21 @@
 	}
 }
 
-// Drain waits until the clients have read all that is kept for them, or the context ends.
+// Drain waits until the clients have read all buffered bytes or the context ends.
 func (b *Buffers) Drain(ctx context.Context) {
 	for b.Usage().Readers > 0 && retry.Pause(ctx, drainInterval) {
 	}
 }
 
-// hasRoomForBody tells whether a body of the given size may be read.
+// hasRoomForBody reports whether there is memory for a body of the given size.
 func (b *Buffers) hasRoomForBody(size int64) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.budget.HasRoomForBody(size)
 }
 
-// ReserveBody asks to keep so many bytes more of a body of the given size, and tells whether there
-// is room.
+// ReserveBody reserves additional bytes for a body of the given size, and reports whether there was
+// enough memory.
 func (b *Buffers) ReserveBody(bytes, size int64) bool {
 	b.mutex.Lock()
 	verdict, ended := b.budget.ReserveBody(bytes, size, time.Now())
@@ -136,7 +136,7 @@
 	return verdict == relaybudget.Granted
 }
 
-// ReleaseBody gives back bytes that TakeBody gave.
+// ReleaseBody releases bytes reserved by ReserveBody.
 func (b *Buffers) ReleaseBody(bytes int64) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -144,8 +144,8 @@
 	b.wake()
 }
 
-// reserve asks for one more chunk for a connection. One that is told to wait is woken when
-// there may be room.
+// reserve requests memory for one more chunk. A connection that is told to wait is signaled when
+// there may be memory.
 func (b *Buffers) reserve(conn *Conn) relaybudget.Verdict {
 	b.mutex.Lock()
 	verdict, ended := b.budget.Reserve(conn.reader, chunkSize, time.Now())
@@ -160,8 +160,8 @@
 	return verdict
 }
 
-// took gives back a chunk that the client has taken.
-func (b *Buffers) took(conn *Conn) {
+// releaseChunk releases a chunk that the client has read.
+func (b *Buffers) releaseChunk(conn *Conn) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.budget.Release(conn.reader, chunkSize)
@@ -169,9 +169,9 @@
 	b.wake()
 }
 
-// leave forgets a connection and returns since when it was behind, and what it has taken
-// after that.
-func (b *Buffers) leave(conn *Conn) (since time.Time, taken int64) {
+// remove removes a connection. It returns since when it was behind, and how many bytes it had read
+// since then.
+func (b *Buffers) remove(conn *Conn) (since time.Time, taken int64) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	since, taken = conn.reader.Behind()
@@ -181,8 +181,8 @@
 	return since, taken
 }
 
-// wake lets one connection that waits ask again where there is room; it wakes the next. The
-// mutex is held.
+// wake signals one waiting connection if there is memory; that one wakes the next. The mutex
+// must be held.
 func (b *Buffers) wake() {
 	if len(b.waiting) == 0 || !b.budget.HasRoom(chunkSize) {
 		return
@@ -193,26 +193,24 @@
 	}
 }
 
-// endAll ends the answers of readers that had to make room.
+// endAll cuts off the responses of readers that were removed to free memory.
 func endAll(readers []*relaybudget.Reader[*Conn]) {
 	for _, reader := range readers {
 		reader.Owner().end(ReasonMemoryNeeded, nil)
 	}
 }
 
-// Listener wraps a listener so that its connections keep what their clients do not take.
-// The kernel keeps little of it, since its memory counts as well and is not in the budget, and
-// has as much patience as this package.
+// Listener wraps a listener so that its connections buffer what their clients do not read. It also
+// limits the kernel's send buffers, which are not part of the budget, and its timeout.
 func (b *Buffers) Listener(listener net.Listener) net.Listener {
-	if err := boundKernel(listener); err != nil {
-		log.WithError(err).Warn("the kernel's memory and patience for clients that read slowly are its own")
+	if err := limitKernel(listener); err != nil {
+		log.WithError(err).Warn("could not limit the kernel's send buffers and timeout for slow clients")
 	}
-	return keepingListener{Listener: listener, buffers: b}
+	return bufferingListener{Listener: listener, buffers: b}
 }
 
-// boundKernel bounds what the kernel keeps unread for each connection that the listener
-// accepts, and for how long.
-func boundKernel(listener net.Listener) error {
+// limitKernel sets the send buffer size and timeout of the connections that the listener accepts.
+func limitKernel(listener net.Listener) error {
 	raw, found := listener.(syscall.Conn)
 	if !found {
 		return nil
@@ -225,19 +223,19 @@
 	err = control.Control(func(descriptor uintptr) {
 		failure = errors.CombineErrors(
 			unix.SetsockoptInt(int(descriptor), unix.SOL_SOCKET, unix.SO_SNDBUF, kernelBuffer),
-			unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(stallLimit.Milliseconds())))
+			unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(stallTimeout.Milliseconds())))
 	})
 	return errors.CombineErrors(err, failure)
 }
 
-// keepingListener accepts connections of the buffers.
-type keepingListener struct {
+// bufferingListener accepts connections that use the buffers.
+type bufferingListener struct {
 	net.Listener
 	buffers *Buffers
 }
 
 // Accept implements net.Listener.
-func (l keepingListener) Accept() (net.Conn, error) {
+func (l bufferingListener) Accept() (net.Conn, error) {
 	accepted, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -254,10 +252,10 @@
 	return newConn(accepted, control, l.buffers), nil
 }
 
-// connKey is the key of the connection in contexts.
+// connKey is the context key of the connection.
 type connKey struct{}
 
-// WithConn is the ConnContext of servers: FromContext finds the connection again.
+// WithConn is for http.Server.ConnContext. FromContext returns the connection.
 func WithConn(ctx context.Context, conn net.Conn) context.Context {
 	if own, found := conn.(*Conn); found {
 		return context.WithValue(ctx, connKey{}, own)
@@ -265,14 +263,14 @@
 	return ctx
 }
 
-// FromContext returns the connection of a request, nil where it is none of this package.
+// FromContext returns the connection of a request, nil if it is not a Conn.
 func FromContext(ctx context.Context) *Conn {
 	conn, _ := ctx.Value(connKey{}).(*Conn)
 	return conn
 }
 
-// Handler wraps the handler of a server of such connections: each request starts anew,
-// whatever Begin told of the one before.
+// Handler wraps the handler of a server that uses such connections: it clears what BeginRequest
+// set for the previous request.
 func Handler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		FromContext(request.Context()).BeginRequest("", time.Time{})
--- a/internal/clientconn/conn.go
+++ b/internal/clientconn/conn.go
@@ -12,61 +12,60 @@
 )
 
 const (
-	// stallLimit is how long a client may take nothing of what is kept for it where its
-	// request gave no end, and how long the kernel waits for one that accepts nothing: longer
-	// than the 2 s after which a client of a stream gives up a silent one, and so short that a
-	// client that has gone dark costs memory for no longer. The kernel takes more only when a
-	// third of its buffer is free, so that one slower than 4 KB a second takes nothing for as
-	// long.
-	stallLimit = 5 * time.Second
-	// shortStallLimit is the same for an answer that waits for room: its server waits as
-	// well, would cut the answer off after a few seconds, and has a place taken until then.
-	shortStallLimit = 2 * time.Second
+	// stallTimeout bounds how long a client may read none of its buffered bytes if its request
+	// has no deadline, and how long the kernel waits for an acknowledgment. It is longer than
+	// the 2 s after which a client gives up a silent stream, and short enough that unreachable
+	// clients soon release their memory. The kernel accepts more bytes only when a third of its
+	// buffer is free, so a client that reads less than 4 KB a second counts as stalled.
+	stallTimeout = 5 * time.Second
+	// waitingStallTimeout is the same for a response that waits for memory. It is shorter
+	// because the server waits as well, with its slot occupied, and would cut off the response
+	// after a few seconds.
+	waitingStallTimeout = 2 * time.Second
 )
 
-// errEnded is the failure of writes to a connection whose answer was ended.
-var errEnded = errors.New("the answer was ended: the client reads too slowly")
+// errEnded is returned by writes to a connection whose response was cut off.
+var errEnded = errors.New("response was cut off: client reads too slowly")
 
-// past is a deadline that is over.
-var past = time.Unix(1, 0)
+// expiredDeadline makes reads fail immediately.
+var expiredDeadline = time.Unix(1, 0)
 
-// chunk is a piece of an answer that the client has not read. It is chunkSize large in all, a
-// size that the allocator has.
+// chunk is a buffered piece of a response. Its total size is chunkSize, a size class of the
+// allocator.
 type chunk struct {
 	bytes         [chunkSize - 2*wordSize]byte
 	read, written int
 }
 
-// wordSize is the size of an int in bytes.
 const wordSize = 8
 
-// Conn is the connection of a client. As with any server's connection, one goroutine writes
-// at a time.
+// Conn is the connection of a client. It must only be written to by one goroutine at a time.
 type Conn struct {
 	net.Conn
 	raw     syscall.RawConn
 	buffers *Buffers
 	reader  *relaybudget.Reader[*Conn]
-	// room is told when a write that waits for room may ask again.
+	// room is signaled when a write that waits for memory may try again.
 	room chan struct{}
 
-	// attempt is tryWrite, bound once; unsent, sent and failed are its argument and results.
-	attempt func(descriptor uintptr) bool
-	unsent  []byte
-	sent    int
-	failed  error
+	// tryWriteFunc is tryWrite, bound once to avoid allocations; pending, sent and writeErr are
+	// its argument and results.
+	tryWriteFunc func(descriptor uintptr) bool
+	pending      []byte
+	sent         int
+	writeErr     error
 
 	mutex sync.Mutex
-	// exchange and ends tell of the request in progress.
-	exchange string
-	ends     time.Time
-	// kept are the chunks that the client has not read, and draining tells that a
-	// goroutine writes them.
-	kept     []*chunk
+	// requestID and deadline are those of the request in progress.
+	requestID string
+	deadline  time.Time
+	// chunks are the unread chunks, and draining is set while a goroutine writes them.
+	chunks   []*chunk
 	draining bool
-	// reason is why the answer was ended, empty where it was not.
+	// reason is why the response was cut off, empty if it was not.
 	reason Reason
-	// closing and closingWrite tell what is to be closed once all is read.
+	// closing and closingWrite are set if the connection, or only its write side, is to be closed
+	// once the buffer is empty.
 	closing, closingWrite bool
 
 	closeOnce sync.Once
@@ -75,22 +74,22 @@
 func newConn(accepted net.Conn, raw syscall.RawConn, buffers *Buffers) *Conn {
 	created := &Conn{Conn: accepted, raw: raw, buffers: buffers, room: make(chan struct{}, 1)}
 	created.reader = relaybudget.NewReader(created)
-	created.attempt = created.tryWrite
+	created.tryWriteFunc = created.tryWrite
 	return created
 }
 
-// BeginRequest tells which request is in progress on the connection, and when its client no longer
-// waits: what it has not read by then is dropped.
-func (c *Conn) BeginRequest(exchange string, ends time.Time) {
+// BeginRequest sets the ID and deadline of the request in progress. What the client has not
+// read by the deadline is dropped.
+func (c *Conn) BeginRequest(requestID string, deadline time.Time) {
 	if c == nil {
 		return
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.exchange, c.ends = exchange, ends
+	c.requestID, c.deadline = requestID, deadline
 }
 
-// EndReason is why the answer was ended to spare memory; empty where it was not.
+// EndReason returns why the response was cut off to save memory, empty if it was not.
 func (c *Conn) EndReason() Reason {
 	if c == nil {
 		return ""
@@ -103,8 +102,8 @@
 	return c.reason
 }
 
-// Write implements net.Conn. It returns once all is written or kept, and waits only where
-// the buffers have no room for the connection.
+// Write implements net.Conn. It returns once all bytes are written or buffered, and blocks only
+// while the buffers have no memory for the connection.
 func (c *Conn) Write(p []byte) (int, error) {
 	behind, err := c.state()
 	if err != nil {
@@ -118,7 +117,7 @@
 		}
 	}
 	for written < len(p) {
-		n, err := c.keep(p[written:])
+		n, err := c.buffer(p[written:])
 		written += n
 		if err != nil {
 			return written, err
@@ -127,14 +126,14 @@
 	return written, nil
 }
 
-// state tells whether bytes are kept, and the failure of the connection.
+// state reports whether bytes are buffered, and returns the error for writes.
 func (c *Conn) state() (behind bool, failure error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.draining, c.failure()
 }
 
-// failure is the error of writes to a connection whose answer was ended. The mutex is held.
+// failure returns the error for writes if the response was cut off. The mutex must be held.
 func (c *Conn) failure() error {
 	if c.reason == "" {
 		return nil
@@ -142,27 +141,27 @@
 	return errEnded
 }
 
-// writeNow writes what the kernel takes at once.
+// writeNow writes as much as the kernel accepts without blocking.
 func (c *Conn) writeNow(p []byte) (int, error) {
-	c.unsent, c.sent, c.failed = p, 0, nil
-	err := c.raw.Write(c.attempt)
-	c.unsent = nil
+	c.pending, c.sent, c.writeErr = p, 0, nil
+	err := c.raw.Write(c.tryWriteFunc)
+	c.pending = nil
 	if err != nil {
 		return c.sent, err
 	}
-	return c.sent, c.failed
+	return c.sent, c.writeErr
 }
 
-// tryWrite writes to a descriptor that does not block, once.
+// tryWrite writes once to a non-blocking descriptor.
 func (c *Conn) tryWrite(descriptor uintptr) bool {
 	for {
-		n, err := syscall.Write(int(descriptor), c.unsent)
+		n, err := syscall.Write(int(descriptor), c.pending)
 		switch {
 		case err == syscall.EINTR:
 			continue
 		case err == syscall.EAGAIN:
 		case err != nil:
-			c.failed = &net.OpError{Op: "write", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: err}
+			c.writeErr = &net.OpError{Op: "write", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: err}
 		default:
 			c.sent = n
 		}
@@ -170,8 +169,8 @@
 	}
 }
 
-// keep keeps a part of the bytes, as many as fit in one chunk.
-func (c *Conn) keep(p []byte) (int, error) {
+// buffer buffers as many of the bytes as fit into one chunk.
+func (c *Conn) buffer(p []byte) (int, error) {
 	if n, err := c.addToLast(p); n > 0 || err != nil {
 		return n, err
 	}
@@ -187,29 +186,29 @@
 	return 0, err
 }
 
-// addToLast adds bytes to the last chunk, as far as it has room.
+// addToLast appends as many bytes to the last chunk as fit.
 func (c *Conn) addToLast(p []byte) (int, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.reason != "" || len(c.kept) == 0 {
+	if c.reason != "" || len(c.chunks) == 0 {
 		return 0, c.failure()
 	}
-	last := c.kept[len(c.kept)-1]
+	last := c.chunks[len(c.chunks)-1]
 	n := copy(last.bytes[last.written:], p)
 	last.written += n
 	return n, nil
 }
 
-// addChunk adds a chunk whose room was reserved.
+// addChunk adds a chunk whose memory was reserved.
 func (c *Conn) addChunk(p []byte) (int, error) {
 	added := c.buffers.chunks.Get().(*chunk)
-	// Once it is added it may be written and used again by others at any time.
+	// Once it is added, drain may write and recycle it at any time.
 	n := copy(added.bytes[:], p)
 	added.read, added.written = 0, n
 	c.mutex.Lock()
 	failure := c.failure()
 	if failure == nil {
-		c.kept = append(c.kept, added)
+		c.chunks = append(c.chunks, added)
 		if !c.draining {
 			c.draining = true
 			go c.drain()
@@ -217,16 +216,16 @@
 	}
 	c.mutex.Unlock()
 	if failure != nil {
-		c.buffers.leave(c)
+		c.buffers.remove(c)
 		return 0, failure
 	}
 	return n, nil
 }
 
-// awaitRoom waits until the connection may have room, and ends its answer where the client
-// takes nothing meanwhile.
+// awaitRoom waits until there may be memory, and cuts off the response if the client reads
+// nothing in the meantime.
 func (c *Conn) awaitRoom() {
-	stalled := time.NewTimer(shortStallLimit)
+	stalled := time.NewTimer(waitingStallTimeout)
 	defer stalled.Stop()
 	select {
 	case <-c.room:
@@ -235,7 +234,7 @@
 	}
 }
 
-// signal lets a write that waits for room ask again.
+// signal wakes a write that waits for memory.
 func (c *Conn) signal() {
 	select {
 	case c.room <- struct{}{}:
@@ -243,7 +242,7 @@
 	}
 }
 
-// drain writes what is kept until nothing is left.
+// drain writes the buffered bytes until none are left.
 func (c *Conn) drain() {
 	for {
 		piece, deadline := c.next()
@@ -253,7 +252,7 @@
 		_ = c.Conn.SetWriteDeadline(deadline)
 		n, err := c.Conn.Write(piece)
 		if c.advance(n) {
-			c.buffers.took(c)
+			c.buffers.releaseChunk(c)
 		}
 		if n > 0 {
 			c.signal()
@@ -265,24 +264,24 @@
 	}
 }
 
-// next returns the next piece to be written and until when; nil where none is left, and the
-// connection is as the writer left it then.
+// next returns the next bytes to write and their deadline. If none are left, it returns nil and
+// closes the connection if that was requested.
 func (c *Conn) next() ([]byte, time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.reason != "" {
 		return nil, time.Time{}
 	}
-	if len(c.kept) > 0 {
-		deadline := c.ends
+	if len(c.chunks) > 0 {
+		deadline := c.deadline
 		if deadline.IsZero() {
-			deadline = time.Now().Add(stallLimit)
+			deadline = time.Now().Add(stallTimeout)
 		}
-		first := c.kept[0]
+		first := c.chunks[0]
 		return first.bytes[first.read:first.written], deadline
 	}
 	_ = c.Conn.SetWriteDeadline(time.Time{})
-	c.draining, c.kept = false, nil
+	c.draining, c.chunks = false, nil
 	if c.closingWrite {
 		_ = c.closeWriteNow()
 	}
@@ -292,26 +291,27 @@
 	return nil, time.Time{}
 }
 
-// advance tells that so many bytes of the first chunk were written, and whether it was the
-// last of the chunk.
+// advance records that bytes of the first chunk were written, and reports whether the chunk is
+// finished.
 func (c *Conn) advance(n int) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.reason != "" || len(c.kept) == 0 {
+	if c.reason != "" || len(c.chunks) == 0 {
 		return false
 	}
-	first := c.kept[0]
+	first := c.chunks[0]
 	first.read += n
 	if first.read < first.written {
 		return false
 	}
-	c.kept[0] = nil
-	c.kept = c.kept[1:]
+	c.chunks[0] = nil
+	c.chunks = c.chunks[1:]
 	c.buffers.chunks.Put(first)
 	return true
 }
 
-// end drops what is kept and resets the connection, so that the answer does not look whole.
+// end drops the buffered bytes and resets the connection, so that the response does not look
+// complete.
 func (c *Conn) end(reason Reason, cause error) {
 	c.mutex.Lock()
 	if c.reason != "" {
@@ -319,11 +319,11 @@
 		return
 	}
 	c.reason = reason
-	unread := len(c.kept) * chunkSize
-	c.kept = nil
-	exchange := c.exchange
+	unread := len(c.chunks) * chunkSize
+	c.chunks = nil
+	requestID := c.requestID
 	c.mutex.Unlock()
-	since, taken := c.buffers.leave(c)
+	since, taken := c.buffers.remove(c)
 	behind := time.Duration(0)
 	if unread > 0 {
 		behind = time.Since(since)
@@ -334,38 +334,39 @@
 	_ = c.closeNow()
 	c.signal()
 	c.buffers.ended(EndedResponse{
-		RequestID: exchange, Reason: reason, Unread: int64(unread), Taken: taken, Behind: behind, Cause: cause,
+		RequestID: requestID, Reason: reason, Unread: int64(unread), Taken: taken, Behind: behind, Cause: cause,
 	})
 }
 
-// Close implements net.Conn. The client still gets what is kept for it.
+// Close implements net.Conn. The client still receives the buffered bytes.
 func (c *Conn) Close() error {
 	c.mutex.Lock()
 	if c.draining && c.reason == "" {
 		c.closing = true
 		c.mutex.Unlock()
-		// Nobody reads from it any more.
-		return c.SetReadDeadline(past)
+		// Unblock a read in progress.
+		return c.SetReadDeadline(expiredDeadline)
 	}
 	c.mutex.Unlock()
-	c.buffers.leave(c)
+	c.buffers.remove(c)
 	return c.closeNow()
 }
 
-// closeNow closes the connection whatever is kept.
+// closeNow closes the connection even if bytes are buffered.
 func (c *Conn) closeNow() error {
 	c.closeOnce.Do(func() { c.buffers.open.Add(-1) })
 	return c.Conn.Close()
 }
 
-// SetWriteDeadline implements net.Conn. It does nothing: writes wait for room only, and what
-// is kept has a deadline by Begin.
+// SetWriteDeadline implements net.Conn. It does nothing, because writes only wait for memory and
+// the deadline of buffered bytes is set by BeginRequest.
 func (c *Conn) SetWriteDeadline(time.Time) error { return nil }
 
-// SetDeadline implements net.Conn, for reads.
+// SetDeadline implements net.Conn. It only applies to reads.
 func (c *Conn) SetDeadline(deadline time.Time) error { return c.SetReadDeadline(deadline) }
 
-// CloseWrite tells the client that nothing more comes, once it has what is kept for it.
+// CloseWrite closes the write side of the connection once the client has received the buffered
+// bytes.
 func (c *Conn) CloseWrite() error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/clientconn/conn_test.go
+++ b/internal/clientconn/conn_test.go
@@ -19,7 +19,7 @@
 	"rockwind.example/rockwind/internal/dial"
 )
 
-// endings collects what buffers tell of ended answers.
+// endings records the responses that were cut off.
 type endings struct {
 	mutex sync.Mutex
 	all   []clientconn.EndedResponse
@@ -37,7 +37,7 @@
 	return slices.Clone(e.all)
 }
 
-// serve starts a server on loopback whose connections keep what their clients do not read.
+// serve starts a server on loopback that buffers responses if buffers is not nil.
 func serve(t testing.TB, buffers *clientconn.Buffers, handler http.HandlerFunc) (address string, server *http.Server) {
 	t.Helper()
 	listener, err := dial.Listen("127.0.0.1:0")
@@ -54,7 +54,7 @@
 	return address, server
 }
 
-// ask sends a request and leaves its answer unread.
+// ask sends a request and does not read its response.
 func ask(t testing.TB, address, path string) *net.TCPConn {
 	t.Helper()
 	dialed, err := net.Dial("tcp", address)
@@ -69,7 +69,7 @@
 	return conn
 }
 
-// until waits until something holds.
+// until waits until a condition holds.
 func until(t testing.TB, what string, holds func() bool) {
 	t.Helper()
 	for limit := time.Now().Add(15 * time.Second); !holds(); time.Sleep(time.Millisecond) {
@@ -79,8 +79,8 @@
 	}
 }
 
-// answer writes so many bytes in pieces, each number once, and tells when all is written.
-func answer(writer io.Writer, size int) error {
+// writeResponse writes a response of the given size in pieces.
+func writeResponse(writer io.Writer, size int) error {
 	piece := make([]byte, 4<<10)
 	for sent := 0; sent < size; sent += len(piece) {
 		for i := range piece {
@@ -93,50 +93,50 @@
 	return nil
 }
 
-func whole(size int) []byte {
+func expectedBody(size int) []byte {
 	var all bytes.Buffer
-	_ = answer(&all, size)
+	_ = writeResponse(&all, size)
 	return all.Bytes()
 }
 
-// TestAnswerEndsAtItsServerBeforeTheClientHasReadIt: the handler is not held up by a client
-// that reads nothing, and the client gets every byte when it reads.
-func TestAnswerEndsAtItsServerBeforeTheClientHasReadIt(t *testing.T) {
+// TestHandlerIsNotBlockedBySlowClient: the handler must finish although the client reads
+// nothing, and the client must get every byte when it reads.
+func TestHandlerIsNotBlockedBySlowClient(t *testing.T) {
 	const size = 4 << 20
 	ended := &endings{}
 	buffers := clientconn.NewBuffers(16<<20, ended.add)
 	done := make(chan error, 1)
 	address, _ := serve(t, buffers, func(writer http.ResponseWriter, request *http.Request) {
 		clientconn.FromContext(request.Context()).BeginRequest("slow", time.Now().Add(time.Minute))
-		done <- answer(writer, size)
+		done <- writeResponse(writer, size)
 	})
 	conn := ask(t, address, "/")
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
 	if usage := buffers.Usage(); usage.Readers != 1 || usage.Unread < size/2 {
-		t.Errorf("kept are %+v", usage)
+		t.Errorf("memory use: %+v", usage)
 	}
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	got, err := io.ReadAll(response.Body)
-	if err != nil || !bytes.Equal(got, whole(size)) {
-		t.Fatalf("%d bytes came, %v", len(got), err)
+	if err != nil || !bytes.Equal(got, expectedBody(size)) {
+		t.Fatalf("got %d bytes, %v", len(got), err)
 	}
-	until(t, "nothing is kept any more", func() bool { return buffers.Usage().Unread == 0 })
+	until(t, "nothing is buffered any more", func() bool { return buffers.Usage().Unread == 0 })
 	if list := ended.list(); len(list) > 0 {
-		t.Errorf("ended was %+v", list[0])
+		t.Errorf("response was cut off: %+v", list[0])
 	}
 }
 
-// TestClosingServerStillHandsOutWhatIsKept: a stop waits for clients that read slowly.
-func TestClosingServerStillHandsOutWhatIsKept(t *testing.T) {
+// TestBufferedBytesAreSentAfterServerShutdown: Drain must wait for slow clients.
+func TestBufferedBytesAreSentAfterServerShutdown(t *testing.T) {
 	const size = 1 << 20
 	buffers := clientconn.NewBuffers(16<<20, func(clientconn.EndedResponse) {})
 	done := make(chan error, 1)
-	address, server := serve(t, buffers, func(writer http.ResponseWriter, request *http.Request) { done <- answer(writer, size) })
+	address, server := serve(t, buffers, func(writer http.ResponseWriter, request *http.Request) { done <- writeResponse(writer, size) })
 	conn := ask(t, address, "/")
 	if err := <-done; err != nil {
 		t.Fatal(err)
@@ -158,125 +158,125 @@
 	}()
 	buffers.Drain(stopping)
 	if got := <-read; got != size {
-		t.Errorf("%d bytes came", got)
+		t.Errorf("got %d bytes", got)
 	}
 }
 
-// TestDarkReaderWhoseTimeIsOverIsReset: what it has not read is dropped, and the answer does
-// not look whole.
-func TestDarkReaderWhoseTimeIsOverIsReset(t *testing.T) {
+// TestUnreadResponseIsResetAtDeadline: the unread bytes must be dropped, and the response must not
+// look complete.
+func TestUnreadResponseIsResetAtDeadline(t *testing.T) {
 	const size = 1 << 20
 	ended := &endings{}
 	buffers := clientconn.NewBuffers(16<<20, ended.add)
 	address, _ := serve(t, buffers, func(writer http.ResponseWriter, request *http.Request) {
 		clientconn.FromContext(request.Context()).BeginRequest("dark", time.Now().Add(300*time.Millisecond))
 		writer.Header().Set("Content-Length", fmt.Sprint(size))
-		_ = answer(writer, size)
+		_ = writeResponse(writer, size)
 	})
 	began := time.Now()
 	conn := ask(t, address, "/")
-	until(t, "the answer is ended", func() bool { return len(ended.list()) == 1 })
+	until(t, "the response is cut off", func() bool { return len(ended.list()) == 1 })
 	if took := time.Since(began); took > 2*time.Second {
-		t.Errorf("it was kept for %v", took)
+		t.Errorf("it was buffered for %v", took)
 	}
 	if first := ended.list()[0]; first.RequestID != "dark" || first.Reason != clientconn.ReasonWriteFailed || first.Unread == 0 {
-		t.Errorf("told was %+v", first)
+		t.Errorf("reported as cut off: %+v", first)
 	}
 	if usage := buffers.Usage(); usage.Unread != 0 || usage.Readers != 0 {
-		t.Errorf("kept are %+v", usage)
+		t.Errorf("memory use: %+v", usage)
 	}
 	if got, err := io.ReadAll(conn); err == nil {
-		t.Errorf("the answer ends well after %d bytes", len(got))
+		t.Errorf("the response ended without an error after %d bytes", len(got))
 	}
 }
 
-// TestAnswersWithoutRoomWaitAndGoOn: two large answers share little memory. The second waits
-// while the first client reads nothing, and each is whole in the end.
-func TestAnswersWithoutRoomWaitAndGoOn(t *testing.T) {
+// TestResponsesWaitForMemory: two large responses share little memory. The second must wait while
+// the first client reads nothing, and both must be complete in the end.
+func TestResponsesWaitForMemory(t *testing.T) {
 	const size = 4 << 20
 	buffers := clientconn.NewBuffers(2<<20, func(clientconn.EndedResponse) {})
-	address, _ := serve(t, buffers, func(writer http.ResponseWriter, _ *http.Request) { _ = answer(writer, size) })
+	address, _ := serve(t, buffers, func(writer http.ResponseWriter, _ *http.Request) { _ = writeResponse(writer, size) })
 	first, second := ask(t, address, "/"), ask(t, address, "/")
-	until(t, "answers wait for room", func() bool { return buffers.Usage().Waiting == 2 })
+	until(t, "responses wait for memory", func() bool { return buffers.Usage().Waiting == 2 })
 	for _, conn := range []net.Conn{first, second} {
 		response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := io.ReadAll(response.Body); err != nil || !bytes.Equal(got, whole(size)) {
-			t.Fatalf("%d bytes came, %v", len(got), err)
+		if got, err := io.ReadAll(response.Body); err != nil || !bytes.Equal(got, expectedBody(size)) {
+			t.Fatalf("got %d bytes, %v", len(got), err)
 		}
 	}
 }
 
-// TestClientThatLeavesEndsItsRequest: the handler hears of it at once, also while bytes are
-// kept for the client.
-func TestClientThatLeavesEndsItsRequest(t *testing.T) {
+// TestClientDisconnectCancelsRequest: the handler must notice it immediately, even while bytes
+// are buffered.
+func TestClientDisconnectCancelsRequest(t *testing.T) {
 	buffers := clientconn.NewBuffers(16<<20, func(clientconn.EndedResponse) {})
 	left := make(chan struct{})
 	address, _ := serve(t, buffers, func(writer http.ResponseWriter, request *http.Request) {
-		_ = answer(writer, 1<<20)
+		_ = writeResponse(writer, 1<<20)
 		<-request.Context().Done()
 		close(left)
 	})
 	conn := ask(t, address, "/")
-	until(t, "bytes are kept", func() bool { return buffers.Usage().Unread > 1<<19 })
+	until(t, "bytes are buffered", func() bool { return buffers.Usage().Unread > 1<<19 })
 	began := time.Now()
 	_ = conn.Close()
 	<-left
 	if took := time.Since(began); took > 500*time.Millisecond {
-		t.Errorf("the request hears of it after %v", took)
+		t.Errorf("the request was canceled after %v", took)
 	}
-	until(t, "nothing is kept any more", func() bool { return buffers.Usage().Unread == 0 })
+	until(t, "nothing is buffered any more", func() bool { return buffers.Usage().Unread == 0 })
 }
 
-// TestAnswerThatWaitsForADarkReaderIsEnded: a server does not wait for long for a client that
-// reads nothing while memory is short, and what came of the answer does not look whole.
-func TestAnswerThatWaitsForADarkReaderIsEnded(t *testing.T) {
+// TestWaitingResponseOfStalledClientIsCutOff: a server must not wait long for a client that reads
+// nothing while memory is short, and the truncated response must not look complete.
+func TestWaitingResponseOfStalledClientIsCutOff(t *testing.T) {
 	ended := &endings{}
 	buffers := clientconn.NewBuffers(1<<20, ended.add)
 	failed := make(chan error, 1)
 	address, _ := serve(t, buffers, func(writer http.ResponseWriter, request *http.Request) {
 		conn := clientconn.FromContext(request.Context())
 		conn.BeginRequest("dark", time.Now().Add(time.Minute))
-		err := answer(writer, 4<<20)
+		err := writeResponse(writer, 4<<20)
 		if conn.EndReason() != clientconn.ReasonStalled {
-			t.Errorf("the connection was ended for %q", conn.EndReason())
+			t.Errorf("the response was cut off because of %q", conn.EndReason())
 		}
 		failed <- err
 	})
 	began := time.Now()
 	conn := ask(t, address, "/")
 	if err := <-failed; err == nil {
-		t.Error("the handler hears nothing of it")
+		t.Error("the handler got no error")
 	}
 	if took := time.Since(began); took < time.Second || took > 4*time.Second {
-		t.Errorf("it was ended after %v", took)
+		t.Errorf("the response was cut off after %v", took)
 	}
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err == nil {
 		_, err = io.ReadAll(response.Body)
 	}
 	if err == nil {
-		t.Error("the answer looks whole")
+		t.Error("the response looks complete")
 	}
 	if list := ended.list(); len(list) != 1 || list[0].Reason != clientconn.ReasonStalled {
-		t.Errorf("told was %+v", list)
+		t.Errorf("reported as cut off: %+v", list)
 	}
 	if usage := buffers.Usage(); usage.Unread != 0 || usage.Waiting != 0 {
-		t.Errorf("kept are %+v", usage)
+		t.Errorf("memory use: %+v", usage)
 	}
 }
 
-// TestThousandSlowClientsStayWithinTheMemory: a thousand clients read little of answers of
-// 1 MB each, one of them of 64 MB. The process keeps within its budget, and others that ask
-// beside them get their answers within the shortest objective.
-func TestThousandSlowClientsStayWithinTheMemory(t *testing.T) {
+// TestThousandSlowClientsStayWithinMemoryLimit: a thousand clients read little of responses of
+// 1 MB, one of 64 MB. The process must stay within its budget, and other requests must be
+// answered within the shortest latency objective.
+func TestThousandSlowClientsStayWithinMemoryLimit(t *testing.T) {
 	const (
 		slow   = 1000
 		limit  = 36 << 20
 		others = 200
-		// objective is the shortest within which callers want the head of an answer.
+		// objective is the shortest latency objective for response headers.
 		objective = 300 * time.Millisecond
 	)
 	buffers := clientconn.NewBuffers(limit, func(clientconn.EndedResponse) {})
@@ -289,7 +289,7 @@
 			return
 		}
 		size := map[string]int{"/quick": 4 << 10, "/slow": 1 << 20, "/huge": 64 << 20}[request.URL.Path]
-		_ = answer(writer, size)
+		_ = writeResponse(writer, size)
 		usage := buffers.Usage()
 		most.Store(max(most.Load(), usage.Unread+usage.Bodies))
 	})
@@ -302,7 +302,7 @@
 		}
 		ask(t, address, path)
 	}
-	until(t, "all have begun, and the memory that any reader may use is used", func() bool {
+	until(t, "all requests have started and fill the memory of large readers", func() bool {
 		return begun.Load() == slow && buffers.Usage().Unread > limit*2/5
 	})
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
@@ -315,29 +315,29 @@
 		}
 		got, err := io.ReadAll(response.Body)
 		if err != nil || len(got) != 4<<10 {
-			t.Fatalf("%d bytes came, %v", len(got), err)
+			t.Fatalf("got %d bytes, %v", len(got), err)
 		}
 		_ = response.Body.Close()
 		took = append(took, time.Since(began))
 	}
 	grown := heap() - before
 	slices.Sort(took)
-	t.Logf("heap grew by %d MB, of which idle ones %d MB, with %d readers behind, others took %v in the median, %v at most", grown>>20, idle>>20, buffers.Usage().Readers, took[others/2], took[others-1])
+	t.Logf("heap grew by %d MB, of which %d MB for idle connections; %d clients behind; other requests took %v in the median, %v at most", grown>>20, idle>>20, buffers.Usage().Readers, took[others/2], took[others-1])
 	if tail := took[others*99/100]; tail > objective {
-		t.Errorf("others take %v beside slow clients", tail)
+		t.Errorf("other requests take %v beside slow clients", tail)
 	}
 	if usage := buffers.Usage(); usage.Unread > limit || most.Load() > limit {
-		t.Errorf("kept are %+v, at most %d", usage, most.Load())
+		t.Errorf("memory use %+v, at most %d", usage, most.Load())
 	}
-	// Beside the budget a client that is behind costs the stack of one more goroutine, and what
-	// writing needs: two buffers of 4 KB and the end of a chunk.
+	// A client that is behind also costs the stack of a goroutine, two 4 KB write buffers, and the
+	// unused end of a chunk.
 	const each = 20 << 10
 	if grown > limit+idle+slow*each {
 		t.Errorf("the heap grew by %d MB, of which idle connections cost %d MB", grown>>20, idle>>20)
 	}
 }
 
-// costOfIdle is how much memory so many requests cost of which nothing is answered yet.
+// costOfIdle returns the memory used by the given number of unanswered requests.
 func costOfIdle(t *testing.T, address string, count int, begun *atomic.Int64) int64 {
 	t.Helper()
 	before := heap()
@@ -345,7 +345,7 @@
 	for range count {
 		opened = append(opened, ask(t, address, "/idle"))
 	}
-	until(t, "all idle ones have begun", func() bool { return begun.Load() == int64(count) })
+	until(t, "all idle requests have started", func() bool { return begun.Load() == int64(count) })
 	cost := heap() - before
 	for _, conn := range opened {
 		_ = conn.Close()
@@ -354,9 +354,9 @@
 	return cost
 }
 
-// heap is how much memory the process uses, in bytes.
+// heap returns the memory use of the process in bytes.
 func heap() int64 {
-	// What a pool holds lives through one collection.
+	// Objects in a pool survive one collection.
 	runtime.GC()
 	runtime.GC()
 	var statistics runtime.MemStats
@@ -364,8 +364,8 @@
 	return int64(statistics.HeapAlloc + statistics.StackInuse)
 }
 
-// BenchmarkEvents passes events of 200 bytes on, one after the other has come, to a client on
-// a plain connection and on one that keeps what its client does not read.
+// BenchmarkEvents relays events of 200 bytes one at a time, over a plain and over a buffering
+// connection.
 func BenchmarkEvents(b *testing.B) {
 	for _, kind := range []struct {
 		name    string
@@ -400,7 +400,7 @@
 	}
 }
 
-// BenchmarkAnswers asks for small answers one after the other.
+// BenchmarkAnswers requests small responses one after the other.
 func BenchmarkAnswers(b *testing.B) {
 	for _, kind := range []struct {
 		name    string
@@ -424,10 +424,9 @@
 	}
 }
 
-// TestTimeOfOneRequestDoesNotBindTheNextOne: a connection is kept, and the answer to its
-// second request, of which the handler tells nothing, is read when the first one's time is
-// over.
-func TestTimeOfOneRequestDoesNotBindTheNextOne(t *testing.T) {
+// TestDeadlineDoesNotApplyToNextRequest: a second request on the same connection, without a
+// deadline, must not inherit the expired deadline of the first.
+func TestDeadlineDoesNotApplyToNextRequest(t *testing.T) {
 	const size = 4 << 20
 	buffers := clientconn.NewBuffers(16<<20, func(clientconn.EndedResponse) {})
 	handler := clientconn.Handler(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
@@ -435,7 +434,7 @@
 			clientconn.FromContext(request.Context()).BeginRequest("first", time.Now().Add(time.Millisecond))
 			return
 		}
-		_ = answer(writer, size)
+		_ = writeResponse(writer, size)
 	}))
 	address, _ := serve(t, buffers, handler.ServeHTTP)
 	conn := ask(t, address, "/first")
@@ -446,28 +445,28 @@
 	if _, err := io.WriteString(conn, "GET /second HTTP/1.1\r\nHost: test\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "bytes are kept", func() bool { return buffers.Usage().Unread > size/2 })
+	until(t, "bytes are buffered", func() bool { return buffers.Usage().Unread > size/2 })
 	response, err := http.ReadResponse(reader, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got, err := io.ReadAll(response.Body); err != nil || len(got) != size {
-		t.Errorf("%d bytes came, %v", len(got), err)
+		t.Errorf("got %d bytes, %v", len(got), err)
 	}
 }
 
-// TestClientThatPausesGetsItsAnswer: a client that reads nothing for four seconds is no dark
-// one, also for the kernel.
-func TestClientThatPausesGetsItsAnswer(t *testing.T) {
+// TestClientThatPausesGetsItsResponse: a client that reads nothing for four seconds must not be cut
+// off, by the kernel either.
+func TestClientThatPausesGetsItsResponse(t *testing.T) {
 	const size = 4 << 20
-	buffers := clientconn.NewBuffers(16<<20, func(ended clientconn.EndedResponse) { t.Logf("ended was %+v", ended) })
+	buffers := clientconn.NewBuffers(16<<20, func(ended clientconn.EndedResponse) { t.Logf("response was cut off: %+v", ended) })
 	listener, err := dial.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	server := &http.Server{ConnContext: clientconn.WithConn, Handler: http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		clientconn.FromContext(request.Context()).BeginRequest("pauses", time.Now().Add(time.Minute))
-		_ = answer(writer, size)
+		_ = writeResponse(writer, size)
 	})}
 	t.Cleanup(func() { _ = server.Close() })
 	keeping := buffers.Listener(listener)
@@ -479,6 +478,6 @@
 		t.Fatal(err)
 	}
 	if got, err := io.ReadAll(response.Body); err != nil || len(got) != size {
-		t.Errorf("%d bytes came, %v", len(got), err)
+		t.Errorf("got %d bytes, %v", len(got), err)
 	}
 }
