--- a/internal/upstream/answer.go
+++ b/internal/upstream/answer.go
@@ -12,16 +12,16 @@
 	"time"
 )
 
-// Sizes of the relay's buffers.
+// Sizes for reading response bodies.
 const (
-	// copyBufferSize is the size of one read of a body.
 	copyBufferSize = 32 << 10
-	// maximumAnswer bounds an unstreamed answer of an engine.
-	maximumAnswer = 64 << 20
-	// heldServiceAnswer is the largest answer of a service that is held until it
-	// is whole; larger ones are passed on as they come.
-	heldServiceAnswer = 256 << 10
-	// maximumDrain bounds what is read of a refusal to keep its connection.
+	// maximumResponse bounds an unstreamed response of an engine.
+	maximumResponse = 64 << 20
+	// maximumBufferedService bounds the service responses that are buffered until
+	// they are complete; larger ones are relayed as they arrive.
+	maximumBufferedService = 256 << 10
+	// maximumDrain bounds how much of an unneeded response is read to reuse its
+	// connection.
 	maximumDrain = 64 << 10
 )
 
@@ -30,59 +30,60 @@
 	return &buffer
 }}
 
-// errTooLong ends an answer that exceeds maximumAnswer.
-var errTooLong = errors.New("the answer is too long")
+// errResponseTooLong is returned for a response that exceeds its size limit.
+var errResponseTooLong = errors.New("response is too long")
 
-// relayAnswer holds an unstreamed answer of an engine until it is whole.
-func (r *run) relayAnswer(ctx context.Context, target Target, number int, response *Response, report *Report) verdict {
-	body, err := r.readAll(response)
+// relayUnstreamed buffers an unstreamed response of an engine until it is complete
+// and relays it.
+func (e *exchange) relayUnstreamed(ctx context.Context, target Target, number int, response *Response, report *Report) verdict {
+	body, err := e.readAll(response)
 	if err == nil && response.Status == http.StatusOK {
-		err = r.checkCompletion(body)
+		err = e.checkCompletion(body)
 	}
 	if err != nil {
-		return r.answerCut(ctx, target, number, err, report)
+		return e.handleTruncated(ctx, target, number, err, report)
 	}
 	if response.Status >= http.StatusInternalServerError {
-		return r.engineErred(response)
+		return e.handleServerError(response)
 	}
-	return r.deliver(response, body)
+	return e.deliver(response, body)
 }
 
-// engineErred handles an answer that says that the engine failed.
-func (r *run) engineErred(response *Response) verdict {
-	r.result.Fault = unknown("the back end failed with status " + strconv.Itoa(response.Status))
-	if r.request.Repeatable {
+// handleServerError handles a response with a status of 500 or above.
+func (e *exchange) handleServerError(response *Response) verdict {
+	e.result.Fault = unknownOutcome("the back end failed with status " + strconv.Itoa(response.Status))
+	if e.request.Repeatable {
 		return verdictNext
 	}
 	return verdictDone
 }
 
-// deliver gives a whole answer to the sink.
-func (r *run) deliver(response *Response, body []byte) verdict {
+// deliver writes a complete response to the sink.
+func (e *exchange) deliver(response *Response, body []byte) verdict {
 	length := int64(len(body))
-	if r.request.Method == http.MethodHead {
+	if e.request.Method == http.MethodHead {
 		length = response.Length
 	}
-	if err := r.begin(response, length); err != nil {
-		return r.callerLeft()
+	if err := e.startResponse(response, length); err != nil {
+		return e.endCanceled()
 	}
-	if err := r.sink.Write(body); err != nil {
-		return r.callerLeft()
+	if err := e.sink.Write(body); err != nil {
+		return e.endCanceled()
 	}
-	r.result.Complete = true
-	r.result.Fault = nil
+	e.result.Complete = true
+	e.result.Fault = nil
 	return verdictDone
 }
 
-// answerCut handles an answer that ended before it was whole.
-func (r *run) answerCut(ctx context.Context, target Target, number int, err error, report *Report) verdict {
+// handleTruncated handles an engine response that ended before it was complete.
+func (e *exchange) handleTruncated(ctx context.Context, target Target, number int, err error, report *Report) verdict {
 	if ctx.Err() != nil {
 		report.Outcome = Canceled
-		r.cancel(ctx, target, number)
-		return r.callerLeft()
+		e.cancel(ctx, target, number)
+		return e.endCanceled()
 	}
 	report.Outcome = outcomeOf(err)
-	return r.lost(ctx, target, number, report)
+	return e.handleLost(ctx, target, number, report)
 }
 
 func outcomeOf(err error) Outcome {
@@ -92,59 +93,59 @@
 	return ConnectionLost
 }
 
-// readAll reads the body and ends the exchange.
-func (r *run) readAll(response *Response) ([]byte, error) {
-	var held bytes.Buffer
-	if response.Length > 0 && response.Length <= maximumAnswer {
-		held.Grow(int(response.Length))
+// readAll reads the body to its end and finishes or abandons the response.
+func (e *exchange) readAll(response *Response) ([]byte, error) {
+	var content bytes.Buffer
+	if response.Length > 0 && response.Length <= maximumResponse {
+		content.Grow(int(response.Length))
 	}
-	err := r.readInto(&held, response, maximumAnswer)
+	err := e.readInto(&content, response, maximumResponse)
 	if err != nil {
 		response.Abandon()
 		return nil, err
 	}
 	response.Finish()
-	return held.Bytes(), nil
+	return content.Bytes(), nil
 }
 
-func (r *run) readInto(held *bytes.Buffer, response *Response, limit int) error {
+func (e *exchange) readInto(content *bytes.Buffer, response *Response, limit int) error {
 	buffer := copyBuffers.Get().(*[]byte)
 	defer copyBuffers.Put(buffer)
 	for {
-		n, err := response.Read(*buffer, r.silence())
-		held.Write((*buffer)[:n])
+		n, err := response.Read(*buffer, e.silenceTimeout())
+		content.Write((*buffer)[:n])
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		if held.Len() > limit {
-			return errTooLong
+		if content.Len() > limit {
+			return errResponseTooLong
 		}
 	}
 }
 
-// silence is the limit of silence inside an answer. An unstreamed answer may
-// be silent for as long as the first byte may take.
-func (r *run) silence() time.Duration {
-	if r.request.Stream || r.request.Kind == Service {
-		return r.request.Timeouts.BetweenBytes
+// silenceTimeout bounds the time without data within a response. An unstreamed
+// engine response may take as long as its first byte.
+func (e *exchange) silenceTimeout() time.Duration {
+	if e.request.Stream || e.request.Kind == Service {
+		return e.request.Timeouts.BetweenBytes
 	}
-	return r.request.Timeouts.FirstByte
+	return e.request.Timeouts.FirstByte
 }
 
-// drain reads the rest of a short answer so that its connection can be kept.
-func (r *run) drain(response *Response) {
-	var held bytes.Buffer
-	if err := r.readInto(&held, response, maximumDrain); err != nil {
+// drain reads the rest of a short response so that its connection can be reused.
+func (e *exchange) drain(response *Response) {
+	var content bytes.Buffer
+	if err := e.readInto(&content, response, maximumDrain); err != nil {
 		response.Abandon()
 		return
 	}
 	response.Finish()
 }
 
-// completion is the part of an answer that shows whether it is whole.
+// completion holds the fields of a response that show whether it is complete.
 type completion struct {
 	Choices []struct {
 		FinishReason *string `json:"finish_reason"`
@@ -154,9 +155,9 @@
 	} `json:"usage"`
 }
 
-// checkCompletion tells whether an unstreamed answer is whole and counts its
-// tokens.
-func (r *run) checkCompletion(body []byte) error {
+// checkCompletion returns an error if an unstreamed response is incomplete, and
+// records its token count.
+func (e *exchange) checkCompletion(body []byte) error {
 	var parsed completion
 	if err := json.Unmarshal(body, &parsed); err != nil || len(parsed.Choices) == 0 {
 		return io.ErrUnexpectedEOF
@@ -166,68 +167,69 @@
 			return io.ErrUnexpectedEOF
 		}
 	}
-	r.result.Tokens = parsed.Usage.Completion
+	e.result.Tokens = parsed.Usage.Completion
 	return nil
 }
 
-// relayService passes on the answer of a service. A short one is held until it
-// is whole, so that a repeatable request can still be sent elsewhere.
-func (r *run) relayService(ctx context.Context, response *Response, report *Report) verdict {
-	if response.Length >= 0 && response.Length <= heldServiceAnswer {
-		return r.relayHeld(ctx, response, report)
+// relayService relays the response of a service. A short one is buffered until it is
+// complete, so that a repeatable request can still be sent elsewhere.
+func (e *exchange) relayService(ctx context.Context, response *Response, report *Report) verdict {
+	if response.Length >= 0 && response.Length <= maximumBufferedService {
+		return e.relayBuffered(ctx, response, report)
 	}
-	if err := r.begin(response, response.Length); err != nil {
+	if err := e.startResponse(response, response.Length); err != nil {
 		response.Abandon()
 		report.Outcome = Canceled
-		return r.callerLeft()
+		return e.endCanceled()
 	}
-	return r.copyBody(ctx, response, report)
+	return e.copyBody(ctx, response, report)
 }
 
-func (r *run) relayHeld(ctx context.Context, response *Response, report *Report) verdict {
-	body, err := r.readAll(response)
+func (e *exchange) relayBuffered(ctx context.Context, response *Response, report *Report) verdict {
+	body, err := e.readAll(response)
 	if err != nil {
-		return r.serviceCut(ctx, err, report)
+		return e.handleTruncatedService(ctx, err, report)
 	}
-	return r.deliver(response, body)
+	return e.deliver(response, body)
 }
 
-// copyBody passes a body on as it comes.
-func (r *run) copyBody(ctx context.Context, response *Response, report *Report) verdict {
+// copyBody relays a body as it arrives.
+func (e *exchange) copyBody(ctx context.Context, response *Response, report *Report) verdict {
 	buffer := copyBuffers.Get().(*[]byte)
 	defer copyBuffers.Put(buffer)
 	for {
-		n, err := response.Read(*buffer, r.silence())
+		n, err := response.Read(*buffer, e.silenceTimeout())
 		if n > 0 {
-			if writeErr := r.sink.Write((*buffer)[:n]); writeErr != nil {
+			if writeErr := e.sink.Write((*buffer)[:n]); writeErr != nil {
 				response.Abandon()
 				report.Outcome = Canceled
-				return r.callerLeft()
+				return e.endCanceled()
 			}
 		}
 		if errors.Is(err, io.EOF) {
 			response.Finish()
-			r.result.Complete = true
+			e.result.Complete = true
 			return verdictDone
 		}
 		if err != nil {
 			response.Abandon()
-			return r.serviceCut(ctx, err, report)
+			return e.handleTruncatedService(ctx, err, report)
 		}
 	}
 }
 
-// serviceCut handles an answer of a service that ended before it was whole.
-func (r *run) serviceCut(ctx context.Context, err error, report *Report) verdict {
+// handleTruncatedService handles a service response that ended before it was
+// complete.
+func (e *exchange) handleTruncatedService(ctx context.Context, err error, report *Report) verdict {
 	if ctx.Err() != nil {
 		report.Outcome = Canceled
-		return r.callerLeft()
+		return e.endCanceled()
 	}
 	report.Outcome = outcomeOf(err)
-	return r.lost(ctx, Target{}, 0, report)
+	return e.handleLost(ctx, Target{}, 0, report)
 }
 
-// retryAfter reads the Retry-After header in seconds.
+// retryAfter parses the Retry-After header, which must be in seconds.
 func retryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.Atoi(header.Get("Retry-After"))
 	if err != nil || seconds < 0 {
@@ -236,5 +238,5 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// fallbackRetryAfter is the advice when the back end gives none.
+// fallbackRetryAfter is used if the backend sends no valid Retry-After.
 const fallbackRetryAfter = time.Second
--- a/internal/upstream/backend_test.go
+++ b/internal/upstream/backend_test.go
@@ -14,24 +14,24 @@
 	"time"
 )
 
-// behaviour is what a back end does with one request.
+// behaviour is how a backend treats one request.
 type behaviour int
 
 const (
-	answerWhole behaviour = iota
+	completeResponse behaviour = iota
 	failDial
 	closeAtAccept
 	closeHalfRead
 	closeAfterRead
 	refuseRequest
-	answerError
-	cutAnswer
+	errorResponse
+	truncatedResponse
 	hangBeforeHead
-	hangInAnswer
+	hangInBody
 	behaviours
 )
 
-// resumption is what a back end does when it is asked to go on.
+// resumption is how a backend treats a resume request.
 type resumption int
 
 const (
@@ -42,34 +42,34 @@
 	resumptions
 )
 
-// script is what happens to the next request at a back end.
+// script is how a backend treats the next request.
 type script struct {
 	Behaviour behaviour
 	Resume    resumption
-	// Events is after how many events a stream breaks.
+	// Events is the number of events after which a stream breaks.
 	Events int
-	// Step is how many tokens one event holds.
+	// Step is the number of tokens per event.
 	Step int
 }
 
-// answerTokens is the length of every answer.
-const answerTokens = 12
+// responseTokens is the length of every response in tokens.
+const responseTokens = 12
 
-// backend is a scripted back end over net.Pipe.
+// backend is a scripted backend over net.Pipe.
 type backend struct {
 	mutex   sync.Mutex
 	name    string
 	scripts []script
-	// runs counts the runs that began here.
+	// runs counts the runs that started at this backend.
 	runs int
-	// total counts the runs at all back ends.
+	// total counts the runs at all backends.
 	total *atomic.Int64
-	// stream, deterministic describe the request.
+	// stream and deterministic describe the request.
 	stream        bool
 	deterministic bool
-	// known are the runs that can be resumed, by request identity.
+	// known holds the resumable runs by request ID.
 	known map[string]*knownRun
-	// busy counts the resumes refused so far.
+	// busy counts the resume requests so far.
 	busy int
 }
 
@@ -82,7 +82,7 @@
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if len(b.scripts) == 0 {
-		return script{Behaviour: answerWhole, Step: 1}
+		return script{Behaviour: completeResponse, Step: 1}
 	}
 	return b.scripts[0]
 }
@@ -95,7 +95,7 @@
 	}
 }
 
-// dial opens a connection whose other end the back end serves.
+// dial opens a connection that is served by the backend.
 func (b *backend) dial(context.Context) (net.Conn, error) {
 	current := b.next()
 	if current.Behaviour == failDial {
@@ -119,7 +119,7 @@
 	for {
 		if b.next().Behaviour == closeHalfRead {
 			b.pop()
-			b.takePart(conn)
+			b.readPartially(conn)
 			return
 		}
 		request, err := http.ReadRequest(reader)
@@ -136,9 +136,9 @@
 	}
 }
 
-// takePart reads the start of a request only. A part of a completion counts as
-// a run: nobody can tell what a back end does with it.
-func (b *backend) takePart(conn net.Conn) {
+// readPartially reads only the start of a request. A partial completion request
+// counts as a run, because a backend may have started it.
+func (b *backend) readPartially(conn net.Conn) {
 	part := make([]byte, len("POST "+completionPath))
 	n, _ := conn.Read(part)
 	if !strings.HasSuffix(string(part[:n]), completionPath) {
@@ -150,10 +150,10 @@
 	b.total.Add(1)
 }
 
-// completionPath is where the requests of a scenario go.
+// completionPath is the path of the requests in a scenario.
 const completionPath = "/v1/chat/completions"
 
-// answer answers one request; false closes the connection.
+// answer answers one request. It returns false if the connection should be closed.
 func (b *backend) answer(conn net.Conn, request *http.Request, body string) bool {
 	if request.Method == http.MethodDelete {
 		return respond(conn, http.StatusNotFound, "", "{}")
@@ -169,7 +169,7 @@
 		return false
 	case refuseRequest:
 		return respond(conn, http.StatusServiceUnavailable, "X-Not-Run: true\r\n", "{}")
-	case answerError:
+	case errorResponse:
 		b.begin(request, current)
 		return respond(conn, http.StatusInternalServerError, "", "{}")
 	case hangBeforeHead:
@@ -181,10 +181,10 @@
 	if b.stream {
 		return b.streamFrom(conn, current, number, 0, current)
 	}
-	return b.unstreamed(conn, current, number)
+	return b.writeUnstreamed(conn, current, number)
 }
 
-// begin counts a run.
+// begin counts a run and returns its number.
 func (b *backend) begin(request *http.Request, current script) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -207,8 +207,8 @@
 	busy := b.busy
 	b.busy++
 	b.mutex.Unlock()
-	var order resumeOrder
-	if err := json.Unmarshal([]byte(body), &order); err != nil {
+	var parsed resumeRequest
+	if err := json.Unmarshal([]byte(body), &parsed); err != nil {
 		return false
 	}
 	switch {
@@ -219,7 +219,7 @@
 	case known.script.Resume == resumeBusy && busy < 2:
 		return respond(conn, http.StatusConflict, "", "{}")
 	}
-	return b.streamFrom(conn, script{Step: known.script.Step}, known.number, int(order.Offset), script{Behaviour: answerWhole})
+	return b.streamFrom(conn, script{Step: known.script.Step}, known.number, int(parsed.Offset), script{Behaviour: completeResponse})
 }
 
 func respond(conn net.Conn, status int, header, body string) bool {
@@ -227,40 +227,40 @@
 	return err == nil
 }
 
-// tokenText is one token of a run.
+// tokenText returns the text of one token of a run.
 func tokenText(run, sequence int) string {
 	return fmt.Sprintf("<%d:%d>", run, sequence)
 }
 
-func answerText(run int) string {
+func responseText(run int) string {
 	var text strings.Builder
-	for sequence := 1; sequence <= answerTokens; sequence++ {
+	for sequence := 1; sequence <= responseTokens; sequence++ {
 		text.WriteString(tokenText(run, sequence))
 	}
 	return text.String()
 }
 
-// streamFrom writes the events behind an offset; fault says where it breaks.
-func (b *backend) streamFrom(conn net.Conn, shape script, run, offset int, breaking script) bool {
+// streamFrom writes the events after an offset; failure says where the stream breaks.
+func (b *backend) streamFrom(conn net.Conn, shape script, run, offset int, failure script) bool {
 	head := "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 	if _, err := conn.Write([]byte(head)); err != nil {
 		return false
 	}
 	step := max(shape.Step, 1)
 	written := 0
-	for sequence := offset; sequence < answerTokens; {
-		if breaking.Behaviour == cutAnswer && written == breaking.Events {
-			if breaking.Step == endsEarlyStep {
+	for sequence := offset; sequence < responseTokens; {
+		if failure.Behaviour == truncatedResponse && written == failure.Events {
+			if failure.Step == cleanEndStep {
 				return writeChunk(conn, "")
 			}
 			_ = writeChunk(conn, "id: 99\ndata: {half an ev")
 			return false
 		}
-		if breaking.Behaviour == hangInAnswer && written == breaking.Events {
+		if failure.Behaviour == hangInBody && written == failure.Events {
 			time.Sleep(time.Hour)
 			return false
 		}
-		last := min((sequence/step+1)*step, answerTokens)
+		last := min((sequence/step+1)*step, responseTokens)
 		var text strings.Builder
 		for sequence < last {
 			sequence++
@@ -271,10 +271,10 @@
 		}
 		written++
 	}
-	if breaking.Behaviour == cutAnswer {
-		return breaking.Step == endsEarlyStep && writeChunk(conn, "")
+	if failure.Behaviour == truncatedResponse {
+		return failure.Step == cleanEndStep && writeChunk(conn, "")
 	}
-	return writeChunk(conn, fmt.Sprintf("id: %d\ndata: usage\n\n", answerTokens)) &&
+	return writeChunk(conn, fmt.Sprintf("id: %d\ndata: usage\n\n", responseTokens)) &&
 		writeChunk(conn, "data: [DONE]\n\n") && writeChunk(conn, "")
 }
 
@@ -283,31 +283,31 @@
 	return err == nil
 }
 
-// endsEarlyStep marks the scripts whose answer is cut off by the engine itself,
-// which ends the body in good order.
-const endsEarlyStep = 3
+// cleanEndStep marks the scripts whose response is truncated by the engine itself,
+// which ends the body without an error.
+const cleanEndStep = 3
 
-// unstreamed writes a whole answer, or a part of one.
-func (b *backend) unstreamed(conn net.Conn, current script, run int) bool {
+// writeUnstreamed writes a complete or truncated unstreamed response.
+func (b *backend) writeUnstreamed(conn net.Conn, current script, run int) bool {
 	reason := `"stop"`
-	// An engine may end an answer early and still close its brackets.
-	endedEarly := current.Behaviour == cutAnswer && current.Step == endsEarlyStep
-	if endedEarly {
+	// An engine may end a response early and still send valid JSON.
+	endsCleanly := current.Behaviour == truncatedResponse && current.Step == cleanEndStep
+	if endsCleanly {
 		reason = "null"
 	}
 	body := fmt.Sprintf(`{"choices":[{"message":{"content":%q},"finish_reason":%s}],"usage":{"completion_tokens":%d}}`,
-		answerText(run), reason, answerTokens)
+		responseText(run), reason, responseTokens)
 	sent := body
-	if !endedEarly && (current.Behaviour == cutAnswer || current.Behaviour == hangInAnswer) {
+	if !endsCleanly && (current.Behaviour == truncatedResponse || current.Behaviour == hangInBody) {
 		sent = body[:min(current.Events*10, len(body)-1)]
 	}
 	length := fmt.Sprintf("Content-Length: %d\r\n", len(body))
 	if current.Step == 1 {
-		// The end of the connection is then the only mark of the end.
+		// The response then ends with the connection.
 		length = "Connection: close\r\n"
 	}
 	_, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s\r\n%s", length, sent)
-	if current.Behaviour == hangInAnswer {
+	if current.Behaviour == hangInBody {
 		time.Sleep(time.Hour)
 	}
 	return err == nil && len(sent) == len(body) && current.Step != 1
--- a/internal/upstream/budget.go
+++ b/internal/upstream/budget.go
@@ -2,12 +2,12 @@
 
 import "rockwind.example/rockwind/internal/retry"
 
-// Bounds of the retry budget.
+// Parameters of the retry budget.
 const (
-	// DefaultRetryRatio is the retries allowed per first attempt when the policy
-	// sets none.
+	// DefaultRetryRatio is the number of retries per first attempt if the policy sets
+	// none.
 	DefaultRetryRatio = 0.1
-	// retryReserve is how many retries a quiet gateway may make at once.
+	// retryReserve is how many retries may be made in a burst.
 	retryReserve = 10
 )
 
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -16,41 +16,40 @@
 	"rockwind.example/rockwind/internal/fault"
 )
 
-// Bounds of the connection pools.
+// Limits of the connection pools and of single attempts.
 const (
-	// idleConnections is how many idle connections are kept for an address.
+	// idleConnections bounds the idle connections to an address.
 	idleConnections = 256
 	// maximumIdle is how long a connection may be idle before it is closed.
 	maximumIdle = 30 * time.Second
-	// maximumIdleOnce is how long a connection may have been idle to carry a
-	// request that may not be repeated: a back end that closes an idle
-	// connection just as the request is written would leave its outcome unknown.
-	maximumIdleOnce = time.Second
-	// maximumSurplus bounds the answers that are passed over before the one that
+	// maximumIdleUnrepeatable bounds the idle time of a connection that carries an
+	// unrepeatable request: if a backend closes an idle connection while the request
+	// is being written, its outcome is unknown.
+	maximumIdleUnrepeatable = time.Second
+	// maximumStrayResponses bounds the responses read in search of the one that
 	// belongs to the request.
-	maximumSurplus = 4
-	// discardSilence bounds the silence inside a body that is discarded.
-	discardSilence = time.Second
-	// keepAliveMargin is how much earlier than a back end says it will close an idle
-	// connection the connection is no longer used.
+	maximumStrayResponses = 4
+	// discardSilenceTimeout bounds the time without data while a body is discarded.
+	discardSilenceTimeout = time.Second
+	// keepAliveMargin is subtracted from the idle timeout that a backend announces.
 	keepAliveMargin = 500 * time.Millisecond
-	// defaultConnectTimeout bounds a connection attempt when none is given.
+	// defaultConnectTimeout bounds a connection attempt if the request sets no bound.
 	defaultConnectTimeout = time.Second
 )
 
-// errSurplusOnly means that only answers to other requests came.
-var errSurplusOnly = errors.New("the back end answered other requests only")
+// errStrayResponses means that only responses to other requests arrived.
+var errStrayResponses = errors.New("backend sent only responses to other requests")
 
-// Target is the back end of one attempt.
+// Target is the backend of one attempt.
 type Target struct {
-	// Name of the back end in the configuration.
+	// Name of the backend in the configuration.
 	Name string
 	// Address is "ip:port".
 	Address string
-	// Body replaces the request's body at this back end, where it is not nil.
+	// Body replaces the request's body at this backend unless it is nil.
 	Body []byte
-	// HedgeAfter is the time without the head of an answer after which a request
-	// that may be repeated is sent to a second back end too; zero means never.
+	// HedgeAfter is how long to wait for the response headers before a repeatable
+	// request is also sent to a second backend; zero disables hedging.
 	HedgeAfter time.Duration
 }
 
@@ -63,7 +62,7 @@
 	pools   map[string]*pool
 }
 
-// DialFunc opens a connection to an address within the context.
+// DialFunc connects to an address.
 type DialFunc func(ctx context.Context, address string) (net.Conn, error)
 
 // NewClient returns a client without connections.
@@ -74,7 +73,8 @@
 	})
 }
 
-// NewClientWithDial is NewClient with another way to open connections.
+// NewClientWithDial returns a client without connections that connects with the
+// given function.
 func NewClientWithDial(dial DialFunc) *Client {
 	return &Client{
 		dial:    dial,
@@ -83,13 +83,13 @@
 	}
 }
 
-// Response is the head of an answer, with its body still to be read.
+// Response is a response whose headers have been read and whose body has not.
 type Response struct {
 	// Status is the HTTP status code.
 	Status int
-	// Header holds the answer's headers.
+	// Header holds the response headers.
 	Header http.Header
-	// Length of the body in bytes, -1 when it is not known beforehand.
+	// Length of the body in bytes, -1 if unknown.
 	Length int64
 
 	body       io.ReadCloser
@@ -101,24 +101,23 @@
 	ctx        context.Context
 }
 
-// Phase tells how far a failed attempt came.
+// Phase is how far a failed attempt got.
 type Phase int
 
 // The phases in which an attempt can fail.
 const (
-	// PhaseConnect: no byte was written.
+	// PhaseConnect: no byte of the request was written.
 	PhaseConnect Phase = iota
-	// PhaseSent: bytes were written, and no answer was seen.
+	// PhaseSent: bytes were written and no response arrived.
 	PhaseSent
-	// PhaseResponse: the answer had begun.
+	// PhaseResponse: the response had started.
 	PhaseResponse
 )
 
 // AttemptError is the failure of one attempt.
 type AttemptError struct {
-	// Phase tells how far the attempt came.
 	Phase Phase
-	// Timeout tells that the back end was silent for too long.
+	// Timeout is set if the backend sent nothing for too long.
 	Timeout bool
 	// Cause is the error of the connection.
 	Cause error
@@ -130,7 +129,7 @@
 // Unwrap returns the cause.
 func (e *AttemptError) Unwrap() error { return e.Cause }
 
-// Ran says whether the attempt may have run.
+// Ran reports whether the attempt may have run.
 func (e *AttemptError) Ran() fault.Ran {
 	if e.Phase == PhaseConnect {
 		return fault.NotRun
@@ -150,8 +149,8 @@
 	return attemptError(PhaseSent, err)
 }
 
-// Do sends one attempt and returns once the answer's head has arrived. The
-// caller must end the response with Finish or Abandon. Errors are of type
+// Do sends one attempt and returns once the response headers have arrived. The
+// caller must end the response with Finish, Discard or Abandon. Errors are of type
 // *AttemptError.
 func (c *Client) Do(ctx context.Context, address string, request *Request, attempt int) (*Response, error) {
 	conn, err := c.connect(ctx, address, request)
@@ -168,8 +167,8 @@
 		}
 		return nil, attemptError(PhaseSent, err)
 	}
-	conn.arm(ctx, request.Timeouts.FirstByte)
-	head, err := readOwnHead(conn, request)
+	conn.setReadTimeout(ctx, request.Timeouts.FirstByte)
+	head, err := readMatchingHead(conn, request)
 	if err != nil {
 		stop()
 		conn.close()
@@ -181,9 +180,9 @@
 	}, nil
 }
 
-// readOwnHead reads the head of the answer that belongs to the request.
-func readOwnHead(conn *connection, request *Request) (*http.Response, error) {
-	for range maximumSurplus {
+// readMatchingHead reads the headers of the response that belongs to the request.
+func readMatchingHead(conn *connection, request *Request) (*http.Response, error) {
+	for range maximumStrayResponses {
 		head, err := readHead(conn, request.Method)
 		if err != nil || request.MatchesResponse == nil || request.MatchesResponse(head.Header) {
 			return head, err
@@ -192,17 +191,17 @@
 			return nil, err
 		}
 		if head.Close {
-			return nil, errSurplusOnly
+			return nil, errStrayResponses
 		}
 	}
-	return nil, errSurplusOnly
+	return nil, errStrayResponses
 }
 
-// readHead reads an answer's head, skipping informational ones.
+// readHead reads the headers of a response, skipping informational responses.
 func readHead(conn *connection, method string) (*http.Response, error) {
-	asked := &http.Request{Method: method}
+	sentRequest := &http.Request{Method: method}
 	for {
-		head, err := http.ReadResponse(conn.reader, asked)
+		head, err := http.ReadResponse(conn.reader, sentRequest)
 		if err != nil {
 			return nil, err
 		}
@@ -218,7 +217,7 @@
 	}
 	idle := maximumIdle
 	if !request.Repeatable {
-		idle = maximumIdleOnce
+		idle = maximumIdleUnrepeatable
 	}
 	if conn := c.pool(address).take(time.Now(), idle); conn != nil {
 		return conn, nil
@@ -242,7 +241,7 @@
 	defer c.buffers.Put(buffer)
 	buffer.Reset()
 	request.appendHead(buffer, address, attempt)
-	if len(request.Body) <= maximumSharedWrite {
+	if len(request.Body) <= maximumCombinedWrite {
 		buffer.Write(request.Body)
 		return conn.write(buffer.Bytes())
 	}
@@ -267,8 +266,8 @@
 	return c.pools[address]
 }
 
-// Expire closes connections that have been idle for too long. The owner calls
-// it every few seconds.
+// Expire closes connections that have been idle for too long. It must be called
+// every few seconds.
 func (c *Client) Expire(now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -284,7 +283,7 @@
 	c.Expire(time.Now().Add(2 * maximumIdle))
 }
 
-// NotRun tells whether the answer is a refusal before anything ran.
+// NotRun reports whether the backend refused the request before running it.
 func (r *Response) NotRun() bool {
 	if r.Status != http.StatusTooManyRequests && r.Status != http.StatusServiceUnavailable {
 		return false
@@ -292,44 +291,44 @@
 	return r.Header.Get(HeaderNotRun) == "true"
 }
 
-// Read reads the body; silence longer than the limit is an error.
-func (r *Response) Read(p []byte, silence time.Duration) (int, error) {
+// Read reads the body. It fails if no data arrives for the given time.
+func (r *Response) Read(p []byte, silenceTimeout time.Duration) (int, error) {
 	if r.connection.reader.Buffered() == 0 {
-		r.connection.arm(r.ctx, silence)
+		r.connection.setReadTimeout(r.ctx, silenceTimeout)
 	}
 	return r.body.Read(p)
 }
 
-// Body returns the body as a reader whose silence is bounded.
-func (r *Response) Body(silence time.Duration) io.Reader {
-	return boundedBody{response: r, silence: silence}
+// Body returns the body as a reader with a silence timeout.
+func (r *Response) Body(silenceTimeout time.Duration) io.Reader {
+	return timedBody{response: r, silenceTimeout: silenceTimeout}
 }
 
-// boundedBody reads a body with a limit of silence.
-type boundedBody struct {
-	response *Response
-	silence  time.Duration
+// timedBody reads a body with a silence timeout.
+type timedBody struct {
+	response       *Response
+	silenceTimeout time.Duration
 }
 
 // Read implements io.Reader.
-func (b boundedBody) Read(p []byte) (int, error) {
-	return b.response.Read(p, b.silence)
+func (b timedBody) Read(p []byte) (int, error) {
+	return b.response.Read(p, b.silenceTimeout)
 }
 
-// Finish ends an exchange whose body was read to its end and keeps the
-// connection when it can carry another.
+// Finish ends a response whose body was read to its end and keeps the connection
+// for reuse if possible.
 func (r *Response) Finish() {
 	if !r.stop() || !r.keep {
 		r.connection.close()
 		return
 	}
-	r.connection.disarm(context.Background())
+	r.connection.clearReadTimeout(context.Background())
 	r.connection.idleLimit = keepAliveTimeout(r.Header)
 	r.client.pool(r.address).put(r.connection, time.Now(), idleConnections)
 }
 
-// keepAliveTimeout returns how long the back end keeps an idle connection, less a
-// margin; zero where it does not say.
+// keepAliveTimeout returns how long the backend keeps an idle connection, minus a
+// margin, or zero if it does not say.
 func keepAliveTimeout(header http.Header) time.Duration {
 	for _, parameter := range strings.Split(header.Get("Keep-Alive"), ",") {
 		value, found := strings.CutPrefix(strings.TrimSpace(parameter), "timeout=")
@@ -341,17 +340,18 @@
 	return 0
 }
 
-// Discard ends an exchange whose body nobody wants: it reads the rest, so that the
-// connection can be kept, unless the back end falls silent.
+// Discard ends a response whose body is not needed. It reads the rest, so that the
+// connection can be reused, unless the backend stops sending.
 func (r *Response) Discard() {
-	if _, err := io.Copy(io.Discard, r.Body(discardSilence)); err != nil {
+	if _, err := io.Copy(io.Discard, r.Body(discardSilenceTimeout)); err != nil {
 		r.Abandon()
 		return
 	}
 	r.Finish()
 }
 
-// Abandon ends an exchange whose body was not read to its end.
+// Abandon ends a response whose body was not read to its end, and closes its
+// connection.
 func (r *Response) Abandon() {
 	r.stop()
 	r.connection.close()
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// readBufferSize is the size of a connection's read buffer.
 const readBufferSize = 16 << 10
 
-// connection is one connection to a back end.
+// connection is a connection to a backend.
 type connection struct {
 	network net.Conn
 	raw     syscall.RawConn
 	reader  *bufio.Reader
-	// idleSince is when the connection was put back into its pool.
+	// idleSince is when the connection was returned to its pool.
 	idleSince time.Time
-	// idleLimit is how long the back end keeps the connection when it is idle; zero
-	// where it did not say.
+	// idleLimit is how long the backend keeps the connection open while idle, zero if
+	// it did not say.
 	idleLimit time.Duration
-	// written counts the bytes of the current request that the kernel took.
+	// written counts the bytes of the current request that the kernel accepted.
 	written int64
-	// armedUntil is the read deadline in force; zero when there is none.
-	armedUntil time.Time
-	limit      time.Duration
+	// deadline is the current read deadline, zero if there is none. It was set for the
+	// timeout in limit.
+	deadline time.Time
+	limit    time.Duration
 }
 
 func newConnection(network net.Conn) *connection {
@@ -37,9 +37,9 @@
 	return c
 }
 
-// usable tells whether an idle connection is still open and silent. It looks
-// into the socket's receive queue without waiting: a back end that closed the
-// connection, or sent something unasked, makes it unusable.
+// usable reports whether an idle connection is still open and has no unread data.
+// It peeks into the socket's receive queue without waiting: a connection that the
+// backend closed, or on which it sent unrequested data, is unusable.
 func (c *connection) usable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -57,38 +57,38 @@
 	return err == nil && silent
 }
 
-// write sends bytes and counts those that the kernel took.
+// write sends bytes and counts those that the kernel accepted.
 func (c *connection) write(p []byte) error {
 	n, err := c.network.Write(p)
 	c.written += int64(n)
 	return err
 }
 
-// arm makes reads fail after limit of silence. To keep timers off the path of
-// every token it moves the deadline only when a quarter of it has passed, so
-// silence is detected between limit and 1.25 × limit.
-func (c *connection) arm(ctx context.Context, limit time.Duration) {
+// setReadTimeout makes reads fail if no data arrives within limit. To avoid setting
+// a timer for every token it moves the deadline only after a quarter of limit, so
+// reads fail after limit to 1.25 × limit.
+func (c *connection) setReadTimeout(ctx context.Context, limit time.Duration) {
 	if limit <= 0 {
-		c.disarm(ctx)
+		c.clearReadTimeout(ctx)
 		return
 	}
 	now := time.Now()
-	if c.limit == limit && c.armedUntil.Sub(now) > limit {
+	if c.limit == limit && c.deadline.Sub(now) > limit {
 		return
 	}
 	c.limit = limit
-	c.armedUntil = now.Add(limit + limit/4)
-	_ = c.network.SetReadDeadline(c.armedUntil)
+	c.deadline = now.Add(limit + limit/4)
+	_ = c.network.SetReadDeadline(c.deadline)
 	if ctx.Err() != nil {
 		c.interrupt()
 	}
 }
 
-func (c *connection) disarm(ctx context.Context) {
-	if c.armedUntil.IsZero() {
+func (c *connection) clearReadTimeout(ctx context.Context) {
+	if c.deadline.IsZero() {
 		return
 	}
-	c.armedUntil = time.Time{}
+	c.deadline = time.Time{}
 	c.limit = 0
 	_ = c.network.SetReadDeadline(time.Time{})
 	if ctx.Err() != nil {
@@ -96,7 +96,7 @@
 	}
 }
 
-// interrupt makes reads and writes in progress fail at once.
+// interrupt makes reads and writes fail immediately, including those in progress.
 func (c *connection) interrupt() {
 	_ = c.network.SetDeadline(time.Unix(1, 0))
 }
@@ -105,14 +105,14 @@
 	_ = c.network.Close()
 }
 
-// pool keeps idle connections to one address, most recently used last.
+// pool holds the idle connections to one address, most recently used last.
 type pool struct {
 	mutex sync.Mutex
 	idle  []*connection
 }
 
 // take returns a usable connection that has been idle for at most maximumIdle,
-// or nil. Connections that are past their time are closed.
+// or nil. It closes connections that have been idle for longer.
 func (p *pool) take(now time.Time, maximumIdle time.Duration) *connection {
 	for {
 		c := p.pop()
@@ -140,7 +140,7 @@
 	return c
 }
 
-// put keeps a connection for later, or closes it when the pool is full.
+// put returns a connection to the pool, or closes it if the pool is full.
 func (p *pool) put(c *connection, now time.Time, capacity int) {
 	c.idleSince = now
 	c.written = 0
@@ -156,7 +156,7 @@
 }
 
 // expire closes connections that have been idle for longer than maximumIdle and
-// returns how many are left.
+// returns how many remain.
 func (p *pool) expire(now time.Time, maximumIdle time.Duration) int {
 	p.mutex.Lock()
 	kept := 0
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -1,14 +1,13 @@
-// Package upstream carries out one exchange with back ends: it sends a request
-// to a chosen server, relays the answer, and goes on after a failure where that
-// is allowed.
+// Package upstream sends requests to backends: it sends a request to a chosen
+// server, relays the response, and retries after a failure where that is allowed.
 //
-// It tracks precisely whether any byte of the request may have reached a back
-// end. A failure before the first byte was written, and a refusal that carries
-// X-Not-Run, mean that the request did not run: another server may be tried
-// within the retry budget. Any later failure leaves the outcome unknown: the
-// request is sent again only where it is repeatable. A stream that breaks is
-// resumed on the same engine from the last token relayed, which is the same
-// run and so always allowed; it is run again elsewhere only where the request
-// is repeatable and its output deterministic. An answer is never reported as
-// whole unless its end marker or its full length was seen.
+// It tracks whether any byte of the request may have reached a backend. After a
+// failure before the first byte was written, or a refusal with X-Not-Run, the
+// request did not run: another server may be tried within the retry budget. After
+// any later failure the outcome is unknown, and only a repeatable request is sent
+// again. A broken stream is resumed on the same engine after the last relayed
+// token, which is always allowed because the run stays the same; it is run again
+// elsewhere only if the request is repeatable and either its output is deterministic
+// or no token was relayed. A response is reported as complete only if its end marker
+// or its full length was received.
 package upstream
--- a/internal/upstream/events.go
+++ b/internal/upstream/events.go
@@ -5,15 +5,15 @@
 )
 
 var (
-	eventEnd    = []byte("\n\n")
-	idField     = []byte("id:")
-	dataDone    = []byte("data: [DONE]")
-	dataDoneRaw = []byte("data:[DONE]")
+	eventEnd        = []byte("\n\n")
+	idField         = []byte("id:")
+	dataDone        = []byte("data: [DONE]")
+	dataDoneNoSpace = []byte("data:[DONE]")
 )
 
-// wholeEvents returns the length of the longest prefix of p that holds whole
-// server-sent events only. It does not depend on the pieces in which p arrives.
-func wholeEvents(p []byte) int {
+// completeEvents returns the length of the longest prefix of p that consists of
+// complete server-sent events.
+func completeEvents(p []byte) int {
 	end := 0
 	for {
 		at := bytes.Index(p[end:], eventEnd)
@@ -24,8 +24,8 @@
 	}
 }
 
-// nextEvent returns the length of the first event of p, which holds whole
-// events only.
+// nextEvent returns the length of the first event of p, which holds only complete
+// events.
 func nextEvent(p []byte) int {
 	at := bytes.Index(p, eventEnd)
 	if at < 0 {
@@ -34,17 +34,17 @@
 	return at + len(eventEnd)
 }
 
-// event is one server-sent event.
+// event holds the fields of a server-sent event that the relay needs.
 type event struct {
-	// sequence is the number in its id line, 0 when it has none.
+	// sequence is the number in its id line, 0 if there is none.
 	sequence uint64
-	// hasSequence tells whether there is an id line.
+	// hasSequence is set if there is an id line with a number.
 	hasSequence bool
-	// done tells that it is the end marker.
+	// done is set for the end marker.
 	done bool
 }
 
-// readEvent reads the fields that the relay needs of one event.
+// readEvent parses one event.
 func readEvent(p []byte) event {
 	var found event
 	for len(p) > 0 {
@@ -57,7 +57,7 @@
 		switch {
 		case bytes.HasPrefix(line, idField):
 			found.sequence, found.hasSequence = parseSequence(line[len(idField):])
-		case bytes.HasPrefix(line, dataDone), bytes.HasPrefix(line, dataDoneRaw):
+		case bytes.HasPrefix(line, dataDone), bytes.HasPrefix(line, dataDoneNoSpace):
 			found.done = true
 		}
 	}
@@ -76,31 +76,30 @@
 	return value, len(p) > 0
 }
 
-// position is how far a stream was relayed: the sequence number of the last
-// token, and how many events carried that number (the chunk with the token, and
-// chunks such as the usage that follow it).
+// position is how far a stream was relayed: the sequence number of the last token
+// and how many events had that number (the chunk with the token, and later chunks
+// such as the usage).
 type position struct {
 	sequence uint64
 	events   int
-	// leading counts events without a sequence number before the first one with.
+	// leading counts the events before the first one with a sequence number.
 	leading int
 	done    bool
 }
 
-// pass is the judgement on one event of a further stream.
-type pass int
+// replayAction is what to do with an event of a second run.
+type replayAction int
 
 const (
-	// passRelay: the event is new.
-	passRelay pass = iota
-	// passSkip: the event was relayed before.
-	passSkip
-	// passTorn: the event holds tokens that were relayed and tokens that were
-	// not, or leaves some out.
-	passTorn
+	// replayRelay: the event is new.
+	replayRelay replayAction = iota
+	// replaySkip: the event was relayed before.
+	replaySkip
+	// replayMismatch: the event contains both relayed and new tokens, or skips some.
+	replayMismatch
 )
 
-// advance moves the position over an event that is relayed.
+// advance moves the position past a relayed event.
 func (p *position) advance(e event) {
 	switch {
 	case e.done:
@@ -115,33 +114,33 @@
 	}
 }
 
-// replayed is the position of a stream that runs again from its start, as it
+// rerunPosition is the position of a second run that starts from the beginning and
 // catches up with what was relayed.
-type replayed struct {
+type rerunPosition struct {
 	position
-	// caughtUp is set once an event past the relayed position was seen.
+	// caughtUp is set once an event after the relayed position was seen.
 	caughtUp bool
 }
 
-// judge decides on the next event of a stream that runs again, and moves on.
-func (r *replayed) judge(e event, relayed *position) pass {
+// classify decides what to do with the next event of a second run, and advances.
+func (r *rerunPosition) classify(e event, relayed *position) replayAction {
 	if r.caughtUp {
-		return passRelay
+		return replayRelay
 	}
 	before := r.position
 	r.advance(e)
-	if !e.done && r.covers(relayed) {
-		return passSkip
+	if !e.done && r.isRelayed(relayed) {
+		return replaySkip
 	}
 	r.caughtUp = true
 	if before.sequence != relayed.sequence {
-		return passTorn
+		return replayMismatch
 	}
-	return passRelay
+	return replayRelay
 }
 
-// covers tells whether what was relayed includes everything up to here.
-func (r *replayed) covers(relayed *position) bool {
+// isRelayed reports whether everything up to this position was relayed.
+func (r *rerunPosition) isRelayed(relayed *position) bool {
 	if r.sequence != relayed.sequence {
 		return r.sequence < relayed.sequence
 	}
--- a/internal/upstream/events_test.go
+++ b/internal/upstream/events_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// FuzzEvents feeds the splitter of server-sent events arbitrary streams in
-// arbitrary pieces: the events must be those of the whole stream, cover it
-// without gaps, and only a line of its own may be taken for the end marker.
+// FuzzEvents splits arbitrary streams that arrive in arbitrary pieces: the events
+// must equal those of the whole stream and cover it without gaps, and only a data
+// line may be parsed as the end marker.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: {\"a\":\"b\"}\n\nid: 2\ndata: x\n\ndata: [DONE]\n\n"), 3)
 	f.Add([]byte(": comment\n\n\n\ndata: not [DONE]\n\ndata:[DONE]\n\nid: 18446744073709551616\n\n"), 1)
@@ -19,27 +19,27 @@
 		var joined, held []byte
 		for at := 0; at < len(stream); at += piece {
 			held = append(held, stream[at:min(at+piece, len(stream))]...)
-			whole := wholeEvents(held)
+			whole := completeEvents(held)
 			joined = append(joined, held[:whole]...)
 			held = held[whole:]
 		}
-		if !bytes.Equal(joined, stream[:wholeEvents(stream)]) {
-			t.Fatalf("pieces of %d give %q", piece, joined)
+		if !bytes.Equal(joined, stream[:completeEvents(stream)]) {
+			t.Fatalf("pieces of %d bytes give %q", piece, joined)
 		}
 		for len(joined) > 0 {
 			length := nextEvent(joined)
 			if length < len(eventEnd) || !bytes.HasSuffix(joined[:length], eventEnd) {
-				t.Fatalf("an event ends at %d of %q", length, joined)
+				t.Fatalf("event boundary at %d of %q", length, joined)
 			}
-			if readEvent(joined[:length]).done != hasMarkerLine(joined[:length]) {
-				t.Fatalf("the end marker is misread in %q", joined[:length])
+			if readEvent(joined[:length]).done != hasEndMarker(joined[:length]) {
+				t.Fatalf("wrong end marker detection in %q", joined[:length])
 			}
 			joined = joined[length:]
 		}
 	})
 }
 
-func hasMarkerLine(event []byte) bool {
+func hasEndMarker(event []byte) bool {
 	for line := range bytes.SplitSeq(event, []byte("\n")) {
 		field, value, _ := bytes.Cut(line, []byte(":"))
 		if string(field) == "data" && bytes.HasPrefix(bytes.TrimPrefix(value, []byte(" ")), []byte("[DONE]")) {
--- a/internal/upstream/hedge.go
+++ b/internal/upstream/hedge.go
@@ -5,142 +5,142 @@
 	"time"
 )
 
-// flight is one attempt on its way to the head of its answer.
-type flight struct {
-	target   Target
-	number   int
-	begun    time.Time
-	cancel   context.CancelFunc
-	response *Response
-	err      error
-	// headAfter is the time to the head of the answer.
+// sentAttempt is one attempt, up to the headers of its response.
+type sentAttempt struct {
+	target    Target
+	number    int
+	startedAt time.Time
+	cancel    context.CancelFunc
+	response  *Response
+	err       error
+	// headAfter is the time from sending to the response headers or the failure.
 	headAfter time.Duration
-	// cancelled is set where the attempt was stopped in favour of another.
-	cancelled bool
+	// canceled is set if the attempt was canceled in favor of another.
+	canceled bool
 }
 
-// good tells whether the flight brought the head of an answer that is no
-// refusal.
-func (f *flight) good() bool {
-	return f.err == nil && !f.response.NotRun()
+// accepted reports whether the attempt got a response that is not a refusal.
+func (s *sentAttempt) accepted() bool {
+	return s.err == nil && !s.response.NotRun()
 }
 
-// newFlight counts an attempt.
-func (r *run) newFlight(target Target) *flight {
-	sent := &flight{target: target, number: r.result.Attempts, begun: time.Now(), cancel: func() {}}
-	r.result.Attempts++
-	r.tried = append(r.tried, target.Name)
+// newAttempt creates and counts an attempt.
+func (e *exchange) newAttempt(target Target) *sentAttempt {
+	sent := &sentAttempt{target: target, number: e.result.Attempts, startedAt: time.Now(), cancel: func() {}}
+	e.result.Attempts++
+	e.tried = append(e.tried, target.Name)
 	return sent
 }
 
-// fly sends an attempt and waits for the head of its answer.
-func (f *flight) fly(ctx context.Context, client *Client, request *Request) {
-	if f.target.Body != nil {
+// awaitHead sends an attempt and waits for the headers of its response.
+func (s *sentAttempt) awaitHead(ctx context.Context, client *Client, request *Request) {
+	if s.target.Body != nil {
 		copied := *request
-		copied.Body = f.target.Body
+		copied.Body = s.target.Body
 		request = &copied
 	}
-	f.response, f.err = client.Do(ctx, f.target.Address, request, f.number)
-	f.headAfter = time.Since(f.begun)
+	s.response, s.err = client.Do(ctx, s.target.Address, request, s.number)
+	s.headAfter = time.Since(s.startedAt)
 }
 
-// launch sends an attempt that another may overtake; it arrives on the channel.
-func (r *run) launch(ctx context.Context, target Target, arrivals chan<- *flight) *flight {
-	sent := r.newFlight(target)
-	bounded, cancel := context.WithCancel(ctx)
+// startAttempt sends an attempt in the background. It arrives on the channel once its
+// response headers have arrived or it has failed.
+func (e *exchange) startAttempt(ctx context.Context, target Target, finished chan<- *sentAttempt) *sentAttempt {
+	sent := e.newAttempt(target)
+	attemptCtx, cancel := context.WithCancel(ctx)
 	sent.cancel = cancel
 	go func() {
-		sent.fly(bounded, r.relay.client, r.request)
-		arrivals <- sent
+		sent.awaitHead(attemptCtx, e.relay.client, e.request)
+		finished <- sent
 	}()
 	return sent
 }
 
-// send sends the request to the target and waits for the head of the answer. A
-// request that may be repeated is sent to a second back end too once the head
-// is overdue and the retry budget has attempts to spare; the first good answer
-// counts, and the other attempt is stopped. Both have reached their end when
-// send returns.
-func (r *run) send(ctx context.Context, target Target) *flight {
-	if !r.mayHedge(target) {
-		sent := r.newFlight(target)
-		sent.fly(ctx, r.relay.client, r.request)
+// send sends the request to the target and waits for the response headers. If they
+// do not arrive in time, a repeatable request is also sent to a second backend,
+// provided that the retry budget has attempts to spare. The first accepted response
+// wins and the other attempt is canceled. Both have ended when send returns.
+func (e *exchange) send(ctx context.Context, target Target) *sentAttempt {
+	if !e.mayHedge(target) {
+		sent := e.newAttempt(target)
+		sent.awaitHead(ctx, e.relay.client, e.request)
 		return sent
 	}
-	arrivals := make(chan *flight, 2)
-	first := r.launch(ctx, target, arrivals)
-	overdue := time.NewTimer(target.HedgeAfter)
-	defer overdue.Stop()
+	finished := make(chan *sentAttempt, 2)
+	first := e.startAttempt(ctx, target, finished)
+	hedgeTimer := time.NewTimer(target.HedgeAfter)
+	defer hedgeTimer.Stop()
 	select {
-	case arrived := <-arrivals:
+	case arrived := <-finished:
 		return arrived
-	case <-overdue.C:
+	case <-hedgeTimer.C:
 	}
-	second := r.hedge(ctx, arrivals)
+	second := e.hedge(ctx, finished)
 	if second == nil {
-		return <-arrivals
+		return <-finished
 	}
-	winner := <-arrivals
+	winner := <-finished
 	other := first
 	if winner == first {
 		other = second
 	}
-	if winner.good() {
-		// The other one's wait ends at once when it is cancelled.
+	if winner.accepted() {
+		// Canceling makes the other attempt return at once.
 		other.cancel()
-		<-arrivals
-		other.cancelled = true
-	} else if <-arrivals; other.good() {
+		<-finished
+		other.canceled = true
+	} else if <-finished; other.accepted() {
 		winner, other = other, winner
 	}
-	r.lose(ctx, other)
+	e.discardAttempt(ctx, other)
 	return winner
 }
 
-// mayHedge tells whether a second attempt beside this one is allowed at all.
-func (r *run) mayHedge(target Target) bool {
-	return target.HedgeAfter > 0 && r.request.Repeatable && !r.result.Begun && r.result.Attempts+1 < maximumAttempts
+// mayHedge reports whether a second, concurrent attempt is allowed.
+func (e *exchange) mayHedge(target Target) bool {
+	return target.HedgeAfter > 0 && e.request.Repeatable && !e.result.Begun && e.result.Attempts+1 < maximumAttempts
 }
 
-// hedge launches a second attempt; nil where there is none to spare.
-func (r *run) hedge(ctx context.Context, arrivals chan<- *flight) *flight {
-	if ctx.Err() != nil || !r.relay.budget.WithdrawSpare() {
+// hedge starts a second attempt. It returns nil if the retry budget or the chooser
+// allows none.
+func (e *exchange) hedge(ctx context.Context, finished chan<- *sentAttempt) *sentAttempt {
+	if ctx.Err() != nil || !e.relay.budget.WithdrawSpare() {
 		return nil
 	}
-	target, err := r.chooser.Choose(ctx, r.tried)
+	target, err := e.chooser.Choose(ctx, e.tried)
 	if err != nil {
 		return nil
 	}
-	r.result.Hedges++
-	return r.launch(ctx, target, arrivals)
+	e.result.Hedges++
+	return e.startAttempt(ctx, target, finished)
 }
 
-// lose ends an attempt whose answer is not used.
-func (r *run) lose(ctx context.Context, loser *flight) {
+// discardAttempt ends an attempt whose response is not used.
+func (e *exchange) discardAttempt(ctx context.Context, loser *sentAttempt) {
 	loser.cancel()
-	report := Report{Outcome: Canceled, Duration: time.Since(loser.begun)}
+	report := Report{Outcome: Canceled, Duration: time.Since(loser.startedAt)}
 	switch {
 	case loser.err == nil && loser.response.NotRun():
 		report.Outcome = Refused
-		r.drain(loser.response)
+		e.drain(loser.response)
 	case loser.err == nil:
-		r.mayHaveRun = true
+		e.mayHaveRun = true
 		loser.response.Abandon()
-		r.cancelLater(ctx, loser.target, loser.number)
+		e.cancelAsync(ctx, loser.target, loser.number)
 	default:
-		r.loseFailed(ctx, loser, &report)
+		e.discardFailed(ctx, loser, &report)
 	}
-	r.chooser.Ended(loser.target, report)
+	e.chooser.Ended(loser.target, report)
 }
 
-// loseFailed ends an attempt that failed by itself or because it was cancelled.
-func (r *run) loseFailed(ctx context.Context, loser *flight, report *Report) {
+// discardFailed ends an attempt that failed or was canceled.
+func (e *exchange) discardFailed(ctx context.Context, loser *sentAttempt, report *Report) {
 	failure := asAttemptError(loser.err)
 	if failure.Phase != PhaseConnect {
-		r.mayHaveRun = true
-		r.cancelLater(ctx, loser.target, loser.number)
+		e.mayHaveRun = true
+		e.cancelAsync(ctx, loser.target, loser.number)
 	}
-	if loser.cancelled {
+	if loser.canceled {
 		return
 	}
 	switch {
--- a/internal/upstream/pause.go
+++ b/internal/upstream/pause.go
@@ -8,38 +8,38 @@
 	"rockwind.example/rockwind/internal/retry"
 )
 
-// pauseTimeout bounds an order to pause or unpause a request.
+// pauseTimeout bounds a call that pauses or unpauses a request.
 const pauseTimeout = time.Second
 
-// Pause orders an engine to free the place of a request. A failure is not
-// reported: the request then goes on, which costs only what it costs anyway.
+// Pause asks an engine to release the slot of a request. Failures are ignored,
+// because the request then continues to run as before.
 func (r *Relay) Pause(ctx context.Context, target Target, id string) {
-	r.order(ctx, target, id, "pause")
+	r.command(ctx, target, id, "pause")
 }
 
-// Unpause orders an engine to put a paused request back. It is tried again,
-// for a request that stays paused would never end.
+// Unpause asks an engine to continue a paused request. It retries on failure,
+// because a request that stays paused would never finish.
 func (r *Relay) Unpause(ctx context.Context, target Target, id string) {
-	for try := 0; try < resumeTries; try++ {
-		if r.order(ctx, target, id, "unpause") || !retry.Pause(ctx, maximumResumePause) {
+	for try := 0; try < maximumResumeAttempts; try++ {
+		if r.command(ctx, target, id, "unpause") || !retry.Pause(ctx, maximumResumeDelay) {
 			return
 		}
 	}
 }
 
-// order sends an order about a request and tells whether it was answered.
-func (r *Relay) order(ctx context.Context, target Target, id, action string) bool {
-	bounded, cancel := context.WithTimeout(ctx, pauseTimeout)
+// command sends a command for a request and reports whether it got a response.
+func (r *Relay) command(ctx context.Context, target Target, id, action string) bool {
+	callCtx, cancel := context.WithTimeout(ctx, pauseTimeout)
 	defer cancel()
 	request := &Request{
 		ID: id, Kind: Engine, Method: http.MethodPost, Path: "/v1/requests/" + id + "/" + action, Repeatable: true,
 		Timeouts: Timeouts{Connect: pauseTimeout, FirstByte: pauseTimeout, BetweenBytes: pauseTimeout},
 	}
-	response, err := r.client.Do(bounded, target.Address, request, 0)
+	response, err := r.client.Do(callCtx, target.Address, request, 0)
 	if err != nil {
 		return false
 	}
-	held := &run{relay: r, request: request}
-	held.drain(response)
+	call := &exchange{relay: r, request: request}
+	call.drain(response)
 	return true
 }
--- a/internal/upstream/reach.go
+++ b/internal/upstream/reach.go
@@ -7,27 +7,28 @@
 	"time"
 )
 
-// ProbeResult is what an attempt to connect shows of an address.
+// ProbeResult is the result of probing an address.
 type ProbeResult int
 
-// What an attempt to connect can show.
+// The results of a probe.
 const (
-	// ProbeInconclusive: the attempt was broken off, failed in another way, or ended long after its
-	// limit since this process was held up.
+	// ProbeInconclusive: the probe was canceled, failed in another way, or ended
+	// long after its timeout because this process was delayed.
 	ProbeInconclusive ProbeResult = iota
-	// ProbeConnected: something takes connections there.
+	// ProbeConnected: the address accepts connections.
 	ProbeConnected
-	// ProbeRefused: nobody listens there any more.
+	// ProbeRefused: the address refuses connections.
 	ProbeRefused
-	// ProbeTimedOut: nothing answers there within the limit.
+	// ProbeTimedOut: the connection attempt got no reply in time.
 	ProbeTimedOut
 )
 
-// heldUpPart is the part of its limit by which an attempt may outlast it and still count as
-// silence: one that ends later was not tended here, and an answer may have come meanwhile.
-const heldUpPart = 0.5
+// stallTolerance is the fraction of its timeout by which a probe may exceed it and
+// still count as timed out. If it ends later, this process was delayed and may have
+// missed a reply.
+const stallTolerance = 0.5
 
-// Probe tries to connect to an address. A connection that comes about is kept for later
+// Probe tries to connect to an address. A successful connection is kept for later
 // requests.
 func (c *Client) Probe(ctx context.Context, address string, limit time.Duration) ProbeResult {
 	dialing, cancel := context.WithTimeout(ctx, limit)
@@ -41,7 +42,7 @@
 		return ProbeConnected
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return ProbeRefused
-	case ctx.Err() == nil && dialing.Err() != nil && took <= limit+time.Duration(heldUpPart*float64(limit)):
+	case ctx.Err() == nil && dialing.Err() != nil && took <= limit+time.Duration(stallTolerance*float64(limit)):
 		return ProbeTimedOut
 	}
 	return ProbeInconclusive
--- a/internal/upstream/reach_test.go
+++ b/internal/upstream/reach_test.go
@@ -12,22 +12,22 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-func TestReachTellsAServerThatEndedFromOneOutOfReach(t *testing.T) {
+func TestProbeDistinguishesStoppedFromUnreachableServer(t *testing.T) {
 	for name, test := range map[string]struct {
 		dial upstream.DialFunc
 		want upstream.ProbeResult
 	}{
-		"listens": {func(context.Context, string) (net.Conn, error) { near, _ := net.Pipe(); return near, nil }, upstream.ProbeConnected},
-		"refuses": {func(context.Context, string) (net.Conn, error) {
+		"connected": {func(context.Context, string) (net.Conn, error) { near, _ := net.Pipe(); return near, nil }, upstream.ProbeConnected},
+		"refused": {func(context.Context, string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
 		}, upstream.ProbeRefused},
-		"says nothing": {func(ctx context.Context, _ string) (net.Conn, error) { <-ctx.Done(); return nil, ctx.Err() }, upstream.ProbeTimedOut},
-		"held up": {func(ctx context.Context, _ string) (net.Conn, error) {
+		"no reply": {func(ctx context.Context, _ string) (net.Conn, error) { <-ctx.Done(); return nil, ctx.Err() }, upstream.ProbeTimedOut},
+		"delayed": {func(ctx context.Context, _ string) (net.Conn, error) {
 			<-ctx.Done()
 			time.Sleep(time.Second)
 			return nil, ctx.Err()
 		}, upstream.ProbeInconclusive},
-		"unclear": {func(context.Context, string) (net.Conn, error) { return nil, errors.New("no descriptors") }, upstream.ProbeInconclusive},
+		"inconclusive": {func(context.Context, string) (net.Conn, error) { return nil, errors.New("no descriptors") }, upstream.ProbeInconclusive},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/upstream/relay.go
+++ b/internal/upstream/relay.go
@@ -9,110 +9,109 @@
 	"rockwind.example/rockwind/internal/retry"
 )
 
-// Outcome is how one attempt ended, as evidence about its back end.
+// Outcome is how one attempt ended, as evidence of its backend's health.
 type Outcome int
 
 // The outcomes of an attempt.
 const (
-	// Answered: the back end gave a whole answer.
+	// Answered: the backend sent a complete response.
 	Answered Outcome = iota
-	// Refused: the back end refused before anything ran.
+	// Refused: the backend refused the request before running it.
 	Refused
-	// Unreachable: no connection could be made.
+	// Unreachable: the connection could not be established.
 	Unreachable
 	// ConnectionLost: the connection failed after bytes were written.
 	ConnectionLost
-	// TimedOut: the back end was silent for too long.
+	// TimedOut: the backend sent nothing for too long.
 	TimedOut
-	// ServerError: the back end answered with a status of 500 or above.
+	// ServerError: the backend answered with a status of 500 or above.
 	ServerError
-	// Canceled: the caller or the operator ended the request.
+	// Canceled: the caller or an operator canceled the attempt.
 	Canceled
 )
 
-// Report describes one attempt that ended.
+// Report describes an attempt that has ended.
 type Report struct {
-	// Outcome is how the attempt ended.
 	Outcome Outcome
-	// FirstByte is the time to the first byte of the answer, zero when none came.
+	// FirstByte is the time to the first byte of the response, zero if there was none.
 	FirstByte time.Duration
-	// Duration is the time from choosing the back end to the end.
+	// Duration is the time from choosing the backend to the end of the attempt.
 	Duration time.Duration
-	// Tokens is the number of tokens received, where the answer tells it.
+	// Tokens is the number of tokens received, if known.
 	Tokens uint64
 }
 
-// Chooser decides which back end gets the next attempt and counts what was
-// sent. Every target that Choose returned is given to Ended once.
+// Chooser chooses the backend of each attempt and keeps track of attempts. Ended is
+// called once for every target that Choose returned.
 type Chooser interface {
-	// Choose returns the back end of the next attempt; tried names those that
-	// failed before. It fails with a fault when there is none.
+	// Choose returns the backend of the next attempt; tried names those that failed
+	// before. If there is none, it returns a fault.
 	Choose(ctx context.Context, tried []string) (Target, error)
 	// Ended reports how the attempt at the target ended.
 	Ended(target Target, report Report)
 }
 
-// Sink takes the answer.
+// Sink receives the response.
 type Sink interface {
 	// Begin is called once, before the first byte of the body. Length is the
-	// body's length in bytes, -1 when unknown.
+	// body's length in bytes, -1 if unknown.
 	Begin(status int, header http.Header, length int64) error
-	// Write takes a part of the body and passes it on at once.
+	// Write takes a part of the body and forwards it immediately.
 	Write(p []byte) error
 }
 
-// TokenCounter is implemented by sinks that want to know how far a stream has
-// come. Relayed is called after the Write that passed the token with the given
-// sequence number on.
+// TokenCounter is implemented by sinks that track the progress of a stream.
+// Relayed is called after the Write that forwarded the token with the given
+// sequence number.
 type TokenCounter interface {
 	Relayed(sequence uint64)
 }
 
 // Result is how a request ended, after all attempts.
 type Result struct {
-	// Begun tells that the sink was given the head of an answer.
+	// Begun is set once the sink has received response headers.
 	Begun bool
-	// Complete tells that the sink was given the whole answer.
+	// Complete is set if the sink has received the whole response.
 	Complete bool
-	// Status is the HTTP status of the answer.
+	// Status is the HTTP status of the response.
 	Status int
-	// Fault says why there is no whole answer.
+	// Fault is why there is no complete response.
 	Fault *fault.Fault
-	// Canceled tells that the context ended the request.
+	// Canceled is set if the context ended the request.
 	Canceled bool
-	// Stopped tells that the engine confirmed that it stopped the request before
-	// it finished. It is set only after the context ended.
+	// Stopped is set if the engine confirmed that it stopped the request before it
+	// finished. It is only set after the context has ended.
 	Stopped bool
-	// Attempts counts the back ends that were tried.
+	// Attempts is the number of backends tried.
 	Attempts int
-	// Hedges counts the attempts that ran beside another.
+	// Hedges is the number of attempts that ran beside another.
 	Hedges int
-	// Resumes counts how often a broken stream was taken up again.
+	// Resumes is how often a broken stream was resumed.
 	Resumes int
-	// Tokens is the number of tokens relayed, where the answer tells it.
+	// Tokens is the number of tokens relayed, if known.
 	Tokens uint64
-	// Target is the back end of the last attempt.
+	// Target is the backend of the last attempt.
 	Target Target
-	// FirstByte is the time from the start to the first byte of the answer.
+	// FirstByte is the time from the start to the first byte of the response.
 	FirstByte time.Duration
 }
 
-// Relay carries out requests. It is safe for concurrent use.
+// Relay sends requests and relays their responses. It is safe for concurrent use.
 type Relay struct {
 	client *Client
 	budget *retry.Budget
 }
 
-// NewRelay returns a relay over the client's connections.
+// NewRelay returns a relay that uses the given client and retry budget.
 func NewRelay(client *Client, budget *retry.Budget) *Relay {
 	return &Relay{client: client, budget: budget}
 }
 
-// maximumAttempts bounds the back ends tried for one request.
+// maximumAttempts bounds the backends tried for one request.
 const maximumAttempts = 4
 
-// run is the state of one request.
-type run struct {
+// exchange is the state of one request.
+type exchange struct {
 	relay   *Relay
 	request *Request
 	chooser Chooser
@@ -129,17 +128,16 @@
 type verdict int
 
 const (
-	// verdictDone: the request is over; the result says how.
+	// verdictDone: the request has ended; the result says how.
 	verdictDone verdict = iota
-	// verdictNext: another back end may be tried.
+	// verdictNext: another backend may be tried.
 	verdictNext
 )
 
-// Run carries out a request to its end. It returns only when the sink is no
-// longer used. The context ends when the caller leaves; the request is then
-// cancelled at the engine.
+// Run sends a request and relays its response to the end. The sink is not used
+// after it returns. If the context ends, the request is canceled at the engine.
 func (r *Relay) Run(ctx context.Context, request *Request, chooser Chooser, sink Sink) Result {
-	current := &run{relay: r, request: request, chooser: chooser, sink: sink, started: time.Now()}
+	current := &exchange{relay: r, request: request, chooser: chooser, sink: sink, started: time.Now()}
 	for {
 		if current.attempt(ctx) == verdictDone {
 			return current.result
@@ -150,151 +148,152 @@
 	}
 }
 
-// attempt tries one back end. On verdictNext the result holds the fault that
-// is given when there is no further attempt.
-func (r *run) attempt(ctx context.Context) verdict {
+// attempt tries one backend. If it returns verdictNext, the result holds the fault
+// to report if there is no further attempt.
+func (e *exchange) attempt(ctx context.Context) verdict {
 	if ctx.Err() != nil {
-		return r.callerLeft()
+		return e.endCanceled()
 	}
-	target, err := r.chooser.Choose(ctx, r.tried)
+	target, err := e.chooser.Choose(ctx, e.tried)
 	if err != nil {
-		return r.noTarget(err)
+		return e.handleNoTarget(err)
 	}
-	sent := r.send(ctx, target)
+	sent := e.send(ctx, target)
 	defer sent.cancel()
-	r.result.Target = sent.target
+	e.result.Target = sent.target
 	report := Report{Outcome: Answered}
-	decided := r.exchange(ctx, sent, &report)
-	report.Duration = time.Since(sent.begun)
-	report.Tokens = r.result.Tokens
-	r.chooser.Ended(sent.target, report)
+	decided := e.relayResponse(ctx, sent, &report)
+	report.Duration = time.Since(sent.startedAt)
+	report.Tokens = e.result.Tokens
+	e.chooser.Ended(sent.target, report)
 	return decided
 }
 
-func (r *run) noTarget(err error) verdict {
-	if r.result.Fault != nil {
+func (e *exchange) handleNoTarget(err error) verdict {
+	if e.result.Fault != nil {
 		return verdictDone
 	}
-	r.result.Fault = fault.From(err)
-	if r.result.Fault.Ran == fault.RanNotApplicable {
-		r.result.Fault = r.result.Fault.WithRan(fault.NotRun)
+	e.result.Fault = fault.From(err)
+	if e.result.Fault.Ran == fault.RanNotApplicable {
+		e.result.Fault = e.result.Fault.WithRan(fault.NotRun)
 	}
 	return verdictDone
 }
 
-// exchange relays the answer to an attempt.
-func (r *run) exchange(ctx context.Context, sent *flight, report *Report) verdict {
+// relayResponse relays the response to an attempt.
+func (e *exchange) relayResponse(ctx context.Context, sent *sentAttempt, report *Report) verdict {
 	target, number, response := sent.target, sent.number, sent.response
 	if sent.err != nil {
-		return r.failedBeforeAnswer(ctx, target, number, sent.err, report)
+		return e.handleNoResponse(ctx, target, number, sent.err, report)
 	}
 	report.FirstByte = sent.headAfter
 	if response.NotRun() {
-		return r.refused(response, report)
+		return e.handleRefused(response, report)
 	}
-	r.mayHaveRun = true
+	e.mayHaveRun = true
 	if response.Status >= http.StatusInternalServerError {
 		report.Outcome = ServerError
 	}
-	if r.result.Begun && response.Status != http.StatusOK {
-		r.drain(response)
-		r.result.Fault = unknown("the answer broke off and can't be taken up again")
+	if e.result.Begun && response.Status != http.StatusOK {
+		e.drain(response)
+		e.result.Fault = unknownOutcome("the answer broke off and can't be taken up again")
 		return verdictNext
 	}
-	if r.request.Stream && response.Status == http.StatusOK {
-		return r.relayStream(ctx, target, number, response, report)
+	if e.request.Stream && response.Status == http.StatusOK {
+		return e.relayStream(ctx, target, number, response, report)
 	}
-	if r.request.Kind == Service {
-		return r.relayService(ctx, response, report)
+	if e.request.Kind == Service {
+		return e.relayService(ctx, response, report)
 	}
-	return r.relayAnswer(ctx, target, number, response, report)
+	return e.relayUnstreamed(ctx, target, number, response, report)
 }
 
-// failedBeforeAnswer handles an attempt without the head of an answer.
-func (r *run) failedBeforeAnswer(ctx context.Context, target Target, number int, err error, report *Report) verdict {
+// handleNoResponse handles an attempt that failed without a response.
+func (e *exchange) handleNoResponse(ctx context.Context, target Target, number int, err error, report *Report) verdict {
 	failure := asAttemptError(err)
 	if failure.Phase != PhaseConnect {
-		r.mayHaveRun = true
+		e.mayHaveRun = true
 	}
 	if ctx.Err() != nil {
 		report.Outcome = Canceled
 		if failure.Phase != PhaseConnect {
-			r.cancel(ctx, target, number)
+			e.cancel(ctx, target, number)
 		}
-		return r.callerLeft()
+		return e.endCanceled()
 	}
 	if failure.Phase == PhaseConnect {
 		report.Outcome = Unreachable
-		r.fail(fault.Newf(fault.Unavailable, "send the request again", "back end %s can't be reached", target.Name))
+		e.recordNotRun(fault.Newf(fault.Unavailable, "send the request again", "backend %s is unreachable", target.Name))
 		return verdictNext
 	}
 	report.Outcome = ConnectionLost
 	if failure.Timeout {
 		report.Outcome = TimedOut
 	}
-	return r.lost(ctx, target, number, report)
+	return e.handleLost(ctx, target, number, report)
 }
 
-// refused handles an answer that says that nothing ran.
-func (r *run) refused(response *Response, report *Report) verdict {
+// handleRefused handles a refusal of a request that did not run.
+func (e *exchange) handleRefused(response *Response, report *Report) verdict {
 	report.Outcome = Refused
-	r.drain(response)
+	e.drain(response)
 	after := retryAfter(response.Header)
-	r.fail(fault.New(fault.Overloaded, "the back ends refuse requests for now",
+	e.recordNotRun(fault.New(fault.Overloaded, "the backends are refusing requests",
 		"send the request again later").WithRetryAfter(after))
 	return verdictNext
 }
 
-// fail records a fault of an attempt that did not run. What earlier attempts
-// may have done decides what is known of the whole request.
-func (r *run) fail(f *fault.Fault) {
-	if r.mayHaveRun {
-		r.result.Fault = unknown("the request may have run and its answer is lost")
+// recordNotRun records the fault of an attempt that did not run. If an earlier
+// attempt may have run, the outcome of the request is unknown.
+func (e *exchange) recordNotRun(f *fault.Fault) {
+	if e.mayHaveRun {
+		e.result.Fault = unknownOutcome("the request may have run and its answer is lost")
 		return
 	}
-	r.result.Fault = f.WithRan(fault.NotRun)
+	e.result.Fault = f.WithRan(fault.NotRun)
 }
 
-// lost handles an attempt whose answer is lost after bytes were written.
-func (r *run) lost(ctx context.Context, target Target, number int, report *Report) verdict {
-	r.result.Fault = unknown("the connection to the back end failed after the request was sent")
-	if r.request.Stream {
-		return r.takeUp(ctx, target, number, report)
+// handleLost handles an attempt whose response was lost after bytes were written.
+func (e *exchange) handleLost(ctx context.Context, target Target, number int, report *Report) verdict {
+	e.result.Fault = unknownOutcome("the connection to the back end failed after the request was sent")
+	if e.request.Stream {
+		return e.recoverStream(ctx, target, number, report)
 	}
-	r.cancelLater(ctx, target, number)
-	if r.request.Repeatable && !r.result.Begun {
+	e.cancelAsync(ctx, target, number)
+	if e.request.Repeatable && !e.result.Begun {
 		return verdictNext
 	}
 	return verdictDone
 }
 
-// unknown is the fault of a request that may have run.
-func unknown(message string) *fault.Fault {
+// unknownOutcome returns the fault of a request that may have run.
+func unknownOutcome(message string) *fault.Fault {
 	return fault.New(fault.OutcomeUnknown, message,
 		"check whether it took effect before it is sent again").WithRan(fault.RanUnknown)
 }
 
-// callerLeft ends the request because its context ended.
-func (r *run) callerLeft() verdict {
-	r.result.Canceled = true
-	r.result.Fault = fault.New(fault.Cancelled, "the request was cancelled", "none").WithRan(r.ran())
+// endCanceled ends the request because its context ended.
+func (e *exchange) endCanceled() verdict {
+	e.result.Canceled = true
+	e.result.Fault = fault.New(fault.Cancelled, "the request was cancelled", "none").WithRan(e.ran())
 	return verdictDone
 }
 
-func (r *run) ran() fault.Ran {
-	if r.mayHaveRun {
+func (e *exchange) ran() fault.Ran {
+	if e.mayHaveRun {
 		return fault.RanUnknown
 	}
 	return fault.NotRun
 }
 
-// begin gives the head of the answer to the sink.
-func (r *run) begin(response *Response, length int64) error {
-	if r.result.Begun {
+// startResponse writes the response headers to the sink, unless an earlier attempt
+// did.
+func (e *exchange) startResponse(response *Response, length int64) error {
+	if e.result.Begun {
 		return nil
 	}
-	r.result.Begun = true
-	r.result.Status = response.Status
-	r.result.FirstByte = time.Since(r.started)
-	return r.sink.Begin(response.Status, response.Header, length)
+	e.result.Begun = true
+	e.result.Status = response.Status
+	e.result.FirstByte = time.Since(e.started)
+	return e.sink.Begin(response.Status, response.Header, length)
 }
--- a/internal/upstream/relay_test.go
+++ b/internal/upstream/relay_test.go
@@ -20,7 +20,7 @@
 	"rockwind.example/rockwind/internal/fault"
 )
 
-// TestMain fixes the seed and the number of scenarios; flags change them.
+// TestMain sets a fixed seed and number of scenarios; flags override them.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "2000"} {
 		if err := flag.Set(name, value); err != nil {
@@ -31,14 +31,14 @@
 	os.Exit(m.Run())
 }
 
-// scenario is one request and what the back ends do with it.
+// scenario is one request and the scripts of the backends.
 type scenario struct {
 	Stream, Repeatable, Deterministic bool
 	Scripts                           [][]script
-	// Hedge is after how many milliseconds a second attempt starts; zero never.
-	Hedge int
-	// Leaves is after how many milliseconds the caller leaves; zero never.
-	Leaves int
+	// HedgeAfter is the hedge delay in milliseconds; zero disables hedging.
+	HedgeAfter int
+	// CancelAfter is when the caller cancels, in milliseconds; zero is never.
+	CancelAfter int
 }
 
 func drawScenario(t *rapid.T) scenario {
@@ -46,7 +46,7 @@
 		return script{
 			Behaviour: behaviour(rapid.IntRange(0, int(behaviours)-1).Draw(t, "behaviour")),
 			Resume:    resumption(rapid.IntRange(0, int(resumptions)-1).Draw(t, "resume")),
-			Events:    rapid.IntRange(0, answerTokens).Draw(t, "events"),
+			Events:    rapid.IntRange(0, responseTokens).Draw(t, "events"),
 			Step:      rapid.IntRange(1, 3).Draw(t, "step"),
 		}
 	})
@@ -55,12 +55,12 @@
 		Repeatable:    rapid.Bool().Draw(t, "repeatable"),
 		Deterministic: rapid.Bool().Draw(t, "deterministic"),
 		Scripts:       rapid.SliceOfN(rapid.SliceOfN(one, 0, 3), 3, 3).Draw(t, "scripts"),
-		Hedge:         rapid.SampledFrom([]int{0, 1, 100, 3000}).Draw(t, "hedge"),
-		Leaves:        rapid.SampledFrom([]int{0, 0, 0, 1, 100, 1000, 20000}).Draw(t, "leaves"),
+		HedgeAfter:    rapid.SampledFrom([]int{0, 1, 100, 3000}).Draw(t, "hedge"),
+		CancelAfter:   rapid.SampledFrom([]int{0, 0, 0, 1, 100, 1000, 20000}).Draw(t, "leaves"),
 	}
 }
 
-// outcome is what the caller saw and what the back ends did.
+// outcome is what the caller received and what the backends did.
 type outcome struct {
 	result Result
 	sink   recordingSink
@@ -69,7 +69,7 @@
 	chosen int
 }
 
-// recordingSink keeps what the caller got.
+// recordingSink records the response.
 type recordingSink struct {
 	begun int
 	body  bytes.Buffer
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// scriptedChooser takes the back ends in order, leaving out those tried.
+// scriptedChooser chooses the backends in order, skipping those already tried.
 type scriptedChooser struct {
 	names         []string
 	hedgeAfter    time.Duration
@@ -99,19 +99,19 @@
 			return Target{Name: name, Address: name, HedgeAfter: c.hedgeAfter}, nil
 		}
 	}
-	return Target{}, fault.New(fault.Unavailable, "no back end is left", "wait")
+	return Target{}, fault.New(fault.Unavailable, "no backend is left", "wait")
 }
 
 func (c *scriptedChooser) Ended(Target, Report) { c.ended++ }
 
-// play carries a scenario out in virtual time.
-func play(t *testing.T, s scenario) (found outcome) {
+// runScenario runs a scenario in virtual time.
+func runScenario(t *testing.T, s scenario) (found outcome) {
 	synctest.Test(t, func(*testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		var total atomic.Int64
 		backends := make(map[string]*backend)
-		chooser := &scriptedChooser{hedgeAfter: time.Duration(s.Hedge) * time.Millisecond}
+		chooser := &scriptedChooser{hedgeAfter: time.Duration(s.HedgeAfter) * time.Millisecond}
 		for number, scripts := range s.Scripts {
 			name := string(rune('a' + number))
 			chooser.names = append(chooser.names, name)
@@ -120,8 +120,8 @@
 		client := NewClientWithDial(func(ctx context.Context, address string) (net.Conn, error) {
 			return backends[address].dial(ctx)
 		})
-		if s.Leaves > 0 {
-			time.AfterFunc(time.Duration(s.Leaves)*time.Millisecond, cancel)
+		if s.CancelAfter > 0 {
+			time.AfterFunc(time.Duration(s.CancelAfter)*time.Millisecond, cancel)
 		}
 		request := &Request{
 			ID: "request", Kind: Engine, Method: http.MethodPost, Path: completionPath, Body: []byte("{}"),
@@ -130,7 +130,7 @@
 		}
 		found.result = NewRelay(client, NewRetryBudget()).Run(ctx, request, chooser, &found.sink)
 		found.chosen, found.ended = chooser.chosen, chooser.ended
-		// Late orders and hung back ends end in virtual time.
+		// Wait until late cancel calls and hung backends have ended.
 		time.Sleep(2 * time.Hour)
 		client.Close()
 		synctest.Wait()
@@ -139,44 +139,44 @@
 	return found
 }
 
-// TestRelayKeepsItsPromises shows, over arbitrary failures of the back ends,
-// that "not run" did not run, that an answer is whole or has a typed fault, that
-// what was relayed is the start of one run's answer, and that a request that may
-// not be repeated runs at most once.
-func TestRelayKeepsItsPromises(t *testing.T) {
+// TestRelayReportsOutcomeUnderArbitraryFailures checks, for arbitrary failures of the
+// backends, that a request reported as not run did not run, that a response is
+// complete or has a typed fault, that the relayed part is the start of one run's
+// response, and that an unrepeatable request runs at most once.
+func TestRelayReportsOutcomeUnderArbitraryFailures(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := drawScenario(rt)
-		found := play(t, s)
-		if err := judge(s, &found); err != nil {
+		found := runScenario(t, s)
+		if err := checkOutcome(s, &found); err != nil {
 			rt.Fatalf("%v: %+v after %d runs, got %q", err, found.result, found.runs, found.sink.body.String())
 		}
 	})
 }
 
-func judge(s scenario, found *outcome) error {
+func checkOutcome(s scenario, found *outcome) error {
 	result := found.result
 	switch {
 	case found.chosen != found.ended:
-		return errors.New("an attempt was not counted down")
+		return errors.New("an attempt was not reported as ended")
 	case !s.Repeatable && found.runs > 1:
-		return errors.New("a request that may not be repeated ran twice")
+		return errors.New("an unrepeatable request ran twice")
 	case result.Fault != nil && result.Fault.Ran == fault.NotRun && found.runs > 0:
 		return errors.New("a request reported as not run did run")
 	case result.Fault != nil && result.Fault.Ran == fault.RanNotApplicable:
 		return errors.New("a fault does not say whether the request ran")
 	case !result.Complete && result.Fault == nil:
-		return errors.New("there is neither an answer nor a fault")
+		return errors.New("there is neither a response nor a fault")
 	case found.sink.begun > 1:
-		return errors.New("the answer began twice")
-	case result.Canceled && s.Leaves == 0:
-		return errors.New("nobody left")
+		return errors.New("the response began twice")
+	case result.Canceled && s.CancelAfter == 0:
+		return errors.New("the request ended as canceled without being canceled")
 	}
-	return judgeContent(s, found)
+	return checkContent(s, found)
 }
 
-// judgeContent checks that what was relayed belongs to one run, from its start,
-// and to its end where the answer is reported as whole.
-func judgeContent(s scenario, found *outcome) error {
+// checkContent checks that the relayed content is the start of one run's response,
+// and all of it if the response is reported as complete.
+func checkContent(s scenario, found *outcome) error {
 	content := found.sink.body.String()
 	if s.Stream {
 		var text strings.Builder
@@ -186,7 +186,7 @@
 			}
 		}
 		if found.result.Complete && !strings.HasSuffix(content, "data: usage\n\ndata: [DONE]\n\n") {
-			return errors.New("a whole stream lacks its usage or its end marker")
+			return errors.New("a complete stream lacks its usage or end marker")
 		}
 		if strings.Count(content, "data: usage") > 1 {
 			return errors.New("the usage was relayed twice")
@@ -194,7 +194,7 @@
 		content = text.String()
 	}
 	for run := range found.runs + 1 {
-		whole := answerText(run)
+		whole := responseText(run)
 		if s.Stream && strings.HasPrefix(whole, content) && (content == whole || !found.result.Complete) {
 			return nil
 		}
@@ -205,5 +205,5 @@
 	if content == "" && !found.result.Complete {
 		return nil
 	}
-	return errors.New("what was relayed is not the answer of one run")
+	return errors.New("the relayed content is not the response of one run")
 }
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -7,89 +7,89 @@
 	"time"
 )
 
-// Headers of the engine protocol and of the callers' protocol.
+// Headers of the engine protocol and the client protocol.
 const (
-	// HeaderRequestID names the request for resume and cancel.
+	// HeaderRequestID identifies the request for resume and cancel calls.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderPriority is the priority at the engine; lower runs first.
+	// HeaderPriority is the priority at the engine; lower values run first.
 	HeaderPriority = "X-Priority"
 	// HeaderBatchTokenBudget bounds the batch tokens of an engine step.
 	HeaderBatchTokenBudget = "X-Batch-Token-Budget"
 	// HeaderPrefixHash is the hash of the prompt's first block chain.
 	HeaderPrefixHash = "X-Prefix-Hash"
-	// HeaderNotRun marks a refusal before anything ran.
+	// HeaderNotRun marks a refusal of a request that did not run.
 	HeaderNotRun = "X-Not-Run"
 )
 
 // Priorities at the engine.
 const (
-	// PriorityOnline is the priority of callers' requests.
+	// PriorityOnline is the priority of interactive requests.
 	PriorityOnline = 0
 	// PriorityBatch is the priority of batch items.
 	PriorityBatch = 10
 )
 
-// Kind tells which protocol the back end speaks.
+// Kind is the protocol that the backend speaks.
 type Kind int
 
 // The kinds of request.
 const (
-	// Engine requests follow the engine protocol: they can be resumed and
-	// cancelled, and their answers have an end marker.
+	// Engine requests use the engine protocol: they can be resumed and canceled, and
+	// their responses have an end marker.
 	Engine Kind = iota
 	// Service requests are plain HTTP.
 	Service
-	// Passthrough requests carry exactly the headers that they are given.
+	// Passthrough requests are sent with exactly the given headers.
 	Passthrough
 )
 
 // Timeouts bound the phases of an exchange. Zero means no bound.
 type Timeouts struct {
-	// Connect bounds the establishment of a connection.
+	// Connect bounds establishing a connection.
 	Connect time.Duration
-	// FirstByte bounds the time from sending to the first byte of the answer.
+	// FirstByte bounds the time from sending to the first byte of the response.
 	FirstByte time.Duration
-	// BetweenBytes bounds the silence inside an answer.
+	// BetweenBytes bounds the time without data within a response.
 	BetweenBytes time.Duration
 }
 
-// Request is one request, whatever number of attempts it takes.
+// Request is one request, regardless of the number of attempts.
 type Request struct {
 	// ID is unique per request; further attempts get a suffix.
 	ID string
-	// Kind is the protocol of the back end.
+	// Kind is the protocol of the backend.
 	Kind Kind
-	// Host is sent in the Host header; empty means the address of the back end.
+	// Host is sent in the Host header; if empty, the address of the backend is sent.
 	Host string
-	// MatchesResponse tells by an answer's headers whether it answers this request; nil
-	// accepts every answer. An answer that does not belong is passed over, since a
-	// back end may send a surplus one in the place of the next.
+	// MatchesResponse reports by its headers whether a response belongs to this
+	// request; nil accepts every response. Other responses are skipped, because a
+	// backend may send a stray response ahead of the right one.
 	MatchesResponse func(http.Header) bool
 	// Method is the HTTP method.
 	Method string
 	// Path is the escaped path with the query.
 	Path string
-	// Header holds the caller's headers that are passed on; it is not changed.
+	// Header holds the caller's headers to forward; it is not modified.
 	Header http.Header
-	// Body is sent whole with a Content-Length.
+	// Body is sent in full with a Content-Length.
 	Body []byte
 	// Priority is sent to engines.
 	Priority int
-	// BatchTokenBudget is sent to engines when above zero.
+	// BatchTokenBudget is sent to engines if it is positive.
 	BatchTokenBudget int
-	// PrefixHash is sent to engines when not empty.
+	// PrefixHash is sent to engines unless it is empty.
 	PrefixHash string
-	// Stream tells that the answer is a stream of server-sent events.
+	// Stream is set if the response is a stream of server-sent events.
 	Stream bool
-	// Repeatable tells that the request may run more than once.
+	// Repeatable is set if the request may run more than once.
 	Repeatable bool
-	// Deterministic tells that a second run gives the same tokens.
+	// Deterministic is set if a second run produces the same tokens.
 	Deterministic bool
 	// Timeouts bound the phases of each attempt.
 	Timeouts Timeouts
 }
 
-// attemptID is the identity of the numbered attempt, counted from zero.
+// attemptID returns the ID of an attempt, counted from zero.
 func (r *Request) attemptID(attempt int) string {
 	if attempt == 0 {
 		return r.ID
@@ -97,9 +97,9 @@
 	return r.ID + "-" + strconv.Itoa(attempt)
 }
 
-// maximumSharedWrite is the largest body that is copied behind the head so that
-// both leave in one write.
-const maximumSharedWrite = 64 << 10
+// maximumCombinedWrite is the largest body that is copied after the headers so that
+// both are sent in one write.
+const maximumCombinedWrite = 64 << 10
 
 // appendHead encodes the request line and headers of one attempt.
 func (r *Request) appendHead(buffer *bytes.Buffer, address string, attempt int) {
--- a/internal/upstream/sequence.go
+++ b/internal/upstream/sequence.go
@@ -2,41 +2,41 @@
 
 import "strconv"
 
-// EventDeduplicator passes each event of a stream on once, also where the stream is taken up
-// again at another server. The zero value has passed none.
+// EventDeduplicator accepts each event of a stream once, even if the stream is
+// resumed at another server. The zero value has accepted none.
 type EventDeduplicator struct {
 	last  uint64
 	known bool
 }
 
-// NewEventDeduplicator returns a sequence whose events up to the given number were passed on,
-// as a client tells that resumes a stream; a text that is no number is passed over.
+// NewEventDeduplicator returns a deduplicator for a client that resumes a stream
+// after the given event number. It ignores a text that is not a number.
 func NewEventDeduplicator(text string) EventDeduplicator {
 	last, err := strconv.ParseUint(text, 10, 64)
 	return EventDeduplicator{last: last, known: err == nil}
 }
 
-// Accept tells whether an event is new, and notes it then. Events without a number
+// Accept reports whether an event is new, and records it. Events without a number
 // are always new.
-func (s *EventDeduplicator) Accept(event Event) bool {
+func (d *EventDeduplicator) Accept(event Event) bool {
 	if !event.HasSequence {
 		return true
 	}
-	if s.known && event.Sequence <= s.last {
+	if d.known && event.Sequence <= d.last {
 		return false
 	}
-	s.last, s.known = event.Sequence, true
+	d.last, d.known = event.Sequence, true
 	return true
 }
 
-// Last is the number of the last event that was passed on, zero where there is none.
-func (s *EventDeduplicator) Last() uint64 { return s.last }
+// Last returns the number of the last accepted event, zero if there is none.
+func (d *EventDeduplicator) Last() uint64 { return d.last }
 
-// String is the number after which a server should go on, empty where the stream
-// begins.
-func (s *EventDeduplicator) String() string {
-	if !s.known {
+// String returns the event number after which a server should resume, empty at the
+// beginning of the stream.
+func (d *EventDeduplicator) String() string {
+	if !d.known {
 		return ""
 	}
-	return strconv.FormatUint(s.last, 10)
+	return strconv.FormatUint(d.last, 10)
 }
--- a/internal/upstream/splitter.go
+++ b/internal/upstream/splitter.go
@@ -2,45 +2,45 @@
 
 import "bytes"
 
-// EventSplitter cuts a stream of server-sent events into whole events, however
-// the bytes arrive. The zero value is ready to use.
+// EventSplitter splits a stream of server-sent events into complete events,
+// regardless of how the bytes arrive. The zero value is ready to use.
 type EventSplitter struct {
 	rest []byte
 }
 
-// Add appends bytes and returns those that complete events. The result is valid
-// until the next call.
+// Add appends bytes and returns the complete events. The result is valid until the
+// next call.
 func (s *EventSplitter) Add(p []byte) []byte {
 	s.rest = append(s.rest, p...)
-	end := wholeEvents(s.rest)
-	whole := s.rest[:end:end]
+	end := completeEvents(s.rest)
+	complete := s.rest[:end:end]
 	s.rest = s.rest[end:]
-	return whole
+	return complete
 }
 
-// Rest returns the bytes of an event that is not complete.
+// Rest returns the bytes of an incomplete event.
 func (s *EventSplitter) Rest() []byte { return s.rest }
 
-// Event is one whole server-sent event.
+// Event is one complete server-sent event.
 type Event struct {
-	// Raw holds its bytes, the blank line at its end included.
+	// Raw holds the bytes of the event including the blank line at its end.
 	Raw []byte
-	// Sequence is the number in its id line, where it has one.
+	// Sequence is the number in its id line if HasSequence is set.
 	Sequence    uint64
 	HasSequence bool
-	// Data holds the content of its data lines, joined by line feeds, where it has
-	// any.
+	// Data holds the contents of its data lines, joined by line feeds, if HasData is
+	// set.
 	Data    []byte
 	HasData bool
 }
 
-// Events splits whole events, as EventSplitter returns them.
-func Events(whole []byte) []Event {
+// Events splits the complete events that EventSplitter returns.
+func Events(complete []byte) []Event {
 	var events []Event
-	for len(whole) > 0 {
-		length := nextEvent(whole)
-		raw := whole[:length]
-		whole = whole[length:]
+	for len(complete) > 0 {
+		length := nextEvent(complete)
+		raw := complete[:length]
+		complete = complete[length:]
 		read := readEvent(raw)
 		data, found := eventData(raw)
 		events = append(events, Event{Raw: raw, Sequence: read.sequence, HasSequence: read.hasSequence, Data: data, HasData: found})
@@ -50,8 +50,8 @@
 
 var dataField = []byte("data:")
 
-// eventData joins the content of the data lines. One space after the colon is not
-// part of it.
+// eventData joins the contents of the data lines. A single space after the colon is
+// not part of the content.
 func eventData(raw []byte) (data []byte, found bool) {
 	for _, line := range bytes.Split(raw, []byte("\n")) {
 		content, isData := bytes.CutPrefix(line, dataField)
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -11,22 +11,21 @@
 	"rockwind.example/rockwind/internal/retry"
 )
 
-// Bounds of taking up a broken stream.
+// Limits for resuming broken streams and canceling requests.
 const (
-	// resumeTries is how often the same engine is asked in a row to go on.
-	resumeTries = 6
-	// resumeFailures is how many of these tries may get no answer at all.
-	resumeFailures = 3
-	// resumeTimeout bounds the wait for the head of a resumed stream.
+	// maximumResumeAttempts bounds the consecutive attempts to resume a stream.
+	maximumResumeAttempts = 6
+	// maximumResumeFailures bounds how many of these attempts may get no response.
+	maximumResumeFailures = 3
+	// resumeTimeout bounds the wait for the headers of a resumed stream.
 	resumeTimeout = 2 * time.Second
-	// resumePause is the pause before the second try; it doubles up to
-	// maximumResumePause. The engine keeps a request without a reader for 10 s.
-	resumePause = 50 * time.Millisecond
-	// maximumResumePause bounds the pause between tries.
-	maximumResumePause = 800 * time.Millisecond
+	// initialResumeDelay is the delay before the second attempt. It doubles up to
+	// maximumResumeDelay. An engine keeps a request without a reader for 10 s.
+	initialResumeDelay = 50 * time.Millisecond
+	maximumResumeDelay = 800 * time.Millisecond
 	// maximumResumes bounds how often one request is resumed.
 	maximumResumes = 16
-	// cancelTimeout bounds the order to cancel a request.
+	// cancelTimeout bounds a call that cancels a request.
 	cancelTimeout = 2 * time.Second
 )
 
@@ -36,57 +35,57 @@
 const (
 	// streamDone: the end marker was relayed.
 	streamDone streamEnd = iota
-	// streamCut: the stream ended early.
-	streamCut
-	// streamSinkFailed: the caller can't be written to.
+	// streamTruncated: the stream ended early.
+	streamTruncated
+	// streamSinkFailed: writing to the caller failed.
 	streamSinkFailed
-	// streamTorn: a second run can't be joined to what was relayed.
-	streamTorn
+	// streamMismatch: a second run does not continue what was relayed.
+	streamMismatch
 )
 
-// errNoEndMarker ends a stream that was closed without its end marker.
-var errNoEndMarker = errors.New("the stream ended without its end marker")
+// errNoEndMarker is returned for a stream that was closed without its end marker.
+var errNoEndMarker = errors.New("stream ended without its end marker")
 
-// relayStream relays a stream and goes on when it breaks.
-func (r *run) relayStream(ctx context.Context, target Target, number int, response *Response, report *Report) verdict {
-	var again *replayed
-	if r.result.Begun {
-		again = &replayed{}
+// relayStream relays a stream and resumes it if it breaks.
+func (e *exchange) relayStream(ctx context.Context, target Target, number int, response *Response, report *Report) verdict {
+	var rerun *rerunPosition
+	if e.result.Begun {
+		rerun = &rerunPosition{}
 	}
-	if err := r.begin(response, -1); err != nil {
+	if err := e.startResponse(response, -1); err != nil {
 		response.Abandon()
 		report.Outcome = Canceled
-		r.cancel(ctx, target, number)
-		return r.callerLeft()
+		e.cancel(ctx, target, number)
+		return e.endCanceled()
 	}
-	end, err := r.copyEvents(response, again)
-	return r.streamEnded(ctx, target, number, end, err, report)
+	end, err := e.copyEvents(response, rerun)
+	return e.streamEnded(ctx, target, number, end, err, report)
 }
 
-func (r *run) streamEnded(ctx context.Context, target Target, number int, end streamEnd, err error, report *Report) verdict {
-	r.result.Tokens = r.relayed.sequence
+func (e *exchange) streamEnded(ctx context.Context, target Target, number int, end streamEnd, err error, report *Report) verdict {
+	e.result.Tokens = e.relayed.sequence
 	switch {
 	case end == streamDone:
-		r.result.Complete = true
-		r.result.Fault = nil
+		e.result.Complete = true
+		e.result.Fault = nil
 		return verdictDone
 	case end == streamSinkFailed || ctx.Err() != nil:
 		report.Outcome = Canceled
-		r.cancel(ctx, target, number)
-		return r.callerLeft()
-	case end == streamTorn:
-		r.cancelLater(ctx, target, number)
-		r.result.Fault = unknown("the answer broke off and a second run does not join what was sent")
+		e.cancel(ctx, target, number)
+		return e.endCanceled()
+	case end == streamMismatch:
+		e.cancelAsync(ctx, target, number)
+		e.result.Fault = unknownOutcome("the answer broke off and a second run does not join what was sent")
 		return verdictDone
 	}
 	report.Outcome = outcomeOf(err)
-	r.result.Fault = unknown("the answer broke off before its end")
-	return r.takeUp(ctx, target, number, report)
+	e.result.Fault = unknownOutcome("the answer broke off before its end")
+	return e.recoverStream(ctx, target, number, report)
 }
 
-// copyEvents relays whole events only, so that what was relayed always ends at
-// an event's end. With again set it skips what was relayed before.
-func (r *run) copyEvents(response *Response, again *replayed) (streamEnd, error) {
+// copyEvents relays complete events only, so that the relayed part always ends at
+// the end of an event. If rerun is set, it skips events that were relayed before.
+func (e *exchange) copyEvents(response *Response, rerun *rerunPosition) (streamEnd, error) {
 	buffer := copyBuffers.Get().(*[]byte)
 	defer copyBuffers.Put(buffer)
 	block := *buffer
@@ -95,76 +94,76 @@
 		if filled == len(block) {
 			block = append(block, make([]byte, len(block))...)
 		}
-		n, err := response.Read(block[filled:], r.silence())
+		n, err := response.Read(block[filled:], e.silenceTimeout())
 		filled += n
-		whole := wholeEvents(block[:filled])
-		if whole > 0 {
-			if end, stop := r.relayEvents(block[:whole], again, response); stop {
+		complete := completeEvents(block[:filled])
+		if complete > 0 {
+			if end, stop := e.relayEvents(block[:complete], rerun, response); stop {
 				return end, nil
 			}
-			filled = copy(block, block[whole:filled])
+			filled = copy(block, block[complete:filled])
 		}
-		if err == nil && filled < maximumAnswer {
+		if err == nil && filled < maximumResponse {
 			continue
 		}
 		response.Abandon()
 		if err == nil || errors.Is(err, io.EOF) {
 			err = errNoEndMarker
 		}
-		return streamCut, err
+		return streamTruncated, err
 	}
 }
 
-// relayEvents relays whole events; stop tells that the stream is over.
-func (r *run) relayEvents(events []byte, again *replayed, response *Response) (end streamEnd, stop bool) {
-	passed, torn := r.passEvents(events, again)
-	if len(passed) > 0 {
-		if err := r.sink.Write(passed); err != nil {
+// relayEvents relays complete events. stop is set once the stream has ended.
+func (e *exchange) relayEvents(events []byte, rerun *rerunPosition, response *Response) (end streamEnd, stop bool) {
+	kept, mismatch := e.filterEvents(events, rerun)
+	if len(kept) > 0 {
+		if err := e.sink.Write(kept); err != nil {
 			response.Abandon()
 			return streamSinkFailed, true
 		}
-		if counter, wanted := r.sink.(TokenCounter); wanted {
-			counter.Relayed(r.relayed.sequence)
+		if counter, wanted := e.sink.(TokenCounter); wanted {
+			counter.Relayed(e.relayed.sequence)
 		}
 	}
-	if torn {
+	if mismatch {
 		response.Abandon()
-		return streamTorn, true
+		return streamMismatch, true
 	}
-	if r.relayed.done {
-		r.finishStream(response)
+	if e.relayed.done {
+		e.finishStream(response)
 		return streamDone, true
 	}
-	return streamCut, false
+	return streamTruncated, false
 }
 
-// passEvents moves the position over the events and returns those to relay.
-func (r *run) passEvents(events []byte, again *replayed) (passed []byte, torn bool) {
+// filterEvents advances the position over the events and returns those to relay.
+func (e *exchange) filterEvents(events []byte, rerun *rerunPosition) (kept []byte, mismatch bool) {
 	start, at := 0, 0
 	for at < len(events) {
 		length := nextEvent(events[at:])
 		current := readEvent(events[at : at+length])
 		at += length
-		if again != nil && !again.caughtUp {
-			switch again.judge(current, &r.relayed) {
-			case passSkip:
+		if rerun != nil && !rerun.caughtUp {
+			switch rerun.classify(current, &e.relayed) {
+			case replaySkip:
 				start = at
 				continue
-			case passTorn:
+			case replayMismatch:
 				return nil, true
 			}
 		}
-		r.relayed.advance(current)
-		if r.relayed.done {
+		e.relayed.advance(current)
+		if e.relayed.done {
 			break
 		}
 	}
 	return events[start:at], false
 }
 
-// finishStream reads the end of the body behind the end marker, so that the
-// connection can be kept.
-func (r *run) finishStream(response *Response) {
+// finishStream reads the end of the body after the end marker, so that the
+// connection can be reused.
+func (e *exchange) finishStream(response *Response) {
 	var rest [512]byte
 	for {
 		_, err := response.Read(rest[:], finishTimeout)
@@ -179,75 +178,75 @@
 	}
 }
 
-// finishTimeout bounds the wait for the end of a body behind its end marker.
+// finishTimeout bounds the wait for the end of a body after its end marker.
 const finishTimeout = 100 * time.Millisecond
 
-// takeUp goes on with a broken stream: on the same engine where it still knows
-// the request, or by a second run where that is allowed.
-func (r *run) takeUp(ctx context.Context, target Target, number int, report *Report) verdict {
-	if r.result.Resumes < maximumResumes {
-		if response := r.resume(ctx, target, number); response != nil {
-			r.result.Resumes++
-			return r.goOn(ctx, target, number, response, report)
+// recoverStream continues a broken stream: on the same engine if it still has the
+// request, otherwise by a second run if that is allowed.
+func (e *exchange) recoverStream(ctx context.Context, target Target, number int, report *Report) verdict {
+	if e.result.Resumes < maximumResumes {
+		if response := e.resume(ctx, target, number); response != nil {
+			e.result.Resumes++
+			return e.relayResumed(ctx, target, number, response, report)
 		}
 	}
 	if ctx.Err() != nil {
 		report.Outcome = Canceled
-		r.cancel(ctx, target, number)
-		return r.callerLeft()
+		e.cancel(ctx, target, number)
+		return e.endCanceled()
 	}
-	r.cancelLater(ctx, target, number)
-	if r.mayRunAgain() {
+	e.cancelAsync(ctx, target, number)
+	if e.mayRerun() {
 		return verdictNext
 	}
 	return verdictDone
 }
 
-// mayRunAgain tells whether a second run is allowed: the request must be
-// repeatable, and what was relayed must be what a second run gives.
-func (r *run) mayRunAgain() bool {
-	if !r.request.Repeatable {
+// mayRerun reports whether a second run is allowed: the request must be repeatable,
+// and a second run must produce what was already relayed.
+func (e *exchange) mayRerun() bool {
+	if !e.request.Repeatable {
 		return false
 	}
-	return r.request.Deterministic || r.relayed.sequence == 0
+	return e.request.Deterministic || e.relayed.sequence == 0
 }
 
-// goOn relays a resumed stream, which starts behind what was relayed.
-func (r *run) goOn(ctx context.Context, target Target, number int, response *Response, report *Report) verdict {
-	if err := r.begin(response, -1); err != nil {
+// relayResumed relays a resumed stream, which starts after the relayed events.
+func (e *exchange) relayResumed(ctx context.Context, target Target, number int, response *Response, report *Report) verdict {
+	if err := e.startResponse(response, -1); err != nil {
 		response.Abandon()
 		report.Outcome = Canceled
-		r.cancel(ctx, target, number)
-		return r.callerLeft()
+		e.cancel(ctx, target, number)
+		return e.endCanceled()
 	}
-	end, err := r.copyEvents(response, nil)
-	return r.streamEnded(ctx, target, number, end, err, report)
+	end, err := e.copyEvents(response, nil)
+	return e.streamEnded(ctx, target, number, end, err, report)
 }
 
-// resumeOrder is the body of a resume call.
-type resumeOrder struct {
+// resumeRequest is the body of a resume call.
+type resumeRequest struct {
 	Offset uint64 `json:"offset"`
 }
 
-// resume asks the engine to go on behind the last token relayed. It returns
-// nil when the engine does not know the request or can't be reached in time.
-func (r *run) resume(ctx context.Context, target Target, number int) *Response {
-	body, err := json.Marshal(resumeOrder{Offset: r.relayed.sequence})
+// resume asks the engine to resume after the last relayed token. It returns nil if
+// the engine does not know the request or does not resume it in time.
+func (e *exchange) resume(ctx context.Context, target Target, number int) *Response {
+	body, err := json.Marshal(resumeRequest{Offset: e.relayed.sequence})
 	if err != nil {
 		return nil
 	}
-	order := &Request{
-		ID: r.request.ID, Kind: Engine, Method: http.MethodPost, Body: body,
-		Path: "/v1/requests/" + r.request.attemptID(number) + "/resume", Priority: r.request.Priority,
-		Timeouts: Timeouts{Connect: r.request.Timeouts.Connect, FirstByte: resumeTimeout},
+	command := &Request{
+		ID: e.request.ID, Kind: Engine, Method: http.MethodPost, Body: body,
+		Path: "/v1/requests/" + e.request.attemptID(number) + "/resume", Priority: e.request.Priority,
+		Timeouts: Timeouts{Connect: e.request.Timeouts.Connect, FirstByte: resumeTimeout},
 	}
-	pause, failures := resumePause, 0
-	for try := 0; try < resumeTries && failures < resumeFailures; try++ {
-		if try > 0 && !retry.Pause(ctx, pause) {
+	delay, failures := initialResumeDelay, 0
+	for try := 0; try < maximumResumeAttempts && failures < maximumResumeFailures; try++ {
+		if try > 0 && !retry.Pause(ctx, delay) {
 			return nil
 		}
-		pause = min(2*pause, maximumResumePause)
-		response, err := r.relay.client.Do(ctx, target.Address, order, 0)
+		delay = min(2*delay, maximumResumeDelay)
+		response, err := e.relay.client.Do(ctx, target.Address, command, 0)
 		if err != nil {
 			failures++
 			continue
@@ -255,7 +254,7 @@
 		if response.Status == http.StatusOK {
 			return response
 		}
-		r.drain(response)
+		e.drain(response)
 		if response.Status == http.StatusNotFound {
 			return nil
 		}
@@ -263,44 +262,44 @@
 	return nil
 }
 
-// cancelAnswer is the engine's answer to a cancel order.
-type cancelAnswer struct {
+// cancelResponse is the engine's response to a cancel call.
+type cancelResponse struct {
 	Cancelled bool `json:"cancelled"`
 }
 
-// cancel orders the engine to stop the request and records whether the engine
-// confirmed it. The order does not depend on the request's own context.
-func (r *run) cancel(ctx context.Context, target Target, number int) {
-	if r.request.Kind == Engine {
-		r.result.Stopped = r.relay.cancel(ctx, r.request, target, number)
+// cancel cancels the request at the engine and records whether the engine confirmed
+// it. It works after the request's own context has ended.
+func (e *exchange) cancel(ctx context.Context, target Target, number int) {
+	if e.request.Kind == Engine {
+		e.result.Stopped = e.relay.cancel(ctx, e.request, target, number)
 	}
 }
 
-// cancelLater orders the engine to stop the request without waiting.
-func (r *run) cancelLater(ctx context.Context, target Target, number int) {
-	if r.request.Kind == Engine {
-		go r.relay.cancel(ctx, r.request, target, number)
+// cancelAsync cancels the request at the engine without waiting.
+func (e *exchange) cancelAsync(ctx context.Context, target Target, number int) {
+	if e.request.Kind == Engine {
+		go e.relay.cancel(ctx, e.request, target, number)
 	}
 }
 
-// cancel orders the engine to stop one attempt and tells whether it confirmed.
+// cancel cancels one attempt at the engine and reports whether the engine confirmed.
 func (r *Relay) cancel(ctx context.Context, request *Request, target Target, number int) bool {
-	bounded, stop := context.WithTimeout(context.WithoutCancel(ctx), cancelTimeout)
+	callCtx, stop := context.WithTimeout(context.WithoutCancel(ctx), cancelTimeout)
 	defer stop()
-	order := &Request{
+	command := &Request{
 		ID: request.ID, Kind: Engine, Method: http.MethodDelete, Repeatable: true,
 		Path:     "/v1/requests/" + request.attemptID(number),
 		Timeouts: Timeouts{Connect: request.Timeouts.Connect, FirstByte: cancelTimeout, BetweenBytes: cancelTimeout},
 	}
-	response, err := r.client.Do(bounded, target.Address, order, 0)
+	response, err := r.client.Do(callCtx, target.Address, command, 0)
 	if err != nil {
 		return false
 	}
-	held := &run{relay: r, request: order}
-	body, err := held.readAll(response)
+	call := &exchange{relay: r, request: command}
+	body, err := call.readAll(response)
 	if err != nil || response.Status != http.StatusOK {
 		return false
 	}
-	var answer cancelAnswer
+	var answer cancelResponse
 	return json.Unmarshal(body, &answer) == nil && answer.Cancelled
 }
