--- a/internal/health/evaluate.go
+++ b/internal/health/evaluate.go
@@ -16,7 +16,7 @@
 // limit had delayed, counts silence, marks slow outliers as suspect, clears stale
 // suspicion, and forgets old ejections. It should be called about once a second.
 func (t *Tracker) Evaluate(now time.Duration, random *rand.Rand) {
-	median, comparable := t.medianLatency()
+	median, enoughPeers := t.medianLatency()
 	for _, index := range t.withEvidence {
 		entry := &t.records[index]
 		if entry.state == Ejected {
@@ -30,10 +30,10 @@
 		if entry.state == Ejected {
 			continue
 		}
-		if comparable {
+		if enoughPeers {
 			t.checkLatency(entry, median, now)
 		}
-		t.recover(entry, now)
+		t.clearStaleEvidence(entry, now)
 	}
 }
 
@@ -72,9 +72,9 @@
 	entry.samples = min(entry.samples, 2*minimumSamples)
 }
 
-// recover clears suspicion that no new evidence supports, so that a suspect server
+// clearStaleEvidence clears suspicion that no new evidence supports, so that a suspect server
 // without traffic does not stay suspect, and forgets old ejections.
-func (t *Tracker) recover(entry *record, now time.Duration) {
+func (t *Tracker) clearStaleEvidence(entry *record, now time.Duration) {
 	entry.decay(now, t.policy.HalfLife)
 	if entry.state == Suspect && !entry.slow && entry.failures < t.policy.SuspectAfter/2 {
 		entry.state = Healthy
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -185,11 +185,11 @@
 	entry.decay(now, t.policy.HalfLife)
 	switch outcome {
 	case Success:
-		t.succeeded(entry, latency, now)
+		t.recordSuccess(entry, latency, now)
 	case Failure:
-		t.failed(entry, scorePerFailure, now, random)
+		t.recordFailure(entry, scorePerFailure, now, random)
 	case Timeout:
-		t.failed(entry, scorePerTimeout, now, random)
+		t.recordFailure(entry, scorePerTimeout, now, random)
 	case Refused:
 		entry.trialRunning = false
 	}
@@ -204,7 +204,7 @@
 	r.failures *= math.Exp2(-float64(elapsed) / float64(halfLife))
 }
 
-func (t *Tracker) succeeded(entry *record, latency, now time.Duration) {
+func (t *Tracker) recordSuccess(entry *record, latency, now time.Duration) {
 	entry.failures /= 2
 	entry.recordLatency(latency)
 	if entry.state == Ejected {
@@ -241,10 +241,10 @@
 	*entry = record{hasEvidence: true, ejections: ejections, recovered: true, recoveredAt: now, healthySince: now, decayedAt: now, silence: entry.silence}
 }
 
-func (t *Tracker) failed(entry *record, weight float64, now time.Duration, random *rand.Rand) {
+func (t *Tracker) recordFailure(entry *record, weight float64, now time.Duration, random *rand.Rand) {
 	if entry.state == Ejected {
 		if entry.trialRunning {
-			t.hold(entry, now, random)
+			t.startHoldDown(entry, now, random)
 		}
 		return
 	}
@@ -269,13 +269,13 @@
 	t.ejected++
 	entry.state = Ejected
 	entry.ejectionPending = false
-	t.hold(entry, now, random)
+	t.startHoldDown(entry, now, random)
 }
 
 // maximumDoublings bounds the exponent of the hold-down.
 const maximumDoublings = 16
 
-func (t *Tracker) hold(entry *record, now time.Duration, random *rand.Rand) {
+func (t *Tracker) startHoldDown(entry *record, now time.Duration, random *rand.Rand) {
 	doublings := min(entry.ejections, maximumDoublings)
 	entry.ejections++
 	hold := min(t.policy.HoldDown<<doublings, t.policy.MaxHoldDown)
--- a/internal/health/silence.go
+++ b/internal/health/silence.go
@@ -33,10 +33,10 @@
 
 // RecordFirstToken records that a streamed request is no longer waiting for its
 // first token, and whether the token arrived.
-func (t *Tracker) RecordFirstToken(server int, came bool, now time.Duration) {
+func (t *Tracker) RecordFirstToken(server int, arrived bool, now time.Duration) {
 	found := &t.recordWithEvidence(server).silence
 	found.pending = max(0, found.pending-1)
-	if came {
+	if arrived {
 		found.silentSince = now
 		found.countedAt = 0
 	}
@@ -55,5 +55,5 @@
 		return
 	}
 	found.countedAt = now
-	t.failed(entry, scorePerTimeout, now, random)
+	t.recordFailure(entry, scorePerTimeout, now, random)
 }
--- a/internal/relaybudget/budget_test.go
+++ b/internal/relaybudget/budget_test.go
@@ -17,7 +17,8 @@
 
 type reader = relaybudget.Reader[string]
 
-// fill reserves up to the given number of chunks for a reader until one is not granted, and returns the last verdict.
+// fill reserves chunks for a reader, up to the given number, until one is not granted. It returns
+// the last verdict.
 func fill(t *testing.T, budget *relaybudget.Budget[string], of *reader, most int, now time.Time) relaybudget.Verdict {
 	t.Helper()
 	for range most {
--- a/internal/upstream/answer.go
+++ b/internal/upstream/answer.go
@@ -127,7 +127,7 @@
 }
 
 // silenceTimeout bounds the time without data within a response. An unstreamed
-// engine response may take as long as its first byte.
+// engine response may be silent for as long as the first byte may take.
 func (e *exchange) silenceTimeout() time.Duration {
 	if e.request.Stream || e.request.Kind == Service {
 		return e.request.Timeouts.BetweenBytes
--- a/internal/upstream/relay.go
+++ b/internal/upstream/relay.go
@@ -162,11 +162,11 @@
 	defer sent.cancel()
 	e.result.Target = sent.target
 	report := Report{Outcome: Answered}
-	decided := e.relayResponse(ctx, sent, &report)
+	next := e.relayResponse(ctx, sent, &report)
 	report.Duration = time.Since(sent.startedAt)
 	report.Tokens = e.result.Tokens
 	e.chooser.Ended(sent.target, report)
-	return decided
+	return next
 }
 
 func (e *exchange) handleNoTarget(err error) verdict {
