--- a/internal/balance/pace/pace.go
+++ b/internal/balance/pace/pace.go
@@ -1,12 +1,11 @@
-// Package pace estimates how long work takes at the servers of a service, as a multiple of
-// what is usual among them. An estimate has two factors. The moment is what servers tell with
-// their answers: it changes within tenths of a second, so only what was told within the
-// last few of them counts. The speed is what runs show beyond that: a server's own, or that
-// of a server that says that it is fast and is not; it is a mean over seconds, and what is
-// known of it fades only slowly once nothing more is heard.
+// Package pace estimates how long work takes at the servers of a service, as a multiple of the
+// usual duration among them. An estimate has two factors. The reported pace is sent by servers with
+// their answers; it changes within tenths of a second, so only the newest reports count. The
+// observed pace is what runs show beyond that, averaged over seconds: a difference in hardware, or
+// a server that is slower than it reports. It decays slowly when no more runs are observed.
 //
-// A process meets each server of a large site once in many seconds, so both rest on what all
-// processes saw, which they add up in their load digests. The package is pure.
+// A single process uses each server of a large site only once in many seconds, so both factors
+// combine the observations of all processes, which exchange them in load digests.
 package pace
 
 import (
@@ -17,154 +16,154 @@
 )
 
 const (
-	// hundred is the unit of shared sums.
+	// hundred is the unit of the sums in balance.SharedPace.
 	hundred = 100.0
-	// informedFor is how long servers count as telling their pace after the last did: far
-	// longer than a process is without answers.
-	informedFor = 30 * time.Second
-	// momentPrior is how many voices the usual pace counts beside what was told: one that is
-	// old by a third of a second is as likely over as not.
-	momentPrior = 1.0
-	// speedPrior is how many runs the remembered speed counts beside those of the last
-	// seconds: the time between events of a single run is off by a third.
-	speedPrior = 4.0
-	// leastVoices is how many runs replace the remembered speed.
-	leastVoices = 4
-	// fading is the exponent by which a remembered speed of which nothing more is heard
-	// approaches the usual one at each look, once a second: a server that was three times
-	// slower counts as 1.5 times after 20 s, and is tried again.
-	fading = 0.95
-	// Bounds of a single sighting, so that one stalled run does not outweigh many.
-	leastRatio, mostRatio = 0.2, 10.0
+	// reportsValidFor is how long after the last report servers still count as reporting their
+	// pace. It is far longer than a process goes without answers.
+	reportsValidFor = 30 * time.Second
+	// reportPrior is the weight of the usual pace beside the reports. A report that is a third of a
+	// second old is as likely outdated as not.
+	reportPrior = 1.0
+	// observedPrior is the weight, in runs, of the remembered pace beside the runs of the last
+	// seconds. The event interval of a single run is off by a third.
+	observedPrior = 4.0
+	// minimumRuns is how many runs replace the remembered pace.
+	minimumRuns = 4
+	// decayExponent is applied once a second to a remembered pace without new runs, so that it
+	// approaches 1. A server that was three times slower counts as 1.5 times slower after 20 s, and
+	// is tried again.
+	decayExponent = 0.95
+	// Bounds of a single run, so that one stalled run does not outweigh many.
+	minimumRatio, maximumRatio = 0.2, 10.0
 	// Bounds of an estimate.
-	leastPace, mostPace = 0.2, 20.0
+	minimumPace, maximumPace = 0.2, 20.0
 )
 
 // Estimates implements balance.PaceEstimator for one service in one process.
 type Estimates struct {
 	servers []server
-	// usual is how long an event usually takes.
-	usual usual
-	// heardAt is when a server last told its pace, and heard whether any did.
-	heardAt time.Duration
-	heard   bool
+	// intervals predicts the usual event interval.
+	intervals intervalModel
+	// lastReportAt is when any server last reported its pace; hasReport is whether any did.
+	lastReportAt time.Duration
+	hasReport    bool
 }
 
 var _ balance.PaceEstimator = (*Estimates)(nil)
 
-// server is what is known of one.
+// server is the state of one server.
 type server struct {
-	told   float64
-	toldAt time.Duration
-	// seen holds the runs of the last seconds.
-	seen window
-	// speed is the remembered one.
-	speed float64
+	reported   float64
+	reportedAt time.Duration
+	// observed holds the runs of the last seconds.
+	observed window
+	// remembered is the long-term pace as of the last call of Remember.
+	remembered float64
 }
 
-// New returns estimates that know nothing.
+// New returns empty estimates.
 func New() *Estimates { return &Estimates{} }
 
 // Resize implements balance.PaceEstimator.
 func (e *Estimates) Resize(places int) {
 	for len(e.servers) < places {
-		e.servers = append(e.servers, server{speed: 1})
+		e.servers = append(e.servers, server{remembered: 1})
 	}
 	e.servers = e.servers[:places]
 }
 
 // Forget implements balance.PaceEstimator.
-func (e *Estimates) Forget(place int) { e.servers[place] = server{speed: 1} }
+func (e *Estimates) Forget(place int) { e.servers[place] = server{remembered: 1} }
 
 // RecordReport implements balance.PaceEstimator.
 func (e *Estimates) RecordReport(place int, pace float64, now time.Duration) {
 	if pace <= 0 {
 		return
 	}
-	known := &e.servers[place]
-	known.told, known.toldAt = bounded(pace), now
-	e.heard, e.heardAt = true, now
+	state := &e.servers[place]
+	state.reported, state.reportedAt = clampPace(pace), now
+	e.hasReport, e.lastReportAt = true, now
 }
 
-// RecordRun implements balance.PaceEstimator. What the server told of the moment is taken out, so that it
-// does not count twice.
+// RecordRun implements balance.PaceEstimator. It divides the interval by the reported pace, which
+// would count twice otherwise.
 func (e *Estimates) RecordRun(place int, run balance.RunSample, now time.Duration) {
-	event := float64(run.EventInterval)
+	interval := float64(run.EventInterval)
 	if run.ReportedPace > 0 {
-		event /= run.ReportedPace
+		interval /= run.ReportedPace
 	}
-	if expected := e.usual.event(run.Concurrency); expected > 0 {
-		ratio := min(max(event/expected, leastRatio), mostRatio)
-		e.servers[place].seen.add(int(math.Round(ratio*hundred)), now)
+	if expected := e.intervals.predict(run.Concurrency); expected > 0 {
+		ratio := min(max(interval/expected, minimumRatio), maximumRatio)
+		e.servers[place].observed.add(int(math.Round(ratio*hundred)), now)
 	}
-	e.usual.add(run.Concurrency, event)
+	e.intervals.add(run.Concurrency, interval)
 }
 
 // HasReports implements balance.PaceEstimator.
 func (e *Estimates) HasReports(now time.Duration) bool {
-	return e.heard && now-e.heardAt <= informedFor
+	return e.hasReport && now-e.lastReportAt <= reportsValidFor
 }
 
 // CurrentPace implements balance.PaceEstimator.
 func (e *Estimates) CurrentPace(place int, others balance.SharedPace, now time.Duration) float64 {
-	known := &e.servers[place]
-	return bounded(known.moment(others, now) * known.speedNow(others, now))
+	state := &e.servers[place]
+	return clampPace(state.reportedPace(others, now) * state.observedPace(others, now))
 }
 
 // LongTermPace implements balance.PaceEstimator.
 func (e *Estimates) LongTermPace(place int, others balance.SharedPace, now time.Duration) float64 {
-	return bounded(e.servers[place].speedNow(others, now))
+	return clampPace(e.servers[place].observedPace(others, now))
 }
 
-func bounded(estimate float64) float64 { return min(max(estimate, leastPace), mostPace) }
+func clampPace(estimate float64) float64 { return min(max(estimate, minimumPace), maximumPace) }
 
-// moment is how long work takes at this moment by what the server told all processes.
-func (s *server) moment(others balance.SharedPace, now time.Duration) float64 {
-	voices := s.toldVoices(now)
-	sum := float64(voices)*s.told + float64(others.ReportedSum)/hundred
-	return (sum + momentPrior) / (float64(voices+others.ReportedCount) + momentPrior)
+// reportedPace returns the pace that the server reported recently to all processes.
+func (s *server) reportedPace(others balance.SharedPace, now time.Duration) float64 {
+	weight := s.reportWeight(now)
+	sum := float64(weight)*s.reported + float64(others.ReportedSum)/hundred
+	return (sum + reportPrior) / (float64(weight+others.ReportedCount) + reportPrior)
 }
 
-// speedNow is the server's own speed by what the runs of all processes showed.
-func (s *server) speedNow(others balance.SharedPace, now time.Duration) float64 {
-	sum, voices := s.seen.total(now)
-	return (float64(sum+others.ObservedSum)/hundred + speedPrior*s.speed) / (float64(voices+others.ObservedCount) + speedPrior)
+// observedPace returns the pace that the runs of all processes show beyond the reported one.
+func (s *server) observedPace(others balance.SharedPace, now time.Duration) float64 {
+	sum, count := s.observed.total(now)
+	return (float64(sum+others.ObservedSum)/hundred + observedPrior*s.remembered) / (float64(count+others.ObservedCount) + observedPrior)
 }
 
 // OwnPace implements balance.PaceEstimator.
 func (e *Estimates) OwnPace(place int, now time.Duration) balance.SharedPace {
-	known := &e.servers[place]
-	own := balance.SharedPace{ReportedCount: known.toldVoices(now)}
-	own.ReportedSum = int(math.Round(float64(own.ReportedCount) * known.told * hundred))
-	own.ObservedSum, own.ObservedCount = known.seen.total(now)
+	state := &e.servers[place]
+	own := balance.SharedPace{ReportedCount: state.reportWeight(now)}
+	own.ReportedSum = int(math.Round(float64(own.ReportedCount) * state.reported * hundred))
+	own.ObservedSum, own.ObservedCount = state.observed.total(now)
 	return own
 }
 
 // Remember implements balance.PaceEstimator.
 func (e *Estimates) Remember(place int, others balance.SharedPace, now time.Duration) {
-	known := &e.servers[place]
-	if _, voices := known.seen.total(now); voices+others.ObservedCount >= leastVoices {
-		known.speed = known.speedNow(others, now)
+	state := &e.servers[place]
+	if _, count := state.observed.total(now); count+others.ObservedCount >= minimumRuns {
+		state.remembered = state.observedPace(others, now)
 		return
 	}
-	known.speed = math.Pow(known.speed, fading)
+	state.remembered = math.Pow(state.remembered, decayExponent)
 }
 
-// ages are how old what a server told may be to count so many voices: busy moments last for
-// some 600 ms, and digests add a quarter of a second.
-var ages = []struct {
-	most   time.Duration
-	voices int
+// reportWeights are the weights of reports by age. Servers stay busy for about 600 ms at a time,
+// and digests add a quarter of a second.
+var reportWeights = []struct {
+	maximumAge time.Duration
+	weight     int
 }{{80 * time.Millisecond, 4}, {160 * time.Millisecond, 2}, {320 * time.Millisecond, 1}}
 
-// toldVoices is how much what the server told this process counts now.
-func (s *server) toldVoices(now time.Duration) int {
-	if s.told == 0 {
+// reportWeight returns the current weight of the server's last report to this process.
+func (s *server) reportWeight(now time.Duration) int {
+	if s.reported == 0 {
 		return 0
 	}
-	for _, age := range ages {
-		if now-s.toldAt <= age.most {
-			return age.voices
+	for _, age := range reportWeights {
+		if now-s.reportedAt <= age.maximumAge {
+			return age.weight
 		}
 	}
 	return 0
--- a/internal/balance/pace/regret_test.go
+++ b/internal/balance/pace/regret_test.go
@@ -9,40 +9,40 @@
 	"rockwind.example/rockwind/internal/balance/pace"
 )
 
-// blind hears nothing of what it does not want to.
-type blind struct {
+// partial ignores some of the sources of information on pace.
+type partial struct {
 	*pace.Estimates
-	told, seen, others bool
+	reports, runs, digests bool
 }
 
-func (b blind) RecordReport(place int, told float64, now time.Duration) {
-	if !b.told {
-		told = 1
+func (p partial) RecordReport(place int, reported float64, now time.Duration) {
+	if !p.reports {
+		reported = 1
 	}
-	b.Estimates.RecordReport(place, told, now)
+	p.Estimates.RecordReport(place, reported, now)
 }
 
-func (b blind) RecordRun(place int, run balance.RunSample, now time.Duration) {
-	if !b.told {
+func (p partial) RecordRun(place int, run balance.RunSample, now time.Duration) {
+	if !p.reports {
 		run.ReportedPace = 0
 	}
-	if b.seen {
-		b.Estimates.RecordRun(place, run, now)
+	if p.runs {
+		p.Estimates.RecordRun(place, run, now)
 	}
 }
 
-func (b blind) CurrentPace(place int, others balance.SharedPace, now time.Duration) float64 {
-	if !b.others {
+func (p partial) CurrentPace(place int, others balance.SharedPace, now time.Duration) float64 {
+	if !p.digests {
 		others = balance.SharedPace{}
 	}
-	return b.Estimates.CurrentPace(place, others, now)
+	return p.Estimates.CurrentPace(place, others, now)
 }
 
-func (b blind) Remember(place int, others balance.SharedPace, now time.Duration) {
-	if !b.others {
+func (p partial) Remember(place int, others balance.SharedPace, now time.Duration) {
+	if !p.digests {
 		others = balance.SharedPace{}
 	}
-	b.Estimates.Remember(place, others, now)
+	p.Estimates.Remember(place, others, now)
 }
 
 // oracle knows the true pace of the servers.
@@ -64,28 +64,28 @@
 
 func (o oracle) OwnPace(int, time.Duration) balance.SharedPace { return balance.SharedPace{} }
 
-// ways are those to know the paces: none, by what a process sees itself, by what servers tell
-// it, by both, by what all processes tell each other, and by the truth.
-var ways = []struct {
-	name  string
-	pacer func(s *site) balance.PaceEstimator
+// estimators are the sources of information on pace to compare: none, own observations, reports,
+// both, the digests of all processes, and the true paces.
+var estimators = []struct {
+	name         string
+	newEstimator func(s *site) balance.PaceEstimator
 }{
 	{"free-slots", func(*site) balance.PaceEstimator { return nil }},
-	{"own-runs", func(*site) balance.PaceEstimator { return blind{Estimates: pace.New(), seen: true} }},
-	{"told", func(*site) balance.PaceEstimator { return blind{Estimates: pace.New(), told: true} }},
-	{"own-and-told", func(*site) balance.PaceEstimator { return blind{Estimates: pace.New(), seen: true, told: true} }},
+	{"own-runs", func(*site) balance.PaceEstimator { return partial{Estimates: pace.New(), runs: true} }},
+	{"told", func(*site) balance.PaceEstimator { return partial{Estimates: pace.New(), reports: true} }},
+	{"own-and-told", func(*site) balance.PaceEstimator { return partial{Estimates: pace.New(), runs: true, reports: true} }},
 	{"digests", func(*site) balance.PaceEstimator { return pace.New() }},
 	{"oracle", func(s *site) balance.PaceEstimator { return oracle{pace.New(), s} }},
 }
 
-// play has 64 processes send so much of the capacity of 90 servers, a quarter of which is
-// slowed beyond what it tells.
-func play(seed uint64, pacer func(s *site) balance.PaceEstimator, slowed, load float64) result {
+// simulate runs 64 processes and 90 servers, a quarter of which are slower than they report. load
+// is the rate of requests as a fraction of the capacity.
+func simulate(seed uint64, newEstimator func(s *site) balance.PaceEstimator, slowed, load float64) result {
 	const (
 		processes, servers = 64, 90
 		sending, ending    = 12 * time.Second, 16 * time.Second
 	)
-	s := newSite(seed, processes, servers, pacer)
+	s := newSite(seed, processes, servers, newEstimator)
 	for i, name := range s.names {
 		if i%4 == 0 {
 			s.servers[name].slowed = slowed
@@ -96,11 +96,10 @@
 	return s.result()
 }
 
-// TestPacesServeUnevenServersNearlyAsWellAsTheTruth: at 0.8 of what servers of uneven speed
-// can do, slow ones hold work that the others have room for. With what all processes tell of
-// the paces, answers end within a fifth of the time that they take where the true paces of
-// all servers are known at once, and earlier than by free slots alone; no more are late.
-func TestPacesServeUnevenServersNearlyAsWellAsTheTruth(t *testing.T) {
+// TestEstimatesServeUnevenServersNearlyAsWellAsTruePaces guards against requests that wait at slow
+// servers while fast ones have free slots. With estimated paces, requests must take at most 1.2
+// times as long as with the true ones, and less than when servers are chosen by free slots alone.
+func TestEstimatesServeUnevenServersNearlyAsWellAsTruePaces(t *testing.T) {
 	const (
 		load     = 0.8
 		gain     = 0.9
@@ -108,69 +107,68 @@
 		slowdown = 3
 	)
 	for seed := uint64(1); seed <= 2; seed++ {
-		plain := play(seed, ways[0].pacer, slowdown, load)
-		paced := play(seed, func(*site) balance.PaceEstimator { return pace.New() }, slowdown, load)
-		best := play(seed, func(s *site) balance.PaceEstimator { return oracle{pace.New(), s} }, slowdown, load)
-		t.Logf("seed %d: free slots %+v, paces %+v, true paces %+v", seed, plain, paced, best)
+		plain := simulate(seed, estimators[0].newEstimator, slowdown, load)
+		paced := simulate(seed, func(*site) balance.PaceEstimator { return pace.New() }, slowdown, load)
+		best := simulate(seed, func(s *site) balance.PaceEstimator { return oracle{pace.New(), s} }, slowdown, load)
+		t.Logf("seed %d: free slots %+v, estimates %+v, true paces %+v", seed, plain, paced, best)
 		if paced.whole > time.Duration(gain*float64(plain.whole)) || paced.late > plain.late {
-			t.Errorf("seed %d: %+v with paces, %+v by free slots", seed, paced, plain)
+			t.Errorf("seed %d: %+v with estimates, %+v by free slots", seed, paced, plain)
 		}
 		if paced.whole > time.Duration(regret*float64(best.whole)) {
-			t.Errorf("seed %d: %+v with paces, %+v with the true ones", seed, paced, best)
+			t.Errorf("seed %d: %+v with estimates, %+v with true paces", seed, paced, best)
 		}
 	}
 }
 
-// TestServersThatTellTheTruthAreLeftWhileOthersUseTheirMachine: no server is slower than it
-// says. What they tell is worth more than what it costs also where it is old.
-func TestServersThatTellTheTruthAreLeftWhileOthersUseTheirMachine(t *testing.T) {
+// TestServersThatReportTheirPaceAreAvoidedWhileBusy checks that reported paces shorten answers even
+// though the reports are somewhat old when they are used.
+func TestServersThatReportTheirPaceAreAvoidedWhileBusy(t *testing.T) {
 	const load = 0.5
-	plain := play(1, ways[0].pacer, 1, load)
-	paced := play(1, func(*site) balance.PaceEstimator { return pace.New() }, 1, load)
-	t.Logf("free slots %+v, paces %+v", plain, paced)
+	plain := simulate(1, estimators[0].newEstimator, 1, load)
+	paced := simulate(1, func(*site) balance.PaceEstimator { return pace.New() }, 1, load)
+	t.Logf("free slots %+v, estimates %+v", plain, paced)
 	if paced.whole >= plain.whole || paced.first >= plain.first {
-		t.Errorf("%+v with paces, %+v by free slots", paced, plain)
+		t.Errorf("%+v with estimates, %+v by free slots", paced, plain)
 	}
 }
 
-// TestProcessesDoNotMeetAtTheSameFreeSlots: at all that uneven servers can do, processes whose
-// loads are old fill the slots that all see as free, and find them taken, while others stay
-// empty. Those that pass their own slots on have a quarter of the requests late.
-func TestProcessesDoNotMeetAtTheSameFreeSlots(t *testing.T) {
+// TestProcessesDoNotCollideOnFreeSlots guards against processes that fill the same free slots
+// because their load information is old, while other servers stay empty.
+func TestProcessesDoNotCollideOnFreeSlots(t *testing.T) {
 	const (
 		load, slowdown = 1, 3
-		part           = 0.25
+		maximumRatio   = 0.25
 	)
-	plain := play(1, ways[0].pacer, slowdown, load)
-	paced := play(1, func(*site) balance.PaceEstimator { return pace.New() }, slowdown, load)
-	t.Logf("free slots %+v, paces %+v", plain, paced)
-	if paced.late > part*plain.late {
-		t.Errorf("%+v with paces, %+v by free slots", paced, plain)
+	plain := simulate(1, estimators[0].newEstimator, slowdown, load)
+	paced := simulate(1, func(*site) balance.PaceEstimator { return pace.New() }, slowdown, load)
+	t.Logf("free slots %+v, estimates %+v", plain, paced)
+	if paced.late > maximumRatio*plain.late {
+		t.Errorf("%+v with estimates, %+v by free slots", paced, plain)
 	}
 }
 
-// BenchmarkRegret reports what requests meet by each way to know the paces, in milliseconds.
+// BenchmarkRegret reports the times of requests, in milliseconds, for each of the estimators.
 func BenchmarkRegret(b *testing.B) {
 	const seeds = 4
 	for _, slowed := range []float64{1, 3} {
 		for _, load := range []float64{0.5, 0.8, 1, 1.2} {
-			for _, way := range ways {
-				b.Run(fmt.Sprintf("slowed=%g/load=%g/%s", slowed, load, way.name), func(b *testing.B) {
+			for _, estimator := range estimators {
+				b.Run(fmt.Sprintf("slowed=%g/load=%g/%s", slowed, load, estimator.name), func(b *testing.B) {
 					var first, first99, whole, late float64
 					for range b.N {
 						for seed := range uint64(seeds) {
-							met := play(seed, way.pacer, slowed, load)
-							first += met.first.Seconds()
-							first99 += met.first99.Seconds()
-							whole += met.whole.Seconds()
-							late += met.late
+							outcome := simulate(seed, estimator.newEstimator, slowed, load)
+							first += outcome.first.Seconds()
+							first99 += outcome.first99.Seconds()
+							whole += outcome.whole.Seconds()
+							late += outcome.late
 						}
 					}
-					plays := float64(seeds * b.N)
-					b.ReportMetric(1000*first/plays, "first-ms")
-					b.ReportMetric(1000*first99/plays, "first99-ms")
-					b.ReportMetric(1000*whole/plays, "whole-ms")
-					b.ReportMetric(late/plays, "late")
+					simulations := float64(seeds * b.N)
+					b.ReportMetric(1000*first/simulations, "first-ms")
+					b.ReportMetric(1000*first99/simulations, "first99-ms")
+					b.ReportMetric(1000*whole/simulations, "whole-ms")
+					b.ReportMetric(late/simulations, "late")
 				})
 			}
 		}
--- a/internal/balance/pace/sighting.go
+++ b/internal/balance/pace/sighting.go
@@ -5,46 +5,46 @@
 	"time"
 )
 
-// eventEnd is an empty line.
+// eventEnd is the empty line that ends a server-sent event.
 var eventEnd = []byte("\n\n")
 
-// EventTimer counts the events of a run in the pieces of its stream, and the time that they
-// took. The zero EventTimer has seen nothing.
+// EventTimer counts the events of a run in the chunks of its stream and measures the time that they
+// took. The zero value is ready to use.
 type EventTimer struct {
 	first, last time.Duration
 	events      int
-	// lineEnded tells that the last byte ended a line, so that another end of a line ends an
-	// event.
-	lineEnded bool
+	// endsInNewline is whether the last byte was a newline that did not end an event, so that
+	// another newline would.
+	endsInNewline bool
 }
 
-// Add takes a piece of the stream.
-func (s *EventTimer) Add(piece []byte, now time.Duration) {
-	if len(piece) == 0 {
+// Add records a chunk of the stream.
+func (t *EventTimer) Add(chunk []byte, now time.Duration) {
+	if len(chunk) == 0 {
 		return
 	}
-	ended := bytes.Count(piece, eventEnd)
-	if s.lineEnded && piece[0] == '\n' {
-		ended++
+	completed := bytes.Count(chunk, eventEnd)
+	if t.endsInNewline && chunk[0] == '\n' {
+		completed++
 	}
-	s.lineEnded = piece[len(piece)-1] == '\n' && !bytes.HasSuffix(piece, eventEnd)
-	if ended == 0 {
+	t.endsInNewline = chunk[len(chunk)-1] == '\n' && !bytes.HasSuffix(chunk, eventEnd)
+	if completed == 0 {
 		return
 	}
-	s.last = now
-	if s.events == 0 {
-		// How long the events of the first piece took is not known: it counts as its last one.
-		s.first, s.events = now, 1
+	t.last = now
+	if t.events == 0 {
+		// The time of the events in the first chunk is not known, so they count as one.
+		t.first, t.events = now, 1
 		return
 	}
-	s.events += ended
+	t.events += completed
 }
 
-// Events is how many events have ended, of which those that came with the first count as one.
-func (s *EventTimer) Events() int { return s.events }
+// Events returns how many events have ended. Those in the first chunk count as one.
+func (t *EventTimer) Events() int { return t.events }
 
-// Elapsed is how long after the first event the last one ended.
-func (s *EventTimer) Elapsed() time.Duration { return s.last - s.first }
+// Elapsed returns the time from the first event to the last.
+func (t *EventTimer) Elapsed() time.Duration { return t.last - t.first }
 
-// Restart begins anew with the last event, which ends the time before and begins the next.
-func (s *EventTimer) Restart() { s.first, s.events = s.last, 1 }
+// Restart starts a new measurement at the last event.
+func (t *EventTimer) Restart() { t.first, t.events = t.last, 1 }
--- a/internal/balance/pace/uneven_test.go
+++ b/internal/balance/pace/simulation_test.go
@@ -11,8 +11,7 @@
 	"rockwind.example/rockwind/internal/virtualtime"
 )
 
-// Figures of the engines in these tests: a step takes some ms and more for each request in
-// it, and the prompt of a new one is read within it.
+// Parameters of the simulated engines and load.
 const (
 	slots          = 8
 	stepBase       = 10 * time.Millisecond
@@ -20,63 +19,64 @@
 	tokensPerMilli = 168.0
 	promptTokens   = 450
 	events         = 17
-	patience       = 2500 * time.Millisecond
-	goal           = 300 * time.Millisecond
+	maximumWait    = 2500 * time.Millisecond
+	firstEventGoal = 300 * time.Millisecond
 	digestInterval = 250 * time.Millisecond
 	recheck        = 25 * time.Millisecond
-	// Servers that share their machines are slow for a time, now and then.
-	busyFactor = 2.5
-	busyTime   = 600 * time.Millisecond
-	busyPart   = 0.15
+	// A server that shares its machine with other work is slow from time to time.
+	busyFactor   = 2.5
+	busyTime     = 600 * time.Millisecond
+	busyFraction = 0.15
 )
 
-// site plays processes that choose among uneven servers in virtual time.
+// site simulates, in virtual time, processes that choose among servers of uneven speed.
 type site struct {
 	random *rand.Rand
 	clock  virtualtime.Queue
-	// sequence numbers the digests.
+	// sequence is the number of the last digest.
 	sequence  uint64
 	processes []*process
-	// zones are those of the processes in turn; one that is empty shares everything.
+	// zones are assigned to the processes in turn. With an empty zone, all processes exchange
+	// digests.
 	zones   []string
 	servers map[string]*server
 	names   []string
-	met
-	// byZone is what the requests of the processes of each zone met.
-	byZone map[string]*met
+	outcomes
+	// byZone holds the results of the requests by the zone of their process.
+	byZone map[string]*outcomes
 	until  time.Duration
 }
 
-// met is what some requests met: the times to the first event and to the end of each; one
-// without room counts as late.
-type met struct {
+// outcomes holds the times of requests to their first event and to their end. Requests that found
+// no free server in time count as refused.
+type outcomes struct {
 	first, whole []time.Duration
 	refused      int
 }
 
-// server is an engine that advances all its requests by an event in each step.
+// server simulates an engine that produces one event for each of its requests per step.
 type server struct {
 	speed float64
-	// busy tells that others use its machine, and slowed is by how much it is slower than
-	// usual without saying so.
+	// busy is whether other work uses the machine; the server reports it. slowed is a slowdown
+	// factor that it does not report.
 	busy    bool
 	slowed  float64
 	running []*request
 	waiting []*request
-	stepped bool
-	// slowFor is how many steps an event takes for the callers of a zone, one where it is not said.
-	slowFor map[string]int
+	active  bool
+	// stepsPerEvent is the number of steps that an event takes for the callers of a zone; 1 by default.
+	stepsPerEvent map[string]int
 }
 
-func (s *server) told() float64 {
+func (s *server) reportedPace() float64 {
 	if s.busy {
 		return busyFactor
 	}
 	return 1
 }
 
-// pace is the true one.
-func (s *server) pace() float64 { return s.speed * s.told() * s.slowed }
+// pace returns the true pace.
+func (s *server) pace() float64 { return s.speed * s.reportedPace() * s.slowed }
 
 type process struct {
 	name    string
@@ -87,20 +87,20 @@
 }
 
 type request struct {
-	by      *process
-	choice  balance.Choice
-	arrived time.Duration
-	sent    time.Duration
-	began   time.Duration
-	told    float64
-	steps   int
-	made    int
+	sender       *process
+	choice       balance.Choice
+	arrived      time.Duration
+	sent         time.Duration
+	began        time.Duration
+	reportedPace float64
+	steps        int
+	produced     int
 }
 
-// newSite returns a site whose processes choose with pacers that are made for each of them;
-// none chooses by free slots alone.
-func newSite(seed uint64, processes, servers int, pacer func(s *site) balance.PaceEstimator, zones ...string) *site {
-	s := &site{random: rand.New(rand.NewPCG(seed, 1)), servers: make(map[string]*server), byZone: make(map[string]*met)}
+// newSite returns a site. newEstimator makes a pace estimator for each process; if it returns nil,
+// the process chooses by free slots alone.
+func newSite(seed uint64, processes, servers int, newEstimator func(s *site) balance.PaceEstimator, zones ...string) *site {
+	s := &site{random: rand.New(rand.NewPCG(seed, 1)), servers: make(map[string]*server), byZone: make(map[string]*outcomes)}
 	s.zones = append(zones, "")[:max(1, len(zones))]
 	var members []balance.Member
 	for i := range servers {
@@ -114,36 +114,36 @@
 		shares := balance.NewSharedLoads()
 		zone := s.zones[i%len(s.zones)]
 		shares.SetZone(zone)
-		s.byZone[zone] = &met{}
+		s.byZone[zone] = &outcomes{}
 		created := &process{name: fmt.Sprint("process-", i), zone: zone, shares: shares, pool: balance.NewPool("service", "here", shares)}
-		if made := pacer(s); made != nil {
-			created.pool.SetPaceEstimator(made)
+		if estimator := newEstimator(s); estimator != nil {
+			created.pool.SetPaceEstimator(estimator)
 		}
 		created.pool.SetMaxLoadAge(digestInterval)
 		created.pool.SetOnlineProcesses(processes)
 		created.pool.Update(members)
 		s.processes = append(s.processes, created)
-		s.clock.Every(s.part(digestInterval), digestInterval, func() { s.tell(created) })
-		s.clock.Every(s.part(recheck), recheck, func() { s.serve(created) })
-		s.clock.Every(s.part(time.Second), time.Second, func() { created.pool.Evaluate(s.clock.Now(), s.random) })
+		s.clock.Every(s.randomPart(digestInterval), digestInterval, func() { s.sendDigest(created) })
+		s.clock.Every(s.randomPart(recheck), recheck, func() { s.serve(created) })
+		s.clock.Every(s.randomPart(time.Second), time.Second, func() { created.pool.Evaluate(s.clock.Now(), s.random) })
 	}
 	for _, zone := range s.zones {
 		if zone != "" {
-			s.clock.Every(s.part(digestInterval), digestInterval, func() { s.tellZone(zone) })
+			s.clock.Every(s.randomPart(digestInterval), digestInterval, func() { s.sendZoneDigest(zone) })
 		}
 	}
 	return s
 }
 
-func (s *site) part(of time.Duration) time.Duration {
+func (s *site) randomPart(of time.Duration) time.Duration {
 	return time.Duration(s.random.Float64() * float64(of))
 }
 
-// share has others use the machine of a server now and then.
+// share switches other work on the machine of a server on and off at random times.
 func (s *site) share(each *server) {
 	mean := float64(busyTime)
 	if !each.busy {
-		mean *= (1 - busyPart) / busyPart
+		mean *= (1 - busyFraction) / busyFraction
 	}
 	s.clock.After(time.Duration(s.random.ExpFloat64()*mean), func() {
 		each.busy = !each.busy
@@ -151,8 +151,8 @@
 	})
 }
 
-// tell sends the digest of a process to all others of its zone.
-func (s *site) tell(sender *process) {
+// sendDigest sends the digest of a process to the other processes of its zone.
+func (s *site) sendDigest(sender *process) {
 	loads := make(map[uint32]balance.SharedLoad)
 	sender.pool.OwnLoads(s.clock.Now(), func(server uint32, load balance.SharedLoad) { loads[server] = load })
 	s.sequence++
@@ -166,8 +166,8 @@
 	})
 }
 
-// tellZone sends the sum of a zone's digests to the processes of the other zones.
-func (s *site) tellZone(zone string) {
+// sendZoneDigest sends the sum of a zone's digests to the processes of the other zones.
+func (s *site) sendZoneDigest(zone string) {
 	loads := make(map[uint32]balance.SharedLoad)
 	members := 0
 	for _, each := range s.processes {
@@ -188,7 +188,7 @@
 	})
 }
 
-// arrive sends requests at a rate a second until the end.
+// arrive generates requests at a rate per second until the given time.
 func (s *site) arrive(rate float64, until time.Duration) {
 	s.until = until
 	var next func()
@@ -196,39 +196,39 @@
 		if s.clock.Now() >= until {
 			return
 		}
-		by := s.processes[s.random.IntN(len(s.processes))]
-		by.waiting = append(by.waiting, &request{by: by, arrived: s.clock.Now()})
-		s.serve(by)
+		sender := s.processes[s.random.IntN(len(s.processes))]
+		sender.waiting = append(sender.waiting, &request{sender: sender, arrived: s.clock.Now()})
+		s.serve(sender)
 		s.clock.After(time.Duration(s.random.ExpFloat64()/rate*float64(time.Second)), next)
 	}
 	s.clock.After(0, next)
 }
 
-// serve sends what waits at a process to servers with room.
-func (s *site) serve(by *process) {
-	for len(by.waiting) > 0 {
-		first := by.waiting[0]
-		if s.clock.Now()-first.arrived > patience {
-			by.waiting = by.waiting[1:]
+// serve sends the waiting requests of a process to servers with free slots.
+func (s *site) serve(sender *process) {
+	for len(sender.waiting) > 0 {
+		first := sender.waiting[0]
+		if s.clock.Now()-first.arrived > maximumWait {
+			sender.waiting = sender.waiting[1:]
 			s.refused++
-			s.byZone[by.zone].refused++
+			s.byZone[sender.zone].refused++
 			continue
 		}
-		choice, found := by.pool.Choose(balance.Demand{Parts: []balance.Part{{ID: s.random.Uint64(), Tokens: promptTokens}}}, nil, s.clock.Now(), s.random)
+		choice, found := sender.pool.Choose(balance.Demand{Parts: []balance.Part{{ID: s.random.Uint64(), Tokens: promptTokens}}}, nil, s.clock.Now(), s.random)
 		if !found {
 			return
 		}
-		by.waiting = by.waiting[1:]
+		sender.waiting = sender.waiting[1:]
 		first.choice, first.sent = choice, s.clock.Now()
 		chosen := s.servers[choice.ID]
 		chosen.waiting = append(chosen.waiting, first)
-		if !chosen.stepped {
+		if !chosen.active {
 			s.step(chosen)
 		}
 	}
 }
 
-// step runs one step of a server, and the next ones while it has work.
+// step runs one step of a server and schedules the next one while the server has work.
 func (s *site) step(each *server) {
 	reads := 0
 	for len(each.waiting) > 0 && len(each.running) < slots {
@@ -236,44 +236,44 @@
 		each.waiting = each.waiting[1:]
 		reads += promptTokens
 	}
-	each.stepped = len(each.running) > 0
-	if !each.stepped {
+	each.active = len(each.running) > 0
+	if !each.active {
 		return
 	}
 	took := stepBase + time.Duration(len(each.running))*stepEach + time.Duration(float64(reads)/tokensPerMilli*float64(time.Millisecond))
 	s.clock.After(time.Duration(float64(took)*each.pace()), func() {
-		each.running = slices.DeleteFunc(each.running, func(r *request) bool { return s.made(each, r) })
+		each.running = slices.DeleteFunc(each.running, func(r *request) bool { return s.recordEvent(each, r) })
 		s.step(each)
 	})
 }
 
-// made takes an event of a request, and tells whether it was the last one.
-func (s *site) made(each *server, r *request) bool {
-	pool, zone := r.by.pool, s.byZone[r.by.zone]
+// recordEvent records an event of a request and reports whether it was the last one.
+func (s *site) recordEvent(each *server, r *request) bool {
+	pool, zone := r.sender.pool, s.byZone[r.sender.zone]
 	r.steps++
-	if r.steps%max(1, each.slowFor[r.by.zone]) != 0 {
+	if r.steps%max(1, each.stepsPerEvent[r.sender.zone]) != 0 {
 		return false
 	}
-	r.made++
-	if r.made == 1 {
-		r.began, r.told = s.clock.Now(), each.told()
-		pool.RecordReport(r.choice.ID, balance.LoadReport{Running: len(each.running), Waiting: len(each.waiting), Slots: slots, Pace: r.told}, s.clock.Now())
+	r.produced++
+	if r.produced == 1 {
+		r.began, r.reportedPace = s.clock.Now(), each.reportedPace()
+		pool.RecordReport(r.choice.ID, balance.LoadReport{Running: len(each.running), Waiting: len(each.waiting), Slots: slots, Pace: r.reportedPace}, s.clock.Now())
 		pool.RecordFirstEvent(r.choice, true, s.clock.Now())
 		s.first = append(s.first, s.clock.Now()-r.arrived)
 		zone.first = append(zone.first, s.clock.Now()-r.arrived)
 	}
-	if r.made < events {
+	if r.produced < events {
 		return false
 	}
-	pool.RecordRun(r.choice, r.made, s.clock.Now()-r.began, r.told, s.clock.Now())
+	pool.RecordRun(r.choice, r.produced, s.clock.Now()-r.began, r.reportedPace, s.clock.Now())
 	pool.RecordOutcome(r.choice, health.Success, r.began-r.sent, s.clock.Now(), s.random)
 	s.whole = append(s.whole, s.clock.Now()-r.arrived)
 	zone.whole = append(zone.whole, s.clock.Now()-r.arrived)
-	s.clock.After(0, func() { s.serve(r.by) })
+	s.clock.After(0, func() { s.serve(r.sender) })
 	return true
 }
 
-// run plays until the end.
+// run runs the simulation until the given time.
 func (s *site) run(until time.Duration) {
 	for {
 		next, some := s.clock.Next(until)
@@ -284,34 +284,34 @@
 	}
 }
 
-// capacity is how many requests a second the servers run when all their slots are taken.
+// capacity returns how many requests per second the servers complete when all slots are in use.
 func (s *site) capacity() float64 {
 	total := 0.0
 	full := (stepBase+slots*stepEach).Seconds()*events + slots*promptTokens/tokensPerMilli/1000
 	for _, each := range s.servers {
-		total += slots / (full * each.speed * each.slowed * (1 + busyPart*(busyFactor-1)))
+		total += slots / (full * each.speed * each.slowed * (1 + busyFraction*(busyFactor-1)))
 	}
 	return total
 }
 
-// result is what the requests of a site met.
+// result summarizes outcomes.
 type result struct {
 	first, first99, whole time.Duration
-	// late is the part of the requests whose first event came after the goal or never.
+	// late is the fraction of requests whose first event came after the goal or never.
 	late float64
 }
 
-func (m *met) result() result {
-	late := m.refused
-	for _, each := range m.first {
-		if each > goal {
+func (o *outcomes) result() result {
+	late := o.refused
+	for _, each := range o.first {
+		if each > firstEventGoal {
 			late++
 		}
 	}
-	slices.Sort(m.first)
+	slices.Sort(o.first)
 	return result{
-		first: mean(m.first), first99: m.first[len(m.first)*99/100], whole: mean(m.whole),
-		late: float64(late) / float64(len(m.first)+m.refused),
+		first: mean(o.first), first99: o.first[len(o.first)*99/100], whole: mean(o.whole),
+		late: float64(late) / float64(len(o.first)+o.refused),
 	}
 }
 
--- a/internal/balance/pace/usual.go
+++ b/internal/balance/pace/usual.go
@@ -1,45 +1,44 @@
 package pace
 
 const (
-	// usualWeight is the weight of one run in the running means, and firstRuns how many
-	// count alike before.
-	usualWeight = 0.02
-	firstRuns   = 1 / usualWeight
-	// mostSurprise bounds a run as a multiple of what was expected, so that a few servers
-	// that are many times slower do not become what is usual.
-	mostSurprise = 3.0
-	// leastSpread is the variance of how many ran beside that tells how much each of them
-	// costs.
-	leastSpread = 0.5
+	// meanWeight is the weight of one run in the running means. The first unweightedRuns runs have
+	// equal weights.
+	meanWeight     = 0.02
+	unweightedRuns = 1 / meanWeight
+	// maximumDeviation bounds the interval of a run to a multiple of the expected one, so that a
+	// few very slow servers do not shift the expectation.
+	maximumDeviation = 3.0
+	// minimumVariance is the variance of the concurrency above which the slope is estimated.
+	minimumVariance = 0.5
 )
 
-// usual learns how long an event takes by how many requests run beside: a line through the
-// weighted means. The zero value knows nothing.
-type usual struct {
+// intervalModel estimates the event interval as a linear function of the concurrency, by least
+// squares over weighted means. The zero value has no data.
+type intervalModel struct {
 	runs float64
-	// Means of how many ran, of the time of an event, and of their products.
-	meanBeside, meanEvent, squares, products float64
+	// Means of the concurrency, the interval, the square of the concurrency, and their product.
+	meanConcurrency, meanInterval, meanSquare, meanProduct float64
 }
 
-// event is how long an event is expected to take beside so many, zero while nothing is known.
-func (u *usual) event(beside int) float64 {
-	spread := u.squares - u.meanBeside*u.meanBeside
-	if spread < leastSpread {
-		return u.meanEvent
+// predict returns the expected event interval at a concurrency, or zero without data.
+func (m *intervalModel) predict(concurrency int) float64 {
+	variance := m.meanSquare - m.meanConcurrency*m.meanConcurrency
+	if variance < minimumVariance {
+		return m.meanInterval
 	}
-	slope := max(0, (u.products-u.meanBeside*u.meanEvent)/spread)
-	return max(u.meanEvent+slope*(float64(beside)-u.meanBeside), u.meanEvent/mostSurprise)
+	slope := max(0, (m.meanProduct-m.meanConcurrency*m.meanInterval)/variance)
+	return max(m.meanInterval+slope*(float64(concurrency)-m.meanConcurrency), m.meanInterval/maximumDeviation)
 }
 
-// add takes how long an event of a run took.
-func (u *usual) add(beside int, event float64) {
-	if expected := u.event(beside); expected > 0 {
-		event = min(event, mostSurprise*expected)
+// add records the event interval of a run.
+func (m *intervalModel) add(concurrency int, interval float64) {
+	if expected := m.predict(concurrency); expected > 0 {
+		interval = min(interval, maximumDeviation*expected)
 	}
-	u.runs = min(u.runs+1, firstRuns)
-	weight, ran := 1/u.runs, float64(beside)
-	u.meanBeside += weight * (ran - u.meanBeside)
-	u.meanEvent += weight * (event - u.meanEvent)
-	u.squares += weight * (ran*ran - u.squares)
-	u.products += weight * (ran*event - u.products)
+	m.runs = min(m.runs+1, unweightedRuns)
+	weight, requests := 1/m.runs, float64(concurrency)
+	m.meanConcurrency += weight * (requests - m.meanConcurrency)
+	m.meanInterval += weight * (interval - m.meanInterval)
+	m.meanSquare += weight * (requests*requests - m.meanSquare)
+	m.meanProduct += weight * (requests*interval - m.meanProduct)
 }
--- a/internal/balance/pace/window.go
+++ b/internal/balance/pace/window.go
@@ -3,45 +3,45 @@
 import "time"
 
 const (
-	// windowSteps and windowStep bound the window of runs: on the largest sites a server has
-	// some five runs a second of all processes together, so that some twenty give its speed
-	// to a tenth, while a server that turns slow shows within two seconds.
-	windowSteps = 4
-	windowStep  = time.Second
+	// On the largest sites a server has about five runs per second over all processes. About twenty
+	// runs determine its pace to within a tenth, and a server that becomes slow is noticed within
+	// two seconds.
+	windowBuckets  = 4
+	bucketDuration = time.Second
 )
 
-// window sums up what was seen within the last seconds, step by step.
+// window sums up the values of the last seconds in buckets of fixed duration.
 type window struct {
-	sums   [windowSteps]int
-	voices [windowSteps]int
-	// step is the newest one.
-	step int64
+	sums   [windowBuckets]int
+	counts [windowBuckets]int
+	// bucket is the number of the newest bucket.
+	bucket int64
 }
 
-// turn empties the steps that are over.
-func (w *window) turn(now time.Duration) {
-	step := int64(now / windowStep)
-	for range min(step-w.step, windowSteps) {
-		w.step++
-		place := w.step % windowSteps
-		w.sums[place], w.voices[place] = 0, 0
+// advance clears the buckets that have expired.
+func (w *window) advance(now time.Duration) {
+	bucket := int64(now / bucketDuration)
+	for range min(bucket-w.bucket, windowBuckets) {
+		w.bucket++
+		place := w.bucket % windowBuckets
+		w.sums[place], w.counts[place] = 0, 0
 	}
-	w.step = max(w.step, step)
+	w.bucket = max(w.bucket, bucket)
 }
 
 func (w *window) add(value int, now time.Duration) {
-	w.turn(now)
-	place := w.step % windowSteps
+	w.advance(now)
+	place := w.bucket % windowBuckets
 	w.sums[place] += value
-	w.voices[place]++
+	w.counts[place]++
 }
 
-// total is the sum of the window and how many values it holds.
-func (w *window) total(now time.Duration) (sum, voices int) {
-	w.turn(now)
+// total returns the sum and the number of the values in the window.
+func (w *window) total(now time.Duration) (sum, count int) {
+	w.advance(now)
 	for place := range w.sums {
 		sum += w.sums[place]
-		voices += w.voices[place]
+		count += w.counts[place]
 	}
-	return sum, voices
+	return sum, count
 }
