--- a/internal/sharing/allowance.go
+++ b/internal/sharing/allowance.go
@@ -1,50 +1,46 @@
-// Package sharing decides how batch work uses what online leaves. At fleet
-// level it turns shares, use and demand of the groups into allowances of the
-// batch capacity; at gateway level it gives every server a budget of batch items
-// and batch tokens per step, says when batch must yield, and picks the tenant
-// and job that run next. It is pure: time is an argument.
+// Package sharing divides capacity between online and batch work. For the fleet it turns the
+// shares, the usage and the demand of groups into allowances of the batch capacity. For a gateway
+// it computes the budget of batch items and batch tokens per step of each server, the number of
+// batch items to pause, and the tenant and job that run next.
 package sharing
 
 import "time"
 
-// GroupUse is what one group did over the last period.
+// GroupUse is the usage and the demand of one group over the last period.
 type GroupUse struct {
-	// Group is the group's name.
 	Group string
-	// Share is its relative weight, above zero.
+	// Share is the relative weight of the group; it is positive.
 	Share float64
-	// OnlineCost and BatchCost are the service received in the period, in cost
-	// units (see Cost).
+	// OnlineCost and BatchCost are the service received in the period, in cost units (see Cost).
 	OnlineCost float64
 	BatchCost  float64
-	// Demand is the cost of the group's batch work that waits or runs now.
+	// Demand is the cost of the group's waiting and running batch work.
 	Demand float64
 }
 
-// GroupAllowance is what a group may use of the batch capacity now.
+// GroupAllowance is the fraction of the batch capacity that a group may use.
 type GroupAllowance struct {
 	Group string
-	// BatchFraction is between 0 and 1. The parts of all groups sum to one unless
-	// there is no group. A group without work keeps its part, so that it gets it
-	// at once when it comes back; the picker lends it to the others meanwhile.
+	// BatchFraction is between 0 and 1. The fractions of all groups sum to one. A group without
+	// work keeps its fraction, so that it can use it at once when it has work again; the picker
+	// lends it to the other groups meanwhile.
 	BatchFraction float64
 }
 
-// AccountPolicy holds the constants of the accounting.
+// AccountPolicy holds the parameters of the accounting.
 type AccountPolicy struct {
-	// Horizon is over how long a shortfall is made good.
+	// Horizon is the time over which a shortfall is compensated.
 	Horizon time.Duration
 	// ShortfallHalfLife is the half-life of a shortfall.
 	ShortfallHalfLife time.Duration
-	// MaximumBoost bounds the part of the capacity that goes to making
-	// shortfalls good.
+	// MaximumBoost bounds the fraction of the capacity that compensates shortfalls.
 	MaximumBoost float64
-	// MinimumFraction is the part that every group keeps even without demand, so that
-	// its first items start before the next exchange.
+	// MinimumFraction is the fraction that each group keeps even without demand, so that its first
+	// items can start before the next exchange.
 	MinimumFraction float64
 }
 
-// DefaultAccountPolicy is what control uses.
+// DefaultAccountPolicy is the policy of control machines.
 var DefaultAccountPolicy = AccountPolicy{
 	Horizon:           2 * time.Second,
 	ShortfallHalfLife: 10 * time.Second,
@@ -52,29 +48,28 @@
 	MinimumFraction:   0.01,
 }
 
-// Account keeps what each group is owed. Only groups with demand are owed
-// anything, and having used more than one's share is never held against a
-// group: the balance does not go below zero.
+// Account keeps the shortfall of each group: the service that it was entitled to and did not
+// receive. Only groups with demand have a shortfall. It is never negative, so that a group which
+// used more than its share is not penalized later.
 type Account struct {
 	policy AccountPolicy
 	groups map[string]*groupBalance
 	rate   float64
 }
 
-// groupBalance is the state of one group.
 type groupBalance struct {
 	// owed is the shortfall in cost units.
 	owed float64
-	// entitled is the part of the whole service owed in the last period.
+	// entitled is the service that the group was entitled to in the last period.
 	entitled float64
 }
 
-// NewAccount returns an account in which nobody is owed anything.
+// NewAccount returns an account without shortfalls.
 func NewAccount(policy AccountPolicy) *Account {
 	return &Account{policy: policy, groups: make(map[string]*groupBalance)}
 }
 
-// Shortfall returns the cost units that a group is owed.
+// Shortfall returns the shortfall of a group in cost units.
 func (a *Account) Shortfall(group string) float64 {
 	balance, known := a.groups[group]
 	if !known {
@@ -83,23 +78,21 @@
 	return balance.owed
 }
 
-// Allowances takes the use of all groups over a period and returns what each may
-// use of the batch capacity until the next call. Groups that are missing from
-// uses are forgotten. Output order is that of uses.
+// Allowances records the usage of all groups over a period and returns their allowances until the
+// next call, in the order of uses. Groups that are missing from uses are forgotten.
 func (a *Account) Allowances(uses []GroupUse, period time.Duration) []GroupAllowance {
 	claims := a.settle(uses, period)
-	parts := partsOf(claims)
-	a.boost(uses, parts)
-	a.reserve(parts)
+	fractions := fractionsByWeight(claims)
+	a.boost(uses, fractions)
+	a.applyMinimum(fractions)
 	allowances := make([]GroupAllowance, len(uses))
 	for index, use := range uses {
-		allowances[index] = GroupAllowance{Group: use.Group, BatchFraction: parts[index]}
+		allowances[index] = GroupAllowance{Group: use.Group, BatchFraction: fractions[index]}
 	}
 	return allowances
 }
 
-// settle books the period and returns each group's claim on the batch capacity
-// of the next one.
+// settle records the period and returns each group's claim on the batch capacity of the next one.
 func (a *Account) settle(uses []GroupUse, period time.Duration) []claim {
 	total := 0.0
 	shares := 0.0
@@ -132,19 +125,19 @@
 	return claims
 }
 
-// entitlements splits the service of the period by share among the groups that
-// wanted any, none getting more than it received and still wanted.
+// entitlements divides the service of the period by share among the groups. A group is entitled to
+// no more than what it received and still demands.
 func entitlements(uses []GroupUse, total, shares float64) []float64 {
 	claims := make([]claim, len(uses))
 	for index, use := range uses {
 		claims[index] = claim{weight: use.Share / max(shares, 1e-12), demand: use.OnlineCost + use.BatchCost + use.Demand}
 	}
-	return fillAmounts(claims, total)
+	return maxMinShares(claims, total)
 }
 
 func (b *groupBalance) settle(use GroupUse, period time.Duration, policy AccountPolicy) {
 	if policy.ShortfallHalfLife > 0 {
-		b.owed *= halved(period, policy.ShortfallHalfLife)
+		b.owed *= decayFactor(period, policy.ShortfallHalfLife)
 	}
 	b.owed += b.entitled - use.OnlineCost - use.BatchCost
 	b.owed = max(0, b.owed)
@@ -153,8 +146,8 @@
 	}
 }
 
-// boost moves a bounded part of the capacity to groups with a shortfall.
-func (a *Account) boost(uses []GroupUse, parts []float64) {
+// boost shifts a bounded fraction of the capacity to groups with a shortfall.
+func (a *Account) boost(uses []GroupUse, fractions []float64) {
 	owed := 0.0
 	for _, use := range uses {
 		owed += a.Shortfall(use.Group)
@@ -165,18 +158,18 @@
 	}
 	moved := min(a.policy.MaximumBoost, owed/capacity)
 	for index, use := range uses {
-		parts[index] = parts[index]*(1-moved) + moved*a.Shortfall(use.Group)/owed
+		fractions[index] = fractions[index]*(1-moved) + moved*a.Shortfall(use.Group)/owed
 	}
 }
 
-// reserve keeps a small part for each group and makes the parts sum to one.
-func (a *Account) reserve(parts []float64) {
+// applyMinimum raises each fraction to the minimum and normalizes them.
+func (a *Account) applyMinimum(fractions []float64) {
 	sum := 0.0
-	for index := range parts {
-		parts[index] = max(parts[index], a.policy.MinimumFraction)
-		sum += parts[index]
+	for index := range fractions {
+		fractions[index] = max(fractions[index], a.policy.MinimumFraction)
+		sum += fractions[index]
 	}
-	for index := range parts {
-		parts[index] /= sum
+	for index := range fractions {
+		fractions[index] /= sum
 	}
 }
--- a/internal/sharing/budget.go
+++ b/internal/sharing/budget.go
@@ -2,10 +2,9 @@
 
 import "time"
 
-// Objective is what a group weighs more heavily.
+// Objective is what the budget policy favours.
 type Objective uint8
 
-// The objectives.
 const (
 	// Throughput favours batch throughput.
 	Throughput Objective = iota
@@ -13,7 +12,6 @@
 	Latency
 )
 
-// String returns the name of the objective.
 func (o Objective) String() string {
 	if o == Latency {
 		return "latency"
@@ -21,62 +19,58 @@
 	return "throughput"
 }
 
-// ServerState is what the gateway that feeds batch to a server knows of it. One
-// gateway of the zone feeds a server, so that its count of batch items is exact.
+// ServerState is the state of a server as known to the gateway that sends it batch items. Only one
+// gateway of the zone does so, and its count of batch items is exact.
 type ServerState struct {
-	// Online counts the online requests on the server: reported ones corrected
-	// by what this gateway sent and saw ending since.
+	// Online counts the online requests on the server: the reported ones, corrected by those that
+	// this gateway sent or saw end since the report.
 	Online float64
-	// Tracker follows the online requests that this gateway knows of; nil where it
-	// knows of none.
+	// Tracker tracks the online requests that this gateway knows of; nil if there are none.
 	Tracker *OnlineTracker
-	// Target is the tail of online latency to keep.
+	// Target is the online latency to keep.
 	Target Target
-	// BatchRunning counts batch items in flight on the server.
+	// BatchRunning counts the batch items in flight on the server.
 	BatchRunning int
-	// KVUsed is the part of KV memory in use, between 0 and 1.
+	// KVUsed is the fraction of the KV cache in use, between 0 and 1.
 	KVUsed float64
-	// ReportAge is how old the newest report is.
+	// ReportAge is the age of the newest report.
 	ReportAge time.Duration
 }
 
-// BudgetPolicy turns a server's state into a budget.
+// BudgetPolicy holds the parameters of the budget of a server.
 type BudgetPolicy struct {
-	// StepBase, PerSequence and PerPromptToken model a step, as in routing.
+	// StepBase, PerSequence and PerPromptToken model the duration of a step, as in routing.
 	StepBase       time.Duration
 	PerSequence    time.Duration
 	PerPromptToken time.Duration
-	// PerItem is what one batch item adds to a step on average, the prefill of
-	// its successors included.
+	// PerItem is how much one batch item adds to a step on average, including the prefill of the
+	// items that follow it.
 	PerItem time.Duration
-	// PromptChunk is the largest number of prompt tokens in a step.
+	// PromptChunk is the maximum number of prompt tokens in a step.
 	PromptChunk int
-	// PromptWeight is the part of the prompts of the next step that counts
-	// against the target for a token; what does not count is made good later.
+	// PromptWeight is the fraction of the prompts of the next step that counts against the target
+	// per token. The rest is compensated in later steps.
 	PromptWeight float64
-	// PromptForecast is how much of the recent load of prompts is expected to go
-	// on.
+	// PromptForecast is the factor by which the recent prompt load is extrapolated.
 	PromptForecast float64
-	// CatchUpSteps is over how many steps answers that lag behind catch up.
+	// CatchUpSteps is the number of steps in which lagging answers catch up.
 	CatchUpSteps int
-	// FirstTokenFraction and PerTokenPart are the parts of the target that batch may
-	// fill.
+	// FirstTokenFraction and PerTokenFraction are the fractions of the targets that steps with
+	// batch may use.
 	FirstTokenFraction float64
 	PerTokenFraction   float64
-	// MaximumItems bounds batch items on a server.
+	// MaximumItems bounds the batch items on a server.
 	MaximumItems int
-	// TokensPerStep bounds batch tokens, prompts included, in a step that also
-	// holds online requests.
+	// TokensPerStep bounds the batch tokens, including prompts, in a step with online requests.
 	TokensPerStep int
-	// KVLimit is the part of KV memory above which no more batch is started,
-	// and KVYield the part above which batch yields.
+	// KVLimit is the used fraction of the KV cache above which no more batch items are started, and
+	// KVPauseLimit the one above which batch items are paused.
 	KVLimit      float64
 	KVPauseLimit float64
-	// StaleAfter is the age of a report from which only a small budget is given.
+	// StaleAfter is the age of a report above which the server gets a minimal budget.
 	StaleAfter time.Duration
 }
 
-// DefaultBudgetPolicy returns the policy of an objective.
 func DefaultBudgetPolicy(objective Objective) BudgetPolicy {
 	policy := BudgetPolicy{
 		StepBase:           12 * time.Millisecond,
@@ -101,26 +95,26 @@
 	return policy
 }
 
-// Budget is what batch may use of one server now.
+// Budget is what batch may use of one server.
 type Budget struct {
-	// Items is the number of batch items that may run at a time.
+	// Items is the maximum number of concurrent batch items.
 	Items int
-	// TokensPerStep goes into X-Batch-Token-Budget: the largest number of batch
-	// tokens in a step that also holds online requests.
+	// TokensPerStep is sent in X-Batch-Token-Budget: the maximum number of batch tokens in a step
+	// with online requests.
 	TokensPerStep int
 }
 
-// maximumPromptPart keeps the model of a step finite on an overloaded server.
-const maximumPromptPart = 0.9
+// maximumPromptFraction keeps the step model finite on an overloaded server.
+const maximumPromptFraction = 0.9
 
-// staleItems is the budget of a server whose report is too old to trust.
+// staleItems is the budget of a server whose report is stale.
 const staleItems = 1
 
-// BatchBudget returns what batch may use of a server now.
+// BatchBudget returns the current batch budget of a server.
 func BatchBudget(state ServerState, policy BudgetPolicy, now time.Duration) Budget {
 	if policy.StaleAfter > 0 && state.ReportAge > policy.StaleAfter {
-		// The bound on tokens goes with the item and holds for all batch on the
-		// engine until it ends: it must not be the bound of this moment.
+		// The token bound is sent with an item and applies to all batch on the engine until the
+		// item ends, so it must not be reduced here.
 		return Budget{Items: staleItems, TokensPerStep: policy.TokensPerStep}
 	}
 	items := min(policy.spareItems(state, now), policy.MaximumItems-int(state.Online))
@@ -130,38 +124,38 @@
 	return Budget{Items: max(0, items), TokensPerStep: policy.TokensPerStep}
 }
 
-// spareItems is how many batch items fit into a step beside the online requests
-// so that none of them misses the target on account of batch.
+// spareItems returns how many batch items fit into a step beside the online requests without making
+// one of them miss its target.
 func (p BudgetPolicy) spareItems(state ServerState, now time.Duration) int {
 	if state.Online < 1 && (state.Tracker == nil || state.Tracker.Prompts() == 0) {
 		return p.MaximumItems
 	}
 	decoding := state.Online
 	chunk := 0
-	debt := time.Duration(0)
+	lag := time.Duration(0)
 	if state.Tracker != nil {
 		waiting := state.Tracker.Prompts()
 		decoding = max(float64(state.Tracker.Decoding()), state.Online-float64(waiting))
 		chunk = min(p.PromptChunk, state.Tracker.PromptTokens())
-		debt = state.Tracker.MaximumLag()
+		lag = state.Tracker.MaximumLag()
 	}
 	online := p.StepBase + time.Duration(decoding*float64(p.PerSequence))
-	withPrompts := online + scaled(time.Duration(chunk)*p.PerPromptToken, p.PromptWeight)
-	limit := scaled(state.Target.PerToken, p.PerTokenFraction) - debt/time.Duration(max(1, p.CatchUpSteps))
+	withPrompts := online + scale(time.Duration(chunk)*p.PerPromptToken, p.PromptWeight)
+	limit := scale(state.Target.PerToken, p.PerTokenFraction) - lag/time.Duration(max(1, p.CatchUpSteps))
 	spare := limit - withPrompts
 	if state.Tracker != nil {
 		full := online + time.Duration(p.PromptChunk)*p.PerPromptToken
-		part := min(maximumPromptPart, p.PromptForecast*state.Tracker.PromptLoad(p.PerPromptToken, now))
-		spare = min(spare, scaled(limit, 1-part)-online)
-		target := scaled(state.Target.FirstToken, p.FirstTokenFraction)
-		if forPrompts, some := state.Tracker.LongestStepForPrompts(target, p.PromptChunk, full, now); some {
-			spare = min(spare, forPrompts-full)
+		promptFraction := min(maximumPromptFraction, p.PromptForecast*state.Tracker.PromptLoad(p.PerPromptToken, now))
+		spare = min(spare, scale(limit, 1-promptFraction)-online)
+		target := scale(state.Target.FirstToken, p.FirstTokenFraction)
+		if stepLimit, found := state.Tracker.LongestStepForPrompts(target, p.PromptChunk, full, now); found {
+			spare = min(spare, stepLimit-full)
 		}
 	}
 	return max(0, int(spare/max(1, p.PerItem)))
 }
 
-func scaled(value time.Duration, factor float64) time.Duration {
+func scale(value time.Duration, factor float64) time.Duration {
 	return time.Duration(float64(value) * factor)
 }
 
--- a/internal/sharing/export_test.go
+++ b/internal/sharing/export_test.go
@@ -1,11 +1,10 @@
 package sharing
 
-// Its figures that the tests use.
 const (
-	ShortAnswer  = shortAnswer
-	StaleItems   = staleItems
-	TailEvery    = tailEvery
-	TailMinimum  = tailMinimum
-	TailQuantile = tailQuantile
-	TailSamples  = tailSamples
+	MinimumTokens      = minimumTokens
+	StaleItems         = staleItems
+	TailUpdateInterval = tailUpdateInterval
+	TailMinimumSamples = tailMinimumSamples
+	TailQuantile       = tailQuantile
+	TailSamples        = tailSamples
 )
--- a/internal/sharing/fill.go
+++ b/internal/sharing/fill.go
@@ -11,67 +11,67 @@
 	demand float64
 }
 
-// fillAmounts splits amount by weight so that nobody gets more than its demand
-// while another's demand is unmet: weighted max-min fairness.
-func fillAmounts(claims []claim, amount float64) []float64 {
-	got := make([]float64, len(claims))
-	full := make([]bool, len(claims))
-	left := amount
+// maxMinShares divides amount by weight with weighted max-min fairness: no claim gets more than its
+// demand while another one's demand is not met.
+func maxMinShares(claims []claim, amount float64) []float64 {
+	amounts := make([]float64, len(claims))
+	satisfied := make([]bool, len(claims))
+	remaining := amount
 	for {
-		weights := openWeight(claims, full)
-		if weights <= 0 || left <= 0 {
-			return got
+		weights := unsatisfiedWeight(claims, satisfied)
+		if weights <= 0 || remaining <= 0 {
+			return amounts
 		}
-		level := left / weights
-		filled := false
+		level := remaining / weights
+		progressed := false
 		for index, claim := range claims {
-			if full[index] || claim.demand > claim.weight*level {
+			if satisfied[index] || claim.demand > claim.weight*level {
 				continue
 			}
-			full[index] = true
-			filled = true
-			got[index] = claim.demand
-			left -= claim.demand
+			satisfied[index] = true
+			progressed = true
+			amounts[index] = claim.demand
+			remaining -= claim.demand
 		}
-		if filled {
+		if progressed {
 			continue
 		}
 		for index, claim := range claims {
-			if !full[index] {
-				got[index] = claim.weight * level
+			if !satisfied[index] {
+				amounts[index] = claim.weight * level
 			}
 		}
-		return got
+		return amounts
 	}
 }
 
-func openWeight(claims []claim, full []bool) float64 {
+func unsatisfiedWeight(claims []claim, satisfied []bool) float64 {
 	sum := 0.0
 	for index, claim := range claims {
-		if !full[index] {
+		if !satisfied[index] {
 			sum += claim.weight
 		}
 	}
 	return sum
 }
 
-// partsOf returns parts that sum to one, by weight.
-func partsOf(claims []claim) []float64 {
-	parts := make([]float64, len(claims))
-	all := 0.0
+// fractionsByWeight returns fractions that are proportional to the weights and sum to one.
+func fractionsByWeight(claims []claim) []float64 {
+	fractions := make([]float64, len(claims))
+	total := 0.0
 	for _, claim := range claims {
-		all += claim.weight
+		total += claim.weight
 	}
 	for index, claim := range claims {
-		parts[index] = 1 / float64(len(claims))
-		if all > 0 {
-			parts[index] = claim.weight / all
+		fractions[index] = 1 / float64(len(claims))
+		if total > 0 {
+			fractions[index] = claim.weight / total
 		}
 	}
-	return parts
+	return fractions
 }
 
-// halved is the factor of a decay with a half-life over a period.
-func halved(period, halfLife time.Duration) float64 {
+// decayFactor returns the factor of an exponential decay with a half-life over a period.
+func decayFactor(period, halfLife time.Duration) float64 {
 	return math.Exp2(-float64(period) / float64(halfLife))
 }
--- a/internal/sharing/pace.go
+++ b/internal/sharing/pace.go
@@ -6,54 +6,52 @@
 	"time"
 )
 
-// Target is the tail of online latency that batch may not lengthen.
+// Target is the online tail latency that batch must not exceed.
 type Target struct {
 	// FirstToken is the time to the first token.
 	FirstToken time.Duration
-	// PerToken is the mean time of a token after the first.
+	// PerToken is the mean time per token after the first.
 	PerToken time.Duration
 }
 
-// DefaultTarget is the target before anything was measured.
+// DefaultTarget is the target without measurements.
 var DefaultTarget = Target{FirstToken: 500 * time.Millisecond, PerToken: 25 * time.Millisecond}
 
-// OnlineTracker follows the online requests on one server: the prompts that wait to be
-// processed, and how far answers lag behind the target for a token. The zero
-// value follows none. One goroutine owns it.
+// OnlineTracker tracks the online requests on one server: the prompts that wait to be processed,
+// and how far answers lag behind the target per token. The zero value is ready to use. It is not
+// safe for concurrent use.
 type OnlineTracker struct {
 	// prompts are the requests without a first token, oldest first.
 	prompts []waitingPrompt
 	// decoding are the requests with a first token, oldest first.
-	decoding []decodingAnswer
-	// clock is the time that the steps would have taken without batch.
-	clock aloneClock
-	// leader is the request whose tokens measure the steps; lastToken is when
-	// the newest one came.
-	leader    uint64
+	decoding []decodingRequest
+	// clock measures the steps with and without batch.
+	clock batchFreeClock
+	// sampled is the request whose tokens measure the steps, and lastToken the time of its newest
+	// token.
+	sampled   uint64
 	lastToken time.Duration
-	measuring bool
-	// debt is the largest time by which any answer that ends now would lag
-	// behind the target.
-	debt time.Duration
-	// promptLoad is the sum of prompt tokens sent, decaying with time.
-	promptLoad decaying
-	// progressAt is when the processing of the oldest prompt began.
-	progressAt time.Duration
+	sampling  bool
+	// maximumLag is the longest time by which an answer that ends now could lag behind the target.
+	maximumLag time.Duration
+	// promptLoad is the decaying sum of the prompt tokens sent.
+	promptLoad decayingSum
+	// promptStartedAt is when the processing of the oldest prompt began.
+	promptStartedAt time.Duration
 }
 
-// aloneClock adds up the leader's tokens, the time that they took, and the part
+// batchFreeClock sums up the tokens of the sampled requests, the time that they took, and the part
 // of it that batch did not take.
-type aloneClock struct {
-	tokens int
-	whole  time.Duration
-	online time.Duration
+type batchFreeClock struct {
+	tokens       int
+	elapsed      time.Duration
+	withoutBatch time.Duration
 }
 
-// decodingAnswer is an answer past its first token; begin is the clock at that
-// token.
-type decodingAnswer struct {
+// decodingRequest is a request past its first token; begin is the clock at that token.
+type decodingRequest struct {
 	id    uint64
-	begin aloneClock
+	begin batchFreeClock
 }
 
 // waitingPrompt is a request without a first token.
@@ -63,172 +61,170 @@
 	sentAt time.Duration
 }
 
-// RecordSent records a request that is dispatched now, with the prompt tokens that the
-// server probably does not cache.
-func (p *OnlineTracker) RecordSent(id uint64, promptTokens int, now time.Duration) {
-	if len(p.prompts) == 0 {
-		p.progressAt = now
+// RecordSent records a request that is sent now, with the number of prompt tokens that the server
+// probably has not cached.
+func (t *OnlineTracker) RecordSent(id uint64, promptTokens int, now time.Duration) {
+	if len(t.prompts) == 0 {
+		t.promptStartedAt = now
 	}
-	p.promptLoad.add(float64(promptTokens), now)
-	p.prompts = append(p.prompts, waitingPrompt{id: id, tokens: promptTokens, sentAt: now})
+	t.promptLoad.add(float64(promptTokens), now)
+	t.prompts = append(t.prompts, waitingPrompt{id: id, tokens: promptTokens, sentAt: now})
 }
 
-// RecordFirstToken records the first token of a request. measured tells whether its
-// later tokens will be recorded.
-func (p *OnlineTracker) RecordFirstToken(id uint64, measured bool, now time.Duration) {
-	p.drop(id, now)
+// RecordFirstToken records the first token of a request. measured is whether its later tokens will
+// be recorded.
+func (t *OnlineTracker) RecordFirstToken(id uint64, measured bool, now time.Duration) {
+	t.removePrompt(id, now)
 	if !measured {
 		return
 	}
-	p.decoding = append(p.decoding, decodingAnswer{id: id, begin: p.clock})
-	if !p.measuring {
-		p.follow(id, now)
+	t.decoding = append(t.decoding, decodingRequest{id: id, begin: t.clock})
+	if !t.sampling {
+		t.sample(id, now)
 	}
 }
 
-func (p *OnlineTracker) follow(id uint64, now time.Duration) {
-	p.leader, p.lastToken, p.measuring = id, now, true
+func (t *OnlineTracker) sample(id uint64, now time.Duration) {
+	t.sampled, t.lastToken, t.sampling = id, now, true
 }
 
-func (p *OnlineTracker) drop(id uint64, now time.Duration) {
-	index := slices.IndexFunc(p.prompts, func(prompt waitingPrompt) bool { return prompt.id == id })
+func (t *OnlineTracker) removePrompt(id uint64, now time.Duration) {
+	index := slices.IndexFunc(t.prompts, func(prompt waitingPrompt) bool { return prompt.id == id })
 	if index < 0 {
 		return
 	}
-	p.prompts = slices.Delete(p.prompts, index, index+1)
-	p.progressAt = now
+	t.prompts = slices.Delete(t.prompts, index, index+1)
+	t.promptStartedAt = now
 }
 
-// IsSampled tells whether the tokens of a request are wanted.
-func (p *OnlineTracker) IsSampled(id uint64) bool {
-	return p.measuring && p.leader == id
+// IsSampled reports whether the tokens of a request must be recorded.
+func (t *OnlineTracker) IsSampled(id uint64) bool {
+	return t.sampling && t.sampled == id
 }
 
-// SampledRequest is the request whose tokens are wanted; zero for none.
-func (p *OnlineTracker) SampledRequest() uint64 {
-	if !p.measuring {
+// SampledRequest returns the request whose tokens must be recorded; zero if none.
+func (t *OnlineTracker) SampledRequest() uint64 {
+	if !t.sampling {
 		return 0
 	}
-	return p.leader
+	return t.sampled
 }
 
-// RecordTokens records that the leader received tokens, while answers should take
-// perToken for each. batch is the part of a step that batch took meanwhile.
-func (p *OnlineTracker) RecordTokens(id uint64, tokens int, perToken, batch, now time.Duration) {
-	if !p.IsSampled(id) {
+// RecordTokens records tokens of the sampled request. perToken is the target time per token, and
+// batch the time of batch work in a step.
+func (t *OnlineTracker) RecordTokens(id uint64, tokens int, perToken, batch, now time.Duration) {
+	if !t.IsSampled(id) {
 		return
 	}
-	p.clock.tokens += tokens
-	p.clock.whole += now - p.lastToken
-	p.clock.online += max(0, now-p.lastToken-time.Duration(tokens)*batch)
-	p.debt = max(0, p.debt+now-p.lastToken-time.Duration(tokens)*perToken)
-	p.lastToken = now
-}
-
-// RecordEnd records the end of a request. It returns the mean time per token that
-// the answer would have had without batch, and false where it is not known.
-// stepBase is the length of an empty step.
-func (p *OnlineTracker) RecordEnd(id uint64, stepBase, now time.Duration) (time.Duration, bool) {
-	p.drop(id, now)
-	mean, known := p.aloneMean(id, stepBase)
-	p.decoding = slices.DeleteFunc(p.decoding, func(answer decodingAnswer) bool { return answer.id == id })
-	if !p.IsSampled(id) {
+	t.clock.tokens += tokens
+	t.clock.elapsed += now - t.lastToken
+	t.clock.withoutBatch += max(0, now-t.lastToken-time.Duration(tokens)*batch)
+	t.maximumLag = max(0, t.maximumLag+now-t.lastToken-time.Duration(tokens)*perToken)
+	t.lastToken = now
+}
+
+// RecordEnd records the end of a request. It returns the mean time per token that the answer would
+// have had without batch, or false if it is not known. stepBase is the duration of an empty step.
+func (t *OnlineTracker) RecordEnd(id uint64, stepBase, now time.Duration) (time.Duration, bool) {
+	t.removePrompt(id, now)
+	mean, known := t.meanWithoutBatch(id, stepBase)
+	t.decoding = slices.DeleteFunc(t.decoding, func(request decodingRequest) bool { return request.id == id })
+	if !t.IsSampled(id) {
 		return mean, known
 	}
-	p.measuring = false
-	if len(p.decoding) > 0 {
-		p.follow(p.decoding[0].id, now)
+	t.sampling = false
+	if len(t.decoding) > 0 {
+		t.sample(t.decoding[0].id, now)
 		return mean, known
 	}
-	p.debt = 0
+	t.maximumLag = 0
 	return mean, known
 }
 
-// shortAnswer is the number of tokens from which an answer's mean counts.
-const shortAnswer = 16
+// minimumTokens is the minimum number of tokens of an answer whose mean is used.
+const minimumTokens = 16
 
-// aloneMean is the mean time per token that an answer would have had without
-// batch. Longer steps hold more requests and prompts in proportion, so that the
-// part of online beyond an empty step would have been shorter as well.
-func (p *OnlineTracker) aloneMean(id uint64, stepBase time.Duration) (time.Duration, bool) {
-	for _, answer := range p.decoding {
-		tokens := p.clock.tokens - answer.begin.tokens
-		if answer.id != id || tokens < shortAnswer {
+// meanWithoutBatch returns the mean time per token that an answer would have had without batch.
+// Longer steps contain proportionally more online requests and prompts, so the online time beyond
+// an empty step would have been shorter, too.
+func (t *OnlineTracker) meanWithoutBatch(id uint64, stepBase time.Duration) (time.Duration, bool) {
+	for _, request := range t.decoding {
+		tokens := t.clock.tokens - request.begin.tokens
+		if request.id != id || tokens < minimumTokens {
 			continue
 		}
-		whole := float64(p.clock.whole-answer.begin.whole) / float64(tokens)
-		online := float64(p.clock.online-answer.begin.online) / float64(tokens)
-		load := max(0, online-float64(stepBase)) / whole
-		return time.Duration(min(whole, float64(stepBase)/(1-min(load, maximumPromptPart)))), true
+		elapsed := float64(t.clock.elapsed-request.begin.elapsed) / float64(tokens)
+		withoutBatch := float64(t.clock.withoutBatch-request.begin.withoutBatch) / float64(tokens)
+		load := max(0, withoutBatch-float64(stepBase)) / elapsed
+		return time.Duration(min(elapsed, float64(stepBase)/(1-min(load, maximumPromptFraction)))), true
 	}
 	return 0, false
 }
 
-// MaximumLag is the largest time by which an answer that ends now would lag behind
-// the target.
-func (p *OnlineTracker) MaximumLag() time.Duration {
-	return p.debt
+// MaximumLag returns the longest time by which an answer that ends now could lag behind the target.
+func (t *OnlineTracker) MaximumLag() time.Duration {
+	return t.maximumLag
 }
 
-// Decoding is the number of measured requests past their first token.
-func (p *OnlineTracker) Decoding() int {
-	return len(p.decoding)
+// Decoding returns the number of measured requests past their first token.
+func (t *OnlineTracker) Decoding() int {
+	return len(t.decoding)
 }
 
-// Prompts is the number of requests without a first token.
-func (p *OnlineTracker) Prompts() int {
-	return len(p.prompts)
+// Prompts returns the number of requests without a first token.
+func (t *OnlineTracker) Prompts() int {
+	return len(t.prompts)
 }
 
-// PromptLoad is the part of the server's time that prompts took lately; it
-// exceeds 1 where prompts arrive faster than they are processed.
-func (p *OnlineTracker) PromptLoad(perToken, now time.Duration) float64 {
-	return p.promptLoad.value(now) * float64(perToken) / float64(loadMemory)
+// PromptLoad returns the recent prompt load as a fraction of the server's time. It exceeds 1 if
+// prompts arrive faster than they are processed.
+func (t *OnlineTracker) PromptLoad(perToken, now time.Duration) float64 {
+	return t.promptLoad.value(now) * float64(perToken) / float64(loadTimeConstant)
 }
 
-// PromptTokens sums the prompts that wait to be processed.
-func (p *OnlineTracker) PromptTokens() int {
+// PromptTokens returns the total number of tokens of the waiting prompts.
+func (t *OnlineTracker) PromptTokens() int {
 	sum := 0
-	for _, prompt := range p.prompts {
+	for _, prompt := range t.prompts {
 		sum += prompt.tokens
 	}
 	return sum
 }
 
-// LongestStepForPrompts is the longest step with which every waiting request gets its
-// first token within the target, and false where none waits. It is short or
-// negative where a request is late already. chunk is the prompt tokens of a step
-// and step an estimate of a step's length.
-func (p *OnlineTracker) LongestStepForPrompts(target time.Duration, chunk int, step, now time.Duration) (time.Duration, bool) {
-	if len(p.prompts) == 0 {
+// LongestStepForPrompts returns the longest step duration with which all waiting requests get their
+// first token within the target, or false if none waits. The result may be negative if a request is
+// already late. chunk is the number of prompt tokens per step, and step an estimate of its
+// duration.
+func (t *OnlineTracker) LongestStepForPrompts(target time.Duration, chunk int, step, now time.Duration) (time.Duration, bool) {
+	if len(t.prompts) == 0 {
 		return 0, false
 	}
-	done := float64(now-p.progressAt) / float64(max(1, step)) * float64(chunk)
-	ahead := -min(done, float64(p.prompts[0].tokens))
-	least := time.Duration(1<<62 - 1)
-	for _, prompt := range p.prompts {
+	processed := float64(now-t.promptStartedAt) / float64(max(1, step)) * float64(chunk)
+	ahead := -min(processed, float64(t.prompts[0].tokens))
+	limit := time.Duration(1<<62 - 1)
+	for _, prompt := range t.prompts {
 		ahead += float64(prompt.tokens)
 		steps := 1 + ahead/float64(chunk)
-		left := target - (now - prompt.sentAt)
-		least = min(least, time.Duration(float64(left)/steps))
+		remaining := target - (now - prompt.sentAt)
+		limit = min(limit, time.Duration(float64(remaining)/steps))
 	}
-	return least, true
+	return limit, true
 }
 
-// loadMemory is the time constant of recent load.
-const loadMemory = 700 * time.Millisecond
+// loadTimeConstant is the time constant of the prompt load.
+const loadTimeConstant = 700 * time.Millisecond
 
-// decaying is a sum that decays exponentially with loadMemory.
-type decaying struct {
+// decayingSum is a sum that decays exponentially with loadTimeConstant.
+type decayingSum struct {
 	sum float64
 	at  time.Duration
 }
 
-func (d *decaying) add(amount float64, now time.Duration) {
+func (d *decayingSum) add(amount float64, now time.Duration) {
 	d.sum = d.value(now) + amount
 	d.at = now
 }
 
-func (d *decaying) value(now time.Duration) float64 {
-	return d.sum * math.Exp(-float64(now-d.at)/float64(loadMemory))
+func (d *decayingSum) value(now time.Duration) float64 {
+	return d.sum * math.Exp(-float64(now-d.at)/float64(loadTimeConstant))
 }
--- a/internal/sharing/pick.go
+++ b/internal/sharing/pick.go
@@ -2,94 +2,92 @@
 
 import "time"
 
-// Weights of the cost of a token. A generated token costs a step's place, a
-// prompt token only its part of the prefill.
+// Costs of a token. A generated token takes a sequence's slot in a step, a prompt token only a part
+// of the prefill.
 const (
 	promptTokenCost    = 1.0
 	generatedTokenCost = 4.0
 )
 
-// Cost is the service that a request receives, in cost units.
+// Cost returns the service that a request receives, in cost units.
 func Cost(promptTokens, cachedTokens, generatedTokens int) float64 {
 	processed := max(0, promptTokens-cachedTokens)
 	return promptTokenCost*float64(processed) + generatedTokenCost*float64(generatedTokens)
 }
 
-// Candidate is a job with items ready to run in this gateway.
+// Candidate is a job with items that are ready to run in this gateway.
 type Candidate struct {
-	// Group, Tenant and Job name the job's owners and the job.
+	// Group and Tenant own the job named Job.
 	Group  string
 	Tenant string
 	Job    string
-	// ClassWeight is the weight of the job's batch class; zero counts as 1.
+	// ClassWeight is the weight of the job's batch class; zero means 1.
 	ClassWeight float64
 	// Deadline is when the job must be complete.
 	Deadline time.Duration
-	// Remaining is the number of items not completed, over the whole fleet.
+	// Remaining is the number of items that are not completed, over the whole fleet.
 	Remaining int
-	// Rate is the items per second that the whole fleet completes of this job.
+	// Rate is how many items of the job the whole fleet completes per second.
 	Rate float64
 }
 
-// Picker chooses the job whose item runs next: groups by allowance, tenants
-// fair within a group, jobs by urgency within a tenant. One goroutine owns it.
+// Picker chooses the job whose item runs next: groups by allowance, tenants with equal weights
+// within a group, and jobs by urgency within a tenant. It is not safe for concurrent use.
 type Picker struct {
-	groups  queue
-	tenants map[string]*queue
-	parts   map[string]float64
+	groups    fairQueue
+	tenants   map[string]*fairQueue
+	fractions map[string]float64
 }
 
-// queue is start-time fair queueing among named flows.
-type queue struct {
-	virtual float64
-	finish  map[string]float64
+// fairQueue implements start-time fair queueing among named flows.
+type fairQueue struct {
+	virtualTime float64
+	finishTimes map[string]float64
 }
 
-// NewPicker returns a picker that has served nobody.
+// NewPicker returns a picker without history.
 func NewPicker() *Picker {
-	return &Picker{groups: newQueue(), tenants: make(map[string]*queue), parts: make(map[string]float64)}
+	return &Picker{groups: newFairQueue(), tenants: make(map[string]*fairQueue), fractions: make(map[string]float64)}
 }
 
-// SetAllowances puts the newest allowances in force. A group without one gets
-// the least weight.
+// SetAllowances replaces the allowances. A group without one gets the minimum weight.
 func (p *Picker) SetAllowances(allowances []GroupAllowance) {
-	clear(p.parts)
+	clear(p.fractions)
 	for _, allowance := range allowances {
-		p.parts[allowance.Group] = allowance.BatchFraction
+		p.fractions[allowance.Group] = allowance.BatchFraction
 	}
 }
 
-func newQueue() queue {
-	return queue{finish: make(map[string]float64)}
+func newFairQueue() fairQueue {
+	return fairQueue{finishTimes: make(map[string]float64)}
 }
 
-// start is the virtual time at which a flow's next item starts. A flow that was
-// idle starts at the present virtual time: idleness earns nothing and past use
-// of idle capacity costs nothing.
-func (q *queue) start(flow string) float64 {
-	return max(q.virtual, q.finish[flow])
+// start returns the virtual time at which the next item of a flow starts. A flow that was idle
+// starts at the current virtual time: it is neither compensated for idle time nor charged for its
+// earlier use of idle capacity.
+func (q *fairQueue) start(flow string) float64 {
+	return max(q.virtualTime, q.finishTimes[flow])
 }
 
-func (q *queue) charge(flow string, cost, weight float64) {
+func (q *fairQueue) charge(flow string, cost, weight float64) {
 	begin := q.start(flow)
-	q.virtual = max(q.virtual, begin)
-	q.finish[flow] = begin + cost/max(weight, minimumWeight)
+	q.virtualTime = max(q.virtualTime, begin)
+	q.finishTimes[flow] = begin + cost/max(weight, minimumWeight)
 }
 
-// forget drops flows that have fallen behind the present virtual time.
-func (q *queue) forget() {
-	for flow, finish := range q.finish {
-		if finish <= q.virtual {
-			delete(q.finish, flow)
+// forget removes flows that are behind the current virtual time.
+func (q *fairQueue) forget() {
+	for flow, finish := range q.finishTimes {
+		if finish <= q.virtualTime {
+			delete(q.finishTimes, flow)
 		}
 	}
 }
 
-// minimumWeight keeps groups without allowance from starving for ever.
+// minimumWeight keeps groups without an allowance from starving.
 const minimumWeight = 1e-3
 
-// Pick returns the index of the candidate to run next. It returns false when
-// there is no candidate.
+// Pick returns the index of the candidate to run next, or false if there are no candidates.
 func (p *Picker) Pick(candidates []Candidate, now time.Duration) (int, bool) {
 	chosen := -1
 	for index := range candidates {
@@ -100,7 +98,7 @@
 	return chosen, chosen >= 0
 }
 
-// before tells whether candidate a goes before b.
+// before reports whether candidate a runs before b.
 func (p *Picker) before(a, b *Candidate, now time.Duration) bool {
 	if a.Group != b.Group {
 		return less(p.groups.start(a.Group), p.groups.start(b.Group), a.Group, b.Group)
@@ -119,22 +117,21 @@
 	return nameA < nameB
 }
 
-func (p *Picker) tenantsOf(group string) *queue {
+func (p *Picker) tenantsOf(group string) *fairQueue {
 	tenants, known := p.tenants[group]
 	if !known {
-		created := newQueue()
+		created := newFairQueue()
 		tenants = &created
 		p.tenants[group] = tenants
 	}
 	return tenants
 }
 
-// assumedRate is the rate of a job of which nothing has completed yet, in items
-// per second.
+// assumedRate is the rate, in items per second, of a job without completed items.
 const assumedRate = 10.0
 
-// slack is the time that a job has to spare at its present rate, in seconds,
-// divided by the weight of its class where it is positive.
+// slack returns the spare time of a job at its current rate, in seconds. The class weight divides a
+// positive slack and multiplies a negative one.
 func (c *Candidate) slack(now time.Duration) float64 {
 	rate := c.Rate
 	if rate <= 0 {
@@ -151,19 +148,19 @@
 	return slack / weight
 }
 
-// Charge books the cost of an item that starts: its estimate first, then the
-// difference, which may be negative, once it is over.
+// Charge charges the cost of an item to its group and tenant: the estimate when it starts, and the
+// difference, which may be negative, when it ends.
 func (p *Picker) Charge(candidate *Candidate, cost float64) {
-	p.groups.charge(candidate.Group, cost, p.parts[candidate.Group])
+	p.groups.charge(candidate.Group, cost, p.fractions[candidate.Group])
 	p.tenantsOf(candidate.Group).charge(candidate.Tenant, cost, 1)
 }
 
-// Forget drops the state of flows that are not behind; call it now and then.
+// Forget removes the state of flows that are behind. Call it from time to time.
 func (p *Picker) Forget() {
 	p.groups.forget()
 	for group, tenants := range p.tenants {
 		tenants.forget()
-		if len(tenants.finish) == 0 && p.groups.finish[group] == 0 {
+		if len(tenants.finishTimes) == 0 && p.groups.finishTimes[group] == 0 {
 			delete(p.tenants, group)
 		}
 	}
--- a/internal/sharing/reclaim.go
+++ b/internal/sharing/reclaim.go
@@ -2,47 +2,44 @@
 
 import "time"
 
-// GroupRunning is what one group has on one server.
+// GroupRunning describes the batch items of one group on one server.
 type GroupRunning struct {
-	// Group is the group's name.
 	Group string
-	// Running sums the places of its items that run, from Places; Waiting counts
-	// those that could start or go on there now.
+	// Running is the sum of EquivalentItems over the running items. Waiting counts the items that
+	// could start or resume on the server now.
 	Running float64
 	Waiting int
 }
 
-// Constants of Places.
 const (
-	// promptSpread is the time over which the service of a prompt is spread.
+	// promptSpread is the time over which the cost of a prompt is spread.
 	promptSpread = 2 * time.Second
 	// tokensPerSecond is the assumed rate of one running item.
 	tokensPerSecond = 45
 )
 
-// EquivalentItems is how many running items the service of an item that started some
-// time ago amounts to: a prompt is processed at once, so that a young item
-// receives more than an old one.
+// EquivalentItems returns how many items without a prompt receive as much service as an item that
+// started some time ago. A prompt is processed at the start, so a young item receives more service
+// than an old one.
 func EquivalentItems(promptTokens int, age time.Duration) float64 {
 	if age >= promptSpread {
 		return 1
 	}
-	perPlace := generatedTokenCost * tokensPerSecond * promptSpread.Seconds()
-	return 1 + promptTokenCost*float64(promptTokens)/perPlace
+	perItem := generatedTokenCost * tokensPerSecond * promptSpread.Seconds()
+	return 1 + promptTokenCost*float64(promptTokens)/perItem
 }
 
-// Reclaim finds a group that runs fewer items on a server than its allowance
-// gives it, though it has more to run, and the group that runs the most beyond
-// its own. One item of the lender's borrower is to be paused, and one of the
-// other group started. Groups without any item are lent from without limit. It
-// returns false where no group is a whole item short.
+// Reclaim finds the group that runs the most items beyond its allowance on a server, and the group
+// with waiting items that is furthest below its own. The caller is to pause one item of the former
+// and to start one of the latter. The allowances of groups without items are lent without limit. It
+// returns false if no group is short of a whole item.
 func (p *Picker) Reclaim(groups []GroupRunning) (from, to int, found bool) {
-	parts, slots := 0.0, 0.0
+	totalWeight, running := 0.0, 0.0
 	for _, group := range groups {
 		if group.Running > 0 || group.Waiting > 0 {
-			parts += p.weight(group.Group)
+			totalWeight += p.weight(group.Group)
 		}
-		slots += group.Running
+		running += group.Running
 	}
 	from, to = -1, -1
 	excess, deficit := 0.0, 0.0
@@ -50,7 +47,7 @@
 		if group.Running == 0 && group.Waiting == 0 {
 			continue
 		}
-		entitled := slots * p.weight(group.Group) / parts
+		entitled := running * p.weight(group.Group) / totalWeight
 		if over := group.Running - entitled; over >= 1 && over > excess {
 			from, excess = index, over
 		}
@@ -62,7 +59,7 @@
 	return from, to, from >= 0 && to >= 0
 }
 
-// weight is the allowance of a group, never zero.
+// weight returns the allowance of a group, with a lower bound.
 func (p *Picker) weight(group string) float64 {
-	return max(p.parts[group], minimumWeight)
+	return max(p.fractions[group], minimumWeight)
 }
--- a/internal/sharing/sharing_test.go
+++ b/internal/sharing/sharing_test.go
@@ -10,20 +10,19 @@
 	"rockwind.example/rockwind/internal/sharing"
 )
 
-// TestDebtCoversTheLagOfEveryAnswer holds the debt against an oracle that knows
-// the times of all tokens: no answer that begins at any token of the leader
-// lags by more.
-func TestDebtCoversTheLagOfEveryAnswer(t *testing.T) {
+// TestMaximumLagCoversEveryAnswer compares the maximum lag with the lags computed from the times of
+// all tokens: no answer that starts at any token of the sampled request may lag by more.
+func TestMaximumLagCoversEveryAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const perToken = 20 * time.Millisecond
-		var pace sharing.OnlineTracker
+		var tracker sharing.OnlineTracker
 		now := time.Second
-		pace.RecordSent(1, 100, now)
-		pace.RecordFirstToken(1, true, now)
+		tracker.RecordSent(1, 100, now)
+		tracker.RecordFirstToken(1, true, now)
 		times := []time.Duration{now}
 		for range rapid.IntRange(1, 60).Draw(t, "tokens") {
 			now += time.Duration(rapid.IntRange(1, 60).Draw(t, "step")) * time.Millisecond
-			pace.RecordTokens(1, 1, perToken, 0, now)
+			tracker.RecordTokens(1, 1, perToken, 0, now)
 			times = append(times, now)
 		}
 		largest := time.Duration(0)
@@ -31,15 +30,14 @@
 			lag := now - at - time.Duration(len(times)-1-begin)*perToken
 			largest = max(largest, lag)
 		}
-		if pace.MaximumLag() != largest {
-			t.Fatalf("the debt is %v, the largest lag %v", pace.MaximumLag(), largest)
+		if tracker.MaximumLag() != largest {
+			t.Fatalf("the maximum lag is %v, want %v", tracker.MaximumLag(), largest)
 		}
 	})
 }
 
-// TestReclaimGivesEveryWaitingGroupItsPlaces applies Reclaim until it finds
-// nothing more to do.
-func TestReclaimGivesEveryWaitingGroupItsPlaces(t *testing.T) {
+// TestReclaimGivesEveryWaitingGroupItsShare applies Reclaim until it finds no more items to move.
+func TestReclaimGivesEveryWaitingGroupItsShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		picker := sharing.NewPicker()
 		names := []string{"a", "b", "c", "d"}[:rapid.IntRange(2, 4).Draw(t, "groups")]
@@ -67,32 +65,32 @@
 			groups[from].Running, groups[from].Waiting = groups[from].Running-1, groups[from].Waiting+1
 			groups[to].Running, groups[to].Waiting = groups[to].Running+1, groups[to].Waiting-1
 		}
-		parts := 0.0
+		totalFraction := 0.0
 		for index, group := range groups {
 			if group.Running > 0 || group.Waiting > 0 {
-				parts += allowances[index].BatchFraction
+				totalFraction += allowances[index].BatchFraction
 			}
 		}
 		borrowed := false
 		for index, group := range groups {
-			borrowed = borrowed || group.Running-total*allowances[index].BatchFraction/parts >= 1
+			borrowed = borrowed || group.Running-total*allowances[index].BatchFraction/totalFraction >= 1
 		}
 		for index, group := range groups {
-			owed := total * allowances[index].BatchFraction / parts
-			if borrowed && min(owed-group.Running, float64(group.Waiting)) >= 1 {
-				t.Fatalf("%+v lacks %.2f places while another borrows", group, owed-group.Running)
+			entitled := total * allowances[index].BatchFraction / totalFraction
+			if borrowed && min(entitled-group.Running, float64(group.Waiting)) >= 1 {
+				t.Fatalf("%+v is %.2f items short while another group borrows", group, entitled-group.Running)
 			}
 		}
 	})
 }
 
-// TestPickerServesByAllowance checks that groups with work get their parts, and
-// that a group that was idle is not owed what others used meanwhile.
+// TestPickerServesByAllowance checks that groups with work get their fractions, and that a group
+// that was idle is not compensated for what the others used meanwhile.
 func TestPickerServesByAllowance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		part := rapid.Float64Range(0.1, 0.9).Draw(t, "part")
+		fraction := rapid.Float64Range(0.1, 0.9).Draw(t, "part")
 		picker := sharing.NewPicker()
-		picker.SetAllowances([]sharing.GroupAllowance{{Group: "a", BatchFraction: part}, {Group: "b", BatchFraction: 1 - part}})
+		picker.SetAllowances([]sharing.GroupAllowance{{Group: "a", BatchFraction: fraction}, {Group: "b", BatchFraction: 1 - fraction}})
 		both := []sharing.Candidate{{Group: "a", Tenant: "x", Job: "1"}, {Group: "b", Tenant: "y", Job: "2"}}
 		for range rapid.IntRange(0, 200).Draw(t, "alone") {
 			picker.Charge(&both[0], 1)
@@ -109,20 +107,20 @@
 				served++
 			}
 		}
-		if math.Abs(served-part*items) > 2+1/part+1/(1-part) {
-			t.Fatalf("group a got %.0f of %d items with a part of %.2f", served, items, part)
+		if math.Abs(served-fraction*items) > 2+1/fraction+1/(1-fraction) {
+			t.Fatalf("group a got %.0f of %d items with a fraction of %.2f", served, items, fraction)
 		}
 	})
 }
 
-// TestBudgetShrinksWithOnlineLoad checks that more online requests, more waiting
-// prompts and older reports never give batch more.
+// TestBudgetShrinksWithOnlineLoad checks that more online requests, more waiting prompts and older
+// reports never increase the budget.
 func TestBudgetShrinksWithOnlineLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := sharing.DefaultBudgetPolicy(rapid.SampledFrom([]sharing.Objective{sharing.Throughput, sharing.Latency}).Draw(t, "objective"))
 		now := time.Second
-		pace := &sharing.OnlineTracker{}
-		state := sharing.ServerState{Tracker: pace, Target: sharing.DefaultTarget, Online: float64(rapid.IntRange(0, 70).Draw(t, "online"))}
+		tracker := &sharing.OnlineTracker{}
+		state := sharing.ServerState{Tracker: tracker, Target: sharing.DefaultTarget, Online: float64(rapid.IntRange(0, 70).Draw(t, "online"))}
 		before := sharing.BatchBudget(state, policy, now)
 		if state.Online == 0 && before.Items != policy.MaximumItems {
 			t.Fatalf("an empty server gets %d items", before.Items)
@@ -132,21 +130,21 @@
 		if after := sharing.BatchBudget(more, policy, now); after.Items > before.Items {
 			t.Fatalf("one more online request raises the budget from %d to %d", before.Items, after.Items)
 		}
-		pace.RecordSent(1, rapid.IntRange(1, 8000).Draw(t, "prompt"), now)
+		tracker.RecordSent(1, rapid.IntRange(1, 8000).Draw(t, "prompt"), now)
 		if after := sharing.BatchBudget(more, policy, now); after.Items > before.Items {
 			t.Fatalf("a prompt raises the budget from %d to %d", before.Items, after.Items)
 		}
 		if late := sharing.BatchBudget(more, policy, now+sharing.DefaultTarget.FirstToken); late.Items != 0 {
-			t.Fatalf("a request that is late leaves %d items", late.Items)
+			t.Fatalf("a late request leaves a budget of %d items", late.Items)
 		}
 		more.ReportAge = policy.StaleAfter + 1
 		stale := sharing.BatchBudget(more, policy, now)
 		if stale.Items > sharing.StaleItems {
 			t.Fatalf("a stale report gives %d items", stale.Items)
 		}
-		// An engine takes the least bound of its items and keeps it while they run.
+		// An engine applies the smallest bound of its items for as long as they run.
 		if stale.TokensPerStep != policy.TokensPerStep {
-			t.Fatalf("a stale report bounds all batch on the engine to %d tokens a step", stale.TokensPerStep)
+			t.Fatalf("a stale report limits all batch on the engine to %d tokens per step", stale.TokensPerStep)
 		}
 	})
 }
--- a/internal/sharing/tail.go
+++ b/internal/sharing/tail.go
@@ -5,32 +5,31 @@
 	"time"
 )
 
-// Sizes of a TailEstimator.
+// Parameters of TailEstimator.
 const (
-	// tailSamples is the number of answers that are remembered.
+	// tailSamples is the number of answers that are kept.
 	tailSamples = 2048
-	// tailMinimum is the number of answers from which an estimate is given.
-	tailMinimum = 200
-	// tailEvery is the number of answers between two estimates.
-	tailEvery = 32
-	// tailQuantile is the quantile that is kept.
+	// tailMinimumSamples is the number of answers required for an estimate.
+	tailMinimumSamples = 200
+	// tailUpdateInterval is the number of answers between two estimates.
+	tailUpdateInterval = 32
+	// tailQuantile is the estimated quantile.
 	tailQuantile = 0.99
 )
 
-// TailEstimator estimates the tail that online requests would have without
-// batch, from the answers of one gateway. The zero value has seen none. One
-// goroutine owns it.
+// TailEstimator estimates the tail latency that online requests would have without batch, from the
+// answers of one gateway. The zero value is ready to use. It is not safe for concurrent use.
 type TailEstimator struct {
 	firstTokens samples
 	perTokens   samples
 }
 
-// samples is a ring of the newest durations with a quantile of them.
+// samples is a ring buffer of the newest durations with an estimate of their quantile.
 type samples struct {
-	ring     []time.Duration
-	next     int
-	since    int
-	estimate time.Duration
+	ring          []time.Duration
+	next          int
+	sinceEstimate int
+	estimate      time.Duration
 }
 
 // RecordFirstToken records the time to a first token.
@@ -38,15 +37,13 @@
 	e.firstTokens.add(took)
 }
 
-// RecordPerToken records the mean time per token that an answer would have had
-// without batch.
+// RecordPerToken records the mean time per token that an answer would have had without batch.
 func (e *TailEstimator) RecordPerToken(mean time.Duration) {
 	e.perTokens.add(mean)
 }
 
-// Target returns the tail to keep: what was estimated, or DefaultTarget while too
-// little was seen. The time per token is at most stepLimit, where that is not
-// zero.
+// Target returns the estimated tail latency, or DefaultTarget while there are too few samples. The
+// time per token is bounded by stepLimit, unless that is zero.
 func (e *TailEstimator) Target(stepLimit time.Duration) Target {
 	target := DefaultTarget
 	if e.firstTokens.estimate > 0 {
@@ -68,11 +65,11 @@
 		s.ring[s.next] = sample
 	}
 	s.next = (s.next + 1) % tailSamples
-	s.since++
-	if s.since < tailEvery || len(s.ring) < tailMinimum {
+	s.sinceEstimate++
+	if s.sinceEstimate < tailUpdateInterval || len(s.ring) < tailMinimumSamples {
 		return
 	}
-	s.since = 0
+	s.sinceEstimate = 0
 	sorted := slices.Clone(s.ring)
 	slices.Sort(sorted)
 	s.estimate = sorted[int(tailQuantile*float64(len(sorted)))]
--- a/internal/sharing/tail_test.go
+++ b/internal/sharing/tail_test.go
@@ -10,9 +10,8 @@
 	"rockwind.example/rockwind/internal/sharing"
 )
 
-// TestTailFollowsTheNewestAnswers holds the estimate against a sort of the
-// answers that it may remember.
-func TestTailFollowsTheNewestAnswers(t *testing.T) {
+// TestTailUsesTheNewestAnswers compares the estimate with the quantile of the sorted samples.
+func TestTailUsesTheNewestAnswers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var tail sharing.TailEstimator
 		count := rapid.IntRange(0, 3*sharing.TailSamples).Draw(t, "answers")
@@ -26,16 +25,16 @@
 		}
 		target := tail.Target(0)
 		if target.FirstToken != sharing.DefaultTarget.FirstToken {
-			t.Fatalf("a target of %v for first tokens that were never seen", target.FirstToken)
+			t.Fatalf("the target for first tokens is %v without samples, want the default", target.FirstToken)
 		}
-		if count < sharing.TailMinimum {
+		if count < sharing.TailMinimumSamples {
 			return
 		}
-		estimated := count - (count-sharing.TailMinimum)%sharing.TailEvery
+		estimated := count - (count-sharing.TailMinimumSamples)%sharing.TailUpdateInterval
 		newest := slices.Clone(all[max(0, estimated-sharing.TailSamples):estimated])
 		slices.Sort(newest)
 		if wanted := newest[int(sharing.TailQuantile*float64(len(newest)))]; target.PerToken != wanted {
-			t.Fatalf("the target is %v, the p99 of the newest answers %v", target.PerToken, wanted)
+			t.Fatalf("the target is %v, the p99 of the newest samples %v", target.PerToken, wanted)
 		}
 		if limited := tail.Target(time.Microsecond); limited.PerToken > time.Microsecond {
 			t.Fatalf("the target exceeds its limit: %v", limited.PerToken)
@@ -43,27 +42,27 @@
 	})
 }
 
-// TestAloneMeanTakesBatchOff checks that the part of batch in each step is taken
-// off, and that steps without batch are taken as they are.
-func TestAloneMeanTakesBatchOff(t *testing.T) {
+// TestMeanWithoutBatchSubtractsBatch checks that the time of batch in each step is subtracted, and
+// that steps without batch are left as they are.
+func TestMeanWithoutBatchSubtractsBatch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const base = 12 * time.Millisecond
 		batch := time.Duration(rapid.IntRange(0, 10).Draw(t, "batch")) * time.Millisecond
 		online := base + time.Duration(rapid.IntRange(0, 8).Draw(t, "online"))*time.Millisecond
-		var pace sharing.OnlineTracker
+		var tracker sharing.OnlineTracker
 		now := time.Second
-		pace.RecordSent(1, 10, now)
-		pace.RecordFirstToken(1, true, now)
-		for range rapid.IntRange(sharing.ShortAnswer, 100).Draw(t, "tokens") {
+		tracker.RecordSent(1, 10, now)
+		tracker.RecordFirstToken(1, true, now)
+		for range rapid.IntRange(sharing.MinimumTokens, 100).Draw(t, "tokens") {
 			now += online + batch
-			pace.RecordTokens(1, 1, time.Second, batch, now)
+			tracker.RecordTokens(1, 1, time.Second, batch, now)
 		}
-		mean, known := pace.RecordEnd(1, base, now)
+		mean, known := tracker.RecordEnd(1, base, now)
 		if !known || mean < base || mean > online {
-			t.Fatalf("the mean is %v, known %v, with steps of %v without batch", mean, known, online)
+			t.Fatalf("the mean is %v (known: %v), want at most %v", mean, known, online)
 		}
 		if batch == 0 && online-mean > time.Microsecond {
-			t.Fatalf("the mean is %v where steps took %v", mean, online)
+			t.Fatalf("the mean is %v, want %v", mean, online)
 		}
 	})
 }
