--- a/internal/placement/adapters.go
+++ b/internal/placement/adapters.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// Factors on an adapter's part of its model's replicas: more are loaded below the
-// first and unloaded above the second. The gap keeps noise from moving any.
+// Factors on an adapter's fraction of its model's replicas: more are loaded below the first and
+// unloaded above the second. The gap prevents changes due to noise.
 const (
 	adapterWanted  = 1.5
 	adapterSurplus = 3
 )
 
-// placeAdapters loads adapters on replicas of their models and unloads those that
-// far more replicas hold than their demand needs.
+// placeAdapters loads adapters on replicas of their models, and unloads them where far more
+// replicas hold them than their demand needs.
 func (d *draft) placeAdapters() {
 	for _, model := range d.models {
 		for index := range model.Adapters {
@@ -25,31 +25,31 @@
 func (d *draft) placeAdapter(model *Model, adapter *Adapter) {
 	name := AdapterName{Model: model.Name, Adapter: adapter.Name}
 	serving := d.serving(model)
-	least := min(d.policy.AdapterReplicas, len(serving))
+	minimum := min(d.policy.AdapterReplicas, len(serving))
 	held := 0
 	for _, server := range serving {
 		if holdsAdapter(server, name) {
 			held++
 		}
 	}
-	wanted := max(least, model.adapterReplicas(adapter, adapterWanted, len(serving)))
-	surplus := max(least, model.adapterReplicas(adapter, adapterSurplus, len(serving)))
+	target := max(minimum, model.adapterReplicas(adapter, adapterWanted, len(serving)))
+	surplus := max(minimum, model.adapterReplicas(adapter, adapterSurplus, len(serving)))
 	switch {
-	case held < wanted:
-		d.loadAdapter(serving, name, held < least)
+	case held < target:
+		d.loadAdapter(serving, name, held < minimum)
 	case held > surplus:
 		d.unloadAdapter(serving, name)
 	}
 }
 
-// adapterReplicas returns the replicas that an adapter's part of the demand,
-// times a factor, takes up.
+// adapterReplicas returns the number of replicas for an adapter's fraction of the model's demand,
+// multiplied by a factor.
 func (m *Model) adapterReplicas(adapter *Adapter, factor float64, replicas int) int {
 	if m.Demand <= 0 {
 		return 0
 	}
-	part := min(adapter.Demand/m.Demand*factor, 1)
-	return int(math.Ceil(part * float64(replicas)))
+	fraction := min(adapter.Demand/m.Demand*factor, 1)
+	return int(math.Ceil(fraction * float64(replicas)))
 }
 
 func holdsAdapter(server *Server, name AdapterName) bool {
@@ -69,7 +69,7 @@
 }
 
 func (d *draft) unloadAdapter(serving []*Server, name AdapterName) {
-	if !d.mayChange() || !d.lasted(ReasonAdapter, name.String(), d.policy.Dwell) {
+	if !d.mayChange() || !d.persists(ReasonAdapter, name.String(), d.policy.Dwell) {
 		return
 	}
 	for _, server := range slices.Backward(serving) {
@@ -80,8 +80,8 @@
 	}
 }
 
-// setRoles gives the part of each model's replicas that policy names the role
-// online, those first that have it, and all others the role mixed.
+// setRoles gives the role online to a fraction of each model's replicas, preferring those that have
+// it already, and the role mixed to all others.
 func (d *draft) setRoles() {
 	wanted := make(map[*Server]Role, len(d.servers))
 	for _, model := range d.models {
--- a/internal/placement/fence.go
+++ b/internal/placement/fence.go
@@ -1,18 +1,18 @@
 package placement
 
-// sequenceBits is how many bits of a fence count the orders of one term.
+// sequenceBits is the number of low bits of a fence that hold the sequence number.
 const sequenceBits = 32
 
-// Fence returns the fence of an order: terms of the root group rise over all its
-// leaders, sequences over the orders of one leader. An engine refuses a fence
-// that is not above the last it accepted, so that the orders of an earlier leader
-// are void once a later one has ordered.
+// Fence returns the fencing token of an order. Terms of the root group increase from leader to
+// leader, sequence numbers from order to order of one leader. An engine refuses a fence that is not
+// higher than the last one it accepted, so orders of a former leader are refused once a later one
+// has sent an order.
 func Fence(term uint64, sequence uint32) uint64 {
 	return term<<sequenceBits | uint64(sequence)
 }
 
-// FenceTerm returns the term of a fence, and FenceSequence its sequence.
+// FenceTerm returns the term of a fence.
 func FenceTerm(fence uint64) uint64 { return fence >> sequenceBits }
 
-// FenceSequence returns the sequence of a fence within its term.
+// FenceSequence returns the sequence number of a fence within its term.
 func FenceSequence(fence uint64) uint32 { return uint32(fence) }
--- a/internal/placement/floors.go
+++ b/internal/placement/floors.go
@@ -1,24 +1,24 @@
 package placement
 
-// unloadEnded unloads versions and adapters that are not declared any more. They
-// get no traffic, so that no floor is touched.
+// unloadEnded unloads versions and adapters that are no longer declared. They get no traffic, so
+// this cannot take a model below its minimum.
 func (d *draft) unloadEnded() {
 	for _, server := range d.servers {
-		orders := d.endedOn(server)
+		orders := d.endedOrders(server)
 		if len(orders) > 0 && d.idle(server, true) && d.mayChange() {
 			d.order(server, ReasonEnded, orders...)
 		}
 	}
 }
 
-func (d *draft) endedOn(server *Server) []Order {
+func (d *draft) endedOrders(server *Server) []Order {
 	var orders []Order
 	for _, version := range server.Versions {
 		model := d.model(version.Model)
 		if model != nil && model.isActive(version) {
 			continue
 		}
-		if d.lasted(ReasonEnded, server.Name+" "+version.String(), d.policy.EndedGrace) {
+		if d.persists(ReasonEnded, server.Name+" "+version.String(), d.policy.EndedGrace) {
 			orders = append(orders, Order{Action: ActionUnloadModel, Version: version})
 		}
 	}
@@ -26,7 +26,7 @@
 		if d.declares(adapter) {
 			continue
 		}
-		if d.lasted(ReasonEnded, server.Name+" "+adapter.String(), d.policy.EndedGrace) {
+		if d.persists(ReasonEnded, server.Name+" "+adapter.String(), d.policy.EndedGrace) {
 			orders = append(orders, Order{Action: ActionUnloadAdapter, Adapter: adapter})
 		}
 	}
@@ -46,8 +46,8 @@
 	return false
 }
 
-// keepFloors loads models that have fewer replicas or zones than their floor, the
-// ones with the fewest replicas first.
+// keepFloors loads models with fewer replicas or zones than the minimum, those with the fewest
+// replicas first.
 func (d *draft) keepFloors() {
 	for missing := 1; missing <= d.policy.FloorReplicas; missing++ {
 		for _, model := range d.models {
@@ -61,7 +61,8 @@
 	}
 }
 
-// keepFloor loads a model once more where its floor asks for it.
+// keepFloor loads one more replica of a model if it is below its minimum and has been for long
+// enough.
 func (d *draft) keepFloor(model *Model) {
 	if len(model.active()) == 0 {
 		return
@@ -71,13 +72,13 @@
 	if d.replicas(model) >= replicas && len(present) >= zones {
 		return
 	}
-	if !d.lasted(ReasonFloor, model.Name, d.policy.FloorSustain) || !d.mayLoad() {
+	if !d.persists(ReasonFloor, model.Name, d.policy.FloorSustain) || !d.mayLoad() {
 		return
 	}
 	elsewhere := func(server *Server) bool {
 		return len(present) >= zones || present[server.Zone] == 0
 	}
-	if chosen, found := d.takeServer(model, true, elsewhere); found {
+	if chosen, found := d.chooseServer(model, true, elsewhere); found {
 		d.load(model, chosen, ReasonFloor)
 	}
 }
--- a/internal/placement/moves.go
+++ b/internal/placement/moves.go
@@ -2,30 +2,30 @@
 
 import "cmp"
 
-// candidate is a server that may take a model, and what it gives up for it.
+// candidate is a server that can load a model, and the version that it would unload.
 type candidate struct {
 	server *Server
-	// victim is the version to unload first; the zero value means none.
+	// victim is the version to unload first; zero if none.
 	victim VersionName
-	// left is the pressure on the victim's model once it has given the server.
-	left float64
-	// inZone is how many replicas of the model the server's zone has.
+	// donorPressure is the pressure on the victim's model without this server.
+	donorPressure float64
+	// inZone is the number of the model's replicas in the server's zone.
 	inZone int
 }
 
-// compare orders candidates: no victim first, then the least pressure on who
-// gives, then the zone with the fewest replicas.
+// compare orders candidates: those without a victim first, then those with the lowest pressure on
+// the victim's model, then those in the zone with the fewest replicas.
 func (c candidate) compare(other candidate) int {
 	return cmp.Or(
-		cmp.Compare(c.left, other.left),
+		cmp.Compare(c.donorPressure, other.donorPressure),
 		cmp.Compare(c.inZone, other.inZone),
 		cmp.Compare(c.server.Name, other.server.Name),
 	)
 }
 
-// takeServer finds the best server for one more replica of a model. An urgent
-// need passes over dwell.
-func (d *draft) takeServer(model *Model, urgent bool, wanted func(*Server) bool) (candidate, bool) {
+// chooseServer returns the best server for one more replica of a model. An urgent need ignores the
+// dwell time.
+func (d *draft) chooseServer(model *Model, urgent bool, wanted func(*Server) bool) (candidate, bool) {
 	zones := d.tallies[model.Name].replicas.zones
 	var best candidate
 	for _, server := range d.servers {
@@ -41,20 +41,20 @@
 	return best, best.server != nil
 }
 
-// offer tells what a server would give up for another version.
+// offer returns the version that a server would unload to load another one.
 func (d *draft) offer(server *Server) (candidate, bool) {
 	if server.free() > 0 {
-		return candidate{server: server, left: noVictim}, true
+		return candidate{server: server, donorPressure: noVictim}, true
 	}
 	var best candidate
 	for _, version := range server.Versions {
-		giver := d.model(version.Model)
-		offered := candidate{server: server, victim: version, left: noVictim}
-		if giver != nil && giver.isActive(version) {
-			if !d.canGive(giver, server) {
+		donor := d.model(version.Model)
+		offered := candidate{server: server, victim: version, donorPressure: noVictim}
+		if donor != nil && donor.isActive(version) {
+			if !d.canRelease(donor, server) {
 				continue
 			}
-			offered.left = giver.pressure(d.replicas(giver) - 1)
+			offered.donorPressure = donor.pressure(d.replicas(donor) - 1)
 		}
 		if best.server == nil || offered.compare(best) < 0 {
 			best = offered
@@ -63,10 +63,11 @@
 	return best, best.server != nil
 }
 
-// noVictim is the pressure that counts for a server that gives nothing up.
+// noVictim is the donorPressure of a server that need not unload anything or unloads a version
+// without traffic.
 const noVictim = -1
 
-// load orders a server to hold the version of a model that its weights miss most.
+// load orders a server to load the version of a model that is furthest below its target.
 func (d *draft) load(model *Model, chosen candidate, reason Reason) {
 	var orders []Order
 	if chosen.victim != (VersionName{}) {
@@ -80,8 +81,8 @@
 	d.order(chosen.server, reason, orders...)
 }
 
-// unloading lists the orders that take a version off a server, with the adapters
-// that nothing there needs any more.
+// unloading returns the orders that unload a version from a server, and the adapters if no other
+// version of the model remains.
 func (d *draft) unloading(server *Server, victim VersionName) []Order {
 	orders := []Order{{Action: ActionUnloadModel, Version: victim}}
 	for _, version := range server.Versions {
@@ -97,30 +98,29 @@
 	return orders
 }
 
-// followDemand gives empty servers to the models under the highest pressure, and
-// then moves one server at a time from the lowest pressure to the highest.
+// followDemand gives empty servers to the models with the highest pressure, and then moves servers
+// one by one from the lowest pressure to the highest.
 func (d *draft) followDemand() {
 	for range d.servers {
-		if !d.fillIdle() {
+		if !d.fillEmptyServer() {
 			break
 		}
 	}
 	for range d.servers {
-		if !d.moveOne() {
+		if !d.moveServer() {
 			break
 		}
 	}
 }
 
-// fillIdle loads the model under the highest pressure on a server that holds
-// nothing.
-func (d *draft) fillIdle() bool {
+// fillEmptyServer loads the model with the highest pressure on an empty server.
+func (d *draft) fillEmptyServer() bool {
 	for _, model := range d.byPressure() {
 		empty := func(server *Server) bool { return len(server.Versions)+len(server.LoadingVersions) == 0 }
 		if !d.mayLoad() {
 			return false
 		}
-		if chosen, found := d.takeServer(model, true, empty); found {
+		if chosen, found := d.chooseServer(model, true, empty); found {
 			d.load(model, chosen, ReasonIdle)
 			return true
 		}
@@ -128,7 +128,7 @@
 	return false
 }
 
-// byPressure lists the models with traffic, the highest pressure first.
+// byPressure returns the models with traffic, the highest pressure first.
 func (d *draft) byPressure() []*Model {
 	var sorted []*Model
 	for _, model := range d.models {
@@ -147,8 +147,8 @@
 	return sorted
 }
 
-// moveOne moves the best server to the first model whose pressure justifies it.
-func (d *draft) moveOne() bool {
+// moveServer moves the best server to the first model whose pressure justifies it.
+func (d *draft) moveServer() bool {
 	for _, model := range d.byPressure() {
 		pressure := model.pressure(d.replicas(model))
 		if pressure < d.policy.MinimumPressure {
@@ -156,17 +156,17 @@
 		}
 		justified := func(server *Server) bool {
 			offered, possible := d.offer(server)
-			return possible && pressure > (1+d.policy.Margin)*offered.left
+			return possible && pressure > (1+d.policy.Margin)*offered.donorPressure
 		}
-		// The need is judged without dwell, so that it lasts while servers wait.
-		if _, needed := d.takeServer(model, true, justified); !needed {
+		// Dwell time is ignored here, so that the need persists while servers wait for theirs.
+		if _, needed := d.chooseServer(model, true, justified); !needed {
 			continue
 		}
-		if !d.lasted(ReasonDemand, model.Name, d.policy.Sustain) || !d.mayLoad() {
-			// A model under less pressure must not take what this one waits for.
+		if !d.persists(ReasonDemand, model.Name, d.policy.Sustain) || !d.mayLoad() {
+			// A model with less pressure must not take the server that this one waits for.
 			return false
 		}
-		if chosen, found := d.takeServer(model, false, justified); found {
+		if chosen, found := d.chooseServer(model, false, justified); found {
 			d.load(model, chosen, ReasonDemand)
 			return true
 		}
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// Planner makes plans from successive views. It remembers averaged demand, how
-// long a need has lasted, and what the weight store has still to deliver. It has one owner.
+// Planner makes plans from successive views. It keeps the average demand, how long a change has
+// been needed, and when the weight store is free. It is not safe for concurrent use.
 type Planner struct {
-	policy  Policy
-	demand  map[string]*average
-	lasting map[need]time.Duration
-	// storeFreeAt is when the weight store has delivered all loads ordered.
+	policy    Policy
+	demand    map[string]*average
+	needSince map[need]time.Duration
+	// storeFreeAt is when the weight store will have delivered all ordered loads.
 	storeFreeAt time.Duration
 }
 
-// need names something that must last before it is acted on.
+// need identifies a condition that must persist before it leads to a change.
 type need struct {
 	reason Reason
 	name   string
 }
 
-// NewPlanner returns a planner without memory.
+// NewPlanner returns a planner without history.
 func NewPlanner(policy Policy) *Planner {
-	return &Planner{policy: policy, demand: make(map[string]*average), lasting: make(map[need]time.Duration)}
+	return &Planner{policy: policy, demand: make(map[string]*average), needSince: make(map[need]time.Duration)}
 }
 
-// average is an exponentially weighted average over time.
+// average is an exponentially weighted moving average.
 type average struct {
 	value float64
 	at    time.Duration
@@ -39,33 +39,33 @@
 		a.value = value
 		return value
 	}
-	kept := math.Exp2(-float64(now-a.at) / float64(halfLife))
-	a.value = a.value*kept + value*(1-kept)
+	decay := math.Exp2(-float64(now-a.at) / float64(halfLife))
+	a.value = a.value*decay + value*(1-decay)
 	a.at = now
 	return a.value
 }
 
-// smoothed averages the demand of a name; the first value counts as it is.
+// smoothed adds a demand to the average of a name and returns the average.
 func (p *Planner) smoothed(name string, demand float64, now time.Duration) float64 {
-	held, known := p.demand[name]
+	current, known := p.demand[name]
 	if !known {
 		p.demand[name] = &average{value: demand, at: now}
 		return demand
 	}
-	return held.add(demand, now, p.policy.SmoothingHalfLife)
+	return current.add(demand, now, p.policy.SmoothingHalfLife)
 }
 
-// Demand returns the averaged demand of a model, in cost units a second.
+// Demand returns the average demand of a model in cost units per second.
 func (p *Planner) Demand(model string) float64 {
-	if held := p.demand[model]; held != nil {
-		return held.value
+	if current := p.demand[model]; current != nil {
+		return current.value
 	}
 	return 0
 }
 
-// Plan returns the changes to order now. The view must hold the changes that were
-// ordered before: servers with a change under way are busy and name what they
-// load, and what they unload is gone from what they hold.
+// Plan returns the changes to order now. The view must reflect the changes that were ordered
+// before: a server with a change in progress is busy, lists what it loads, and no longer lists what
+// it unloads.
 func (p *Planner) Plan(view View) []Change {
 	d := p.draft(view)
 	d.unloadEnded()
@@ -74,12 +74,12 @@
 	d.followDemand()
 	d.placeAdapters()
 	d.setRoles()
-	p.lasting = d.lasting
+	p.needSince = d.needSince
 	return d.changes
 }
 
-// draft is a plan in the making. Servers and models are copies in the order of
-// their names; each change is worked into them at once.
+// draft is a plan under construction. Its servers and models are copies, sorted by name, to which
+// each planned change is applied at once.
 type draft struct {
 	planner *Planner
 	policy  *Policy
@@ -88,26 +88,26 @@
 	models  []*Model
 	byName  map[string]*Model
 	tallies map[string]*tally
-	// lasting holds the needs found in this plan and since when they last.
-	lasting map[need]time.Duration
-	// under and loading count the changes and loads under way.
-	under   int
-	loading int
-	changes []Change
+	// needSince holds the needs found for this plan and when each began.
+	needSince map[need]time.Duration
+	// changing and loading count the servers with a change or a load in progress.
+	changing int
+	loading  int
+	changes  []Change
 }
 
 func (p *Planner) draft(view View) *draft {
 	d := &draft{
-		planner: p, policy: &p.policy, now: view.Now, lasting: make(map[need]time.Duration),
+		planner: p, policy: &p.policy, now: view.Now, needSince: make(map[need]time.Duration),
 		byName: make(map[string]*Model), tallies: make(map[string]*tally),
 	}
-	d.takeModels(view.Models)
-	d.takeServers(view.Servers)
+	d.copyModels(view.Models)
+	d.copyServers(view.Servers)
 	return d
 }
 
-// takeServers copies the usable servers and counts what is under way on all.
-func (d *draft) takeServers(servers []Server) {
+// copyServers copies the usable servers and counts the changes in progress on all servers.
+func (d *draft) copyServers(servers []Server) {
 	for index := range servers {
 		server := servers[index]
 		server.Versions = slices.Clone(server.Versions)
@@ -115,7 +115,7 @@
 		server.LoadingVersions = slices.Clone(server.LoadingVersions)
 		server.LoadingAdapters = slices.Clone(server.LoadingAdapters)
 		if server.Busy {
-			d.under++
+			d.changing++
 		}
 		if len(server.LoadingVersions)+len(server.LoadingAdapters) > 0 {
 			d.loading++
@@ -130,8 +130,8 @@
 	}
 }
 
-// takeModels copies the models with their averaged demand.
-func (d *draft) takeModels(models []Model) {
+// copyModels copies the models with their average demand.
+func (d *draft) copyModels(models []Model) {
 	for index := range models {
 		model := models[index]
 		model.Adapters = slices.Clone(model.Adapters)
@@ -148,23 +148,23 @@
 	slices.SortFunc(d.models, func(a, b *Model) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// lasted notes a need and tells whether it has lasted long enough.
-func (d *draft) lasted(reason Reason, name string, long time.Duration) bool {
+// persists records a need and reports whether it has lasted for a duration.
+func (d *draft) persists(reason Reason, name string, duration time.Duration) bool {
 	key := need{reason: reason, name: name}
-	since, known := d.planner.lasting[key]
+	since, known := d.planner.needSince[key]
 	if !known {
 		since = d.now
 	}
-	d.lasting[key] = since
-	return d.now-since >= long
+	d.needSince[key] = since
+	return d.now-since >= duration
 }
 
-// mayChange tells whether one more server may be changed now.
+// mayChange reports whether one more server may be changed now.
 func (d *draft) mayChange() bool {
-	return d.under < max(d.policy.ChangesAtOnce, 1)
+	return d.changing < max(d.policy.ChangesAtOnce, 1)
 }
 
-// mayLoad tells whether the weight store can take one more load now.
+// mayLoad reports whether the weight store can serve one more load now.
 func (d *draft) mayLoad() bool {
 	if !d.mayChange() || d.loading >= max(d.policy.LoadsAtOnce, 1) {
 		return false
@@ -172,22 +172,21 @@
 	return d.planner.storeFreeAt <= d.now+d.policy.LoadAhead
 }
 
-// delivery is how long the weight store takes for a version, if it serves nobody
-// else.
-func (p *Policy) delivery() time.Duration {
+// deliveryTime returns how long the weight store takes to deliver one version.
+func (p *Policy) deliveryTime() time.Duration {
 	if p.WeightStoreRate <= 0 {
 		return 0
 	}
 	return time.Duration(p.WeightsBytes / p.WeightStoreRate * float64(time.Second))
 }
 
-// idle tells whether a server may be changed: nothing is under way there and,
-// unless urgent, its dwell is over.
+// idle reports whether a server may be changed: it has no change in progress and, unless the change
+// is urgent, its dwell time is over.
 func (d *draft) idle(server *Server, urgent bool) bool {
 	return !server.Busy && (urgent || d.now-server.ChangedAt >= d.policy.Dwell)
 }
 
-// order adds a change and works it into the draft.
+// order adds a change to the plan and applies it to the draft.
 func (d *draft) order(server *Server, reason Reason, orders ...Order) {
 	loads := false
 	d.count(server, -1)
@@ -195,20 +194,20 @@
 		server.apply(order)
 		loads = loads || order.Loads()
 		if order.Action == ActionLoadModel {
-			d.planner.storeFreeAt = max(d.now, d.planner.storeFreeAt) + d.policy.delivery()
+			d.planner.storeFreeAt = max(d.now, d.planner.storeFreeAt) + d.policy.deliveryTime()
 		}
 	}
 	d.count(server, 1)
 	server.Busy = true
 	server.ChangedAt = d.now
-	d.under++
+	d.changing++
 	if loads {
 		d.loading++
 	}
 	d.changes = append(d.changes, Change{Server: server.Name, Reason: reason, Orders: orders})
 }
 
-// apply works an accepted order into what is known of the server.
+// apply applies an order to the state of the server.
 func (s *Server) apply(order Order) {
 	switch order.Action {
 	case ActionLoadModel:
--- a/internal/placement/replicas.go
+++ b/internal/placement/replicas.go
@@ -2,13 +2,12 @@
 
 import "slices"
 
-// servedBy tells whether a server answers for a model now: it holds a version that
-// gets traffic.
+// servedBy reports whether a server has loaded a version of the model with traffic.
 func (m *Model) servedBy(server *Server) bool {
 	return slices.ContainsFunc(server.Versions, func(version VersionName) bool { return m.isActive(version) })
 }
 
-// replicaOn tells whether a server holds or loads a version that gets traffic.
+// replicaOn reports whether a server has loaded or is loading a version of the model with traffic.
 func (m *Model) replicaOn(server *Server) bool {
 	return m.servedBy(server) ||
 		slices.ContainsFunc(server.LoadingVersions, func(version VersionName) bool { return m.isActive(version) })
@@ -22,16 +21,16 @@
 	return active
 }
 
-// tally counts the servers of a model, by zone and in all.
+// tally counts the servers of a model.
 type tally struct {
-	// replicas hold or load the model, serving ones answer for it now, and
-	// eligible ones may hold it.
+	// replicas counts the servers that have loaded or are loading the model, serving those that
+	// serve it now, and eligible those that are allowed to hold it.
 	replicas, serving, eligible zoneCount
-	// versions counts the replicas of each active version.
+	// versions counts the replicas by active version.
 	versions map[string]*zoneCount
 }
 
-// zoneCount counts servers by zone.
+// zoneCount counts servers in total and by zone.
 type zoneCount struct {
 	servers int
 	zones   map[string]int
@@ -45,7 +44,6 @@
 	return created
 }
 
-// version returns the counts of a version.
 func (t *tally) version(name string) *zoneCount {
 	found := t.versions[name]
 	if found == nil {
@@ -63,7 +61,7 @@
 	}
 }
 
-// without returns the servers and zones that are left without a server of a zone.
+// without returns the numbers of servers and zones without one server of a zone.
 func (c *zoneCount) without(zone string) (servers, zones int) {
 	zones = len(c.zones)
 	if c.zones[zone] == 1 {
@@ -72,7 +70,7 @@
 	return c.servers - 1, zones
 }
 
-// count adds a server to the tallies of its models, or takes it out.
+// count adds by to the tallies of the models on a server.
 func (d *draft) count(server *Server, by int) {
 	for _, model := range d.models {
 		counted := d.tallies[model.Name]
@@ -93,10 +91,10 @@
 	}
 }
 
-// replicas returns how many servers hold or load the model.
+// replicas returns the number of servers that have loaded or are loading the model.
 func (d *draft) replicas(model *Model) int { return d.tallies[model.Name].replicas.servers }
 
-// serving lists the servers that answer for the model now.
+// serving returns the servers that serve the model now.
 func (d *draft) serving(model *Model) []*Server {
 	return d.where(model.servedBy)
 }
@@ -111,8 +109,8 @@
 	return found
 }
 
-// floor returns the replicas and zones that the model keeps, as far as the
-// servers that may hold it allow.
+// floor returns the minimum numbers of replicas and zones for the model, limited by the servers
+// that may hold it.
 func (d *draft) floor(model *Model) (replicas, zones int) {
 	eligible := &d.tallies[model.Name].eligible
 	replicas = min(d.policy.FloorReplicas, max(eligible.servers-1, 1))
@@ -120,18 +118,17 @@
 	return replicas, zones
 }
 
-// canGive tells whether a model keeps its floor when a server that answers for it
-// no longer does.
-func (d *draft) canGive(model *Model, server *Server) bool {
+// canRelease reports whether the model keeps its minimum if a server stops serving it.
+func (d *draft) canRelease(model *Model, server *Server) bool {
 	if !model.servedBy(server) {
 		return true
 	}
 	servers, zones := d.tallies[model.Name].serving.without(server.Zone)
-	leastServers, leastZones := d.floor(model)
-	return servers >= leastServers && zones >= leastZones
+	minimumServers, minimumZones := d.floor(model)
+	return servers >= minimumServers && zones >= minimumZones
 }
 
-// pressure is the demand for each of a number of replicas.
+// pressure returns the demand per replica for a number of replicas.
 func (m *Model) pressure(replicas int) float64 {
 	return m.Demand / float64(max(replicas, 1))
 }
--- a/internal/placement/versions.go
+++ b/internal/placement/versions.go
@@ -7,8 +7,8 @@
 
 func sortBy[T any](list []T, compare func(a, b T) int) { slices.SortStableFunc(list, compare) }
 
-// versionTargets splits a number of replicas by the weights of the versions:
-// each gets at least one while there are enough, the rest by largest remainder.
+// versionTargets divides a number of replicas among versions by weight. Each version gets at least
+// one if there are enough; the rest is assigned by the largest remainder.
 func versionTargets(versions []Version, replicas int) map[string]int {
 	targets := make(map[string]int, len(versions))
 	total := 0.0
@@ -20,34 +20,34 @@
 		remainder float64
 	}
 	var parts []part
-	left := replicas
-	least := 0
+	remaining := replicas
+	minimum := 0
 	if replicas >= len(versions) {
-		least = 1
+		minimum = 1
 	}
 	for _, version := range versions {
 		exact := float64(replicas) * float64(version.Weight) / total
-		targets[version.Name] = max(int(exact), least)
-		left -= targets[version.Name]
+		targets[version.Name] = max(int(exact), minimum)
+		remaining -= targets[version.Name]
 		parts = append(parts, part{name: version.Name, remainder: exact - float64(targets[version.Name])})
 	}
 	sortBy(parts, func(a, b part) int {
 		return cmp.Or(cmp.Compare(b.remainder, a.remainder), cmp.Compare(a.name, b.name))
 	})
-	for index := 0; left > 0; index = (index + 1) % len(parts) {
+	for index := 0; remaining > 0; index = (index + 1) % len(parts) {
 		targets[parts[index].name]++
-		left--
+		remaining--
 	}
-	for left < 0 {
+	for remaining < 0 {
 		largest := slices.MaxFunc(parts, func(a, b part) int { return cmp.Compare(targets[a.name], targets[b.name]) })
 		targets[largest.name]--
-		left++
+		remaining++
 	}
 	return targets
 }
 
-// missingVersion returns the active version that is furthest below its target
-// once the model has one more replica.
+// missingVersion returns the active version that is furthest below its target, assuming one more
+// replica of the model.
 func (d *draft) missingVersion(model *Model) Version {
 	active := model.active()
 	counts := d.tallies[model.Name]
@@ -61,16 +61,15 @@
 	})
 }
 
-// balanceVersions converts replicas of a model from versions above their target
-// to versions below it.
+// balanceVersions converts replicas from versions above their target to versions below it.
 func (d *draft) balanceVersions() {
 	for _, model := range d.models {
-		for d.convertOne(model) {
+		for d.convertReplica(model) {
 		}
 	}
 }
 
-func (d *draft) convertOne(model *Model) bool {
+func (d *draft) convertReplica(model *Model) bool {
 	active := model.active()
 	if len(active) < 2 || !d.mayLoad() {
 		return false
@@ -81,7 +80,7 @@
 	if missing == nil {
 		return false
 	}
-	server, surplus := d.toConvert(model, missing, targets)
+	server, surplus := d.findConversion(model, missing, targets)
 	if server == nil {
 		return d.expand(model, missing)
 	}
@@ -93,16 +92,16 @@
 	return true
 }
 
-// toConvert finds a server with a version that the model has too often, in the
-// zone where the missing version has the fewest replicas.
-func (d *draft) toConvert(model *Model, missing *Version, targets map[string]int) (*Server, VersionName) {
+// findConversion returns a server with a version that has too many replicas, in the zone where the
+// missing version has the fewest.
+func (d *draft) findConversion(model *Model, missing *Version, targets map[string]int) (*Server, VersionName) {
 	counts := d.tallies[model.Name]
 	present := counts.version(missing.Name).zones
 	var best *Server
 	var victim VersionName
 	for _, server := range d.servers {
 		surplus, found := surplusOn(model, server, counts, targets)
-		if !found || !d.idle(server, false) || holds(server, model.Name, missing.Name) || !d.canGive(model, server) {
+		if !found || !d.idle(server, false) || holds(server, model.Name, missing.Name) || !d.canRelease(model, server) {
 			continue
 		}
 		if best == nil || present[server.Zone] < present[best.Zone] {
@@ -112,15 +111,15 @@
 	return best, victim
 }
 
-// expand gives a model one more replica where its versions can't be balanced
-// within its floor.
+// expand gives a model one more replica if its versions can't be balanced without going below its
+// minimum.
 func (d *draft) expand(model *Model, missing *Version) bool {
 	counts := d.tallies[model.Name]
 	atFloor, _ := d.floor(model)
 	if d.replicas(model) > atFloor || counts.version(missing.Name).servers > 0 {
 		return false
 	}
-	chosen, found := d.takeServer(model, false, func(*Server) bool { return true })
+	chosen, found := d.chooseServer(model, false, func(*Server) bool { return true })
 	if !found {
 		return false
 	}
@@ -131,15 +130,15 @@
 func (d *draft) mostMissing(active []Version, counts *tally, targets map[string]int) *Version {
 	var found *Version
 	for index := range active {
-		lack := targets[active[index].Name] - counts.version(active[index].Name).servers
-		if lack > 0 && (found == nil || lack > targets[found.Name]-counts.version(found.Name).servers) {
+		shortfall := targets[active[index].Name] - counts.version(active[index].Name).servers
+		if shortfall > 0 && (found == nil || shortfall > targets[found.Name]-counts.version(found.Name).servers) {
 			found = &active[index]
 		}
 	}
 	return found
 }
 
-// surplusOn returns a version on the server that the model has too often.
+// surplusOn returns a version on the server that has too many replicas.
 func surplusOn(model *Model, server *Server, counts *tally, targets map[string]int) (VersionName, bool) {
 	for _, version := range server.Versions {
 		if model.isActive(version) && counts.version(version.Version).servers > targets[version.Version] {
--- a/internal/placement/view.go
+++ b/internal/placement/view.go
@@ -1,8 +1,7 @@
-// Package placement decides which model versions and adapters each engine holds
-// and in which role it runs. It turns a view of the fleet into changes: demand is
-// followed with hysteresis, a minimum dwell and a bound on changes at once, no
-// change takes a model below its floor of replicas and zones, and loads keep to
-// the rate of the weight store. The package is pure: time is an argument.
+// Package placement plans which model versions and adapters each engine holds and in which role it
+// runs. It turns a view of the fleet into changes. Demand is followed with hysteresis, a minimum
+// dwell time and a limit on concurrent changes. No change takes a model below its minimum number of
+// replicas and zones, and loads do not exceed the rate of the weight store.
 package placement
 
 import (
@@ -10,10 +9,10 @@
 	"time"
 )
 
-// Role says which requests an engine takes.
+// Role is the kind of requests that an engine accepts.
 type Role string
 
-// The roles, as the engine protocol names them.
+// The roles of the engine protocol.
 const (
 	RoleMixed  Role = "mixed"
 	RoleOnline Role = "online"
@@ -26,7 +25,7 @@
 	Version string
 }
 
-// String returns the loadable name, "model@version".
+// String returns the name used by the engine protocol, "model@version".
 func (v VersionName) String() string { return v.Model + "@" + v.Version }
 
 // AdapterName names an adapter of a model.
@@ -35,17 +34,16 @@
 	Adapter string
 }
 
-// String returns the loadable name, "model:adapter".
+// String returns the name used by the engine protocol, "model:adapter".
 func (a AdapterName) String() string { return a.Model + ":" + a.Adapter }
 
-// View is what is known of the fleet at one moment.
+// View is the state of the fleet at one moment.
 type View struct {
-	// Now is the time since an origin of the caller's choice; it must not go
-	// backwards.
+	// Now is the time since an arbitrary origin. It must not decrease from one view to the next.
 	Now time.Duration
-	// Servers are the engines. Their order does not matter.
+	// Servers are the engines, in any order.
 	Servers []Server
-	// Models are the models of the configuration in force.
+	// Models are the models of the current configuration.
 	Models []Model
 }
 
@@ -53,24 +51,24 @@
 type Server struct {
 	Name string
 	Zone string
-	// AllowedModels lists the models that the configuration lets the engine hold.
+	// AllowedModels lists the models that the configuration allows on the engine.
 	AllowedModels []string
 	// Slots is the number of versions that fit into the engine's memory.
 	Slots int
-	// Versions and Adapters are in force now.
+	// Versions and Adapters are loaded.
 	Versions []VersionName
 	Adapters []AdapterName
-	// LoadingVersions and LoadingAdapters are ordered and not in force yet.
+	// LoadingVersions and LoadingAdapters are being loaded.
 	LoadingVersions []VersionName
 	LoadingAdapters []AdapterName
 	Role            Role
-	// Usable servers are healthy, not leaving, and known well enough to be
-	// ordered about. Others count as holding nothing.
+	// Usable is whether the server is healthy, not leaving, and fully known, so that it may get
+	// orders. Other servers count as empty.
 	Usable bool
-	// Busy servers have a change under way.
+	// Busy is whether the server has a change in progress.
 	Busy bool
-	// ChangedAt is when the last change was ordered or, where that is not known,
-	// the earliest time from which changes are known.
+	// ChangedAt is the time of the last change, or the time since which changes are known if there
+	// was none.
 	ChangedAt time.Duration
 }
 
@@ -79,28 +77,27 @@
 	Name     string
 	Versions []Version
 	Adapters []Adapter
-	// Demand is the work asked for, in cost units a second: what was served, what
-	// was refused for want of servers, and a part of the batch work that waits.
+	// Demand is the requested work in cost units per second: the served work, the work refused for
+	// lack of servers, and a part of the waiting batch work.
 	Demand float64
 }
 
-// Version is a version of a model. Weight zero means that it was ended.
+// Version is a version of a model. A version of weight zero has been ended and gets no traffic.
 type Version struct {
 	Name      string
 	Weight    uint32
 	WeightsID string
 }
 
-// Adapter is an adapter of a model. Its demand is part of the model's.
+// Adapter is an adapter of a model. Its demand is included in the model's.
 type Adapter struct {
 	Name   string
 	Demand float64
 }
 
-// Action is what an order asks an engine for, as the engine protocol names it.
+// Action is an action of the engine protocol.
 type Action string
 
-// The actions.
 const (
 	ActionLoadModel     Action = "load_model"
 	ActionUnloadModel   Action = "unload_model"
@@ -109,7 +106,7 @@
 	ActionSetRole       Action = "set_role"
 )
 
-// Order is one step of a change, without its fence.
+// Order is one step of a change. Its fence is added when it is sent.
 type Order struct {
 	Action    Action
 	Version   VersionName
@@ -118,87 +115,81 @@
 	Role      Role
 }
 
-// Loads tells whether the order reads from the weight store.
+// Loads reports whether the order reads from the weight store.
 func (o Order) Loads() bool {
 	return o.Action == ActionLoadModel || o.Action == ActionLoadAdapter
 }
 
-// Reason says why a change is made.
+// Reason is the reason for a change.
 type Reason string
 
-// The reasons.
 const (
-	// ReasonFloor: a model has fewer replicas or zones than its floor.
+	// ReasonFloor: a model has fewer replicas or zones than the minimum.
 	ReasonFloor Reason = "floor"
-	// ReasonEnded: a version or adapter is not declared any more.
+	// ReasonEnded: a version or adapter is no longer declared.
 	ReasonEnded Reason = "ended"
-	// ReasonWeights: the versions of a model are not held by their weights.
+	// ReasonWeights: the replicas of a model do not match the weights of its versions.
 	ReasonWeights Reason = "version_weights"
-	// ReasonDemand: another model has more demand for each replica.
+	// ReasonDemand: another model has a higher demand per replica.
 	ReasonDemand Reason = "demand"
-	// ReasonIdle: the engine holds nothing.
+	// ReasonIdle: the engine is empty.
 	ReasonIdle Reason = "idle_server"
-	// ReasonAdapter: an adapter has too few replicas or too many.
+	// ReasonAdapter: an adapter has too few or too many replicas.
 	ReasonAdapter Reason = "adapter"
-	// ReasonRole: the engine's role is not the one that policy gives it.
+	// ReasonRole: the engine's role differs from the one that the policy gives it.
 	ReasonRole Reason = "role"
 )
 
-// Change is what one server is ordered to do, in order.
+// Change is a sequence of orders for one server.
 type Change struct {
 	Server string
 	Reason Reason
 	Orders []Order
 }
 
-// Policy bounds what is changed and how soon.
+// Policy holds the parameters of a Planner.
 type Policy struct {
-	// FloorReplicas and FloorZones are how many replicas, in how many zones, each
-	// model keeps. A model that no more servers may hold than the floor keeps one
-	// fewer, so that its versions can be changed at all.
+	// FloorReplicas and FloorZones are the minimum numbers of replicas and of their zones for each
+	// model. The minimum is one replica lower for a model that is allowed on too few servers to
+	// have a spare one, so that its versions can be changed.
 	FloorReplicas int
 	FloorZones    int
-	// Margin is by which part a model's demand for each replica must exceed what
-	// the giving model would have after the move. Above zero a move never
-	// justifies the move back.
+	// Margin is the fraction by which a model's demand per replica must exceed the one that the
+	// other model would have after giving up a server. With a positive margin a move never
+	// justifies the opposite one.
 	Margin float64
-	// MinimumPressure is the demand for each replica, in cost units a second,
-	// below which a model gets no more replicas for demand.
+	// MinimumPressure is the demand per replica, in cost units per second, below which a model gets
+	// no more replicas.
 	MinimumPressure float64
-	// Sustain is how long the need for a move must last before the first one.
+	// Sustain is how long demand must justify a move before the first one.
 	Sustain time.Duration
-	// FloorSustain is how long a model must lack replicas of its floor.
+	// FloorSustain is how long a model must be below the minimum before it gets replicas.
 	FloorSustain time.Duration
-	// EndedGrace is how long a version or adapter must be undeclared before it is
-	// unloaded.
+	// EndedGrace is how long a version or adapter must be undeclared before it is unloaded.
 	EndedGrace time.Duration
-	// Dwell is how long a server stays as it is after a change, but for floors and
-	// ended versions.
+	// Dwell is the minimum time between two changes of a server, except those for the minimum of
+	// replicas and for ended versions.
 	Dwell time.Duration
-	// SmoothingHalfLife is the half-life over which demand is averaged.
+	// SmoothingHalfLife is the half-life of the average of demand.
 	SmoothingHalfLife time.Duration
-	// ChangesAtOnce bounds the servers with a change under way, and LoadsAtOnce
-	// those that load.
+	// ChangesAtOnce bounds the servers with a change in progress, and LoadsAtOnce those that load.
 	ChangesAtOnce int
 	LoadsAtOnce   int
-	// WeightStoreRate is the rate of the weight store in bytes a second, and
-	// WeightsBytes the size of a version's weights: a load is ordered only when the
-	// store can have delivered those before within LoadAhead. A rate of zero means
-	// no such bound.
+	// WeightStoreRate is the rate of the weight store in bytes per second, and WeightsBytes the
+	// size of the weights of a version. A load is ordered only if the store can deliver the earlier
+	// ones within LoadAhead. If the rate is zero, loads are not limited by it.
 	WeightStoreRate float64
 	WeightsBytes    float64
-	// LoadAhead is about the time between two plans, so that the store does not
-	// stand still in between.
+	// LoadAhead is about the interval between two plans, so that the store is not idle in between.
 	LoadAhead time.Duration
-	// AdapterReplicas is the least number of a model's replicas that hold each of
-	// its adapters.
+	// AdapterReplicas is the minimum number of a model's replicas that hold each of its adapters.
 	AdapterReplicas int
-	// OnlineOnlyFraction is the part of a model's replicas whose role is online; the
-	// others are mixed.
+	// OnlineOnlyFraction is the fraction of a model's replicas with the role online. The others
+	// have the role mixed.
 	OnlineOnlyFraction float64
 }
 
-// DefaultPolicy returns the policy that control machines use.
+// DefaultPolicy returns the default policy of control machines.
 func DefaultPolicy() Policy {
 	return Policy{
 		FloorReplicas:     2,
@@ -219,12 +210,12 @@
 
 func (s *Server) mayHold(model string) bool { return slices.Contains(s.AllowedModels, model) }
 
-// free returns the number of free slots.
+// free returns the number of unused slots.
 func (s *Server) free() int {
 	return max(s.Slots, 1) - len(s.Versions) - len(s.LoadingVersions)
 }
 
-// active returns the versions that get traffic.
+// active returns the versions with traffic.
 func (m *Model) active() []Version {
 	return slices.DeleteFunc(slices.Clone(m.Versions), func(version Version) bool { return version.Weight == 0 })
 }
