--- a/internal/placer/applier.go
+++ b/internal/placer/applier.go
@@ -1,7 +1,7 @@
-// Package placer carries out placement: the leader of the root group surveys the
-// fleet, plans, and sends fenced orders to engines. A new leader first claims
-// every engine with a harmless order of its own term, so that the orders of
-// earlier leaders are refused from then on.
+// Package placer carries out the placement of models on engines. The leader of the root group
+// surveys the fleet, makes a plan and sends orders with fencing tokens to engines. A new leader
+// first claims every engine with an order of its own term that changes nothing, so that engines
+// refuse the orders of former leaders from then on.
 package placer
 
 import (
@@ -17,53 +17,51 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Options of an applier.
+// Options configure an Applier.
 type Options struct {
-	// Leading tells whether this process leads the root group under a valid lease,
-	// and in which term.
+	// Leading returns whether this process leads the root group under a valid lease, and the term.
 	Leading func() (term uint64, leading bool)
-	// Survey describes the fleet.
+	// Survey returns the state of the fleet.
 	Survey func(context.Context) (Survey, error)
-	// Client calls engines.
+	// Client is used for calls to engines.
 	Client *http.Client
 	Policy placement.Policy
-	// VersionsPerEngine is how many versions fit into an engine; zero means one.
+	// VersionsPerEngine is the number of versions that fit into an engine; zero means one.
 	VersionsPerEngine int
-	// Interval is the time between two plans, WarmUp that from the beginning of a
-	// term to its first plan.
+	// Interval is the time between two plans, and WarmUp the time from the beginning of a term to
+	// its first plan.
 	Interval time.Duration
 	WarmUp   time.Duration
-	// Now is the time since an origin.
+	// Now returns the time since an arbitrary origin.
 	Now func() time.Duration
 	Log log.Interface
 }
 
-// Applier plans and orders. One goroutine owns it.
+// Applier makes plans and sends orders. It is not safe for concurrent use.
 type Applier struct {
 	options Options
 	client  engineClient
 	planner *placement.Planner
 
-	// The fields below belong to the term in which the applier leads.
-	term     uint64
-	deposed  bool
-	ledSince time.Duration
-	sequence uint32
-	engines  map[string]*engineState
-	rotation int
-	totals   Totals
+	// The fields below, except totals, are reset when the term changes.
+	term          uint64
+	deposed       bool
+	termStartedAt time.Duration
+	sequence      uint32
+	engines       map[string]*engineState
+	rotation      int
+	totals        Totals
 }
 
-// Totals counts what an applier did since it began.
+// Totals counts the changes and orders of an applier since it was created.
 type Totals struct {
 	// Changes counts the changes whose orders were all accepted, by reason.
 	Changes map[placement.Reason]int
-	// Orders counts accepted orders, claims included; Refused those refused for
-	// their fences, and Failed all others.
+	// Orders counts the accepted orders, including claims; Refused those refused because of their
+	// fences, and Failed those that failed otherwise.
 	Orders, Refused, Failed int
 }
 
-// New returns an applier.
 func New(options Options) *Applier {
 	return &Applier{
 		options: options,
@@ -72,13 +70,13 @@
 	}
 }
 
-// Totals returns what the applier did. Only its owner may call it.
+// Totals returns the totals. It must not be called concurrently with Round.
 func (a *Applier) Totals() Totals { return a.totals }
 
-// Deposed tells whether an engine answered with the fence of a later leader.
+// Deposed reports whether an engine answered with the fence of a later leader in this term.
 func (a *Applier) Deposed() bool { return a.deposed }
 
-// Run makes a round each interval until the context ends.
+// Run calls Round at each interval until the context ends.
 func (a *Applier) Run(ctx context.Context) error {
 	ticker := time.NewTicker(a.options.Interval)
 	defer ticker.Stop()
@@ -92,76 +90,77 @@
 	}
 }
 
-// Round surveys, claims, plans and orders once, where this process leads.
+// Round surveys the fleet, claims new engines, makes a plan and carries it out, if this process
+// leads.
 func (a *Applier) Round(ctx context.Context) {
-	if !a.lead() {
+	if !a.checkLeadership() {
 		return
 	}
 	survey, err := a.options.Survey(ctx)
 	if err != nil {
-		a.options.Log.WithError(err).Warn("placement cannot survey the fleet")
+		a.options.Log.WithError(err).Warn("failed to survey the fleet; skipping this placement round")
 		return
 	}
 	digests := make(map[string]*rockwindpb.ServerDigest)
 	for _, digest := range MergeDigests(survey.Digests) {
 		digests[digest.GetName()] = digest
 	}
-	a.know(survey.engines())
-	a.read(ctx, digests)
+	a.updateEngines(survey.engines())
+	a.refreshReports(ctx, digests)
 	a.claim(ctx)
-	if a.options.Now()-a.ledSince < a.options.WarmUp {
+	if a.options.Now()-a.termStartedAt < a.options.WarmUp {
 		return
 	}
 	for _, change := range a.planner.Plan(a.view(&survey, digests)) {
-		a.carryOut(ctx, change)
+		a.applyChange(ctx, change)
 	}
 }
 
-// lead tells whether this process may order now. What it knew is forgotten when
-// the term changes: within a term nobody else ordered.
-func (a *Applier) lead() bool {
+// checkLeadership reports whether this process may send orders now. It resets the state when the
+// term changes; within a term no other process sends orders.
+func (a *Applier) checkLeadership() bool {
 	term, leading := a.options.Leading()
 	if leading && (a.engines == nil || term != a.term) {
 		a.term, a.sequence, a.deposed = term, 0, false
-		a.ledSince = a.options.Now()
+		a.termStartedAt = a.options.Now()
 		a.engines = make(map[string]*engineState)
 		a.planner = placement.NewPlanner(a.options.Policy)
 	}
 	return leading && !a.deposed
 }
 
-// know adds engines of the configuration and drops those that left it.
-func (a *Applier) know(declared []*rockwindpb.BackEnd) {
+// updateEngines adds the engines of the configuration and drops those that it no longer has.
+func (a *Applier) updateEngines(declared []*rockwindpb.BackEnd) {
 	kept := make(map[string]*engineState, len(declared))
 	for _, backEnd := range declared {
-		held := a.engines[backEnd.GetName()]
-		if held == nil || held.address != backEnd.GetAddress() {
-			held = &engineState{name: backEnd.GetName(), address: backEnd.GetAddress(), changedAt: a.ledSince}
+		engine := a.engines[backEnd.GetName()]
+		if engine == nil || engine.address != backEnd.GetAddress() {
+			engine = &engineState{name: backEnd.GetName(), address: backEnd.GetAddress(), changedAt: a.termStartedAt}
 		}
-		kept[backEnd.GetName()] = held
+		kept[backEnd.GetName()] = engine
 	}
 	a.engines = kept
 }
 
-// Bounds of calls in one round.
+// Limits on the calls of one round.
 const (
-	// callsAtOnce bounds the calls to engines in progress.
+	// callsAtOnce bounds the concurrent calls to engines.
 	callsAtOnce = 16
-	// rotationSize is how many engines are read without cause in each round.
+	// rotationSize is how many engines are read in each round although no change is expected.
 	rotationSize = 8
 )
 
-// read asks the engines whose state may have changed what they hold.
-func (a *Applier) read(ctx context.Context, digests map[string]*rockwindpb.ServerDigest) {
+// refreshReports reads the reports of the engines whose state may have changed.
+func (a *Applier) refreshReports(ctx context.Context, digests map[string]*rockwindpb.ServerDigest) {
 	var due []*engineState
 	position := 0
-	for _, held := range a.sorted() {
+	for _, engine := range a.sortedEngines() {
 		inTurn := position/rotationSize == a.rotation
 		position++
-		digest := digests[held.name]
-		changed := digest != nil && held.differs(digest)
-		if !held.known || held.pending != nil || changed || inTurn {
-			due = append(due, held)
+		digest := digests[engine.name]
+		changed := digest != nil && engine.differsFrom(digest)
+		if !engine.known || engine.pending != nil || changed || inTurn {
+			due = append(due, engine)
 		}
 	}
 	a.rotation++
@@ -172,104 +171,104 @@
 	failures := make([]error, len(due))
 	var calls errgroup.Group
 	calls.SetLimit(callsAtOnce)
-	for index, held := range due {
+	for index, engine := range due {
 		calls.Go(func() error {
-			reports[index], failures[index] = a.client.load(ctx, held.address)
+			reports[index], failures[index] = a.client.load(ctx, engine.address)
 			return nil
 		})
 	}
 	_ = calls.Wait()
-	for index, held := range due {
+	for index, engine := range due {
 		if failures[index] != nil {
-			held.known = false
+			engine.known = false
 			continue
 		}
-		held.observe(reports[index], a.options.Now())
+		engine.observe(reports[index], a.options.Now())
 	}
 }
 
-// claim gives each engine an order of this term that changes nothing: its own
-// role again. From then on it refuses the orders of earlier terms.
+// claim orders each engine into the role that it already has. From then on the engine refuses
+// orders of earlier terms.
 func (a *Applier) claim(ctx context.Context) {
-	for _, held := range a.sorted() {
-		if held.claimed || !held.known {
+	for _, engine := range a.sortedEngines() {
+		if engine.claimed || !engine.known {
 			continue
 		}
-		same := placement.Order{Action: placement.ActionSetRole, Role: held.report.Role}
-		if same.Role == "" {
-			same.Role = placement.RoleMixed
+		unchanged := placement.Order{Action: placement.ActionSetRole, Role: engine.report.Role}
+		if unchanged.Role == "" {
+			unchanged.Role = placement.RoleMixed
 		}
-		if a.send(ctx, held, same) == nil {
-			held.claimed = true
+		if a.send(ctx, engine, unchanged) == nil {
+			engine.claimed = true
 		}
-		if !a.mayOrder() {
+		if !a.stillLeads() {
 			return
 		}
 	}
 }
 
-// mayOrder tells whether this process still leads in its term.
-func (a *Applier) mayOrder() bool {
+// stillLeads reports whether this process still leads in its term.
+func (a *Applier) stillLeads() bool {
 	term, leading := a.options.Leading()
 	return leading && term == a.term && !a.deposed
 }
 
-// carryOut sends the orders of a change.
-func (a *Applier) carryOut(ctx context.Context, change placement.Change) {
-	held := a.engines[change.Server]
+// applyChange sends the orders of a change.
+func (a *Applier) applyChange(ctx context.Context, change placement.Change) {
+	engine := a.engines[change.Server]
 	now := a.options.Now()
 	for index, order := range change.Orders {
-		if !a.mayOrder() {
-			held.known = false
+		if !a.stillLeads() {
+			engine.known = false
 			return
 		}
-		if err := a.send(ctx, held, order); err != nil {
-			a.failed(held, change, index, err)
+		if err := a.send(ctx, engine, order); err != nil {
+			a.recordFailure(engine, change, index, err)
 			return
 		}
 	}
-	held.pending, held.changedAt = newPending(change.Orders, now), now
+	engine.pending, engine.changedAt = newPending(change.Orders, now), now
 	a.totals.Changes[change.Reason]++
 	a.options.Log.WithFields(log.Fields{
 		"engine": change.Server, "reason": string(change.Reason), "orders": len(change.Orders),
-	}).Info("placement changed an engine")
+	}).Info("changed the placement of an engine")
 }
 
-// failed notes a change whose order at an index failed. Where the outcome is
-// unknown the change counts as under way, until the engine shows what it holds.
-func (a *Applier) failed(held *engineState, change placement.Change, index int, err error) {
+// recordFailure records that the order at an index of a change failed. If the outcome is unknown,
+// the change counts as in progress until the engine reports what it holds.
+func (a *Applier) recordFailure(engine *engineState, change placement.Change, index int, err error) {
 	now := a.options.Now()
-	held.known = false
-	held.changedAt = now
+	engine.known = false
+	engine.changedAt = now
 	var stale *staleFence
 	if !errors.As(err, &stale) {
-		held.pending = newPending(change.Orders[:index+1], now)
+		engine.pending = newPending(change.Orders[:index+1], now)
 	} else if index > 0 {
-		held.pending = newPending(change.Orders[:index], now)
+		engine.pending = newPending(change.Orders[:index], now)
 	}
-	a.options.Log.WithError(err).WithField("engine", change.Server).Warn("placement could not change an engine")
+	a.options.Log.WithError(err).WithField("engine", change.Server).Warn("failed to change the placement of an engine")
 }
 
-// send sends one order under the next fence.
-func (a *Applier) send(ctx context.Context, held *engineState, order placement.Order) error {
+// send sends one order with the next fence.
+func (a *Applier) send(ctx context.Context, engine *engineState, order placement.Order) error {
 	a.sequence++
-	err := a.client.send(ctx, held.address, encode(order, placement.Fence(a.term, a.sequence)))
+	err := a.client.send(ctx, engine.address, encode(order, placement.Fence(a.term, a.sequence)))
 	var stale *staleFence
 	switch {
 	case err == nil:
 		a.totals.Orders++
 	case errors.As(err, &stale):
 		a.totals.Refused++
-		a.passed(stale.last)
+		a.observeFence(stale.last)
 	default:
 		a.totals.Failed++
 	}
 	return err
 }
 
-// passed takes the fence of a refusal: a later term ends this applier's, an equal
-// one is gone past.
-func (a *Applier) passed(last uint64) {
+// observeFence records the fence of a refused order. A later term ends this applier's term; in its
+// own term the sequence number continues after the fence.
+func (a *Applier) observeFence(last uint64) {
 	switch term := placement.FenceTerm(last); {
 	case term > a.term:
 		a.deposed = true
--- a/internal/placer/engine.go
+++ b/internal/placer/engine.go
@@ -14,20 +14,20 @@
 	"rockwind.example/rockwind/internal/placement"
 )
 
-// Bounds of calls to engines.
+// Limits of calls to engines.
 const (
-	callTimeout   = 2 * time.Second
-	maximumAnswer = 1 << 20
+	callTimeout          = 2 * time.Second
+	maximumResponseBytes = 1 << 20
 )
 
-// engineReport is the part of GET /load that placement reads. A list that is
-// absent means that the engine accepts every model.
+// engineReport is the part of the answer to GET /load that placement uses. If the list is absent,
+// the engine accepts every model.
 type engineReport struct {
 	Loaded []string       `json:"loaded"`
 	Role   placement.Role `json:"role"`
 }
 
-// engineOrder is the body of POST /orders.
+// engineOrder is the request body of POST /orders.
 type engineOrder struct {
 	Fence     uint64           `json:"fence"`
 	Action    placement.Action `json:"action"`
@@ -38,28 +38,26 @@
 	Role      placement.Role   `json:"role,omitempty"`
 }
 
-// fenceAnswer is the answer to an order: the last fence that was accepted.
+// fenceAnswer is the body of the answer to an order: the last accepted fence.
 type fenceAnswer struct {
 	Fence uint64 `json:"fence"`
 }
 
-// staleFence is the failure of an order whose fence is not above the engine's.
+// staleFence is the error for an order whose fence is not higher than the engine's.
 type staleFence struct {
-	// last is the highest fence that the engine accepted.
+	// last is the highest fence that the engine has accepted.
 	last uint64
 }
 
-// Error implements error.
 func (s *staleFence) Error() string {
 	return "the engine has accepted an order with a higher fence"
 }
 
-// engineClient calls engines.
 type engineClient struct {
 	client *http.Client
 }
 
-// load reads what an engine holds.
+// load reads the report of an engine.
 func (c engineClient) load(ctx context.Context, address string) (engineReport, error) {
 	var report engineReport
 	status, body, err := c.call(ctx, http.MethodGet, "http://"+address+"/load", nil)
@@ -67,13 +65,12 @@
 		return report, err
 	}
 	if status != http.StatusOK {
-		return report, refused(address, status, body)
+		return report, statusError(address, status, body)
 	}
 	return report, errors.Wrap(json.Unmarshal(body, &report), "decode the engine's report")
 }
 
-// send sends one order. It fails with staleFence where the engine has accepted a
-// higher fence.
+// send sends one order. It returns a staleFence error if the engine has accepted a higher fence.
 func (c engineClient) send(ctx context.Context, address string, order engineOrder) error {
 	encoded, err := json.Marshal(order)
 	if err != nil {
@@ -92,12 +89,12 @@
 		}
 		return &staleFence{last: answer.Fence}
 	default:
-		return refused(address, status, body)
+		return statusError(address, status, body)
 	}
 }
 
-func refused(address string, status int, body []byte) error {
-	return fault.Newf(fault.Unavailable, "read the engine's log", "the engine at %s answered %d: %s", address, status, body)
+func statusError(address string, status int, body []byte) error {
+	return fault.Newf(fault.Unavailable, "check the engine's log", "engine at %s returned status %d: %s", address, status, body)
 }
 
 func (c engineClient) call(ctx context.Context, method, url string, body []byte) (int, []byte, error) {
@@ -105,7 +102,7 @@
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
-		return 0, nil, errors.Wrap(err, "make the call")
+		return 0, nil, errors.Wrap(err, "create the request to the engine")
 	}
 	request.Header.Set("Content-Type", "application/json")
 	response, err := c.client.Do(request)
@@ -113,11 +110,11 @@
 		return 0, nil, errors.Wrap(err, "call the engine")
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maximumAnswer))
-	return response.StatusCode, answer, errors.Wrap(err, "read the engine's answer")
+	answer, err := io.ReadAll(io.LimitReader(response.Body, maximumResponseBytes))
+	return response.StatusCode, answer, errors.Wrap(err, "read the engine's response")
 }
 
-// encode gives an order its fence.
+// encode returns the request body of an order.
 func encode(order placement.Order, fence uint64) engineOrder {
 	encoded := engineOrder{Fence: fence, Action: order.Action, WeightsID: order.WeightsID, Role: order.Role}
 	switch order.Action {
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -20,12 +20,12 @@
 	"rockwind.example/rockwind/internal/standin"
 )
 
-// testRound is the time between two rounds of a test, in the applier's time.
+// testRound is the time between two rounds.
 const testRound = 10 * time.Second
 
-// trial runs appliers over engine stand-ins behind HTTP. Time is the trial's; the
-// stand-ins load at once.
-type trial struct {
+// fleet runs appliers with simulated engines behind HTTP servers. The applier uses the fleet's
+// clock; engines load instantly.
+type fleet struct {
 	t       *testing.T
 	now     time.Duration
 	index   *configuration.Index
@@ -33,15 +33,15 @@
 	servers []*httptest.Server
 	engines []*standin.Engine
 	demand  map[string]float64
-	// unhealthy engines are ejected in all digests.
+	// unhealthy lists the engines that are ejected in all digests.
 	unhealthy map[string]bool
 }
 
-// newTrial starts engines that hold the given names, in three zones in turn.
-func newTrial(t *testing.T, held ...string) *trial {
+// newFleet starts one engine per name, which it holds, in three zones in turn.
+func newFleet(t *testing.T, held ...string) *fleet {
 	t.Helper()
-	r := &trial{t: t, demand: make(map[string]float64), unhealthy: make(map[string]bool)}
-	r.config = &rockwindpb.Configuration{Number: 1, Models: []*rockwindpb.Model{model("large", "v1"), model("small", "v1")}}
+	f := &fleet{t: t, demand: make(map[string]float64), unhealthy: make(map[string]bool)}
+	f.config = &rockwindpb.Configuration{Number: 1, Models: []*rockwindpb.Model{model("large", "v1"), model("small", "v1")}}
 	for number, name := range held {
 		config := engine.FastConfig()
 		config.ReportLag = 0
@@ -57,16 +57,16 @@
 			listener.Close()
 			_ = created.Close()
 		})
-		r.servers = append(r.servers, listener)
-		r.engines = append(r.engines, created)
-		r.config.BackEnds = append(r.config.BackEnds, &rockwindpb.BackEnd{
+		f.servers = append(f.servers, listener)
+		f.engines = append(f.engines, created)
+		f.config.BackEnds = append(f.config.BackEnds, &rockwindpb.BackEnd{
 			Name: fmt.Sprintf("engine-%d", number), Kind: rockwindpb.BackEndKind_BACK_END_KIND_ENGINE,
 			Address: listener.Listener.Addr().String(), Zone: fmt.Sprintf("zone-%d", number%3),
 			Serves: []string{"large", "small"},
 		})
 	}
-	r.configure()
-	return r
+	f.configure()
+	return f
 }
 
 func model(name string, versions ...string) *rockwindpb.Model {
@@ -77,87 +77,87 @@
 	return declared
 }
 
-// configure puts the trial's configuration in force.
-func (r *trial) configure() {
-	r.t.Helper()
+// configure applies the fleet's configuration.
+func (f *fleet) configure() {
+	f.t.Helper()
 	var err error
-	if r.index, err = configuration.NewIndex(r.config); err != nil {
-		r.t.Fatal(err)
+	if f.index, err = configuration.NewIndex(f.config); err != nil {
+		f.t.Fatal(err)
 	}
 }
 
-// leader makes an applier that leads in a term as long as leading says.
-func (r *trial) leader(term uint64, leading *bool) *Applier {
+// newApplier returns an applier that leads in a term while leading is true.
+func (f *fleet) newApplier(term uint64, leading *bool) *Applier {
 	policy := placement.DefaultPolicy()
 	policy.SmoothingHalfLife = testRound
 	return New(Options{
 		Leading: func() (uint64, bool) { return term, *leading },
-		Survey:  r.survey, Client: http.DefaultClient, Policy: policy, WarmUp: testRound,
-		Now: func() time.Duration { return r.now },
+		Survey:  f.survey, Client: http.DefaultClient, Policy: policy, WarmUp: testRound,
+		Now: func() time.Duration { return f.now },
 		Log: &log.Logger{Handler: logring.New(64, io.Discard), Level: log.InfoLevel},
 	})
 }
 
-func (r *trial) survey(context.Context) (Survey, error) {
-	survey := Survey{Index: r.index}
-	for number, backEnd := range r.config.GetBackEnds() {
+func (f *fleet) survey(context.Context) (Survey, error) {
+	survey := Survey{Index: f.index}
+	for number, backEnd := range f.config.GetBackEnds() {
 		health := rockwindpb.HealthState_HEALTH_STATE_HEALTHY
-		if r.unhealthy[backEnd.GetName()] {
+		if f.unhealthy[backEnd.GetName()] {
 			health = rockwindpb.HealthState_HEALTH_STATE_EJECTED
 		}
-		survey.Digests = append(survey.Digests, &rockwindpb.ServerDigest{Name: backEnd.GetName(), Health: health, Loaded: r.loaded(number)})
+		survey.Digests = append(survey.Digests, &rockwindpb.ServerDigest{Name: backEnd.GetName(), Health: health, Loaded: f.loaded(number)})
 	}
-	for name, cost := range r.demand {
+	for name, cost := range f.demand {
 		survey.Demands = append(survey.Demands, &rockwindpb.ModelDemand{Model: name, CostPerSecond: cost})
 	}
 	return survey, nil
 }
 
-// loaded asks an engine what it holds.
-func (r *trial) loaded(number int) []string {
-	r.t.Helper()
-	report, err := engineClient{client: http.DefaultClient}.load(r.t.Context(), r.servers[number].Listener.Addr().String())
+// loaded returns what an engine reports as loaded.
+func (f *fleet) loaded(number int) []string {
+	f.t.Helper()
+	report, err := engineClient{client: http.DefaultClient}.load(f.t.Context(), f.servers[number].Listener.Addr().String())
 	if err != nil {
-		r.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	return report.Loaded
 }
 
-// holding counts the engines that hold a name.
-func (r *trial) holding(name string) int {
-	r.t.Helper()
+// holding returns the number of engines that hold a name.
+func (f *fleet) holding(name string) int {
+	f.t.Helper()
 	count := 0
-	for number := range r.engines {
-		if slices.Contains(r.loaded(number), name) {
+	for number := range f.engines {
+		if slices.Contains(f.loaded(number), name) {
 			count++
 		}
 	}
 	return count
 }
 
-func (r *trial) rounds(applier *Applier, count int) {
+func (f *fleet) rounds(applier *Applier, count int) {
 	for range count {
-		r.now += testRound
-		applier.Round(r.t.Context())
+		f.now += testRound
+		applier.Round(f.t.Context())
 	}
 }
 
 var sixEngines = []string{"large@v1", "large@v1", "large@v1", "large@v1", "small@v1", "small@v1"}
 
-// TestDemandShiftLoadsEngines: demand moves from one model to the other, and
-// engines follow down to the floor, without a move back.
+// TestDemandShiftLoadsEngines checks that engines follow demand from one model to another, down to
+// the minimum of replicas, without moving back.
 func TestDemandShiftLoadsEngines(t *testing.T) {
-	r := newTrial(t, sixEngines...)
+	f := newFleet(t, sixEngines...)
 	leading := true
-	applier := r.leader(1, &leading)
-	r.demand["large"], r.demand["small"] = 4000, 2000
-	r.rounds(applier, 40)
+	applier := f.newApplier(1, &leading)
+	f.demand["large"], f.demand["small"] = 4000, 2000
+	f.rounds(applier, 40)
 	if len(applier.Totals().Changes) != 0 || applier.Totals().Orders != len(sixEngines) {
 		t.Fatalf("balanced demand changed engines: %+v", applier.Totals())
 	}
-	r.demand["large"], r.demand["small"] = 500, 8000
-	r.rounds(applier, 60)
-	if large, small := r.holding("large@v1"), r.holding("small@v1"); large != 2 || small != 4 {
+	f.demand["large"], f.demand["small"] = 500, 8000
+	f.rounds(applier, 60)
+	if large, small := f.holding("large@v1"), f.holding("small@v1"); large != 2 || small != 4 {
 		t.Fatalf("%d engines hold large and %d small", large, small)
 	}
 	if moved := applier.Totals().Changes[placement.ReasonDemand]; moved != 2 {
@@ -165,69 +165,69 @@
 	}
 }
 
-// TestOrdersOfADeposedLeaderAreRefused: a leader that is cut off and believes that
-// it leads still is refused by every engine once a later one has claimed them.
+// TestOrdersOfADeposedLeaderAreRefused checks that engines refuse the orders of a leader that still
+// believes it leads, once a later leader has claimed them.
 func TestOrdersOfADeposedLeaderAreRefused(t *testing.T) {
-	r := newTrial(t, sixEngines...)
+	f := newFleet(t, sixEngines...)
 	leading := true
-	old, next := r.leader(1, &leading), r.leader(2, &leading)
-	r.demand["large"], r.demand["small"] = 4000, 2000
-	r.rounds(old, 30)
-	r.rounds(next, 1)
+	old, next := f.newApplier(1, &leading), f.newApplier(2, &leading)
+	f.demand["large"], f.demand["small"] = 4000, 2000
+	f.rounds(old, 30)
+	f.rounds(next, 1)
 	if next.Totals().Orders != len(sixEngines) {
 		t.Fatalf("the new leader claimed %d engines", next.Totals().Orders)
 	}
-	r.demand["large"], r.demand["small"] = 500, 8000
-	r.rounds(old, 60)
+	f.demand["large"], f.demand["small"] = 500, 8000
+	f.rounds(old, 60)
 	if !old.Deposed() || old.Totals().Refused == 0 || len(old.Totals().Changes) != 0 {
-		t.Fatalf("the deposed leader goes on: %+v", old.Totals())
+		t.Fatalf("the deposed leader still changes engines: %+v", old.Totals())
 	}
-	if small := r.holding("small@v1"); small != 2 {
+	if small := f.holding("small@v1"); small != 2 {
 		t.Fatalf("an order of the deposed leader was accepted: %d engines hold small", small)
 	}
-	r.rounds(next, 60)
-	if small := r.holding("small@v1"); small != 4 || next.Deposed() {
+	f.rounds(next, 60)
+	if small := f.holding("small@v1"); small != 4 || next.Deposed() {
 		t.Fatalf("the new leader placed small on %d engines", small)
 	}
 }
 
-// TestVersionsRunSideBySideUntilOneIsEnded: a new version comes beside the old
-// one by weight; the old one goes only when the operator ends it.
+// TestVersionsRunSideBySideUntilOneIsEnded checks that a new version is loaded beside the old one
+// by weight, and that the old one is unloaded only when the operator ends it.
 func TestVersionsRunSideBySideUntilOneIsEnded(t *testing.T) {
-	r := newTrial(t, sixEngines...)
+	f := newFleet(t, sixEngines...)
 	leading := true
-	applier := r.leader(1, &leading)
-	r.demand["large"], r.demand["small"] = 4000, 2000
-	r.config.Models[0] = model("large", "v1", "v2")
-	r.configure()
-	r.rounds(applier, 60)
-	if old, next := r.holding("large@v1"), r.holding("large@v2"); old != 2 || next != 2 {
+	applier := f.newApplier(1, &leading)
+	f.demand["large"], f.demand["small"] = 4000, 2000
+	f.config.Models[0] = model("large", "v1", "v2")
+	f.configure()
+	f.rounds(applier, 60)
+	if old, next := f.holding("large@v1"), f.holding("large@v2"); old != 2 || next != 2 {
 		t.Fatalf("%d engines hold the old version and %d the new one", old, next)
 	}
-	r.config.Models[0] = model("large", "v2")
-	r.configure()
-	r.rounds(applier, 60)
-	if old, next := r.holding("large@v1"), r.holding("large@v2"); old != 0 || next != 4 {
+	f.config.Models[0] = model("large", "v2")
+	f.configure()
+	f.rounds(applier, 60)
+	if old, next := f.holding("large@v1"), f.holding("large@v2"); old != 0 || next != 4 {
 		t.Fatalf("%d engines hold the ended version and %d the other", old, next)
 	}
 }
 
-// TestUnknownEnginesAreLeftAlone: an engine that accepts every model and one that
-// gateways eject get no order but the claim.
-func TestUnknownEnginesAreLeftAlone(t *testing.T) {
-	r := newTrial(t, append([]string{"large"}, sixEngines...)...)
+// TestUnmanagedEnginesGetNoOrders checks that an engine that accepts every model and one that
+// gateways eject get no order except the claim, and that an applier that does not lead sends none.
+func TestUnmanagedEnginesGetNoOrders(t *testing.T) {
+	f := newFleet(t, append([]string{"large"}, sixEngines...)...)
 	leading := true
-	applier := r.leader(1, &leading)
-	r.unhealthy["engine-1"] = true
-	r.demand["large"], r.demand["small"] = 1, 1e6
-	r.rounds(applier, 100)
-	if first, second := r.loaded(0), r.loaded(1); !slices.Equal(first, []string{"large"}) || !slices.Equal(second, []string{"large@v1"}) {
-		t.Fatalf("engines that placement can't judge hold %v and %v", first, second)
+	applier := f.newApplier(1, &leading)
+	f.unhealthy["engine-1"] = true
+	f.demand["large"], f.demand["small"] = 1, 1e6
+	f.rounds(applier, 100)
+	if first, second := f.loaded(0), f.loaded(1); !slices.Equal(first, []string{"large"}) || !slices.Equal(second, []string{"large@v1"}) {
+		t.Fatalf("unmanaged engines were changed: they hold %v and %v", first, second)
 	}
 	leading = false
 	before := applier.Totals().Orders
-	r.demand["large"], r.demand["small"] = 1e6, 1
-	r.rounds(applier, 100)
+	f.demand["large"], f.demand["small"] = 1e6, 1
+	f.rounds(applier, 100)
 	if applier.Totals().Orders != before {
 		t.Fatal("an applier that does not lead sent orders")
 	}
--- a/internal/placer/settings.go
+++ b/internal/placer/settings.go
@@ -9,14 +9,12 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Defaults of the settings.
 const (
 	defaultInterval = 10 * time.Second
 	defaultWarmUp   = 15 * time.Second
 )
 
-// FromSettings returns the options that settings give; what they leave out takes
-// its default.
+// FromSettings returns the options for the settings. Missing settings get their defaults.
 func FromSettings(settings *rockwindpb.PlacementSettings) Options {
 	policy := placement.DefaultPolicy()
 	setDuration(&policy.Dwell, settings.GetDwell())
@@ -26,10 +24,10 @@
 	setNumber(&policy.FloorZones, settings.GetFloorZones())
 	setNumber(&policy.ChangesAtOnce, settings.GetChangesAtOnce())
 	setNumber(&policy.LoadsAtOnce, settings.GetLoadsAtOnce())
-	setPart(&policy.Margin, settings.GetMargin())
-	setPart(&policy.MinimumPressure, settings.GetMinimumPressure())
-	setPart(&policy.WeightStoreRate, settings.GetWeightStoreBytesPerSecond())
-	setPart(&policy.WeightsBytes, settings.GetWeightsBytes())
+	setFloat(&policy.Margin, settings.GetMargin())
+	setFloat(&policy.MinimumPressure, settings.GetMinimumPressure())
+	setFloat(&policy.WeightStoreRate, settings.GetWeightStoreBytesPerSecond())
+	setFloat(&policy.WeightsBytes, settings.GetWeightsBytes())
 	options := Options{
 		Policy: policy, Interval: defaultInterval, WarmUp: defaultWarmUp,
 		VersionsPerEngine: int(settings.GetVersionsPerEngine()),
@@ -52,7 +50,7 @@
 	}
 }
 
-func setPart(target *float64, given float64) {
+func setFloat(target *float64, given float64) {
 	if given > 0 {
 		*target = given
 	}
--- a/internal/placer/state.go
+++ b/internal/placer/state.go
@@ -9,21 +9,21 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// engineState is what the applier knows of one engine in this term.
+// engineState is the state of one engine in this term.
 type engineState struct {
 	name    string
 	address string
-	// claimed engines have accepted a fence of this term.
+	// claimed is whether the engine has accepted a fence of this term.
 	claimed bool
-	// known is set while report is what the engine said last.
+	// known is whether report is up to date.
 	known  bool
 	report engineReport
-	// pending is the change under way, nil for none.
+	// pending is the change in progress; nil if none.
 	pending   *pendingChange
 	changedAt time.Duration
 }
 
-// pendingChange is a change whose orders were accepted, or may have been.
+// pendingChange is a change whose orders were accepted or may have been.
 type pendingChange struct {
 	versions  []placement.VersionName
 	adapters  []placement.AdapterName
@@ -31,7 +31,7 @@
 	expiresAt time.Duration
 }
 
-// loadTimeout is how long a load may take before the engine counts as free again.
+// loadTimeout is how long a change may take before the engine counts as idle again.
 const loadTimeout = 10 * time.Minute
 
 func newPending(orders []placement.Order, now time.Duration) *pendingChange {
@@ -51,8 +51,8 @@
 	return pending
 }
 
-// settled tells whether what an engine holds shows that a change is done.
-func (p *pendingChange) settled(loaded []string) bool {
+// isComplete reports whether the change is complete according to what the engine has loaded.
+func (p *pendingChange) isComplete(loaded []string) bool {
 	for _, version := range p.versions {
 		if !slices.Contains(loaded, version.String()) {
 			return false
@@ -66,13 +66,13 @@
 	return !slices.ContainsFunc(p.unloaded, func(name string) bool { return slices.Contains(loaded, name) })
 }
 
-// observe takes what an engine said.
+// observe records a report of the engine.
 func (e *engineState) observe(report engineReport, now time.Duration) {
 	e.report, e.known = report, true
 	if e.pending == nil {
 		return
 	}
-	if e.pending.settled(report.Loaded) {
+	if e.pending.isComplete(report.Loaded) {
 		e.pending = nil
 		return
 	}
@@ -81,30 +81,30 @@
 	}
 }
 
-// differs tells whether a gateway saw something else than the applier knows. An
-// empty list in a digest stands for one that did not change, unless the digest
-// says that nothing is loaded.
-func (e *engineState) differs(digest *rockwindpb.ServerDigest) bool {
-	seen := digest.GetLoaded()
-	if len(seen) == 0 {
+// differsFrom reports whether a gateway observed another set of loaded names than the last report.
+// An empty list in a digest means that the list has not changed, unless the digest says that
+// nothing is loaded.
+func (e *engineState) differsFrom(digest *rockwindpb.ServerDigest) bool {
+	observed := digest.GetLoaded()
+	if len(observed) == 0 {
 		return digest.GetNothingLoaded() && len(e.report.Loaded) > 0
 	}
-	return !slices.Equal(slices.Sorted(slices.Values(seen)), slices.Sorted(slices.Values(e.report.Loaded)))
+	return !slices.Equal(slices.Sorted(slices.Values(observed)), slices.Sorted(slices.Values(e.report.Loaded)))
 }
 
-// managed tells whether placement may order an engine about: it names versions of
-// models, and does not accept every model.
-func (e *engineState) managed() bool {
+// isManaged reports whether placement may send orders to the engine: it is claimed, and reports
+// versions and adapters by name instead of accepting every model.
+func (e *engineState) isManaged() bool {
 	if !e.known || !e.claimed || e.report.Loaded == nil {
 		return false
 	}
 	return !slices.ContainsFunc(e.report.Loaded, func(name string) bool { return !strings.ContainsAny(name, "@:") })
 }
 
-// server turns the state into the planner's form.
+// server converts the state for the planner.
 func (e *engineState) server() placement.Server {
 	server := placement.Server{
-		Name: e.name, Role: e.report.Role, Busy: e.pending != nil, ChangedAt: e.changedAt, Usable: e.managed(),
+		Name: e.name, Role: e.report.Role, Busy: e.pending != nil, ChangedAt: e.changedAt, Usable: e.isManaged(),
 	}
 	for _, name := range e.report.Loaded {
 		if e.pending != nil && slices.Contains(e.pending.unloaded, name) {
--- a/internal/placer/survey.go
+++ b/internal/placer/survey.go
@@ -8,35 +8,35 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Survey is what the control machines know of the fleet at one moment.
+// Survey is the state of the fleet as known to the control machines.
 type Survey struct {
-	// Index is the configuration in force.
+	// Index is the current configuration.
 	Index *configuration.Index
-	// Digests are the newest of each server.
+	// Digests are the newest digests of each server.
 	Digests []*rockwindpb.ServerDigest
-	// Demands are those of the whole fleet; several of one model add up.
+	// Demands are the demands of the whole fleet. Several entries for one model are added up.
 	Demands []*rockwindpb.ModelDemand
 }
 
 const (
-	// freshFor is the age of a digest from which its server is left alone.
-	freshFor = 30 * time.Second
-	// itemCost is assumed for a waiting batch item, in cost units, and horizon is
-	// the time over which waiting items are to be done.
-	itemCost = 200
-	horizon  = 10 * time.Minute
+	// digestMaximumAge is the age of a digest from which its server gets no orders.
+	digestMaximumAge = 30 * time.Second
+	// itemCost is the assumed cost of a waiting batch item, in cost units, and waitingItemHorizon
+	// the time within which waiting items are to be processed.
+	itemCost           = 200
+	waitingItemHorizon = 10 * time.Minute
 )
 
-// MergeDigests keeps the newest digest of each server.
+// MergeDigests returns the newest digest of each server.
 func MergeDigests(digests []*rockwindpb.ServerDigest) []*rockwindpb.ServerDigest {
 	newest := make(map[string]*rockwindpb.ServerDigest, len(digests))
 	var names []string
 	for _, digest := range digests {
-		held, known := newest[digest.GetName()]
+		current, known := newest[digest.GetName()]
 		if !known {
 			names = append(names, digest.GetName())
 		}
-		if !known || digest.GetAgeMs() < held.GetAgeMs() {
+		if !known || digest.GetAgeMs() < current.GetAgeMs() {
 			newest[digest.GetName()] = digest
 		}
 	}
@@ -47,18 +47,18 @@
 	return merged
 }
 
-// demands adds the demand up by model and by adapter.
+// demands returns the total demands by the names of models and adapters.
 func (s *Survey) demands() map[string]float64 {
 	sums := make(map[string]float64)
 	for _, demand := range s.Demands {
-		waiting := float64(demand.GetWaitingItems()) * itemCost / horizon.Seconds()
+		waiting := float64(demand.GetWaitingItems()) * itemCost / waitingItemHorizon.Seconds()
 		sums[demand.GetModel()] += demand.GetCostPerSecond() + waiting
 	}
 	return sums
 }
 
-// models turns the declared models into the planner's form. The demand of an
-// adapter is part of its model's.
+// models converts the declared models for the planner. The demand of an adapter is included in its
+// model's.
 func (s *Survey) models() []placement.Model {
 	demands := s.demands()
 	var models []placement.Model
@@ -80,14 +80,14 @@
 	return models
 }
 
-// healthy tells whether a server may be ordered about by what gateways say.
+// healthy reports whether a server may get orders according to its digest.
 func healthy(digest *rockwindpb.ServerDigest) bool {
 	return digest != nil && !digest.GetLeaving() &&
 		digest.GetHealth() != rockwindpb.HealthState_HEALTH_STATE_EJECTED &&
-		time.Duration(digest.GetAgeMs())*time.Millisecond < freshFor
+		time.Duration(digest.GetAgeMs())*time.Millisecond < digestMaximumAge
 }
 
-// engines lists the engines of the configuration.
+// engines returns the engines of the configuration.
 func (s *Survey) engines() []*rockwindpb.BackEnd {
 	var engines []*rockwindpb.BackEnd
 	for _, backEnd := range s.Index.BackEnds() {
--- a/internal/placer/view.go
+++ b/internal/placer/view.go
@@ -8,17 +8,17 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// sorted lists the engines by name.
-func (a *Applier) sorted() []*engineState {
+// sortedEngines returns the engines sorted by name.
+func (a *Applier) sortedEngines() []*engineState {
 	list := make([]*engineState, 0, len(a.engines))
-	for _, held := range a.engines {
-		list = append(list, held)
+	for _, engine := range a.engines {
+		list = append(list, engine)
 	}
 	slices.SortFunc(list, func(left, right *engineState) int { return cmp.Compare(left.name, right.name) })
 	return list
 }
 
-// view is the planner's view of a survey and of what engines said.
+// view returns the planner's view of a survey and of the reports of engines.
 func (a *Applier) view(survey *Survey, digests map[string]*rockwindpb.ServerDigest) placement.View {
 	view := placement.View{Now: a.options.Now(), Models: survey.models()}
 	for _, backEnd := range survey.engines() {
