--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,30 +1,27 @@
-// Package quota bounds the tokens that wait on a route, summed over the shards that
-// keep its jobs. One replica counts for a route: the leader of the shard that OwnerOf
-// names. The leader of a job's shard asks it for the job's tokens before it proposes
-// the job to its log.
+// Package quota limits the number of waiting tokens per route, summed over the shards that store
+// its jobs. The leader of the shard named by OwnerOf is the owner of a route: it counts the tokens
+// of the route. The leader of a job's shard requests the job's tokens from the owner before it
+// proposes the job to its log.
 //
-// Count is the owner's side and Intake the side of a shard's leader. Both are state of
-// one leadership: nothing of them is written to disk. A new owner grants nothing before
-// all shards have reported, and a shard that has reported to it takes no grant of an
-// earlier owner any more.
+// Counter is used by the owner and Intake by the leader of a shard. Both hold the state of one term
+// and are not persisted. A new owner grants nothing until all shards have reported to it, and a
+// shard that has reported to it refuses the grants of earlier owners.
 //
-// Invariant: what the owner counts is at least what the shards have accepted and have
-// granted on its way to their logs, so that the sum never exceeds the limit.
+// Invariant: the owner counts at least the tokens that the shards have accepted and those that are
+// granted but not yet in their logs, so that the sum never exceeds the limit.
 //
-// The invariant rests on three duties of the callers:
+// The invariant requires the callers to ensure that
 //   - an owner proves that it leads its shard before it decides on a request;
-//   - the leader of a shard proves that it leads when it reports, after the report has
-//     been begun;
-//   - the leader of a shard proposes a granted job in the term in which it asked.
+//   - the leader of a shard proves that it leads when it reports, after Intake.Pending;
+//   - the leader of a shard proposes a granted job in the term in which it requested the tokens.
 //
-// The package is pure: time is an argument, as a duration since an origin of the
-// caller's choice.
+// Times are durations since an arbitrary origin.
 package quota
 
 import "github.com/cespare/xxhash/v2"
 
-// AccountKey names what is counted for itself: the tokens of a tenant on a route, or those of
-// all callers where the site has no tenants. Neither name holds a space.
+// AccountKey returns the name under which the tokens of a tenant on a route are counted, or those
+// of all callers if the site has no tenants. Neither argument may contain a space.
 func AccountKey(route, tenant string) string {
 	if tenant == "" {
 		return route
@@ -32,7 +29,7 @@
 	return route + " " + tenant
 }
 
-// OwnerOf names the shard whose leader counts for a route or another account.
+// OwnerOf returns the shard whose leader owns a route or another account.
 func OwnerOf(route string, shards int) uint32 {
 	if shards <= 1 {
 		return 0
@@ -40,56 +37,54 @@
 	return uint32(xxhash.Sum64String(route) % uint64(shards))
 }
 
-// Request asks for the tokens of a job.
+// Request is a request for the tokens of a job.
 type Request struct {
 	job    string
 	shard  uint32
 	tokens uint64
 }
 
-// NewRequest returns the request of the leader of a shard for one of its jobs.
+// NewRequest returns a request by the leader of a shard for one of its jobs.
 func NewRequest(job string, shard uint32, tokens uint64) Request {
 	return Request{job: job, shard: shard, tokens: tokens}
 }
 
-// Job is the identifier of the job.
+// Job returns the identifier of the job.
 func (r Request) Job() string { return r.job }
 
-// Tokens is how many tokens its items have together.
+// Tokens returns the total number of tokens of the job's items.
 func (r Request) Tokens() uint64 { return r.tokens }
 
-// Report is what the leader of a shard tells of a route.
+// Report is what the leader of a shard reports about a route.
 type Report struct {
 	waiting uint64
-	asking  []string
+	pending []string
 }
 
-// NewReport returns a report. Waiting is the tokens of accepted jobs and of those that
-// were granted and are on their way to the log, and asking lists the jobs whose requests
-// are under way.
-func NewReport(waiting uint64, asking []string) Report {
-	return Report{waiting: waiting, asking: asking}
+// NewReport returns a report. waiting is the number of tokens of accepted jobs and of granted jobs
+// that are not yet in the log, and pending lists the jobs whose requests are in progress.
+func NewReport(waiting uint64, pending []string) Report {
+	return Report{waiting: waiting, pending: pending}
 }
 
-// Waiting is how many tokens wait on the shard.
+// Waiting returns the number of waiting tokens on the shard.
 func (r Report) Waiting() uint64 { return r.waiting }
 
-// PendingJobs lists the jobs whose requests are under way.
-func (r Report) PendingJobs() []string { return r.asking }
+// PendingJobs returns the jobs whose requests are in progress.
+func (r Report) PendingJobs() []string { return r.pending }
 
 // Decision is the answer to a request.
 type Decision int
 
 const (
-	// Unknown: not all shards have reported yet.
+	// Unknown: not all shards have reported.
 	Unknown Decision = iota
-	// Granted: the tokens are the job's.
+	// Granted: the job may use the tokens.
 	Granted
-	// Full: the tokens do not fit below the limit.
+	// Full: the tokens would exceed the limit.
 	Full
 )
 
-// String names the decision for logs.
 func (d Decision) String() string {
 	switch d {
 	case Granted:
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -9,99 +9,101 @@
 	"rockwind.example/rockwind/internal/quota"
 )
 
-// TestAcceptedTokensNeverExceedTheLimit plays the protocol between owners and shards
-// with any order of messages, lost ones, and leaders that change at any moment.
+// TestAcceptedTokensNeverExceedTheLimit simulates the protocol between owners and shards with
+// reordered and lost messages and changes of leaders at any moment.
 func TestAcceptedTokensNeverExceedTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld()
+		m := newModel()
 		t.Repeat(map[string]func(*rapid.T){
-			"":             w.check,
-			"submit":       w.submit,
-			"advance":      w.advance,
-			"advanceAgain": w.advance,
-			"commit":       w.commit,
-			"giveUp":       w.giveUp,
-			"finish":       w.finish,
-			"elect":        w.elect,
-			"notice":       w.notice,
-			"owner":        w.replaceOwner,
-			"poll":         w.poll,
-			"report":       w.report,
-			"reportAgain":  w.report,
-			"reportOnce":   w.report,
+			"":             m.check,
+			"submit":       m.submit,
+			"advance":      m.advance,
+			"advanceAgain": m.advance,
+			"commit":       m.commit,
+			"giveUp":       m.giveUp,
+			"finish":       m.finish,
+			"elect":        m.elect,
+			"notice":       m.notice,
+			"owner":        m.replaceOwner,
+			"poll":         m.poll,
+			"report":       m.report,
+			"reportAgain":  m.report,
+			"reportOnce":   m.report,
 		})
 	})
 }
 
-// reported returns a count of two shards at which so many tokens wait.
+// reported returns a counter for two shards with the given numbers of waiting tokens.
 func reported(first, second uint64) *quota.Counter {
-	count := quota.NewCounter(2)
-	poll := count.BeginPoll(0)
-	count.RecordReport(poll, 0, quota.NewReport(first, nil), 0)
-	count.RecordReport(poll, 1, quota.NewReport(second, nil), 0)
-	return count
+	counter := quota.NewCounter(2)
+	poll := counter.BeginPoll(0)
+	counter.RecordReport(poll, 0, quota.NewReport(first, nil), 0)
+	counter.RecordReport(poll, 1, quota.NewReport(second, nil), 0)
+	return counter
 }
 
 func TestNothingIsDecidedBeforeAllShardsReport(t *testing.T) {
-	count := quota.NewCounter(2)
-	poll := count.BeginPoll(0)
+	counter := quota.NewCounter(2)
+	poll := counter.BeginPoll(0)
 	request := quota.NewRequest("job", 0, 1)
-	if decision := count.Reserve(request, 10); decision != quota.Unknown {
+	if decision := counter.Reserve(request, 10); decision != quota.Unknown {
 		t.Fatalf("without a report: %v", decision)
 	}
-	count.RecordReport(poll, 0, quota.NewReport(0, nil), 0)
-	if decision := count.Reserve(request, 10); decision != quota.Unknown {
+	counter.RecordReport(poll, 0, quota.NewReport(0, nil), 0)
+	if decision := counter.Reserve(request, 10); decision != quota.Unknown {
 		t.Fatalf("with one of two reports: %v", decision)
 	}
-	count.RecordReport(poll, 1, quota.NewReport(0, nil), 0)
-	if decision := count.Reserve(request, 10); decision != quota.Granted {
+	counter.RecordReport(poll, 1, quota.NewReport(0, nil), 0)
+	if decision := counter.Reserve(request, 10); decision != quota.Granted {
 		t.Fatalf("with all reports: %v", decision)
 	}
 }
 
 func TestJobsAreGrantedUpToTheLimit(t *testing.T) {
-	count := reported(3, 4)
+	counter := reported(3, 4)
 	for job, wanted := range []quota.Decision{quota.Granted, quota.Granted, quota.Granted, quota.Full} {
-		if decision := count.Reserve(quota.NewRequest(string(rune('a'+job)), 0, 1), 10); decision != wanted {
+		if decision := counter.Reserve(quota.NewRequest(string(rune('a'+job)), 0, 1), 10); decision != wanted {
 			t.Fatalf("job %d: %v", job, decision)
 		}
 	}
-	if decision := count.Reserve(quota.NewRequest("a", 0, 1), 10); decision != quota.Granted || count.Waiting() != 10 {
-		t.Fatalf("a job that is asked for again: %v, %d wait", decision, count.Waiting())
+	if decision := counter.Reserve(quota.NewRequest("a", 0, 1), 10); decision != quota.Granted || counter.Waiting() != 10 {
+		t.Fatalf("repeated request: %v, %d waiting tokens", decision, counter.Waiting())
 	}
 	if decision := reported(0, 0).Reserve(quota.NewRequest("huge", 0, ^uint64(0)), 10); decision != quota.Full {
 		t.Fatalf("a job larger than the limit: %v", decision)
 	}
 }
 
-// TestLoweredLimitLosesNothing: what waits stays counted, and nothing more is granted.
+// TestLoweredLimitLosesNothing checks that waiting tokens above a lowered limit stay counted and
+// that no more are granted.
 func TestLoweredLimitLosesNothing(t *testing.T) {
-	count := reported(5, 5)
-	if decision := count.Reserve(quota.NewRequest("job", 0, 1), 4); decision != quota.Full || count.Waiting() != 10 {
-		t.Fatalf("%v, %d wait", decision, count.Waiting())
+	counter := reported(5, 5)
+	if decision := counter.Reserve(quota.NewRequest("job", 0, 1), 4); decision != quota.Full || counter.Waiting() != 10 {
+		t.Fatalf("%v, %d waiting tokens", decision, counter.Waiting())
 	}
 }
 
-// TestGrantIsCountedOnceWithTheReportThatCoversIt and not a moment less.
+// TestGrantIsCountedOnceWithTheReportThatCoversIt checks that a grant is counted until a report
+// includes it, and not twice after that.
 func TestGrantIsCountedOnceWithTheReportThatCoversIt(t *testing.T) {
-	count := reported(0, 0)
-	early := count.BeginPoll(0)
-	count.Reserve(quota.NewRequest("job", 0, 4), 10)
-	count.RecordReport(early, 0, quota.NewReport(0, nil), 0)
-	if count.Waiting() != 4 {
-		t.Fatalf("after a report that began before the grant: %d", count.Waiting())
+	counter := reported(0, 0)
+	early := counter.BeginPoll(0)
+	counter.Reserve(quota.NewRequest("job", 0, 4), 10)
+	counter.RecordReport(early, 0, quota.NewReport(0, nil), 0)
+	if counter.Waiting() != 4 {
+		t.Fatalf("after a report that began before the grant: %d", counter.Waiting())
 	}
-	count.RecordReport(count.BeginPoll(0), 0, quota.NewReport(0, []string{"job"}), 0)
-	if count.Waiting() != 4 {
-		t.Fatalf("while the grant is on its way: %d", count.Waiting())
+	counter.RecordReport(counter.BeginPoll(0), 0, quota.NewReport(0, []string{"job"}), 0)
+	if counter.Waiting() != 4 {
+		t.Fatalf("while the granted job is pending: %d", counter.Waiting())
 	}
-	count.RecordReport(count.BeginPoll(0), 0, quota.NewReport(4, nil), 0)
-	if count.Waiting() != 4 {
-		t.Fatalf("once the report covers it: %d", count.Waiting())
+	counter.RecordReport(counter.BeginPoll(0), 0, quota.NewReport(4, nil), 0)
+	if counter.Waiting() != 4 {
+		t.Fatalf("once the report includes the job: %d", counter.Waiting())
 	}
 }
 
-func TestTimeToComeBackFollowsWhatDrains(t *testing.T) {
+func TestRetryAfterFollowsDrainRate(t *testing.T) {
 	fast, slow := reported(1000, 0), reported(1000, 0)
 	for second := 1; second <= 5; second++ {
 		now := time.Duration(second) * time.Second
@@ -112,14 +114,14 @@
 	request := quota.NewRequest("job", 0, 100)
 	quick, late := fast.RetryAfter(request, 500, now), slow.RetryAfter(request, 950, now)
 	if quick < 500*time.Millisecond || quick > 4*time.Second || late < 5*time.Second {
-		t.Fatalf("come back after %v where 100 a second drain, %v where 10 do", quick, late)
+		t.Fatalf("retry after %v with a drain rate of 100 per second, after %v with 10 per second", quick, late)
 	}
 	if first := reported(10, 0).RetryAfter(request, 5, 0); first <= 0 {
-		t.Fatalf("come back after %v where nothing drained", first)
+		t.Fatalf("retry after %v without a drain rate, want more than zero", first)
 	}
 }
 
-func TestTheOwnerOfARouteIsOneOfTheShards(t *testing.T) {
+func TestOwnerIsOneOfTheShards(t *testing.T) {
 	for shards := 1; shards < 50; shards++ {
 		if owner := quota.OwnerOf("route", shards); int(owner) >= shards {
 			t.Fatalf("shard %d of %d", owner, shards)
--- a/internal/quota/seed_test.go
+++ b/internal/quota/seed_test.go
@@ -6,9 +6,9 @@
 	_ "pgregory.net/rapid" // registers the flags
 )
 
-// The seed of the property tests is fixed, so that each run gives the same
-// verdict. The flag -rapid.seed changes it; 0 draws a fresh one. A run has to be long
-// enough for a change of leaders between any two steps of a request.
+// The seed of the property tests is fixed so that results are reproducible. The flag -rapid.seed
+// overrides it; 0 chooses a random seed. Runs must be long enough for a change of leaders between
+// any two steps of a request.
 var (
 	_ = flag.Set("rapid.seed", "20261202")
 	_ = flag.Set("rapid.checks", "20000")
