--- a/internal/ownership/assign.go
+++ b/internal/ownership/assign.go
@@ -5,12 +5,11 @@
 	"slices"
 )
 
-// Assign divides the servers among the peers so that no peer owns more than its
-// even part, rounded up, and returns each server's owner. Pairs are taken in the
-// order of their scores, the highest first, as long as the server is free and
-// the peer has room; so the result does not depend on the order of the
-// arguments, and a change of one peer moves few servers besides that peer's own.
-// It is empty where there are no peers.
+// Assign assigns servers to peers so that no peer owns more than an equal share, rounded up. It
+// returns the owner of each server, or an empty map if there are no peers. Pairs of servers and
+// peers are processed by decreasing score and skipped if the server has an owner or the peer has
+// its share. The result does not depend on the order of the arguments, and adding or removing a
+// peer moves few servers of other peers.
 func Assign(peers, servers []string) map[string]string {
 	owners := make(map[string]string, len(servers))
 	if len(peers) == 0 {
@@ -29,13 +28,13 @@
 	return owners
 }
 
-// pair is a possible owner of a server.
+// pair is a server and its possible owner.
 type pair struct {
 	score        uint64
 	peer, server string
 }
 
-// pairs lists all pairs, the highest score first.
+// pairs returns all pairs by decreasing score.
 func pairs(peers, servers []string) []pair {
 	all := make([]pair, 0, len(peers)*len(servers))
 	for _, peer := range peers {
--- a/internal/ownership/assign_test.go
+++ b/internal/ownership/assign_test.go
@@ -19,8 +19,8 @@
 	return names
 }
 
-// Every server has one owner, no peer owns more than its even part, and the order
-// of the arguments does not matter.
+// TestAssignIsEvenAndIndependentOfOrder checks that every server has one owner, that no peer owns
+// more than its equal share, rounded up, and that the order of the arguments does not matter.
 func TestAssignIsEvenAndIndependentOfOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		peers := numbered(rapid.StringMatching(`[a-z]{1,4}`).Draw(t, "prefix"), rapid.IntRange(1, 15).Draw(t, "peers"))
@@ -35,19 +35,19 @@
 		}
 		for peer, count := range owned {
 			if even := (len(servers) + len(peers) - 1) / len(peers); count > even {
-				t.Fatalf("%s owns %d of %d servers, its part is %d", peer, count, len(servers), even)
+				t.Fatalf("%s owns %d of %d servers, more than its share of %d", peer, count, len(servers), even)
 			}
 		}
 		slices.Reverse(peers)
 		slices.Reverse(servers)
 		if again := ownership.Assign(peers, servers); !maps.Equal(owners, again) {
-			t.Fatalf("another order gives %v in place of %v", again, owners)
+			t.Fatalf("another order of the arguments gives %v instead of %v", again, owners)
 		}
 	})
 }
 
-// The loss of one of eleven peers moves few of 37 servers: those of the lost peer,
-// and in the mean at most twice as many more.
+// TestAssignMovesFewServers checks that the loss of one of eleven peers moves, on average, at most
+// three times as many servers as the peer owned.
 func TestAssignMovesFewServers(t *testing.T) {
 	const peers, servers, trials, limit = 11, 37, 200, 3 * 37.0 / 11
 	moved := 0
@@ -62,8 +62,8 @@
 		}
 	}
 	if mean := float64(moved) / trials; mean > limit {
-		t.Fatalf("%.1f servers move in the mean, more than %.1f", mean, limit)
+		t.Fatalf("%.1f servers move on average, more than %.1f", mean, limit)
 	} else {
-		t.Logf("%.1f of %d servers move in the mean", mean, servers)
+		t.Logf("%.1f of %d servers move on average", mean, servers)
 	}
 }
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -1,7 +1,6 @@
-// Package ownership assigns each server to one of the live gateways of a zone
-// by rendezvous hashing, so that every gateway computes the same owner from the
-// same list of peers and a change of one peer moves only that peer's servers.
-// The package is pure.
+// Package ownership assigns each server to one of the live gateways of a zone by rendezvous
+// hashing. All gateways with the same list of peers compute the same owners, and adding or removing
+// a peer changes the owners of few other servers.
 package ownership
 
 import (
@@ -10,8 +9,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Owner returns the peer with the highest score for the server, or the empty
-// string where there are no peers. The order of the peers does not matter.
+// Owner returns the peer with the highest score for a server, or the empty string if there are no
+// peers. The order of the peers does not matter.
 func Owner(peers []string, server string) string {
 	owner := ""
 	var highest uint64
@@ -25,8 +24,8 @@
 	return owner
 }
 
-// Order returns the peers from the highest score for the key to the lowest:
-// the first is the owner, the next takes over when the first is lost.
+// Order returns the peers by decreasing score for a key. The first one is the owner, and each
+// following one takes over if the ones before it are lost.
 func Order(peers []string, key string) []string {
 	ordered := slices.Clone(peers)
 	slices.SortFunc(ordered, func(left, right string) int {
@@ -35,7 +34,7 @@
 	return ordered
 }
 
-// Score is the rendezvous score of a peer for a key.
+// Score returns the rendezvous hash of a peer and a key.
 func Score(peer, key string) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(peer)
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -10,8 +10,8 @@
 	"rockwind.example/rockwind/internal/ownership"
 )
 
-// TestOnlyServersOfALostPeerMove removes one peer and checks that every other
-// server keeps its owner, whatever the order of the peers.
+// TestOnlyServersOfALostPeerMove checks that all other servers keep their owners when one peer is
+// removed, whatever the order of the peers.
 func TestOnlyServersOfALostPeerMove(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		peers := rapid.SliceOfNDistinct(rapid.StringMatching(`[a-z]{1,6}`), 1, 12, rapid.ID[string]).Draw(t, "peers")
--- a/internal/suspension/suspension.go
+++ b/internal/suspension/suspension.go
@@ -1,6 +1,6 @@
-// Package suspension tells how long the machine was suspended. The steady clock of a process,
-// by which Go measures durations, does not count that time, so that what must not outlive a
-// real span (a leader's lease) can't rest on it alone.
+// Package suspension measures how long the machine was suspended. Go measures durations with the
+// monotonic clock, which stops during a suspension, so it is not sufficient for limits in real
+// time, such as a leader's lease.
 package suspension
 
 import (
@@ -10,27 +10,26 @@
 )
 
 const (
-	// closeReadings is how far apart two readings of the steady clock may be for the one
-	// between them to count, and mostReadings how often that is tried.
-	closeReadings = 100 * time.Microsecond
-	mostReadings  = 5
+	// maximumDelay is how far apart two readings of the monotonic clock may be for the reading of
+	// the other clock between them to be used, and maximumAttempts how often this is tried.
+	maximumDelay    = 100 * time.Microsecond
+	maximumAttempts = 5
 )
 
-// Total is how long the machine has been suspended since it started: the difference between
-// the clock that counts suspensions and the one that does not (clock_gettime(2)). It is exact
-// to closeReadings unless the process is held up in each of the readings; zero where the clocks
-// can't be read.
+// Total returns how long the machine has been suspended since boot: the difference between
+// CLOCK_BOOTTIME and CLOCK_MONOTONIC (see clock_gettime(2)). The error is at most maximumDelay
+// unless the process is delayed in every attempt. Total returns zero if a clock can't be read.
 func Total() time.Duration {
 	var total time.Duration
-	for range mostReadings {
+	for range maximumAttempts {
 		before, failedBefore := read(unix.CLOCK_MONOTONIC)
-		whole, failed := read(unix.CLOCK_BOOTTIME)
+		boot, failed := read(unix.CLOCK_BOOTTIME)
 		after, failedAfter := read(unix.CLOCK_MONOTONIC)
 		if failedBefore != nil || failed != nil || failedAfter != nil {
 			return 0
 		}
-		total = whole - before
-		if after-before <= closeReadings {
+		total = boot - before
+		if after-before <= maximumDelay {
 			break
 		}
 	}
--- a/internal/suspension/suspension_test.go
+++ b/internal/suspension/suspension_test.go
@@ -7,15 +7,16 @@
 	"rockwind.example/rockwind/internal/suspension"
 )
 
-// TestTotalStandsStillWhileNothingSuspends: the processes of a test run on a machine that is
-// not suspended meanwhile. A delay between the two readings of the clocks shows in one sample.
-func TestTotalStandsStillWhileNothingSuspends(t *testing.T) {
-	least := time.Duration(1<<63 - 1)
+// TestTotalIsConstantWithoutSuspension assumes that the machine is not suspended during the test.
+// It uses the smallest of many samples, as a delay between the readings of the clocks increases a
+// sample.
+func TestTotalIsConstantWithoutSuspension(t *testing.T) {
+	smallest := time.Duration(1<<63 - 1)
 	before := suspension.Total()
 	for range 100 {
-		least = min(least, suspension.Total()-before)
+		smallest = min(smallest, suspension.Total()-before)
 	}
-	if before < 0 || least > time.Millisecond {
-		t.Fatalf("%v, and %v more", before, least)
+	if before < 0 || smallest > time.Millisecond {
+		t.Fatalf("the total is %v and increased by at least %v", before, smallest)
 	}
 }
