--- a/internal/backlog/backlog.go
+++ b/internal/backlog/backlog.go
@@ -1,9 +1,6 @@
-// Package backlog orders the items of batch jobs that wait for a server. Items that can
-// still be done by the time their job is due go first, the one that is due first before
-// the others; items that cannot come after them, so that work which is late already makes
-// no other work late. A part of the starts is theirs all the same: no item starves.
-//
-// The package is pure: time is an argument.
+// Package backlog orders the items of batch jobs that wait for a server. Items that can still be on
+// time are ordered by due time. Late items come after them, so that they do not make other items
+// late, but get a fixed fraction of the starts, so that they do not starve.
 package backlog
 
 import (
@@ -12,32 +9,32 @@
 	"time"
 )
 
-// lateEvery is how many starts go to items that can be on time for one that goes to an
-// item that cannot, while there are both.
-const lateEvery = 9
+// onTimePerLate is the number of starts of items that can be on time per start of a late item, if
+// there are both.
+const onTimePerLate = 9
 
-// Item is an item that waits, or one that runs.
+// Item is a waiting or running item.
 type Item struct {
 	submitted time.Time
 	due       time.Time
 	remaining time.Duration
-	// tenant shares with the others by its weight.
+	// The capacity is shared among tenants by weight.
 	tenant string
 	weight uint32
 }
 
-// NewItem returns an item that was submitted at a time and takes as long as remaining once
-// it runs. A zero due time means that it is never due.
+// NewItem returns an item. remaining is how long it takes once it runs. A zero due time means that
+// it is never due.
 func NewItem(submitted, due time.Time, remaining time.Duration) Item {
 	return Item{submitted: submitted, due: due, remaining: remaining}
 }
 
-// OnTime tells whether the item can be done when it is due.
+// OnTime reports whether the item can be done by its due time if it starts now.
 func (i Item) OnTime(now time.Time) bool {
 	return i.due.IsZero() || !now.Add(i.remaining).After(i.due)
 }
 
-// compareDue orders items by their due times, those that are never due last.
+// compareDue orders items by due time; those that are never due come last.
 func (i Item) compareDue(other Item) int {
 	switch {
 	case i.due.IsZero() && other.due.IsZero():
@@ -50,13 +47,13 @@
 	return cmp.Or(i.due.Compare(other.due), i.submitted.Compare(other.submitted))
 }
 
-// entry is what is ordered, with what its order rests on.
+// entry is a value with the item that determines its order.
 type entry[T any] struct {
 	value T
 	item  Item
 }
 
-// entries asks once for the item of each value: sorting compares it many times.
+// entries computes the item of each value once, as sorting uses it many times.
 func entries[T any](values []T, item func(T) Item) []entry[T] {
 	list := make([]entry[T], len(values))
 	for place, value := range values {
@@ -65,13 +62,13 @@
 	return list
 }
 
-// Order sorts what waits into the order in which it is to be started.
+// Order sorts waiting values into the order in which they are to be started.
 func Order[T any](waiting []T, now time.Time, item func(T) Item) []T {
 	return interleave(split(waiting, now, item))
 }
 
-// split divides what waits into what can be on time, the first that is due first, and what
-// cannot, the first that was submitted first.
+// split separates waiting values into those that can be on time, by due time, and late ones, by
+// submission time.
 func split[T any](waiting []T, now time.Time, item func(T) Item) (early, late []entry[T]) {
 	for _, each := range entries(waiting, item) {
 		if each.item.OnTime(now) {
@@ -85,13 +82,12 @@
 	return early, late
 }
 
-// interleave puts one late value behind each lateEvery early ones, and the rest at the
-// end.
+// interleave puts one late value after each onTimePerLate early ones, and the rest at the end.
 func interleave[T any](early, late []entry[T]) []T {
 	ordered := make([]T, 0, len(early)+len(late))
 	for place, each := range early {
 		ordered = append(ordered, each.value)
-		if (place+1)%lateEvery == 0 && len(late) > 0 {
+		if (place+1)%onTimePerLate == 0 && len(late) > 0 {
 			ordered = append(ordered, late[0].value)
 			late = late[1:]
 		}
@@ -102,8 +98,8 @@
 	return ordered
 }
 
-// SortForPreemption sorts what runs into the order in which it is to give way: first what cannot be
-// on time, then what was submitted last.
+// SortForPreemption sorts running values into the order in which they are to be preempted: late
+// items first, then the others, the last submitted first.
 func SortForPreemption[T any](running []T, now time.Time, item func(T) Item) {
 	list := entries(running, item)
 	slices.SortStableFunc(list, func(a, b entry[T]) int {
--- a/internal/backlog/backlog_test.go
+++ b/internal/backlog/backlog_test.go
@@ -10,7 +10,7 @@
 
 var start = time.UnixMilli(1_000_000)
 
-// at returns an item that was submitted and is due so many seconds after the start.
+// at returns an item that was submitted and is due at the given seconds after the start.
 func at(submitted, due, remaining float64) backlog.Item {
 	second := func(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
 	return backlog.NewItem(second(submitted), second(due), time.Duration(remaining*float64(time.Second)))
@@ -18,8 +18,8 @@
 
 func same(i backlog.Item) backlog.Item { return i }
 
-// TestLateItemsDoNotMakeOthersLate: the oldest item cannot be on time any more; it went
-// first, and the others became late behind it.
+// TestLateItemsDoNotMakeOthersLate guards against an old item that is late in any case being
+// started first, so that the items behind it become late, too.
 func TestLateItemsDoNotMakeOthersLate(t *testing.T) {
 	late, soon, later := at(0, 10, 5), at(1, 16, 5), at(2, 18, 5)
 	ordered := backlog.Order([]backlog.Item{late, later, soon}, start.Add(8*time.Second), same)
@@ -28,7 +28,8 @@
 	}
 }
 
-// TestLateItemsDoNotStarve while work that can be on time comes for ever.
+// TestLateItemsDoNotStarve checks that late items are started although there are always others that
+// can be on time.
 func TestLateItemsDoNotStarve(t *testing.T) {
 	waiting := []backlog.Item{at(-100, -50, 5), at(-90, -40, 5)}
 	for i := range 40 {
@@ -36,11 +37,11 @@
 	}
 	ordered := backlog.Order(waiting, start, same)
 	if first, second := slices.Index(ordered, waiting[0]), slices.Index(ordered, waiting[1]); first > 10 || second > 20 {
-		t.Fatalf("late items come at %d and %d", first, second)
+		t.Fatalf("late items are at positions %d and %d, want at most 10 and 20", first, second)
 	}
 }
 
-func TestItemsThatAreNeverDueComeAfterThoseThatAre(t *testing.T) {
+func TestItemsWithoutDueTimeComeLast(t *testing.T) {
 	never, due := backlog.NewItem(start.Add(-time.Hour), time.Time{}, time.Second), at(0, 20, 5)
 	ordered := backlog.Order([]backlog.Item{never, due}, start, same)
 	if ordered[0] != due || !never.OnTime(start.Add(time.Hour)) {
@@ -48,7 +49,7 @@
 	}
 }
 
-func TestWhatCannotBeOnTimeGivesWayFirstThenTheYoungest(t *testing.T) {
+func TestLateThenYoungestItemsArePreemptedFirst(t *testing.T) {
 	late, old, young := at(0, 5, 5), at(1, 20, 5), at(2, 20, 5)
 	running := []backlog.Item{old, late, young}
 	backlog.SortForPreemption(running, start.Add(3*time.Second), same)
@@ -57,23 +58,23 @@
 	}
 }
 
-func TestPaceIsLearnedFromRuns(t *testing.T) {
-	var pace backlog.RunTimeEstimator
-	if pace.Remaining(0) != 0 {
-		t.Fatalf("%v remain before any run", pace.Remaining(0))
+func TestRunTimeIsEstimatedFromRuns(t *testing.T) {
+	var estimator backlog.RunTimeEstimator
+	if estimator.Remaining(0) != 0 {
+		t.Fatalf("%v remain before any run", estimator.Remaining(0))
 	}
 	for range 100 {
-		pace.RecordRun(270, 270, 5*time.Second)
-		// A run that went on after 135 events.
-		pace.RecordRun(135, 270, 2500*time.Millisecond)
+		estimator.RecordRun(270, 270, 5*time.Second)
+		// A run that was resumed after 135 events.
+		estimator.RecordRun(135, 270, 2500*time.Millisecond)
 	}
-	if whole := pace.Remaining(0); whole < 5*time.Second || whole > 8*time.Second {
+	if whole := estimator.Remaining(0); whole < 5*time.Second || whole > 8*time.Second {
 		t.Fatalf("a whole run is expected to take %v", whole)
 	}
-	if half := pace.Remaining(135); half < 2500*time.Millisecond || half > 4*time.Second {
+	if half := estimator.Remaining(135); half < 2500*time.Millisecond || half > 4*time.Second {
 		t.Fatalf("half a run is expected to take %v", half)
 	}
-	if rest := pace.Remaining(400); rest <= 0 {
+	if rest := estimator.Remaining(400); rest <= 0 {
 		t.Fatalf("%v remain of an item longer than most", rest)
 	}
 }
--- a/internal/backlog/ledger.go
+++ b/internal/backlog/ledger.go
@@ -8,18 +8,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaximumTenantEntries is of how many tenants a process tells how many items they have running: the few that
-// have the most. Of the others each leader knows what runs at its own store. With the needs, the
-// stores of two of three zones tell 882 entries at most where there are 300, 8 KB (router's
-// TestSharesOfItemsFitInADatagram).
+// MaximumTenantEntries is the maximum number of tenants whose running items a process reports in
+// load digests. It reports those with the most; of the others, each leader knows only the items on
+// its own store. It keeps digests small: with 300 stores, those of two of three zones report at
+// most 882 entries in 8 KB, including unmet demand (see TestSharesOfItemsFitInADatagram in package
+// router).
 const MaximumTenantEntries = 4
 
-// UsageHash is the short name in load digests of what a tenant has running: the requests in flight
-// there are items that run.
+// UsageHash returns the key in load digests of a tenant's running items, which are reported as
+// requests in flight.
 func UsageHash(tenant string) uint32 { return uint32(xxhash.Sum64String("items of " + tenant)) }
 
-// UnmetDemandHashes are the short names in load digests of the needs of a service, by level: the requests
-// in flight there are items that wait.
+// UnmetDemandHashes returns the keys in load digests of the unmet demand for a service, by level.
+// Waiting items are reported as requests in flight.
 func UnmetDemandHashes(service string) *[UnmetDemandLevels]uint32 {
 	hashes := new([UnmetDemandLevels]uint32)
 	for level := range hashes {
@@ -28,83 +29,82 @@
 	return hashes
 }
 
-// Entry is what a process tells of a name in digests.
+// Entry is an entry of a load digest.
 type Entry struct {
 	Hash uint32
-	// Running is how many items run.
+	// Running is the number of running items.
 	Running int
 }
 
-// ShardLoad is what waits and runs in one shard.
+// ShardLoad holds the running and waiting items of one shard.
 type ShardLoad struct {
-	running map[string]float64
-	needs   map[string]*UnmetDemand
-	held    map[string]int
+	running     map[string]float64
+	unmetDemand map[string]*UnmetDemand
+	heldBack    map[string]int
 }
 
-// NewShardLoad returns the load of a shard with the given items running and none waiting.
+// NewShardLoad returns the load of a shard with the given running items and no waiting ones.
 func NewShardLoad(running []Item) ShardLoad {
-	return ShardLoad{running: NewUsage(running, nil).running, needs: make(map[string]*UnmetDemand), held: make(map[string]int)}
+	return ShardLoad{running: NewUsage(running, nil).running, unmetDemand: make(map[string]*UnmetDemand), heldBack: make(map[string]int)}
 }
 
-// AddWaiting counts an item that waits for a service and may not be on time, of a tenant that has so
-// many running, and whether it was held back for the items of others.
-func (l ShardLoad) AddWaiting(service string, running float64, held bool) {
-	if l.needs[service] == nil {
-		l.needs[service] = new(UnmetDemand)
+// AddWaiting counts an item that waits for a service and may not be on time. running is the number
+// of its tenant's running items per weight, and heldBack is whether the item was held back in
+// favour of other tenants.
+func (l ShardLoad) AddWaiting(service string, running float64, heldBack bool) {
+	if l.unmetDemand[service] == nil {
+		l.unmetDemand[service] = new(UnmetDemand)
 	}
-	l.needs[service].Add(running)
-	if held {
-		l.held[service]++
+	l.unmetDemand[service].Add(running)
+	if heldBack {
+		l.heldBack[service]++
 	}
 }
 
-// Ledger holds the loads of the shards that one process leads. It belongs to one goroutine at a
-// time.
+// Ledger holds the loads of the shards that one process leads. It is not safe for concurrent use.
 type Ledger struct{ shards map[uint32]ShardLoad }
 
-// NewLedger returns an empty ledger.
 func NewLedger() *Ledger { return &Ledger{shards: make(map[uint32]ShardLoad)} }
 
-// Set replaces the load of a shard.
 func (l *Ledger) Set(shard uint32, load ShardLoad) { l.shards[shard] = load }
 
-// Drop forgets a shard that another process leads now.
+// Drop removes a shard that another process leads now.
 func (l *Ledger) Drop(shard uint32) { delete(l.shards, shard) }
 
-// Running is how many items of a tenant run in all shards but one.
-func (l *Ledger) Running(tenant string, but uint32) float64 {
+// Running returns the number of a tenant's running items in all shards except one.
+func (l *Ledger) Running(tenant string, except uint32) float64 {
 	sum := 0.0
 	for shard, load := range l.shards {
-		if shard != but {
+		if shard != except {
 			sum += load.running[tenant]
 		}
 	}
 	return sum
 }
 
-// UnmetDemand is what waits for a service in all shards but one.
-func (l *Ledger) UnmetDemand(service string, but uint32) UnmetDemand {
+// UnmetDemand returns the unmet demand for a service in all shards except one.
+func (l *Ledger) UnmetDemand(service string, except uint32) UnmetDemand {
 	var sum UnmetDemand
 	for shard, load := range l.shards {
-		if need := load.needs[service]; shard != but && need != nil {
-			sum.Plus(*need)
+		if demand := load.unmetDemand[service]; shard != except && demand != nil {
+			sum.Plus(*demand)
 		}
 	}
 	return sum
 }
 
-// HeldBack is how many items that wait for a service were held back for those of others.
+// HeldBack returns the number of items that wait for a service and were held back in favour of
+// other tenants.
 func (l *Ledger) HeldBack(service string) int {
 	sum := 0
 	for _, load := range l.shards {
-		sum += load.held[service]
+		sum += load.heldBack[service]
 	}
 	return sum
 }
 
-// Tenants lists what to tell of tenants: of those that have items running, the MostTold that have
-// the most. Where there are no tenants there is nothing to tell.
+// Tenants returns the digest entries of the tenants with the most running items, at most
+// MaximumTenantEntries. There are none on a site without tenants.
 func (l *Ledger) Tenants() []Entry {
 	sums := make(map[string]float64)
 	for _, load := range l.shards {
--- a/internal/backlog/pace.go
+++ b/internal/backlog/pace.go
@@ -3,40 +3,39 @@
 import "time"
 
 const (
-	// paceWeight is the weight of one run in the running means.
-	paceWeight = 0.05
-	// caution lengthens what a run is expected to take: runs differ.
-	caution = 1.25
-	// leastPart is the part of a whole run that is expected to remain however much of it
-	// is done.
-	leastPart = 0.1
+	// runWeight is the weight of one run in the running means.
+	runWeight = 0.05
+	// safetyFactor increases the expected time of a run, since runs vary.
+	safetyFactor = 1.25
+	// minimumRemainingFraction is the fraction of a whole run that is always expected to remain.
+	minimumRemainingFraction = 0.1
 )
 
-// RunTimeEstimator learns from the runs of a service's items how long they take. The zero RunTimeEstimator knows
-// nothing and expects nothing.
+// RunTimeEstimator estimates the run time of a service's items from earlier runs. The zero value
+// has no data and estimates zero.
 type RunTimeEstimator struct {
-	// events is how many events a whole output has, and event how long one takes.
-	events float64
-	event  float64
+	// meanEvents is the mean number of events of a whole output, and meanInterval the mean time per
+	// event.
+	meanEvents   float64
+	meanInterval float64
 }
 
-// RecordRun takes the end of a run that made so many events, and how many the whole output
-// has.
-func (p *RunTimeEstimator) RecordRun(made, whole int, ran time.Duration) {
-	if made <= 0 || ran <= 0 {
+// RecordRun records a run that produced a number of events of an output with total events.
+func (e *RunTimeEstimator) RecordRun(produced, total int, duration time.Duration) {
+	if produced <= 0 || duration <= 0 {
 		return
 	}
-	event := float64(ran) / float64(made)
-	if p.events == 0 {
-		p.events, p.event = float64(whole), event
+	interval := float64(duration) / float64(produced)
+	if e.meanEvents == 0 {
+		e.meanEvents, e.meanInterval = float64(total), interval
 		return
 	}
-	p.events += paceWeight * (float64(whole) - p.events)
-	p.event += paceWeight * (event - p.event)
+	e.meanEvents += runWeight * (float64(total) - e.meanEvents)
+	e.meanInterval += runWeight * (interval - e.meanInterval)
 }
 
-// Remaining is how long an item of which so many events are made is expected to run.
-func (p *RunTimeEstimator) Remaining(made int) time.Duration {
-	left := max(p.events-float64(made), leastPart*p.events)
-	return time.Duration(caution * left * p.event)
+// Remaining returns the expected remaining run time of an item that has produced a number of events.
+func (e *RunTimeEstimator) Remaining(produced int) time.Duration {
+	remaining := max(e.meanEvents-float64(produced), minimumRemainingFraction*e.meanEvents)
+	return time.Duration(safetyFactor * remaining * e.meanInterval)
 }
--- a/internal/backlog/shards_test.go
+++ b/internal/backlog/shards_test.go
@@ -12,74 +12,78 @@
 	"rockwind.example/rockwind/internal/backlog"
 )
 
-// The load in virtual time: shards led by as many stores, which start items at the servers' slots
-// as they see them. One tenant has a heap in each shard, one in a single shard, one in three and one
-// a small job in the last; together they ask for nearly twice the room until their items are due.
+// The simulated load. Each shard is led by another store, which starts items in the servers' slots
+// as it sees them. One tenant has many items in each shard, one in a single shard, one in three
+// shards, and one has a small job in the last shard. Together they need almost twice the capacity
+// until their items are due.
 const (
-	shardCount  = 11
-	slotCount   = 88
-	itemRuns    = 2 * time.Second
-	itemDue     = 18 * time.Second
-	look        = 40 * time.Millisecond
-	digestTurn  = 100 * time.Millisecond
-	unseen      = 100 * time.Millisecond
-	heapsCame   = time.Second
-	shardsEnd   = 20 * time.Second
-	restartTime = 6 * time.Second
-	service     = "service"
-	// firstRivals is that of package balance.
+	shardCount         = 11
+	slotCount          = 88
+	itemDuration       = 2 * time.Second
+	itemDue            = 18 * time.Second
+	schedulingInterval = 40 * time.Millisecond
+	digestInterval     = 100 * time.Millisecond
+	unseenStarts       = 100 * time.Millisecond
+	laterArrival       = time.Second
+	shardsEnd          = 20 * time.Second
+	restartTime        = 6 * time.Second
+	service            = "service"
+	// firstRivals is copied from package balance.
 	firstRivals = 3
 )
 
-// heap is how many items of a tenant come in a shard.
-type heap struct {
-	tenant string
-	weight uint32
-	shard  int
-	items  int
-	came   time.Duration
+// itemBatch is a number of items of a tenant that are submitted to a shard at once.
+type itemBatch struct {
+	tenant  string
+	weight  uint32
+	shard   int
+	items   int
+	arrived time.Duration
 }
 
-func unequalHeaps() []heap {
-	var heaps []heap
+func unevenLoad() []itemBatch {
+	var batches []itemBatch
 	for shard := range shardCount {
-		heaps = append(heaps, heap{tenant: "everywhere", shard: shard, items: 80})
+		batches = append(batches, itemBatch{tenant: "everywhere", shard: shard, items: 80})
 	}
 	for shard := range 3 {
-		heaps = append(heaps, heap{tenant: "three", shard: shard + 4, items: 70, came: heapsCame})
+		batches = append(batches, itemBatch{tenant: "three", shard: shard + 4, items: 70, arrived: laterArrival})
 	}
-	return append(heaps,
-		heap{tenant: "one", items: 200, came: heapsCame},
-		heap{tenant: "small", shard: shardCount - 1, items: 24, came: heapsCame})
+	return append(batches,
+		itemBatch{tenant: "one", items: 200, arrived: laterArrival},
+		itemBatch{tenant: "small", shard: shardCount - 1, items: 24, arrived: laterArrival})
 }
 
-// shardWay is how the leaders order items.
-type shardWay struct {
+// schedulingMode is how the leaders order and start items.
+type schedulingMode struct {
 	name string
-	// shares: tenants share within a shard; tells: leaders know what runs elsewhere; leaves:
-	// they leave room to items of tenants that have less; takes: these take what is left at once.
-	shares, tells, leaves, takes bool
-	// restarts is how many leaders lose their runs, and lost the part of digests that is.
+	// shares: tenants share within a shard; digests: leaders know what runs elsewhere; reserves: they
+	// leave slots to items of tenants with fewer running items; prioritizes: these items use such slots
+	// at once.
+	shares, digests, reserves, prioritizes bool
+	// restarts is the number of leaders that restart and lose their running items, and lost the
+	// fraction of lost digests.
 	restarts int
 	lost     float64
 }
 
-// The most runs beyond the slots, which wait at servers: an eighth of the slots where all digests
-// come, and half of them with half of the digests lost. Leaders that hear nothing for longer than
-// their starts count for (unseen) take the same slots; by due time alone they were 51 too many then.
+// Maximum number of running items beyond the slots, which wait at servers: an eighth of the slots
+// if all digests arrive, and half of them if half of the digests are lost. A leader counts its
+// recent starts only for unseenStarts, so if digests are delayed for longer, leaders take the same
+// slots.
 const (
-	mostOver      = slotCount / 8
-	mostOverLossy = slotCount / 2
+	maximumOver      = slotCount / 8
+	maximumOverLossy = slotCount / 2
 )
 
-func (w shardWay) mostOver() int {
-	if w.lost > 0 {
-		return mostOverLossy
+func (m schedulingMode) maximumOver() int {
+	if m.lost > 0 {
+		return maximumOverLossy
 	}
-	return mostOver
+	return maximumOver
 }
 
-// run is an item that runs.
+// run is a running item.
 type run struct {
 	item backlog.Item
 	ends time.Duration
@@ -91,69 +95,69 @@
 	running []run
 	ended   []run
 	starts  []time.Duration
-	// told is its newest digest.
-	told struct {
+	// lastDigest is its newest digest.
+	lastDigest struct {
 		runs    int
 		running map[string]float64
-		need    backlog.UnmetDemand
+		demand  backlog.UnmetDemand
 	}
-	need backlog.UnmetDemand
+	demand backlog.UnmetDemand
 }
 
-// shardsPlay is one play of the load.
-type shardsPlay struct {
-	way     shardWay
-	random  *rand.Rand
-	leaders []*leader
-	now     time.Duration
-	asked   map[string]int
-	onTime  map[string]int
-	// idle is the room that was not used while items waited, in runs of an item.
+// shardSimulation simulates the load in one scheduling mode.
+type shardSimulation struct {
+	mode      schedulingMode
+	random    *rand.Rand
+	leaders   []*leader
+	now       time.Duration
+	submitted map[string]int
+	onTime    map[string]int
+	// idle is the unused capacity while items waited, in units of one item's run.
 	idle float64
-	// over is by how many runs there were more than slots at most.
+	// over is the maximum number of running items beyond the slots.
 	over int
 }
 
-func (p *shardsPlay) time() time.Time { return start.Add(p.now) }
+func (p *shardSimulation) time() time.Time { return start.Add(p.now) }
 
-func playShards(way shardWay, heaps []heap) *shardsPlay {
-	p := &shardsPlay{way: way, random: rand.New(rand.NewPCG(3, 3)), asked: make(map[string]int), onTime: make(map[string]int)}
+func simulateShards(mode schedulingMode, batches []itemBatch) *shardSimulation {
+	p := &shardSimulation{mode: mode, random: rand.New(rand.NewPCG(3, 3)), submitted: make(map[string]int), onTime: make(map[string]int)}
 	for range shardCount {
 		p.leaders = append(p.leaders, &leader{})
 	}
-	for ; p.now < shardsEnd; p.now += look {
-		for _, heap := range heaps {
-			if heap.came <= p.now && p.now < heap.came+look {
-				p.come(heap)
+	for ; p.now < shardsEnd; p.now += schedulingInterval {
+		for _, batch := range batches {
+			if batch.arrived <= p.now && p.now < batch.arrived+schedulingInterval {
+				p.arrive(batch)
 			}
 		}
 		for shard, each := range p.leaders {
 			p.end(each)
-			if shard < way.restarts && p.now/look == restartTime/look {
+			if shard < mode.restarts && p.now/schedulingInterval == restartTime/schedulingInterval {
 				p.restart(each)
 			}
 		}
 		for _, place := range p.random.Perm(shardCount) {
 			p.schedule(p.leaders[place])
 		}
-		if p.now%digestTurn < look {
-			p.tell()
+		if p.now%digestInterval < schedulingInterval {
+			p.sendDigests()
 		}
-		p.noteIdle()
+		p.recordIdle()
 	}
 	return p
 }
 
-func (p *shardsPlay) come(heap heap) {
-	came := p.time()
-	for range heap.items {
-		item := backlog.NewItem(came, came.Add(itemDue), itemRuns).WithTenant(heap.tenant, heap.weight)
-		p.leaders[heap.shard].waiting = append(p.leaders[heap.shard].waiting, item)
+func (p *shardSimulation) arrive(batch itemBatch) {
+	arrived := p.time()
+	for range batch.items {
+		item := backlog.NewItem(arrived, arrived.Add(itemDue), itemDuration).WithTenant(batch.tenant, batch.weight)
+		p.leaders[batch.shard].waiting = append(p.leaders[batch.shard].waiting, item)
 	}
-	p.asked[heap.tenant] += heap.items
+	p.submitted[batch.tenant] += batch.items
 }
 
-func (p *shardsPlay) end(l *leader) {
+func (p *shardSimulation) end(l *leader) {
 	var left []run
 	for _, each := range l.running {
 		if each.ends > p.now {
@@ -161,23 +165,23 @@
 			continue
 		}
 		l.ended = append(l.ended, each)
-		if each.item.OnTime(p.time().Add(-itemRuns)) {
+		if each.item.OnTime(p.time().Add(-itemDuration)) {
 			p.onTime[each.item.Tenant()]++
 		}
 	}
 	l.running = left
 }
 
-// restart has a leader start anew: its runs are cut, and their items wait again.
-func (p *shardsPlay) restart(l *leader) {
+// restart restarts a leader: its running items are interrupted and wait again.
+func (p *shardSimulation) restart(l *leader) {
 	for _, each := range l.running {
 		l.waiting = append(l.waiting, each.item)
 	}
 	l.running, l.ended, l.starts = nil, nil, nil
-	l.need = backlog.UnmetDemand{}
+	l.demand = backlog.UnmetDemand{}
 }
 
-func (p *shardsPlay) runningOf(l *leader) []backlog.Item {
+func (p *shardSimulation) runningOf(l *leader) []backlog.Item {
 	var running []backlog.Item
 	for _, each := range l.running {
 		running = append(running, each.item)
@@ -190,31 +194,31 @@
 	return running
 }
 
-// use is what a leader knows of the tenants' use.
-func (p *shardsPlay) use(l *leader) backlog.Usage {
+// usage returns the tenants' usage as known to a leader.
+func (p *shardSimulation) usage(l *leader) backlog.Usage {
 	elsewhere := make(map[string]float64)
-	var need backlog.UnmetDemand
+	var demand backlog.UnmetDemand
 	for _, other := range p.leaders {
-		if other == l || !p.way.tells {
+		if other == l || !p.mode.digests {
 			continue
 		}
-		for tenant, running := range other.told.running {
+		for tenant, running := range other.lastDigest.running {
 			elsewhere[tenant] += running
 		}
-		for level, waiting := range other.told.need {
-			need[level] += waiting
+		for level, waiting := range other.lastDigest.demand {
+			demand[level] += waiting
 		}
 	}
-	use := backlog.NewUsage(p.runningOf(l), elsewhere)
-	if p.way.leaves {
-		use.SetUnmetDemand(service, need)
+	usage := backlog.NewUsage(p.runningOf(l), elsewhere)
+	if p.mode.reserves {
+		usage.SetUnmetDemand(service, demand)
 	}
-	return use
+	return usage
 }
 
-func (p *shardsPlay) schedule(l *leader) {
-	use := p.use(l)
-	ordered, short := p.order(l, use)
+func (p *shardSimulation) schedule(l *leader) {
+	usage := p.usage(l)
+	ordered, short := p.order(l, usage)
 	var left []backlog.Item
 	full := make(map[string]bool)
 	for _, item := range ordered {
@@ -223,81 +227,81 @@
 			left = append(left, item)
 			continue
 		}
-		if !p.begin(l, item, use.Reserved(service, item), use.GoesFirst(service, item)) {
+		if !p.begin(l, item, usage.Reserved(service, item), usage.GoesFirst(service, item)) {
 			full[tenant] = true
 			left = append(left, item)
 			continue
 		}
-		use.AddRunning(item)
+		usage.AddRunning(item)
 	}
 	l.waiting = left
-	l.need = backlog.UnmetDemand{}
+	l.demand = backlog.UnmetDemand{}
 	for _, item := range short {
-		l.need.Add(use.RunsPerWeight(item))
+		l.demand.Add(usage.RunsPerWeight(item))
 	}
 }
 
-func (p *shardsPlay) order(l *leader, use backlog.Usage) (ordered, short []backlog.Item) {
-	if !p.way.shares {
+func (p *shardSimulation) order(l *leader, usage backlog.Usage) (ordered, short []backlog.Item) {
+	if !p.mode.shares {
 		return backlog.Order(l.waiting, p.time(), same), nil
 	}
-	return backlog.OrderShared(l.waiting, len(l.running), use, p.time(), same)
+	return backlog.OrderShared(l.waiting, len(l.running), usage, p.time(), same)
 }
 
-// begin starts an item where the leader sees room beyond what is reserved, as package balance
-// decides it: the other leaders are taken to have started as much as this one has lately.
-func (p *shardsPlay) begin(l *leader, item backlog.Item, reserved int, first bool) bool {
-	for len(l.starts) > 0 && p.now-l.starts[0] > unseen {
+// begin starts an item if the leader sees a free slot beyond the reserved ones. Like package
+// balance, it assumes that each of the other leaders started as many items recently as this one.
+func (p *shardSimulation) begin(l *leader, item backlog.Item, reserved int, first bool) bool {
+	for len(l.starts) > 0 && p.now-l.starts[0] > unseenStarts {
 		l.starts = l.starts[1:]
 	}
 	rivals := shardCount - 1
-	if first && p.way.takes {
+	if first && p.mode.prioritizes {
 		rivals = firstRivals - 1
 	}
 	left := slotCount - len(l.running) - rivals*len(l.starts) - reserved
 	for _, other := range p.leaders {
 		if other != l {
-			left -= other.told.runs
+			left -= other.lastDigest.runs
 		}
 	}
 	if float64(left) <= float64(rivals)*p.random.Float64() {
 		return false
 	}
 	l.starts = append(l.starts, p.now)
-	l.running = append(l.running, run{item: item, ends: p.now + itemRuns})
+	l.running = append(l.running, run{item: item, ends: p.now + itemDuration})
 	return true
 }
 
-func (p *shardsPlay) tell() {
+func (p *shardSimulation) sendDigests() {
 	for _, each := range p.leaders {
-		if p.random.Float64() < p.way.lost {
+		if p.random.Float64() < p.mode.lost {
 			continue
 		}
-		each.told.runs, each.told.need = len(each.running), each.need
-		each.told.running = make(map[string]float64)
+		each.lastDigest.runs, each.lastDigest.demand = len(each.running), each.demand
+		each.lastDigest.running = make(map[string]float64)
 		for _, item := range p.runningOf(each) {
-			each.told.running[item.Tenant()]++
+			each.lastDigest.running[item.Tenant()]++
 		}
 	}
 }
 
-func (p *shardsPlay) noteIdle() {
+func (p *shardSimulation) recordIdle() {
 	running, waiting := 0, 0
 	for _, each := range p.leaders {
 		running += len(each.running)
 		waiting += len(each.waiting)
 	}
 	p.over = max(p.over, running-slotCount)
-	p.idle += float64(max(0, min(waiting, slotCount-running))) * look.Seconds() / itemRuns.Seconds()
+	p.idle += float64(max(0, min(waiting, slotCount-running))) * schedulingInterval.Seconds() / itemDuration.Seconds()
 }
 
-// part is the part of a tenant's items that are on time.
-func (p *shardsPlay) part(tenant string) float64 {
-	return float64(p.onTime[tenant]) / float64(p.asked[tenant])
+// onTimeFraction returns the fraction of a tenant's items that were on time.
+func (p *shardSimulation) onTimeFraction(tenant string) float64 {
+	return float64(p.onTime[tenant]) / float64(p.submitted[tenant])
 }
 
-// all is how many items are on time.
-func (p *shardsPlay) all() int {
+// all returns the number of items that were on time.
+func (p *shardSimulation) all() int {
 	sum := 0
 	for count := range maps.Values(p.onTime) {
 		sum += count
@@ -305,134 +309,138 @@
 	return sum
 }
 
-func (p *shardsPlay) String() string {
+func (p *shardSimulation) String() string {
 	line := ""
-	for _, tenant := range slices.Sorted(maps.Keys(p.asked)) {
-		line += fmt.Sprintf("%s %d of %d, ", tenant, p.onTime[tenant], p.asked[tenant])
+	for _, tenant := range slices.Sorted(maps.Keys(p.submitted)) {
+		line += fmt.Sprintf("%s %d of %d, ", tenant, p.onTime[tenant], p.submitted[tenant])
 	}
-	return fmt.Sprintf("%sall %d, unused %.0f, at most %d too many", line, p.all(), p.idle, p.over)
+	return fmt.Sprintf("%sall %d, unused %.0f, at most %d runs beyond the slots", line, p.all(), p.idle, p.over)
 }
 
-// The ways compared: by due time alone, as within each shard before, with the order by what is told,
-// with room left to others, and as built: what is left is taken at once.
+// The scheduling modes to compare: by due time alone; with sharing within each shard; with digests;
+// with room left to other tenants; and the actual one, in which these use the room at once.
 var (
-	byDue        = shardWay{name: "by due"}
-	withinShards = shardWay{name: "within shards", shares: true}
-	byTold       = shardWay{name: "told", shares: true, tells: true}
-	roomLeft     = shardWay{name: "told, room left", shares: true, tells: true, leaves: true}
-	built        = shardWay{name: "as built", shares: true, tells: true, leaves: true, takes: true}
-	builtAnew    = shardWay{name: "as built, a third start anew", shares: true, tells: true, leaves: true, takes: true, restarts: 4}
-	builtLossy   = shardWay{name: "as built, half of the digests lost", shares: true, tells: true, leaves: true, takes: true, lost: 0.5}
+	byDue           = schedulingMode{name: "by due"}
+	withinShards    = schedulingMode{name: "within shards", shares: true}
+	withDigests     = schedulingMode{name: "with digests", shares: true, digests: true}
+	withReservation = schedulingMode{name: "with reservations", shares: true, digests: true, reserves: true}
+	current         = schedulingMode{name: "current", shares: true, digests: true, reserves: true, prioritizes: true}
+	currentRestarts = schedulingMode{name: "current, a third of the leaders restart", shares: true, digests: true, reserves: true, prioritizes: true, restarts: 4}
+	currentLossy    = schedulingMode{name: "current, half of the digests lost", shares: true, digests: true, reserves: true, prioritizes: true, lost: 0.5}
 )
 
-// playAll plays the ways side by side.
-func playAll(t *testing.T, heaps []heap, ways ...shardWay) map[string]*shardsPlay {
+// simulateAll runs the simulations of several modes in parallel.
+func simulateAll(t *testing.T, batches []itemBatch, modes ...schedulingMode) map[string]*shardSimulation {
 	t.Helper()
-	plays := make([]*shardsPlay, len(ways))
+	simulations := make([]*shardSimulation, len(modes))
 	var group sync.WaitGroup
-	for place, way := range ways {
-		group.Go(func() { plays[place] = playShards(way, heaps) })
+	for place, mode := range modes {
+		group.Go(func() { simulations[place] = simulateShards(mode, batches) })
 	}
 	group.Wait()
-	byName := make(map[string]*shardsPlay)
-	for place, way := range ways {
-		t.Logf("%s: %v", way.name, plays[place])
-		if plays[place].over > way.mostOver() {
-			t.Errorf("%s: %d runs beyond the slots", way.name, plays[place].over)
+	byName := make(map[string]*shardSimulation)
+	for place, mode := range modes {
+		t.Logf("%s: %v", mode.name, simulations[place])
+		if simulations[place].over > mode.maximumOver() {
+			t.Errorf("%s: %d runs beyond the slots", mode.name, simulations[place].over)
 		}
-		byName[way.name] = plays[place]
+		byName[mode.name] = simulations[place]
 	}
 	return byName
 }
 
-// TestTenantsShareOverAllShards: a tenant with jobs in all shards had fifteen times as many items on
-// time as one that had them in a single shard and whose share was more than half as much.
+// TestTenantsShareOverAllShards guards against a tenant with jobs in all shards getting many times
+// the capacity of a tenant with jobs in a single shard.
 func TestTenantsShareOverAllShards(t *testing.T) {
 	t.Parallel()
-	faulty := []shardWay{builtAnew, builtLossy}
-	ways := append([]shardWay{withinShards, built, byDue, byTold, roomLeft}, faulty...)
+	faulty := []schedulingMode{currentRestarts, currentLossy}
+	modes := append([]schedulingMode{withinShards, current, byDue, withDigests, withReservation}, faulty...)
 	if testing.Short() {
-		// With the race detector all of them take half a minute on a busy machine.
-		faulty, ways = nil, []shardWay{withinShards, built}
+		// With the race detector, all modes take half a minute on a busy machine.
+		faulty, modes = nil, []schedulingMode{withinShards, current}
 	}
-	plays := playAll(t, unequalHeaps(), ways...)
-	if before := plays[withinShards.name]; before.part("one") > 0.25 {
-		t.Errorf("the load is none: %v", before)
+	simulations := simulateAll(t, unevenLoad(), modes...)
+	if before := simulations[withinShards.name]; before.onTimeFraction("one") > 0.25 {
+		t.Errorf("sharing within shards alone must make most items of the tenant late: %v", before)
 	}
-	for _, way := range append(faulty, built) {
-		play := plays[way.name]
-		if play.part("one") < 0.7 || play.part("three") < 0.9 || play.part("small") < 1 {
-			t.Errorf("%s: %v", way.name, play)
+	for _, mode := range append(faulty, current) {
+		simulation := simulations[mode.name]
+		if simulation.onTimeFraction("one") < 0.7 || simulation.onTimeFraction("three") < 0.9 || simulation.onTimeFraction("small") < 1 {
+			t.Errorf("%s: %v", mode.name, simulation)
 		}
 	}
-	if plays[built.name].all() < plays[withinShards.name].all()*97/100 {
-		t.Errorf("room stays unused: %v", plays[built.name])
+	if simulations[current.name].all() < simulations[withinShards.name].all()*97/100 {
+		t.Errorf("capacity stays unused: %v", simulations[current.name])
 	}
 }
 
-// TestRoomThatOthersDoNotAskForIsUsed: all is one tenant's, or another one has a little besides.
-func TestRoomThatOthersDoNotAskForIsUsed(t *testing.T) {
+// TestUnneededRoomIsUsed checks that a tenant gets all of the capacity that no other tenant needs,
+// whether it is alone or another one has a few items.
+func TestUnneededRoomIsUsed(t *testing.T) {
 	t.Parallel()
-	var heaps []heap
+	var batches []itemBatch
 	for shard := range shardCount {
-		heaps = append(heaps, heap{tenant: "everywhere", shard: shard, items: 80})
+		batches = append(batches, itemBatch{tenant: "everywhere", shard: shard, items: 80})
 	}
-	little := append(slices.Clone(heaps), heap{tenant: "small", shard: 3, items: 8, came: heapsCame})
+	little := append(slices.Clone(batches), itemBatch{tenant: "small", shard: 3, items: 8, arrived: laterArrival})
 	if !testing.Short() {
-		alone := playAll(t, heaps, withinShards, built)
-		if alone[built.name].all() < alone[withinShards.name].all()*99/100 {
-			t.Errorf("alone, %d items on time instead of %d", alone[built.name].all(), alone[withinShards.name].all())
+		alone := simulateAll(t, batches, withinShards, current)
+		if alone[current.name].all() < alone[withinShards.name].all()*99/100 {
+			t.Errorf("alone, %d items on time instead of %d", alone[current.name].all(), alone[withinShards.name].all())
 		}
 	}
-	shared := playAll(t, little, withinShards, built)
-	if play := shared[built.name]; play.part("small") < 1 || play.all() < shared[withinShards.name].all()*97/100 {
-		t.Errorf("beside a little: %v", play)
+	shared := simulateAll(t, little, withinShards, current)
+	if simulation := shared[current.name]; simulation.onTimeFraction("small") < 1 || simulation.all() < shared[withinShards.name].all()*97/100 {
+		t.Errorf("beside a tenant with few items: %v", simulation)
 	}
 }
 
-// TestTenantsShareOverAllShardsByWeight: one of two tenants weighs three times the other.
+// TestTenantsShareOverAllShardsByWeight uses two tenants, one with three times the weight of the
+// other.
 func TestTenantsShareOverAllShardsByWeight(t *testing.T) {
 	t.Parallel()
-	var heaps []heap
+	var batches []itemBatch
 	for shard := range shardCount {
-		heaps = append(heaps, heap{tenant: "light", shard: shard, items: 80})
-		heaps = append(heaps, heap{tenant: "heavy", weight: 3, shard: shard, items: 80})
+		batches = append(batches, itemBatch{tenant: "light", shard: shard, items: 80})
+		batches = append(batches, itemBatch{tenant: "heavy", weight: 3, shard: shard, items: 80})
 	}
-	play := playAll(t, heaps, built)[built.name]
-	ratio := float64(play.onTime["heavy"]) / float64(play.onTime["light"])
+	simulation := simulateAll(t, batches, current)[current.name]
+	ratio := float64(simulation.onTime["heavy"]) / float64(simulation.onTime["light"])
 	if ratio < 2 || ratio > 4 {
-		t.Errorf("%.1f times as many on time: %v", ratio, play)
+		t.Errorf("%.1f times as many on time: %v", ratio, simulation)
 	}
 }
 
-// TestOrderWithoutTenantsIsThatByDueTime, whatever others tell.
-func TestOrderWithoutTenantsIsThatByDueTime(t *testing.T) {
+// TestOrderWithoutTenantsIsByDueTime checks that digests do not change the order on a site without
+// tenants.
+func TestOrderWithoutTenantsIsByDueTime(t *testing.T) {
 	t.Parallel()
-	var heaps []heap
+	var batches []itemBatch
 	for shard := range shardCount {
-		heaps = append(heaps, heap{shard: shard, items: 80})
+		batches = append(batches, itemBatch{shard: shard, items: 80})
 	}
-	plays := playAll(t, heaps, byDue, built)
-	if plays[byDue.name].String() != plays[built.name].String() {
-		t.Error("the order is another one")
+	simulations := simulateAll(t, batches, byDue, current)
+	if simulations[byDue.name].String() != simulations[current.name].String() {
+		t.Error("the order differs from that by due time")
 	}
 }
 
-// TestQuietTenantIsAheadUntilItRunsAsMuch, and no longer.
-func TestQuietTenantIsAheadUntilItRunsAsMuch(t *testing.T) {
-	use := backlog.NewUsage(nil, map[string]float64{"busy": 10})
+// TestIdleTenantIsAheadUntilItRunsAsMuch checks that the advantage of a tenant with few running
+// items ends once it has about as many as the others.
+func TestIdleTenantIsAheadUntilItRunsAsMuch(t *testing.T) {
+	usage := backlog.NewUsage(nil, map[string]float64{"busy": 10})
 	item := at(0, 18, 2).WithTenant("quiet", 0)
-	var need backlog.UnmetDemand
+	var demand backlog.UnmetDemand
 	for range 100 {
-		need.Add(10)
+		demand.Add(10)
 	}
-	use.SetUnmetDemand(service, need)
+	usage.SetUnmetDemand(service, demand)
 	begun := 0
-	for use.Reserved(service, item) == 0 && begun < 100 {
-		use.AddRunning(item)
+	for usage.Reserved(service, item) == 0 && begun < 100 {
+		usage.AddRunning(item)
 		begun++
 	}
 	if begun < 9 || begun > 14 {
-		t.Errorf("%d runs begun beside ten of another one", begun)
+		t.Errorf("%d runs started beside ten of another tenant", begun)
 	}
 }
--- a/internal/backlog/share.go
+++ b/internal/backlog/share.go
@@ -6,30 +6,29 @@
 	"time"
 )
 
-// WithTenant returns an item of a tenant with the given weight; zero is one.
+// WithTenant returns the item with a tenant and its weight; zero means 1.
 func (i Item) WithTenant(tenant string, weight uint32) Item {
 	i.tenant, i.weight = tenant, weight
 	return i
 }
 
-// Tenant is whose item it is; empty without tenants.
+// Tenant returns the tenant of the item; empty without tenants.
 func (i Item) Tenant() string { return i.tenant }
 
-// share is what part of the room the item's tenant has beside one that has 1.
+// share returns the weight of the item's tenant, at least 1.
 func (i Item) share() float64 { return float64(max(1, i.weight)) }
 
-// OrderShared is Order for items of tenants, given how many each has running in all shards, and
-// how many run here. It answers jobs of one tenant that come many at a time: the items of
-// others, which are due later, were started after all of those and could not be on time any
-// more. Where what waits here cannot all be on time with as many runs as there are now, tenants
-// share: the first items of each go before the second ones, those that run included, and each
-// tenant's go by when they are due; short lists what waits then. An item that would miss its due
-// time by waiting goes before none of a tenant that has less: a heap that is due at once would be
-// before all others.
-func OrderShared[T any](waiting []T, runs int, use Usage, now time.Time, item func(T) Item) (ordered, short []T) {
+// OrderShared is like Order but shares between tenants if the waiting items cannot all be on time
+// with the current number of runs in this shard. Without sharing, the items of a tenant that
+// submits many at once would all be started before those of others that are due later. Items are
+// then ordered by the number of items that their tenant has before them, running items in all
+// shards included, and the items of one tenant by due time. short lists the waiting items in this
+// case. An item that would be late by waiting is still not moved ahead of tenants with fewer items,
+// since many items that are due soon would be ahead of all others.
+func OrderShared[T any](waiting []T, runs int, usage Usage, now time.Time, item func(T) Item) (ordered, short []T) {
 	early, late := split(waiting, now, item)
-	if !fits(early, runs, now) {
-		early = byShare(early, use)
+	if !allOnTime(early, runs, now) {
+		early = byShare(early, usage)
 		short = values(early)
 	}
 	return interleave(early, late), short
@@ -43,9 +42,9 @@
 	return all
 }
 
-// fits tells whether items that are started in their order with so many runs at a time can
-// all be on time.
-func fits[T any](ordered []entry[T], runs int, now time.Time) bool {
+// allOnTime reports whether all items can be on time if they are started in order with a number of
+// concurrent runs.
+func allOnTime[T any](ordered []entry[T], runs int, now time.Time) bool {
 	ends := now
 	for _, each := range ordered {
 		ends = ends.Add(each.item.remaining / time.Duration(max(1, runs)))
@@ -56,20 +55,20 @@
 	return true
 }
 
-// tagged is an entry with how many items its tenant has running before it.
+// tagged is an entry with the number of its tenant's items before it, per weight.
 type tagged[T any] struct {
 	entry entry[T]
 	tag   float64
 }
 
-// byShare sorts items by what their tenants have before them: the items that run, and those
-// that are due sooner.
-func byShare[T any](ordered []entry[T], use Usage) []entry[T] {
-	had := use.clone()
+// byShare sorts items by the number of their tenants' items before them: the running ones and those
+// with earlier due times.
+func byShare[T any](ordered []entry[T], usage Usage) []entry[T] {
+	before := usage.clone()
 	list := make([]tagged[T], 0, len(ordered))
 	for _, each := range ordered {
-		list = append(list, tagged[T]{entry: each, tag: had.RunsPerWeight(each.item)})
-		had.AddRunning(each.item)
+		list = append(list, tagged[T]{entry: each, tag: before.RunsPerWeight(each.item)})
+		before.AddRunning(each.item)
 	}
 	slices.SortStableFunc(list, func(a, b tagged[T]) int { return cmp.Compare(a.tag, b.tag) })
 	return untagged(list)
--- a/internal/backlog/share_test.go
+++ b/internal/backlog/share_test.go
@@ -8,12 +8,12 @@
 	"rockwind.example/rockwind/internal/backlog"
 )
 
-// jobs are the items of a tenant that come in one heap, each to run for five seconds and due
-// 18 s after it came.
-func jobs(tenant string, count int, came float64) []backlog.Item {
+// jobs returns items of a tenant that are submitted at once, run for five seconds and are due 18 s
+// later.
+func jobs(tenant string, count int, submitted float64) []backlog.Item {
 	var items []backlog.Item
 	for range count {
-		items = append(items, at(came, came+18, 5).WithTenant(tenant, 0))
+		items = append(items, at(submitted, submitted+18, 5).WithTenant(tenant, 0))
 	}
 	return items
 }
@@ -24,7 +24,7 @@
 	return ordered
 }
 
-// onTime plays the start of items with eight runs at a time and counts those on time.
+// onTime simulates the items with eight concurrent runs and counts those that are on time.
 func onTime(ordered []backlog.Item, now time.Time) map[string]int {
 	const runs = 8
 	done := make(map[string]int)
@@ -39,23 +39,24 @@
 	return done
 }
 
-// TestHeapOfOneTenantDoesNotMakeItemsOfOthersLate: by when they are due alone the later
-// tenant's items came after 200 others.
-func TestHeapOfOneTenantDoesNotMakeItemsOfOthersLate(t *testing.T) {
+// TestManyItemsOfOneTenantDoNotMakeOthersLate guards against ordering by due time alone, where the
+// other tenant's items came after 200 earlier ones.
+func TestManyItemsOfOneTenantDoNotMakeOthersLate(t *testing.T) {
 	waiting := append(jobs("flood", 200, 0), jobs("small", 8, 1)...)
 	now := start.Add(time.Second)
 	running := jobs("flood", 8, 0)
 	if before := onTime(backlog.Order(waiting, now, same), now); before["small"] != 0 {
-		t.Fatalf("the load is none: %v", before)
+		t.Fatalf("ordering by due time alone must make the small tenant late: %v", before)
 	}
 	after := onTime(orderShared(waiting, running, now), now)
 	if after["small"] != 8 || after["flood"] < 12 {
-		t.Fatalf("on time: %v", after)
+		t.Fatalf("items on time: %v", after)
 	}
 }
 
-// TestItemsThatAllFitGoByWhenTheyAreDue, whoever's they are.
-func TestItemsThatAllFitGoByWhenTheyAreDue(t *testing.T) {
+// TestItemsAreOrderedByDueTimeIfAllFit checks that tenants do not share if all items can be on
+// time.
+func TestItemsAreOrderedByDueTimeIfAllFit(t *testing.T) {
 	waiting := append(jobs("flood", 6, 0), jobs("small", 2, 1)...)
 	now := start.Add(time.Second)
 	shared := orderShared(waiting, jobs("flood", 8, 0), now)
@@ -64,12 +65,11 @@
 	}
 }
 
-// TestHeapWithoutTenantsGoesByWhenItIsDue.
-func TestHeapWithoutTenantsGoesByWhenItIsDue(t *testing.T) {
+func TestItemsWithoutTenantsAreOrderedByDueTime(t *testing.T) {
 	waiting := append(jobs("", 150, 2), jobs("", 150, 0)...)
 	now := start.Add(2 * time.Second)
 	shared := orderShared(waiting, jobs("", 8, 0), now)
 	if !slices.Equal(shared, backlog.Order(waiting, now, same)) {
-		t.Fatal("the order is another one than without sharing")
+		t.Fatal("the order differs from that without sharing")
 	}
 }
--- a/internal/backlog/use.go
+++ b/internal/backlog/use.go
@@ -8,95 +8,94 @@
 )
 
 const (
-	// needUnit is the bound of the lowest need level in runs: only tenants without runs are there,
-	// whatever their weights.
-	needUnit = 0.01
-	// needSteps is how many levels there are from one amount to twice as much. Tenants of one level
-	// count as alike, which is within a fifth.
-	needSteps = 4
-	// UnmetDemandLevels is how many levels there are: the highest begins at 10,000 runs.
+	// lowestLevelBound is the upper bound of the lowest level. Only tenants without running items
+	// are on that level, whatever their weights.
+	lowestLevelBound = 0.01
+	// levelsPerDoubling is the number of levels by which the bound doubles. Tenants on one level,
+	// which differ by at most a fifth, are treated as equal.
+	levelsPerDoubling = 4
+	// UnmetDemandLevels is the number of levels. The highest begins at 10,000 running items.
 	UnmetDemandLevels = 82
-	// alikeSteps is within how many levels no tenant is taken to be ahead of another one: what
-	// leaders of shards know of one and the same tenant differs by as much.
-	alikeSteps = 1
+	// toleranceLevels is the number of levels within which no tenant is considered ahead of
+	// another. What different leaders know of the same tenant differs by as much.
+	toleranceLevels = 1
 )
 
-// EndedItemRetention is for how long an item that ended still counts as one that runs: for longer than others
-// need to hear of it on a large site (some 300 ms). Where many end together, what is told of the
-// others is as old as what is known here, and none seems to be ahead that is not.
+// EndedItemRetention is how long an ended item still counts as running. It is longer than the
+// propagation delay of digests on a large site (about 300 ms). If many items end at once, a process
+// would otherwise compare its own current usage with older reports of the others and rank tenants
+// wrongly.
 const EndedItemRetention = 500 * time.Millisecond
 
-// UnmetDemand is how many items wait that cannot all be on time, by how much their tenants have
-// running: the levels grow geometrically. It names no tenant, so that a process tells as little of
-// 11,000 tenants as of two, and counts of several processes add up.
+// UnmetDemand is a histogram of the waiting items that cannot all be on time, by the number of
+// running items of their tenants per weight. The bounds of the levels grow geometrically. Its size
+// does not depend on the number of tenants, and histograms of several processes can be added.
 type UnmetDemand [UnmetDemandLevels]int
 
-// level is that of a tenant which has so many items running.
+// level returns the level of a tenant with a number of running items per weight.
 func level(running float64) int {
-	if running <= needUnit {
+	if running <= lowestLevelBound {
 		return 0
 	}
-	return min(UnmetDemandLevels-1, int(math.Ceil(needSteps*math.Log2(running/needUnit))))
+	return min(UnmetDemandLevels-1, int(math.Ceil(levelsPerDoubling*math.Log2(running/lowestLevelBound))))
 }
 
-// bound is the highest number of runs of a level.
-func bound(level int) float64 { return needUnit * math.Exp2(float64(level)/needSteps) }
+// bound returns the upper bound of a level.
+func bound(level int) float64 { return lowestLevelBound * math.Exp2(float64(level)/levelsPerDoubling) }
 
-// Add counts an item that waits whose tenant has so many running.
-func (n *UnmetDemand) Add(running float64) { n[level(running)]++ }
+// Add counts a waiting item whose tenant has a number of running items per weight.
+func (d *UnmetDemand) Add(running float64) { d[level(running)]++ }
 
-// Plus adds what waits elsewhere.
-func (n *UnmetDemand) Plus(other UnmetDemand) {
+// Plus adds the waiting items of another process.
+func (d *UnmetDemand) Plus(other UnmetDemand) {
 	for level, waiting := range other {
-		n[level] += waiting
+		d[level] += waiting
 	}
 }
 
-// Len is how many items wait.
-func (n *UnmetDemand) Len() int {
+// Len returns the number of waiting items.
+func (d *UnmetDemand) Len() int {
 	sum := 0
-	for _, waiting := range n {
+	for _, waiting := range d {
 		sum += waiting
 	}
 	return sum
 }
 
-// empty tells whether no item waits.
-func (n *UnmetDemand) empty() bool { return *n == UnmetDemand{} }
+func (d *UnmetDemand) empty() bool { return *d == UnmetDemand{} }
 
-// Usage is how many items run, by tenant, in all shards: those of this process, and those of
-// others as they tell. Each holds a slot, so tenants that have alike many get as much time of
-// servers, however long their items run. What is running counts and nothing before it: a tenant that
-// was quiet is ahead until it runs as much as the others, and no longer; and a process that
-// starts anew, which runs nothing, finds what the others run. Runs count over all services, as
-// what waits does not: a tenant with many runs of one service leaves room at another one too, where
-// it has none.
+// Usage counts the running items by tenant in all shards: those of this process, and those that
+// others report. Each running item uses a slot, so tenants with equal usage get equal server time,
+// however long their items take. Only items that run now count. A tenant that was idle is ahead
+// until it has as many running items as the others, and a process that restarts finds the current
+// usage of the others. Running items are counted over all services, and waiting ones by service: a
+// tenant with many running items of one service also leaves room to others at another service.
 //
-// The zero Usage is that of items without tenants, which share by nothing.
+// The zero value is for items without tenants, which do not share.
 type Usage struct {
-	running map[string]float64
-	needs   map[string]*UnmetDemand
+	running     map[string]float64
+	unmetDemand map[string]*UnmetDemand
 }
 
-// NewUsage returns the use of items that run in one shard, given how many those of a tenant in
-// other shards are; nil where none runs.
+// NewUsage returns the usage of the items that run in one shard and of those that run elsewhere,
+// counted by tenant; elsewhere may be nil.
 func NewUsage(running []Item, elsewhere map[string]float64) Usage {
-	use := Usage{running: make(map[string]float64), needs: make(map[string]*UnmetDemand)}
-	maps.Copy(use.running, elsewhere)
+	usage := Usage{running: make(map[string]float64), unmetDemand: make(map[string]*UnmetDemand)}
+	maps.Copy(usage.running, elsewhere)
 	for _, each := range running {
-		use.AddRunning(each)
+		usage.AddRunning(each)
 	}
-	return use
+	return usage
 }
 
-// SetUnmetDemand takes what waits for a service at other processes.
-func (u Usage) SetUnmetDemand(service string, need UnmetDemand) {
-	if !need.empty() {
-		u.needs[service] = &need
+// SetUnmetDemand sets the unmet demand for a service at other processes.
+func (u Usage) SetUnmetDemand(service string, demand UnmetDemand) {
+	if !demand.empty() {
+		u.unmetDemand[service] = &demand
 	}
 }
 
-// AddRunning counts an item that begins to run.
+// AddRunning counts an item that starts to run.
 func (u Usage) AddRunning(item Item) {
 	if u.running != nil {
 		u.running[item.tenant]++
@@ -105,26 +104,27 @@
 
 func (u Usage) clone() Usage { return Usage{running: maps.Clone(u.running)} }
 
-// RunsPerWeight is how many items the tenant of an item has running, over its weight.
+// RunsPerWeight returns the number of running items of the item's tenant, divided by its weight.
 func (u Usage) RunsPerWeight(item Item) float64 { return u.running[item.tenant] / item.share() }
 
-// Reserved is how many runs an item that is to be started leaves to items that wait at other
-// processes, of tenants that have less running than its own. It answers a tenant that has jobs in
-// all shards beside one that has them in a single one: by the order within each shard alone the
-// first one had as many times the room of the other as there are shards. What is left is half of the
-// runs by which its tenant differs from the one with the least, which makes them alike, and no more
-// than wait: room that others do not ask for goes to whoever asks.
+// Reserved returns how many slots must be left, when an item is to be started, to items that wait
+// at other processes and whose tenants have fewer running items. Without it, the order within each
+// shard would give a tenant with jobs in all shards a multiple of the slots of a tenant with jobs
+// in a single one. The result is at most half of the difference to the tenant with the fewest
+// running items, which would make them equal, and at most the number of waiting items, so that
+// slots which others do not need remain usable.
 func (u Usage) Reserved(service string, item Item) int {
-	need := u.needs[service]
-	if need == nil || item.tenant == "" {
+	demand := u.unmetDemand[service]
+	if demand == nil || item.tenant == "" {
 		return 0
 	}
-	// Both bound what is left: reserved what waits, of each level no more than makes it alike; most
-	// the difference to the least. Levels add up to more than that where many tenants have little,
-	// and the item's own tenant would fall behind them.
-	reserved, most := 0, 0
+	// Both are upper bounds: reserved sums up the waiting items, of each level at most as many as
+	// would make it equal; maximum is the difference to the lowest level. If many tenants have few
+	// running items, the sum exceeds the difference, and the item's own tenant would fall behind
+	// them.
+	reserved, maximum := 0, 0
 	own := u.RunsPerWeight(item)
-	for level, waiting := range need {
+	for level, waiting := range demand {
 		if waiting == 0 {
 			continue
 		}
@@ -132,19 +132,19 @@
 		if ahead <= 0 {
 			break
 		}
-		most = max(most, ahead)
+		maximum = max(maximum, ahead)
 		reserved += min(waiting, ahead)
 	}
-	return min(reserved, most)
+	return min(reserved, maximum)
 }
 
-// GoesFirst tells whether an item that is to be started goes before all that wait for the service at
-// other processes: its tenant has less running than those of all of them, which leave it room.
+// GoesFirst reports whether an item goes before all items that wait for the service at other
+// processes: its tenant has fewer running items than all of theirs, which leave it room.
 func (u Usage) GoesFirst(service string, item Item) bool {
-	need := u.needs[service]
-	if need == nil || item.tenant == "" {
+	demand := u.unmetDemand[service]
+	if demand == nil || item.tenant == "" {
 		return false
 	}
-	alike := min(UnmetDemandLevels-1, level(u.RunsPerWeight(item))+alikeSteps)
-	return !slices.ContainsFunc(need[:alike+1], func(waiting int) bool { return waiting > 0 })
+	highest := min(UnmetDemandLevels-1, level(u.RunsPerWeight(item))+toleranceLevels)
+	return !slices.ContainsFunc(demand[:highest+1], func(waiting int) bool { return waiting > 0 })
 }
