--- a/internal/balance/pace/simulation_test.go
+++ b/internal/balance/pace/simulation_test.go
@@ -230,17 +230,17 @@
 
 // step runs one step of a server and schedules the next one while the server has work.
 func (s *site) step(each *server) {
-	reads := 0
+	promptTokensRead := 0
 	for len(each.waiting) > 0 && len(each.running) < slots {
 		each.running = append(each.running, each.waiting[0])
 		each.waiting = each.waiting[1:]
-		reads += promptTokens
+		promptTokensRead += promptTokens
 	}
 	each.active = len(each.running) > 0
 	if !each.active {
 		return
 	}
-	took := stepBase + time.Duration(len(each.running))*stepEach + time.Duration(float64(reads)/tokensPerMilli*float64(time.Millisecond))
+	took := stepBase + time.Duration(len(each.running))*stepEach + time.Duration(float64(promptTokensRead)/tokensPerMilli*float64(time.Millisecond))
 	s.clock.After(time.Duration(float64(took)*each.pace()), func() {
 		each.running = slices.DeleteFunc(each.running, func(r *request) bool { return s.recordEvent(each, r) })
 		s.step(each)
@@ -276,8 +276,8 @@
 // run runs the simulation until the given time.
 func (s *site) run(until time.Duration) {
 	for {
-		next, some := s.clock.Next(until)
-		if !some {
+		next, found := s.clock.Next(until)
+		if !found {
 			return
 		}
 		next.Run()
--- a/internal/placement/adapters.go
+++ b/internal/placement/adapters.go
@@ -83,25 +83,25 @@
 // setRoles gives the role online to a fraction of each model's replicas, preferring those that have
 // it already, and the role mixed to all others.
 func (d *draft) setRoles() {
-	wanted := make(map[*Server]Role, len(d.servers))
+	roles := make(map[*Server]Role, len(d.servers))
 	for _, model := range d.models {
-		replicas := d.where(model.replicaOn)
+		replicas := d.filterServers(model.replicaOn)
 		online := int(d.policy.OnlineOnlyFraction * float64(len(replicas)))
 		for _, server := range replicas {
 			if server.Role == RoleOnline && online > 0 {
-				wanted[server] = RoleOnline
+				roles[server] = RoleOnline
 				online--
 			}
 		}
 		for _, server := range replicas {
-			if wanted[server] == "" && online > 0 {
-				wanted[server] = RoleOnline
+			if roles[server] == "" && online > 0 {
+				roles[server] = RoleOnline
 				online--
 			}
 		}
 	}
 	for _, server := range d.servers {
-		role := wanted[server]
+		role := roles[server]
 		if role == "" {
 			role = RoleMixed
 		}
--- a/internal/placement/moves.go
+++ b/internal/placement/moves.go
@@ -25,11 +25,11 @@
 
 // chooseServer returns the best server for one more replica of a model. An urgent need ignores the
 // dwell time.
-func (d *draft) chooseServer(model *Model, urgent bool, wanted func(*Server) bool) (candidate, bool) {
+func (d *draft) chooseServer(model *Model, urgent bool, accept func(*Server) bool) (candidate, bool) {
 	zones := d.tallies[model.Name].replicas.zones
 	var best candidate
 	for _, server := range d.servers {
-		if !server.mayHold(model.Name) || model.replicaOn(server) || !d.idle(server, urgent) || !wanted(server) {
+		if !server.mayHold(model.Name) || model.replicaOn(server) || !d.idle(server, urgent) || !accept(server) {
 			continue
 		}
 		offered, possible := d.offer(server)
@@ -137,10 +137,10 @@
 		}
 	}
 	sortBy(sorted, func(a, b *Model) int {
-		held, other := d.replicas(a), d.replicas(b)
+		replicasA, replicasB := d.replicas(a), d.replicas(b)
 		return cmp.Or(
-			cmp.Compare(b.pressure(other), a.pressure(held)),
-			cmp.Compare(held, other),
+			cmp.Compare(b.pressure(replicasB), a.pressure(replicasA)),
+			cmp.Compare(replicasA, replicasB),
 			cmp.Compare(a.Name, b.Name),
 		)
 	})
--- a/internal/placement/replicas.go
+++ b/internal/placement/replicas.go
@@ -53,9 +53,9 @@
 	return found
 }
 
-func (c *zoneCount) add(zone string, by int) {
-	c.servers += by
-	c.zones[zone] += by
+func (c *zoneCount) add(zone string, delta int) {
+	c.servers += delta
+	c.zones[zone] += delta
 	if c.zones[zone] == 0 {
 		delete(c.zones, zone)
 	}
@@ -70,23 +70,23 @@
 	return c.servers - 1, zones
 }
 
-// count adds by to the tallies of the models on a server.
-func (d *draft) count(server *Server, by int) {
+// count adds delta to the tallies of the models on a server.
+func (d *draft) count(server *Server, delta int) {
 	for _, model := range d.models {
 		counted := d.tallies[model.Name]
 		if server.mayHold(model.Name) {
-			counted.eligible.add(server.Zone, by)
+			counted.eligible.add(server.Zone, delta)
 		}
 		if model.servedBy(server) {
-			counted.serving.add(server.Zone, by)
+			counted.serving.add(server.Zone, delta)
 		}
 		if model.replicaOn(server) {
-			counted.replicas.add(server.Zone, by)
+			counted.replicas.add(server.Zone, delta)
 		}
 	}
 	for _, version := range slices.Concat(server.Versions, server.LoadingVersions) {
 		if counted := d.tallies[version.Model]; counted != nil && d.model(version.Model).isActive(version) {
-			counted.version(version.Version).add(server.Zone, by)
+			counted.version(version.Version).add(server.Zone, delta)
 		}
 	}
 }
@@ -96,13 +96,13 @@
 
 // serving returns the servers that serve the model now.
 func (d *draft) serving(model *Model) []*Server {
-	return d.where(model.servedBy)
+	return d.filterServers(model.servedBy)
 }
 
-func (d *draft) where(wanted func(*Server) bool) []*Server {
+func (d *draft) filterServers(accept func(*Server) bool) []*Server {
 	var found []*Server
 	for _, server := range d.servers {
-		if wanted(server) {
+		if accept(server) {
 			found = append(found, server)
 		}
 	}
--- a/internal/placement/view.go
+++ b/internal/placement/view.go
@@ -150,8 +150,8 @@
 // Policy holds the parameters of a Planner.
 type Policy struct {
 	// FloorReplicas and FloorZones are the minimum numbers of replicas and of their zones for each
-	// model. The minimum is one replica lower for a model that is allowed on too few servers to
-	// have a spare one, so that its versions can be changed.
+	// model. If only FloorReplicas or fewer servers may hold a model, its minimum is one less than
+	// their number, but at least one, so that its versions can be changed.
 	FloorReplicas int
 	FloorZones    int
 	// Margin is the fraction by which a model's demand per replica must exceed the one that the
--- a/internal/placer/applier.go
+++ b/internal/placer/applier.go
@@ -131,15 +131,15 @@
 
 // updateEngines adds the engines of the configuration and drops those that it no longer has.
 func (a *Applier) updateEngines(declared []*rockwindpb.BackEnd) {
-	kept := make(map[string]*engineState, len(declared))
+	engines := make(map[string]*engineState, len(declared))
 	for _, backEnd := range declared {
 		engine := a.engines[backEnd.GetName()]
 		if engine == nil || engine.address != backEnd.GetAddress() {
 			engine = &engineState{name: backEnd.GetName(), address: backEnd.GetAddress(), changedAt: a.termStartedAt}
 		}
-		kept[backEnd.GetName()] = engine
+		engines[backEnd.GetName()] = engine
 	}
-	a.engines = kept
+	a.engines = engines
 }
 
 // Limits on the calls of one round.
--- a/internal/placer/settings.go
+++ b/internal/placer/settings.go
@@ -38,20 +38,20 @@
 	return options
 }
 
-func setDuration(target *time.Duration, given *durationpb.Duration) {
-	if given != nil {
-		*target = given.AsDuration()
+func setDuration(target *time.Duration, value *durationpb.Duration) {
+	if value != nil {
+		*target = value.AsDuration()
 	}
 }
 
-func setNumber(target *int, given uint32) {
-	if given > 0 {
-		*target = int(given)
+func setNumber(target *int, value uint32) {
+	if value > 0 {
+		*target = int(value)
 	}
 }
 
-func setFloat(target *float64, given float64) {
-	if given > 0 {
-		*target = given
+func setFloat(target *float64, value float64) {
+	if value > 0 {
+		*target = value
 	}
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -12,7 +12,8 @@
 //
 // The invariant requires the callers to ensure that
 //   - an owner proves that it leads its shard before it decides on a request;
-//   - the leader of a shard proves that it leads when it reports, after Intake.Pending;
+//   - the leader of a shard proves that it leads when it reports, after calling Intake.Fence and
+//     Intake.Pending;
 //   - the leader of a shard proposes a granted job in the term in which it requested the tokens.
 //
 // Times are durations since an arbitrary origin.
