--- a/internal/bench/experiment/faults/command.go
+++ b/internal/bench/experiment/faults/command.go
@@ -151,7 +151,7 @@
 		made.operators = append(made.operators, &operator{
 			name: name, fleet: running, record: seen, history: history, client: number,
 			number:  running.Number(),
-			service: controlclient.New(controlclient.Options{Control: running.ControlMachines()}).Configuration(),
+			service: controlclient.New(controlclient.Options{Machines: running.ControlMachines()}).Configuration(),
 		})
 	}
 	made.injector = &injector{
--- a/internal/bench/experiment/ledgercost/cluster.go
+++ b/internal/bench/experiment/ledgercost/cluster.go
@@ -34,7 +34,7 @@
 
 // client returns a client with connections of its own.
 func (c *cluster) client() *controlclient.Client {
-	return controlclient.New(controlclient.Options{Control: c.fleet.ControlMachines(), Zone: c.fleet.Plan.Zones[0]})
+	return controlclient.New(controlclient.Options{Machines: c.fleet.ControlMachines(), Zone: c.fleet.Plan.Zones[0]})
 }
 
 // status asks a process how it sees the shard. It returns nil where the process
--- a/internal/bench/experiment/propagation/experiment.go
+++ b/internal/bench/experiment/propagation/experiment.go
@@ -48,7 +48,7 @@
 	e := &experiment{
 		options:  options,
 		fleet:    running,
-		operator: controlclient.New(controlclient.Options{Control: control}).Configuration(),
+		operator: controlclient.New(controlclient.Options{Machines: control}).Configuration(),
 		result:   &Result{Daemons: options.Daemons, Tenants: options.Tenants},
 	}
 	e.away = newHost("away", folder, programs, control, followerNames("away", 0, awayDaemons))
--- a/internal/bench/hollow/follower.go
+++ b/internal/bench/hollow/follower.go
@@ -152,7 +152,7 @@
 // sources are the control machines, as a gateway asks them, over new connections.
 func (h *hollowFollower) sources() []rockwindpb.ConfigurationService {
 	h.carrier = h.counter.Client(controlclient.NewTransport())
-	client := controlclient.New(controlclient.Options{Control: h.control, HTTPClient: h.carrier})
+	client := controlclient.New(controlclient.Options{Machines: h.control, HTTPClient: h.carrier})
 	var sources []rockwindpb.ConfigurationService
 	for _, source := range client.ConfigurationSources() {
 		sources = append(sources, &countedSource{ConfigurationService: source, follower: h})
--- a/internal/bench/soak/backends.go
+++ b/internal/bench/soak/backends.go
@@ -161,7 +161,7 @@
 	first := rand.IntN(len(all))
 	for offset := range all {
 		at := all[(first+offset)%len(all)]
-		directory := rockwindpb.NewDirectoryServiceProtobufClient("http://"+at.settings.GetAdvertise(), twirphttp.Client{Carrier: client})
+		directory := rockwindpb.NewDirectoryServiceProtobufClient("http://"+at.settings.GetAdvertise(), twirphttp.Client{HTTPClient: client})
 		calling, cancel := context.WithTimeout(ctx, reportTimeout)
 		_, err := directory.Report(calling, &rockwindpb.ReportServerRequest{Server: described})
 		cancel()
--- a/internal/bench/soak/operator.go
+++ b/internal/bench/soak/operator.go
@@ -96,7 +96,7 @@
 }
 
 func (o *operator) service(at *member) rockwindpb.ConfigurationService {
-	return rockwindpb.NewConfigurationServiceProtobufClient("http://"+at.settings.GetAdvertise(), twirphttp.Client{Carrier: newClient(applyTimeout)})
+	return rockwindpb.NewConfigurationServiceProtobufClient("http://"+at.settings.GetAdvertise(), twirphttp.Client{HTTPClient: newClient(applyTimeout)})
 }
 
 // apply sends one configuration to coordinators in turn until it is acknowledged.
--- a/internal/command/connection.go
+++ b/internal/command/connection.go
@@ -133,7 +133,7 @@
 		return nil, err
 	}
 	return controlclient.New(controlclient.Options{
-		Control:     machines,
+		Machines:    machines,
 		HTTPClient:  carrier,
 		Secure:      s.connection.secure(),
 		CallTimeout: s.connection.Timeout,
--- a/internal/command/refusal_test.go
+++ b/internal/command/refusal_test.go
@@ -183,7 +183,7 @@
 func TestControlTrustsNoClient(t *testing.T) {
 	o := startOperator(t)
 	inForce := o.must("get", "configuration")
-	client := controlclient.New(controlclient.Options{Control: []*rockwindpb.ControlMachine{{Machine: "machine", Address: o.address}}})
+	client := controlclient.New(controlclient.Options{Machines: []*rockwindpb.ControlMachine{{Machine: "machine", Address: o.address}}})
 	group := &rockwindpb.Group{Name: "alpha", Share: 1}
 	for name, bad := range map[string]*rockwindpb.Configuration{
 		"nothing":        nil,
--- a/internal/control/compress_test.go
+++ b/internal/control/compress_test.go
@@ -42,7 +42,7 @@
 	defer server.Close()
 	var counter wire.Counter
 	client := controlclient.New(controlclient.Options{
-		Control:    []*rockwindpb.ControlMachine{{Machine: "one", Address: server.Listener.Addr().String()}},
+		Machines:   []*rockwindpb.ControlMachine{{Machine: "one", Address: server.Listener.Addr().String()}},
 		HTTPClient: counter.Client(controlclient.NewTransport()),
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -156,7 +156,7 @@
 }
 
 func (c *cluster) client() *controlclient.Client {
-	return controlclient.New(controlclient.Options{Control: c.machines, Zone: "zone-0", CallTimeout: testTimeout})
+	return controlclient.New(controlclient.Options{Machines: c.machines, Zone: "zone-0", CallTimeout: testTimeout})
 }
 
 // awaitCopies waits until one machine holds every segment of another.
--- a/internal/control/exchange/board.go
+++ b/internal/control/exchange/board.go
@@ -31,9 +31,9 @@
 	versionBits = 32
 )
 
-// Board is what one control machine knows from the gateways that exchange with
+// FleetState is what one control machine knows from the gateways that exchange with
 // it, and from the other control machines.
-type Board struct {
+type FleetState struct {
 	machine string
 	// epoch stands in the upper bits of versions.
 	epoch    uint64
@@ -86,10 +86,10 @@
 	loadedChanged uint64
 }
 
-// NewBoard returns an empty board of a machine. The epoch must differ from those
+// NewFleetState returns an empty board of a machine. The epoch must differ from those
 // of the boards before it.
-func NewBoard(machine string, epoch uint64) *Board {
-	return &Board{
+func NewFleetState(machine string, epoch uint64) *FleetState {
+	return &FleetState{
 		machine:  machine,
 		epoch:    mix(machine, epoch) << versionBits,
 		index:    configuration.Empty(),
@@ -102,12 +102,12 @@
 }
 
 // Configure sets the configuration in force.
-func (b *Board) Configure(index *configuration.Index) {
+func (b *FleetState) Configure(index *configuration.Index) {
 	b.index = index
 }
 
 // Exchange takes a gateway's report and answers what it needs to know.
-func (b *Board) Exchange(now time.Time, request *rockwindpb.ExchangeRequest) *rockwindpb.ExchangeResponse {
+func (b *FleetState) Exchange(now time.Time, request *rockwindpb.ExchangeRequest) *rockwindpb.ExchangeResponse {
 	caller := b.hear(now, request)
 	for _, digest := range request.GetOwned() {
 		b.update(now, caller, digest)
@@ -130,7 +130,7 @@
 }
 
 // hear notes that a gateway was heard. A gateway that restarted starts afresh.
-func (b *Board) hear(now time.Time, request *rockwindpb.ExchangeRequest) *gateway {
+func (b *FleetState) hear(now time.Time, request *rockwindpb.ExchangeRequest) *gateway {
 	caller, known := b.gateways[request.GetGateway()]
 	if !known || caller.startedUnixMs != request.GetStartedUnixMs() {
 		caller = &gateway{
@@ -153,7 +153,7 @@
 }
 
 // update takes a digest; it counts as changed where more than its age changed.
-func (b *Board) update(now time.Time, reporter *gateway, digest *rockwindpb.ServerDigest) {
+func (b *FleetState) update(now time.Time, reporter *gateway, digest *rockwindpb.ServerDigest) {
 	held := b.zoneOf(reporter.zone).servers
 	known, found := held[digest.GetName()]
 	if !found {
@@ -188,7 +188,7 @@
 		left.GetLeaving() != right.GetLeaving()
 }
 
-func (b *Board) zoneOf(name string) *zone {
+func (b *FleetState) zoneOf(name string) *zone {
 	found, known := b.zones[name]
 	if !known {
 		found = &zone{servers: make(map[string]*server)}
@@ -197,11 +197,11 @@
 	return found
 }
 
-func (b *Board) version() uint64 {
+func (b *FleetState) version() uint64 {
 	return b.epoch | b.changes
 }
 
-func (b *Board) nextVersion() uint64 {
+func (b *FleetState) nextVersion() uint64 {
 	b.changes++
 	return b.version()
 }
@@ -209,7 +209,7 @@
 // changedServers returns the zone's servers that changed after a version, but
 // for those that the caller reported itself. A version of another board counts
 // as none.
-func (b *Board) changedServers(now time.Time, caller *gateway, since uint64) []*rockwindpb.ServerDigest {
+func (b *FleetState) changedServers(now time.Time, caller *gateway, since uint64) []*rockwindpb.ServerDigest {
 	if since>>versionBits != b.epoch>>versionBits {
 		since = 0
 	}
@@ -256,7 +256,7 @@
 // namedPeers names the live gateways of a zone. It names none while it may not
 // have heard them all, because each gateway would take the others for lost and
 // poll their servers; the gateways go on with the names that they have.
-func (b *Board) namedPeers(now time.Time, zone string) []string {
+func (b *FleetState) namedPeers(now time.Time, zone string) []string {
 	if now.Sub(b.zoneOf(zone).since) < gathering {
 		return nil
 	}
@@ -268,7 +268,7 @@
 }
 
 // peers returns the gateways of a zone that are live and not draining, by name.
-func (b *Board) peers(now time.Time, zone string) []*gateway {
+func (b *FleetState) peers(now time.Time, zone string) []*gateway {
 	var live []*gateway
 	for _, candidate := range b.gateways {
 		if candidate.zone == zone && !candidate.draining && candidate.live(now) {
@@ -283,9 +283,9 @@
 	return now.Sub(g.heard) < liveFor
 }
 
-// Settle computes the allowances of groups anew and forgets what is gone. The
+// Refresh computes the allowances of groups anew and forgets what is gone. The
 // owner calls it once a period.
-func (b *Board) Settle(now time.Time) {
+func (b *FleetState) Refresh(now time.Time) {
 	for name, known := range b.gateways {
 		if now.Sub(known.heard) >= forgetAfter {
 			delete(b.gateways, name)
--- a/internal/control/exchange/exchange_test.go
+++ b/internal/control/exchange/exchange_test.go
@@ -38,7 +38,7 @@
 // zone, although only changes are sent.
 func TestGatewaysLearnAllDigests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		board := exchange.NewBoard("control", 1)
+		board := exchange.NewFleetState("control", 1)
 		now := time.Unix(1000, 0)
 		servers := []string{"s0", "s1", "s2", "s3", "s4"}
 		running := make(map[string]uint32)
@@ -78,7 +78,7 @@
 // machines and checks that the parts sum to the limit and follow the demand.
 func TestAllowancesSumToTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		boards := []*exchange.Board{exchange.NewBoard("one", 1), exchange.NewBoard("two", 1)}
+		boards := []*exchange.FleetState{exchange.NewFleetState("one", 1), exchange.NewFleetState("two", 1)}
 		for _, board := range boards {
 			board.Configure(index(t))
 		}
@@ -100,8 +100,8 @@
 				}
 				sum += answer.GetTenants()[0].GetRequestsPerSecond()
 			}
-			boards[0].Learn(now, boards[1].Aggregates(now))
-			boards[1].Learn(now, boards[0].Aggregates(now))
+			boards[0].ApplyAggregates(now, boards[1].Aggregates(now))
+			boards[1].ApplyAggregates(now, boards[0].Aggregates(now))
 			now = now.Add(exchange.Period)
 		}
 		if math.Abs(sum-limitPerSecond) > 0.01*limitPerSecond {
@@ -122,7 +122,7 @@
 		// all other calls of a daemon.
 		budget = 3000
 	)
-	board := exchange.NewBoard("control", 1)
+	board := exchange.NewFleetState("control", 1)
 	now := time.Unix(1000, 0)
 	other := &rockwindpb.ShareAggregatesRequest{Machine: "other"}
 	for zone := range zones {
@@ -137,7 +137,7 @@
 	total := 0
 	const rounds = 30
 	for round := range rounds {
-		board.Learn(now, other)
+		board.ApplyAggregates(now, other)
 		for gateway := range gateways {
 			request := &rockwindpb.ExchangeRequest{
 				Gateway: fmt.Sprintf("gateway-%d", gateway), Zone: "region-0-zone-0", SinceVersion: versions[gateway],
@@ -184,7 +184,7 @@
 			}
 		}
 		slices.SortFunc(calls, func(left, right call) int { return left.at.Compare(right.at) })
-		board := exchange.NewBoard("control", 1)
+		board := exchange.NewFleetState("control", 1)
 		named := false
 		for _, each := range calls {
 			peers := board.Exchange(each.at, &rockwindpb.ExchangeRequest{Gateway: each.name, Zone: "zone"}).GetPeers()
--- a/internal/control/exchange/export_test.go
+++ b/internal/control/exchange/export_test.go
@@ -1,4 +1,4 @@
 package exchange
 
 // Its figure that the tests use.
-const LeavingFor = leavingFor
+const LeavingTimeout = leavingFor
--- a/internal/control/exchange/models.go
+++ b/internal/control/exchange/models.go
@@ -28,7 +28,7 @@
 
 // ModelDemands sums what is asked of models through the live gateways of this
 // machine.
-func (b *Board) ModelDemands(now time.Time) []*rockwindpb.ModelDemand {
+func (b *FleetState) ModelDemands(now time.Time) []*rockwindpb.ModelDemand {
 	sums := make(map[string]float64)
 	for _, known := range b.gateways {
 		if !known.live(now) {
--- a/internal/control/exchange/models_test.go
+++ b/internal/control/exchange/models_test.go
@@ -11,7 +11,7 @@
 // TestModelDemandsFollowTheGateways: steady reports of two gateways add up to their
 // rate, and a gateway that falls silent is left out.
 func TestModelDemandsFollowTheGateways(t *testing.T) {
-	board := exchange.NewBoard("machine", 1)
+	board := exchange.NewFleetState("machine", 1)
 	now := time.Unix(1000, 0)
 	report := func(gateway string, cost float64) {
 		board.Exchange(now, &rockwindpb.ExchangeRequest{
@@ -45,7 +45,7 @@
 // TestEmptiedServerIsPassedOn: a server that holds nothing any more, as between two
 // models, is passed on as such, and a list that did not change stays known.
 func TestEmptiedServerIsPassedOn(t *testing.T) {
-	board := exchange.NewBoard("machine", 1)
+	board := exchange.NewFleetState("machine", 1)
 	now := time.Unix(1000, 0)
 	version := uint64(0)
 	pass := func(digest *rockwindpb.ServerDigest) *rockwindpb.ServerDigest {
--- a/internal/control/exchange/tenants.go
+++ b/internal/control/exchange/tenants.go
@@ -19,7 +19,7 @@
 
 // tenantAllowances divides the limits of the tenants that are active at the
 // caller.
-func (b *Board) tenantAllowances(now time.Time, caller *gateway) []*rockwindpb.TenantAllowance {
+func (b *FleetState) tenantAllowances(now time.Time, caller *gateway) []*rockwindpb.TenantAllowance {
 	var allowances []*rockwindpb.TenantAllowance
 	for _, name := range slices.Sorted(maps.Keys(caller.tenants)) {
 		tenant, known := b.index.Tenant(name)
@@ -57,7 +57,7 @@
 
 // tenantTotal sums a tenant's demand over this machine's gateways and those of
 // the others.
-func (b *Board) tenantTotal(now time.Time, name string) tenantTotal {
+func (b *FleetState) tenantTotal(now time.Time, name string) tenantTotal {
 	total := b.ownTenantTotal(now, name)
 	for _, other := range b.others {
 		demand, found := other.tenants[name]
@@ -72,7 +72,7 @@
 	return total
 }
 
-func (b *Board) ownTenantTotal(now time.Time, name string) tenantTotal {
+func (b *FleetState) ownTenantTotal(now time.Time, name string) tenantTotal {
 	total := tenantTotal{}
 	for _, known := range b.gateways {
 		held, active := known.tenants[name]
@@ -88,7 +88,7 @@
 }
 
 // tenantDemands describes the active tenants of this machine's gateways.
-func (b *Board) tenantDemands(now time.Time) []*rockwindpb.TenantDemand {
+func (b *FleetState) tenantDemands(now time.Time) []*rockwindpb.TenantDemand {
 	names := make(map[string]struct{})
 	for _, known := range b.gateways {
 		if !known.live(now) {
--- a/internal/control/exchange/usage.go
+++ b/internal/control/exchange/usage.go
@@ -56,7 +56,7 @@
 
 // countUsage takes the use since the gateway's last exchange. What the report
 // leaves out was not used.
-func (b *Board) countUsage(now time.Time, caller *gateway, request *rockwindpb.ExchangeRequest) {
+func (b *FleetState) countUsage(now time.Time, caller *gateway, request *rockwindpb.ExchangeRequest) {
 	for _, held := range caller.groups {
 		held.demand = 0
 	}
@@ -103,7 +103,7 @@
 }
 
 // groupRates sums the use of groups over the live gateways of this machine.
-func (b *Board) groupRates(now time.Time) map[string]*rockwindpb.GroupRate {
+func (b *FleetState) groupRates(now time.Time) map[string]*rockwindpb.GroupRate {
 	sums := make(map[string]*rockwindpb.GroupRate)
 	for _, known := range b.gateways {
 		if !known.live(now) {
@@ -125,7 +125,7 @@
 
 // settleGroups computes what each group may use of the batch capacity, from the
 // use over the whole fleet since the last call.
-func (b *Board) settleGroups(now time.Time) {
+func (b *FleetState) settleGroups(now time.Time) {
 	period := now.Sub(b.settled)
 	if b.settled.IsZero() {
 		period = Period
--- a/internal/control/exchange/zones.go
+++ b/internal/control/exchange/zones.go
@@ -22,8 +22,8 @@
 	leaving []string
 }
 
-// Learn takes what another control machine passed on.
-func (b *Board) Learn(now time.Time, shared *rockwindpb.ShareAggregatesRequest) {
+// ApplyAggregates takes what another control machine passed on.
+func (b *FleetState) ApplyAggregates(now time.Time, shared *rockwindpb.ShareAggregatesRequest) {
 	view := &machineView{
 		heard:   now,
 		zones:   shared.GetZones(),
@@ -39,7 +39,7 @@
 }
 
 // Aggregates returns what this machine passes on to the others.
-func (b *Board) Aggregates(now time.Time) *rockwindpb.ShareAggregatesRequest {
+func (b *FleetState) Aggregates(now time.Time) *rockwindpb.ShareAggregatesRequest {
 	sums := b.groupRates(now)
 	shared := &rockwindpb.ShareAggregatesRequest{
 		Machine: b.machine,
@@ -55,7 +55,7 @@
 }
 
 // ownZones sums the servers of the zones that meet at this machine, by model.
-func (b *Board) ownZones(now time.Time) []*rockwindpb.ZoneDigest {
+func (b *FleetState) ownZones(now time.Time) []*rockwindpb.ZoneDigest {
 	var digests []*rockwindpb.ZoneDigest
 	for _, name := range slices.Sorted(maps.Keys(b.zones)) {
 		digests = append(digests, b.zones[name].sums(now, name)...)
@@ -105,7 +105,7 @@
 // otherZones returns sums of the zones other than the caller's: all of them at
 // first, and then each zone once in zoneTurns exchanges, because the sums of 31
 // zones and 12 models in each exchange would use up a daemon's traffic.
-func (b *Board) otherZones(now time.Time, caller *gateway, all bool) []*rockwindpb.ZoneDigest {
+func (b *FleetState) otherZones(now time.Time, caller *gateway, all bool) []*rockwindpb.ZoneDigest {
 	var digests []*rockwindpb.ZoneDigest
 	for _, digest := range b.allZones(now) {
 		turn := int(xxhash.Sum64String(digest.GetZone()) % zoneTurns)
@@ -117,7 +117,7 @@
 	return digests
 }
 
-func (b *Board) allZones(now time.Time) []*rockwindpb.ZoneDigest {
+func (b *FleetState) allZones(now time.Time) []*rockwindpb.ZoneDigest {
 	digests := b.ownZones(now)
 	for _, name := range slices.Sorted(maps.Keys(b.others)) {
 		digests = append(digests, b.others[name].zones...)
@@ -127,7 +127,7 @@
 
 // Status describes all daemons that are known, and the servers whose zones meet
 // at this machine.
-func (b *Board) Status(now time.Time) *rockwindpb.FleetStatusResponse {
+func (b *FleetState) Status(now time.Time) *rockwindpb.FleetStatusResponse {
 	response := &rockwindpb.FleetStatusResponse{
 		Daemons:             b.ownDaemons(now),
 		LatestConfiguration: b.index.Number(),
@@ -160,7 +160,7 @@
 	})
 }
 
-func (b *Board) ownDaemons(now time.Time) []*rockwindpb.DaemonStatus {
+func (b *FleetState) ownDaemons(now time.Time) []*rockwindpb.DaemonStatus {
 	var daemons []*rockwindpb.DaemonStatus
 	for _, name := range slices.Sorted(maps.Keys(b.gateways)) {
 		known := b.gateways[name]
--- a/internal/control/export_test.go
+++ b/internal/control/export_test.go
@@ -3,5 +3,5 @@
 // Its functions that the tests use.
 var (
 	MountCompressed = mountCompressed
-	RetainAt        = retainAt
+	RetainSegments  = retainAt
 )
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -25,7 +25,7 @@
 // calls hand it functions to run.
 type fleetService struct {
 	daemon *daemon
-	board  *exchange.Board
+	board  *exchange.FleetState
 	orders chan func(now time.Time)
 	// reconfigured asks the owner to read the configuration again.
 	reconfigured chan struct{}
@@ -35,7 +35,7 @@
 	epoch := uint64(time.Now().UnixNano())
 	return &fleetService{
 		daemon:       d,
-		board:        exchange.NewBoard(d.settings.GetMachine(), epoch),
+		board:        exchange.NewFleetState(d.settings.GetMachine(), epoch),
 		orders:       make(chan func(time.Time), waitingExchanges),
 		reconfigured: make(chan struct{}, 1),
 	}
@@ -65,7 +65,7 @@
 			}
 		case <-ticker.C:
 			now := time.Now()
-			s.board.Settle(now)
+			s.board.Refresh(now)
 			go s.share(ctx, s.board.Aggregates(now))
 		}
 	}
@@ -117,7 +117,7 @@
 	var response *rockwindpb.ExchangeResponse
 	err := s.do(ctx, func(now time.Time) {
 		response = s.board.Exchange(now, request)
-		if s.board.TakeNews() {
+		if s.board.TakeNewlyLeaving() {
 			go s.share(context.WithoutCancel(ctx), s.board.Aggregates(now))
 		}
 	})
@@ -140,7 +140,7 @@
 
 // ShareAggregates implements rockwindpb.FleetService.
 func (s *fleetService) ShareAggregates(ctx context.Context, request *rockwindpb.ShareAggregatesRequest) (*rockwindpb.ShareAggregatesResponse, error) {
-	err := s.do(ctx, func(now time.Time) { s.board.Learn(now, request) })
+	err := s.do(ctx, func(now time.Time) { s.board.ApplyAggregates(now, request) })
 	if err != nil {
 		return nil, fault.ToTwirp(err)
 	}
--- a/internal/control/retention_test.go
+++ b/internal/control/retention_test.go
@@ -33,7 +33,7 @@
 func TestSilentMachineKeepsNoOtherFromRemoving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		other := &reachedSegments{}
-		control.RetainAt(t.Context(), []rockwindpb.SegmentService{silentSegments{}, other}, &rockwindpb.RetainSegmentsRequest{})
+		control.RetainSegments(t.Context(), []rockwindpb.SegmentService{silentSegments{}, other}, &rockwindpb.RetainSegmentsRequest{})
 		if !other.reached {
 			t.Fatal("the report did not reach the machine after the silent one")
 		}
--- a/internal/control/secure_test.go
+++ b/internal/control/secure_test.go
@@ -48,7 +48,7 @@
 func (c *cluster) putFile(client *http.Client, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(c.t.Context(), timeout)
 	defer cancel()
-	caller := controlclient.New(controlclient.Options{Control: c.machines, HTTPClient: client, Secure: true, CallTimeout: timeout})
+	caller := controlclient.New(controlclient.Options{Machines: c.machines, HTTPClient: client, Secure: true, CallTimeout: timeout})
 	_, err := caller.Files().Put(ctx, &rockwindpb.PutFileRequest{File: &rockwindpb.StoredFile{
 		Id: sharding.Identifier("file", 1, 1), Tenant: "clinic", Purpose: "batch", FileName: "input.jsonl",
 	}})
--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -42,8 +42,8 @@
 
 // Options of a client.
 type Options struct {
-	// Control lists the control machines.
-	Control []*rockwindpb.ControlMachine
+	// Machines lists the control machines.
+	Machines []*rockwindpb.ControlMachine
 	// Zone is the caller's zone; machines of the same zone are preferred where
 	// any machine may answer.
 	Zone string
@@ -115,7 +115,7 @@
 		leaders: make(map[uint32]*machine),
 		members: make(map[uint32][]string),
 	}
-	for _, settings := range options.Control {
+	for _, settings := range options.Machines {
 		client.machines = append(client.machines, newMachine(options, settings))
 	}
 	client.rotate = int(options.Random() * float64(len(client.machines)))
@@ -156,7 +156,7 @@
 		scheme = "https://"
 	}
 	base := scheme + settings.GetAddress()
-	carrier := twirphttp.Client{Carrier: options.HTTPClient}
+	carrier := twirphttp.Client{HTTPClient: options.HTTPClient}
 	return &machine{
 		name:          settings.GetMachine(),
 		zone:          settings.GetZone(),
--- a/internal/controlclient/client_test.go
+++ b/internal/controlclient/client_test.go
@@ -118,7 +118,7 @@
 
 func (n *network) client() *controlclient.Client {
 	return controlclient.New(controlclient.Options{
-		Control:    n.machines,
+		Machines:   n.machines,
 		HTTPClient: &http.Client{Transport: n},
 		Random:     func() float64 { return 0.5 },
 	})
--- a/internal/controlclient/leases_test.go
+++ b/internal/controlclient/leases_test.go
@@ -83,7 +83,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		network := &workNetwork{work: make(chan struct{})}
 		client := controlclient.New(controlclient.Options{
-			Control:    []*rockwindpb.ControlMachine{{Machine: "one", Address: "10.0.0.1:1"}},
+			Machines:   []*rockwindpb.ControlMachine{{Machine: "one", Address: "10.0.0.1:1"}},
 			HTTPClient: &http.Client{Transport: network},
 		})
 		acquire := func() int {
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -307,7 +307,7 @@
 	return false
 }
 
-func (c *Coordinator) twirpClient() twirphttp.Client { return twirphttp.Client{Carrier: c.client} }
+func (c *Coordinator) twirpClient() twirphttp.Client { return twirphttp.Client{HTTPClient: c.client} }
 
 // Apply submits a complete configuration. See catalog.Service.Submit for its faults.
 func (c *Coordinator) Apply(ctx context.Context, request *rockwindpb.ApplyConfigurationRequest) (*rockwindpb.ApplyConfigurationResponse, error) {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -111,7 +111,7 @@
 		return nil, err
 	}
 	client := controlclient.New(controlclient.Options{
-		Control: settings.GetControl(), Zone: settings.GetZone(), HTTPClient: httpClient, Secure: opened.internal != nil,
+		Machines: settings.GetControl(), Zone: settings.GetZone(), HTTPClient: httpClient, Secure: opened.internal != nil,
 	})
 	g := assemble(settings, opts.ring, logger, configFollower, client, opts.backEndClient)
 	g.useCertificates(opened)
--- a/internal/jobclient/client.go
+++ b/internal/jobclient/client.go
@@ -133,7 +133,7 @@
 
 // store is the one at an address.
 func (c *Client) store(address string) store {
-	carrier := twirphttp.Client{Carrier: c.client}
+	carrier := twirphttp.Client{HTTPClient: c.client}
 	return store{
 		JobStoreService: rockwindpb.NewJobStoreServiceProtobufClient("http://"+address, carrier),
 		limits:          rockwindpb.NewTokenLimitServiceProtobufClient("http://"+address, carrier),
--- a/internal/replica/founding.go
+++ b/internal/replica/founding.go
@@ -67,7 +67,7 @@
 			base = scheme + address
 		}
 		c := &candidate{address: address[strings.LastIndex(address, "/")+1:]}
-		c.client = rockwindpb.NewReplicaServiceProtobufClient(base, twirphttp.Client{Carrier: client})
+		c.client = rockwindpb.NewReplicaServiceProtobufClient(base, twirphttp.Client{HTTPClient: client})
 		identity, err := c.client.Identity(ctx, &rockwindpb.IdentityRequest{})
 		if err != nil {
 			return nil, errors.Wrapf(fault.From(err), "identify the machine at %s", address)
--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -350,7 +350,7 @@
 	if h.options.Secure {
 		base = secureScheme + address
 	}
-	return rockwindpb.NewReplicaServiceProtobufClient(base, twirphttp.Client{Carrier: h.options.Client})
+	return rockwindpb.NewReplicaServiceProtobufClient(base, twirphttp.Client{HTTPClient: h.options.Client})
 }
 
 // allowedBothWays reports whether a call to a machine and its response may pass.
--- a/internal/site/reporter.go
+++ b/internal/site/reporter.go
@@ -142,7 +142,7 @@
 	defer r.done(len(seen))
 	for {
 		err := r.watcher.atCoordinator(ctx, func(calling context.Context, address string) error {
-			service := rockwindpb.NewQuarantineServiceProtobufClient("http://"+address, twirphttp.Client{Carrier: r.watcher.client})
+			service := rockwindpb.NewQuarantineServiceProtobufClient("http://"+address, twirphttp.Client{HTTPClient: r.watcher.client})
 			_, err := service.Report(calling, reportOf(seen, time.Now()))
 			return err
 		})
--- a/internal/site/source.go
+++ b/internal/site/source.go
@@ -30,5 +30,5 @@
 func (s configurationSource) service() rockwindpb.ConfigurationService {
 	address := s.watcher.Coordinators()[0]
 	s.watcher.noteAsked(address)
-	return rockwindpb.NewConfigurationServiceProtobufClient("http://"+address, twirphttp.Client{Carrier: s.watcher.client})
+	return rockwindpb.NewConfigurationServiceProtobufClient("http://"+address, twirphttp.Client{HTTPClient: s.watcher.client})
 }
--- a/internal/site/watcher.go
+++ b/internal/site/watcher.go
@@ -268,7 +268,7 @@
 
 // directoryAt is the directory as the coordinator at an address serves it.
 func (w *Watcher) directoryAt(address string) rockwindpb.DirectoryService {
-	return rockwindpb.NewDirectoryServiceProtobufClient("http://"+address, twirphttp.Client{Carrier: w.client})
+	return rockwindpb.NewDirectoryServiceProtobufClient("http://"+address, twirphttp.Client{HTTPClient: w.client})
 }
 
 // watchRequest asks for what is newer than the held directory, nil for none, and than the
--- a/internal/twirphttp/client.go
+++ b/internal/twirphttp/client.go
@@ -8,7 +8,7 @@
 // Client sends requests by the HTTP client that it wraps, without the headers
 // that our services do not read.
 type Client struct {
-	Carrier *http.Client
+	HTTPClient *http.Client
 }
 
 // Do sends one request. It implements the HTTP client of generated twirp code.
@@ -16,5 +16,5 @@
 	request.Header.Del("Twirp-Version")
 	request.Header.Del("Accept")
 	request.Header.Set("User-Agent", "")
-	return c.Carrier.Do(request)
+	return c.HTTPClient.Do(request)
 }
