--- a/internal/jobclient/client.go
+++ b/internal/jobclient/client.go
@@ -135,7 +135,7 @@
 
 // store returns the clients of the store at an address.
 func (c *Client) store(address string) storeClient {
-	client := twirphttp.Client{Carrier: c.client}
+	client := twirphttp.Client{HTTPClient: c.client}
 	return storeClient{
 		JobStoreService: rockwindpb.NewJobStoreServiceProtobufClient("http://"+address, client),
 		limits:          rockwindpb.NewTokenLimitServiceProtobufClient("http://"+address, client),
