--- a/internal/jobclient/patience.go
+++ b/internal/jobclient/patience.go
@@ -3,62 +3,62 @@
 import "time"
 
 const (
-	// silentCall is how long a call goes on after the last word of any store, beyond what it
-	// waits by design: this process may be cut off from the stores, and its caller is better
-	// served by another router.
-	silentCall = 2500 * time.Millisecond
-	// longestCall bounds a call while stores answer and none of them leads, beyond the same.
-	// An election takes 0.3 to 0.6 s; with the processors three times as busy as they can be
-	// it took more than 2.5 s, and there is no use in an end while the caller still waits.
-	longestCall = 10 * time.Second
-	// leavingCall is how long a call goes on once this process leaves: it is to be answered
-	// before its connection is cut, 4.3 s later with a grace of 8 s.
-	leavingCall = 2500 * time.Millisecond
-	// earlyPause is the time between attempts, and latePause once a call has lasted longer than
-	// elections take in calm times: callers that wait together must not take the time of the stores.
-	earlyPause = 25 * time.Millisecond
-	latePause  = 100 * time.Millisecond
-	lateAfter  = time.Second
+	// maxSilence is how long a call continues after the last response of any store, in addition to
+	// the requested wait. This process may be partitioned from the stores, and another router may
+	// reach them.
+	maxSilence = 2500 * time.Millisecond
+	// maxCallDuration bounds a call while stores respond but none of them leads, in addition to
+	// the requested wait. It is much longer than an election on overloaded machines.
+	maxCallDuration = 10 * time.Second
+	// shutdownCallTimeout is how long a call continues after the shutdown of this process has
+	// begun. It is shorter than the 4.3 s after which connections are closed with a grace period
+	// of 8 s.
+	shutdownCallTimeout = 2500 * time.Millisecond
+	// initialRetryDelay is the delay between attempts for the duration of a normal election, and
+	// laterRetryDelay the delay after that, so that many waiting calls do not load the stores.
+	initialRetryDelay = 25 * time.Millisecond
+	laterRetryDelay   = 100 * time.Millisecond
+	initialRetryPhase = time.Second
 )
 
-// patience is how long a call goes on without an answer that ends it. Callers that can't wait
-// as long end it before.
-type patience struct {
-	began time.Time
-	// heard is when a store last said anything.
-	heard time.Time
-	wait  time.Duration
-	// ends is when the call is given up at the latest.
-	ends time.Time
+// callDeadline determines when a call ends without a result. The context of the call may end
+// before.
+type callDeadline struct {
+	startedAt time.Time
+	// lastResponse is when a store last responded.
+	lastResponse time.Time
+	wait         time.Duration
+	// latest is when the call ends at the latest.
+	latest time.Time
 }
 
-// newPatience returns the patience of a call that begins now and waits by design.
-func newPatience(now time.Time, wait time.Duration) patience {
-	return patience{began: now, heard: now, wait: wait, ends: now.Add(longestCall + wait)}
+// newCallDeadline returns the deadline of a call that starts now and requests a wait.
+func newCallDeadline(now time.Time, wait time.Duration) callDeadline {
+	return callDeadline{startedAt: now, lastResponse: now, wait: wait, latest: now.Add(maxCallDuration + wait)}
 }
 
-// spoke notes a word of a store, also one that it does not lead.
-func (p *patience) spoke(now time.Time) { p.heard = now }
+// recordResponse notes a response of a store, including one that says that it does not lead.
+func (d *callDeadline) recordResponse(now time.Time) { d.lastResponse = now }
 
-// leave notes that this process leaves.
-func (p *patience) leave(now time.Time) {
-	if ends := now.Add(leavingCall); ends.Before(p.ends) {
-		p.ends = ends
+// beginShutdown notes that this process is shutting down.
+func (d *callDeadline) beginShutdown(now time.Time) {
+	if end := now.Add(shutdownCallTimeout); end.Before(d.latest) {
+		d.latest = end
 	}
 }
 
-// until is when the call is given up if nothing more is heard.
-func (p patience) until() time.Time {
-	if silent := p.heard.Add(silentCall + p.wait); silent.Before(p.ends) {
-		return silent
+// at returns when the call ends if there is no further response.
+func (d callDeadline) at() time.Time {
+	if silenceEnd := d.lastResponse.Add(maxSilence + d.wait); silenceEnd.Before(d.latest) {
+		return silenceEnd
 	}
-	return p.ends
+	return d.latest
 }
 
-// pause is the time between attempts.
-func (p patience) pause(now time.Time) time.Duration {
-	if now.Sub(p.began) >= p.wait+lateAfter {
-		return latePause
+// retryDelay returns the delay between attempts.
+func (d callDeadline) retryDelay(now time.Time) time.Duration {
+	if now.Sub(d.startedAt) >= d.wait+initialRetryPhase {
+		return laterRetryDelay
 	}
-	return earlyPause
+	return initialRetryDelay
 }
