--- a/internal/site/connecting.go
+++ b/internal/site/connecting.go
@@ -6,21 +6,20 @@
 	"time"
 )
 
-// ConnectTimeout is how long a process that knows no directory yet waits for a connection
-// to a coordinator, before it asks another one: at a start some machines may not be up.
-// Once connected it waits for the answer, which the coordinator may hold until it knows.
-// It has room for a connection between regions, and for a start on a busy core.
+// ConnectTimeout bounds the time to connect to a coordinator while a process knows no directory
+// yet, because some machines may not be up during a start. A coordinator may hold the call itself
+// for longer. The timeout leaves room for connections between regions and for busy machines.
 const ConnectTimeout = 250 * time.Millisecond
 
-// WithConnectTimeout returns a context that ends where a call made with it has no connection
-// within the limit. The returned function releases it.
-func WithConnectTimeout(ctx context.Context, limit time.Duration) (context.Context, func()) {
+// WithConnectTimeout returns a context that is canceled if a call made with it has no connection
+// within the timeout. The returned function releases its resources.
+func WithConnectTimeout(ctx context.Context, timeout time.Duration) (context.Context, func()) {
 	ctx, cancel := context.WithCancel(ctx)
-	timer := time.AfterFunc(limit, cancel)
-	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
+	timer := time.AfterFunc(timeout, cancel)
+	tracedCtx := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { timer.Stop() },
 	})
-	return traced, func() {
+	return tracedCtx, func() {
 		timer.Stop()
 		cancel()
 	}
--- a/internal/site/coordinators.go
+++ b/internal/site/coordinators.go
@@ -10,38 +10,38 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Coordinators lists the internal addresses of the coordinators: the one that
-// answered last, then the others from near to far, then the seeds. Those that failed
-// to answer lately come last, the one that failed first before the others.
+// Coordinators lists the internal addresses of the coordinators in the order in which they are
+// tried: the one that answered last, the others by distance, then the seeds. Those that recently
+// failed to answer come last, in the order of their failures.
 func (w *Watcher) Coordinators() []string {
 	w.mutex.Lock()
 	preferred := w.preferred
 	w.mutex.Unlock()
-	var distinct []string
+	var addresses []string
 	if preferred != "" {
-		distinct = append(distinct, preferred)
+		addresses = append(addresses, preferred)
 	}
 	for _, address := range slices.Concat(w.byDistance(), w.seeds()) {
-		if !slices.Contains(distinct, address) {
-			distinct = append(distinct, address)
+		if !slices.Contains(addresses, address) {
+			addresses = append(addresses, address)
 		}
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	now := time.Now()
-	failedAt := func(address string) int64 {
-		if until := w.avoided[address]; until.After(now) {
+	avoidedUntil := func(address string) int64 {
+		if until := w.avoidedUntil[address]; until.After(now) {
 			return until.UnixNano()
 		}
 		return 0
 	}
-	slices.SortStableFunc(distinct, func(a, b string) int { return cmp.Compare(failedAt(a), failedAt(b)) })
-	return distinct
+	slices.SortStableFunc(addresses, func(a, b string) int { return cmp.Compare(avoidedUntil(a), avoidedUntil(b)) })
+	return addresses
 }
 
-// byDistance lists the coordinators of the directory: those of this zone, then the
-// others. Each process has the others in an order of its own, so that the watchers of
-// a coordinator that is lost spread over those that remain.
+// byDistance lists the coordinators of the directory: those of this zone, then the others. The
+// order within each part depends on the process, so that the watchers of a failed coordinator are
+// spread over the others.
 func (w *Watcher) byDistance() []string {
 	view := w.Directory()
 	if view == nil {
@@ -62,68 +62,68 @@
 	return slices.Concat(near, far)
 }
 
-// seeds lists the coordinators of the settings in an order of this process's own: all
-// processes of a site start with the same ones, and would all ask the first.
+// seeds lists the seed coordinators of the settings in an order that depends on the process,
+// because all processes of a site have the same seeds.
 func (w *Watcher) seeds() []string {
 	seeds := slices.Clone(w.settings.GetSeeds())
 	w.sortByRank(seeds)
 	return seeds
 }
 
-// sortByRank orders addresses differently in each process, and always alike in one.
+// sortByRank sorts addresses in a stable order that depends on the process.
 func (w *Watcher) sortByRank(addresses []string) {
 	rank := func(address string) uint64 { return xxhash.Sum64String(w.settings.GetName() + " " + address) }
 	slices.SortFunc(addresses, func(a, b string) int { return cmp.Compare(rank(a), rank(b)) })
 }
 
-// prefer notes the coordinator that answers, and tells whether it is another one
-// than before.
-func (w *Watcher) prefer(address string) (changed bool) {
+// setPreferred records the coordinator that answered last, and reports whether it changed.
+func (w *Watcher) setPreferred(address string) (changed bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	changed = w.preferred != address
 	w.preferred = address
-	delete(w.avoided, address)
+	delete(w.avoidedUntil, address)
 	return changed
 }
 
-// noteAsked notes which coordinator is asked for the configuration.
-func (w *Watcher) noteAsked(address string) {
+// setConfigurationAddress records which coordinator is asked for the configuration.
+func (w *Watcher) setConfigurationAddress(address string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.asked = address
+	w.configurationAddress = address
 }
 
-// asks tells whether a coordinator is the one that was asked for the configuration last.
-func (w *Watcher) asks(address string) bool {
+// isConfigurationAddress reports whether a coordinator was the last to be asked for the
+// configuration.
+func (w *Watcher) isConfigurationAddress(address string) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.asked == address
+	return w.configurationAddress == address
 }
 
-// preferNearest forgets which coordinator answered last: the nearest one comes first then.
-func (w *Watcher) preferNearest() {
+// clearPreferred forgets which coordinator answered last, so that the nearest one comes first.
+func (w *Watcher) clearPreferred() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.preferred = ""
 }
 
-// avoidance is how long a coordinator that did not answer comes after the others.
-const avoidance = 10 * time.Second
+// avoidDuration is how long a coordinator that did not answer is tried after the others.
+const avoidDuration = 10 * time.Second
 
-// avoid notes that a coordinator did not answer.
-func (w *Watcher) avoid(failed string) {
+// avoid records that a coordinator did not answer.
+func (w *Watcher) avoid(address string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.avoided[failed] = time.Now().Add(avoidance)
-	if w.preferred == failed {
+	w.avoidedUntil[address] = time.Now().Add(avoidDuration)
+	if w.preferred == address {
 		w.preferred = ""
 	}
 }
 
-// readmit notes that a coordinator answers again.
-func (w *Watcher) readmit(answering string) {
+// clearAvoided records that a coordinator answers again.
+func (w *Watcher) clearAvoided(address string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	delete(w.avoided, answering)
+	delete(w.avoidedUntil, address)
 }
--- a/internal/site/export_test.go
+++ b/internal/site/export_test.go
@@ -2,20 +2,20 @@
 
 import "rockwind.example/rockwind/internal/directory"
 
-// Its figures that the tests use.
+// Constants for tests.
 const (
 	WatchWait  = watchWait
 	WatchGrace = watchGrace
 )
 
-// Avoid notes that a coordinator did not answer.
+// Avoid is avoid for tests.
 func (w *Watcher) Avoid(address string) { w.avoid(address) }
 
-// Hint tells of a newer configuration.
+// Hint passes a hint to the follower of the configuration.
 func (w *Watcher) Hint(number uint64) { w.follower.Hint(number) }
 
-// PreferNearest has the watcher forget which coordinator answered last.
-func (w *Watcher) PreferNearest() { w.preferNearest() }
+// PreferNearest is clearPreferred for tests.
+func (w *Watcher) PreferNearest() { w.clearPreferred() }
 
-// SetDirectory replaces the directory that the watcher knows.
+// SetDirectory replaces the watcher's directory.
 func (w *Watcher) SetDirectory(view *directory.View) { w.directory.Store(view) }
--- a/internal/site/host.go
+++ b/internal/site/host.go
@@ -16,46 +16,45 @@
 )
 
 const (
-	// tick is the unit of the consensus protocol's time; leaders are elected in ten
-	// to twenty of them.
+	// tick is the time unit of the consensus protocol; the election timeout is ten to twenty
+	// ticks.
 	tick = 30 * time.Millisecond
-	// heartbeatTicks is the interval of heartbeats: three fit into a lease.
+	// heartbeatTicks is the interval of heartbeats, so that three fit into a lease.
 	heartbeatTicks = 2
-	// groupFolder holds the replicated groups under the data folder.
+	// groupFolder is the folder of the replicated groups in the data folder.
 	groupFolder = "groups"
-	// Bounds of the log on a small disk.
+	// Bounds of the log on disk.
 	snapshotEntries = 4000
 	segmentBytes    = 6 << 20
-	// logPart is the part of a process's memory that the log of one group may take
-	// behind its newest snapshot; half as much is kept from before that. A store of a
-	// large site has five groups. leastLog and mostLog bound it.
-	logPart  = 0.02
-	leastLog = 1 << 20
-	mostLog  = 12 << 20
-	// handOverTimeout bounds the hand-over of leadership at a planned stop.
-	handOverTimeout = 2 * time.Second
+	// logFraction is the fraction of the process's memory for the log of one group since its
+	// latest snapshot; half as much is kept from before the snapshot. A store of a large site has
+	// five groups. minLogBytes and maxLogBytes bound the size.
+	logFraction = 0.02
+	minLogBytes = 1 << 20
+	maxLogBytes = 12 << 20
+	// handoverTimeout bounds the handover of leadership at a planned shutdown.
+	handoverTimeout = 2 * time.Second
 )
 
-// AdvertisedAddress is the address under which other processes of the site reach the one
-// with the given settings.
+// AdvertisedAddress returns the address at which other processes of the site reach the one with
+// the given settings.
 func AdvertisedAddress(given *rockwindpb.SiteSettings) string {
 	return cmp.Or(given.GetAdvertise(), given.GetInternalListen())
 }
 
-// GroupSize is how many replicas of a group bear the losses that the site tolerates.
+// GroupSize returns how many replicas a group needs to tolerate the losses in the settings.
 func GroupSize(given *rockwindpb.SiteSettings) int { return 2*int(given.GetToleratedLosses()) + 1 }
 
-// LogBytes is how much of the log of one group is kept in memory behind its newest
-// snapshot.
+// LogBytes returns how much of the log of one group is kept in memory since its latest snapshot.
 func LogBytes(given *rockwindpb.SiteSettings) int64 {
 	if given.GetMemoryMb() == 0 {
-		return mostLog
+		return maxLogBytes
 	}
-	return min(mostLog, max(leastLog, int64(logPart*float64(given.GetMemoryMb())*megabyte)))
+	return min(maxLogBytes, max(minLogBytes, int64(logFraction*float64(given.GetMemoryMb())*megabyte)))
 }
 
-// HostOptions are what differs between the replicated daemons of a site. The fields
-// are those of replica.Options.
+// HostOptions are the options that differ between the replicated daemons of a site. The fields are
+// those of replica.Options.
 type HostOptions struct {
 	Discover      func() []*rockwindpb.ControlMachine
 	Vacate        func(machine string) bool
@@ -64,8 +63,8 @@
 	Places        int
 }
 
-// OpenHost locks the data folder of the settings and opens the replicas in it. The
-// returned function unlocks the folder.
+// OpenHost locks the data folder of the settings and opens the replicas in it. The returned
+// function unlocks the folder.
 func OpenHost(given *rockwindpb.SiteSettings, client *http.Client, options HostOptions) (host *replica.Host, release func(), err error) {
 	if release, err = settings.OpenDataFolder(given.GetDataFolder()); err != nil {
 		return nil, nil, err
@@ -95,25 +94,25 @@
 	return host, release, nil
 }
 
-// RunHost runs the replicas and the parts that start adds until the context ends.
-// Then it hands over leadership while everything still runs, calls handedOver, and
-// ends the context of the parts.
-func RunHost(ctx context.Context, host *replica.Host, start func(group *errgroup.Group, parts context.Context), handedOver func()) error {
-	parts, stopParts := context.WithCancel(context.WithoutCancel(ctx))
-	defer stopParts()
-	group, parts := errgroup.WithContext(parts)
-	group.Go(func() error { return host.Run(parts) })
-	start(group, parts)
+// RunHost runs the replicas and the tasks that start adds to the group until the context ends. It
+// then hands over leadership while everything still runs, calls handedOver, and ends the context
+// of the tasks.
+func RunHost(ctx context.Context, host *replica.Host, start func(group *errgroup.Group, tasksCtx context.Context), handedOver func()) error {
+	tasksCtx, stopTasks := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopTasks()
+	group, tasksCtx := errgroup.WithContext(tasksCtx)
+	group.Go(func() error { return host.Run(tasksCtx) })
+	start(group, tasksCtx)
 	group.Go(func() error {
-		defer stopParts()
+		defer stopTasks()
 		select {
 		case <-ctx.Done():
-		case <-parts.Done():
+		case <-tasksCtx.Done():
 		}
-		handingOver, cancel := context.WithTimeout(context.WithoutCancel(ctx), handOverTimeout)
+		handoverCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), handoverTimeout)
 		defer cancel()
-		if err := host.Drain(handingOver); err != nil {
-			log.WithError(err).Warn("cannot hand over all leadership")
+		if err := host.Drain(handoverCtx); err != nil {
+			log.WithError(err).Warn("cannot hand over the leadership of all groups")
 		}
 		handedOver()
 		return nil
--- a/internal/site/host_test.go
+++ b/internal/site/host_test.go
@@ -7,9 +7,8 @@
 	"rockwind.example/rockwind/internal/site"
 )
 
-// TestLogsOfAllGroupsFitTheMemory: a store of a large site holds replicas of five
-// shards. Their logs, with what is kept from before the snapshots, take less than a
-// sixth of its memory.
+// TestLogsOfAllGroupsFitTheMemory verifies that the logs of the five shards of a large site's
+// store, with the entries kept from before the snapshots, take less than a sixth of its memory.
 func TestLogsOfAllGroupsFitTheMemory(t *testing.T) {
 	const groups, megabyte = 5, 1 << 20
 	for _, memory := range []uint32{64, 72, 83, 256, 304, 4096} {
--- a/internal/site/identity.go
+++ b/internal/site/identity.go
@@ -10,17 +10,17 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Identifier asks the server at an address which incarnation it is, on a connection of its own.
-// The expected one has the address in the directory; healthPath is that of its service. It
-// returns what the answer shows, together with an error where it shows nothing.
+// Identifier asks the server at an address for its incarnation, on a new connection. The expected
+// server has the address in the directory, and healthPath is that of its service. It returns what
+// the answer shows, or an error if there is no answer.
 type Identifier func(ctx context.Context, expected *rockwindpb.Server, healthPath string) (directory.Identity, error)
 
-// HTTPIdentifier returns an identifier that asks the health path which server is there. The first
-// header names the incarnation that a request is meant for, which another one answers with
-// status 421; the second names the incarnation that gave an answer.
+// HTTPIdentifier returns an identifier that requests the health path. expectedHeader names the
+// request header with the expected incarnation, which another incarnation rejects with status 421.
+// foundHeader names the response header with the incarnation that answers.
 func HTTPIdentifier(expectedHeader, foundHeader string) Identifier {
-	// Each question has a connection of its own: an earlier one may have been accepted by a
-	// server that has ended since.
+	// Connections are not reused, because an earlier one may have been accepted by a server that
+	// has ended since.
 	client := &http.Client{
 		Transport:     &http.Transport{DialContext: dial.Dialer().DialContext, DisableKeepAlives: true},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
@@ -28,16 +28,16 @@
 	return func(ctx context.Context, expected *rockwindpb.Server, healthPath string) (directory.Identity, error) {
 		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+expected.GetAddress()+healthPath, nil)
 		if err != nil {
-			return directory.Identity{}, fault.Newf(fault.InvalidArgument, "give the service a health path that is a path", "the health path %q makes no request: %v", healthPath, err)
+			return directory.Identity{}, fault.Newf(fault.InvalidArgument, "correct the health path of the service", "the health path %q is invalid: %v", healthPath, err)
 		}
 		request.Header.Set(expectedHeader, expected.GetId())
-		answer, err := client.Do(request)
+		response, err := client.Do(request)
 		if err != nil {
-			return directory.Identity{}, fault.Newf(fault.Unavailable, "look whether the server runs and is in reach", "the server does not tell who it is: %v", err)
+			return directory.Identity{}, fault.Newf(fault.Unavailable, "check that the server runs and is reachable", "cannot identify the server: %v", err)
 		}
-		defer answer.Body.Close()
-		identity := directory.Identity{Found: answer.Header.Get(foundHeader)}
-		if answer.StatusCode == http.StatusMisdirectedRequest {
+		defer response.Body.Close()
+		identity := directory.Identity{Found: response.Header.Get(foundHeader)}
+		if response.StatusCode == http.StatusMisdirectedRequest {
 			identity.Rejected = expected.GetId()
 		}
 		return identity, nil
--- a/internal/site/nearer.go
+++ b/internal/site/nearer.go
@@ -10,35 +10,35 @@
 )
 
 const (
-	// firstSeek is the time until a process that watches a far coordinator first looks
-	// for a nearer one: coordinators become known one after the other at a start.
-	firstSeek = time.Second
-	// seekInterval is the time between later looks. A look costs one call.
-	seekInterval = 5 * time.Second
-	// MaxStartupHold is how long a coordinator that has just started holds calls until it is up to
-	// date with its leader: as long as an election takes at most where all coordinators answer. One
-	// that is cut off holds up those who ask it for no longer.
+	// firstSearchDelay is the delay of the first search for a coordinator nearer than the watched
+	// one. During a start, coordinators become known one after the other.
+	firstSearchDelay = time.Second
+	// searchInterval is the time between later searches.
+	searchInterval = 5 * time.Second
+	// MaxStartupHold bounds how long a coordinator holds calls after its start until it is up to
+	// date with its leader. It covers an election; a partitioned coordinator delays its callers by
+	// no more than that.
 	MaxStartupHold = 600 * time.Millisecond
-	// seekTimeout bounds the call that shows whether a coordinator answers: one that holds it
-	// has not failed. Beside the hold it leaves time for the way and the answer.
-	seekTimeout = MaxStartupHold + 200*time.Millisecond
-	// seekSpread is the largest part of an interval that chance adds to it, so that the
-	// watchers of a coordinator that is back do not come together.
-	seekSpread = 0.5
+	// probeTimeout bounds the call that probes a coordinator. It exceeds MaxStartupHold, because a
+	// coordinator that holds the call has not failed.
+	probeTimeout = MaxStartupHold + 200*time.Millisecond
+	// searchJitter is the largest fraction of an interval that is randomly added to it, so that
+	// watchers do not return to a recovered coordinator all at once.
+	searchJitter = 0.5
 )
 
-// seekNearer looks for a coordinator that is nearer than the given one and answers, until
-// the context ends, and closes the channel when there is one. The watch goes on meanwhile,
-// so that a coordinator that does not answer delays nothing.
-func (w *Watcher) seekNearer(ctx context.Context, address string) <-chan struct{} {
+// searchNearer searches for a coordinator that is nearer than the given one and answers, until the
+// context ends. It closes the returned channel when it has found one. The watch continues
+// meanwhile, so that coordinators that do not answer delay nothing.
+func (w *Watcher) searchNearer(ctx context.Context, address string) <-chan struct{} {
 	found := make(chan struct{})
 	go func() {
-		pause := firstSeek
-		for retry.Pause(ctx, spread(pause)) {
-			pause = seekInterval
+		pause := firstSearchDelay
+		for retry.Pause(ctx, addJitter(pause)) {
+			pause = searchInterval
 			for _, candidate := range w.nearerThan(address) {
-				if w.answers(ctx, candidate) {
-					w.readmit(candidate)
+				if w.probe(ctx, candidate) {
+					w.clearAvoided(candidate)
 					close(found)
 					return
 				}
@@ -49,22 +49,23 @@
 	return found
 }
 
-func spread(pause time.Duration) time.Duration {
-	return pause + time.Duration(seekSpread*rand.Float64()*float64(pause))
+func addJitter(pause time.Duration) time.Duration {
+	return pause + time.Duration(searchJitter*rand.Float64()*float64(pause))
 }
 
-// nearerThan lists the coordinators that come before the given one by distance.
+// nearerThan lists the coordinators that are nearer than the given one.
 func (w *Watcher) nearerThan(address string) []string {
 	known := w.byDistance()
-	if place := slices.Index(known, address); place >= 0 {
-		return known[:place]
+	if position := slices.Index(known, address); position >= 0 {
+		return known[:position]
 	}
 	return known
 }
 
-// answers tells whether a coordinator hears its leader and holds what is known here.
-func (w *Watcher) answers(ctx context.Context, address string) bool {
-	ctx, cancel := context.WithTimeout(ctx, seekTimeout)
+// probe reports whether a coordinator is in contact with its leader and at least as up to date as
+// this watcher.
+func (w *Watcher) probe(ctx context.Context, address string) bool {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	held := w.Directory()
 	response, err := w.directoryAt(address).Watch(ctx, w.watchRequest(held, 0))
--- a/internal/site/process.go
+++ b/internal/site/process.go
@@ -17,34 +17,34 @@
 )
 
 const (
-	// memoryPart is the part of the process's memory that the runtime may use
-	// before it collects garbage eagerly.
-	memoryPart = 0.7
-	megabyte   = 1 << 20
+	// memoryFraction is the fraction of the process's memory that is the soft limit of the Go
+	// runtime.
+	memoryFraction = 0.7
+	megabyte       = 1 << 20
 	// readHeaderTimeout bounds how long another process may take to send headers.
 	readHeaderTimeout = 3 * time.Second
-	// idleTimeout closes connections of other processes on which nothing comes.
+	// idleTimeout closes idle connections of other processes.
 	idleTimeout = time.Minute
 )
 
-// SetMemoryLimit tells the runtime how much memory the settings allow.
+// SetMemoryLimit sets the memory limit of the Go runtime from the settings.
 func SetMemoryLimit(settings *rockwindpb.SiteSettings) {
 	if settings.GetMemoryMb() > 0 {
-		debug.SetMemoryLimit(int64(float64(settings.GetMemoryMb()) * megabyte * memoryPart))
+		debug.SetMemoryLimit(int64(float64(settings.GetMemoryMb()) * megabyte * memoryFraction))
 	}
 }
 
-// Listen opens the listener of a setting.
+// Listen opens a listener. The setting is where the address comes from, for the error message.
 func Listen(setting, address string) (net.Listener, error) {
 	listener, err := dial.Listen(address)
 	if err != nil {
-		return nil, fault.Newf(fault.InvalidArgument, "stop the process that has the address, or set "+setting+" to an address of this machine",
+		return nil, fault.Newf(fault.InvalidArgument, "stop the process that uses the address, or set "+setting+" to an address of this machine",
 			"the daemon can't listen: %v", err)
 	}
 	return listener, nil
 }
 
-// NewServer returns a server for calls of the site's own processes.
+// NewServer returns a server for calls between the site's processes.
 func NewServer(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           handler,
@@ -54,8 +54,8 @@
 	}
 }
 
-// Serve answers on a listener until the context ends, and then gives the calls in
-// progress the given time.
+// Serve serves on a listener until the context ends, and then waits up to the grace period for
+// calls in progress.
 func Serve(ctx context.Context, server *http.Server, listener net.Listener, grace time.Duration) error {
 	failed := make(chan error, 1)
 	go func() { failed <- server.Serve(listener) }()
@@ -64,9 +64,9 @@
 		return errors.Wrap(err, "serve")
 	case <-ctx.Done():
 	}
-	stopping, cancel := context.WithTimeout(context.WithoutCancel(ctx), grace)
+	shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), grace)
 	defer cancel()
-	if err := server.Shutdown(stopping); err != nil {
+	if err := server.Shutdown(shutdownCtx); err != nil {
 		return server.Close()
 	}
 	return nil
--- a/internal/site/reporter.go
+++ b/internal/site/reporter.go
@@ -15,49 +15,50 @@
 )
 
 const (
-	// reportLinger is how long observations are gathered before they are told: all requests
+	// batchDelay is how long observations are collected before they are sent, because all requests
 	// of a server fail together when it ends.
-	reportLinger = 5 * time.Millisecond
-	// reportRetry is the pause after no coordinator took a report, and reportFor how old an
-	// observation may become: longer than the coordinators need to elect a leader.
-	reportRetry = 100 * time.Millisecond
-	reportFor   = 10 * time.Second
-	// reportQueue bounds the observations that wait, and reportMost those of one call. After
-	// the loss of many servers at once the rest goes without: each of them tells of requests
-	// that have ended no other server.
-	reportQueue = 512
-	reportMost  = 64
+	batchDelay = 5 * time.Millisecond
+	// reportRetryPause is the pause after no coordinator accepted a report. maxReportAge is the
+	// age at which observations are given up; it is longer than the coordinators need to elect a
+	// leader.
+	reportRetryPause = 100 * time.Millisecond
+	maxReportAge     = 10 * time.Second
+	// reportQueueSize bounds the observations in the queue, and maxBatchSize those of one call.
+	// After the loss of many servers at once the rest is dropped; the requests of such servers
+	// have ended no other server.
+	reportQueueSize = 512
+	maxBatchSize    = 64
 )
 
-// QuarantineReporter tells the coordinators under which requests servers ended, and which suspected ones
-// were answered since. Run sends; the other methods may be called by any goroutine and never
-// block.
+// QuarantineReporter reports to the coordinators which requests were running when servers ended,
+// and which suspected requests were answered since. Run sends the reports; the other methods may
+// be called by any goroutine and never block.
 type QuarantineReporter struct {
 	watcher *Watcher
 	queue   chan observation
 
 	mutex sync.Mutex
-	// untold is what waits to be told.
-	untold *quarantine.Untold
+	// unreported holds the observations that no coordinator has accepted yet.
+	unreported *quarantine.Untold
 }
 
-// observation is an end of a server, or an answer where the end is nil.
+// observation is the end of a server, or the answer to a suspected request if end is nil.
 type observation struct {
-	end      *rockwindpb.ServerEnd
-	began    time.Time
-	answered fingerprint.Fingerprint
-	noticed  time.Time
+	end        *rockwindpb.ServerEnd
+	startedAt  time.Time
+	answered   fingerprint.Fingerprint
+	observedAt time.Time
 }
 
 // NewQuarantineReporter returns a reporter to the coordinators that the watcher knows.
 func NewQuarantineReporter(watcher *Watcher) *QuarantineReporter {
-	return &QuarantineReporter{watcher: watcher, queue: make(chan observation, reportQueue), untold: quarantine.NewUntold()}
+	return &QuarantineReporter{watcher: watcher, queue: make(chan observation, reportQueueSize), unreported: quarantine.NewUntold()}
 }
 
-// HeldFor is for how much longer a content is held by what was not told yet.
+// HeldFor returns for how much longer a content is quarantined by unreported observations.
 func (r *QuarantineReporter) HeldFor(content func() fingerprint.Fingerprint, now time.Time) time.Duration {
 	r.mutex.Lock()
-	empty := r.untold.Empty()
+	empty := r.unreported.Empty()
 	r.mutex.Unlock()
 	if empty {
 		return 0
@@ -65,106 +66,107 @@
 	computed := content()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.untold.HeldFor(computed, now)
+	return r.unreported.HeldFor(computed, now)
 }
 
-// Suspected tells whether several servers ended under a content by what was not told yet.
+// Suspected reports whether several servers ended under a content according to unreported
+// observations.
 func (r *QuarantineReporter) Suspected(content fingerprint.Fingerprint) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.untold.Suspected(content)
+	return r.unreported.Suspected(content)
 }
 
-// ReportCrash tells that a server ended under a request that was sent there at the given time. How
-// long ago that was is filled in when it is told.
-func (r *QuarantineReporter) ReportCrash(end *rockwindpb.ServerEnd, began time.Time) {
-	r.add(observation{end: end, began: began, noticed: time.Now()})
+// ReportCrash reports that a server ended while it ran a request that was sent at the given time.
+// BeganMsAgo is set when the report is sent.
+func (r *QuarantineReporter) ReportCrash(end *rockwindpb.ServerEnd, startedAt time.Time) {
+	r.add(observation{end: end, startedAt: startedAt, observedAt: time.Now()})
 }
 
-// ReportAnswer tells that a server answered a suspected request.
+// ReportAnswer reports that a server answered a suspected request.
 func (r *QuarantineReporter) ReportAnswer(content fingerprint.Fingerprint) {
-	r.add(observation{answered: content, noticed: time.Now()})
+	r.add(observation{answered: content, observedAt: time.Now()})
 }
 
-func (r *QuarantineReporter) add(seen observation) {
+func (r *QuarantineReporter) add(observed observation) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	// Before it is sent: how long ago a run began is filled in then.
-	if seen.end == nil {
-		r.untold.Answered(seen.answered, seen.noticed)
+	// Run sets end.BeganMsAgo, so end must be read before it is queued.
+	if observed.end == nil {
+		r.unreported.Answered(observed.answered, observed.observedAt)
 	} else {
-		r.untold.Ended(seen.end, seen.noticed.Sub(seen.began), seen.noticed)
+		r.unreported.Ended(observed.end, observed.observedAt.Sub(observed.startedAt), observed.observedAt)
 	}
 	select {
-	case r.queue <- seen:
+	case r.queue <- observed:
 	default:
-		r.untold.Done(1)
-		log.WithField("waiting", reportQueue).Warn("an end of a server is not told: too many wait")
+		r.unreported.Done(1)
+		log.WithField("waiting", reportQueueSize).Warn("dropping the report of a server's end: the queue is full")
 	}
 }
 
-// done notes that observations were told, or are given up.
-func (r *QuarantineReporter) done(count int) {
+// markDone notes that observations were reported or given up.
+func (r *QuarantineReporter) markDone(count int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.untold.Done(count)
+	r.unreported.Done(count)
 }
 
-// Run sends what was observed until the context ends.
+// Run sends reports until the context ends.
 func (r *QuarantineReporter) Run(ctx context.Context) {
 	for {
 		select {
 		case first := <-r.queue:
-			retry.Pause(ctx, reportLinger)
-			r.send(ctx, r.gather(first))
+			retry.Pause(ctx, batchDelay)
+			r.send(ctx, r.batch(first))
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// gather takes what else waits, up to the size of a call.
-func (r *QuarantineReporter) gather(first observation) []observation {
-	gathered := []observation{first}
-	for len(gathered) < reportMost {
+// batch collects queued observations up to the size of a call.
+func (r *QuarantineReporter) batch(first observation) []observation {
+	collected := []observation{first}
+	for len(collected) < maxBatchSize {
 		select {
 		case next := <-r.queue:
-			gathered = append(gathered, next)
+			collected = append(collected, next)
 		default:
-			return gathered
+			return collected
 		}
 	}
-	return gathered
+	return collected
 }
 
-// send tells the coordinators, until one has taken the report or it is too old.
-func (r *QuarantineReporter) send(ctx context.Context, seen []observation) {
-	defer r.done(len(seen))
+// send sends a report until a coordinator accepts it or it is too old.
+func (r *QuarantineReporter) send(ctx context.Context, observations []observation) {
+	defer r.markDone(len(observations))
 	for {
-		err := r.watcher.atCoordinator(ctx, func(calling context.Context, address string) error {
+		err := r.watcher.callCoordinators(ctx, func(callCtx context.Context, address string) error {
 			service := rockwindpb.NewQuarantineServiceProtobufClient("http://"+address, twirphttp.Client{Carrier: r.watcher.client})
-			_, err := service.Report(calling, reportOf(seen, time.Now()))
+			_, err := service.Report(callCtx, newReport(observations, time.Now()))
 			return err
 		})
 		if err == nil {
 			return
 		}
-		if time.Since(seen[0].noticed) > reportFor || !retry.Pause(ctx, reportRetry) {
-			log.WithError(err).WithField("observations", len(seen)).Warn("no coordinator was told under which requests servers ended")
+		if time.Since(observations[0].observedAt) > maxReportAge || !retry.Pause(ctx, reportRetryPause) {
+			log.WithError(err).WithField("observations", len(observations)).Warn("no coordinator accepted the report of ended servers")
 			return
 		}
 	}
 }
 
-// reportOf is the call for observations at a moment.
-func reportOf(seen []observation, now time.Time) *rockwindpb.ReportQuarantineRequest {
+// newReport returns the report of observations at the given time.
+func newReport(observations []observation, now time.Time) *rockwindpb.ReportQuarantineRequest {
 	report := &rockwindpb.ReportQuarantineRequest{}
-	for _, each := range seen {
+	for _, each := range observations {
 		if each.end == nil {
 			report.Answered = append(report.Answered, each.answered.Bytes())
 			continue
 		}
-		each.end.BeganMsAgo = uint64(max(0, now.Sub(each.began).Milliseconds()))
+		each.end.BeganMsAgo = uint64(max(0, now.Sub(each.startedAt).Milliseconds()))
 		report.Ends = append(report.Ends, each.end)
 	}
 	return report
--- a/internal/site/silence.go
+++ b/internal/site/silence.go
@@ -12,64 +12,66 @@
 )
 
 const (
-	// silencePart is which part of the time for which no coordinator has answered passes until
-	// one is asked again. So coordinators that are back are found within some 8% of the time
-	// that they were away, and the tries of hundreds of processes do not add up.
-	silencePart = 0.05
-	// longestPause bounds that: a process that knows only machines that are gone makes no more than
-	// some two tries a second, and with three seeds finds one that is back within three seconds.
-	longestPause = 500 * time.Millisecond
-	// silenceSaid is after how long without an answer the process says so in its log: five
-	// times as long as elections take. It says so again each silenceRepeat.
-	silenceSaid   = 3 * time.Second
-	silenceRepeat = 30 * time.Second
-	// answerRecheck is how often calls that wait for the watch look whether it was answered.
-	answerRecheck = 100 * time.Millisecond
+	// pauseFraction is the pause between watches as a fraction of the time since the last answer.
+	// Recovered coordinators are thus found within 8% of their downtime, while the load by
+	// hundreds of processes remains bounded.
+	pauseFraction = 0.05
+	// maxPause bounds the pause between watches. A process whose coordinators are all unreachable
+	// makes about two attempts per second, and finds a recovered one of three seeds within three
+	// seconds.
+	maxPause = 500 * time.Millisecond
+	// silenceThreshold is the time without an answer after which the process logs it, several
+	// times the duration of an election. It logs it again at silenceLogInterval.
+	silenceThreshold   = 3 * time.Second
+	silenceLogInterval = 30 * time.Second
+	// answerPollInterval is how often awaitAnswer checks for an answer.
+	answerPollInterval = 100 * time.Millisecond
 )
 
-// pauseBetweenTries is how long a process waits until it asks a coordinator again, where none
-// has answered for a time. Chance, of [0, 1), spreads it over half to one and a half times its length.
-func pauseBetweenTries(silent time.Duration, chance float64) time.Duration {
-	pause := min(longestPause, time.Duration(silencePart*float64(silent)))
+// watchRetryPause returns the pause before the next watch, given the time since the last answer. A
+// random number in [0, 1) spreads it over half to one and a half times its length.
+func watchRetryPause(sinceAnswer time.Duration, random float64) time.Duration {
+	pause := min(maxPause, time.Duration(pauseFraction*float64(sinceAnswer)))
 	if pause <= retryPause {
 		return retryPause
 	}
-	return max(retryPause, time.Duration((0.5+chance)*float64(pause)))
+	return max(retryPause, time.Duration((0.5+random)*float64(pause)))
 }
 
-// SinceLastAnswer is how long no coordinator has answered a watch of this process, from its start on
-// where none has at all.
+// SinceLastAnswer returns the time since a coordinator last answered a watch, or since the
+// creation of the watcher if none has.
 func (w *Watcher) SinceLastAnswer() time.Duration {
-	if heard := w.heard.Load(); heard != 0 {
-		return time.Since(time.Unix(0, heard))
+	if lastHeard := w.lastHeard.Load(); lastHeard != 0 {
+		return time.Since(time.Unix(0, lastHeard))
 	}
-	return time.Since(w.started)
+	return time.Since(w.createdAt)
 }
 
-// WatchFailures is SilentFor, and how many watches failed since the start.
-func (w *Watcher) WatchFailures() (silent time.Duration, failed uint64) {
-	return w.SinceLastAnswer(), w.failedTries.Load()
+// WatchFailures returns SinceLastAnswer and the number of failed watches since the creation of the
+// watcher.
+func (w *Watcher) WatchFailures() (sinceAnswer time.Duration, failed uint64) {
+	return w.SinceLastAnswer(), w.failedWatches.Load()
 }
 
-// awaitAnswer waits while no coordinator has answered a watch for long: the watch finds the one that is
-// back, and other calls would only add to its tries. It ends with the context.
+// awaitAnswer waits while no coordinator has answered for longer than silenceThreshold, or until
+// the context ends. The watch finds a recovered coordinator, and other calls would only add load.
 func (w *Watcher) awaitAnswer(ctx context.Context) {
-	for w.SinceLastAnswer() > silenceSaid && retry.Pause(ctx, answerRecheck) {
+	for w.SinceLastAnswer() > silenceThreshold && retry.Pause(ctx, answerPollInterval) {
 	}
 }
 
-// saySilence writes now and then that no coordinator answers, and which ones are asked: a process
-// that was given seeds that are gone finds no other ones by itself.
-func (w *Watcher) saySilence(failure error) {
-	w.failedTries.Add(1)
-	silent := w.SinceLastAnswer()
-	if silent < silenceSaid || (!w.said.IsZero() && time.Since(w.said) < silenceRepeat) {
+// logSilence records at intervals that no coordinator answers and which ones are tried. A process
+// whose seeds are all gone cannot find other coordinators by itself.
+func (w *Watcher) logSilence(failure error) {
+	w.failedWatches.Add(1)
+	sinceAnswer := w.SinceLastAnswer()
+	if sinceAnswer < silenceThreshold || (!w.silenceLoggedAt.IsZero() && time.Since(w.silenceLoggedAt) < silenceLogInterval) {
 		return
 	}
-	w.said = time.Now()
+	w.silenceLoggedAt = time.Now()
 	fields := log.Fields{
-		"silent_ms": silent.Milliseconds(), "asked": strings.Join(w.Coordinators(), " "),
-		"tries": w.failedTries.Load(), "error": failure.Error(), "known": "the seeds alone",
+		"silent_ms": sinceAnswer.Milliseconds(), "asked": strings.Join(w.Coordinators(), " "),
+		"tries": w.failedWatches.Load(), "error": failure.Error(), "known": "the seeds alone",
 	}
 	if view := w.Directory(); view != nil {
 		fields["known"] = "a directory"
--- a/internal/site/silence_test.go
+++ b/internal/site/silence_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// TestPauseBetweenTriesGrowsWithTheSilence keeps tries close together for as long as elections
-// and restarts take, and far apart for who knows only machines that are gone.
+// TestPauseBetweenTriesGrowsWithTheSilence verifies that pauses are short during elections and
+// restarts, and long during longer outages.
 func TestPauseBetweenTriesGrowsWithTheSilence(t *testing.T) {
-	for _, given := range []struct {
-		silent      time.Duration
-		least, most time.Duration
+	for _, test := range []struct {
+		sinceAnswer       time.Duration
+		shortest, longest time.Duration
 	}{
 		{0, retryPause, retryPause},
 		{time.Second, retryPause, retryPause},
@@ -18,11 +18,11 @@
 		{time.Minute, 250 * time.Millisecond, 750 * time.Millisecond},
 		{24 * time.Hour, 250 * time.Millisecond, 750 * time.Millisecond},
 	} {
-		if least := pauseBetweenTries(given.silent, 0); least != given.least {
-			t.Errorf("after %v the shortest pause is %v, want %v", given.silent, least, given.least)
+		if shortest := watchRetryPause(test.sinceAnswer, 0); shortest != test.shortest {
+			t.Errorf("after %v the shortest pause is %v, want %v", test.sinceAnswer, shortest, test.shortest)
 		}
-		if most := pauseBetweenTries(given.silent, 1); most != given.most {
-			t.Errorf("after %v the longest pause is %v, want %v", given.silent, most, given.most)
+		if longest := watchRetryPause(test.sinceAnswer, 1); longest != test.longest {
+			t.Errorf("after %v the longest pause is %v, want %v", test.sinceAnswer, longest, test.longest)
 		}
 	}
 }
--- a/internal/site/source.go
+++ b/internal/site/source.go
@@ -7,8 +7,8 @@
 	"rockwind.example/rockwind/internal/twirphttp"
 )
 
-// configurationSource asks the coordinator that answers the watches. While none does it
-// waits for the watch.
+// configurationSource is the configuration service of the preferred coordinator. Watch waits while
+// no coordinator answers.
 type configurationSource struct{ watcher *Watcher }
 
 // Watch implements rockwindpb.ConfigurationService.
@@ -29,6 +29,6 @@
 
 func (s configurationSource) service() rockwindpb.ConfigurationService {
 	address := s.watcher.Coordinators()[0]
-	s.watcher.noteAsked(address)
+	s.watcher.setConfigurationAddress(address)
 	return rockwindpb.NewConfigurationServiceProtobufClient("http://"+address, twirphttp.Client{Carrier: s.watcher.client})
 }
--- a/internal/site/watcher.go
+++ b/internal/site/watcher.go
@@ -1,7 +1,7 @@
-// Package site keeps what a process knows of its site: the configuration in
-// force and the directory of servers and machines. It follows the coordinators,
-// of which it knows a few seeds at first and the rest from the directory, and it
-// goes on with what it knows while none of them answers.
+// Package site maintains what a process knows of its site: the current configuration and the
+// directory of servers and machines. It watches the coordinators, of which it knows a few seeds at
+// first and the rest from the directory, and keeps the last known state while none of them
+// answers.
 package site
 
 import (
@@ -30,21 +30,21 @@
 )
 
 const (
-	// watchWait is how long a coordinator may hold a call without news. It bounds
-	// how long a process goes on with a coordinator that has fallen silent.
+	// watchWait is how long a coordinator may hold a watch without news. It bounds how long a
+	// process stays with an unresponsive coordinator.
 	watchWait = time.Second
 	// watchGrace is how much longer than the wait an answer may take.
 	watchGrace = 500 * time.Millisecond
 	// retryPause is the pause after a failed call.
 	retryPause = 50 * time.Millisecond
-	// configurationWait is how long a coordinator may hold a call for a newer
-	// configuration; the watch of the directory tells at once that there is one. It
-	// bounds how long the call hangs at a coordinator that falls silent under it.
+	// configurationWait is how long a coordinator may hold a call for a newer configuration. The
+	// watch of the directory announces new configurations, so the wait only bounds how long the
+	// call hangs at a coordinator that becomes unresponsive.
 	configurationWait = 3 * time.Second
 )
 
-// Watcher follows the coordinators. Run owns its state; the other methods may be
-// called by any goroutine.
+// Watcher watches the coordinators. Run owns its state; the other methods may be called by any
+// goroutine.
 type Watcher struct {
 	settings *rockwindpb.SiteSettings
 	client   *http.Client
@@ -53,70 +53,70 @@
 	directory  atomic.Pointer[directory.View]
 	quarantine atomic.Pointer[quarantine.List]
 	zoneDrains atomic.Pointer[zonedrain.List]
-	// configurationSince and directorySince are when the first of each was known, in Unix
-	// nanoseconds; zero before that.
-	configurationSince, directorySince atomic.Int64
-	// heard is when a coordinator last answered a watch, in Unix nanoseconds.
-	heard atomic.Int64
-
-	// started is when this watcher was made, and failedTries counts the watches that failed.
-	started     time.Time
-	failedTries atomic.Uint64
-	// said is when it was written last that no coordinator answers; the watch's own.
-	said time.Time
-
-	// spared is the coordinator whose last answer left a call there alone, empty otherwise;
-	// the watch's own.
-	spared string
+	// configurationFirstAt and directoryFirstAt are when there first was a configuration and a
+	// directory, in Unix nanoseconds; zero before that.
+	configurationFirstAt, directoryFirstAt atomic.Int64
+	// lastHeard is when a coordinator last answered a watch, minus the age of the answer, in Unix
+	// nanoseconds.
+	lastHeard atomic.Int64
+
+	// createdAt is when the watcher was created, and failedWatches counts failed watches.
+	createdAt     time.Time
+	failedWatches atomic.Uint64
+	// silenceLoggedAt is when logSilence last wrote a record. Only the watch goroutine uses it.
+	silenceLoggedAt time.Time
+
+	// skippedRedirect is the coordinator whose last answer did not redirect the configuration
+	// call, because that was already in progress there. Only the watch goroutine uses it.
+	skippedRedirect string
 
 	mutex   sync.Mutex
 	changed chan struct{}
 	// preferred is the coordinator that answered last.
 	preferred string
-	// asked is the coordinator that was asked for the configuration last.
-	asked string
-	// lost tells that the last watch failed; it is true before the first.
-	lost bool
-	// avoided holds until when coordinators that did not answer come after the
-	// others.
-	avoided map[string]time.Time
+	// configurationAddress is the coordinator that was last asked for the configuration.
+	configurationAddress string
+	// watchFailed is set if the last watch failed. It is true before the first.
+	watchFailed bool
+	// avoidedUntil holds until when coordinators that did not answer are tried after the others.
+	avoidedUntil map[string]time.Time
 }
 
-// NewWatcher returns a watcher that knows nothing yet. The folder keeps the
-// configuration over restarts; it is empty at processes without a disk.
+// NewWatcher returns a watcher without a directory. The folder keeps the configuration across
+// restarts; it is empty for processes without a disk.
 func NewWatcher(settings *rockwindpb.SiteSettings, client *http.Client, folder string) (*Watcher, error) {
-	w := &Watcher{started: time.Now(), settings: settings, client: client, changed: make(chan struct{}), avoided: make(map[string]time.Time), lost: true}
-	following, err := follower.New(follower.Options{
+	w := &Watcher{createdAt: time.Now(), settings: settings, client: client, changed: make(chan struct{}), avoidedUntil: make(map[string]time.Time), watchFailed: true}
+	configurationFollower, err := follower.New(follower.Options{
 		Sources: []rockwindpb.ConfigurationService{configurationSource{w}},
 		Folder:  folder,
 		Wait:    configurationWait,
 		Retry:   retryPause,
-		// A coordinator that fails is left for the next one at once.
+		// After a failure another coordinator is tried at once.
 		MaximumRetry: retryPause,
 		Log:          log.Log,
 	})
 	if err != nil {
 		return nil, err
 	}
-	w.follower = following
+	w.follower = configurationFollower
 	return w, nil
 }
 
-// Run follows until the context ends.
+// Run watches until the context ends.
 func (w *Watcher) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { _ = w.follower.Run(ctx); return nil })
 	group.Go(func() error { w.watch(ctx); return nil })
-	group.Go(func() error { w.passOn(ctx); return nil })
+	group.Go(func() error { w.relayConfigurationChanges(ctx); return nil })
 	return group.Wait()
 }
 
-// passOn announces each new configuration to those who wait for changes.
-func (w *Watcher) passOn(ctx context.Context) {
+// relayConfigurationChanges records each new configuration and notifies the callers of Changed.
+func (w *Watcher) relayConfigurationChanges(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := w.follower.Changed()
 		w.recordConfiguration()
-		w.announce()
+		w.notifyChanged()
 		select {
 		case <-changed:
 		case <-ctx.Done():
@@ -124,29 +124,29 @@
 	}
 }
 
-// recordConfiguration writes which configuration is in force here.
+// recordConfiguration writes a decision record about the current configuration.
 func (w *Watcher) recordConfiguration() {
 	current := w.Configuration()
 	if current.Number() == 0 {
 		return
 	}
-	w.configurationSince.CompareAndSwap(0, time.Now().UnixNano())
+	w.configurationFirstAt.CompareAndSwap(0, time.Now().UnixNano())
 	decision.Default.Record(decision.ConfigurationInForce, strconv.FormatUint(current.Number(), 10), log.Fields{
 		"routes": len(current.Routes()), "checksum": fmt.Sprintf("%x", current.Checksum()[:4]),
 	})
 }
 
-// recordDependency writes that a coordinator was lost, or that one is heard again.
+// recordDependency writes a decision record if a coordinator stops answering or one answers again.
 func (w *Watcher) recordDependency(address string, failure error) {
 	w.mutex.Lock()
-	lost := w.lost
-	w.lost = failure != nil
+	failedBefore := w.watchFailed
+	w.watchFailed = failure != nil
 	w.mutex.Unlock()
-	if lost == (failure != nil) {
+	if failedBefore == (failure != nil) {
 		return
 	}
 	fields := log.Fields{"directory": uint64(0), "heard_ms_ago": int64(-1)}
-	if w.heard.Load() != 0 {
+	if w.lastHeard.Load() != 0 {
 		fields["heard_ms_ago"] = time.Since(w.LastHeard()).Milliseconds()
 	}
 	if view := w.Directory(); view != nil {
@@ -160,38 +160,41 @@
 	decision.Default.Record(decision.DependencyRegained, address, fields)
 }
 
-// isLost tells whether the last watch failed, or there was none.
-func (w *Watcher) isLost() bool {
+// lastWatchFailed reports whether the last watch failed or there was none.
+func (w *Watcher) lastWatchFailed() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.lost
+	return w.watchFailed
 }
 
-// Configuration is the one in force; it has number zero before the first.
+// Configuration returns the current configuration. It has number zero before the first.
 func (w *Watcher) Configuration() *configuration.Index { return w.follower.Current() }
 
-// Directory is the newest directory that is known, nil before the first.
+// Directory returns the latest known directory, nil before the first.
 func (w *Watcher) Directory() *directory.View { return w.directory.Load() }
 
-// Quarantine lists the requests under which servers ended, nil before the first directory.
+// Quarantine returns the list of request contents under which servers ended, nil before the first
+// directory.
 func (w *Watcher) Quarantine() *quarantine.List { return w.quarantine.Load() }
 
-// ZoneDrains lists the zones whose servers get nothing new, nil before the first directory.
+// ZoneDrains returns the list of drained zones, whose servers get no new work, nil before the
+// first directory.
 func (w *Watcher) ZoneDrains() *zonedrain.List { return w.zoneDrains.Load() }
 
-// Initialized tells whether a configuration and a directory have been heard from a
-// coordinator since the start.
+// Initialized reports whether the watcher has a directory and a configuration, which may have been
+// read from disk.
 func (w *Watcher) Initialized() bool {
-	return w.directory.Load() != nil && w.configurationSince.Load() > 0
+	return w.directory.Load() != nil && w.configurationFirstAt.Load() > 0
 }
 
-// InitializedAt is when the first configuration and the first directory were known here, with
-// those that were read from disk; the Unix epoch before that.
+// InitializedAt returns when the watcher first had a configuration, which may have been read from
+// disk, and a directory; the Unix epoch before that.
 func (w *Watcher) InitializedAt() (configuration, directory time.Time) {
-	return time.Unix(0, w.configurationSince.Load()), time.Unix(0, w.directorySince.Load())
+	return time.Unix(0, w.configurationFirstAt.Load()), time.Unix(0, w.directoryFirstAt.Load())
 }
 
-// AwaitInitialized waits until Known, and returns false where the context ends before.
+// AwaitInitialized waits until the watcher is initialized. It returns false if the context ends
+// before.
 func (w *Watcher) AwaitInitialized(ctx context.Context) bool {
 	for {
 		changed := w.Changed()
@@ -206,51 +209,52 @@
 	}
 }
 
-// LastHeard is when a coordinator that hears its leader last answered.
-func (w *Watcher) LastHeard() time.Time { return time.Unix(0, w.heard.Load()) }
+// LastHeard returns when a coordinator that is in contact with its leader last answered.
+func (w *Watcher) LastHeard() time.Time { return time.Unix(0, w.lastHeard.Load()) }
 
-// Changed returns a channel that is closed when the configuration or the
-// directory moves past what it was at the call.
+// Changed returns a channel that is closed when the configuration, the directory, the quarantine
+// or the zone drains change after the call.
 func (w *Watcher) Changed() <-chan struct{} {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.changed
 }
 
-func (w *Watcher) announce() {
+// notifyChanged wakes the callers of Changed.
+func (w *Watcher) notifyChanged() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
 
+// watch watches one coordinator after the other until the context ends.
 func (w *Watcher) watch(ctx context.Context) {
 	for ctx.Err() == nil {
-		known := w.Coordinators()
-		if len(known) == 0 {
+		addresses := w.Coordinators()
+		if len(addresses) == 0 {
 			retry.Pause(ctx, retryPause)
 			continue
 		}
-		address := known[0]
+		address := addresses[0]
 		if err := w.watchAt(ctx, address); err != nil {
 			w.avoid(address)
 			if ctx.Err() == nil {
 				w.recordDependency(address, err)
-				w.saySilence(err)
+				w.logSilence(err)
 			}
 		}
 		if w.Directory() == nil || w.SinceLastAnswer() > watchWait {
-			retry.Pause(ctx, pauseBetweenTries(w.SinceLastAnswer(), rand.Float64()))
+			retry.Pause(ctx, watchRetryPause(w.SinceLastAnswer(), rand.Float64()))
 		}
 	}
 }
 
-// watchAt makes calls to one coordinator for as long as it answers, or until a nearer
-// one answers too.
+// watchAt watches one coordinator until a call fails or a nearer coordinator answers.
 func (w *Watcher) watchAt(ctx context.Context, address string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	nearer := w.seekNearer(ctx, address)
+	nearer := w.searchNearer(ctx, address)
 	service := w.directoryAt(address)
 	for ctx.Err() == nil {
 		if err := w.watchOnce(ctx, address, service); err != nil {
@@ -258,7 +262,7 @@
 		}
 		select {
 		case <-nearer:
-			w.preferNearest()
+			w.clearPreferred()
 			return nil
 		default:
 		}
@@ -266,13 +270,13 @@
 	return nil
 }
 
-// directoryAt is the directory as the coordinator at an address serves it.
+// directoryAt returns a client of the directory service at an address.
 func (w *Watcher) directoryAt(address string) rockwindpb.DirectoryService {
 	return rockwindpb.NewDirectoryServiceProtobufClient("http://"+address, twirphttp.Client{Carrier: w.client})
 }
 
-// watchRequest asks for what is newer than the held directory, nil for none, and than the
-// configuration, the quarantine and the zone drains known here.
+// watchRequest asks for what is newer than the held directory, which may be nil, and than the
+// watcher's configuration, quarantine and zone drains.
 func (w *Watcher) watchRequest(held *directory.View, wait time.Duration) *rockwindpb.WatchDirectoryRequest {
 	request := &rockwindpb.WatchDirectoryRequest{
 		WaitMs: uint32(wait.Milliseconds()), HaveConfiguration: w.Configuration().Number(), HaveQuarantine: w.Quarantine().Revision(),
@@ -290,13 +294,14 @@
 	ctx, cancel := context.WithTimeout(ctx, watchWait+watchGrace)
 	defer cancel()
 	if held == nil {
-		var disarm func()
-		ctx, disarm = WithConnectTimeout(ctx, ConnectTimeout)
-		defer disarm()
+		var release func()
+		ctx, release = WithConnectTimeout(ctx, ConnectTimeout)
+		defer release()
 	}
 	wait := watchWait
-	if w.isLost() {
-		// Nothing may be new; that the coordinator answers is.
+	if w.lastWatchFailed() {
+		// The first answer after a failure shows that the coordinator is reachable, so it must not
+		// wait for news.
 		wait = 0
 	}
 	response, err := service.Watch(ctx, w.watchRequest(held, wait))
@@ -305,31 +310,32 @@
 	}
 	w.recordDependency(address, nil)
 	age := time.Duration(response.GetAgeMs()) * time.Millisecond
-	w.heard.Store(time.Now().Add(-age).UnixNano())
-	// The hint makes the follower ask the preferred coordinator, which must be the
-	// one that has the news. A call that waits there already is about to be answered, and
-	// is not cut. Where the next answer shows that it was not, it hangs: a hint would not
-	// end it, as the number may have been hinted before.
-	spared := w.spared == address
-	w.spared = ""
-	switch changed := w.prefer(address); {
-	case changed && w.asks(address):
-		w.spared = address
-	case changed || spared:
+	w.lastHeard.Store(time.Now().Add(-age).UnixNano())
+	// Hints and redirects make the follower ask the preferred coordinator, which has the news. A
+	// call that is already in progress there is about to be answered and is not aborted. If the
+	// next answer shows that it was not answered, it hangs, and only a redirect ends it, because
+	// the number may have been hinted before.
+	skipped := w.skippedRedirect == address
+	w.skippedRedirect = ""
+	switch changed := w.setPreferred(address); {
+	case changed && w.isConfigurationAddress(address):
+		w.skippedRedirect = address
+	case changed || skipped:
 		w.follower.Redirect(response.GetConfigurationNumber())
 	default:
 		w.follower.Hint(response.GetConfigurationNumber())
 	}
-	w.takeQuarantine(response)
-	w.takeZoneDrains(response)
+	w.updateQuarantine(response)
+	w.updateZoneDrains(response)
 	merged := directory.Merge(held, response)
 	if merged != held {
 		w.directory.Store(merged)
-		w.directorySince.CompareAndSwap(0, time.Now().UnixNano())
-		w.announce()
+		w.directoryFirstAt.CompareAndSwap(0, time.Now().UnixNano())
+		w.notifyChanged()
 	}
 	if response.GetConfigurationNumber() > w.Configuration().Number() {
-		// The follower is fetching it; the next watch would return at once.
+		// The follower is fetching the configuration. Until it has it, the next watch would return at
+		// once.
 		select {
 		case <-w.follower.Changed():
 		case <-ctx.Done():
@@ -339,62 +345,61 @@
 	return nil
 }
 
-// takeQuarantine takes what a coordinator tells of the quarantine, unless it is known here
-// already or older.
-func (w *Watcher) takeQuarantine(response *rockwindpb.WatchDirectoryResponse) {
+// updateQuarantine stores the quarantine list of a response if it is newer.
+func (w *Watcher) updateQuarantine(response *rockwindpb.WatchDirectoryResponse) {
 	if response.GetQuarantineRevision() <= w.Quarantine().Revision() {
 		return
 	}
 	w.quarantine.Store(quarantine.NewList(response.GetQuarantineRevision(), response.GetSuspects(), time.Now()))
-	w.announce()
+	w.notifyChanged()
 }
 
-// takeZoneDrains takes what a coordinator tells of zone drains, unless it is known here already
-// or older. It is known before the directory that comes with it.
-func (w *Watcher) takeZoneDrains(response *rockwindpb.WatchDirectoryResponse) {
+// updateZoneDrains stores the zone drains of a response if they are newer. It runs before the
+// directory of the same response is stored.
+func (w *Watcher) updateZoneDrains(response *rockwindpb.WatchDirectoryResponse) {
 	if response.GetZoneDrainsRevision() <= w.ZoneDrains().Revision() {
 		return
 	}
-	told := zonedrain.NewList(response.GetZoneDrainsRevision(), response.GetZoneDrains())
-	w.zoneDrains.Store(told)
-	w.announce()
-	zones := make([]string, 0, len(told.Drains()))
-	for _, drain := range told.Drains() {
+	drains := zonedrain.NewList(response.GetZoneDrainsRevision(), response.GetZoneDrains())
+	w.zoneDrains.Store(drains)
+	w.notifyChanged()
+	zones := make([]string, 0, len(drains.Drains()))
+	for _, drain := range drains.Drains() {
 		zones = append(zones, drain.GetZone())
 	}
-	decision.Default.Record(decision.ZoneDrainsInForce, strconv.FormatUint(told.Revision(), 10), log.Fields{"zones": zones})
+	decision.Default.Record(decision.ZoneDrainsInForce, strconv.FormatUint(drains.Revision(), 10), log.Fields{"zones": zones})
 }
 
-// Stores lists the internal addresses of the stores by name.
+// Stores lists the machines of the directory that run a store, by name.
 func (w *Watcher) Stores() []*rockwindpb.Machine {
 	return w.Directory().WithRole(rockwindpb.SiteRole_SITE_ROLE_STORE)
 }
 
-// Announce makes this machine known in the directory. Where the founding of the stores'
-// cluster is wanted it is returned, nil before it is decided. While no coordinator has
-// answered for long it waits for one.
+// Announce announces this machine to the directory. If wantStoreCluster is set it returns the
+// founding of the stores' cluster, nil until that is decided. It waits while no coordinator
+// answers.
 func (w *Watcher) Announce(ctx context.Context, machine *rockwindpb.Machine, wantStoreCluster bool) (*rockwindpb.FoundRequest, error) {
 	var founding *rockwindpb.FoundRequest
 	w.awaitAnswer(ctx)
-	err := w.atCoordinator(ctx, func(calling context.Context, address string) error {
-		response, err := w.directoryAt(address).Announce(calling, &rockwindpb.AnnounceMachineRequest{Machine: machine, WantStoreCluster: wantStoreCluster})
+	err := w.callCoordinators(ctx, func(callCtx context.Context, address string) error {
+		response, err := w.directoryAt(address).Announce(callCtx, &rockwindpb.AnnounceMachineRequest{Machine: machine, WantStoreCluster: wantStoreCluster})
 		founding = response.GetStoreCluster()
 		return err
 	})
 	return founding, err
 }
 
-// atCoordinator makes a call at one coordinator after the other until one takes it.
-func (w *Watcher) atCoordinator(ctx context.Context, call func(calling context.Context, address string) error) error {
-	var last error
+// callCoordinators makes a call at one coordinator after the other until one accepts it.
+func (w *Watcher) callCoordinators(ctx context.Context, call func(ctx context.Context, address string) error) error {
+	var lastErr error
 	for _, address := range w.Coordinators() {
-		calling, cancel := context.WithTimeout(ctx, watchWait)
-		err := call(calling, address)
+		callCtx, cancel := context.WithTimeout(ctx, watchWait)
+		err := call(callCtx, address)
 		cancel()
 		if err == nil {
 			return nil
 		}
-		last = fault.From(err)
+		lastErr = fault.From(err)
 	}
-	return last
+	return lastErr
 }
--- a/internal/site/watcher_test.go
+++ b/internal/site/watcher_test.go
@@ -14,31 +14,30 @@
 	"rockwind.example/rockwind/internal/site"
 )
 
-// fakeCoordinator answers watches with one state, or hangs.
+// fakeCoordinator answers watches with a fixed directory and a configuration number, or hangs.
 type fakeCoordinator struct {
 	number  atomic.Uint64
 	hanging atomic.Bool
-	// withholding makes calls for the configuration hang, although the watch of the
-	// directory tells its number.
-	withholding atomic.Bool
-	// lostCalls is how many calls for the configuration are never answered.
-	lostCalls atomic.Int64
-	// hold is how long calls for the directory are held, in nanoseconds.
-	hold atomic.Int64
-	// machines are those of the directory. They are set before the start.
+	// hangingConfiguration makes configuration calls hang, although the directory watch reports a
+	// newer number.
+	hangingConfiguration atomic.Bool
+	// droppedCalls is how many configuration calls are never answered.
+	droppedCalls atomic.Int64
+	// watchDelay is how long directory calls are held, in nanoseconds.
+	watchDelay atomic.Int64
+	// machines are those of the directory. They must be set before the start.
 	machines []*rockwindpb.Machine
-	// watches counts the calls for the directory, and configurationCalls those for the
-	// configuration.
+	// watches counts the directory calls, and configurationCalls the configuration calls.
 	watches, configurationCalls atomic.Int64
 }
 
 func newFakeCoordinator(number uint64) *fakeCoordinator {
-	made := &fakeCoordinator{}
-	made.number.Store(number)
-	return made
+	created := &fakeCoordinator{}
+	created.number.Store(number)
+	return created
 }
 
-func (f *fakeCoordinator) hang(ctx context.Context) error {
+func (f *fakeCoordinator) waitIfHanging(ctx context.Context) error {
 	if !f.hanging.Load() {
 		return nil
 	}
@@ -64,11 +63,11 @@
 
 func (f fakeDirectory) Watch(ctx context.Context, request *rockwindpb.WatchDirectoryRequest) (*rockwindpb.WatchDirectoryResponse, error) {
 	f.watches.Add(1)
-	if err := f.hang(ctx); err != nil {
+	if err := f.waitIfHanging(ctx); err != nil {
 		return nil, err
 	}
 	select {
-	case <-time.After(time.Duration(f.hold.Load())):
+	case <-time.After(time.Duration(f.watchDelay.Load())):
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
@@ -117,16 +116,15 @@
 
 func (f fakeConfiguration) Watch(ctx context.Context, request *rockwindpb.WatchConfigurationRequest) (*rockwindpb.WatchConfigurationResponse, error) {
 	f.configurationCalls.Add(1)
-	if f.lostCalls.Add(-1) >= 0 {
+	if f.droppedCalls.Add(-1) >= 0 {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	if err := f.hang(ctx); err != nil {
+	if err := f.waitIfHanging(ctx); err != nil {
 		return nil, err
 	}
-	if request.GetHaveNumber() >= f.number.Load() || f.withholding.Load() {
-		// A coordinator holds the call while it has nothing new, and hangs with it
-		// when it falls silent meanwhile.
+	if request.GetHaveNumber() >= f.number.Load() || f.hangingConfiguration.Load() {
+		// A coordinator holds the call while it has no news.
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -137,59 +135,57 @@
 	return &rockwindpb.WatchConfigurationResponse{Change: index.Full()}, nil
 }
 
-// TestConfigurationArrivesAfterTheWatchedCoordinatorFellSilent: the call for a
-// newer configuration hangs at a coordinator that has lost its power. News of
-// another coordinator must end it, and be fetched from that other one.
-func TestConfigurationArrivesAfterTheWatchedCoordinatorFellSilent(t *testing.T) {
+// TestConfigurationArrivesAfterTheWatchedCoordinatorHangs: the configuration call hangs at an
+// unresponsive coordinator. News from another coordinator must abort it and be fetched from that
+// one.
+func TestConfigurationArrivesAfterTheWatchedCoordinatorHangs(t *testing.T) {
 	first, second := newFakeCoordinator(1), newFakeCoordinator(2)
 	second.hanging.Store(true)
-	watcher := follow(t, first.start(t), second.start(t))
-	awaitNumber(t, watcher, 1, 10*time.Second)
+	watcher := startWatcher(t, first.start(t), second.start(t))
+	awaitConfiguration(t, watcher, 1, 10*time.Second)
 	first.hanging.Store(true)
 	second.hanging.Store(false)
-	// One watch of the silent coordinator, and what follows.
-	awaitNumber(t, watcher, 2, site.WatchWait+site.WatchGrace+time.Second)
+	// The watch of the unresponsive coordinator must time out first.
+	awaitConfiguration(t, watcher, 2, site.WatchWait+site.WatchGrace+time.Second)
 }
 
-// TestNewsOfTheSilentCoordinatorIsFetchedElsewhere: the coordinator tells of a newer
-// configuration and loses its power before it hands it over. The call for it hangs
-// there; the next coordinator tells the same news, which must end that call.
+// TestNewsOfTheSilentCoordinatorIsFetchedElsewhere: a coordinator announces a newer configuration
+// and hangs before it delivers it. The same news from the next coordinator must abort the call.
 func TestNewsOfTheSilentCoordinatorIsFetchedElsewhere(t *testing.T) {
 	first, second := newFakeCoordinator(1), newFakeCoordinator(2)
 	second.hanging.Store(true)
-	watcher := follow(t, first.start(t), second.start(t))
-	awaitNumber(t, watcher, 1, 10*time.Second)
-	first.withholding.Store(true)
+	watcher := startWatcher(t, first.start(t), second.start(t))
+	awaitConfiguration(t, watcher, 1, 10*time.Second)
+	first.hangingConfiguration.Store(true)
 	first.number.Store(2)
-	// Long enough for the news to arrive.
+	// Long enough for the watcher to receive the news.
 	time.Sleep(200 * time.Millisecond)
 	first.hanging.Store(true)
 	second.hanging.Store(false)
-	awaitNumber(t, watcher, 2, site.WatchWait+site.WatchGrace+500*time.Millisecond)
+	awaitConfiguration(t, watcher, 2, site.WatchWait+site.WatchGrace+500*time.Millisecond)
 }
 
-// TestLostCallAtTheCoordinatorThatAnswersIsMadeAgain: a process that starts asks one
-// coordinator for the directory and the configuration. The latter call is lost; it is made
-// again long before its time is over.
-func TestLostCallAtTheCoordinatorThatAnswersIsMadeAgain(t *testing.T) {
+// TestLostConfigurationCallIsRetriedAtTheSameCoordinator verifies that a lost configuration call
+// is retried long before its timeout if the directory watch is answered.
+func TestLostConfigurationCallIsRetriedAtTheSameCoordinator(t *testing.T) {
 	only := newFakeCoordinator(1)
-	only.lostCalls.Store(1)
-	watcher := follow(t, only.start(t))
-	awaitNumber(t, watcher, 1, site.WatchWait)
+	only.droppedCalls.Store(1)
+	watcher := startWatcher(t, only.start(t))
+	awaitConfiguration(t, watcher, 1, site.WatchWait)
 }
 
-// TestCallThatHangsIsGivenUpThoughItsCoordinatorIsPreferredAnew: the call for a newer
-// configuration hangs at the coordinator that tells of it, whose number was hinted before. The
-// coordinator's first answer leaves the call alone, since it waits at the right place; the
-// next one ends it.
-func TestCallThatHangsIsGivenUpThoughItsCoordinatorIsPreferredAnew(t *testing.T) {
+// TestHangingConfigurationCallIsAbortedAtAReselectedCoordinator: the configuration call hangs at
+// the coordinator that announces the configuration, whose number was hinted before. After the
+// coordinator is preferred again, its first answer leaves the call alone and the next one aborts
+// it.
+func TestHangingConfigurationCallIsAbortedAtAReselectedCoordinator(t *testing.T) {
 	only := newFakeCoordinator(1)
-	watcher := follow(t, only.start(t))
-	awaitNumber(t, watcher, 1, 10*time.Second)
+	watcher := startWatcher(t, only.start(t))
+	awaitConfiguration(t, watcher, 1, 10*time.Second)
 	awaitCall := func(before int64) {
 		for deadline := time.Now().Add(10 * time.Second); only.configurationCalls.Load() == before; time.Sleep(time.Millisecond) {
 			if time.Now().After(deadline) {
-				t.Fatal("the configuration is not asked for")
+				t.Fatal("the configuration is not requested")
 			}
 		}
 	}
@@ -198,33 +194,33 @@
 	awaitCall(2)
 	only.number.Store(2)
 	watcher.PreferNearest()
-	awaitNumber(t, watcher, 2, site.WatchWait)
+	awaitConfiguration(t, watcher, 2, site.WatchWait)
 }
 
-// follow runs a watcher of the given seeds until the end of the test.
-func follow(t *testing.T, seeds ...string) *site.Watcher {
+// startWatcher runs a watcher with the given seeds until the end of the test.
+func startWatcher(t *testing.T, seeds ...string) *site.Watcher {
 	t.Helper()
-	return followFrom(t, "", seeds...)
+	return startWatcherInZone(t, "", seeds...)
 }
 
-func awaitNumber(t *testing.T, watcher *site.Watcher, number uint64, limit time.Duration) {
+func awaitConfiguration(t *testing.T, watcher *site.Watcher, number uint64, limit time.Duration) {
 	t.Helper()
 	for deadline := time.Now().Add(limit); watcher.Configuration().Number() != number; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("configuration %d is in force after %v, not %d", watcher.Configuration().Number(), limit, number)
+			t.Fatalf("configuration %d is current after %v, not %d", watcher.Configuration().Number(), limit, number)
 		}
 	}
 }
 
-// TestWatcherReachesTheOnlyCoordinatorThatAnswers: two of three hang. Each of them
-// is tried once, not the two by turns for ever.
+// TestWatcherReachesTheOnlyCoordinatorThatAnswers guards against alternating between two
+// unresponsive coordinators out of three.
 func TestWatcherReachesTheOnlyCoordinatorThatAnswers(t *testing.T) {
 	var seeds []string
 	for range 2 {
-		silent := newFakeCoordinator(1)
-		silent.hanging.Store(true)
-		seeds = append(seeds, silent.start(t))
+		unresponsive := newFakeCoordinator(1)
+		unresponsive.hanging.Store(true)
+		seeds = append(seeds, unresponsive.start(t))
 	}
 	seeds = append(seeds, newFakeCoordinator(3).start(t))
-	awaitNumber(t, follow(t, seeds...), 3, 3*(site.WatchWait+site.WatchGrace))
+	awaitConfiguration(t, startWatcher(t, seeds...), 3, 3*(site.WatchWait+site.WatchGrace))
 }
