--- a/internal/coordinator/members.go
+++ b/internal/coordinator/members.go
@@ -51,7 +51,7 @@
 // root group, as the group already has enough members.
 func (c *Coordinator) isNonMember() bool {
 	select {
-	case <-c.host.Founded():
+	case <-c.host.InCluster():
 	default:
 		return false
 	}
@@ -69,7 +69,7 @@
 			addresses = append(addresses, address)
 		}
 	}
-	for _, machine := range c.host.Told() {
+	for _, machine := range c.host.JoinResponseMembers() {
 		add(machine.GetAddress())
 	}
 	for _, seed := range c.settings.GetSeeds() {
--- a/internal/coordinator/virtualsite_test.go
+++ b/internal/coordinator/virtualsite_test.go
@@ -196,7 +196,7 @@
 	c := &Coordinator{settings: &rockwindpb.SiteSettings{Name: p.name, Seeds: s.seeds, InternalListen: p.name}, client: s.client, liveness: newLiveness()}
 	options := replica.Options{
 		Machine: p.name, Address: p.name, Folder: "data", FileSystem: p.disk, Client: s.client,
-		Tick: 30 * time.Millisecond, HeartbeatTicks: 2, Random: s.random.Uint64(),
+		Tick: 30 * time.Millisecond, HeartbeatTicks: 2, RandomSeed: s.random.Uint64(),
 		StateMachines: func(uint32) replica.StateMachine {
 			created := newRootStateMachine()
 			c.rootState.Store(created)
@@ -204,7 +204,7 @@
 		},
 	}
 	if s.admitsNew {
-		options.Discover, options.AdmitNew, options.Places = c.peers, true, maxRootMembers
+		options.Discover, options.AdmitNew, options.TargetVoters = c.peers, true, maxRootMembers
 	}
 	host, err := replica.NewHost(options)
 	if err != nil {
@@ -215,7 +215,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- host.Run(ctx) }()
 	p.stop = func() {
-		p.disk.Kill()
+		p.disk.KillProcess()
 		cancel()
 		<-ended
 		p.stop = func() {}
--- a/internal/jobclient/client.go
+++ b/internal/jobclient/client.go
@@ -118,7 +118,7 @@
 // limit it fails with fault.LimitReached and a RetryAfter.
 func (c *Client) Reserve(ctx context.Context, request *rockwindpb.ReserveTokensRequest) (*rockwindpb.ReserveTokensResponse, error) {
 	owner := func(shards int) uint32 {
-		return quota.OwnerOf(quota.Account(request.GetRoute(), request.GetTenant()), shards)
+		return quota.OwnerOf(quota.AccountKey(request.GetRoute(), request.GetTenant()), shards)
 	}
 	return call(ctx, c, owner, 0, func(ctx context.Context, service storeClient) (*rockwindpb.ReserveTokensResponse, error) {
 		return service.limits.Reserve(ctx, request)
@@ -135,7 +135,7 @@
 
 // store returns the clients of the store at an address.
 func (c *Client) store(address string) storeClient {
-	client := twirphttp.Client{Carrier: c.client}
+	client := twirphttp.Client{HTTPClient: c.client}
 	return storeClient{
 		JobStoreService: rockwindpb.NewJobStoreServiceProtobufClient("http://"+address, client),
 		limits:          rockwindpb.NewTokenLimitServiceProtobufClient("http://"+address, client),
--- a/internal/site/reporter.go
+++ b/internal/site/reporter.go
@@ -39,7 +39,7 @@
 
 	mutex sync.Mutex
 	// unreported holds the observations that no coordinator has accepted yet.
-	unreported *quarantine.Untold
+	unreported *quarantine.Unreported
 }
 
 // observation is the end of a server, or the answer to a suspected request if end is nil.
@@ -52,7 +52,7 @@
 
 // NewQuarantineReporter returns a reporter to the coordinators that the watcher knows.
 func NewQuarantineReporter(watcher *Watcher) *QuarantineReporter {
-	return &QuarantineReporter{watcher: watcher, queue: make(chan observation, reportQueueSize), unreported: quarantine.NewUntold()}
+	return &QuarantineReporter{watcher: watcher, queue: make(chan observation, reportQueueSize), unreported: quarantine.NewUnreported()}
 }
 
 // HeldFor returns for how much longer a content is quarantined by unreported observations.
@@ -93,14 +93,14 @@
 	defer r.mutex.Unlock()
 	// Run sets end.BeganMsAgo, so end must be read before it is queued.
 	if observed.end == nil {
-		r.unreported.Answered(observed.answered, observed.observedAt)
+		r.unreported.RecordAnswer(observed.answered, observed.observedAt)
 	} else {
-		r.unreported.Ended(observed.end, observed.observedAt.Sub(observed.startedAt), observed.observedAt)
+		r.unreported.RecordCrash(observed.end, observed.observedAt.Sub(observed.startedAt), observed.observedAt)
 	}
 	select {
 	case r.queue <- observed:
 	default:
-		r.unreported.Done(1)
+		r.unreported.MarkReported(1)
 		log.WithField("waiting", reportQueueSize).Warn("dropping the report of a server's end: the queue is full")
 	}
 }
@@ -109,7 +109,7 @@
 func (r *QuarantineReporter) markDone(count int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.unreported.Done(count)
+	r.unreported.MarkReported(count)
 }
 
 // Run sends reports until the context ends.
@@ -144,7 +144,7 @@
 	defer r.markDone(len(observations))
 	for {
 		err := r.watcher.callCoordinators(ctx, func(callCtx context.Context, address string) error {
-			service := rockwindpb.NewQuarantineServiceProtobufClient("http://"+address, twirphttp.Client{Carrier: r.watcher.client})
+			service := rockwindpb.NewQuarantineServiceProtobufClient("http://"+address, twirphttp.Client{HTTPClient: r.watcher.client})
 			_, err := service.Report(callCtx, newReport(observations, time.Now()))
 			return err
 		})
--- a/internal/site/watcher.go
+++ b/internal/site/watcher.go
@@ -272,7 +272,7 @@
 
 // directoryAt returns a client of the directory service at an address.
 func (w *Watcher) directoryAt(address string) rockwindpb.DirectoryService {
-	return rockwindpb.NewDirectoryServiceProtobufClient("http://"+address, twirphttp.Client{Carrier: w.client})
+	return rockwindpb.NewDirectoryServiceProtobufClient("http://"+address, twirphttp.Client{HTTPClient: w.client})
 }
 
 // watchRequest asks for what is newer than the held directory, which may be nil, and than the
--- a/internal/store/parting_test.go
+++ b/internal/store/parting_test.go
@@ -24,7 +24,7 @@
 	t        *testing.T
 	store    *Store
 	executor *executor
-	group    *replica.Local
+	group    *replica.InMemoryGroup
 	machine  *jobstore.Machine
 	writer   output.Writer
 }
@@ -37,7 +37,7 @@
 		machines: make(map[uint32]*jobstore.Machine), handovers: make(map[uint32]chan handover), created: make(chan uint32, 1),
 	}
 	machine := s.create(1).(*jobstore.Machine)
-	group := replica.NewLocal(machine)
+	group := replica.NewInMemoryGroup(machine)
 	submit := &rockwindpb.JobStoreCommand{Command: &rockwindpb.JobStoreCommand_Submit{Submit: &rockwindpb.StoredJob{
 		Id: "job", Items: []*rockwindpb.StoredItem{{Id: "item"}}, SubmittedUnixMs: time.Now().UnixMilli(),
 	}}}
@@ -50,7 +50,7 @@
 	}
 	e := &executor{
 		store: s, group: group, machine: machine, claims: claims.NewTable(),
-		history: make(map[claims.Key]*history), active: make(map[claims.Key]*activeAttempt), paces: make(map[string]*backlog.Pace),
+		history: make(map[claims.Key]*history), active: make(map[claims.Key]*activeAttempt), paces: make(map[string]*backlog.RunTimeEstimator),
 		ended: make(chan attemptResult, resultBuffer), progressDone: make(chan struct{}, 1), handovers: s.handoversOf(1),
 		term: 1, historyTerm: 1, lastProgress: time.Now().Add(time.Hour),
 	}
