--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -79,8 +79,8 @@
 		option(c)
 	}
 	host, release, err := site.OpenHost(settings, c.client, site.HostOptions{
-		Discover: c.peers,
-		Places:   max(maxRootMembers, site.GroupSize(settings)),
+		Discover:     c.peers,
+		TargetVoters: max(maxRootMembers, site.GroupSize(settings)),
 		StateMachines: func(uint32) replica.StateMachine {
 			machine := newRootStateMachine()
 			c.rootState.Store(machine)
--- a/internal/site/host.go
+++ b/internal/site/host.go
@@ -56,11 +56,11 @@
 // HostOptions are the options that differ between the replicated daemons of a site. The fields are
 // those of replica.Options.
 type HostOptions struct {
-	Discover      func() []*rockwindpb.ControlMachine
-	Vacate        func(machine string) bool
-	StateMachines func(group uint32) replica.StateMachine
-	HandingOver   func(ctx context.Context, group uint32)
-	Places        int
+	Discover                 func() []*rockwindpb.ControlMachine
+	MustLeave                func(machine string) bool
+	StateMachines            func(group uint32) replica.StateMachine
+	BeforeLeadershipTransfer func(ctx context.Context, group uint32)
+	TargetVoters             int
 }
 
 // OpenHost locks the data folder of the settings and opens the replicas in it. The returned
@@ -78,14 +78,14 @@
 		HeartbeatTicks:           heartbeatTicks,
 		Discover:                 options.Discover,
 		AdmitNew:                 true,
-		TargetVoters:             options.Places,
-		MustLeave:                options.Vacate,
+		TargetVoters:             options.TargetVoters,
+		MustLeave:                options.MustLeave,
 		SnapshotEntries:          snapshotEntries,
 		SnapshotBytes:            LogBytes(given),
 		TrailingBytes:            LogBytes(given) / 2,
 		SegmentBytes:             segmentBytes,
 		StateMachines:            options.StateMachines,
-		BeforeLeadershipTransfer: options.HandingOver,
+		BeforeLeadershipTransfer: options.BeforeLeadershipTransfer,
 	})
 	if err != nil {
 		release()
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -78,7 +78,7 @@
 		created:    make(chan uint32, maximumShards),
 	}
 	host, release, err := site.OpenHost(settings, s.client, site.HostOptions{
-		Discover: s.peers, Vacate: s.retiring, StateMachines: s.create, HandingOver: s.prepareHandover, Places: site.GroupSize(settings),
+		Discover: s.peers, MustLeave: s.retiring, StateMachines: s.create, BeforeLeadershipTransfer: s.prepareHandover, TargetVoters: site.GroupSize(settings),
 	})
 	if err != nil {
 		return err
