--- a/internal/site/host.go
+++ b/internal/site/host.go
@@ -32,8 +32,8 @@
 	logFraction = 0.02
 	minLogBytes = 1 << 20
 	maxLogBytes = 12 << 20
-	// handoverTimeout bounds the handover of leadership at a planned shutdown.
-	handoverTimeout = 2 * time.Second
+	// transferTimeout bounds the transfer of leaderships at a planned shutdown.
+	transferTimeout = 2 * time.Second
 )
 
 // AdvertisedAddress returns the address at which other processes of the site reach the one with
@@ -95,9 +95,9 @@
 }
 
 // RunHost runs the replicas and the tasks that start adds to the group until the context ends. It
-// then hands over leadership while everything still runs, calls handedOver, and ends the context
+// then transfers leadership while everything still runs, calls transferred, and ends the context
 // of the tasks.
-func RunHost(ctx context.Context, host *replica.Host, start func(group *errgroup.Group, tasksCtx context.Context), handedOver func()) error {
+func RunHost(ctx context.Context, host *replica.Host, start func(group *errgroup.Group, tasksCtx context.Context), transferred func()) error {
 	tasksCtx, stopTasks := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopTasks()
 	group, tasksCtx := errgroup.WithContext(tasksCtx)
@@ -109,12 +109,12 @@
 		case <-ctx.Done():
 		case <-tasksCtx.Done():
 		}
-		handoverCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), handoverTimeout)
+		transferCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), transferTimeout)
 		defer cancel()
-		if err := host.Drain(handoverCtx); err != nil {
-			log.WithError(err).Warn("cannot hand over the leadership of all groups")
+		if err := host.Drain(transferCtx); err != nil {
+			log.WithError(err).Warn("cannot transfer the leadership of all groups")
 		}
-		handedOver()
+		transferred()
 		return nil
 	})
 	return group.Wait()
