--- a/internal/batch/dispatch.go
+++ b/internal/batch/dispatch.go
@@ -241,7 +241,7 @@
 	delete(e.running, current)
 	delete(held.running, current.item)
 	e.forgetPaused(current)
-	e.options.View.BatchEnded(current.target, current.report, current.paused, current.prompt)
+	e.options.View.EndBatch(current.target, current.report, current.paused, current.prompt)
 	e.account(current)
 	if current.abandoned {
 		return
--- a/internal/batch/lease.go
+++ b/internal/batch/lease.go
@@ -43,7 +43,7 @@
 type lease struct {
 	key    leaseKey
 	job    *rockwindpb.Job
-	wanted serverview.BatchWanted
+	wanted serverview.BatchRequirements
 	weight float64
 	// pending are the items that wait, next one first.
 	pending []uint32
@@ -100,7 +100,7 @@
 // which models.
 func (e *Executor) capacity() (free int, models []string) {
 	for _, model := range e.options.Current().Models() {
-		count := e.options.View.BatchFree(serverview.BatchWanted{Model: model.GetName()})
+		count := e.options.View.FreeBatchSlots(serverview.BatchRequirements{Model: model.GetName()})
 		if count > 0 {
 			free += count
 			models = append(models, model.GetName())
@@ -153,7 +153,7 @@
 	}
 	held.takeItems(granted)
 	model, adapter, _ := strings.Cut(job.GetModel(), ":")
-	held.wanted = serverview.BatchWanted{Model: model, Adapter: adapter, Objective: e.objective(job.GetGroup())}
+	held.wanted = serverview.BatchRequirements{Model: model, Adapter: adapter, Objective: e.objective(job.GetGroup())}
 	if class, found := e.options.Current().BatchClass(job.GetBatchClass()); found {
 		held.weight = class.GetWeight()
 	}
--- a/internal/batch/reclaim.go
+++ b/internal/batch/reclaim.go
@@ -66,7 +66,7 @@
 		group.Running += sharing.Places(current.prompt, now.Sub(current.started))
 	}
 	for _, held := range e.leases {
-		if held.ready(now) && e.options.View.BatchMayRun(server, held.wanted) {
+		if held.ready(now) && e.options.View.CanRunBatch(server, held.wanted) {
 			of(held.job.GetGroup()).Waiting += len(held.pending)
 		}
 	}
--- a/internal/batch/yield.go
+++ b/internal/batch/yield.go
@@ -52,7 +52,7 @@
 func (e *Executor) pause(ctx context.Context, current *run) {
 	current.paused = true
 	e.paused = append(e.paused, current)
-	e.options.View.BatchPaused(current.target.Name)
+	e.options.View.PauseBatch(current.target.Name)
 	e.order(ctx, current)
 }
 
--- a/internal/bench/experiment/ledgercost/memory.go
+++ b/internal/bench/experiment/ledgercost/memory.go
@@ -104,7 +104,7 @@
 func (h *heldLedger) submit(number int, items uint32) {
 	h.apply(&rockwindpb.JobCommand{Command: &rockwindpb.JobCommand_Submit{Submit: &rockwindpb.SubmitJobRequest{
 		Job: &rockwindpb.Job{
-			Id:     sharding.Identifier("job", benchShard, uint64(number)+1),
+			Id:     sharding.FormatIdentifier("job", benchShard, uint64(number)+1),
 			Tenant: benchTenant, Group: groupOf(number), Model: benchModel,
 			ClientKey: fmt.Sprint(number), ItemCount: items,
 		},
--- a/internal/bench/routingfleet/attempts.go
+++ b/internal/bench/routingfleet/attempts.go
@@ -146,9 +146,9 @@
 	entry.attempts = append(entry.attempts, attempt{server: int32(server), sentAt: run.queue.Now(), tokens: drawn.prompt - int(decision.CachedTokens), open: true, hedge: hedge})
 	entry.tried = append(entry.tried, int32(server))
 	entry.hinted = decision.Hinted
-	g.view.Sent(server, drawn.prompt-int(decision.CachedTokens), false)
+	g.view.RecordSent(server, drawn.prompt-int(decision.CachedTokens), false)
 	g.health.Sent(server, decision.Wait, run.queue.Now())
-	g.recent[server].Sent(run.queue.Now())
+	g.recent[server].RecordSent(run.queue.Now())
 	g.rememberPrefixes(server)
 	run.sent(g, server)
 	run.queue.After(run.delay(g, server), func() { run.submit(g, index, number) })
@@ -248,7 +248,7 @@
 		return
 	}
 	current.prefilled = true
-	g.view.FirstToken(int(current.server), current.tokens)
+	g.view.RecordFirstToken(int(current.server), current.tokens)
 	g.health.FirstToken(int(current.server), came, g.fleet.queue.Now())
 }
 
@@ -257,8 +257,8 @@
 	g.prefilled(index, number, false)
 	current := &g.fleet.requests[index].attempts[number]
 	current.open = false
-	g.view.Ended(int(current.server), false)
-	g.recent[current.server].Ended(g.fleet.queue.Now())
+	g.view.RecordEnded(int(current.server), false)
+	g.recent[current.server].RecordEnded(g.fleet.queue.Now())
 }
 
 // cancel stops an attempt at its engine.
--- a/internal/bench/routingfleet/caches.go
+++ b/internal/bench/routingfleet/caches.go
@@ -18,7 +18,7 @@
 		return
 	}
 	for _, prefix := range g.wanted {
-		g.prefixes.Remember(prefix.Block, int32(server))
+		g.prefixes.Add(prefix.Block, int32(server))
 	}
 }
 
--- a/internal/bench/routingfleet/fleet.go
+++ b/internal/bench/routingfleet/fleet.go
@@ -16,7 +16,7 @@
 	engine *engine.Engine
 	zone   int
 	// alarm is set for the engine's next event.
-	alarm virtualtime.Alarm
+	alarm virtualtime.Timer
 	owner *gateway
 	state nodeState
 }
@@ -163,7 +163,7 @@
 
 func (f *fleet) advance(server int) {
 	node := &f.nodes[server]
-	if !node.alarm.Rings(f.queue.Now()) {
+	if !node.alarm.Fire(f.queue.Now()) {
 		return
 	}
 	f.events = node.engine.Advance(f.queue.Now(), f.events[:0])
--- a/internal/bench/routingfleet/gateway.go
+++ b/internal/bench/routingfleet/gateway.go
@@ -34,7 +34,7 @@
 	index    int
 	zone     int
 	view     routing.View
-	recent   []routing.Recent
+	recent   []routing.RequestHistory
 	random   *rand.Rand
 	routing  routing.Policy
 	health   *health.Tracker
@@ -77,7 +77,7 @@
 		routing:    run.policy.Routing(),
 		health:     health.NewTracker(run.policy.Health, servers),
 		budget:     upstream.NewBudget(),
-		recent:     make([]routing.Recent, servers),
+		recent:     make([]routing.RequestHistory, servers),
 		leaving:    make([]leavingState, servers),
 		prefixes:   routing.NewPrefixIndex(),
 		snapshotAt: make(map[int]time.Duration),
@@ -109,7 +109,7 @@
 		if offset == 0 {
 			cost = 0
 		}
-		g.view.Zones = append(g.view.Zones, routing.Zone{First: int32(first), Count: int32(end - first), Cost: cost})
+		g.view.Zones = append(g.view.Zones, routing.Zone{First: int32(first), Count: int32(end - first), ExtraRTT: cost})
 		for server := first; server < end; server++ {
 			g.view.Servers[server].Zone = uint16(offset)
 			g.view.Servers[server].Key = xxhash.Sum64String(strconv.Itoa(server))
--- a/internal/bench/routingfleet/policy.go
+++ b/internal/bench/routingfleet/policy.go
@@ -50,7 +50,7 @@
 	return Policy{
 		Name: "rockwind",
 		Routing: func() routing.Policy {
-			return &routing.OwnedFirst{Margin: routing.OwnedMargin, Otherwise: routing.Default}
+			return &routing.OwnedFirst{Margin: routing.OwnedMargin, Fallback: routing.Default}
 		},
 		Hints:     true,
 		Events:    true,
--- a/internal/bench/routingfleet/reports.go
+++ b/internal/bench/routingfleet/reports.go
@@ -63,8 +63,8 @@
 		g.publishLeaving(server)
 		g.foundLeaving(server)
 	}
-	sent, ended := g.recent[server].Since(load.At)
-	g.view.Reported(server, reportOf(load), sent, ended)
+	sent, ended := g.recent[server].CountSince(load.At)
+	g.view.ApplyReport(server, reportOf(load), sent, ended)
 }
 
 func reportOf(load engine.Report) routing.Report {
@@ -158,8 +158,8 @@
 			g.publishLeaving(server)
 		}
 		g.leaving[server].ejectedByOwner = held.ejected
-		sent, ended := g.recent[server].Since(held.report.TakenAt)
-		g.view.Reported(server, held.report, sent, ended)
+		sent, ended := g.recent[server].CountSince(held.report.TakenAt)
+		g.view.ApplyReport(server, held.report, sent, ended)
 	}
 }
 
@@ -167,7 +167,7 @@
 	sum.report.TakenAt = g.fleet.queue.Now()
 	first, end := g.fleet.scenario.zoneServers(sum.zone)
 	for server := first; server < end; server++ {
-		g.view.Reported(server, sum.report, 0, 0)
+		g.view.ApplyReport(server, sum.report, 0, 0)
 	}
 }
 
@@ -178,7 +178,7 @@
 	now := g.fleet.queue.Now()
 	for server := range g.fleet.nodes {
 		node := &g.fleet.nodes[server]
-		g.view.Reported(server, reportOf(node.engine.Load(now)), 0, 0)
+		g.view.ApplyReport(server, reportOf(node.engine.Load(now)), 0, 0)
 		if blocks := node.engine.CachedBlocks(drawn.blocks); blocks > 0 {
 			g.hints = append(g.hints, routing.Hint{Server: int32(server), CachedTokens: int32(blocks * engine.TokensPerBlock)})
 		}
--- a/internal/control/secure_test.go
+++ b/internal/control/secure_test.go
@@ -50,7 +50,7 @@
 	defer cancel()
 	caller := controlclient.New(controlclient.Options{Control: c.machines, HTTPClient: client, Secure: true, CallTimeout: timeout})
 	_, err := caller.Files().Put(ctx, &rockwindpb.PutFileRequest{File: &rockwindpb.StoredFile{
-		Id: sharding.Identifier("file", 1, 1), Tenant: "clinic", Purpose: "batch", FileName: "input.jsonl",
+		Id: sharding.FormatIdentifier("file", 1, 1), Tenant: "clinic", Purpose: "batch", FileName: "input.jsonl",
 	}})
 	return err
 }
--- a/internal/controlclient/jobs.go
+++ b/internal/controlclient/jobs.go
@@ -35,7 +35,7 @@
 		return nil, err
 	}
 	job.Shard = shard
-	job.Id = sharding.Identifier(jobPrefix, shard, numberOfKey(job.GetTenant(), job.GetClientKey()))
+	job.Id = sharding.FormatIdentifier(jobPrefix, shard, numberOfKey(job.GetTenant(), job.GetClientKey()))
 	return call(ctx, s.client, s.client.toLeader(shard), changing,
 		func(ctx context.Context, at *machine, request *rockwindpb.SubmitJobRequest) (*rockwindpb.SubmitJobResponse, error) {
 			return at.jobs.Submit(ctx, request)
@@ -124,7 +124,7 @@
 		if err != nil {
 			return nil, err
 		}
-		file.Id = sharding.Identifier(filePrefix, shard, numberOfKey(file.GetTenant(), unique))
+		file.Id = sharding.FormatIdentifier(filePrefix, shard, numberOfKey(file.GetTenant(), unique))
 	}
 	shard, err := s.client.ShardOf(ctx, file.GetId())
 	if err != nil {
--- a/internal/controlclient/services.go
+++ b/internal/controlclient/services.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		return 0, err
 	}
-	shard, known := sharding.OfIdentifier(identifier, shards)
+	shard, known := sharding.ShardOf(identifier, shards)
 	if !known {
 		return 0, fault.Newf(fault.NotFound, "check the identifier",
 			"nothing is known under the identifier %q", identifier)
--- a/internal/gateway/completion_request.go
+++ b/internal/gateway/completion_request.go
@@ -97,15 +97,15 @@
 }
 
 // wanted is what the request needs of a back end.
-func (r *completionRequest) wanted(index *configuration.Index) (serverview.Wanted, *rockwindpb.Model, error) {
+func (r *completionRequest) wanted(index *configuration.Index) (serverview.Requirements, *rockwindpb.Model, error) {
 	model, adapter, found := index.ResolveModel(r.Model)
 	if !found {
-		return serverview.Wanted{}, nil, fault.Newf(fault.NotFound, "name a model that GET /v1/models lists",
+		return serverview.Requirements{}, nil, fault.Newf(fault.NotFound, "name a model that GET /v1/models lists",
 			"there is no model %q", r.Model).WithRan(fault.NotRun)
 	}
 	prompt := r.promptText()
-	hashes := engine.BlockHashes(prompt[:min(len(prompt), routing.MaximumPrefixBlocks*engine.BlockBytes)])
-	return serverview.Wanted{
+	hashes := engine.BlockHashes(prompt[:min(len(prompt), routing.MaxPrefixBlocks*engine.BlockBytes)])
+	return serverview.Requirements{
 		Model: model.GetName(), Adapter: adapter, PromptTokens: engine.PromptTokens(prompt),
 		Prefixes:    routing.PrefixesOf(hashes, engine.TokensPerBlock, nil),
 		AffinityKey: routing.AffinityKeyOf(hashes),
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -16,7 +16,7 @@
 // chooser picks back ends for one online request from the view.
 type chooser struct {
 	view   *serverview.View
-	wanted serverview.Wanted
+	wanted serverview.Requirements
 	// body is rewritten for the version drawn where the model has several.
 	body     []byte
 	versions int
@@ -75,7 +75,7 @@
 			continue
 		}
 		c.firstTokenOver(current, false)
-		c.view.Ended(target, current.attempt, report)
+		c.view.RecordEnded(target, current.attempt, report)
 		c.open = slices.Delete(c.open, index, index+1)
 		return
 	}
@@ -88,7 +88,7 @@
 		return
 	}
 	current.firstToken = true
-	c.view.FirstToken(current.target, current.attempt, c.streamed, came)
+	c.view.RecordFirstToken(current.target, current.attempt, c.streamed, came)
 }
 
 // tokenSeen tells the view that the prompt was processed. By then the attempt
@@ -111,12 +111,12 @@
 	count := sequence - c.tokens
 	c.tokens = sequence
 	if current := &c.open[0]; current.attempt.Leads() {
-		c.view.Tokens(current.target, current.attempt, int(count))
+		c.view.RecordTokens(current.target, current.attempt, int(count))
 	}
 }
 
 // admit refuses a request at once that can't start in time.
-func (g *Gateway) admit(wanted serverview.Wanted, within time.Duration) error {
+func (g *Gateway) admit(wanted serverview.Requirements, within time.Duration) error {
 	policy := admission.DefaultPolicy
 	if timeout := g.follower.Current().Policy().GetOnlineQueueTimeout().AsDuration(); timeout > 0 {
 		policy.QueueTimeout = timeout
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -43,7 +43,7 @@
 		case <-ctx.Done():
 			return
 		case <-time.After(pause):
-		case <-g.view.News():
+		case <-g.view.ExchangeRequested():
 			if !retry.Pause(ctx, minimumExchangeInterval) {
 				return
 			}
@@ -62,7 +62,7 @@
 		Gateway: g.settings.GetName(), Address: g.settings.GetInternalListen(), Zone: g.settings.GetZone(),
 		ConfigurationNumber: g.follower.Current().Number(), Owned: g.view.Digests(),
 		Groups: groups, Tenants: tenants, Models: models, Draining: draining,
-		Leaving:      g.view.Leaving(),
+		Leaving:      g.view.LeavingServers(),
 		SinceVersion: version, StartedUnixMs: g.started.UnixMilli(),
 	})
 	if err != nil {
@@ -71,7 +71,7 @@
 		g.limiter.Restore(tenants)
 		return nil
 	}
-	g.view.Exchanged(response)
+	g.view.ApplyExchange(response)
 	if peers := len(response.GetPeers()); peers > 0 {
 		g.limiter.SetGateways(peers)
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -220,7 +220,7 @@
 func (g *Gateway) configure() uint64 {
 	index := g.follower.Current()
 	defer g.inForce(index)
-	g.view.Configure(serverview.Declared{
+	g.view.Configure(serverview.Config{
 		Models: index.Models(), Services: index.Services(), BackEnds: index.BackEnds(),
 		StepTarget: index.Policy().GetOnlineStepTarget().AsDuration(),
 	})
--- a/internal/gateway/hedge_test.go
+++ b/internal/gateway/hedge_test.go
@@ -37,5 +37,5 @@
 	}
 	streams.Wait()
 	f.engines[0].Inject(standin.FaultOrder{Kind: engine.FaultNone})
-	f.await("the end of every attempt", func() bool { return f.gateway.view.InProgress() == 0 })
+	f.await("the end of every attempt", func() bool { return f.gateway.view.InFlight() == 0 })
 }
--- a/internal/gateway/model_usage.go
+++ b/internal/gateway/model_usage.go
@@ -24,7 +24,7 @@
 
 // modelName is the name under which a request counts: that of the adapter, where
 // it names one.
-func modelName(wanted serverview.Wanted) string {
+func modelName(wanted serverview.Requirements) string {
 	if wanted.Adapter != "" {
 		return wanted.Model + ":" + wanted.Adapter
 	}
@@ -33,7 +33,7 @@
 
 // online counts an online request: what it received or, where it did not begin,
 // what it would have. Services count nothing.
-func (u *modelUsage) online(wanted serverview.Wanted, served float64, begun bool) {
+func (u *modelUsage) online(wanted serverview.Requirements, served float64, begun bool) {
 	if wanted.Model == "" {
 		return
 	}
--- a/internal/gateway/model_usage_test.go
+++ b/internal/gateway/model_usage_test.go
@@ -12,11 +12,11 @@
 // that were not delivered are delivered with the next.
 func TestModelUsageCountsServedAndRefused(t *testing.T) {
 	usage := newModelUsage()
-	plain := serverview.Wanted{Model: "m", PromptTokens: 50}
+	plain := serverview.Requirements{Model: "m", PromptTokens: 50}
 	usage.online(plain, 7, true)
 	usage.online(plain, 0, false)
-	usage.online(serverview.Wanted{Model: "m", Adapter: "a"}, 3, true)
-	usage.online(serverview.Wanted{Service: "s"}, 9, true)
+	usage.online(serverview.Requirements{Model: "m", Adapter: "a"}, 3, true)
+	usage.online(serverview.Requirements{Service: "s"}, 9, true)
 	usage.batch("m", 5)
 	usage.restore(usage.take())
 	usage.batch("m", 5)
--- a/internal/gateway/services.go
+++ b/internal/gateway/services.go
@@ -36,7 +36,7 @@
 		timeout = defaultServiceTimeout
 	}
 	call := &call{gateway: g, writer: w, request: r, body: body}
-	call.chooser = &chooser{view: g.view, wanted: serverview.Wanted{Service: name}}
+	call.chooser = &chooser{view: g.view, wanted: serverview.Requirements{Service: name}}
 	call.upstream = &upstream.Request{
 		ID: w.Header().Get(upstream.HeaderRequestID), Kind: upstream.Service, Method: r.Method, Path: servicePath(r, name), Body: body,
 		Header: serviceHeader(r.Header), Repeatable: serviceRepeatable(r),
--- a/internal/ledger/benchmark_test.go
+++ b/internal/ledger/benchmark_test.go
@@ -20,7 +20,7 @@
 	l := New(1)
 	for number := range benchmarkJobs {
 		mustApply(b, l, &rockwindpb.JobCommand{Command: &rockwindpb.JobCommand_Submit{Submit: &rockwindpb.SubmitJobRequest{
-			Job: &rockwindpb.Job{Id: sharding.Identifier("job", 1, uint64(number)), Tenant: "t", Group: fmt.Sprint(number), Model: "m", ItemCount: benchmarkJobItems},
+			Job: &rockwindpb.Job{Id: sharding.FormatIdentifier("job", 1, uint64(number)), Tenant: "t", Group: fmt.Sprint(number), Model: "m", ItemCount: benchmarkJobItems},
 		}}})
 		completeHalf(b, l, fmt.Sprint(number))
 	}
--- a/internal/replica/pieces/pieces.go
+++ b/internal/replica/pieces/pieces.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// Window is how many bytes of entries a Coder refers to, with what it takes to remember them. A
+	// WindowBytes is how many bytes of entries a Coder refers to, with what it takes to remember them. A
 	// member keeps as much before its newest snapshot on the smallest machines: half of 1 MiB
 	// (site.LogBytes).
-	Window = 512 << 10
+	WindowBytes = 512 << 10
 	// mostEntries is how many entries a Coder refers to: as many as a log keeps in memory before its
 	// newest snapshot (wal's trailing entries), so that it pins none that the log let go.
 	mostEntries = 2048
@@ -54,8 +54,8 @@
 	offset uint32
 }
 
-// Coder cuts the entries of one leadership into pieces. The zero value knows no entries.
-type Coder struct {
+// Encoder cuts the entries of one leadership into pieces. The zero value knows no entries.
+type Encoder struct {
 	// known holds the entries of the window in their order.
 	known []entry
 	// last is the index of the newest, and size the bytes that all take.
@@ -77,11 +77,11 @@
 	return table
 }()
 
-// Code cuts the data of the entry at an index into pieces, and remembers it. It must not be
+// Encode cuts the data of the entry at an index into pieces, and remembers it. It must not be
 // changed afterwards. Oldest is the index of the oldest entry that is referred to; it is zero, and
 // there are no pieces, where none is. An entry that is known is not cut again, and one that is not
 // known any more, or that is older than the newest, is not cut.
-func (c *Coder) Code(index uint64, data []byte) (pieces []*rockwindpb.Piece, oldest uint64) {
+func (c *Encoder) Encode(index uint64, data []byte) (pieces []*rockwindpb.Piece, oldest uint64) {
 	if index <= c.last {
 		if place, found := c.find(index); found {
 			return c.known[place].pieces, c.known[place].oldest
@@ -94,7 +94,7 @@
 }
 
 // cut finds the parts of the data that the window holds, and notes the anchors of the data.
-func (c *Coder) cut(index uint64, data []byte) (pieces []*rockwindpb.Piece, oldest uint64) {
+func (c *Encoder) cut(index uint64, data []byte) (pieces []*rockwindpb.Piece, oldest uint64) {
 	told, hash := 0, uint32(0)
 	for position, value := range data {
 		hash = hash<<1 + gear[value]
@@ -134,7 +134,7 @@
 }
 
 // match widens an anchor that may be the same as the place here, back to what is told at most.
-func (c *Coder) match(candidate anchor, data []byte, told, here int) (match, bool) {
+func (c *Encoder) match(candidate anchor, data []byte, told, here int) (match, bool) {
 	place, known := c.find(candidate.index)
 	if !known {
 		return match{}, false
@@ -163,27 +163,27 @@
 }
 
 // find returns the place of an entry in the window.
-func (c *Coder) find(index uint64) (place int, found bool) {
+func (c *Encoder) find(index uint64) (place int, found bool) {
 	return slices.BinarySearchFunc(c.known, index, func(each entry, wanted uint64) int {
 		return cmp.Compare(each.index, wanted)
 	})
 }
 
 // remember keeps the entry, and lets go of the oldest ones beyond the window.
-func (c *Coder) remember(newest entry) {
+func (c *Encoder) remember(newest entry) {
 	c.last = newest.index
 	c.known = append(c.known, newest)
 	c.size += newest.size()
-	for (c.size > Window || len(c.known) > mostEntries) && len(c.known) > 1 {
+	for (c.size > WindowBytes || len(c.known) > mostEntries) && len(c.known) > 1 {
 		c.size -= c.known[0].size()
 		c.known[0] = entry{}
 		c.known = c.known[1:]
 	}
 }
 
-// Join makes the data of the entry at an index whole. Earlier returns the data of an entry
+// Decode makes the data of the entry at an index whole. Earlier returns the data of an entry
 // before it; found is false where it isn't held, and for references to what is not there.
-func Join(index uint64, pieces []*rockwindpb.Piece, earlier func(index uint64) (data []byte, found bool)) (data []byte, found bool) {
+func Decode(index uint64, pieces []*rockwindpb.Piece, earlier func(index uint64) (data []byte, found bool)) (data []byte, found bool) {
 	for _, piece := range pieces {
 		if piece.GetBack() == 0 {
 			data = append(data, piece.GetLiteral()...)
--- a/internal/replica/pieces/pieces_test.go
+++ b/internal/replica/pieces/pieces_test.go
@@ -39,15 +39,15 @@
 // made whole themselves. Where one is not held, nothing is made.
 func TestEntriesAreMadeWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		coder := &pieces.Coder{}
+		coder := &pieces.Encoder{}
 		first := rapid.Uint64Range(1, 1000).Draw(t, "first")
 		var sent, held [][]byte
 		for range rapid.IntRange(1, 12).Draw(t, "entries") {
 			index := first + uint64(len(sent))
 			data := drawData(t, sent)
-			cut, oldest := coder.Code(index, data)
+			cut, oldest := coder.Encode(index, data)
 			sent = append(sent, data)
-			again, same := coder.Code(index, data)
+			again, same := coder.Encode(index, data)
 			if len(again) != len(cut) || same != oldest {
 				t.Fatalf("entry %d is cut in another way the second time", index)
 			}
@@ -62,7 +62,7 @@
 				t.Fatalf("entry %d refers to entry %d", index, oldest)
 			}
 			missing := false
-			made, found := pieces.Join(index, cut, func(wanted uint64) ([]byte, bool) {
+			made, found := pieces.Decode(index, cut, func(wanted uint64) ([]byte, bool) {
 				if wanted < oldest {
 					t.Fatalf("entry %d refers to entry %d, before %d", index, wanted, oldest)
 				}
@@ -71,7 +71,7 @@
 			if !found || !bytes.Equal(made, data) {
 				t.Fatalf("entry %d was made whole as another one, found: %v", index, found)
 			}
-			_, found = pieces.Join(index, cut, func(wanted uint64) ([]byte, bool) {
+			_, found = pieces.Decode(index, cut, func(wanted uint64) ([]byte, bool) {
 				missing = missing || wanted == oldest
 				return held[wanted-first], wanted != oldest
 			})
@@ -94,11 +94,11 @@
 		"the largest numbers there are": {Back: 1, Offset: 1<<32 - 1, Length: 1<<32 - 1},
 		"a distance beyond all":         {Back: 1<<64 - 1, Length: 1},
 	} {
-		if data, found := pieces.Join(5, []*rockwindpb.Piece{{Literal: []byte("a")}, piece}, earlier); found {
+		if data, found := pieces.Decode(5, []*rockwindpb.Piece{{Literal: []byte("a")}, piece}, earlier); found {
 			t.Errorf("%s gives %q", name, data)
 		}
 	}
-	data, found := pieces.Join(5, []*rockwindpb.Piece{{Literal: []byte("a")}, {Back: 2, Offset: 4, Length: 3}}, earlier)
+	data, found := pieces.Decode(5, []*rockwindpb.Piece{{Literal: []byte("a")}, {Back: 2, Offset: 4, Length: 3}}, earlier)
 	if !found || string(data) != "a456" {
 		t.Errorf("made whole is %q, %v", data, found)
 	}
@@ -106,19 +106,19 @@
 
 // TestWindowIsBounded: what is older is not referred to.
 func TestWindowIsBounded(t *testing.T) {
-	coder := &pieces.Coder{}
+	coder := &pieces.Encoder{}
 	random := rand.New(rand.NewPCG(1, 1))
 	first := []byte(words(random, 4000))
-	coder.Code(1, first)
-	if _, oldest := coder.Code(2, first); oldest != 1 {
+	coder.Encode(1, first)
+	if _, oldest := coder.Encode(2, first); oldest != 1 {
 		t.Fatal("an entry in the window is not referred to")
 	}
 	index := uint64(3)
-	for size := 0; size <= pieces.Window; size += 100_000 {
-		coder.Code(index, []byte(words(random, 100_000)))
+	for size := 0; size <= pieces.WindowBytes; size += 100_000 {
+		coder.Encode(index, []byte(words(random, 100_000)))
 		index++
 	}
-	if _, oldest := coder.Code(index, first); oldest != 0 {
+	if _, oldest := coder.Encode(index, first); oldest != 0 {
 		t.Fatalf("entry %d is referred to, beyond the window", oldest)
 	}
 }
@@ -133,7 +133,7 @@
 
 // link counts the bytes of entries, whole and by reference.
 type link struct {
-	coder        pieces.Coder
+	coder        pieces.Encoder
 	index        uint64
 	whole, short int
 }
@@ -147,7 +147,7 @@
 	l.index++
 	entry := &rockwindpb.Entry{Term: 3, Index: l.index, Kind: rockwindpb.EntryKind_ENTRY_KIND_COMMAND, Data: data}
 	l.whole += proto.Size(entry)
-	cut, oldest := l.coder.Code(l.index, data)
+	cut, oldest := l.coder.Encode(l.index, data)
 	if oldest == 0 {
 		l.short += proto.Size(entry)
 		return
@@ -209,12 +209,12 @@
 func BenchmarkCode(b *testing.B) {
 	random := rand.New(rand.NewPCG(4, 4))
 	data := []byte(words(random, 8000))
-	coder := &pieces.Coder{}
+	coder := &pieces.Encoder{}
 	b.SetBytes(int64(len(data)))
 	index := uint64(0)
 	for b.Loop() {
 		index++
 		data[index%8000]++
-		coder.Code(index, bytes.Clone(data))
+		coder.Encode(index, bytes.Clone(data))
 	}
 }
--- a/internal/replica/shortentries.go
+++ b/internal/replica/shortentries.go
@@ -17,7 +17,7 @@
 // Logs, states and snapshots hold whole entries, so they do not depend on the
 // version of a member. A message that cannot be expanded is treated as lost.
 type shortEntryEncoder struct {
-	coder   *pieces.Coder
+	coder   *pieces.Encoder
 	members map[uint64]shortEntryMember
 }
 
@@ -74,13 +74,13 @@
 		return message
 	}
 	if s.coder == nil {
-		s.coder = &pieces.Coder{}
+		s.coder = &pieces.Encoder{}
 	}
 	saves := false
 	shortened := make([]*rockwindpb.ShortEntry, 0, len(message.GetEntries()))
 	for _, entry := range message.GetEntries() {
 		short := &rockwindpb.ShortEntry{Term: entry.GetTerm(), Index: entry.GetIndex(), Kind: entry.GetKind(), Checksum: wal.Checksum(entry.GetData())}
-		parts, oldest := s.coder.Code(entry.GetIndex(), entry.GetData())
+		parts, oldest := s.coder.Encode(entry.GetIndex(), entry.GetData())
 		if oldest != 0 && oldest >= member.firstReference {
 			short.Pieces, saves = parts, true
 		} else {
@@ -139,7 +139,7 @@
 		if short.GetIndex() != first+uint64(position) {
 			return nil, false
 		}
-		data, held := pieces.Join(short.GetIndex(), short.GetPieces(), earlier)
+		data, held := pieces.Decode(short.GetIndex(), short.GetPieces(), earlier)
 		if !held || wal.Checksum(data) != short.GetChecksum() {
 			return nil, false
 		}
--- a/internal/routing/choose.go
+++ b/internal/routing/choose.go
@@ -71,16 +71,16 @@
 type PowerOfChoices struct {
 	// Choices is the number of servers sampled per zone; at least 1.
 	Choices int
-	// SpillWait is the estimated wait in the own zone from which servers of some
+	// SpilloverThreshold is the estimated wait in the own zone from which servers of some
 	// other zones are considered.
-	SpillWait time.Duration
-	// AffinityLimit bounds what a hint may take off an estimate, so that a hot
+	SpilloverThreshold time.Duration
+	// MaxAffinityBonus bounds what a hint may take off an estimate, so that a hot
 	// prefix never makes a hot spot.
-	AffinityLimit time.Duration
-	// HomeBonus and the prefill of the prompt, at most AffinityLimit together, are
+	MaxAffinityBonus time.Duration
+	// AffinityBonus and the prefill of the prompt, at most AffinityLimit together, are
 	// taken off the estimate of the server that all gateways of the zone prefer
 	// for the request's AffinityKey, and half of that off the next one's.
-	HomeBonus time.Duration
+	AffinityBonus time.Duration
 	// BatchPenalty is added to an online request's estimate for each batch
 	// request that runs on the server.
 	BatchPenalty time.Duration
@@ -88,11 +88,11 @@
 
 // Default is the policy that gateways use.
 var Default = PowerOfChoices{
-	Choices:       2,
-	SpillWait:     25 * time.Millisecond,
-	AffinityLimit: 150 * time.Millisecond,
-	HomeBonus:     30 * time.Millisecond,
-	BatchPenalty:  200 * time.Microsecond,
+	Choices:            2,
+	SpilloverThreshold: 25 * time.Millisecond,
+	MaxAffinityBonus:   150 * time.Millisecond,
+	AffinityBonus:      30 * time.Millisecond,
+	BatchPenalty:       200 * time.Microsecond,
 }
 
 // Choose picks a server with the default policy. It returns false when no
@@ -164,7 +164,7 @@
 // too long; all of them while no healthy server was found.
 func (p PowerOfChoices) spill(view *View, request *Request, version NameID, now time.Duration, random *rand.Rand, chosen *best) {
 	others := len(view.Zones) - 1
-	if others <= 0 || chosen.settled(p.SpillWait) {
+	if others <= 0 || chosen.settled(p.SpilloverThreshold) {
 		return
 	}
 	start := random.IntN(others)
@@ -224,7 +224,7 @@
 		wait := view.Estimate(server, request, now)
 		cached := min(hint.CachedTokens, request.PromptTokens)
 		saved := time.Duration(cached) * view.Cost.PerPromptToken
-		score := p.score(server, request, wait) - min(saved, p.AffinityLimit)
+		score := p.score(server, request, wait) - min(saved, p.MaxAffinityBonus)
 		chosen.offer(best{server: hint.Server, health: server.Health, hinted: true, cached: cached, wait: max(0, wait-saved), score: score})
 	}
 }
--- a/internal/routing/choose_test.go
+++ b/internal/routing/choose_test.go
@@ -20,9 +20,9 @@
 	for zone := range zones {
 		count := rapid.IntRange(0, 8).Draw(t, "servers")
 		view.Zones = append(view.Zones, Zone{
-			First: int32(len(view.Servers)),
-			Count: int32(count),
-			Cost:  time.Duration(zone) * time.Millisecond,
+			First:    int32(len(view.Servers)),
+			Count:    int32(count),
+			ExtraRTT: time.Duration(zone) * time.Millisecond,
 		})
 		for range count {
 			view.Servers = append(view.Servers, drawServer(t, uint16(zone)))
@@ -156,7 +156,7 @@
 	const requests = 240
 	for range requests {
 		decision, _ := Choose(view, request, time.Second, random)
-		view.Sent(decision.Server, 4000, false)
+		view.RecordSent(decision.Server, 4000, false)
 	}
 	hot := view.Servers[3].OwnOnline
 	fair := int32(requests / 12)
@@ -191,7 +191,7 @@
 	request := &Request{Versions: []WeightedVersion{{Name: 0, Weight: 1}}, Adapter: NoName, PromptTokens: 100}
 	for range 200 {
 		decision, _ := Choose(view, request, 0, random)
-		view.Sent(decision.Server, 100, false)
+		view.RecordSent(decision.Server, 100, false)
 	}
 	difference := view.Servers[0].OwnOnline - view.Servers[1].OwnOnline
 	if difference < -40 || difference > 40 {
--- a/internal/routing/estimate.go
+++ b/internal/routing/estimate.go
@@ -14,12 +14,12 @@
 	step := float32(v.Cost.StepBase) + running*float32(v.Cost.PerSequence)
 	step = max(step, float32(server.Report.Step))
 	prefill := promptTokens * float32(v.Cost.PerPromptToken)
-	network := v.Zones[server.Zone].Cost
+	network := v.Zones[server.Zone].ExtraRTT
 	return network + time.Duration((step+prefill)/speed)
 }
 
-// Online estimates the online requests on the server now, waiting ones included.
-func (s *Server) Online() float32 {
+// OnlineRequests estimates the online requests on the server now, waiting ones included.
+func (s *Server) OnlineRequests() float32 {
 	reported := s.Report.RunningOnline + s.Report.Waiting
 	corrected := reported + float32(s.SentSinceReport-s.EndedSinceReport)
 	return max(corrected, float32(s.OwnOnline))
@@ -27,5 +27,5 @@
 
 // running estimates the requests in the step now.
 func (s *Server) running() float32 {
-	return s.Online() + max(s.Report.RunningBatch, float32(s.OwnBatch))
+	return s.OnlineRequests() + max(s.Report.RunningBatch, float32(s.OwnBatch))
 }
--- a/internal/routing/home.go
+++ b/internal/routing/home.go
@@ -61,7 +61,7 @@
 	first, second := view.homes(from, to, request, version)
 	// The more of a prompt a home may cache, the longer a wait it is worth.
 	prefill := time.Duration(request.PromptTokens) * view.Cost.PerPromptToken
-	bonus := min(p.HomeBonus+prefill, p.AffinityLimit)
+	bonus := min(p.AffinityBonus+prefill, p.MaxAffinityBonus)
 	p.offerHome(view, first, request, now, bonus, chosen)
 	p.offerHome(view, second, request, now, bonus/2, chosen)
 }
--- a/internal/routing/home_test.go
+++ b/internal/routing/home_test.go
@@ -45,7 +45,7 @@
 	const requests = 240
 	for range requests {
 		decision, _ := Choose(view, request, time.Second, random)
-		view.Sent(decision.Server, 4000, false)
+		view.RecordSent(decision.Server, 4000, false)
 	}
 	if got := view.Servers[home].OwnOnline; got < requests/12 || got > 2*requests/12 {
 		t.Fatalf("the home got %d of %d requests on 12 servers", got, requests)
--- a/internal/routing/owned.go
+++ b/internal/routing/owned.go
@@ -24,8 +24,8 @@
 	// Backlog returns the online prompt tokens that this gateway knows to wait
 	// on a server.
 	Backlog func(server int) int
-	// Otherwise chooses where the wait in the own zone exceeds its SpillWait.
-	Otherwise PowerOfChoices
+	// Fallback chooses where the wait in the own zone exceeds its SpillWait.
+	Fallback PowerOfChoices
 }
 
 // Choose implements Policy.
@@ -44,8 +44,8 @@
 			p.offer(view, index, p.Margin, request, version, random, &chosen)
 		}
 	}
-	if chosen.health != Healthy || chosen.wait > p.Otherwise.SpillWait {
-		other, found := p.Otherwise.Choose(view, request, now, random)
+	if chosen.health != Healthy || chosen.wait > p.Fallback.SpilloverThreshold {
+		other, found := p.Fallback.Choose(view, request, now, random)
 		if found && (!chosen.found() || other.Wait < chosen.wait) {
 			return other, true
 		}
@@ -73,7 +73,7 @@
 	from, to := view.homeSet()
 	first, second := view.homes(from, to, request, version)
 	prefill := time.Duration(request.PromptTokens) * view.Cost.PerPromptToken
-	bonus := min(p.Otherwise.HomeBonus+prefill, p.Otherwise.AffinityLimit)
+	bonus := min(p.Fallback.AffinityBonus+prefill, p.Fallback.MaxAffinityBonus)
 	p.offerHome(view, first, request, version, bonus, chosen)
 	p.offerHome(view, second, request, version, bonus/2, chosen)
 }
@@ -86,7 +86,7 @@
 	cached := cachedTokens(request, index)
 	wait := p.wait(view, server, index, int(request.PromptTokens)-cached)
 	saved := time.Duration(cached) * view.Cost.PerPromptToken
-	margin := p.Margin + max(0, saved-p.Otherwise.AffinityLimit) - bonus
+	margin := p.Margin + max(0, saved-p.Fallback.MaxAffinityBonus) - bonus
 	chosen.offer(best{server: index, health: server.Health, hinted: true, cached: int32(cached), wait: wait, score: wait + margin})
 }
 
@@ -113,8 +113,8 @@
 // wait estimates the time to the first token behind online requests alone.
 func (p *OwnedFirst) wait(view *View, server *Server, index int32, promptTokens int) time.Duration {
 	backlog := max(p.Backlog(int(index)), int(server.Report.Waiting*view.Cost.MeanPromptTokens))
-	step := float32(view.Cost.StepBase) + server.Online()*float32(view.Cost.PerSequence)
+	step := float32(view.Cost.StepBase) + server.OnlineRequests()*float32(view.Cost.PerSequence)
 	prefill := time.Duration(backlog+promptTokens) * view.Cost.PerPromptToken
-	network := view.Zones[server.Zone].Cost
+	network := view.Zones[server.Zone].ExtraRTT
 	return network + (time.Duration(step)+prefill)/time.Duration(max(1, server.Accelerators))
 }
--- a/internal/routing/owned_test.go
+++ b/internal/routing/owned_test.go
@@ -21,7 +21,7 @@
 		}
 		backlog := make([]int, count)
 		policy := OwnedFirst{
-			Margin: OwnedMargin, Otherwise: PowerOfChoices{Choices: 2, SpillWait: time.Hour},
+			Margin: OwnedMargin, Fallback: PowerOfChoices{Choices: 2, SpilloverThreshold: time.Hour},
 			Backlog: func(server int) int { return backlog[server] },
 		}
 		for index := range view.Servers {
--- a/internal/routing/prefix.go
+++ b/internal/routing/prefix.go
@@ -1,8 +1,8 @@
 package routing
 
-// MaximumPrefixBlocks bounds the blocks of a prompt whose prefixes are looked
+// MaxPrefixBlocks bounds the blocks of a prompt whose prefixes are looked
 // up.
-const MaximumPrefixBlocks = 64
+const MaxPrefixBlocks = 64
 
 // affinityBlocks is the length in blocks of the part of a prompt that names its
 // conversation or document.
@@ -20,7 +20,7 @@
 // blocks, longest first. blocks are the chain hashes of the prompt's whole
 // blocks.
 func PrefixesOf(blocks []uint64, tokensPerBlock int, found []Prefix) []Prefix {
-	count := min(len(blocks), MaximumPrefixBlocks)
+	count := min(len(blocks), MaxPrefixBlocks)
 	length := 1
 	for 2*length <= count {
 		length *= 2
--- a/internal/routing/prefixindex.go
+++ b/internal/routing/prefixindex.go
@@ -78,9 +78,9 @@
 	return known
 }
 
-// Remember notes that a server probably caches a block from now on, because a
+// Add notes that a server probably caches a block from now on, because a
 // prompt with it was sent there or an event says so.
-func (x *PrefixIndex) Remember(block uint64, server int32) {
+func (x *PrefixIndex) Add(block uint64, server int32) {
 	known := x.server(server)
 	x.stamp++
 	held := x.blocks[block]
@@ -175,7 +175,7 @@
 		known.epoch = page.Epoch
 		resynchronise = page.First > 1
 	case known.epoch != page.Epoch:
-		x.Forget(server)
+		x.RemoveServer(server)
 		known = x.server(server)
 		known.epoch = page.Epoch
 		resynchronise = true
@@ -186,7 +186,7 @@
 		if event.Evicted {
 			x.forget(event.Block, server, 0)
 		} else {
-			x.Remember(event.Block, server)
+			x.Add(event.Block, server)
 		}
 	}
 	known.cursor = page.Next
@@ -196,17 +196,17 @@
 // Replace puts a snapshot of a server's cache in place of all that was known of
 // it.
 func (x *PrefixIndex) Replace(server int32, epoch, next uint64, blocks []uint64) {
-	x.Forget(server)
+	x.RemoveServer(server)
 	known := x.server(server)
 	known.epoch = epoch
 	known.cursor = next
 	for _, block := range blocks {
-		x.Remember(block, server)
+		x.Add(block, server)
 	}
 }
 
-// Forget drops all that is known of a server.
-func (x *PrefixIndex) Forget(server int32) {
+// RemoveServer drops all that is known of a server.
+func (x *PrefixIndex) RemoveServer(server int32) {
 	known := x.servers[server]
 	if known == nil {
 		return
--- a/internal/routing/prefixindex_test.go
+++ b/internal/routing/prefixindex_test.go
@@ -99,9 +99,9 @@
 func TestPrefixIndexPrefersLongPrefixesAndStaysBounded(t *testing.T) {
 	index := NewPrefixIndex()
 	for server := range int32(20) {
-		index.Remember(1, server)
+		index.Add(1, server)
 	}
-	index.Remember(2, 7)
+	index.Add(2, 7)
 	hints := index.Hints([]Prefix{{Block: 2, Tokens: 128}, {Block: 1, Tokens: 64}}, nil)
 	if len(hints) != MaxHolders+1 || hints[0] != (Hint{Server: 7, CachedTokens: 128}) {
 		t.Fatalf("hints %v", hints)
@@ -112,7 +112,7 @@
 		}
 	}
 	for block := range uint64(10 * maximumBlocksPerServer) {
-		index.Remember(100+block, 3)
+		index.Add(100+block, 3)
 	}
 	if len(index.blocks) > 3*maximumBlocksPerServer {
 		t.Fatalf("%d blocks of one server are remembered", len(index.blocks))
--- a/internal/routing/recent.go
+++ b/internal/routing/recent.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// Recent remembers when this gateway sent requests to a server and when they
+// RequestHistory remembers when this gateway sent requests to a server and when they
 // ended, so that a report that arrives late can be corrected by what happened
 // after it was taken. The zero value is empty.
-type Recent struct {
+type RequestHistory struct {
 	sent  []time.Duration
 	ended []time.Duration
 }
 
-// Sent records a request sent now.
-func (r *Recent) Sent(now time.Duration) {
+// RecordSent records a request sent now.
+func (r *RequestHistory) RecordSent(now time.Duration) {
 	r.sent = append(r.sent, now)
 }
 
-// Ended records a request that ended now.
-func (r *Recent) Ended(now time.Duration) {
+// RecordEnded records a request that ended now.
+func (r *RequestHistory) RecordEnded(now time.Duration) {
 	r.ended = append(r.ended, now)
 }
 
-// Since returns how many requests were sent and ended after a report was taken,
+// CountSince returns how many requests were sent and ended after a report was taken,
 // and forgets what came before: pass it the newest report only.
-func (r *Recent) Since(takenAt time.Duration) (sent, ended int) {
+func (r *RequestHistory) CountSince(takenAt time.Duration) (sent, ended int) {
 	r.sent = after(r.sent, takenAt)
 	r.ended = after(r.ended, takenAt)
 	return len(r.sent), len(r.ended)
--- a/internal/routing/view.go
+++ b/internal/routing/view.go
@@ -153,8 +153,8 @@
 	// First and Count delimit the zone's servers in View.Servers.
 	First int32
 	Count int32
-	// Cost is the extra time of a round trip to the zone over one's own.
-	Cost time.Duration
+	// ExtraRTT is the extra time of a round trip to the zone over one's own.
+	ExtraRTT time.Duration
 }
 
 // CostModel turns counts into time. Values may be measured or configured.
@@ -176,9 +176,9 @@
 	Cost    CostModel
 }
 
-// Sent records that this gateway dispatches a request to a server. Call it when
+// RecordSent records that this gateway dispatches a request to a server. Call it when
 // the decision is taken, not when the answer comes.
-func (v *View) Sent(server int, promptTokens int, batch bool) {
+func (v *View) RecordSent(server int, promptTokens int, batch bool) {
 	entry := &v.Servers[server]
 	entry.OwnPromptTokens += int32(promptTokens)
 	if batch {
@@ -189,14 +189,14 @@
 	entry.SentSinceReport++
 }
 
-// FirstToken records that the prompt of a request has been processed.
-func (v *View) FirstToken(server int, promptTokens int) {
+// RecordFirstToken records that the prompt of a request has been processed.
+func (v *View) RecordFirstToken(server int, promptTokens int) {
 	entry := &v.Servers[server]
 	entry.OwnPromptTokens = max(0, entry.OwnPromptTokens-int32(promptTokens))
 }
 
-// Ended records that a request of this gateway is over.
-func (v *View) Ended(server int, batch bool) {
+// RecordEnded records that a request of this gateway is over.
+func (v *View) RecordEnded(server int, batch bool) {
 	entry := &v.Servers[server]
 	if batch {
 		entry.OwnBatch = max(0, entry.OwnBatch-1)
@@ -206,11 +206,11 @@
 	entry.EndedSinceReport++
 }
 
-// Reported puts a newer load report in place. sent and ended count this
+// ApplyReport puts a newer load report in place. sent and ended count this
 // gateway's online requests that were sent and ended after the report was
 // taken; a caller that does not track this passes zero for both and accepts
 // that the correction restarts with each report. Older reports are ignored.
-func (v *View) Reported(server int, report Report, sent, ended int) {
+func (v *View) ApplyReport(server int, report Report, sent, ended int) {
 	entry := &v.Servers[server]
 	if report.TakenAt < entry.Report.TakenAt {
 		return
--- a/internal/serverview/batch.go
+++ b/internal/serverview/batch.go
@@ -8,8 +8,8 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// BatchWanted is what a batch item needs of a back end.
-type BatchWanted struct {
+// BatchRequirements is what a batch item needs of a back end.
+type BatchRequirements struct {
 	// Model and Adapter must be loaded.
 	Model   string
 	Adapter string
@@ -38,9 +38,9 @@
 	Lost bool
 }
 
-// BatchFree returns how many more batch items of a model the servers that this
+// FreeBatchSlots returns how many more batch items of a model the servers that this
 // gateway owns take now.
-func (v *View) BatchFree(wanted BatchWanted) int {
+func (v *View) FreeBatchSlots(wanted BatchRequirements) int {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	free := 0
@@ -52,7 +52,7 @@
 
 // StartBatch picks the owned server with the most free places for an item and
 // counts the item as running there.
-func (v *View) StartBatch(wanted BatchWanted, tried []string) (BatchChoice, bool) {
+func (v *View) StartBatch(wanted BatchRequirements, tried []string) (BatchChoice, bool) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	var best *entry
@@ -73,7 +73,7 @@
 		return BatchChoice{}, false
 	}
 	best.batch.running++
-	v.routing.Sent(best.index, wanted.PromptTokens, true)
+	v.routing.RecordSent(best.index, wanted.PromptTokens, true)
 	return choice, true
 }
 
@@ -87,8 +87,8 @@
 }
 
 // eachBatchServer visits the servers that may take batch of the model.
-func (v *View) eachBatchServer(wanted BatchWanted, visit func(e *entry, budget sharing.Budget, running int)) {
-	request, ok := v.request(Wanted{Model: wanted.Model, Adapter: wanted.Adapter})
+func (v *View) eachBatchServer(wanted BatchRequirements, visit func(e *entry, budget sharing.Budget, running int)) {
+	request, ok := v.request(Requirements{Model: wanted.Model, Adapter: wanted.Adapter})
 	if !ok {
 		return
 	}
@@ -138,7 +138,7 @@
 func (v *View) batchServerState(e *entry, now time.Duration) sharing.ServerState {
 	server := &v.routing.Servers[e.index]
 	return sharing.ServerState{
-		Online:       float64(server.Online()),
+		Online:       float64(server.OnlineRequests()),
 		Pace:         &e.batch.pace,
 		Target:       v.target(),
 		BatchRunning: e.batch.running,
@@ -205,18 +205,18 @@
 	return true
 }
 
-// BatchMayRun tells whether a server that this gateway owns may run batch items
+// CanRunBatch tells whether a server that this gateway owns may run batch items
 // of the model.
-func (v *View) BatchMayRun(server string, wanted BatchWanted) bool {
+func (v *View) CanRunBatch(server string, wanted BatchRequirements) bool {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	e := v.byName[server]
-	request, ok := v.request(Wanted{Model: wanted.Model, Adapter: wanted.Adapter})
+	request, ok := v.request(Requirements{Model: wanted.Model, Adapter: wanted.Adapter})
 	return ok && e != nil && e.own && eligible(&v.routing.Servers[e.index], &request)
 }
 
-// BatchPaused counts a running item as paused.
-func (v *View) BatchPaused(server string) {
+// PauseBatch counts a running item as paused.
+func (v *View) PauseBatch(server string) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	if e := v.byName[server]; e != nil {
@@ -225,12 +225,12 @@
 	}
 }
 
-// BatchEnded counts a batch item down and hands the evidence to the owner.
-func (v *View) BatchEnded(target upstream.Target, report upstream.Report, paused bool, promptTokens int) {
+// EndBatch counts a batch item down and hands the evidence to the owner.
+func (v *View) EndBatch(target upstream.Target, report upstream.Report, paused bool, promptTokens int) {
 	v.mutex.Lock()
 	if e := v.byName[target.Name]; e != nil {
-		v.routing.FirstToken(e.index, promptTokens)
-		v.routing.Ended(e.index, true)
+		v.routing.RecordFirstToken(e.index, promptTokens)
+		v.routing.RecordEnded(e.index, true)
 		if paused {
 			e.batch.paused--
 		} else {
--- a/internal/serverview/benchmark_test.go
+++ b/internal/serverview/benchmark_test.go
@@ -18,7 +18,7 @@
 // The gateway owns three or four of its own zone, as at the target size.
 func loadedView(servers int) *View {
 	view := New(Options{Gateway: "gateway-0", Zone: "zone-0", Random: rand.New(rand.NewPCG(1, 2))})
-	declared := Declared{Models: []*rockwindpb.Model{{Name: "m", Versions: []*rockwindpb.Version{{Name: "1", Weight: 1}}}}}
+	declared := Config{Models: []*rockwindpb.Model{{Name: "m", Versions: []*rockwindpb.Version{{Name: "1", Weight: 1}}}}}
 	for index := range servers {
 		declared.BackEnds = append(declared.BackEnds, &rockwindpb.BackEnd{
 			Name: fmt.Sprintf("engine-%d", index), Address: fmt.Sprintf("127.0.0.1:%d", index+1),
@@ -30,7 +30,7 @@
 	for peer := range 11 {
 		response.Peers = append(response.Peers, fmt.Sprintf("gateway-%d", peer))
 	}
-	view.Exchanged(&response)
+	view.ApplyExchange(&response)
 	for _, e := range view.entries {
 		view.merge(e, loadReport{RunningOnline: uint32(e.index % 8), Loaded: []string{"m@1"}}, view.now())
 	}
@@ -39,12 +39,12 @@
 
 // benchmarkWanted is a request with a prompt of 44 blocks of a conversation that
 // the view knows.
-func benchmarkWanted() Wanted {
+func benchmarkWanted() Requirements {
 	blocks := make([]uint64, 44)
 	for index := range blocks {
 		blocks[index] = uint64(index + 1)
 	}
-	return Wanted{
+	return Requirements{
 		Model: "m", PromptTokens: 3000, Streamed: true,
 		Prefixes: routing.PrefixesOf(blocks, 64, nil), AffinityKey: routing.AffinityKeyOf(blocks),
 	}
@@ -63,8 +63,8 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				view.FirstToken(choice.Target, choice.Attempt, true, true)
-				view.Ended(choice.Target, choice.Attempt, report)
+				view.RecordFirstToken(choice.Target, choice.Attempt, true, true)
+				view.RecordEnded(choice.Target, choice.Attempt, report)
 			}
 		})
 	}
@@ -76,7 +76,7 @@
 	for _, servers := range []int{12, 37, 1200} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			view := loadedView(servers)
-			wanted := BatchWanted{Model: "m", PromptTokens: 300, Objective: sharing.Throughput}
+			wanted := BatchRequirements{Model: "m", PromptTokens: 300, Objective: sharing.Throughput}
 			report := upstream.Report{Outcome: upstream.CallerLeft}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -84,7 +84,7 @@
 				if !ok {
 					b.Fatal("no server takes batch")
 				}
-				view.BatchEnded(choice.Target, report, false, wanted.PromptTokens)
+				view.EndBatch(choice.Target, report, false, wanted.PromptTokens)
 			}
 		})
 	}
@@ -101,8 +101,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		view.FirstToken(choice.Target, choice.Attempt, true, true)
-		view.Ended(choice.Target, choice.Attempt, report)
+		view.RecordFirstToken(choice.Target, choice.Attempt, true, true)
+		view.RecordEnded(choice.Target, choice.Attempt, report)
 	})
 	if allocations != 0 {
 		t.Fatalf("a decision allocates %v times", allocations)
--- a/internal/serverview/caches.go
+++ b/internal/serverview/caches.go
@@ -158,7 +158,7 @@
 
 // hintsFor lists the servers that probably cache a prefix of the prompt. The
 // list is used until the next call.
-func (v *View) hintsFor(wanted Wanted) []routing.Hint {
+func (v *View) hintsFor(wanted Requirements) []routing.Hint {
 	v.hints = v.prefixes.Hints(wanted.Prefixes, v.hints[:0])
 	kept := v.hints[:0]
 	for _, hint := range v.hints {
--- a/internal/serverview/caches_test.go
+++ b/internal/serverview/caches_test.go
@@ -45,7 +45,7 @@
 	client := upstream.NewClient()
 	t.Cleanup(client.Close)
 	fixture.view = New(Options{Gateway: "g", Zone: "z", Client: client, Random: rand.New(rand.NewPCG(1, 2))})
-	fixture.view.Configure(Declared{
+	fixture.view.Configure(Config{
 		Models: []*rockwindpb.Model{{Name: "m", Versions: []*rockwindpb.Version{{Name: "1", Weight: 1}}}},
 		BackEnds: []*rockwindpb.BackEnd{
 			{Name: "other", Address: "127.0.0.1:1", Zone: "z", Serves: []string{"m"}},
@@ -85,7 +85,7 @@
 	v := f.view
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	wanted := Wanted{Prefixes: routing.PrefixesOf(engine.BlockHashes(prompt), engine.TokensPerBlock, nil)}
+	wanted := Requirements{Prefixes: routing.PrefixesOf(engine.BlockHashes(prompt), engine.TokensPerBlock, nil)}
 	for _, hint := range v.hintsFor(wanted) {
 		if v.entries[hint.Server].name == "engine" {
 			return hint.CachedTokens
--- a/internal/serverview/choose.go
+++ b/internal/serverview/choose.go
@@ -11,8 +11,8 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// Wanted is what a request needs of a back end.
-type Wanted struct {
+// Requirements is what a request needs of a back end.
+type Requirements struct {
 	// Model is the model's name without an adapter; empty for services.
 	Model string
 	// Adapter must be loaded too; empty for none.
@@ -67,7 +67,7 @@
 
 // Estimate tells how long a request would wait for its first token now, and
 // whether any back end may take it.
-func (v *View) Estimate(wanted Wanted) (time.Duration, bool) {
+func (v *View) Estimate(wanted Requirements) (time.Duration, bool) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	decision, ok := v.decide(wanted, nil, v.now())
@@ -75,7 +75,7 @@
 }
 
 // Choose picks the back end of an online request and counts it as sent.
-func (v *View) Choose(wanted Wanted, tried []string) (Choice, error) {
+func (v *View) Choose(wanted Requirements, tried []string) (Choice, error) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	now := v.now()
@@ -85,7 +85,7 @@
 	}
 	e := v.entries[decision.Server]
 	promptTokens := max(1, wanted.PromptTokens-int(decision.CachedTokens))
-	v.routing.Sent(decision.Server, promptTokens, false)
+	v.routing.RecordSent(decision.Server, promptTokens, false)
 	e.history.sent.add(now)
 	if wanted.Streamed {
 		v.tracker.Sent(e.slot, decision.Wait, now)
@@ -94,7 +94,7 @@
 	defer v.changed(e)
 	e.batch.pace.Sent(v.tickets, promptTokens, now)
 	for _, prefix := range wanted.Prefixes {
-		v.prefixes.Remember(prefix.Block, int32(e.slot))
+		v.prefixes.Add(prefix.Block, int32(e.slot))
 	}
 	return Choice{
 		Target:  upstream.Target{Name: e.name, Address: e.address},
@@ -107,7 +107,7 @@
 // noBackEndRetryAfter is the advice to callers while no server may take work.
 const noBackEndRetryAfter = time.Second
 
-func noBackEnd(wanted Wanted) error {
+func noBackEnd(wanted Requirements) error {
 	name := wanted.Model
 	if name == "" {
 		name = wanted.Service
@@ -118,7 +118,7 @@
 }
 
 // decide asks routing, with the servers tried before left out.
-func (v *View) decide(wanted Wanted, tried []string, now time.Duration) (routing.Decision, bool) {
+func (v *View) decide(wanted Requirements, tried []string, now time.Duration) (routing.Decision, bool) {
 	request, ok := v.request(wanted)
 	if !ok {
 		return routing.Decision{}, false
@@ -140,14 +140,14 @@
 
 // route chooses among the servers: of models by what this gateway knows itself,
 // of services by sampling. It names the policies, so that nothing is allocated.
-func (v *View) route(wanted Wanted, request *routing.Request, now time.Duration) (routing.Decision, bool) {
+func (v *View) route(wanted Requirements, request *routing.Request, now time.Duration) (routing.Decision, bool) {
 	if wanted.Service != "" {
 		return routing.Default.Choose(&v.routing, request, now, v.random)
 	}
 	return v.ownedFirst.Choose(&v.routing, request, now, v.random)
 }
 
-func (v *View) request(wanted Wanted) (routing.Request, bool) {
+func (v *View) request(wanted Requirements) (routing.Request, bool) {
 	key := modelKey(wanted.Model)
 	if wanted.Service != "" {
 		key = serviceKey(wanted.Service)
@@ -169,13 +169,13 @@
 	return request, true
 }
 
-// FirstToken tells that the first token of an attempt came, or that none will.
+// RecordFirstToken tells that the first token of an attempt came, or that none will.
 // Streamed tells that Tokens will be called for the rest of the answer.
-func (v *View) FirstToken(target upstream.Target, attempt Attempt, streamed, came bool) {
+func (v *View) RecordFirstToken(target upstream.Target, attempt Attempt, streamed, came bool) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	if e := v.byName[target.Name]; e != nil {
-		v.routing.FirstToken(e.index, attempt.promptTokens)
+		v.routing.RecordFirstToken(e.index, attempt.promptTokens)
 		if attempt.awaited {
 			v.tracker.FirstToken(e.slot, came, v.now())
 		}
@@ -188,8 +188,8 @@
 	}
 }
 
-// Tokens tells that so many more tokens of a streamed answer arrived.
-func (v *View) Tokens(target upstream.Target, attempt Attempt, count int) {
+// RecordTokens tells that so many more tokens of a streamed answer arrived.
+func (v *View) RecordTokens(target upstream.Target, attempt Attempt, count int) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	if e := v.byName[target.Name]; e != nil {
@@ -197,9 +197,9 @@
 	}
 }
 
-// Ended counts an online request down and hands the evidence to the owner.
+// RecordEnded counts an online request down and hands the evidence to the owner.
 // FirstToken must have been called before, also when none came.
-func (v *View) Ended(target upstream.Target, attempt Attempt, report upstream.Report) {
+func (v *View) RecordEnded(target upstream.Target, attempt Attempt, report upstream.Report) {
 	v.mutex.Lock()
 	if e := v.byName[target.Name]; e != nil {
 		if mean, known := e.batch.pace.Ended(attempt.ticket, v.routing.Cost.StepBase, v.now()); known {
@@ -207,19 +207,19 @@
 		}
 		v.changed(e)
 		e.batch.publishLeader()
-		v.routing.Ended(e.index, false)
+		v.routing.RecordEnded(e.index, false)
 		e.history.ended.add(v.now())
 	}
 	v.mutex.Unlock()
 	v.note(target, report)
 }
 
-// Models tells which of the models can be answered by some server now.
-func (v *View) Models(names []string) []string {
+// AvailableModels tells which of the models can be answered by some server now.
+func (v *View) AvailableModels(names []string) []string {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	return slices.DeleteFunc(slices.Clone(names), func(name string) bool {
-		_, ok := v.decide(Wanted{Model: name}, nil, v.now())
+		_, ok := v.decide(Requirements{Model: name}, nil, v.now())
 		return !ok
 	})
 }
--- a/internal/serverview/poll_test.go
+++ b/internal/serverview/poll_test.go
@@ -13,7 +13,7 @@
 // newZoneView returns a view of a zone with the given number of engines.
 func newZoneView(engines int) *View {
 	view := New(Options{Gateway: "gateway-a", Zone: "zone", Client: upstream.NewClient()})
-	var declared Declared
+	var declared Config
 	for number := range engines {
 		declared.BackEnds = append(declared.BackEnds, &rockwindpb.BackEnd{
 			Name: fmt.Sprintf("engine-%d", number), Address: fmt.Sprintf("127.0.0.1:%d", number+1), Zone: "zone",
@@ -33,7 +33,7 @@
 		if due := view.duePolls(); len(due) != 0 {
 			t.Fatalf("%d servers are polled before the first exchange", len(due))
 		}
-		view.Exchanged(&rockwindpb.ExchangeResponse{Peers: []string{"gateway-a", "gateway-b", "gateway-c"}})
+		view.ApplyExchange(&rockwindpb.ExchangeResponse{Peers: []string{"gateway-a", "gateway-b", "gateway-c"}})
 		if due := view.duePolls(); len(due) != engines/3 {
 			t.Fatalf("%d of %d servers are polled by one of three gateways", len(due), engines)
 		}
--- a/internal/serverview/ready.go
+++ b/internal/serverview/ready.go
@@ -101,13 +101,13 @@
 	}
 }
 
-// News tells that the next exchange must not wait for its time.
-func (v *View) News() <-chan struct{} {
+// ExchangeRequested tells that the next exchange must not wait for its time.
+func (v *View) ExchangeRequested() <-chan struct{} {
 	return v.news
 }
 
-// Leaving names the servers that told this gateway that they take no new work.
-func (v *View) Leaving() []string {
+// LeavingServers names the servers that told this gateway that they take no new work.
+func (v *View) LeavingServers() []string {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	var names []string
--- a/internal/serverview/ready_test.go
+++ b/internal/serverview/ready_test.go
@@ -42,17 +42,17 @@
 func TestRefusalOfADrainingServerTakesItOutAndIsPassedOn(t *testing.T) {
 	f := newCacheFixture(t, 0)
 	f.refuse()
-	if f.leaving() || len(f.view.Leaving()) != 0 {
+	if f.leaving() || len(f.view.LeavingServers()) != 0 {
 		t.Fatal("a refusal for load took the server out")
 	}
 	f.drain(`{"draining":true}`)
 	f.view.byName["engine"].questionAt = 0
 	f.refuse()
-	if !f.leaving() || !slices.Equal(f.view.Leaving(), []string{"engine"}) {
+	if !f.leaving() || !slices.Equal(f.view.LeavingServers(), []string{"engine"}) {
 		t.Fatal("the draining server is still in after it refused a request")
 	}
 	select {
-	case <-f.view.News():
+	case <-f.view.ExchangeRequested():
 	default:
 		t.Fatal("no exchange was asked for")
 	}
@@ -60,11 +60,11 @@
 
 func TestServersThatOthersFoundLeavingAreOutWhileTheyAreNamed(t *testing.T) {
 	f := newCacheFixture(t, 0)
-	f.view.Exchanged(&rockwindpb.ExchangeResponse{Leaving: []string{"engine"}})
-	if !f.leaving() || len(f.view.Leaving()) != 0 {
+	f.view.ApplyExchange(&rockwindpb.ExchangeResponse{Leaving: []string{"engine"}})
+	if !f.leaving() || len(f.view.LeavingServers()) != 0 {
 		t.Fatal("a named server is in, or is passed on as found here")
 	}
-	f.view.Exchanged(&rockwindpb.ExchangeResponse{})
+	f.view.ApplyExchange(&rockwindpb.ExchangeResponse{})
 	if f.leaving() {
 		t.Fatal("the server is out although nobody names it")
 	}
--- a/internal/serverview/report.go
+++ b/internal/serverview/report.go
@@ -71,7 +71,7 @@
 	if report.Loaded != nil {
 		e.loaded = report.Loaded
 	}
-	v.routing.Reported(e.index, routing.Report{
+	v.routing.ApplyReport(e.index, routing.Report{
 		TakenAt:       takenAt,
 		RunningOnline: float32(report.RunningOnline),
 		RunningBatch:  float32(report.RunningBatch),
@@ -130,8 +130,8 @@
 // control machines that restarted.
 const loadedEvery = 16
 
-// Exchanged merges what the control machines passed on.
-func (v *View) Exchanged(response *rockwindpb.ExchangeResponse) {
+// ApplyExchange merges what the control machines passed on.
+func (v *View) ApplyExchange(response *rockwindpb.ExchangeResponse) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	v.exchangedAt = v.now()
@@ -193,7 +193,7 @@
 	}
 	for _, e := range v.entries {
 		if e.zone == zone.GetZone() && slices.Contains(e.serves, zone.GetModel()) {
-			v.routing.Reported(e.index, report, e.history.sent.after(report.TakenAt), e.history.ended.after(report.TakenAt))
+			v.routing.ApplyReport(e.index, report, e.history.sent.after(report.TakenAt), e.history.ended.after(report.TakenAt))
 		}
 	}
 }
@@ -222,7 +222,7 @@
 
 // preferOwned lists the servers of the own zone for routing.
 func (v *View) preferOwned() {
-	v.ownedFirst = routing.OwnedFirst{Margin: routing.OwnedMargin, Otherwise: routing.Default, Backlog: v.promptBacklog}
+	v.ownedFirst = routing.OwnedFirst{Margin: routing.OwnedMargin, Fallback: routing.Default, Backlog: v.promptBacklog}
 	for index, e := range v.entries {
 		switch {
 		case e.zone != v.options.Zone:
--- a/internal/serverview/states.go
+++ b/internal/serverview/states.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// InProgress counts the online requests in flight at all servers.
-func (v *View) InProgress() int {
+// InFlight counts the online requests in flight at all servers.
+func (v *View) InFlight() int {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	count := 0
--- a/internal/serverview/view.go
+++ b/internal/serverview/view.go
@@ -134,8 +134,8 @@
 	adapters map[string]routing.NameID
 }
 
-// Declared is the part of a configuration that the view needs.
-type Declared struct {
+// Config is the part of a configuration that the view needs.
+type Config struct {
 	// Models, Services and BackEnds are the objects of the configuration.
 	Models   []*rockwindpb.Model
 	Services []*rockwindpb.Service
@@ -161,7 +161,7 @@
 		tracker:  health.NewTracker(health.DefaultPolicy, 0),
 	}
 	v.startedAt = v.now()
-	v.Configure(Declared{})
+	v.Configure(Config{})
 	return v
 }
 
@@ -173,7 +173,7 @@
 
 // Configure puts a configuration in force. What is known of servers that stay
 // is kept.
-func (v *View) Configure(declared Declared) {
+func (v *View) Configure(declared Config) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	v.names = routing.NewNames()
@@ -227,7 +227,7 @@
 		if zone == v.options.Zone {
 			cost = 0
 		}
-		fresh.Zones = append(fresh.Zones, routing.Zone{First: int32(first), Count: int32(len(fresh.Servers) - first), Cost: cost})
+		fresh.Zones = append(fresh.Zones, routing.Zone{First: int32(first), Count: int32(len(fresh.Servers) - first), ExtraRTT: cost})
 	}
 	v.forgetRemoved(old)
 	v.routing = fresh
@@ -251,7 +251,7 @@
 		server.OwnBatch = oldServers[known.index].OwnBatch
 		e.slot, e.batch = known.slot, known.batch
 		v.tracker.Forget(e.slot)
-		v.prefixes.Forget(int32(e.slot))
+		v.prefixes.RemoveServer(int32(e.slot))
 	}
 	if e.slot == noSlot {
 		e.slot = v.slots.take()
@@ -277,7 +277,7 @@
 func (v *View) forgetRemoved(old map[string]*entry) {
 	for name, e := range old {
 		if v.byName[name] == nil {
-			v.prefixes.Forget(int32(e.slot))
+			v.prefixes.RemoveServer(int32(e.slot))
 			v.slots.give(e.slot)
 		}
 	}
--- a/internal/sharding/sharding.go
+++ b/internal/sharding/sharding.go
@@ -35,15 +35,15 @@
 	return uint32(digest.Sum64()%uint64(shards)) + 1
 }
 
-// Identifier builds "prefix-shard-number", the form that package ledger checks;
+// FormatIdentifier builds "prefix-shard-number", the form that package ledger checks;
 // the number has 16 hexadecimal digits.
-func Identifier(prefix string, shard uint32, number uint64) string {
+func FormatIdentifier(prefix string, shard uint32, number uint64) string {
 	return fmt.Sprintf("%s%s%d%s%016x", prefix, separator, shard, separator, number)
 }
 
-// OfIdentifier returns the shard that an identifier carries, and whether it is
+// ShardOf returns the shard that an identifier carries, and whether it is
 // one of the shards that exist.
-func OfIdentifier(identifier string, shards uint32) (uint32, bool) {
+func ShardOf(identifier string, shards uint32) (uint32, bool) {
 	fields := strings.SplitN(identifier, separator, identifierFields)
 	if len(fields) != identifierFields {
 		return 0, false
--- a/internal/simulator/executor.go
+++ b/internal/simulator/executor.go
@@ -50,7 +50,7 @@
 	entry := &g.view.Servers[server]
 	now := g.fleet.clock.Now()
 	return sharing.ServerState{
-		Online:       float64(entry.Online()),
+		Online:       float64(entry.OnlineRequests()),
 		Pace:         &g.paces[server],
 		Target:       g.target(),
 		BatchRunning: len(g.lanes[server].running),
@@ -164,7 +164,7 @@
 	next.attempts++
 	next.startedAt = run.clock.Now()
 	g.lanes[server].running = append(g.lanes[server].running, next)
-	g.view.Sent(server, next.shape.prompt, true)
+	g.view.RecordSent(server, next.shape.prompt, true)
 	request := engine.Request{
 		ID:               next.id(),
 		Tag:              tagBatch | uint64(next.index),
@@ -186,7 +186,7 @@
 // leave takes an item off its lane.
 func (g *gateway) leave(entry *item, server int) {
 	lane := &g.lanes[server]
-	g.view.Ended(server, true)
+	g.view.RecordEnded(server, true)
 	if index := slices.Index(lane.running, entry); index >= 0 {
 		lane.running = slices.Delete(lane.running, index, index+1)
 	}
@@ -205,7 +205,7 @@
 // itemLost gives an item back that did not complete.
 func (g *gateway) itemLost(entry *item, server int) {
 	g.leave(entry, server)
-	g.view.FirstToken(server, entry.shape.prompt)
+	g.view.RecordFirstToken(server, entry.shape.prompt)
 	g.health.Record(server, health.Failure, 0, g.fleet.clock.Now(), g.random)
 	g.publishHealth(server)
 	g.fleet.ledger.giveBack(entry)
--- a/internal/simulator/fleet.go
+++ b/internal/simulator/fleet.go
@@ -17,7 +17,7 @@
 	engine *engine.Engine
 	zone   int
 	// alarm is set for the engine's next event.
-	alarm virtualtime.Alarm
+	alarm virtualtime.Timer
 	owner *gateway
 }
 
@@ -157,7 +157,7 @@
 
 func (f *fleet) advance(server int) {
 	node := &f.nodes[server]
-	if !node.alarm.Rings(f.clock.Now()) {
+	if !node.alarm.Fire(f.clock.Now()) {
 		return
 	}
 	f.events = node.engine.Advance(f.clock.Now(), f.events[:0])
@@ -205,7 +205,7 @@
 	switch event.Kind {
 	case engine.EventTokens:
 		if event.Sequence == event.Count {
-			f.clock.At(arrives, func() { gateway.view.FirstToken(server, item.shape.prompt) })
+			f.clock.At(arrives, func() { gateway.view.RecordFirstToken(server, item.shape.prompt) })
 		}
 	case engine.EventFinished:
 		f.clock.At(arrives, func() { gateway.itemDone(item, server) })
--- a/internal/simulator/gateway.go
+++ b/internal/simulator/gateway.go
@@ -22,7 +22,7 @@
 	index    int
 	zone     int
 	view     routing.View
-	recent   []routing.Recent
+	recent   []routing.RequestHistory
 	random   *rand.Rand
 	routing  routing.Policy
 	health   *health.Tracker
@@ -49,7 +49,7 @@
 		zone:     index / scenario.GatewaysPerZone,
 		random:   newRandom(seed, streamGateways+uint64(index)),
 		health:   health.NewTracker(health.DefaultPolicy, servers),
-		recent:   make([]routing.Recent, servers),
+		recent:   make([]routing.RequestHistory, servers),
 		lanes:    make([]lane, servers),
 		paces:    make([]sharing.Pace, servers),
 		prefixes: make(map[int][2]int),
@@ -82,7 +82,7 @@
 			cost = 0
 		}
 		first := zone * scenario.EnginesPerZone
-		g.view.Zones = append(g.view.Zones, routing.Zone{First: int32(first), Count: int32(scenario.EnginesPerZone), Cost: cost})
+		g.view.Zones = append(g.view.Zones, routing.Zone{First: int32(first), Count: int32(scenario.EnginesPerZone), ExtraRTT: cost})
 		for place := range scenario.EnginesPerZone {
 			server := &g.view.Servers[first+place]
 			server.Zone = uint16(offset)
@@ -163,8 +163,8 @@
 	if shape.prefix > 0 && g.prefixes[shape.prefix][0] != server {
 		g.prefixes[shape.prefix] = [2]int{server, g.prefixes[shape.prefix][0]}
 	}
-	g.view.Sent(server, shape.prompt, false)
-	g.recent[server].Sent(run.clock.Now())
+	g.view.RecordSent(server, shape.prompt, false)
+	g.recent[server].RecordSent(run.clock.Now())
 	g.noteSent(index, server)
 	g.balance(server)
 	run.clock.After(run.delay(g, server)+run.hops.draw(), func() {
@@ -184,15 +184,15 @@
 }
 
 func (g *gateway) firstToken(record *onlineRecord, server int) {
-	g.view.FirstToken(server, record.arrival.shape.prompt)
+	g.view.RecordFirstToken(server, record.arrival.shape.prompt)
 	g.health.Record(server, health.Success, 0, g.fleet.clock.Now(), g.random)
 	g.noteFirstToken(record, server)
 }
 
 func (g *gateway) ended(record *onlineRecord, server int) {
 	g.noteEnded(record, server)
-	g.view.Ended(server, false)
-	g.recent[server].Ended(g.fleet.clock.Now())
+	g.view.RecordEnded(server, false)
+	g.recent[server].RecordEnded(g.fleet.clock.Now())
 	g.balance(server)
 }
 
@@ -203,9 +203,9 @@
 func (g *gateway) lost(index, server int) {
 	record := &g.fleet.online[index]
 	g.noteEnded(record, server)
-	g.view.Ended(server, false)
-	g.view.FirstToken(server, record.arrival.shape.prompt)
-	g.recent[server].Ended(g.fleet.clock.Now())
+	g.view.RecordEnded(server, false)
+	g.view.RecordFirstToken(server, record.arrival.shape.prompt)
+	g.recent[server].RecordEnded(g.fleet.clock.Now())
 	g.health.Record(server, health.Failure, 0, g.fleet.clock.Now(), g.random)
 	g.publishHealth(server)
 	if record.attempts >= maxAttempts || record.firstAt > 0 {
--- a/internal/simulator/pace.go
+++ b/internal/simulator/pace.go
@@ -102,9 +102,9 @@
 // know the owners.
 func (g *gateway) routeOwnedFirst() {
 	policy := &routing.OwnedFirst{
-		Margin:    g.fleet.policy.OwnedMargin,
-		Backlog:   func(server int) int { return g.paces[server].PromptTokens() },
-		Otherwise: routing.Default,
+		Margin:   g.fleet.policy.OwnedMargin,
+		Backlog:  func(server int) int { return g.paces[server].PromptTokens() },
+		Fallback: routing.Default,
 	}
 	zone := g.view.Zones[0]
 	for server := zone.First; server < zone.First+zone.Count; server++ {
--- a/internal/simulator/reports.go
+++ b/internal/simulator/reports.go
@@ -42,8 +42,8 @@
 }
 
 func (g *gateway) reported(server int, load engine.Report) {
-	sent, ended := g.recent[server].Since(load.At)
-	g.view.Reported(server, reportOf(load), sent, ended)
+	sent, ended := g.recent[server].CountSince(load.At)
+	g.view.ApplyReport(server, reportOf(load), sent, ended)
 	g.balance(server)
 }
 
@@ -100,8 +100,8 @@
 		if from.zone == g.zone {
 			report = reports[index]
 		}
-		sent, ended := g.recent[server].Since(report.TakenAt)
-		g.view.Reported(server, report, sent, ended)
+		sent, ended := g.recent[server].CountSince(report.TakenAt)
+		g.view.ApplyReport(server, report, sent, ended)
 	}
 }
 
@@ -114,5 +114,5 @@
 
 func (g *gateway) refreshOne(server int) {
 	load := g.fleet.nodes[server].engine.Load(g.fleet.clock.Now())
-	g.view.Reported(server, reportOf(load), 0, 0)
+	g.view.ApplyReport(server, reportOf(load), 0, 0)
 }
--- a/internal/virtualtime/alarm_test.go
+++ b/internal/virtualtime/alarm_test.go
@@ -10,7 +10,7 @@
 // TestEarlierAlarmReplacesALaterOne: the engine is advanced once for both.
 func TestEarlierAlarmReplacesALaterOne(t *testing.T) {
 	queue := &virtualtime.Queue{}
-	alarm := virtualtime.Alarm{}
+	alarm := virtualtime.Timer{}
 	for _, at := range []time.Duration{30, 10, 20} {
 		alarm.Set(queue, at, 0)
 	}
@@ -19,7 +19,7 @@
 		if _, found := queue.Next(time.Hour); !found {
 			break
 		}
-		if alarm.Rings(queue.Now()) {
+		if alarm.Fire(queue.Now()) {
 			rang = append(rang, queue.Now())
 		}
 	}
@@ -31,14 +31,14 @@
 // TestAlarmInThePastRingsNow and can be set again.
 func TestAlarmInThePastRingsNow(t *testing.T) {
 	queue := &virtualtime.Queue{}
-	alarm := virtualtime.Alarm{}
+	alarm := virtualtime.Timer{}
 	alarm.Set(queue, 10, 0)
 	queue.Next(time.Hour)
-	if !alarm.Rings(queue.Now()) {
+	if !alarm.Fire(queue.Now()) {
 		t.Fatal("it does not ring")
 	}
 	alarm.Set(queue, 5, 0)
-	if _, found := queue.Next(time.Hour); !found || queue.Now() != 10 || !alarm.Rings(queue.Now()) {
+	if _, found := queue.Next(time.Hour); !found || queue.Now() != 10 || !alarm.Fire(queue.Now()) {
 		t.Fatalf("at %v it does not ring again", queue.Now())
 	}
 }
