--- a/internal/routing/baselines.go
+++ b/internal/routing/baselines.go
@@ -8,9 +8,11 @@
 // The baselines below are kept to be measured against. They obey the same rule
 // of eligibility as the policy in use.
 
-// RoundRobin takes eligible servers in turn. Next is the position of the next
-// choice.
+// RoundRobin takes eligible servers in turn. Like the other policies in this
+// file, it is a baseline for benchmarks and simulations, with the same
+// eligibility rule as the default policy.
 type RoundRobin struct {
+	// Next is the index from which the next choice searches.
 	Next int
 }
 
@@ -23,16 +25,16 @@
 	count := len(view.Servers)
 	for step := range count {
 		index := (r.Next + step) % count
-		if !view.mayTake(index, request, version) {
+		if !view.canServe(index, request, version) {
 			continue
 		}
 		r.Next = index + 1
-		return view.decide(index, request, version, now), true
+		return view.decisionFor(index, request, version, now), true
 	}
 	return Decision{}, false
 }
 
-// Random takes any eligible server.
+// Random picks an eligible server uniformly.
 type Random struct{}
 
 // Choose implements Policy.
@@ -44,7 +46,7 @@
 	seen := 0
 	chosen := -1
 	for index := range view.Servers {
-		if !view.mayTake(index, request, version) {
+		if !view.canServe(index, request, version) {
 			continue
 		}
 		seen++
@@ -55,11 +57,11 @@
 	if chosen < 0 {
 		return Decision{}, false
 	}
-	return view.decide(chosen, request, version, now), true
+	return view.decisionFor(chosen, request, version, now), true
 }
 
-// LeastInFlight takes the server with the fewest of this gateway's own requests
-// in flight and ignores reports.
+// LeastInFlight picks the server with the fewest in-flight requests of this
+// gateway and ignores load reports.
 type LeastInFlight struct{}
 
 // Choose implements Policy.
@@ -69,9 +71,10 @@
 	})
 }
 
-// FreshOracle takes the least estimated wait over all servers, what a hinted
-// server saves included. Given a view with reports of age zero and a hint for
-// every server that caches a prefix, it is what perfect information allows.
+// FreshOracle picks the shortest estimated wait over all servers, including the
+// prefill time that a cached prefix saves. With load reports of age zero and a
+// hint for every server that caches a prefix, it bounds what any policy can
+// achieve.
 type FreshOracle struct{}
 
 // Choose implements Policy.
@@ -83,7 +86,7 @@
 		return decision, false
 	}
 	for _, hint := range request.Hints {
-		if !view.mayTake(int(hint.Server), request, decision.Version) {
+		if !view.canServe(int(hint.Server), request, decision.Version) {
 			continue
 		}
 		rest := *request
@@ -97,8 +100,8 @@
 	return decision, true
 }
 
-// chooseLeast takes the eligible server with the least value, from a random
-// start so that ties spread.
+// chooseLeast picks the eligible server with the smallest value. It starts at a
+// random server so that ties are spread.
 func chooseLeast(view *View, request *Request, now time.Duration, random *rand.Rand, value func(*Server) float32) (Decision, bool) {
 	version, found := drawVersion(request.Versions, random)
 	if !found || len(view.Servers) == 0 {
@@ -110,7 +113,7 @@
 	var least float32
 	for step := range count {
 		index := (start + step) % count
-		if !view.mayTake(index, request, version) {
+		if !view.canServe(index, request, version) {
 			continue
 		}
 		candidate := value(&view.Servers[index])
@@ -123,16 +126,18 @@
 	if chosen < 0 {
 		return Decision{}, false
 	}
-	return view.decide(chosen, request, version, now), true
+	return view.decisionFor(chosen, request, version, now), true
 }
 
-func (v *View) mayTake(index int, request *Request, version NameID) bool {
+// canServe reports whether the server at an index is eligible and not excluded
+// by the request.
+func (v *View) canServe(index int, request *Request, version NameID) bool {
 	if index < 0 || index >= len(v.Servers) {
 		return false
 	}
 	return int32(index)+1 != request.Exclude && v.Servers[index].Eligible(request, version)
 }
 
-func (v *View) decide(index int, request *Request, version NameID, now time.Duration) Decision {
+func (v *View) decisionFor(index int, request *Request, version NameID, now time.Duration) Decision {
 	return Decision{Server: index, Version: version, Wait: v.Estimate(&v.Servers[index], request, now)}
 }
--- a/internal/routing/choose_test.go
+++ b/internal/routing/choose_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawView draws a view with zones, states and names of every kind.
+// drawView draws a view with random zones, server states and loaded names.
 func drawView(t *rapid.T) *View {
 	view := &View{Cost: CostModel{
 		StepBase:         12 * time.Millisecond,
@@ -69,8 +69,9 @@
 	return request
 }
 
-// eligibleAnywhere lists what the policies must choose from, by its own rule.
-func eligibleAnywhere(view *View, request *Request) map[int]bool {
+// eligibleServers computes the eligible servers independently of the code under
+// test.
+func eligibleServers(view *View, request *Request) map[int]bool {
 	eligible := map[int]bool{}
 	for index := range view.Servers {
 		server := &view.Servers[index]
@@ -89,15 +90,15 @@
 	return eligible
 }
 
-func TestChoiceIsEligibleAndFoundWhereThereIsOne(t *testing.T) {
+func TestChooseFindsAnEligibleServerIfOneExists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		view := drawView(t)
 		request := drawRequest(t)
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		eligible := eligibleAnywhere(view, request)
+		eligible := eligibleServers(view, request)
 		decision, found := Choose(view, request, time.Second, random)
 		if found != (len(eligible) > 0) {
-			t.Fatalf("found %v with %d eligible servers", found, len(eligible))
+			t.Fatalf("Choose found a server: %v, with %d eligible servers", found, len(eligible))
 		}
 		if !found {
 			return
@@ -106,7 +107,7 @@
 			t.Fatalf("server %d is not eligible", decision.Server)
 		}
 		if !view.Servers[decision.Server].Loaded.Has(decision.Version) {
-			t.Fatalf("server %d lacks version %d", decision.Server, decision.Version)
+			t.Fatalf("server %d has not loaded version %d", decision.Server, decision.Version)
 		}
 	})
 }
@@ -116,17 +117,18 @@
 		view := drawView(t)
 		request := drawRequest(t)
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		eligible := eligibleAnywhere(view, request)
+		eligible := eligibleServers(view, request)
 		for _, policy := range []Policy{&RoundRobin{}, Random{}, LeastInFlight{}, FreshOracle{}} {
 			decision, found := policy.Choose(view, request, time.Second, random)
 			if found && !eligible[decision.Server] {
-				t.Fatalf("%T chose server %d", policy, decision.Server)
+				t.Fatalf("%T chose ineligible server %d", policy, decision.Server)
 			}
 		}
 	})
 }
 
-// uniformView is a zone of equal servers that all hold name 0.
+// uniformView returns a view of one zone of identical servers that all have
+// name 0 loaded.
 func uniformView(servers int) *View {
 	view := &View{
 		Zones: []Zone{{Count: int32(servers)}},
@@ -144,7 +146,7 @@
 	return view
 }
 
-func TestAffinityNeverMakesAHotSpot(t *testing.T) {
+func TestHintedServerIsNotOverloaded(t *testing.T) {
 	view := uniformView(12)
 	random := rand.New(rand.NewPCG(1, 2))
 	request := &Request{
@@ -164,11 +166,11 @@
 		t.Fatalf("the hinted server got %d of %d requests", hot, requests)
 	}
 	if hot > 2*fair {
-		t.Fatalf("the hinted server got %d requests, twice the fair %d is the most", hot, fair)
+		t.Fatalf("the hinted server got %d requests, more than twice its even share of %d", hot, fair)
 	}
 }
 
-func TestVersionsGetTheirWeight(t *testing.T) {
+func TestVersionsAreDrawnByWeight(t *testing.T) {
 	view := uniformView(12)
 	for index := range view.Servers {
 		view.Servers[index].Loaded.Add(1)
@@ -181,11 +183,11 @@
 		counts[decision.Version]++
 	}
 	if counts[1] < 850 || counts[1] > 1150 {
-		t.Fatalf("version 1 got %d of 10,000 at weight 10 of 100", counts[1])
+		t.Fatalf("version 1 got %d of 10,000 requests at weight 10 of 100", counts[1])
 	}
 }
 
-func TestOwnRequestsCountBeforeAnyReport(t *testing.T) {
+func TestOwnRequestsAreBalancedBeforeAnyReport(t *testing.T) {
 	view := uniformView(2)
 	random := rand.New(rand.NewPCG(5, 6))
 	request := &Request{Versions: []WeightedVersion{{Name: 0, Weight: 1}}, Adapter: NoName, PromptTokens: 100}
@@ -195,7 +197,7 @@
 	}
 	difference := view.Servers[0].OwnOnline - view.Servers[1].OwnOnline
 	if difference < -40 || difference > 40 {
-		t.Fatalf("two equal servers got %d and %d", view.Servers[0].OwnOnline, view.Servers[1].OwnOnline)
+		t.Fatalf("two identical servers got %d and %d requests", view.Servers[0].OwnOnline, view.Servers[1].OwnOnline)
 	}
 }
 
@@ -221,7 +223,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, found := Choose(view, request, time.Second, random); !found {
-			b.Fatal("no server")
+			b.Fatal("Choose found no server")
 		}
 	}
 }
@@ -241,6 +243,6 @@
 		Choose(view, request, time.Second, random)
 	})
 	if allocations != 0 {
-		t.Fatalf("a choice allocates %v times", allocations)
+		t.Fatalf("Choose allocates %v times per call", allocations)
 	}
 }
--- a/internal/routing/estimate.go
+++ b/internal/routing/estimate.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Estimate is the expected time until the first token of a request on a
-// server, network included. It starts from the reported load, corrected by what
-// this gateway sent and ended since the report was taken, and is never below
-// what this gateway knows to be in flight.
+// Estimate returns the expected time to the first token of a request on a
+// server, including the network. It starts from the reported load, corrected by
+// the requests that this gateway sent and finished since the report was taken,
+// and never assumes less than this gateway has in flight.
 func (v *View) Estimate(server *Server, request *Request, now time.Duration) time.Duration {
 	running := server.running()
 	waitingTokens := server.Report.Waiting * v.Cost.MeanPromptTokens
@@ -18,14 +18,15 @@
 	return network + time.Duration((step+prefill)/speed)
 }
 
-// OnlineRequests estimates the online requests on the server now, waiting ones included.
+// OnlineRequests estimates the current number of online requests on the server,
+// including waiting ones.
 func (s *Server) OnlineRequests() float32 {
 	reported := s.Report.RunningOnline + s.Report.Waiting
 	corrected := reported + float32(s.SentSinceReport-s.EndedSinceReport)
 	return max(corrected, float32(s.OwnOnline))
 }
 
-// running estimates the requests in the step now.
+// running estimates the number of requests in the current step.
 func (s *Server) running() float32 {
 	return s.OnlineRequests() + max(s.Report.RunningBatch, float32(s.OwnBatch))
 }
--- a/internal/routing/owned.go
+++ b/internal/routing/owned.go
@@ -5,26 +5,29 @@
 	"time"
 )
 
-// OwnedMargin is the margin that gateways use.
+// OwnedMargin is the OwnedFirst.Margin that gateways use.
 const OwnedMargin = 5 * time.Millisecond
 
-// OwnedFirst takes the server of the own zone with the least estimated wait
-// behind online requests. Servers that this gateway feeds with batch work come
-// before the others by a margin: of these it knows nearly every request at once,
-// so that neither herds nor surprises come up there. Batch work does not count:
-// it gives way. Where the own zone is slow it asks PowerOfChoices, which knows
-// the other zones. One gateway owns an OwnedFirst.
+// OwnedFirst picks the server of the local zone with the shortest estimated
+// wait behind online requests. Servers to which this gateway assigns batch work
+// are preferred by a margin: the gateway knows nearly all of their requests
+// without delay, so its estimates are accurate there. Batch requests are not
+// counted, since they yield to online requests. If the local zone is slow, it
+// falls back to PowerOfChoices, which considers other zones. It must not be
+// shared between gateways.
 type OwnedFirst struct {
-	// Owned lists the servers that this gateway feeds, all of the own zone.
+	// Owned lists the servers to which this gateway assigns batch work, all in
+	// the local zone.
 	Owned []int32
-	// Others lists the other servers of the own zone.
+	// Others lists the other servers of the local zone.
 	Others []int32
 	// Margin is added to the estimate of servers that are not owned.
 	Margin time.Duration
-	// Backlog returns the online prompt tokens that this gateway knows to wait
-	// on a server.
+	// Backlog returns the number of online prompt tokens that this gateway
+	// knows to be waiting on a server.
 	Backlog func(server int) int
-	// Fallback chooses where the wait in the own zone exceeds its SpillWait.
+	// Fallback is used if the wait in the local zone exceeds its
+	// SpilloverThreshold.
 	Fallback PowerOfChoices
 }
 
@@ -34,14 +37,14 @@
 	if !found {
 		return Decision{}, false
 	}
-	chosen := best{health: Ejected}
-	p.considerHomes(view, request, version, &chosen)
+	chosen := candidate{health: Ejected}
+	p.considerAffinityServers(view, request, version, &chosen)
 	for _, index := range p.Owned {
-		p.offer(view, index, 0, request, version, random, &chosen)
+		p.considerServer(view, index, 0, request, version, random, &chosen)
 	}
-	if chosen.health != Healthy || chosen.score > p.leastOther(view, request) {
+	if chosen.health != Healthy || chosen.score > p.minOtherScore(view, request) {
 		for _, index := range p.Others {
-			p.offer(view, index, p.Margin, request, version, random, &chosen)
+			p.considerServer(view, index, p.Margin, request, version, random, &chosen)
 		}
 	}
 	if chosen.health != Healthy || chosen.wait > p.Fallback.SpilloverThreshold {
@@ -53,54 +56,55 @@
 	return Decision{Server: int(chosen.server), Version: version, Wait: chosen.wait, Hinted: chosen.hinted, CachedTokens: chosen.cached}, chosen.found()
 }
 
-// leastOther is the score of an idle server that is not owned and caches none of
-// the prompt.
-func (p *OwnedFirst) leastOther(view *View, request *Request) time.Duration {
+// minOtherScore is the score of an idle server that is not owned and caches
+// none of the prompt.
+func (p *OwnedFirst) minOtherScore(view *View, request *Request) time.Duration {
 	return p.Margin + view.Cost.StepBase + time.Duration(request.PromptTokens)*view.Cost.PerPromptToken
 }
 
-// considerHomes offers the homes of the request's key and the servers that
-// probably cache a prefix, wherever they are.
-func (p *OwnedFirst) considerHomes(view *View, request *Request, version NameID, chosen *best) {
+// considerAffinityServers considers the affinity servers of the request's key
+// and the hinted servers, in any zone.
+func (p *OwnedFirst) considerAffinityServers(view *View, request *Request, version NameID, chosen *candidate) {
 	for _, hint := range request.Hints[:min(len(request.Hints), MaxHints)] {
 		if hint.Server >= 0 && int(hint.Server) < len(view.Servers) && hint.Server+1 != request.Exclude {
-			p.offerHome(view, hint.Server, request, version, 0, chosen)
+			p.considerAffinityServer(view, hint.Server, request, version, 0, chosen)
 		}
 	}
 	if request.AffinityKey == 0 || len(view.Zones) == 0 {
 		return
 	}
-	from, to := view.homeSet()
-	first, second := view.homes(from, to, request, version)
+	from, to := view.affinityRange()
+	first, second := view.affinityServers(from, to, request, version)
 	prefill := time.Duration(request.PromptTokens) * view.Cost.PerPromptToken
 	bonus := min(p.Fallback.AffinityBonus+prefill, p.Fallback.MaxAffinityBonus)
-	p.offerHome(view, first, request, version, bonus, chosen)
-	p.offerHome(view, second, request, version, bonus/2, chosen)
+	p.considerAffinityServer(view, first, request, version, bonus, chosen)
+	p.considerAffinityServer(view, second, request, version, bonus/2, chosen)
 }
 
-func (p *OwnedFirst) offerHome(view *View, index int32, request *Request, version NameID, bonus time.Duration, chosen *best) {
+func (p *OwnedFirst) considerAffinityServer(view *View, index int32, request *Request, version NameID, bonus time.Duration, chosen *candidate) {
 	if index < 0 || !view.Servers[index].Eligible(request, version) {
 		return
 	}
 	server := &view.Servers[index]
 	cached := cachedTokens(request, index)
-	wait := p.wait(view, server, index, int(request.PromptTokens)-cached)
+	wait := p.estimateWait(view, server, index, int(request.PromptTokens)-cached)
 	saved := time.Duration(cached) * view.Cost.PerPromptToken
 	margin := p.Margin + max(0, saved-p.Fallback.MaxAffinityBonus) - bonus
-	chosen.offer(best{server: index, health: server.Health, hinted: true, cached: int32(cached), wait: wait, score: wait + margin})
+	chosen.replaceIfBetter(candidate{server: index, health: server.Health, hinted: true, cached: int32(cached), wait: wait, score: wait + margin})
 }
 
-func (p *OwnedFirst) offer(view *View, index int32, margin time.Duration, request *Request, version NameID, random *rand.Rand, chosen *best) {
+func (p *OwnedFirst) considerServer(view *View, index int32, margin time.Duration, request *Request, version NameID, random *rand.Rand, chosen *candidate) {
 	server := &view.Servers[index]
 	if index+1 == request.Exclude || !server.Eligible(request, version) || server.skippedInSlowStart(random) {
 		return
 	}
 	cached := cachedTokens(request, index)
-	wait := p.wait(view, server, index, int(request.PromptTokens)-cached)
-	chosen.offer(best{server: index, health: server.Health, hinted: cached > 0, cached: int32(cached), wait: wait, score: wait + margin})
+	wait := p.estimateWait(view, server, index, int(request.PromptTokens)-cached)
+	chosen.replaceIfBetter(candidate{server: index, health: server.Health, hinted: cached > 0, cached: int32(cached), wait: wait, score: wait + margin})
 }
 
-// cachedTokens is the length of the prefix that a hint says a server caches.
+// cachedTokens returns the length of the prompt prefix that a server caches
+// according to the hints.
 func cachedTokens(request *Request, server int32) int {
 	for _, hint := range request.Hints[:min(len(request.Hints), MaxHints)] {
 		if hint.Server == server {
@@ -110,8 +114,9 @@
 	return 0
 }
 
-// wait estimates the time to the first token behind online requests alone.
-func (p *OwnedFirst) wait(view *View, server *Server, index int32, promptTokens int) time.Duration {
+// estimateWait returns the estimated time to the first token, counting only
+// online requests.
+func (p *OwnedFirst) estimateWait(view *View, server *Server, index int32, promptTokens int) time.Duration {
 	backlog := max(p.Backlog(int(index)), int(server.Report.Waiting*view.Cost.MeanPromptTokens))
 	step := float32(view.Cost.StepBase) + server.OnlineRequests()*float32(view.Cost.PerSequence)
 	prefill := time.Duration(backlog+promptTokens) * view.Cost.PerPromptToken
--- a/internal/routing/owned_test.go
+++ b/internal/routing/owned_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestOwnedFirstTakesTheLeastWait compares choices among healthy servers of one
-// zone with a plain search.
-func TestOwnedFirstTakesTheLeastWait(t *testing.T) {
+// TestOwnedFirstChoosesTheShortestWait compares choices among the healthy
+// servers of one zone with a linear search.
+func TestOwnedFirstChoosesTheShortestWait(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 20).Draw(t, "servers")
 		owned := rapid.IntRange(0, count).Draw(t, "owned")
@@ -42,7 +42,7 @@
 		decision, found := policy.Choose(&view, &request, 0, rand.New(rand.NewPCG(1, 1)))
 		least := time.Duration(-1)
 		score := func(index int) time.Duration {
-			wait := policy.wait(&view, &view.Servers[index], int32(index), 100)
+			wait := policy.estimateWait(&view, &view.Servers[index], int32(index), 100)
 			if index >= owned {
 				wait += OwnedMargin
 			}
@@ -54,10 +54,10 @@
 			}
 		}
 		if found != (least >= 0) {
-			t.Fatalf("found %v with a least wait of %v", found, least)
+			t.Fatalf("Choose found a server: %v, shortest wait: %v", found, least)
 		}
 		if found && (!view.Servers[decision.Server].Eligible(&request, 0) || score(decision.Server) != least) {
-			t.Fatalf("server %d scores %v, the least is %v", decision.Server, score(decision.Server), least)
+			t.Fatalf("server %d has score %v, lowest is %v", decision.Server, score(decision.Server), least)
 		}
 	})
 }
--- a/internal/routing/prefix.go
+++ b/internal/routing/prefix.go
@@ -1,24 +1,24 @@
 package routing
 
-// MaxPrefixBlocks bounds the blocks of a prompt whose prefixes are looked
-// up.
+// MaxPrefixBlocks is the number of leading blocks of a prompt whose prefixes
+// are looked up.
 const MaxPrefixBlocks = 64
 
-// affinityBlocks is the length in blocks of the part of a prompt that names its
-// conversation or document.
-const affinityBlocks = 4
+// affinityPrefixBlocks is the number of leading blocks of a prompt that
+// identify its conversation or document.
+const affinityPrefixBlocks = 4
 
-// Prefix is a leading part of a prompt.
+// Prefix is a prefix of a prompt.
 type Prefix struct {
-	// Block is the chain hash of the part's last block.
+	// Block is the chained hash of the prefix's last block.
 	Block uint64
-	// Tokens is the length of the part.
+	// Tokens is the length of the prefix.
 	Tokens int32
 }
 
-// PrefixesOf appends the prefixes of a prompt whose lengths are powers of two in
-// blocks, longest first. blocks are the chain hashes of the prompt's whole
-// blocks.
+// PrefixesOf appends the prefixes of a prompt whose lengths in blocks are
+// powers of two, longest first. blocks holds the chained hashes of the prompt's
+// complete blocks.
 func PrefixesOf(blocks []uint64, tokensPerBlock int, found []Prefix) []Prefix {
 	count := min(len(blocks), MaxPrefixBlocks)
 	length := 1
@@ -31,11 +31,12 @@
 	return found
 }
 
-// AffinityKeyOf names the conversation or document of a prompt by its leading
-// blocks; zero for prompts that are too short for it to matter.
+// AffinityKeyOf returns a key that identifies the conversation or document of a
+// prompt by its leading blocks. It returns zero for prompts too short for
+// affinity to matter.
 func AffinityKeyOf(blocks []uint64) uint64 {
-	if len(blocks) < affinityBlocks {
+	if len(blocks) < affinityPrefixBlocks {
 		return 0
 	}
-	return blocks[affinityBlocks-1]
+	return blocks[affinityPrefixBlocks-1]
 }
--- a/internal/routing/prefixindex.go
+++ b/internal/routing/prefixindex.go
@@ -1,97 +1,99 @@
 package routing
 
-// MaxHolders bounds the servers remembered for one block.
+// MaxHolders is the number of servers recorded per block.
 const MaxHolders = 8
 
-// maximumBlocksPerServer bounds what is remembered of one server; the blocks
-// that were seen least recently are forgotten first.
-const maximumBlocksPerServer = 4096
+// maxBlocksPerServer is the number of observations kept per server; trim
+// removes the oldest ones.
+const maxBlocksPerServer = 4096
 
-// noEpoch is the epoch of a server whose events were never read.
+// noEpoch is the epoch of a server whose cache events were never read.
 const noEpoch = 0
 
-// PrefixIndex is what one gateway believes about which servers cache which
-// blocks of prompts. It learns from the requests that the gateway sends and
-// from the servers' cache events, which are late and have gaps, so that every
-// answer is a hint. It is pure and belongs to one goroutine at a time.
+// PrefixIndex records which servers probably cache which prompt blocks. It is
+// built from the requests that one gateway sends and from the servers' cache
+// events. Both are delayed or incomplete, so its answers are hints. It does no
+// I/O and is not safe for concurrent use.
 type PrefixIndex struct {
-	blocks  map[uint64]holders
-	servers map[int32]*cachedServer
-	stamp   uint32
+	blocks  map[uint64]blockHolders
+	servers map[int32]*serverCacheState
+	// stamp is a logical timestamp, incremented with each observation.
+	stamp uint32
 }
 
-// holders lists the servers that probably cache a block, with the stamp of the
-// newest evidence for each.
-type holders struct {
+// blockHolders lists the servers that probably cache a block, with the stamp of
+// the newest observation of each.
+type blockHolders struct {
 	count   int32
 	servers [MaxHolders]int32
 	stamps  [MaxHolders]uint32
 }
 
-// cachedServer is what is known of one server.
-type cachedServer struct {
+// serverCacheState is the state of the index for one server.
+type serverCacheState struct {
 	epoch uint64
 	// cursor is the sequence number of the next event to read.
 	cursor uint64
-	// recent lists evidence in order, the oldest first; evidence that newer
-	// evidence replaced is skipped when its turn comes.
-	recent []evidence
+	// observations is ordered from oldest to newest and may contain entries
+	// that a newer observation superseded.
+	observations []observation
 }
 
-// evidence is one reason to believe that a server caches a block.
-type evidence struct {
+// observation records when a block was last seen on a server.
+type observation struct {
 	block uint64
 	stamp uint32
 }
 
-// CacheEvent is a change of a server's cache.
+// CacheEvent is a change in a server's cache.
 type CacheEvent struct {
-	// Block is the chain hash of the block.
+	// Block is the chained hash of the block.
 	Block uint64
-	// Evicted tells that the block left the cache; else it came into it.
+	// Evicted is true if the block was removed, false if it was added.
 	Evicted bool
 }
 
-// CachePage is a server's answer to the question for its events from a cursor.
+// CachePage is a server's response to a read of its events from a cursor.
 type CachePage struct {
-	// Epoch changes when the cache was emptied.
+	// Epoch changes when the cache is emptied.
 	Epoch uint64
-	// First is the oldest sequence number that the server still knows.
+	// First is the oldest sequence number that the server retains.
 	First uint64
-	// Next is the sequence number to ask for next.
+	// Next is the cursor for the next read.
 	Next uint64
-	// Events are the changes, the oldest first.
+	// Events lists the changes, oldest first.
 	Events []CacheEvent
 }
 
-// NewPrefixIndex returns an index that knows nothing.
+// NewPrefixIndex returns an empty index.
 func NewPrefixIndex() *PrefixIndex {
-	return &PrefixIndex{blocks: make(map[uint64]holders), servers: make(map[int32]*cachedServer)}
+	return &PrefixIndex{blocks: make(map[uint64]blockHolders), servers: make(map[int32]*serverCacheState)}
 }
 
-func (x *PrefixIndex) server(server int32) *cachedServer {
+func (x *PrefixIndex) state(server int32) *serverCacheState {
 	known := x.servers[server]
 	if known == nil {
-		known = &cachedServer{}
+		known = &serverCacheState{}
 		x.servers[server] = known
 	}
 	return known
 }
 
-// Add notes that a server probably caches a block from now on, because a
-// prompt with it was sent there or an event says so.
+// Add records that a server probably caches a block, because a prompt with it
+// was sent there or an event reported it.
 func (x *PrefixIndex) Add(block uint64, server int32) {
-	known := x.server(server)
+	known := x.state(server)
 	x.stamp++
 	held := x.blocks[block]
-	held.put(server, x.stamp)
+	held.add(server, x.stamp)
 	x.blocks[block] = held
-	known.recent = append(known.recent, evidence{block: block, stamp: x.stamp})
+	known.observations = append(known.observations, observation{block: block, stamp: x.stamp})
 	x.trim(server, known)
 }
 
-// put adds a server or renews it. A full list loses its oldest server.
-func (h *holders) put(server int32, stamp uint32) {
+// add records a server with a new stamp, replacing the server with the oldest
+// stamp if the list is full.
+func (h *blockHolders) add(server int32, stamp uint32) {
 	oldest := 0
 	for index := range int(h.count) {
 		if h.servers[index] == server {
@@ -110,9 +112,9 @@
 	h.stamps[oldest] = stamp
 }
 
-// drop takes a server out and tells whether it was there; a stamp other than
-// zero must be that of the newest evidence.
-func (h *holders) drop(server int32, stamp uint32) bool {
+// remove deletes a server and reports whether it was present. If stamp is not
+// zero, an entry with a different stamp is kept.
+func (h *blockHolders) remove(server int32, stamp uint32) bool {
 	for index := range int(h.count) {
 		if h.servers[index] != server || (stamp != 0 && h.stamps[index] != stamp) {
 			continue
@@ -125,11 +127,11 @@
 	return false
 }
 
-// forget drops a block of a server. A stamp other than zero names the evidence
-// that must still be the newest.
-func (x *PrefixIndex) forget(block uint64, server int32, stamp uint32) {
+// removeBlock removes a block of a server. If stamp is not zero, a block with a
+// newer observation is kept.
+func (x *PrefixIndex) removeBlock(block uint64, server int32, stamp uint32) {
 	held, known := x.blocks[block]
-	if !known || !held.drop(server, stamp) {
+	if !known || !held.remove(server, stamp) {
 		return
 	}
 	if held.count == 0 {
@@ -139,44 +141,43 @@
 	x.blocks[block] = held
 }
 
-// trim bounds what is remembered of a server.
-func (x *PrefixIndex) trim(server int32, known *cachedServer) {
-	excess := len(known.recent) - maximumBlocksPerServer
-	if excess < maximumBlocksPerServer {
+// trim removes the oldest observations of a server once there are twice as many
+// as maxBlocksPerServer.
+func (x *PrefixIndex) trim(server int32, known *serverCacheState) {
+	excess := len(known.observations) - maxBlocksPerServer
+	if excess < maxBlocksPerServer {
 		return
 	}
-	for _, old := range known.recent[:excess] {
-		x.forget(old.block, server, old.stamp)
+	for _, old := range known.observations[:excess] {
+		x.removeBlock(old.block, server, old.stamp)
 	}
-	kept := copy(known.recent, known.recent[excess:])
-	known.recent = known.recent[:kept]
+	kept := copy(known.observations, known.observations[excess:])
+	known.observations = known.observations[:kept]
 }
 
-// Cursor returns the sequence number from which the server's events are to be
-// read.
+// Cursor returns the sequence number from which to read the server's events.
 func (x *PrefixIndex) Cursor(server int32) uint64 {
-	return max(x.server(server).cursor, 1)
+	return max(x.state(server).cursor, 1)
 }
 
-// Epoch returns the epoch of the server's cache that is known, zero before any
-// was read.
+// Epoch returns the last known epoch of the server's cache, or zero if none was
+// read.
 func (x *PrefixIndex) Epoch(server int32) uint64 {
-	return x.server(server).epoch
+	return x.state(server).epoch
 }
 
-// Apply takes a page of events and tells whether the reader must fetch a
-// snapshot, because events are missing or the cache was emptied. What is known
-// of the server stays in use as a hint until then, except after an emptied
-// cache.
+// Apply applies a page of events and reports whether the caller must fetch a
+// snapshot, because events were missed or the cache was emptied. Until then the
+// recorded blocks remain in use as hints, unless the cache was emptied.
 func (x *PrefixIndex) Apply(server int32, page CachePage) (resynchronise bool) {
-	known := x.server(server)
+	known := x.state(server)
 	switch {
 	case known.epoch == noEpoch:
 		known.epoch = page.Epoch
 		resynchronise = page.First > 1
 	case known.epoch != page.Epoch:
 		x.RemoveServer(server)
-		known = x.server(server)
+		known = x.state(server)
 		known.epoch = page.Epoch
 		resynchronise = true
 	default:
@@ -184,7 +185,7 @@
 	}
 	for _, event := range page.Events {
 		if event.Evicted {
-			x.forget(event.Block, server, 0)
+			x.removeBlock(event.Block, server, 0)
 		} else {
 			x.Add(event.Block, server)
 		}
@@ -193,11 +194,11 @@
 	return resynchronise
 }
 
-// Replace puts a snapshot of a server's cache in place of all that was known of
-// it.
+// Replace replaces all recorded blocks of a server with a snapshot of its
+// cache.
 func (x *PrefixIndex) Replace(server int32, epoch, next uint64, blocks []uint64) {
 	x.RemoveServer(server)
-	known := x.server(server)
+	known := x.state(server)
 	known.epoch = epoch
 	known.cursor = next
 	for _, block := range blocks {
@@ -205,21 +206,21 @@
 	}
 }
 
-// RemoveServer drops all that is known of a server.
+// RemoveServer removes all state of a server.
 func (x *PrefixIndex) RemoveServer(server int32) {
 	known := x.servers[server]
 	if known == nil {
 		return
 	}
-	for _, old := range known.recent {
-		x.forget(old.block, server, old.stamp)
+	for _, old := range known.observations {
+		x.removeBlock(old.block, server, old.stamp)
 	}
 	delete(x.servers, server)
 }
 
-// Hints appends the servers that probably cache one of the prefixes, which are
-// given longest first, and returns them, best first and each once. It allocates
-// only when the list must grow.
+// Hints appends the servers that probably cache one of the prefixes, best first
+// and each once. The prefixes must be ordered longest first. It allocates only
+// if the slice must grow.
 func (x *PrefixIndex) Hints(prefixes []Prefix, hints []Hint) []Hint {
 	for _, prefix := range prefixes {
 		held, known := x.blocks[prefix.Block]
@@ -233,7 +234,7 @@
 	return hints
 }
 
-// appendHint appends a hint unless a better one names its server.
+// appendHint appends a hint unless the list already has one for its server.
 func appendHint(hints []Hint, hint Hint) []Hint {
 	for index := range hints {
 		if hints[index].Server == hint.Server {
--- a/internal/routing/prefixindex_test.go
+++ b/internal/routing/prefixindex_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// cacheOracle is the true cache of one server and the log of its events.
+// cacheOracle models the cache of one server and its event log.
 type cacheOracle struct {
 	epoch  uint64
 	held   map[uint64]bool
@@ -24,7 +24,7 @@
 	o.held[block] = true
 }
 
-func (o *cacheOracle) cut(kept int) {
+func (o *cacheOracle) truncate(kept int) {
 	lost := len(o.events) - min(kept, len(o.events))
 	o.events = o.events[lost:]
 	o.first += uint64(lost)
@@ -39,8 +39,8 @@
 	return page
 }
 
-// read brings the index up to date as a gateway does.
-func (o *cacheOracle) read(index *PrefixIndex, server int32) {
+// update brings the index up to date the way a gateway does.
+func (o *cacheOracle) update(index *PrefixIndex, server int32) {
 	if !index.Apply(server, o.page(index.Cursor(server))) {
 		return
 	}
@@ -57,7 +57,7 @@
 	*o = cacheOracle{epoch: o.epoch + 1, held: map[uint64]bool{}, first: 1}
 }
 
-func TestPrefixIndexFollowsCachesOverGapsAndRestarts(t *testing.T) {
+func TestPrefixIndexTracksCachesAcrossGapsAndRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		index := NewPrefixIndex()
 		caches := []*cacheOracle{{}, {}, {}}
@@ -71,27 +71,26 @@
 			case 0, 1:
 				cache.change(rapid.Uint64Range(0, 39).Draw(t, "block"))
 			case 2:
-				cache.cut(rapid.IntRange(0, 3).Draw(t, "kept"))
+				cache.truncate(rapid.IntRange(0, 3).Draw(t, "kept"))
 			case 3:
 				cache.restart()
 			case 4:
-				cache.read(index, int32(server))
+				cache.update(index, int32(server))
 				checkIndex(t, index, cache, int32(server))
 			}
 		}
 	})
 }
 
-// checkIndex compares what the index says of a server that was just read with
-// the server's true cache.
+// checkIndex compares the index with the model of a server that was just read.
 func checkIndex(t *rapid.T, index *PrefixIndex, cache *cacheOracle, server int32) {
 	for block := range uint64(40) {
-		said := false
+		hinted := false
 		for _, hint := range index.Hints([]Prefix{{Block: block, Tokens: 64}}, nil) {
-			said = said || hint.Server == server
+			hinted = hinted || hint.Server == server
 		}
-		if said != cache.held[block] {
-			t.Fatalf("server %d, block %d: index says %v, cache %v", server, block, said, cache.held[block])
+		if hinted != cache.held[block] {
+			t.Fatalf("server %d, block %d: index reports cached %v, cache has %v", server, block, hinted, cache.held[block])
 		}
 	}
 }
@@ -104,17 +103,17 @@
 	index.Add(2, 7)
 	hints := index.Hints([]Prefix{{Block: 2, Tokens: 128}, {Block: 1, Tokens: 64}}, nil)
 	if len(hints) != MaxHolders+1 || hints[0] != (Hint{Server: 7, CachedTokens: 128}) {
-		t.Fatalf("hints %v", hints)
+		t.Fatalf("unexpected hints: %v", hints)
 	}
 	for _, hint := range hints[1:] {
 		if hint.Server < 12 {
-			t.Fatalf("server %d is not among the last %d that got the block", hint.Server, MaxHolders)
+			t.Fatalf("server %d is not among the last %d added for the block", hint.Server, MaxHolders)
 		}
 	}
-	for block := range uint64(10 * maximumBlocksPerServer) {
+	for block := range uint64(10 * maxBlocksPerServer) {
 		index.Add(100+block, 3)
 	}
-	if len(index.blocks) > 3*maximumBlocksPerServer {
-		t.Fatalf("%d blocks of one server are remembered", len(index.blocks))
+	if len(index.blocks) > 3*maxBlocksPerServer {
+		t.Fatalf("index holds %d blocks of one server", len(index.blocks))
 	}
 }
