--- a/internal/serverview/batch.go
+++ b/internal/serverview/batch.go
@@ -8,57 +8,55 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// BatchRequirements is what a batch item needs of a back end.
+// BatchRequirements describes what a batch item needs of a server.
 type BatchRequirements struct {
 	// Model and Adapter must be loaded.
 	Model   string
 	Adapter string
-	// PromptTokens estimates the length of the prompt.
+	// PromptTokens is the estimated prompt length.
 	PromptTokens int
-	// Objective is that of the group that owns the job.
+	// Objective is the objective of the group that owns the job.
 	Objective sharing.Objective
 }
 
-// BatchChoice is a server that takes one more batch item now.
+// BatchChoice is the server chosen for a batch item.
 type BatchChoice struct {
-	// Target is the back end.
 	Target upstream.Target
-	// TokensPerStep goes into the request's batch token budget.
+	// TokensPerStep is the value for the request's batch token budget.
 	TokensPerStep int
 }
 
-// BatchYield tells that so many batch items must leave a server now.
+// BatchYield tells how many batch items must leave a server.
 type BatchYield struct {
-	// Target is the back end.
 	Target upstream.Target
 	// Count is the number of items.
 	Count int
-	// Lost tells that the server is out because of its failures, so that no
-	// answer can be expected.
+	// Lost is true if the server was ejected, so that no response can be
+	// expected.
 	Lost bool
 }
 
-// FreeBatchSlots returns how many more batch items of a model the servers that this
-// gateway owns take now.
-func (v *View) FreeBatchSlots(wanted BatchRequirements) int {
+// FreeBatchSlots returns how many more batch items the servers owned by this
+// gateway can take.
+func (v *View) FreeBatchSlots(requirements BatchRequirements) int {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	free := 0
-	v.eachBatchServer(wanted, func(_ *entry, budget sharing.Budget, running int) {
+	v.forEachBatchServer(requirements, func(_ *entry, budget sharing.Budget, running int) {
 		free += max(0, budget.Items-running)
 	})
 	return free
 }
 
-// StartBatch picks the owned server with the most free places for an item and
-// counts the item as running there.
-func (v *View) StartBatch(wanted BatchRequirements, tried []string) (BatchChoice, bool) {
+// StartBatch picks the owned server with the most free slots, except those
+// already tried, and counts the item as running there.
+func (v *View) StartBatch(requirements BatchRequirements, tried []string) (BatchChoice, bool) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	var best *entry
 	var choice BatchChoice
 	most := 0
-	v.eachBatchServer(wanted, func(e *entry, budget sharing.Budget, running int) {
+	v.forEachBatchServer(requirements, func(e *entry, budget sharing.Budget, running int) {
 		free := budget.Items - running
 		if free <= most || contains(tried, e.name) {
 			return
@@ -73,7 +71,7 @@
 		return BatchChoice{}, false
 	}
 	best.batch.running++
-	v.routing.RecordSent(best.index, wanted.PromptTokens, true)
+	v.routing.RecordSent(best.index, requirements.PromptTokens, true)
 	return choice, true
 }
 
@@ -86,9 +84,10 @@
 	return false
 }
 
-// eachBatchServer visits the servers that may take batch of the model.
-func (v *View) eachBatchServer(wanted BatchRequirements, visit func(e *entry, budget sharing.Budget, running int)) {
-	request, ok := v.request(Requirements{Model: wanted.Model, Adapter: wanted.Adapter})
+// forEachBatchServer visits the owned servers that can run batch items with the
+// given requirements. The caller holds the lock.
+func (v *View) forEachBatchServer(requirements BatchRequirements, visit func(e *entry, budget sharing.Budget, running int)) {
+	request, ok := v.request(Requirements{Model: requirements.Model, Adapter: requirements.Adapter})
 	if !ok {
 		return
 	}
@@ -99,11 +98,11 @@
 			continue
 		}
 		state := v.batchServerState(e, now)
-		visit(e, sharing.BatchBudget(state, v.budgetPolicy(wanted.Objective), now), e.batch.running)
+		visit(e, sharing.BatchBudget(state, v.budgetPolicy(requirements.Objective), now), e.batch.running)
 	}
 }
 
-// eligible tells whether a server holds any of the versions.
+// eligible reports whether a server may serve any of the request's versions.
 func eligible(server *routing.Server, request *routing.Request) bool {
 	for _, version := range request.Versions {
 		if server.Eligible(request, version.Name) {
@@ -113,7 +112,7 @@
 	return false
 }
 
-// budgetPolicy is the policy of an objective with the step model of the view.
+// budgetPolicy returns the policy of an objective with this view's cost model.
 func (v *View) budgetPolicy(objective sharing.Objective) sharing.BudgetPolicy {
 	policy := sharing.DefaultBudgetPolicy(objective)
 	policy.StepBase = v.routing.Cost.StepBase
@@ -122,50 +121,52 @@
 	return policy
 }
 
-// target is the tail of online latency that batch may not lengthen: what this
-// gateway estimates that online alone would have, within the configured target
-// of a step.
-func (v *View) target() sharing.Target {
+// latencyTarget returns the online tail latency that batch work must not
+// exceed: the estimate for online requests without batch work, within the
+// configured step target.
+func (v *View) latencyTarget() sharing.Target {
 	return v.tail.Target(v.stepTarget)
 }
 
-// batchPart is the part of a step that batch takes on a server.
-func (b *batchState) batchPart() time.Duration {
+// batchStepTime is the time that batch items add to a step on a server.
+func (b *batchState) batchStepTime() time.Duration {
 	return time.Duration(b.running) * sharing.DefaultBudgetPolicy(sharing.Throughput).PerItem
 }
 
-// batchServerState corrects the newest report by what was sent since.
+// batchServerState returns the newest report corrected by the requests sent
+// since.
 func (v *View) batchServerState(e *entry, now time.Duration) sharing.ServerState {
 	server := &v.routing.Servers[e.index]
 	return sharing.ServerState{
 		Online:       float64(server.OnlineRequests()),
 		Pace:         &e.batch.pace,
-		Target:       v.target(),
+		Target:       v.latencyTarget(),
 		BatchRunning: e.batch.running,
 		KVUsed:       float64(server.Report.KVUsed),
 		ReportAge:    now - e.reportedAt,
 	}
 }
 
-// OnlineChanged receives after the online load of a server that this gateway
-// owns changed, so that batch gives way or goes on at once.
+// OnlineChanged receives after the online load of an owned server changed, so
+// that batch work can be paused or resumed without delay.
 func (v *View) OnlineChanged() <-chan struct{} {
-	return v.online
+	return v.onlineChanged
 }
 
-// changed wakes who waits for OnlineChanged. The caller holds the lock.
-func (v *View) changed(e *entry) {
-	if !e.own {
+// notifyOnlineChanged signals OnlineChanged if this gateway owns the server.
+// The caller holds the lock.
+func (v *View) notifyOnlineChanged(e *entry) {
+	if !e.owned {
 		return
 	}
 	select {
-	case v.online <- struct{}{}:
+	case v.onlineChanged <- struct{}{}:
 	default:
 	}
 }
 
-// BatchYields lists the servers on which more batch items run than the budget
-// of the moment allows under an objective, and those that are lost.
+// BatchYields lists the servers that run more batch items than the objective's
+// current budget allows, and the ejected servers with batch items.
 func (v *View) BatchYields(objective sharing.Objective) []BatchYield {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -186,8 +187,8 @@
 	return yields
 }
 
-// ResumeBatch counts a paused item as running again where its server has room,
-// and tells whether it has.
+// ResumeBatch counts a paused item as running again if its server's budget has
+// room, and reports whether it did.
 func (v *View) ResumeBatch(server string, objective sharing.Objective) bool {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -205,14 +206,14 @@
 	return true
 }
 
-// CanRunBatch tells whether a server that this gateway owns may run batch items
-// of the model.
-func (v *View) CanRunBatch(server string, wanted BatchRequirements) bool {
+// CanRunBatch reports whether this gateway owns the server and the server can
+// run batch items with the given requirements.
+func (v *View) CanRunBatch(server string, requirements BatchRequirements) bool {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	e := v.byName[server]
-	request, ok := v.request(Requirements{Model: wanted.Model, Adapter: wanted.Adapter})
-	return ok && e != nil && e.own && eligible(&v.routing.Servers[e.index], &request)
+	request, ok := v.request(Requirements{Model: requirements.Model, Adapter: requirements.Adapter})
+	return ok && e != nil && e.owned && eligible(&v.routing.Servers[e.index], &request)
 }
 
 // PauseBatch counts a running item as paused.
@@ -225,7 +226,8 @@
 	}
 }
 
-// EndBatch counts a batch item down and hands the evidence to the owner.
+// EndBatch records the end of a batch item and reports its outcome to the owner
+// goroutine.
 func (v *View) EndBatch(target upstream.Target, report upstream.Report, paused bool, promptTokens int) {
 	v.mutex.Lock()
 	if e := v.byName[target.Name]; e != nil {
@@ -239,5 +241,5 @@
 	}
 	v.mutex.Unlock()
 	report.FirstByte = 0
-	v.note(target, report)
+	v.reportOutcome(target, report)
 }
--- a/internal/serverview/benchmark_test.go
+++ b/internal/serverview/benchmark_test.go
@@ -11,35 +11,34 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// benchmarkZoneSize is the number of servers of a zone of a large fleet.
+// benchmarkZoneSize is the number of servers per zone.
 const benchmarkZoneSize = 37
 
-// loadedView is a view of so many servers, all with reports, in zones of 37.
-// The gateway owns three or four of its own zone, as at the target size.
+// loadedView returns a view of servers that all have load reports. The gateway
+// has ten peers, so it owns three or four servers of a full zone.
 func loadedView(servers int) *View {
 	view := New(Options{Gateway: "gateway-0", Zone: "zone-0", Random: rand.New(rand.NewPCG(1, 2))})
-	declared := Config{Models: []*rockwindpb.Model{{Name: "m", Versions: []*rockwindpb.Version{{Name: "1", Weight: 1}}}}}
+	config := Config{Models: []*rockwindpb.Model{{Name: "m", Versions: []*rockwindpb.Version{{Name: "1", Weight: 1}}}}}
 	for index := range servers {
-		declared.BackEnds = append(declared.BackEnds, &rockwindpb.BackEnd{
+		config.BackEnds = append(config.BackEnds, &rockwindpb.BackEnd{
 			Name: fmt.Sprintf("engine-%d", index), Address: fmt.Sprintf("127.0.0.1:%d", index+1),
 			Zone: fmt.Sprintf("zone-%d", index/benchmarkZoneSize), Serves: []string{"m"},
 		})
 	}
-	view.Configure(declared)
+	view.Configure(config)
 	var response rockwindpb.ExchangeResponse
 	for peer := range 11 {
 		response.Peers = append(response.Peers, fmt.Sprintf("gateway-%d", peer))
 	}
 	view.ApplyExchange(&response)
 	for _, e := range view.entries {
-		view.merge(e, loadReport{RunningOnline: uint32(e.index % 8), Loaded: []string{"m@1"}}, view.now())
+		view.setReport(e, loadReport{RunningOnline: uint32(e.index % 8), Loaded: []string{"m@1"}}, view.now())
 	}
 	return view
 }
 
-// benchmarkWanted is a request with a prompt of 44 blocks of a conversation that
-// the view knows.
-func benchmarkWanted() Requirements {
+// benchmarkRequirements describes a request with a prompt of 44 blocks.
+func benchmarkRequirements() Requirements {
 	blocks := make([]uint64, 44)
 	for index := range blocks {
 		blocks[index] = uint64(index + 1)
@@ -50,16 +49,16 @@
 	}
 }
 
-// BenchmarkRoutingDecision measures a whole decision on an online request: lock,
-// cache hints, choice, and the counts of what was sent and ended.
+// BenchmarkRoutingDecision measures an online request's routing: locking, cache
+// hints, server choice and bookkeeping.
 func BenchmarkRoutingDecision(b *testing.B) {
 	for _, servers := range []int{12, 37, 1200} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			view, wanted := loadedView(servers), benchmarkWanted()
+			view, requirements := loadedView(servers), benchmarkRequirements()
 			report := upstream.Report{Outcome: upstream.CallerLeft}
 			b.ReportAllocs()
 			for b.Loop() {
-				choice, err := view.Choose(wanted, nil)
+				choice, err := view.Choose(requirements, nil)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -70,34 +69,34 @@
 	}
 }
 
-// BenchmarkSchedulingDecision measures the choice of the server for one more
-// batch item and the counts that go with it.
+// BenchmarkSchedulingDecision measures the server choice and bookkeeping for a
+// batch item.
 func BenchmarkSchedulingDecision(b *testing.B) {
 	for _, servers := range []int{12, 37, 1200} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			view := loadedView(servers)
-			wanted := BatchRequirements{Model: "m", PromptTokens: 300, Objective: sharing.Throughput}
+			requirements := BatchRequirements{Model: "m", PromptTokens: 300, Objective: sharing.Throughput}
 			report := upstream.Report{Outcome: upstream.CallerLeft}
 			b.ReportAllocs()
 			for b.Loop() {
-				choice, ok := view.StartBatch(wanted, nil)
+				choice, ok := view.StartBatch(requirements, nil)
 				if !ok {
-					b.Fatal("no server takes batch")
+					b.Fatal("no server accepts a batch item")
 				}
-				view.EndBatch(choice.Target, report, false, wanted.PromptTokens)
+				view.EndBatch(choice.Target, report, false, requirements.PromptTokens)
 			}
 		})
 	}
 }
 
-// TestRoutingDecisionAllocatesNothing covers the daemon's whole decision within
-// a zone; what is remembered of prompts grows by doubling, so that its cost
-// vanishes in the mean.
+// TestRoutingDecisionAllocatesNothing checks that routing within a zone does
+// not allocate on average; the prefix index grows by doubling, which amortizes
+// to zero.
 func TestRoutingDecisionAllocatesNothing(t *testing.T) {
-	view, wanted := loadedView(benchmarkZoneSize), benchmarkWanted()
+	view, requirements := loadedView(benchmarkZoneSize), benchmarkRequirements()
 	report := upstream.Report{Outcome: upstream.CallerLeft}
 	allocations := testing.AllocsPerRun(20000, func() {
-		choice, err := view.Choose(wanted, nil)
+		choice, err := view.Choose(requirements, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -105,6 +104,6 @@
 		view.RecordEnded(choice.Target, choice.Attempt, report)
 	})
 	if allocations != 0 {
-		t.Fatalf("a decision allocates %v times", allocations)
+		t.Fatalf("a routing decision allocates %v times", allocations)
 	}
 }
--- a/internal/serverview/caches.go
+++ b/internal/serverview/caches.go
@@ -12,30 +12,31 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// Bounds of reading cache events. Events are hints: where they would cost more
-// than these bounds, reads are left out and the gap is mended by a snapshot.
+// Limits on reading cache events. Cache events are only hints: reads beyond
+// these limits are skipped, and a later snapshot replaces the missed events.
 const (
-	// cacheBytesPerSecond bounds the bytes of cache events that a gateway reads
-	// on average, and cacheBytesBurst at once.
+	// cacheBytesPerSecond and cacheBytesBurst are the rate and burst limits of
+	// the cache event bytes that a gateway reads.
 	cacheBytesPerSecond = 1 << 10
 	cacheBytesBurst     = 64 << 10
-	// CacheInterval is the least time between two reads of one cache's events: a
-	// read costs as much as a poll for load even where there is no event.
+	// CacheInterval is the minimum interval between two reads of one server's
+	// cache events. Even an empty read costs as much as a load poll.
 	CacheInterval = 4 * time.Second
-	// snapshotInterval is the least time between two snapshots of one cache.
+	// snapshotInterval is the minimum interval between two snapshots of one
+	// cache.
 	snapshotInterval = 5 * time.Second
 )
 
-// cacheEventEvicted marks a block that left a cache.
+// cacheEventEvicted is the event kind for a block evicted from a cache.
 const cacheEventEvicted = "evicted"
 
-// blockBase and blockBits describe a block's hash on the wire.
+// Format of block hashes in cache events and snapshots.
 const (
 	blockBase = 16
 	blockBits = 64
 )
 
-// cacheEvents is the answer to GET /cache_events of an engine.
+// cacheEvents is an engine's response to GET /cache_events.
 type cacheEvents struct {
 	Epoch  uint64 `json:"epoch"`
 	First  uint64 `json:"first"`
@@ -46,79 +47,80 @@
 	} `json:"events"`
 }
 
-// cacheSnapshot is the answer to GET /cache_snapshot of an engine.
+// cacheSnapshot is an engine's response to GET /cache_snapshot.
 type cacheSnapshot struct {
 	Epoch  uint64   `json:"epoch"`
 	Next   uint64   `json:"next"`
 	Blocks []string `json:"blocks"`
 }
 
-// cacheQuestion is what is to be read of an engine's cache with a poll.
-type cacheQuestion struct {
-	// read tells that events are to be read from since on.
+// cacheQuery is the part of a poll that concerns an engine's cache.
+type cacheQuery struct {
+	// read requests the events from sequence number since.
 	read  bool
 	since uint64
-	// maySnapshot allows a snapshot where events are missing.
+	// maySnapshot allows reading a snapshot if events were missed.
 	maySnapshot bool
 	epoch       uint64
 }
 
-// cacheAnswer is what was read.
-type cacheAnswer struct {
+// cacheResult is the response to a cacheQuery.
+type cacheResult struct {
 	page     *routing.CachePage
 	snapshot *cacheSnapshot
 	bytes    int
 }
 
-// byteBudget bounds bytes on average. The zero value is full.
+// byteBudget is a token bucket for bytes. The zero value is full.
 type byteBudget struct {
 	spent   float64
 	updated time.Duration
 }
 
-// left tells whether anything may be read now.
-func (b *byteBudget) left(now time.Duration) bool {
+// available reports whether anything may be read now.
+func (b *byteBudget) available(now time.Duration) bool {
 	b.spent = max(0, b.spent-cacheBytesPerSecond*(now-b.updated).Seconds())
 	b.updated = now
 	return b.spent < cacheBytesBurst
 }
 
-// questionFor decides what is read of a server's cache now. The caller holds
+// cacheQueryFor decides what to read of a server's cache now. The caller holds
 // the lock.
-func (v *View) questionFor(e *entry, now time.Duration) cacheQuestion {
-	if !e.own || e.kind == rockwindpb.BackEndKind_BACK_END_KIND_SERVICE || !v.cacheBudget.left(now) {
-		return cacheQuestion{}
+func (v *View) cacheQueryFor(e *entry, now time.Duration) cacheQuery {
+	if !e.owned || e.kind == rockwindpb.BackEndKind_BACK_END_KIND_SERVICE || !v.cacheBudget.available(now) {
+		return cacheQuery{}
 	}
 	slot := int32(e.slot)
-	return cacheQuestion{
+	return cacheQuery{
 		read: true, since: v.prefixes.Cursor(slot), epoch: v.prefixes.Epoch(slot),
 		maySnapshot: e.snapshotAt == 0 || now-e.snapshotAt >= snapshotInterval,
 	}
 }
 
-// readCache asks an engine for its cache events, and for a snapshot where some
-// are missing. An engine without them answers otherwise, which is no fault.
-func (v *View) readCache(ctx context.Context, target upstream.Target, question cacheQuestion) cacheAnswer {
-	var answer cacheAnswer
-	body, status, err := v.get(ctx, target, "/cache_events?since="+strconv.FormatUint(question.since, 10))
-	answer.bytes = len(body)
+// readCache reads an engine's cache events, and a snapshot if events were
+// missed. An engine without cache events responds with another status, which is
+// not an error.
+func (v *View) readCache(ctx context.Context, target upstream.Target, query cacheQuery) cacheResult {
+	var result cacheResult
+	body, status, err := v.get(ctx, target, "/cache_events?since="+strconv.FormatUint(query.since, 10))
+	result.bytes = len(body)
 	var events cacheEvents
 	if err != nil || status != http.StatusOK || json.Unmarshal(body, &events) != nil {
-		return answer
+		return result
 	}
 	page := events.page()
-	answer.page = &page
-	missing := events.First > question.since || (question.epoch != 0 && question.epoch != events.Epoch)
-	if !missing || !question.maySnapshot {
-		return answer
+	result.page = &page
+	missing := events.First > query.since || (query.epoch != 0 && query.epoch != events.Epoch)
+	if !missing || !query.maySnapshot {
+		return result
 	}
 	body, status, err = v.get(ctx, target, "/cache_snapshot")
-	answer.bytes += len(body)
+	result.bytes += len(body)
 	snapshot := &cacheSnapshot{}
 	if err == nil && status == http.StatusOK && json.Unmarshal(body, snapshot) == nil {
-		answer.snapshot = snapshot
+		result.snapshot = snapshot
 	}
-	return answer
+	return result
 }
 
 func (c *cacheEvents) page() routing.CachePage {
@@ -131,18 +133,17 @@
 	return page
 }
 
-// learnCache merges what was read of a server's cache. The caller holds the
-// lock.
-func (v *View) learnCache(e *entry, answer cacheAnswer) {
-	v.cacheBudget.spent += float64(answer.bytes)
+// mergeCache merges the result of a cache read. The caller holds the lock.
+func (v *View) mergeCache(e *entry, result cacheResult) {
+	v.cacheBudget.spent += float64(result.bytes)
 	slot := int32(e.slot)
-	if answer.snapshot != nil {
+	if result.snapshot != nil {
 		e.snapshotAt = v.now()
-		v.prefixes.Replace(slot, answer.snapshot.Epoch, answer.snapshot.Next, answer.snapshot.blocks())
+		v.prefixes.Replace(slot, result.snapshot.Epoch, result.snapshot.Next, result.snapshot.blocks())
 		return
 	}
-	if answer.page != nil {
-		v.prefixes.Apply(slot, *answer.page)
+	if result.page != nil {
+		v.prefixes.Apply(slot, *result.page)
 	}
 }
 
@@ -157,9 +158,9 @@
 }
 
 // hintsFor lists the servers that probably cache a prefix of the prompt. The
-// list is used until the next call.
-func (v *View) hintsFor(wanted Requirements) []routing.Hint {
-	v.hints = v.prefixes.Hints(wanted.Prefixes, v.hints[:0])
+// list is valid until the next call.
+func (v *View) hintsFor(requirements Requirements) []routing.Hint {
+	v.hints = v.prefixes.Hints(requirements.Prefixes, v.hints[:0])
 	kept := v.hints[:0]
 	for _, hint := range v.hints {
 		if e := v.bySlot[int(hint.Server)]; e != nil {
--- a/internal/serverview/caches_test.go
+++ b/internal/serverview/caches_test.go
@@ -18,15 +18,15 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// cacheFixture is a view of one engine.
-type cacheFixture struct {
+// engineFixture is a view with one real engine and one unreachable one.
+type engineFixture struct {
 	*testing.T
 	view    *View
 	engine  *standin.Engine
 	address string
 }
 
-func newCacheFixture(t *testing.T, loss float64) *cacheFixture {
+func newEngineFixture(t *testing.T, loss float64) *engineFixture {
 	config := engine.DefaultConfig().Scale(0.01)
 	config.CacheEventLag = 0
 	config.CacheEventLoss = loss
@@ -41,7 +41,7 @@
 			t.Error(err)
 		}
 	})
-	fixture := &cacheFixture{T: t, engine: server, address: listener.Listener.Addr().String()}
+	fixture := &engineFixture{T: t, engine: server, address: listener.Listener.Addr().String()}
 	client := upstream.NewClient()
 	t.Cleanup(client.Close)
 	fixture.view = New(Options{Gateway: "g", Zone: "z", Client: client, Random: rand.New(rand.NewPCG(1, 2))})
@@ -55,8 +55,9 @@
 	return fixture
 }
 
-// complete runs a prompt to its end at the engine, past the gateway.
-func (f *cacheFixture) complete(prompt string) {
+// complete sends a prompt directly to the engine and waits for the end of the
+// response.
+func (f *engineFixture) complete(prompt string) {
 	f.Helper()
 	body := fmt.Sprintf(`{"model":"m","prompt":%q,"max_tokens":1}`, prompt)
 	response, err := http.Post("http://"+f.address+"/v1/completions", "application/json", strings.NewReader(body))
@@ -70,23 +71,23 @@
 }
 
 // poll polls the engine once, as the owner goroutine does.
-func (f *cacheFixture) poll() {
+func (f *engineFixture) poll() {
 	v := f.view
 	v.mutex.Lock()
 	e := v.byName["engine"]
-	task := pollTask{target: upstream.Target{Name: e.name, Address: e.address}, cache: v.questionFor(e, v.now())}
+	task := pollTask{target: upstream.Target{Name: e.name, Address: e.address}, cache: v.cacheQueryFor(e, v.now())}
 	v.mutex.Unlock()
-	v.took(context.Background(), v.poll(context.Background(), task), time.Now())
+	v.finishPoll(context.Background(), v.poll(context.Background(), task), time.Now())
 }
 
-// hintedTokens returns the length of the prefix that the view believes cached
-// by the engine.
-func (f *cacheFixture) hintedTokens(prompt string) int32 {
+// hintedTokens returns the length of the prefix that the engine caches
+// according to the view.
+func (f *engineFixture) hintedTokens(prompt string) int32 {
 	v := f.view
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	wanted := Requirements{Prefixes: routing.PrefixesOf(engine.BlockHashes(prompt), engine.TokensPerBlock, nil)}
-	for _, hint := range v.hintsFor(wanted) {
+	requirements := Requirements{Prefixes: routing.PrefixesOf(engine.BlockHashes(prompt), engine.TokensPerBlock, nil)}
+	for _, hint := range v.hintsFor(requirements) {
 		if v.entries[hint.Server].name == "engine" {
 			return hint.CachedTokens
 		}
@@ -100,8 +101,8 @@
 	return strings.Repeat(fmt.Sprintf("%08d", number), cachedBlocks*engine.BlockBytes/8)
 }
 
-func TestViewLearnsCachesFromEvents(t *testing.T) {
-	f := newCacheFixture(t, 0)
+func TestViewReadsCacheEvents(t *testing.T) {
+	f := newEngineFixture(t, 0)
 	f.poll()
 	f.complete(testPrompt(1))
 	if found := f.hintedTokens(testPrompt(1)); found != 0 {
@@ -113,17 +114,17 @@
 	}
 }
 
-func TestViewResynchronisesAfterAGapAndForgetsAnEmptiedCache(t *testing.T) {
-	f := newCacheFixture(t, 1)
+func TestViewFetchesSnapshotAfterGapAndClearsEmptiedCache(t *testing.T) {
+	f := newEngineFixture(t, 1)
 	f.complete(testPrompt(1))
 	f.poll()
 	if found := f.hintedTokens(testPrompt(1)); found != cachedBlocks*engine.TokensPerBlock {
-		t.Fatalf("%d tokens hinted though every event is lost", found)
+		t.Fatalf("%d tokens hinted with all events lost, want a snapshot", found)
 	}
 	f.complete(testPrompt(2))
 	f.poll()
 	if found := f.hintedTokens(testPrompt(2)); found != 0 {
-		t.Fatal("a second snapshot within its interval")
+		t.Fatal("a second snapshot was read within snapshotInterval")
 	}
 	f.engine.Inject(standin.FaultOrder{Kind: engine.FaultDie})
 	f.engine.Inject(standin.FaultOrder{Kind: engine.FaultNone})
@@ -133,20 +134,20 @@
 	}
 }
 
-func TestCacheReadsStopAtTheirBudget(t *testing.T) {
-	f := newCacheFixture(t, 0)
+func TestCacheReadsAreLimitedByBudget(t *testing.T) {
+	f := newEngineFixture(t, 0)
 	f.view.mutex.Lock()
 	defer f.view.mutex.Unlock()
 	e := f.view.byName["engine"]
 	now := f.view.now()
-	if !f.view.questionFor(e, now).read {
+	if !f.view.cacheQueryFor(e, now).read {
 		t.Fatal("cache events are not read within the budget")
 	}
-	f.view.learnCache(e, cacheAnswer{bytes: cacheBytesBurst + cacheBytesPerSecond})
-	if f.view.questionFor(e, now).read {
+	f.view.mergeCache(e, cacheResult{bytes: cacheBytesBurst + cacheBytesPerSecond})
+	if f.view.cacheQueryFor(e, now).read {
 		t.Fatal("cache events are read beyond the budget")
 	}
-	if !f.view.questionFor(e, now+2*time.Second).read {
-		t.Fatal("cache events are not read although the budget was earned again")
+	if !f.view.cacheQueryFor(e, now+2*time.Second).read {
+		t.Fatal("cache events are not read after the budget was replenished")
 	}
 }
--- a/internal/serverview/choose.go
+++ b/internal/serverview/choose.go
@@ -11,115 +11,119 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// Requirements is what a request needs of a back end.
+// Requirements describes what a request needs of a server.
 type Requirements struct {
 	// Model is the model's name without an adapter; empty for services.
 	Model string
-	// Adapter must be loaded too; empty for none.
+	// Adapter must also be loaded; empty for none.
 	Adapter string
 	// Service is the service's name; empty for models.
 	Service string
-	// PromptTokens estimates the length of the prompt.
+	// PromptTokens is the estimated prompt length.
 	PromptTokens int
-	// Prefixes are prefixes of the prompt, longest first.
+	// Prefixes lists prefixes of the prompt, longest first.
 	Prefixes []routing.Prefix
-	// AffinityKey names the conversation or document of the prompt; zero for
-	// none.
+	// AffinityKey identifies the conversation or document of the prompt; zero
+	// for none.
 	AffinityKey uint64
-	// Streamed tells that FirstToken will be called as soon as the first token
-	// arrives.
+	// Streamed means that RecordFirstToken will be called as soon as the first
+	// token arrives.
 	Streamed bool
 }
 
-// Choice is a back end chosen for one attempt. The request counts as sent to it
-// until Ended is called.
+// Choice is the server chosen for one attempt. The request counts as in flight
+// until RecordEnded is called.
 type Choice struct {
-	// Target is the back end.
 	Target upstream.Target
-	// Version is the version that answers, as "model@version".
+	// Version is the chosen version, as "model@version".
 	Version string
-	// Wait estimates the time until the first token.
+	// Wait is the estimated time to the first token.
 	Wait time.Duration
-	// Attempt names the attempt in FirstToken, Tokens and Ended.
+	// Attempt identifies the attempt in RecordFirstToken, RecordTokens and
+	// RecordEnded.
 	Attempt Attempt
 }
 
-// Attempt names one attempt of an online request at a server.
+// Attempt identifies one attempt of an online request.
 type Attempt struct {
-	ticket uint64
-	// promptTokens is the part of the prompt that the server probably has to
-	// compute, as it was counted as sent.
+	id uint64
+	// promptTokens is the number of prompt tokens recorded as sent: those that
+	// the server probably doesn't cache.
 	promptTokens int
-	// awaited tells that the server's silence counts while the first token does
-	// not come.
+	// awaited means that the health tracker monitors the delay of the first
+	// token.
 	awaited bool
-	// sentAt is when the back end was chosen.
+	// sentAt is when the server was chosen.
 	sentAt time.Duration
-	// leader is the ticket whose tokens the server's pace is taken from.
+	// leader holds the ID of the attempt whose tokens measure the server's
+	// pace.
 	leader *atomic.Uint64
 }
 
-// Leads tells whether the tokens of the attempt are wanted now. It takes no
-// lock.
+// Leads reports whether the tokens of this attempt currently measure the
+// server's pace. It takes no lock.
 func (a Attempt) Leads() bool {
-	return a.leader != nil && a.leader.Load() == a.ticket
+	return a.leader != nil && a.leader.Load() == a.id
 }
 
-// Estimate tells how long a request would wait for its first token now, and
-// whether any back end may take it.
-func (v *View) Estimate(wanted Requirements) (time.Duration, bool) {
+// Estimate returns the estimated time to the first token of a request, and
+// whether any server may take it.
+func (v *View) Estimate(requirements Requirements) (time.Duration, bool) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	decision, ok := v.decide(wanted, nil, v.now())
+	decision, ok := v.decide(requirements, nil, v.now())
 	return decision.Wait, ok
 }
 
-// Choose picks the back end of an online request and counts it as sent.
-func (v *View) Choose(wanted Requirements, tried []string) (Choice, error) {
+// Choose picks the server of an online request, except those already tried, and
+// records the request as sent.
+func (v *View) Choose(requirements Requirements, tried []string) (Choice, error) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	now := v.now()
-	decision, ok := v.decide(wanted, tried, now)
+	decision, ok := v.decide(requirements, tried, now)
 	if !ok {
-		return Choice{}, noBackEnd(wanted)
+		return Choice{}, noBackEnd(requirements)
 	}
 	e := v.entries[decision.Server]
-	promptTokens := max(1, wanted.PromptTokens-int(decision.CachedTokens))
+	promptTokens := max(1, requirements.PromptTokens-int(decision.CachedTokens))
 	v.routing.RecordSent(decision.Server, promptTokens, false)
 	e.history.sent.add(now)
-	if wanted.Streamed {
+	if requirements.Streamed {
 		v.tracker.Sent(e.slot, decision.Wait, now)
 	}
-	v.tickets++
-	defer v.changed(e)
-	e.batch.pace.Sent(v.tickets, promptTokens, now)
-	for _, prefix := range wanted.Prefixes {
+	v.lastAttemptID++
+	defer v.notifyOnlineChanged(e)
+	e.batch.pace.Sent(v.lastAttemptID, promptTokens, now)
+	for _, prefix := range requirements.Prefixes {
 		v.prefixes.Add(prefix.Block, int32(e.slot))
 	}
 	return Choice{
 		Target:  upstream.Target{Name: e.name, Address: e.address},
 		Version: v.names.Name(decision.Version),
 		Wait:    decision.Wait,
-		Attempt: Attempt{ticket: v.tickets, promptTokens: promptTokens, awaited: wanted.Streamed, sentAt: now, leader: &e.batch.leader},
+		Attempt: Attempt{id: v.lastAttemptID, promptTokens: promptTokens, awaited: requirements.Streamed, sentAt: now, leader: &e.batch.leader},
 	}, nil
 }
 
-// noBackEndRetryAfter is the advice to callers while no server may take work.
+// noBackEndRetryAfter is the retry delay suggested to callers if no server can
+// take a request.
 const noBackEndRetryAfter = time.Second
 
-func noBackEnd(wanted Requirements) error {
-	name := wanted.Model
+func noBackEnd(requirements Requirements) error {
+	name := requirements.Model
 	if name == "" {
-		name = wanted.Service
+		name = requirements.Service
 	}
 	return fault.Newf(fault.Unavailable, "send the request again later",
 		"no back end that serves %q can take the request now", name).
 		WithRan(fault.NotRun).WithRetryAfter(noBackEndRetryAfter)
 }
 
-// decide asks routing, with the servers tried before left out.
-func (v *View) decide(wanted Requirements, tried []string, now time.Duration) (routing.Decision, bool) {
-	request, ok := v.request(wanted)
+// decide picks a server, leaving out those already tried. The caller holds the
+// lock.
+func (v *View) decide(requirements Requirements, tried []string, now time.Duration) (routing.Decision, bool) {
+	request, ok := v.request(requirements)
 	if !ok {
 		return routing.Decision{}, false
 	}
@@ -131,46 +135,48 @@
 			hidden = append(hidden, e.index)
 		}
 	}
-	decision, ok := v.route(wanted, &request, now)
+	decision, ok := v.route(requirements, &request, now)
 	for _, index := range hidden {
 		v.routing.Servers[index].Leaving = false
 	}
 	return decision, ok
 }
 
-// route chooses among the servers: of models by what this gateway knows itself,
-// of services by sampling. It names the policies, so that nothing is allocated.
-func (v *View) route(wanted Requirements, request *routing.Request, now time.Duration) (routing.Decision, bool) {
-	if wanted.Service != "" {
+// route applies the OwnedFirst policy to models and the default policy to
+// services. Calling the concrete types instead of a Policy avoids an
+// allocation.
+func (v *View) route(requirements Requirements, request *routing.Request, now time.Duration) (routing.Decision, bool) {
+	if requirements.Service != "" {
 		return routing.Default.Choose(&v.routing, request, now, v.random)
 	}
 	return v.ownedFirst.Choose(&v.routing, request, now, v.random)
 }
 
-func (v *View) request(wanted Requirements) (routing.Request, bool) {
-	key := modelKey(wanted.Model)
-	if wanted.Service != "" {
-		key = serviceKey(wanted.Service)
+func (v *View) request(requirements Requirements) (routing.Request, bool) {
+	key := modelKey(requirements.Model)
+	if requirements.Service != "" {
+		key = serviceKey(requirements.Service)
 	}
 	known, ok := v.models[key]
 	if !ok || len(known.versions) == 0 {
 		return routing.Request{}, false
 	}
 	request := routing.Request{
-		Versions: known.versions, Adapter: routing.NoName, PromptTokens: int32(wanted.PromptTokens),
-		AffinityKey: wanted.AffinityKey,
+		Versions: known.versions, Adapter: routing.NoName, PromptTokens: int32(requirements.PromptTokens),
+		AffinityKey: requirements.AffinityKey,
 	}
-	if wanted.Adapter != "" {
-		if request.Adapter, ok = known.adapters[wanted.Adapter]; !ok {
+	if requirements.Adapter != "" {
+		if request.Adapter, ok = known.adapters[requirements.Adapter]; !ok {
 			return routing.Request{}, false
 		}
 	}
-	request.Hints = v.hintsFor(wanted)
+	request.Hints = v.hintsFor(requirements)
 	return request, true
 }
 
-// RecordFirstToken tells that the first token of an attempt came, or that none will.
-// Streamed tells that Tokens will be called for the rest of the answer.
+// RecordFirstToken records that the first token of an attempt arrived, or that
+// none will if came is false. streamed means that RecordTokens will be called
+// for the rest of the response.
 func (v *View) RecordFirstToken(target upstream.Target, attempt Attempt, streamed, came bool) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -179,42 +185,43 @@
 		if attempt.awaited {
 			v.tracker.FirstToken(e.slot, came, v.now())
 		}
-		e.batch.pace.FirstToken(attempt.ticket, streamed, v.now())
+		e.batch.pace.FirstToken(attempt.id, streamed, v.now())
 		if streamed && came && e.kind == rockwindpb.BackEndKind_BACK_END_KIND_ENGINE {
 			v.tail.FirstToken(v.now() - attempt.sentAt)
 		}
-		v.changed(e)
+		v.notifyOnlineChanged(e)
 		e.batch.publishLeader()
 	}
 }
 
-// RecordTokens tells that so many more tokens of a streamed answer arrived.
+// RecordTokens records that more tokens of a streamed response arrived.
 func (v *View) RecordTokens(target upstream.Target, attempt Attempt, count int) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	if e := v.byName[target.Name]; e != nil {
-		e.batch.pace.Token(attempt.ticket, count, v.target().PerToken, e.batch.batchPart(), v.now())
+		e.batch.pace.Token(attempt.id, count, v.latencyTarget().PerToken, e.batch.batchStepTime(), v.now())
 	}
 }
 
-// RecordEnded counts an online request down and hands the evidence to the owner.
-// FirstToken must have been called before, also when none came.
+// RecordEnded records the end of an online request and reports its outcome to
+// the owner goroutine. RecordFirstToken must have been called before, even if
+// no token arrived.
 func (v *View) RecordEnded(target upstream.Target, attempt Attempt, report upstream.Report) {
 	v.mutex.Lock()
 	if e := v.byName[target.Name]; e != nil {
-		if mean, known := e.batch.pace.Ended(attempt.ticket, v.routing.Cost.StepBase, v.now()); known {
+		if mean, known := e.batch.pace.Ended(attempt.id, v.routing.Cost.StepBase, v.now()); known {
 			v.tail.PerToken(mean)
 		}
-		v.changed(e)
+		v.notifyOnlineChanged(e)
 		e.batch.publishLeader()
 		v.routing.RecordEnded(e.index, false)
 		e.history.ended.add(v.now())
 	}
 	v.mutex.Unlock()
-	v.note(target, report)
+	v.reportOutcome(target, report)
 }
 
-// AvailableModels tells which of the models can be answered by some server now.
+// AvailableModels returns those of the models that some server can serve now.
 func (v *View) AvailableModels(names []string) []string {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
--- a/internal/serverview/doc.go
+++ b/internal/serverview/doc.go
@@ -1,11 +1,11 @@
-// Package serverview holds what one gateway knows of the back ends. One
-// goroutine owns the knowledge: it polls the servers that this gateway owns,
-// takes the digests that the control machines pass on, judges health by the
-// outcomes of real traffic, and merges the platform's list. Requests choose
-// their back end from the same view under a short lock.
+// Package serverview holds one gateway's knowledge of the back-end servers. A
+// single goroutine updates it: it polls the servers that this gateway owns,
+// merges the load digests relayed by the control machines, tracks server health
+// from the outcomes of real traffic, and reads the platform's machine list.
+// Request handlers choose servers from the same view under a short lock.
 //
-// The sources lag, so what this gateway sent itself is always counted at once.
-// A server that said that it is draining, or that the platform showed as
-// leaving, stays out until newer evidence says otherwise; an old list never
-// brings it back.
+// All of these sources lag, so the requests that this gateway sent itself are
+// always counted immediately. A server that reported that it is draining, or
+// that the platform listed as leaving, stays excluded until newer information
+// clears it; a stale list never readmits it.
 package serverview
--- a/internal/serverview/history.go
+++ b/internal/serverview/history.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// historyLength is how many recent events are kept per server. A report older
-// than that is corrected by no more than so many events.
+// historyLength is the number of recent events kept per server. Corrections of
+// older reports are limited to that many events.
 const historyLength = 64
 
-// history keeps when this gateway's last online requests to a server were sent
-// and ended, to correct a report by what happened after it was taken.
-type history struct {
+// requestHistory records when this gateway's most recent online requests to a
+// server were sent and ended, to correct a report by what happened after it was
+// taken.
+type requestHistory struct {
 	sent  ring
 	ended ring
 }
 
-// ring holds the last times, oldest overwritten.
+// ring is a ring buffer of the most recent times.
 type ring struct {
 	times [historyLength]time.Duration
 	next  int
@@ -24,8 +25,8 @@
 	r.next++
 }
 
-// after counts the times later than the given one.
-func (r *ring) after(at time.Duration) int {
+// countAfter returns the number of times later than at.
+func (r *ring) countAfter(at time.Duration) int {
 	count := 0
 	for count < min(r.next, historyLength) {
 		if r.times[(r.next-1-count)%historyLength] <= at {
--- a/internal/serverview/leaving.go
+++ b/internal/serverview/leaving.go
@@ -2,41 +2,44 @@
 
 import "time"
 
-// liveListsToReturn is how many lists in a row must show a server as live
-// before it counts as back, after the platform showed it as leaving. The list
-// lags and its replicas disagree; one old copy must not bring a server back.
-const liveListsToReturn = 3
+// liveListsToReadmit is how many consecutive lists must show a server as live
+// before it is readmitted. The list lags and its replicas disagree, so a single
+// list may be stale.
+const liveListsToReadmit = 3
 
-// declineHold is how long a server stays out after it said that it takes no
-// requests to a gateway that does not poll it. By then its owner's word counts.
-const declineHold = 10 * time.Second
+// drainingTTL is how long a gateway that does not poll a server excludes it
+// after the server reported that it is draining. After that, the digests of the
+// server's owner decide.
+const drainingTTL = 10 * time.Second
 
-// leavingState is the evidence that a server is leaving.
+// leavingState combines the sources that tell whether a server is leaving.
 type leavingState struct {
-	// draining is what the server itself said last.
+	// draining is the server's last own report.
 	draining bool
-	// drainingAt is when it said so last.
+	// drainingAt is the time of that report.
 	drainingAt time.Duration
-	// digest is what the server's owner passed on.
+	// digest is the last state reported by the server's owner.
 	digest bool
-	// named is set while the control machines name the server as leaving.
-	named bool
-	// platform is set once the platform showed the server as leaving or lost.
+	// control is set while the control machines list the server as leaving.
+	control bool
+	// platform is set once the platform listed the server as leaving or no
+	// longer listed it.
 	platform bool
-	// live counts the lists in a row that showed it as live since then.
-	live int
-	// listed is set once a list named the server.
+	// liveLists counts the consecutive lists since then that showed the server
+	// as live.
+	liveLists int
+	// listed is set once a list contained the server.
 	listed bool
 }
 
-// out tells whether the server gets no new work.
-func (s *leavingState) out() bool {
-	return s.draining || s.digest || s.named || s.platform
+// excluded reports whether the server must receive no new requests.
+func (s *leavingState) excluded() bool {
+	return s.draining || s.digest || s.control || s.platform
 }
 
-// said takes what the server itself reported at a time. An older report never
-// takes back a newer one.
-func (s *leavingState) said(draining bool, takenAt time.Duration) {
+// setDraining applies the server's own report. Reports older than the last one
+// are ignored.
+func (s *leavingState) setDraining(draining bool, takenAt time.Duration) {
 	if takenAt < s.drainingAt {
 		return
 	}
@@ -45,32 +48,32 @@
 	s.digest = false
 }
 
-// expire takes back what the server said long ago, where nobody asks it again,
-// and tells whether it did.
-func (s *leavingState) expire(now time.Duration) bool {
-	if !s.draining || now-s.drainingAt < declineHold {
+// expireDraining clears an old draining report, for servers that this gateway
+// does not poll, and reports whether it did.
+func (s *leavingState) expireDraining(now time.Duration) bool {
+	if !s.draining || now-s.drainingAt < drainingTTL {
 		return false
 	}
 	s.draining = false
 	return true
 }
 
-// passedOn takes what the server's owner said. Absence of the mark clears only
-// an earlier mark of the owner, not what the server said here.
-func (s *leavingState) passedOn(leaving bool) {
+// setDigest applies the state reported by the server's owner. It does not
+// override what the server itself reported to this gateway.
+func (s *leavingState) setDigest(leaving bool) {
 	s.digest = leaving
 }
 
-// shown takes one list of the platform: whether it names the server, and as
-// leaving.
-func (s *leavingState) shown(named, leaving bool) {
+// applyList applies one platform list: whether it contains the server, and
+// whether as leaving.
+func (s *leavingState) applyList(named, leaving bool) {
 	switch {
 	case named && leaving, !named && s.listed:
 		s.platform = true
-		s.live = 0
+		s.liveLists = 0
 	case named && s.platform:
-		s.live++
-		if s.live >= liveListsToReturn {
+		s.liveLists++
+		if s.liveLists >= liveListsToReadmit {
 			s.platform = false
 		}
 	}
--- a/internal/serverview/evidence.go
+++ b/internal/serverview/outcomes.go
@@ -9,25 +9,25 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// evidenceBuffer is how many outcomes may wait for the owner goroutine; more
-// are dropped, for health needs a sample only.
-const evidenceBuffer = 4096
+// outcomeBuffer is the number of outcomes queued for the owner goroutine.
+// Further ones are dropped: health tracking only needs a sample.
+const outcomeBuffer = 4096
 
-// evidence is the outcome of one exchange with a server.
-type evidence struct {
+// serverOutcome is the outcome of one request to a server.
+type serverOutcome struct {
 	server  string
 	outcome health.Outcome
 	latency time.Duration
 }
 
-// note hands the outcome of an attempt to the owner goroutine.
-func (v *View) note(target upstream.Target, report upstream.Report) {
+// reportOutcome queues the outcome of an attempt for the owner goroutine.
+func (v *View) reportOutcome(target upstream.Target, report upstream.Report) {
 	outcome, ok := healthOutcome(report.Outcome)
 	if !ok {
 		return
 	}
 	select {
-	case v.outcomes <- evidence{server: target.Name, outcome: outcome, latency: report.FirstByte}:
+	case v.outcomes <- serverOutcome{server: target.Name, outcome: outcome, latency: report.FirstByte}:
 	default:
 	}
 }
@@ -47,8 +47,9 @@
 	}
 }
 
-// record judges a server by an outcome. Only the owner goroutine calls it.
-func (v *View) record(found evidence) {
+// recordOutcome updates a server's health from an outcome. Only the owner
+// goroutine calls it.
+func (v *View) recordOutcome(found serverOutcome) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	e := v.byName[found.server]
@@ -62,13 +63,13 @@
 	}
 }
 
-// evaluate runs what depends on time and peers.
+// evaluate updates the health state that depends on time or on other servers.
 func (v *View) evaluate() {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	v.tracker.Evaluate(v.now(), v.random)
 	for _, e := range v.entries {
-		if !e.own && e.leaving.expire(v.now()) {
+		if !e.owned && e.leaving.expireDraining(v.now()) {
 			v.publish(e)
 			continue
 		}
@@ -76,9 +77,10 @@
 	}
 }
 
-// publishHealth writes the verdict on a server into the routing view. What the
-// server's owner said makes it suspect at most: ejection needs evidence of this
-// gateway's own, because the link between them may be what failed.
+// publishHealth writes a server's health into the routing view. An ejection
+// reported by the server's owner only makes it suspect here: ejecting it
+// requires this gateway's own observations, because the failure may be in the
+// network between the owner and the server.
 func (v *View) publishHealth(e *entry) {
 	state, slowStart := v.tracker.State(e.slot, v.now())
 	server := &v.routing.Servers[e.index]
@@ -93,7 +95,8 @@
 	}
 }
 
-// dueTrials lists the ejected servers that get a trial now.
+// dueTrials starts the trials that are due and returns the servers to probe for
+// them.
 func (v *View) dueTrials() []upstream.Target {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
--- a/internal/serverview/poll.go
+++ b/internal/serverview/poll.go
@@ -11,52 +11,51 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// Timing of polls.
 const (
-	// PollInterval is how often an owned server is asked for its load.
+	// PollInterval is how often an owned server's load is polled.
 	PollInterval = time.Second
-	// pollJitter is the part of the interval that is drawn at random.
+	// pollJitter is the fraction of the interval that is randomized.
 	pollJitter = 0.2
-	// pollTimeout bounds one poll.
+	// pollTimeout limits one poll.
 	pollTimeout = time.Second
-	// firstPeersGrace is how long a gateway that has just started and knows no
-	// peers leaves the polls to others: a control machine names them once it has
-	// heard them all.
-	firstPeersGrace = 3 * time.Second
-	// orphanAge is the age of the last exchange and of a server's newest report
-	// from which a server of the own zone is polled although another gateway owns
-	// it. While exchanges go on, a server without news has not changed.
+	// peerDiscoveryGrace is how long a starting gateway that knows no peers
+	// waits before it polls servers itself. The control machines name the peers
+	// once all have connected.
+	peerDiscoveryGrace = 3 * time.Second
+	// orphanAge is the age of both the last exchange and a server's newest
+	// report from which a server of the local zone is polled although another
+	// gateway owns it. While exchanges succeed, a server without a new digest
+	// has not changed.
 	orphanAge = 8 * time.Second
 	// orphanInterval is how often such a server is polled.
 	orphanInterval = 4 * time.Second
-	// maximumReport bounds the answer to a poll or probe in bytes.
-	maximumReport = 1 << 20
+	// maxResponseBytes limits the response to a poll or probe.
+	maxResponseBytes = 1 << 20
 )
 
-// pollResult is the answer to one poll.
+// pollResult is the result of one poll.
 type pollResult struct {
 	server  string
 	report  loadReport
 	askedAt time.Duration
-	cache   cacheAnswer
+	cache   cacheResult
 	ready   readiness
 	err     error
 }
 
-// pollTask is a poll that is due.
 type pollTask struct {
 	target upstream.Target
-	cache  cacheQuestion
-	// ready asks the server whether it takes requests.
+	cache  cacheQuery
+	// ready requests a readiness check.
 	ready bool
 }
 
-// duePolls lists the servers to be polled now.
+// duePolls lists the servers to poll now.
 func (v *View) duePolls() []pollTask {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	now := v.now()
-	if len(v.peers) == 0 && now-v.startedAt < firstPeersGrace {
+	if len(v.peers) == 0 && now-v.startedAt < peerDiscoveryGrace {
 		return nil
 	}
 	var due []pollTask
@@ -65,7 +64,7 @@
 			continue
 		}
 		interval := PollInterval
-		if !e.own {
+		if !e.owned {
 			if now-e.reportedAt < orphanAge || now-v.exchangedAt < orphanAge {
 				continue
 			}
@@ -76,7 +75,7 @@
 		e.polling = true
 		task := pollTask{target: upstream.Target{Name: e.name, Address: e.address}, ready: e.lagging}
 		if now >= e.nextCacheRead {
-			task.cache = v.questionFor(e, now)
+			task.cache = v.cacheQueryFor(e, now)
 			e.nextCacheRead = now + CacheInterval
 		}
 		due = append(due, task)
@@ -84,12 +83,13 @@
 	return due
 }
 
-// poll asks one server for its load, and for its cache events where it is to.
+// poll reads a server's load, and its cache events and readiness if the task
+// asks for them.
 func (v *View) poll(ctx context.Context, task pollTask) pollResult {
 	result := pollResult{server: task.target.Name, askedAt: v.now()}
 	body, status, err := v.get(ctx, task.target, "/load")
 	if err == nil && status != http.StatusOK {
-		err = errStatus
+		err = errUnexpectedStatus
 	}
 	if err == nil {
 		err = json.Unmarshal(body, &result.report)
@@ -99,22 +99,22 @@
 		result.cache = v.readCache(ctx, task.target, task.cache)
 	}
 	if err == nil && task.ready {
-		result.ready = v.askReady(ctx, task.target)
+		result.ready = v.checkReadiness(ctx, task.target)
 	}
 	return result
 }
 
-// probe asks an ejected server whether it takes requests, as its trial.
-func (v *View) probe(ctx context.Context, target upstream.Target) evidence {
+// probe checks the readiness of an ejected server, as its trial.
+func (v *View) probe(ctx context.Context, target upstream.Target) serverOutcome {
 	_, status, err := v.get(ctx, target, "/readyz")
-	found := evidence{server: target.Name, outcome: health.Success}
+	found := serverOutcome{server: target.Name, outcome: health.Success}
 	if err != nil || status != http.StatusOK {
 		found.outcome = health.Failure
 	}
 	return found
 }
 
-// get sends a small request and reads its answer.
+// get sends a GET request and reads the response.
 func (v *View) get(ctx context.Context, target upstream.Target, path string) ([]byte, int, error) {
 	bounded, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
@@ -126,7 +126,7 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body(pollTimeout), maximumReport))
+	body, err := io.ReadAll(io.LimitReader(response.Body(pollTimeout), maxResponseBytes))
 	if err != nil {
 		response.Abandon()
 		return nil, 0, err
@@ -135,20 +135,20 @@
 	return body, response.Status, nil
 }
 
-// took merges the result of a poll. Only the owner goroutine calls it.
-func (v *View) took(ctx context.Context, result pollResult, wall time.Time) {
+// finishPoll merges the result of a poll. Only the owner goroutine calls it.
+func (v *View) finishPoll(ctx context.Context, result pollResult, wall time.Time) {
 	v.mutex.Lock()
 	if e := v.byName[result.server]; e != nil {
 		e.polling = false
-		v.learnCache(e, result.cache)
+		v.mergeCache(e, result.cache)
 	}
 	v.mutex.Unlock()
 	if result.err == nil {
-		v.polled(result.server, result.report, result.askedAt, wall)
-		v.learnReady(result.ready)
+		v.mergePolledReport(result.server, result.report, result.askedAt, wall)
+		v.mergeReadiness(result.ready)
 		return
 	}
 	if ctx.Err() == nil {
-		v.record(evidence{server: result.server, outcome: health.Failure})
+		v.recordOutcome(serverOutcome{server: result.server, outcome: health.Failure})
 	}
 }
--- a/internal/serverview/ready.go
+++ b/internal/serverview/ready.go
@@ -10,26 +10,26 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// laggingAge is the age of a load report from which an owned server is asked at
-// each poll whether it takes requests, because its report tells so too late.
+// laggingAge is the age of a load report from which an owned server's readiness
+// is checked at each poll, because its reports show draining too late.
 const laggingAge = 500 * time.Millisecond
 
-// questionInterval is the least time between two questions to a server that
-// refuses requests.
-const questionInterval = time.Second
+// readinessCheckInterval is the minimum interval between readiness checks of a
+// server that refuses requests.
+const readinessCheckInterval = time.Second
 
-// readiness is what a server says of itself now; unlike a load report it does
-// not lag.
+// readiness is the result of a readiness check. Unlike a load report, it is
+// current.
 type readiness struct {
 	server  string
 	askedAt time.Duration
-	// known is false where the server gave no usable answer.
+	// known is false if the server gave no usable response.
 	known bool
 	ready bool
 }
 
-// askReady asks a server whether it takes requests.
-func (v *View) askReady(ctx context.Context, target upstream.Target) readiness {
+// checkReadiness asks a server whether it accepts requests.
+func (v *View) checkReadiness(ctx context.Context, target upstream.Target) readiness {
 	found := readiness{server: target.Name, askedAt: v.now()}
 	_, status, err := v.get(ctx, target, "/readyz")
 	if err != nil {
@@ -40,42 +40,42 @@
 	return found
 }
 
-// dueQuestions lists the servers that refused a request and are to be asked
-// whether they take any.
-func (v *View) dueQuestions() []upstream.Target {
+// dueReadinessChecks lists the servers that refused a request and whose
+// readiness must be checked.
+func (v *View) dueReadinessChecks() []upstream.Target {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	now := v.now()
 	var due []upstream.Target
 	for _, e := range v.entries {
-		if !e.refused || now-e.questionAt < questionInterval {
+		if !e.refused || now-e.readinessCheckedAt < readinessCheckInterval {
 			continue
 		}
 		e.refused = false
 		if e.leaving.draining {
 			continue
 		}
-		e.questionAt = now
+		e.readinessCheckedAt = now
 		due = append(due, upstream.Target{Name: e.name, Address: e.address})
 	}
 	return due
 }
 
-// startQuestions asks the servers that refused a request.
-func (v *View) startQuestions(ctx context.Context, answers chan<- readiness) {
-	for _, target := range v.dueQuestions() {
+// startReadinessChecks checks the servers that refused a request.
+func (v *View) startReadinessChecks(ctx context.Context, readinessResults chan<- readiness) {
+	for _, target := range v.dueReadinessChecks() {
 		go func() {
-			found := v.askReady(ctx, target)
+			found := v.checkReadiness(ctx, target)
 			select {
-			case answers <- found:
+			case readinessResults <- found:
 			case <-ctx.Done():
 			}
 		}()
 	}
 }
 
-// learnReady merges what a server says of itself.
-func (v *View) learnReady(found readiness) {
+// mergeReadiness merges the result of a readiness check.
+func (v *View) mergeReadiness(found readiness) {
 	if !found.known {
 		return
 	}
@@ -86,27 +86,29 @@
 		return
 	}
 	before := e.leaving.draining
-	e.leaving.said(!found.ready, found.askedAt)
+	e.leaving.setDraining(!found.ready, found.askedAt)
 	v.publish(e)
 	if e.leaving.draining && !before {
-		v.announce()
+		v.requestExchange()
 	}
 }
 
-// announce asks for an exchange at once.
-func (v *View) announce() {
+// requestExchange asks for an immediate exchange.
+func (v *View) requestExchange() {
 	select {
-	case v.news <- struct{}{}:
+	case v.exchangeRequested <- struct{}{}:
 	default:
 	}
 }
 
-// ExchangeRequested tells that the next exchange must not wait for its time.
+// ExchangeRequested receives when the next exchange must take place
+// immediately.
 func (v *View) ExchangeRequested() <-chan struct{} {
-	return v.news
+	return v.exchangeRequested
 }
 
-// LeavingServers names the servers that told this gateway that they take no new work.
+// LeavingServers returns the servers that reported to this gateway that they
+// are draining.
 func (v *View) LeavingServers() []string {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -119,12 +121,13 @@
 	return names
 }
 
-// named merges the names of all leaving servers.
-func (v *View) named(response *rockwindpb.ExchangeResponse) {
+// mergeLeaving merges the list of leaving servers of all gateways. The caller
+// holds the lock.
+func (v *View) mergeLeaving(response *rockwindpb.ExchangeResponse) {
 	names := response.GetLeaving()
 	for _, e := range v.entries {
-		if named := slices.Contains(names, e.name); named != e.leaving.named {
-			e.leaving.named = named
+		if named := slices.Contains(names, e.name); named != e.leaving.control {
+			e.leaving.control = named
 			v.publish(e)
 		}
 	}
--- a/internal/serverview/ready_test.go
+++ b/internal/serverview/ready_test.go
@@ -12,8 +12,8 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// drain changes whether the engine takes requests, past the gateway.
-func (f *cacheFixture) drain(body string) {
+// drain posts a drain request directly to the engine.
+func (f *engineFixture) drain(body string) {
 	f.Helper()
 	response, err := http.Post("http://"+f.address+"/drain", "application/json", strings.NewReader(body))
 	if err != nil {
@@ -22,66 +22,67 @@
 	response.Body.Close()
 }
 
-// refuse tells the view that the engine refused a request, and asks the engine.
-func (f *cacheFixture) refuse() {
+// refuse reports a refused request to the view and runs the readiness checks
+// that are due.
+func (f *engineFixture) refuse() {
 	f.Helper()
 	report := upstream.Report{Outcome: upstream.Refused}
-	f.view.note(upstream.Target{Name: "engine"}, report)
-	f.view.record(<-f.view.outcomes)
-	for _, target := range f.view.dueQuestions() {
-		f.view.learnReady(f.view.askReady(context.Background(), target))
+	f.view.reportOutcome(upstream.Target{Name: "engine"}, report)
+	f.view.recordOutcome(<-f.view.outcomes)
+	for _, target := range f.view.dueReadinessChecks() {
+		f.view.mergeReadiness(f.view.checkReadiness(context.Background(), target))
 	}
 }
 
-func (f *cacheFixture) leaving() bool {
+func (f *engineFixture) leaving() bool {
 	f.view.mutex.Lock()
 	defer f.view.mutex.Unlock()
 	return f.view.routing.Servers[f.view.byName["engine"].index].Leaving
 }
 
-func TestRefusalOfADrainingServerTakesItOutAndIsPassedOn(t *testing.T) {
-	f := newCacheFixture(t, 0)
+func TestRefusalByDrainingServerExcludesItAndRequestsExchange(t *testing.T) {
+	f := newEngineFixture(t, 0)
 	f.refuse()
 	if f.leaving() || len(f.view.LeavingServers()) != 0 {
-		t.Fatal("a refusal for load took the server out")
+		t.Fatal("a server that refused a request because of load was excluded")
 	}
 	f.drain(`{"draining":true}`)
-	f.view.byName["engine"].questionAt = 0
+	f.view.byName["engine"].readinessCheckedAt = 0
 	f.refuse()
 	if !f.leaving() || !slices.Equal(f.view.LeavingServers(), []string{"engine"}) {
-		t.Fatal("the draining server is still in after it refused a request")
+		t.Fatal("the draining server is not excluded after it refused a request")
 	}
 	select {
 	case <-f.view.ExchangeRequested():
 	default:
-		t.Fatal("no exchange was asked for")
+		t.Fatal("no exchange was requested")
 	}
 }
 
-func TestServersThatOthersFoundLeavingAreOutWhileTheyAreNamed(t *testing.T) {
-	f := newCacheFixture(t, 0)
+func TestServersReportedLeavingByPeersAreExcluded(t *testing.T) {
+	f := newEngineFixture(t, 0)
 	f.view.ApplyExchange(&rockwindpb.ExchangeResponse{Leaving: []string{"engine"}})
 	if !f.leaving() || len(f.view.LeavingServers()) != 0 {
-		t.Fatal("a named server is in, or is passed on as found here")
+		t.Fatal("a server reported as leaving by a peer is not excluded, or is reported as leaving by this gateway")
 	}
 	f.view.ApplyExchange(&rockwindpb.ExchangeResponse{})
 	if f.leaving() {
-		t.Fatal("the server is out although nobody names it")
+		t.Fatal("the server is still excluded after no peer reports it as leaving")
 	}
 }
 
-func TestAServerFoundDrainingIsForgottenWhereNobodyAsksItAgain(t *testing.T) {
+func TestDrainingStateExpires(t *testing.T) {
 	state := leavingState{}
-	state.said(true, 1)
-	if state.expire(declineHold) || !state.out() {
-		t.Fatal("forgotten too early")
+	state.setDraining(true, 1)
+	if state.expireDraining(drainingTTL) || !state.excluded() {
+		t.Fatal("draining state expired too early")
 	}
-	if !state.expire(declineHold+1) || state.out() {
-		t.Fatal("out for ever")
+	if !state.expireDraining(drainingTTL+1) || state.excluded() {
+		t.Fatal("draining state did not expire")
 	}
 }
 
-func TestStatesTellWhyServersGetNoTraffic(t *testing.T) {
+func TestCountStates(t *testing.T) {
 	view := loadedView(12)
 	set := []func(server *routing.Server){
 		func(server *routing.Server) { server.Leaving, server.Health = true, routing.Ejected },
@@ -96,10 +97,10 @@
 	counts := view.CountStates()
 	for _, state := range []State{StateLeaving, StateEjected, StateNotLoaded, StateSuspect, StateSlowStart} {
 		if counts[state] != 1 {
-			t.Errorf("%d servers count as %s", counts[state], state)
+			t.Errorf("%d servers counted as %s, want 1", counts[state], state)
 		}
 	}
 	if counts[StateHealthy] != 12-len(set) {
-		t.Errorf("%d servers count as healthy", counts[StateHealthy])
+		t.Errorf("%d servers counted as healthy", counts[StateHealthy])
 	}
 }
--- a/internal/serverview/report.go
+++ b/internal/serverview/report.go
@@ -11,7 +11,7 @@
 	"rockwind.example/rockwind/internal/sharing"
 )
 
-// loadReport is the answer to GET /load of an engine or a service.
+// loadReport is the response of an engine or a service to GET /load.
 type loadReport struct {
 	Sequence       uint64   `json:"sequence"`
 	AtMs           int64    `json:"at_ms"`
@@ -25,7 +25,8 @@
 	Draining       bool     `json:"draining"`
 }
 
-// onlineWaiting is the part of the queue that is online, where it is told.
+// onlineWaiting is the number of waiting online requests, or of all waiting
+// requests if the server doesn't report them separately.
 func (r *loadReport) onlineWaiting() uint32 {
 	if r.WaitingOnline != nil {
 		return *r.WaitingOnline
@@ -33,13 +34,13 @@
 	return r.Waiting
 }
 
-// maximumClockSkew bounds how far a server's clock is trusted: a report that
-// claims to be older counts as taken when it was asked for.
-const maximumClockSkew = 10 * time.Second
+// maxClockSkew is the maximum plausible age of a report by the server's clock.
+// A report that claims to be older counts as taken when the poll was sent.
+const maxClockSkew = 10 * time.Second
 
-// polled merges a report that this gateway asked for. The report counts as
-// taken by the server's clock, as far as that is plausible.
-func (v *View) polled(server string, report loadReport, askedAt time.Duration, wall time.Time) {
+// mergePolledReport merges a polled report. Its time is taken from the server's
+// clock if that is plausible.
+func (v *View) mergePolledReport(server string, report loadReport, askedAt time.Duration, wall time.Time) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	e := v.byName[server]
@@ -49,7 +50,7 @@
 	now := v.now()
 	age := wall.Sub(time.UnixMilli(report.AtMs))
 	takenAt := now - age
-	if age < 0 || age > maximumClockSkew {
+	if age < 0 || age > maxClockSkew {
 		takenAt = askedAt
 	}
 	if e.reportedAt > takenAt {
@@ -57,15 +58,15 @@
 	}
 	e.lagging = age > laggingAge
 	before := e.leaving.draining
-	e.leaving.said(report.Draining, takenAt)
+	e.leaving.setDraining(report.Draining, takenAt)
 	if e.leaving.draining && !before {
-		v.announce()
+		v.requestExchange()
 	}
-	v.merge(e, report, takenAt)
+	v.setReport(e, report, takenAt)
 }
 
-// merge puts a report in place. The caller holds the lock.
-func (v *View) merge(e *entry, report loadReport, takenAt time.Duration) {
+// setReport stores a report. The caller holds the lock.
+func (v *View) setReport(e *entry, report loadReport, takenAt time.Duration) {
 	e.report = report
 	e.reportedAt = takenAt
 	if report.Loaded != nil {
@@ -78,13 +79,14 @@
 		Waiting:       float32(report.onlineWaiting()),
 		KVUsed:        float32(report.KVUsedPermille) / permille,
 		Step:          time.Duration(report.StepUs) * time.Microsecond,
-	}, e.history.sent.after(takenAt), e.history.ended.after(takenAt))
+	}, e.history.sent.countAfter(takenAt), e.history.ended.countAfter(takenAt))
 	v.publish(e)
 }
 
 const permille = 1000
 
-// Digests describes the servers that this gateway owns, for the exchange.
+// Digests returns the digests of the servers owned by this gateway, for the
+// exchange.
 func (v *View) Digests() []*rockwindpb.ServerDigest {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -109,15 +111,15 @@
 		Name: e.name, RunningOnline: e.report.RunningOnline, RunningBatch: e.report.RunningBatch,
 		Waiting: e.report.onlineWaiting(), KvUsedPermille: e.report.KVUsedPermille,
 		StepMicroseconds: e.report.StepUs, AgeMs: uint32((v.now() - e.reportedAt).Milliseconds()),
-		Health: state, Leaving: e.leaving.out(), Loaded: e.digestLoaded(),
+		Health: state, Leaving: e.leaving.excluded(), Loaded: e.loadedForDigest(),
 		NothingLoaded: e.loaded != nil && len(e.loaded) == 0,
 	}
 }
 
-// digestLoaded is the list of what is loaded, only where it changed since the
-// last digest.
-func (e *entry) digestLoaded() []string {
-	if slices.Equal(e.sentLoaded, e.loaded) && e.sentCount%loadedEvery != 0 {
+// loadedForDigest returns the loaded names if they changed since the last
+// digest, and periodically if they didn't.
+func (e *entry) loadedForDigest() []string {
+	if slices.Equal(e.sentLoaded, e.loaded) && e.sentCount%digestsPerLoadedList != 0 {
 		e.sentCount++
 		return nil
 	}
@@ -126,11 +128,11 @@
 	return e.loaded
 }
 
-// loadedEvery is after how many digests the unchanged list is sent again, for
-// control machines that restarted.
-const loadedEvery = 16
+// digestsPerLoadedList is the number of digests after which an unchanged list
+// of loaded names is sent again, for control machines that restarted.
+const digestsPerLoadedList = 16
 
-// ApplyExchange merges what the control machines passed on.
+// ApplyExchange merges a response of the control machines.
 func (v *View) ApplyExchange(response *rockwindpb.ExchangeResponse) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -139,17 +141,17 @@
 		v.setPeers(peers)
 	}
 	for _, digest := range response.GetServers() {
-		if e := v.byName[digest.GetName()]; e != nil && !e.own {
-			v.passedOn(e, digest)
+		if e := v.byName[digest.GetName()]; e != nil && !e.owned {
+			v.mergeDigest(e, digest)
 		}
 	}
 	for _, zone := range response.GetZones() {
-		v.summed(zone)
+		v.mergeZoneDigest(zone)
 	}
-	v.named(response)
+	v.mergeLeaving(response)
 }
 
-// setPeers takes the live gateways of the zone.
+// setPeers sets the live gateways of the zone. The caller holds the lock.
 func (v *View) setPeers(peers []string) {
 	if slices.Equal(v.peers, peers) {
 		return
@@ -158,13 +160,14 @@
 	v.assignOwners()
 }
 
-// passedOn merges the digest of a server that another gateway polls.
-func (v *View) passedOn(e *entry, digest *rockwindpb.ServerDigest) {
+// mergeDigest merges the digest of a server that another gateway polls. The
+// caller holds the lock.
+func (v *View) mergeDigest(e *entry, digest *rockwindpb.ServerDigest) {
 	takenAt := v.now() - time.Duration(digest.GetAgeMs())*time.Millisecond
 	if e.reportedAt > takenAt {
 		return
 	}
-	e.leaving.passedOn(digest.GetLeaving())
+	e.leaving.setDigest(digest.GetLeaving())
 	e.digestHealth = digest.GetHealth()
 	report := loadReport{
 		RunningOnline: digest.GetRunningOnline(), RunningBatch: digest.GetRunningBatch(),
@@ -176,11 +179,12 @@
 	if len(digest.GetLoaded()) > 0 {
 		report.Loaded = digest.GetLoaded()
 	}
-	v.merge(e, report, takenAt)
+	v.setReport(e, report, takenAt)
 }
 
-// summed spreads the sums of another zone evenly over its servers.
-func (v *View) summed(zone *rockwindpb.ZoneDigest) {
+// mergeZoneDigest spreads the load totals of another zone evenly over its
+// servers. The caller holds the lock.
+func (v *View) mergeZoneDigest(zone *rockwindpb.ZoneDigest) {
 	if zone.GetZone() == v.options.Zone || zone.GetServers() == 0 {
 		return
 	}
@@ -193,13 +197,14 @@
 	}
 	for _, e := range v.entries {
 		if e.zone == zone.GetZone() && slices.Contains(e.serves, zone.GetModel()) {
-			v.routing.ApplyReport(e.index, report, e.history.sent.after(report.TakenAt), e.history.ended.after(report.TakenAt))
+			v.routing.ApplyReport(e.index, report, e.history.sent.countAfter(report.TakenAt), e.history.ended.countAfter(report.TakenAt))
 		}
 	}
 }
 
-// assignOwners notes which servers this gateway polls and feeds batch. Without
-// peers it owns all servers of its zone.
+// assignOwners determines which servers this gateway polls and assigns batch
+// work to. Without peers it owns all servers of its zone. The caller holds the
+// lock.
 func (v *View) assignOwners() {
 	var names []string
 	for _, e := range v.entries {
@@ -212,21 +217,22 @@
 	for _, e := range v.entries {
 		owner, assigned := owners[e.name]
 		alone := len(v.peers) == 0 && e.zone == v.options.Zone
-		e.own = alone || assigned && owner == v.options.Gateway
-		if e.own {
+		e.owned = alone || assigned && owner == v.options.Gateway
+		if e.owned {
 			v.owned = append(v.owned, e)
 		}
 	}
-	v.preferOwned()
+	v.rebuildOwnedFirst()
 }
 
-// preferOwned lists the servers of the own zone for routing.
-func (v *View) preferOwned() {
+// rebuildOwnedFirst rebuilds the OwnedFirst policy from the servers of the
+// local zone.
+func (v *View) rebuildOwnedFirst() {
 	v.ownedFirst = routing.OwnedFirst{Margin: routing.OwnedMargin, Fallback: routing.Default, Backlog: v.promptBacklog}
 	for index, e := range v.entries {
 		switch {
 		case e.zone != v.options.Zone:
-		case e.own:
+		case e.owned:
 			v.ownedFirst.Owned = append(v.ownedFirst.Owned, int32(index))
 		default:
 			v.ownedFirst.Others = append(v.ownedFirst.Others, int32(index))
@@ -234,26 +240,26 @@
 	}
 }
 
-// promptBacklog is the number of prompt tokens of this gateway's online requests
-// that wait on a server. The caller holds the lock.
+// promptBacklog returns the number of prompt tokens of this gateway's online
+// requests that are waiting on a server. The caller holds the lock.
 func (v *View) promptBacklog(server int) int {
 	return v.entries[server].batch.pace.PromptTokens()
 }
 
-// batchState is what is known for batch on one server.
+// batchState is the batch scheduling state of one server.
 type batchState struct {
-	// pace follows the online requests that this gateway sent there.
+	// pace tracks the online requests that this gateway sent to the server.
 	pace sharing.Pace
-	// leader is the ticket of the pace's leader; zero for none.
+	// leader is the ID of the attempt whose tokens measure the pace; zero for
+	// none.
 	leader atomic.Uint64
-	// running counts the batch items that this gateway runs there now; paused
-	// ones are counted apart.
+	// running counts the batch items that this gateway is running on the
+	// server, not including paused ones.
 	running int
 	paused  int
 }
 
-// publishLeader makes the leader known to the requests, which look without the
-// lock.
+// publishLeader makes the leader visible to Attempt.Leads, which takes no lock.
 func (b *batchState) publishLeader() {
 	b.leader.Store(b.pace.Leader())
 }
--- a/internal/serverview/run.go
+++ b/internal/serverview/run.go
@@ -8,27 +8,26 @@
 	"time"
 )
 
-// Timing of the owner goroutine.
+// Intervals of the owner goroutine.
 const (
-	// tick is how often due polls are looked for.
-	tick = 50 * time.Millisecond
-	// evaluateEvery is how often health is evaluated.
-	evaluateEvery = time.Second
-	// platformEvery is how often the platform's list is read.
-	platformEvery = time.Second
-	// expireEvery is how often idle connections are closed.
-	expireEvery = 5 * time.Second
+	// pollTick is how often due polls are started.
+	pollTick = 50 * time.Millisecond
+	// healthInterval is how often health is evaluated.
+	healthInterval = time.Second
+	// platformListInterval is how often the platform's machine list is read.
+	platformListInterval = time.Second
+	// idleCloseInterval is how often idle connections are closed.
+	idleCloseInterval = 5 * time.Second
 )
 
-// errStatus is the failure of a poll with another status than 200.
-var errStatus = errors.New("the server answered with another status than 200")
+var errUnexpectedStatus = errors.New("server answered with a status other than 200")
 
-// Run owns the view until the context ends: it polls, judges and merges.
+// Run polls servers and updates the view until the context ends.
 func (v *View) Run(ctx context.Context) {
 	polls := make(chan pollResult)
 	lists := make(chan machineList)
-	answers := make(chan readiness)
-	ticker := time.NewTicker(tick)
+	readinessResults := make(chan readiness)
+	ticker := time.NewTicker(pollTick)
 	defer ticker.Stop()
 	var evaluated, listed, expired time.Duration
 	for {
@@ -36,27 +35,27 @@
 		case <-ctx.Done():
 			return
 		case found := <-v.outcomes:
-			v.record(found)
+			v.recordOutcome(found)
 		case result := <-polls:
-			v.took(ctx, result, time.Now())
-		case answer := <-answers:
-			v.learnReady(answer)
+			v.finishPoll(ctx, result, time.Now())
+		case result := <-readinessResults:
+			v.mergeReadiness(result)
 		case list := <-lists:
-			v.listed(list)
+			v.mergeMachineList(list)
 		case <-ticker.C:
 			v.startPolls(ctx, polls)
-			v.startQuestions(ctx, answers)
+			v.startReadinessChecks(ctx, readinessResults)
 			now := v.now()
-			if now-evaluated >= evaluateEvery {
+			if now-evaluated >= healthInterval {
 				evaluated = now
 				v.evaluate()
 				v.startTrials(ctx)
 			}
-			if v.options.PlatformURL != "" && now-listed >= platformEvery {
+			if v.options.PlatformURL != "" && now-listed >= platformListInterval {
 				listed = now
 				go v.readPlatform(ctx, lists)
 			}
-			if now-expired >= expireEvery {
+			if now-expired >= idleCloseInterval {
 				expired = now
 				v.options.Client.Expire(time.Now())
 			}
@@ -96,10 +95,10 @@
 	} `json:"machines"`
 }
 
-// stateLeaving marks a leaving machine in the platform's list.
-const stateLeaving = "leaving"
+// machineStateLeaving is the state of a leaving machine in the platform's list.
+const machineStateLeaving = "leaving"
 
-// readPlatform reads the list; a failure leaves things as they are.
+// readPlatform reads the platform's machine list. A failed read is ignored.
 func (v *View) readPlatform(ctx context.Context, lists chan<- machineList) {
 	bounded, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
@@ -122,8 +121,8 @@
 	}
 }
 
-// listed merges one list of the platform.
-func (v *View) listed(list machineList) {
+// mergeMachineList merges one list of the platform.
+func (v *View) mergeMachineList(list machineList) {
 	states := make(map[string]string, len(list.Machines))
 	for _, machine := range list.Machines {
 		states[machine.Address] = machine.State
@@ -132,7 +131,7 @@
 	defer v.mutex.Unlock()
 	for _, e := range v.entries {
 		state, named := states[e.address]
-		e.leaving.shown(named, state == stateLeaving)
+		e.leaving.applyList(named, state == machineStateLeaving)
 		v.publish(e)
 	}
 }
--- a/internal/serverview/slots.go
+++ b/internal/serverview/slots.go
@@ -1,16 +1,15 @@
 package serverview
 
-// noSlot is the absence of a slot.
 const noSlot = -1
 
-// slotTable gives numbers to servers that stay the same while the servers
-// around them come and go.
+// slotTable assigns slot numbers that don't change while other servers are
+// added or removed. Released slots are reused.
 type slotTable struct {
 	free []int
 	next int
 }
 
-func (t *slotTable) take() int {
+func (t *slotTable) allocate() int {
 	if last := len(t.free) - 1; last >= 0 {
 		slot := t.free[last]
 		t.free = t.free[:last]
@@ -20,7 +19,7 @@
 	return t.next - 1
 }
 
-func (t *slotTable) give(slot int) {
+func (t *slotTable) release(slot int) {
 	t.free = append(t.free, slot)
 }
 
--- a/internal/serverview/states.go
+++ b/internal/serverview/states.go
@@ -2,22 +2,22 @@
 
 import "rockwind.example/rockwind/internal/routing"
 
-// State is what keeps a server from traffic, or that nothing does.
+// State tells whether a server receives traffic and, if not, why.
 type State string
 
-// The states; a server counts in the first that applies, from the top.
+// A server is counted in the first state that applies, in this order.
 const (
-	// StateLeaving: it takes no new work, by its own word or the platform's.
+	// StateLeaving: draining, or leaving according to the platform.
 	StateLeaving State = "leaving"
-	// StateEjected: its failures put it out until trials succeed.
+	// StateEjected: excluded because of failures until trials succeed.
 	StateEjected State = "ejected"
-	// StateNotLoaded: it holds nothing that the configuration asks for.
+	// StateNotLoaded: has loaded nothing that the configuration asks for.
 	StateNotLoaded State = "not_loaded"
-	// StateSuspect: it gets traffic only where no healthy server can take it.
+	// StateSuspect: receives traffic only if no healthy server can take it.
 	StateSuspect State = "suspect"
-	// StateSlowStart: it came back and gets a growing part of its traffic.
+	// StateSlowStart: recovered and receives a growing fraction of its traffic.
 	StateSlowStart State = "slow_start"
-	// StateHealthy: it takes traffic.
+	// StateHealthy: receives traffic.
 	StateHealthy State = "healthy"
 )
 
@@ -52,7 +52,7 @@
 	}
 }
 
-// InFlight counts the online requests in flight at all servers.
+// InFlight returns the number of this gateway's online requests in flight.
 func (v *View) InFlight() int {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
--- a/internal/serverview/view.go
+++ b/internal/serverview/view.go
@@ -14,10 +14,10 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// Extra time of a round trip to another zone.
+// otherZoneCost is the additional round-trip time to another zone.
 const otherZoneCost = 2 * time.Millisecond
 
-// Model of a step that estimates start from, before anything was measured.
+// Default cost model.
 const (
 	stepBase         = 10 * time.Millisecond
 	stepPerSequence  = 100 * time.Microsecond
@@ -25,31 +25,33 @@
 	meanPromptTokens = 256
 )
 
-// Options of a view.
 type Options struct {
-	// Gateway is the name under which peers know this gateway.
+	// Gateway is this gateway's name among its peers.
 	Gateway string
 	// Zone is the gateway's own zone.
 	Zone string
-	// Client carries polls and probes.
+	// Client sends polls and probes.
 	Client *upstream.Client
-	// PlatformURL is the platform's list of machines; empty when there is none.
+	// PlatformURL is the base URL of the platform's machine list; empty if
+	// there is none.
 	PlatformURL string
-	// Random draws choices and jitter.
+	// Random is the source of randomness for routing and poll jitter; nil for a
+	// randomly seeded one.
 	Random *rand.Rand
 }
 
-// View is what one gateway knows of the back ends.
+// View is one gateway's knowledge of the back-end servers.
 type View struct {
 	options Options
 	epoch   time.Time
 
-	// outcomes carries evidence to the owner goroutine.
-	outcomes chan evidence
-	// online holds a token while the online load of an own server changed.
-	online chan struct{}
-	// news tells the exchange that something must be passed on at once.
-	news chan struct{}
+	// outcomes passes request outcomes to the owner goroutine.
+	outcomes chan serverOutcome
+	// onlineChanged holds a token after the online load of an owned server
+	// changed.
+	onlineChanged chan struct{}
+	// exchangeRequested holds a token if an immediate exchange is requested.
+	exchangeRequested chan struct{}
 
 	mutex sync.Mutex
 	// The fields below are guarded by mutex.
@@ -57,35 +59,36 @@
 	routing routing.View
 	names   *routing.Names
 	entries []*entry
-	// owned lists the entries that this gateway polls and feeds batch.
+	// owned lists the servers that this gateway polls and assigns batch work
+	// to.
 	owned  []*entry
 	byName map[string]*entry
 	models map[string]loadable
 	zones  []string
 	peers  []string
-	// startedAt is when the view was made.
+	// startedAt is when the view was created.
 	startedAt time.Duration
-	// exchangedAt is when digests were last exchanged; zero before the first.
+	// exchangedAt is the time of the last exchange; zero before the first.
 	exchangedAt time.Duration
-	// prefixes knows which server, by slot, caches which prefixes, and hints is
-	// reused by every choice.
+	// prefixes records which servers, by slot, cache which prefixes. hints is
+	// the buffer of hintsFor.
 	prefixes    *routing.PrefixIndex
 	hints       []routing.Hint
 	bySlot      map[int]*entry
 	cacheBudget byteBudget
 	tracker     *health.Tracker
 	slots       slotTable
-	// tail estimates the tail of online alone.
+	// tail estimates the tail latency of online requests without batch work.
 	tail sharing.TailEstimator
-	// ownedFirst chooses back ends of models.
+	// ownedFirst is the routing policy for models.
 	ownedFirst routing.OwnedFirst
-	// tickets numbers the attempts of online requests.
-	tickets uint64
-	// step is the target of steps that hold online requests.
+	// lastAttemptID is the ID of the newest attempt of an online request.
+	lastAttemptID uint64
+	// stepTarget is the target duration of steps with online requests.
 	stepTarget time.Duration
 }
 
-// entry is one back end. Its routing state is routing.Servers[index].
+// entry is one server. Its routing state is routing.Servers[index].
 type entry struct {
 	name    string
 	address string
@@ -93,54 +96,60 @@
 	kind    rockwindpb.BackEndKind
 	serves  []string
 	index   int
-	// slot is the entry's number in the health tracker.
+	// slot is the server's number in the health tracker and prefix index.
 	slot int
-	// loaded lists loadable names by the newest report; nil before any report.
+	// loaded lists the loaded names of the newest report; nil before any
+	// report.
 	loaded  []string
-	history history
+	history requestHistory
 	leaving leavingState
-	// digestHealth is what the server's owner said of it.
+	// digestHealth is the health reported by the server's owner.
 	digestHealth rockwindpb.HealthState
 	// report is the newest load report.
 	report loadReport
 	// reportedAt is when report was taken; zero before any report.
 	reportedAt time.Duration
-	// nextPoll is when the server is polled next, and polling is set meanwhile.
+	// nextPoll is when the next poll is due. polling is set while one is in
+	// progress.
 	nextPoll time.Duration
-	// refused is set once the server refused a request, until it was asked
-	// whether it takes any.
+	// refused is set after the server refused a request, until its readiness is
+	// checked.
 	refused bool
-	// questionAt is when it was asked last after a refusal.
-	questionAt time.Duration
-	// lagging tells that the server's load reports are old when they arrive.
+	// readinessCheckedAt is the time of the last readiness check after a
+	// refusal.
+	readinessCheckedAt time.Duration
+	// lagging is set if the server's load reports are old when they arrive.
 	lagging bool
 	polling bool
-	// nextCacheRead is when the server's cache events may be read next.
+	// nextCacheRead is when the server's cache events may be read again.
 	nextCacheRead time.Duration
-	// snapshotAt is when a snapshot of the cache was read last; zero before any.
+	// snapshotAt is when a snapshot of the cache was last read; zero before
+	// any.
 	snapshotAt time.Duration
 	batch      *batchState
-	// own is set where this gateway polls the server and feeds it batch.
-	own bool
-	// sentLoaded and sentCount tell what the last digests held.
+	// owned is set if this gateway polls the server and assigns batch work to
+	// it.
+	owned bool
+	// sentLoaded is the list of loaded names last sent in a digest, sentCount
+	// the number of digests sent.
 	sentLoaded   []string
 	sentCount    int
 	accelerators uint32
 }
 
-// loadable is a model or service with the versions that answer for it.
+// loadable is a model or service with its versions and adapters.
 type loadable struct {
 	versions []routing.WeightedVersion
 	adapters map[string]routing.NameID
 }
 
-// Config is the part of a configuration that the view needs.
+// Config is the part of the configuration that the view needs.
 type Config struct {
 	// Models, Services and BackEnds are the objects of the configuration.
 	Models   []*rockwindpb.Model
 	Services []*rockwindpb.Service
 	BackEnds []*rockwindpb.BackEnd
-	// StepTarget bounds a step that holds online requests.
+	// StepTarget is the maximum duration of a step with online requests.
 	StepTarget time.Duration
 }
 
@@ -150,45 +159,44 @@
 		options.Random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
 	v := &View{
-		options:  options,
-		epoch:    time.Now().Add(-time.Hour),
-		outcomes: make(chan evidence, evidenceBuffer),
-		online:   make(chan struct{}, 1),
-		news:     make(chan struct{}, 1),
-		random:   options.Random,
-		byName:   make(map[string]*entry),
-		prefixes: routing.NewPrefixIndex(),
-		tracker:  health.NewTracker(health.DefaultPolicy, 0),
+		options:           options,
+		epoch:             time.Now().Add(-time.Hour),
+		outcomes:          make(chan serverOutcome, outcomeBuffer),
+		onlineChanged:     make(chan struct{}, 1),
+		exchangeRequested: make(chan struct{}, 1),
+		random:            options.Random,
+		byName:            make(map[string]*entry),
+		prefixes:          routing.NewPrefixIndex(),
+		tracker:           health.NewTracker(health.DefaultPolicy, 0),
 	}
 	v.startedAt = v.now()
 	v.Configure(Config{})
 	return v
 }
 
-// now is the time since the view's epoch. The epoch lies before the start, so
+// now is the time since the view's epoch, which lies before its creation so
 // that zero always means "never".
 func (v *View) now() time.Duration {
 	return time.Since(v.epoch)
 }
 
-// Configure puts a configuration in force. What is known of servers that stay
-// is kept.
-func (v *View) Configure(declared Config) {
+// Configure applies a configuration. The state of servers that remain is kept.
+func (v *View) Configure(config Config) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	v.names = routing.NewNames()
 	v.models = make(map[string]loadable)
-	for _, model := range declared.Models {
+	for _, model := range config.Models {
 		v.models[modelKey(model.GetName())] = v.loadable(model.GetName(), model.GetVersions(), model.GetAdapters())
 	}
-	for _, service := range declared.Services {
+	for _, service := range config.Services {
 		v.models[serviceKey(service.GetName())] = v.loadable(service.GetName(), service.GetVersions(), nil)
 	}
-	v.stepTarget = declared.StepTarget
-	v.rebuild(declared.BackEnds)
+	v.stepTarget = config.StepTarget
+	v.rebuild(config.BackEnds)
 }
 
-// Keys keep models and services of the same name apart.
+// The prefixes keep models and services of the same name apart.
 func modelKey(name string) string   { return "model/" + name }
 func serviceKey(name string) string { return "service/" + name }
 
@@ -207,7 +215,8 @@
 	return result
 }
 
-// rebuild lays the servers out by zone, the own zone first.
+// rebuild lays out the servers by zone, the local zone first. The caller holds
+// the lock.
 func (v *View) rebuild(backEnds []*rockwindpb.BackEnd) {
 	v.zones = zoneOrder(v.options.Zone, backEnds)
 	old, oldServers := v.byName, v.routing.Servers
@@ -221,7 +230,7 @@
 			if backEnd.GetZone() != zone {
 				continue
 			}
-			v.layOut(backEnd, uint16(number), old[backEnd.GetName()], oldServers, &fresh)
+			v.addServer(backEnd, uint16(number), old[backEnd.GetName()], oldServers, &fresh)
 		}
 		cost := otherZoneCost
 		if zone == v.options.Zone {
@@ -229,7 +238,7 @@
 		}
 		fresh.Zones = append(fresh.Zones, routing.Zone{First: int32(first), Count: int32(len(fresh.Servers) - first), ExtraRTT: cost})
 	}
-	v.forgetRemoved(old)
+	v.releaseRemoved(old)
 	v.routing = fresh
 	v.assignOwners()
 	for _, e := range v.entries {
@@ -237,7 +246,9 @@
 	}
 }
 
-func (v *View) layOut(backEnd *rockwindpb.BackEnd, zone uint16, known *entry, oldServers []routing.Server, fresh *routing.View) {
+// addServer adds a server to the view that is being built, with the state of a
+// known server of the same name and address.
+func (v *View) addServer(backEnd *rockwindpb.BackEnd, zone uint16, known *entry, oldServers []routing.Server, fresh *routing.View) {
 	var server routing.Server
 	e := &entry{name: backEnd.GetName(), slot: noSlot, batch: &batchState{}}
 	switch {
@@ -245,8 +256,8 @@
 		e = known
 		server = oldServers[known.index]
 	case known != nil:
-		// Another process under the same name: only the counts of requests in
-		// flight carry over, so that each is counted down where it was counted.
+		// A different process under the same name: keep only the counts of
+		// in-flight requests, which are decremented when those requests end.
 		server.OwnOnline = oldServers[known.index].OwnOnline
 		server.OwnBatch = oldServers[known.index].OwnBatch
 		e.slot, e.batch = known.slot, known.batch
@@ -254,7 +265,7 @@
 		v.prefixes.RemoveServer(int32(e.slot))
 	}
 	if e.slot == noSlot {
-		e.slot = v.slots.take()
+		e.slot = v.slots.allocate()
 		v.tracker.Resize(v.slots.size())
 		v.tracker.Forget(e.slot)
 	}
@@ -264,21 +275,21 @@
 	e.index = len(fresh.Servers)
 	server.Zone = zone
 	server.Key = xxhash.Sum64String(e.name)
-	server.Accelerators = uint16(min(backEnd.GetAccelerators(), maximumAccelerators))
+	server.Accelerators = uint16(min(backEnd.GetAccelerators(), maxAccelerators))
 	fresh.Servers = append(fresh.Servers, server)
 	v.entries = append(v.entries, e)
 	v.byName[e.name] = e
 	v.bySlot[e.slot] = e
 }
 
-const maximumAccelerators = 1 << 15
+const maxAccelerators = 1 << 15
 
-// forgetRemoved gives the health slots of removed servers back.
-func (v *View) forgetRemoved(old map[string]*entry) {
+// releaseRemoved releases the slots of removed servers.
+func (v *View) releaseRemoved(old map[string]*entry) {
 	for name, e := range old {
 		if v.byName[name] == nil {
 			v.prefixes.RemoveServer(int32(e.slot))
-			v.slots.give(e.slot)
+			v.slots.release(e.slot)
 		}
 	}
 }
@@ -290,7 +301,7 @@
 	}
 }
 
-// zoneOrder lists the zones, the own one first.
+// zoneOrder lists the zones, the local zone first.
 func zoneOrder(own string, backEnds []*rockwindpb.BackEnd) []string {
 	order := []string{own}
 	seen := map[string]bool{own: true}
@@ -303,8 +314,8 @@
 	return order
 }
 
-// serves lists the loadable prefixes that a back end may hold: a service
-// instance holds one version, an engine any version of its models.
+// serves lists what a back end may have loaded: a service instance one version
+// of its services, an engine any version of its models.
 func serves(backEnd *rockwindpb.BackEnd) []string {
 	if backEnd.GetKind() != rockwindpb.BackEndKind_BACK_END_KIND_SERVICE {
 		return backEnd.GetServes()
@@ -316,16 +327,18 @@
 	return names
 }
 
-// publish writes what is known of an entry into the routing view.
+// publish writes an entry's state into the routing view. The caller holds the
+// lock.
 func (v *View) publish(e *entry) {
 	server := &v.routing.Servers[e.index]
-	server.Leaving = e.leaving.out()
+	server.Leaving = e.leaving.excluded()
 	server.Loaded = v.loadedSet(e)
 	v.publishHealth(e)
 }
 
-// loadedSet is what the server can run now. Before any report it is everything
-// that the configuration lets it hold: a server that does not hold it refuses.
+// loadedSet returns what the server can serve now. Before any report, it
+// assumes everything that the configuration allows; a server that hasn't loaded
+// it refuses the request.
 func (v *View) loadedSet(e *entry) routing.Set {
 	var set routing.Set
 	if e.kind == rockwindpb.BackEndKind_BACK_END_KIND_SERVICE {
