--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -1,6 +1,6 @@
-// Package gate names the mechanisms of a site that an operator can switch off. Each is on
-// unless the settings of a process say otherwise; off means the plain behaviour beneath it.
-// What keeps a promise to callers has no gate.
+// Package gate defines the feature gates of a site: mechanisms that an operator can switch off in
+// the settings. All gates are on by default; with a gate off, the simpler behavior beneath it
+// applies. Mechanisms that guarantees to callers depend on have no gate.
 package gate
 
 import (
@@ -10,43 +10,43 @@
 	"rockwind.example/rockwind/internal/fault"
 )
 
-// Gate is the name of a mechanism in settings.
+// Gate is the name of a feature gate in the settings.
 type Gate string
 
-// The gates.
 const (
-	// Pace has servers chosen by how long work takes there, not by their free slots alone.
+	// Pace selects servers by how long work takes there, not only by their free slots.
 	Pace Gate = "pace"
-	// FairShare has the tenants of one priority share too little room by work.
+	// FairShare divides scarce capacity among the tenants of one priority by the work they use.
 	FairShare Gate = "fair_share"
-	// Returns has requests refused with the time when room is expected, and those that
-	// come back then go by their first arrival.
+	// Returns adds the expected time until capacity is available to refusals, and orders requests
+	// that are sent again then by their first arrival.
 	Returns Gate = "returns"
-	// Relief has a router that is short of processor, link, memory or descriptors ask
-	// clients to go elsewhere.
+	// Relief lets a router that is short of CPU, bandwidth, memory or file descriptors ask clients
+	// to use another router.
 	Relief Gate = "relief"
-	// Continuation has runs that may run once copied to a second server, where they go on
-	// if the first one ends.
+	// Continuation copies runs that must not be started twice to a second server, which continues
+	// them if the first one fails.
 	Continuation Gate = "continuation"
-	// ItemProgress has the leader of a shard record what it receives of items, so that another
-	// one goes on with them.
+	// ItemProgress lets the leader of a shard record the partial results of items, so that the next
+	// leader can resume them.
 	ItemProgress Gate = "item_progress"
-	// LeftBehind has servers asked after a start for what processes that are gone left
-	// behind there, which is counted until it is over.
+	// LeftBehind lets a starting process query the servers for requests that terminated processes
+	// left behind there, and count these as load until they end.
 	LeftBehind Gate = "left_behind"
 )
 
-// All lists the gates in the order of their names.
+// All lists the gates in alphabetical order.
 func All() []Gate {
 	return []Gate{Continuation, FairShare, ItemProgress, LeftBehind, Pace, Relief, Returns}
 }
 
-// Set tells which gates are off. The zero value has all on.
+// Set is the set of gates that are on. In the zero value all are on.
 type Set struct {
 	off []Gate
 }
 
-// NewSet returns the set with the named gates off. Names that Check refuses do nothing.
+// NewSet returns the set with the named gates off. Unknown names have no effect; Check rejects
+// them.
 func NewSet(off []string) Set {
 	set := Set{}
 	for _, name := range off {
@@ -55,15 +55,15 @@
 	return set
 }
 
-// Check fails with fault.InvalidArgument where no gate has the name.
+// Check returns a fault.InvalidArgument error if no gate has the name.
 func Check(name string) error {
 	if slices.Contains(All(), Gate(name)) {
 		return nil
 	}
-	return fault.Newf(fault.InvalidArgument, "write names out of: "+names(), "no gate is named %q", name)
+	return fault.Newf(fault.InvalidArgument, "use names from: "+names(), "unknown gate %q", name)
 }
 
-// On tells whether a mechanism is on.
+// On reports whether a gate is on.
 func (s Set) On(gate Gate) bool { return !slices.Contains(s.off, gate) }
 
 func names() string {
--- a/internal/replica/pieces/pieces.go
+++ b/internal/replica/pieces/pieces.go
@@ -1,10 +1,12 @@
-// Package pieces tells the data of a log entry by reference to entries before it, for the way
-// between replicas alone: logs, states and snapshots hold whole entries. What an item's result
-// repeats of its progress, or a job of the prompts of another, goes over a link once.
+// Package pieces delta-encodes log entries for replication: parts that repeat earlier entries are
+// sent as references to them. Logs, state and snapshots store complete entries. This avoids sending
+// an item's output twice, as progress and as its result, or the prompts that a job shares with
+// another.
 //
-// A Coder cuts data into pieces at the leader, and Join makes it whole at the member, from the
-// entries of its own log. Replicas whose logs agree on an entry agree on all before it, so a
-// reference means the same on both sides. The package is pure; a Coder belongs to one goroutine.
+// An Encoder splits data into pieces at the leader, and Decode restores it at the follower from the
+// entries of its own log. Replicas whose logs agree on an entry agree on all entries before it, so
+// references mean the same on both sides. The package is pure; an Encoder is not safe for
+// concurrent use.
 package pieces
 
 import (
@@ -15,29 +17,31 @@
 )
 
 const (
-	// WindowBytes is how many bytes of entries a Coder refers to, with what it takes to remember them. A
-	// member keeps as much before its newest snapshot on the smallest machines: half of 1 MiB
+	// WindowBytes limits the memory of the entries that an Encoder refers to, including overhead. A
+	// follower with the smallest log keeps as much before its newest snapshot: half of 1 MiB
 	// (site.LogBytes).
 	WindowBytes = 512 << 10
-	// mostEntries is how many entries a Coder refers to: as many as a log keeps in memory before its
-	// newest snapshot (wal's trailing entries), so that it pins none that the log let go.
-	mostEntries = 2048
-	// entryCost and pieceCost are what an entry and a piece take beside the data, in bytes: their
-	// structs, and the pointers to them. Counted without them, a Coder full of entries of
-	// 20 B took 2.2 MB.
-	entryCost = 128
-	pieceCost = 120
-	// leastMatch is the shortest part that is told by reference, in bytes. A reference takes some
-	// 12 bytes, and splits what is around it in two.
-	leastMatch = 32
-	// anchorBits sets how often there is an anchor, a place where a match may be found: one in 64
-	// bytes on average, by content, so that the same text has the same anchors wherever it is.
+	// maxEntries limits the number of entries that an Encoder refers to. It equals the number of
+	// trailing entries that the write-ahead log keeps in memory before its newest snapshot, so that
+	// the Encoder retains no entry that the log has released.
+	maxEntries = 2048
+	// entryOverhead and pieceOverhead are the bytes that an entry and a piece occupy besides their
+	// data: their structs and the pointers to them. Without them, many small entries would exceed
+	// the memory limit.
+	entryOverhead = 128
+	pieceOverhead = 120
+	// minMatch is the minimum length of a match in bytes. A reference takes about 12 bytes and
+	// splits the surrounding literal.
+	minMatch = 32
+	// anchorBits sets the density of anchors, the positions at which matches are looked up: one in
+	// 64 bytes on average. Anchors are content-defined, so the same text has the same anchors
+	// anywhere.
 	anchorBits = 6
-	// tableBits is the size of the table of anchors: one slot for each of a full window.
+	// tableBits sets the size of the anchor table: one slot for each anchor of a full window.
 	tableBits = 13
 )
 
-// entry is one that may be referred to, with the pieces that it was cut into.
+// entry is a log entry in the window, with its encoding.
 type entry struct {
 	index  uint64
 	data   []byte
@@ -45,26 +49,27 @@
 	oldest uint64
 }
 
-// size is what the entry takes in memory, in bytes.
-func (e entry) size() int { return entryCost + len(e.data) + pieceCost*len(e.pieces) }
+// size is the memory that the entry occupies, in bytes.
+func (e entry) size() int { return entryOverhead + len(e.data) + pieceOverhead*len(e.pieces) }
 
-// anchor is a place in the window, after the byte at offset-1 of an entry. The zero value is none.
+// anchor is a position in an entry of the window, after the byte at offset-1. The zero value means
+// none.
 type anchor struct {
 	index  uint64
 	offset uint32
 }
 
-// Encoder cuts the entries of one leadership into pieces. The zero value knows no entries.
+// Encoder encodes the entries of one leadership term. The zero value has an empty window.
 type Encoder struct {
-	// known holds the entries of the window in their order.
-	known []entry
-	// last is the index of the newest, and size the bytes that all take.
+	// entries is the window, ordered by index.
+	entries []entry
+	// last is the index of the newest entry, and size the memory that all occupy.
 	last  uint64
 	size  int
 	table [1 << tableBits]anchor
 }
 
-// gear scrambles bytes for the rolling hash, whose upper bits depend on the last 32 bytes.
+// gear is the table of the Gear rolling hash, whose upper bits depend on the last 32 bytes.
 var gear = func() (table [256]uint32) {
 	state := uint64(0)
 	for i := range table {
@@ -77,79 +82,80 @@
 	return table
 }()
 
-// Encode cuts the data of the entry at an index into pieces, and remembers it. It must not be
-// changed afterwards. Oldest is the index of the oldest entry that is referred to; it is zero, and
-// there are no pieces, where none is. An entry that is known is not cut again, and one that is not
-// known any more, or that is older than the newest, is not cut.
-func (c *Encoder) Encode(index uint64, data []byte) (pieces []*rockwindpb.Piece, oldest uint64) {
-	if index <= c.last {
-		if place, found := c.find(index); found {
-			return c.known[place].pieces, c.known[place].oldest
+// Encode splits the data of the entry at an index into pieces and adds the entry to the window. The
+// data must not be modified afterwards. oldest is the index of the oldest entry referred to; if
+// there are no references, it is zero and there are no pieces. An entry in the window is not
+// encoded again. An older entry that is not in the window is not encoded at all.
+func (e *Encoder) Encode(index uint64, data []byte) (pieces []*rockwindpb.Piece, oldest uint64) {
+	if index <= e.last {
+		if position, found := e.find(index); found {
+			return e.entries[position].pieces, e.entries[position].oldest
 		}
 		return nil, 0
 	}
-	pieces, oldest = c.cut(index, data)
-	c.remember(entry{index: index, data: data, pieces: pieces, oldest: oldest})
+	pieces, oldest = e.cut(index, data)
+	e.add(entry{index: index, data: data, pieces: pieces, oldest: oldest})
 	return pieces, oldest
 }
 
-// cut finds the parts of the data that the window holds, and notes the anchors of the data.
-func (c *Encoder) cut(index uint64, data []byte) (pieces []*rockwindpb.Piece, oldest uint64) {
-	told, hash := 0, uint32(0)
+// cut finds the parts of the data that occur in the window and records the anchors of the data.
+func (e *Encoder) cut(index uint64, data []byte) (pieces []*rockwindpb.Piece, oldest uint64) {
+	encoded, hash := 0, uint32(0)
 	for position, value := range data {
 		hash = hash<<1 + gear[value]
 		if hash>>(32-anchorBits) != 0 {
 			continue
 		}
-		slot := &c.table[hash>>(32-anchorBits-tableBits)&(1<<tableBits-1)]
-		here := position + 1
+		slot := &e.table[hash>>(32-anchorBits-tableBits)&(1<<tableBits-1)]
+		end := position + 1
 		candidate := *slot
-		*slot = anchor{index: index, offset: uint32(here)}
-		if here <= told {
+		*slot = anchor{index: index, offset: uint32(end)}
+		if end <= encoded {
 			continue
 		}
-		found, some := c.match(candidate, data, told, here)
-		if !some {
+		found, matched := e.extend(candidate, data, encoded, end)
+		if !matched {
 			continue
 		}
-		if found.begin > told {
-			pieces = append(pieces, &rockwindpb.Piece{Literal: data[told:found.begin]})
+		if found.begin > encoded {
+			pieces = append(pieces, &rockwindpb.Piece{Literal: data[encoded:found.begin]})
 		}
 		pieces = append(pieces, &rockwindpb.Piece{Back: index - candidate.index, Offset: found.offset, Length: uint32(found.end - found.begin)})
-		told = found.end
+		encoded = found.end
 		if oldest == 0 || candidate.index < oldest {
 			oldest = candidate.index
 		}
 	}
-	if oldest != 0 && told < len(data) {
-		pieces = append(pieces, &rockwindpb.Piece{Literal: data[told:]})
+	if oldest != 0 && encoded < len(data) {
+		pieces = append(pieces, &rockwindpb.Piece{Literal: data[encoded:]})
 	}
 	return pieces, oldest
 }
 
-// match is a part of the data, from begin to end, that an earlier entry has at offset.
+// match is a part of the data, from begin to end, that an earlier entry contains at offset.
 type match struct {
 	begin, end int
 	offset     uint32
 }
 
-// match widens an anchor that may be the same as the place here, back to what is told at most.
-func (c *Encoder) match(candidate anchor, data []byte, told, here int) (match, bool) {
-	place, known := c.find(candidate.index)
+// extend extends a match at a candidate anchor in both directions, but not into data already
+// encoded.
+func (e *Encoder) extend(candidate anchor, data []byte, encoded, end int) (match, bool) {
+	position, known := e.find(candidate.index)
 	if !known {
 		return match{}, false
 	}
-	earlier := c.known[place].data
+	earlier := e.entries[position].data
 	at := int(candidate.offset)
 	before := 0
-	for before < at && here-before > told && earlier[at-before-1] == data[here-before-1] {
+	for before < at && end-before > encoded && earlier[at-before-1] == data[end-before-1] {
 		before++
 	}
-	after := commonPrefix(earlier[at:], data[here:])
-	if before+after < leastMatch {
+	after := commonPrefix(earlier[at:], data[end:])
+	if before+after < minMatch {
 		return match{}, false
 	}
-	return match{begin: here - before, end: here + after, offset: uint32(at - before)}, true
+	return match{begin: end - before, end: end + after, offset: uint32(at - before)}, true
 }
 
 func commonPrefix(a, b []byte) int {
@@ -162,27 +168,27 @@
 	return n
 }
 
-// find returns the place of an entry in the window.
-func (c *Encoder) find(index uint64) (place int, found bool) {
-	return slices.BinarySearchFunc(c.known, index, func(each entry, wanted uint64) int {
+// find returns the position of an entry in the window.
+func (e *Encoder) find(index uint64) (position int, found bool) {
+	return slices.BinarySearchFunc(e.entries, index, func(each entry, wanted uint64) int {
 		return cmp.Compare(each.index, wanted)
 	})
 }
 
-// remember keeps the entry, and lets go of the oldest ones beyond the window.
-func (c *Encoder) remember(newest entry) {
-	c.last = newest.index
-	c.known = append(c.known, newest)
-	c.size += newest.size()
-	for (c.size > WindowBytes || len(c.known) > mostEntries) && len(c.known) > 1 {
-		c.size -= c.known[0].size()
-		c.known[0] = entry{}
-		c.known = c.known[1:]
+// add appends an entry to the window and removes the oldest ones beyond its limits.
+func (e *Encoder) add(newest entry) {
+	e.last = newest.index
+	e.entries = append(e.entries, newest)
+	e.size += newest.size()
+	for (e.size > WindowBytes || len(e.entries) > maxEntries) && len(e.entries) > 1 {
+		e.size -= e.entries[0].size()
+		e.entries[0] = entry{}
+		e.entries = e.entries[1:]
 	}
 }
 
-// Decode makes the data of the entry at an index whole. Earlier returns the data of an entry
-// before it; found is false where it isn't held, and for references to what is not there.
+// Decode restores the data of the entry at an index. earlier returns the data of an earlier entry.
+// found is false if an entry is missing or a reference is invalid.
 func Decode(index uint64, pieces []*rockwindpb.Piece, earlier func(index uint64) (data []byte, found bool)) (data []byte, found bool) {
 	for _, piece := range pieces {
 		if piece.GetBack() == 0 {
--- a/internal/replica/pieces/pieces_test.go
+++ b/internal/replica/pieces/pieces_test.go
@@ -14,7 +14,7 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// drawData draws the data of an entry: new bytes, few different ones, and parts of earlier entries.
+// drawData draws an entry's data from random bytes, runs of one byte and parts of earlier entries.
 func drawData(t *rapid.T, entries [][]byte) []byte {
 	var data []byte
 	for range rapid.IntRange(0, 6).Draw(t, "parts") {
@@ -35,25 +35,25 @@
 	return data
 }
 
-// TestEntriesAreMadeWhole: what is cut is made whole from the entries before it, those that were
-// made whole themselves. Where one is not held, nothing is made.
-func TestEntriesAreMadeWhole(t *testing.T) {
+// TestEncodeDecodeRoundTrip checks that entries are restored from the restored entries before them,
+// and that decoding fails if one is missing.
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		coder := &pieces.Encoder{}
+		encoder := &pieces.Encoder{}
 		first := rapid.Uint64Range(1, 1000).Draw(t, "first")
 		var sent, held [][]byte
 		for range rapid.IntRange(1, 12).Draw(t, "entries") {
 			index := first + uint64(len(sent))
 			data := drawData(t, sent)
-			cut, oldest := coder.Encode(index, data)
+			encoded, oldest := encoder.Encode(index, data)
 			sent = append(sent, data)
-			again, same := coder.Encode(index, data)
-			if len(again) != len(cut) || same != oldest {
-				t.Fatalf("entry %d is cut in another way the second time", index)
+			again, same := encoder.Encode(index, data)
+			if len(again) != len(encoded) || same != oldest {
+				t.Fatalf("entry %d is encoded differently the second time", index)
 			}
 			if oldest == 0 {
-				if cut != nil {
-					t.Fatal("there are pieces without a reference")
+				if encoded != nil {
+					t.Fatal("Encode returned pieces without a reference")
 				}
 				held = append(held, data)
 				continue
@@ -62,29 +62,29 @@
 				t.Fatalf("entry %d refers to entry %d", index, oldest)
 			}
 			missing := false
-			made, found := pieces.Decode(index, cut, func(wanted uint64) ([]byte, bool) {
+			decoded, found := pieces.Decode(index, encoded, func(wanted uint64) ([]byte, bool) {
 				if wanted < oldest {
 					t.Fatalf("entry %d refers to entry %d, before %d", index, wanted, oldest)
 				}
 				return held[wanted-first], true
 			})
-			if !found || !bytes.Equal(made, data) {
-				t.Fatalf("entry %d was made whole as another one, found: %v", index, found)
+			if !found || !bytes.Equal(decoded, data) {
+				t.Fatalf("entry %d was decoded to different data, found: %v", index, found)
 			}
-			_, found = pieces.Decode(index, cut, func(wanted uint64) ([]byte, bool) {
+			_, found = pieces.Decode(index, encoded, func(wanted uint64) ([]byte, bool) {
 				missing = missing || wanted == oldest
 				return held[wanted-first], wanted != oldest
 			})
 			if found || !missing {
-				t.Fatalf("entry %d was made whole without entry %d", index, oldest)
+				t.Fatalf("entry %d was decoded without entry %d", index, oldest)
 			}
-			held = append(held, made)
+			held = append(held, decoded)
 		}
 	})
 }
 
-// TestReferencesToWhatIsNotThereMakeNothing, whatever they are.
-func TestReferencesToWhatIsNotThereMakeNothing(t *testing.T) {
+// TestDecodeRejectsInvalidReferences guards against panics and wrong data from corrupt references.
+func TestDecodeRejectsInvalidReferences(t *testing.T) {
 	earlier := func(index uint64) ([]byte, bool) { return []byte("0123456789"), index >= 3 }
 	for name, piece := range map[string]*rockwindpb.Piece{
 		"an entry before the first":     {Back: 5, Length: 1},
@@ -95,31 +95,31 @@
 		"a distance beyond all":         {Back: 1<<64 - 1, Length: 1},
 	} {
 		if data, found := pieces.Decode(5, []*rockwindpb.Piece{{Literal: []byte("a")}, piece}, earlier); found {
-			t.Errorf("%s gives %q", name, data)
+			t.Errorf("%s decodes to %q", name, data)
 		}
 	}
 	data, found := pieces.Decode(5, []*rockwindpb.Piece{{Literal: []byte("a")}, {Back: 2, Offset: 4, Length: 3}}, earlier)
 	if !found || string(data) != "a456" {
-		t.Errorf("made whole is %q, %v", data, found)
+		t.Errorf("decoded %q, found: %v", data, found)
 	}
 }
 
-// TestWindowIsBounded: what is older is not referred to.
+// TestWindowIsBounded checks that entries beyond the window are not referenced.
 func TestWindowIsBounded(t *testing.T) {
-	coder := &pieces.Encoder{}
+	encoder := &pieces.Encoder{}
 	random := rand.New(rand.NewPCG(1, 1))
 	first := []byte(words(random, 4000))
-	coder.Encode(1, first)
-	if _, oldest := coder.Encode(2, first); oldest != 1 {
-		t.Fatal("an entry in the window is not referred to")
+	encoder.Encode(1, first)
+	if _, oldest := encoder.Encode(2, first); oldest != 1 {
+		t.Fatal("an entry in the window is not referenced")
 	}
 	index := uint64(3)
 	for size := 0; size <= pieces.WindowBytes; size += 100_000 {
-		coder.Encode(index, []byte(words(random, 100_000)))
+		encoder.Encode(index, []byte(words(random, 100_000)))
 		index++
 	}
-	if _, oldest := coder.Encode(index, first); oldest != 0 {
-		t.Fatalf("entry %d is referred to, beyond the window", oldest)
+	if _, oldest := encoder.Encode(index, first); oldest != 0 {
+		t.Fatalf("entry %d is referenced beyond the window", oldest)
 	}
 }
 
@@ -131,38 +131,38 @@
 	return text.String()[:length]
 }
 
-// link counts the bytes of entries, whole and by reference.
-type link struct {
-	coder        pieces.Encoder
-	index        uint64
-	whole, short int
+// byteCounter sums the sizes of entries, complete and encoded.
+type byteCounter struct {
+	encoder                 pieces.Encoder
+	index                   uint64
+	fullBytes, encodedBytes int
 }
 
-func (l *link) send(t *testing.T, command *rockwindpb.JobStoreCommand) {
+func (c *byteCounter) send(t *testing.T, command *rockwindpb.JobStoreCommand) {
 	t.Helper()
 	data, err := proto.Marshal(command)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.index++
-	entry := &rockwindpb.Entry{Term: 3, Index: l.index, Kind: rockwindpb.EntryKind_ENTRY_KIND_COMMAND, Data: data}
-	l.whole += proto.Size(entry)
-	cut, oldest := l.coder.Encode(l.index, data)
+	c.index++
+	entry := &rockwindpb.Entry{Term: 3, Index: c.index, Kind: rockwindpb.EntryKind_ENTRY_KIND_COMMAND, Data: data}
+	c.fullBytes += proto.Size(entry)
+	encoded, oldest := c.encoder.Encode(c.index, data)
 	if oldest == 0 {
-		l.short += proto.Size(entry)
+		c.encodedBytes += proto.Size(entry)
 		return
 	}
-	l.short += proto.Size(&rockwindpb.ShortEntry{Term: 3, Index: l.index, Kind: entry.Kind, Pieces: cut, Checksum: 1 << 31})
+	c.encodedBytes += proto.Size(&rockwindpb.ShortEntry{Term: 3, Index: c.index, Kind: entry.Kind, Pieces: encoded, Checksum: 1 << 31})
 }
 
-// TestResultCostsWhatItsProgressDoesNotTell: five items of 5 s run beside each other, and each one's
-// result repeats what was recorded of it. A quarter of the text is left for the references, and for
-// records so short that no anchor is in them.
-func TestResultCostsWhatItsProgressDoesNotTell(t *testing.T) {
+// TestResultReferencesItsProgress checks that an item's result is encoded as references to the
+// progress recorded before. A quarter of the text is allowed for the references and for records too
+// short to contain an anchor.
+func TestResultReferencesItsProgress(t *testing.T) {
 	const items, seconds = 5, 5.0
 	for _, size := range []struct{ events, bytes int }{{140, 20}, {140, 50}, {268, 55}} {
 		for _, interval := range []float64{0, 0.25, 0.5, 1, 2} {
-			l := &link{index: 1000}
+			c := &byteCounter{index: 1000}
 			random := rand.New(rand.NewPCG(3, 3))
 			var texts [items]string
 			for item := range texts {
@@ -172,49 +172,49 @@
 				}
 				texts[item] = strings.Join(lines, "\n")
 			}
-			told := 0
-			// The phase of an item to the records is half an interval on average.
+			recorded := 0
+			// On average, an item starts half an interval before the next record.
 			for at := interval / 2; interval > 0 && at < seconds; at += interval {
 				record := &rockwindpb.JobProgress{Job: "5f2c9a41d7e04b6c"}
 				until := int(at / seconds * float64(size.events))
 				for item, text := range texts {
 					progress := &rockwindpb.ReceivedEvents{Progress: &rockwindpb.ItemProgress{
-						Item: uint32(item), Term: 3, Run: uint64(item) + 1, Last: uint64(until), Text: []byte(text[told*(size.bytes+1) : until*(size.bytes+1)]),
+						Item: uint32(item), Term: 3, Run: uint64(item) + 1, Last: uint64(until), Text: []byte(text[recorded*(size.bytes+1) : until*(size.bytes+1)]),
 					}}
-					if told > 0 {
-						progress.After = proto.Uint64(uint64(told))
+					if recorded > 0 {
+						progress.After = proto.Uint64(uint64(recorded))
 					}
 					record.Items = append(record.Items, progress)
 				}
-				told = until
-				l.send(t, &rockwindpb.JobStoreCommand{Command: &rockwindpb.JobStoreCommand_Progress{Progress: &rockwindpb.RecordProgress{Jobs: []*rockwindpb.JobProgress{record}}}})
+				recorded = until
+				c.send(t, &rockwindpb.JobStoreCommand{Command: &rockwindpb.JobStoreCommand_Progress{Progress: &rockwindpb.RecordProgress{Jobs: []*rockwindpb.JobProgress{record}}}})
 			}
-			progress, short := l.whole, l.short
+			progress, progressEncoded := c.fullBytes, c.encodedBytes
 			for item, text := range texts {
-				l.send(t, &rockwindpb.JobStoreCommand{Command: &rockwindpb.JobStoreCommand_Record{Record: &rockwindpb.RecordResults{
+				c.send(t, &rockwindpb.JobStoreCommand{Command: &rockwindpb.JobStoreCommand_Record{Record: &rockwindpb.RecordResults{
 					Job: "5f2c9a41d7e04b6c", Results: []*rockwindpb.StoredResult{{Item: uint32(item), Outcome: rockwindpb.StoredOutcome_STORED_OUTCOME_DONE, Text: []byte(text)}},
 				}}})
 			}
 			t.Logf("%d events of %d B, every %.2f s: an item's progress %d B (%d by reference), its result %d B (%d by reference), both %d B (%d)",
-				size.events, size.bytes, interval, progress/items, short/items, (l.whole-progress)/items, (l.short-short)/items, l.whole/items, l.short/items)
-			untold := float64(size.events-told) * float64(size.bytes+1)
-			if result := float64(l.short-short) / items; interval > 0 && result > untold+0.25*float64(len(texts[0])) {
-				t.Errorf("%d events of %d B, every %.2f s: a result of %d B takes %.0f B, %.0f B were not told before", size.events, size.bytes, interval, len(texts[0]), result, untold)
+				size.events, size.bytes, interval, progress/items, progressEncoded/items, (c.fullBytes-progress)/items, (c.encodedBytes-progressEncoded)/items, c.fullBytes/items, c.encodedBytes/items)
+			unrecorded := float64(size.events-recorded) * float64(size.bytes+1)
+			if result := float64(c.encodedBytes-progressEncoded) / items; interval > 0 && result > unrecorded+0.25*float64(len(texts[0])) {
+				t.Errorf("%d events of %d B, every %.2f s: a result of %d B takes %.0f B, %.0f B were not recorded before", size.events, size.bytes, interval, len(texts[0]), result, unrecorded)
 			}
 		}
 	}
 }
 
-// BenchmarkCode is the cost of cutting commands that repeat little.
-func BenchmarkCode(b *testing.B) {
+// BenchmarkEncode measures encoding of commands with few repetitions.
+func BenchmarkEncode(b *testing.B) {
 	random := rand.New(rand.NewPCG(4, 4))
 	data := []byte(words(random, 8000))
-	coder := &pieces.Encoder{}
+	encoder := &pieces.Encoder{}
 	b.SetBytes(int64(len(data)))
 	index := uint64(0)
 	for b.Loop() {
 		index++
 		data[index%8000]++
-		coder.Encode(index, bytes.Clone(data))
+		encoder.Encode(index, bytes.Clone(data))
 	}
 }
--- a/internal/sharding/sharding.go
+++ b/internal/sharding/sharding.go
@@ -1,7 +1,7 @@
-// Package sharding tells which job shard owns a job, a file or an idempotency
-// key. Shards are numbered from 1; group 0 is the root group. Identifiers carry
-// their shard, so that an identifier alone is enough to find its owner. The
-// package is pure.
+// Package sharding maps jobs, files and idempotency keys to job shards. Shards
+// are numbered from 1; group 0 is the root group. Identifiers contain the
+// number of their shard, so the shard of an identifier is known without a
+// lookup. The package is pure.
 package sharding
 
 import (
@@ -12,18 +12,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// RootGroup is the group of the configuration.
+// RootGroup is the replication group that holds the configuration.
 const RootGroup uint32 = 0
 
 const (
-	// separator stands between the fields of an identifier.
-	separator = "-"
-	// identifierFields is the number of fields of an identifier.
+	// separator joins the fields of an identifier.
+	separator        = "-"
 	identifierFields = 3
 )
 
-// ForKey returns the shard of a tenant's key, between 1 and shards. It returns
-// zero where there are no shards.
+// ForKey returns the shard of a tenant's key, between 1 and shards, or zero if
+// there are no shards.
 func ForKey(tenant, key string, shards uint32) uint32 {
 	if shards == 0 {
 		return 0
@@ -35,14 +34,13 @@
 	return uint32(digest.Sum64()%uint64(shards)) + 1
 }
 
-// FormatIdentifier builds "prefix-shard-number", the form that package ledger checks;
-// the number has 16 hexadecimal digits.
+// FormatIdentifier returns "prefix-shard-number", the form that package ledger
+// validates. The number has 16 hexadecimal digits.
 func FormatIdentifier(prefix string, shard uint32, number uint64) string {
 	return fmt.Sprintf("%s%s%d%s%016x", prefix, separator, shard, separator, number)
 }
 
-// ShardOf returns the shard that an identifier carries, and whether it is
-// one of the shards that exist.
+// ShardOf returns the shard in an identifier, and whether that shard exists.
 func ShardOf(identifier string, shards uint32) (uint32, bool) {
 	fields := strings.SplitN(identifier, separator, identifierFields)
 	if len(fields) != identifierFields {
--- a/internal/virtualtime/queue.go
+++ b/internal/virtualtime/queue.go
@@ -1,22 +1,22 @@
-// Package virtualtime holds the event queue of the simulated fleets. Events
-// happen in the order of their times, and events at one time in the order in
-// which they were scheduled, so that one seed gives one run.
+// Package virtualtime provides the event queue of discrete-event simulations.
+// Events run in order of time, and events with the same time in the order in
+// which they were scheduled, so that runs are deterministic.
 package virtualtime
 
 import "time"
 
-// Event is something that happens at a point of virtual time.
+// Event is a scheduled event.
 type Event struct {
-	// Run is what happens; nil where an engine is to be advanced.
+	// Run is the function to call; nil if an engine is to be advanced.
 	Run func()
-	// Engine is the index of the engine to advance where Run is nil.
+	// Engine is the index of the engine to advance if Run is nil.
 	Engine int
 
 	at    time.Duration
 	order uint64
 }
 
-// before tells whether the event happens before another.
+// before reports whether the event precedes another.
 func (e *Event) before(other *Event) bool {
 	if e.at != other.at {
 		return e.at < other.at
@@ -24,29 +24,30 @@
 	return e.order < other.order
 }
 
-// Queue holds the events to come, as a binary heap, and the present. Its zero
-// value is an empty queue at time zero. It serves one goroutine.
+// Queue is a priority queue of events and the current virtual time. The zero
+// value is an empty queue at time zero. It is not safe for concurrent use.
 type Queue struct {
 	now    time.Duration
 	events []Event
-	last   uint64
+	// last is the order of the newest event.
+	last uint64
 }
 
-// Now returns the present: the time of the event that was taken last.
+// Now returns the current virtual time: the time of the last event taken.
 func (q *Queue) Now() time.Duration { return q.now }
 
-// At schedules run for a time; a time in the past counts as now.
+// At schedules run at a time, or now if that has passed.
 func (q *Queue) At(at time.Duration, run func()) {
 	q.push(Event{at: at, Run: run})
 }
 
-// After schedules run a delay from now.
+// After schedules run after a delay.
 func (q *Queue) After(delay time.Duration, run func()) {
 	q.At(q.now+delay, run)
 }
 
-// Every schedules run a delay from now and then again at each interval, counted
-// from the run before.
+// Every schedules run after a first delay and then repeatedly, one interval
+// after each run.
 func (q *Queue) Every(first, interval time.Duration, run func()) {
 	q.After(first, func() {
 		run()
@@ -54,13 +55,13 @@
 	})
 }
 
-// Wake schedules that an engine is advanced; a time in the past counts as now.
+// Wake schedules an engine to be advanced at a time, or now if that has passed.
 func (q *Queue) Wake(at time.Duration, engine int) {
 	q.push(Event{at: at, Engine: engine})
 }
 
-// Next takes the first event up to a time, that time included, and moves the
-// present to it. Without such an event it returns false and the present stays.
+// Next removes and returns the first event at or before a time and advances the
+// current time to it. If there is none, it returns false and the time stays.
 func (q *Queue) Next(until time.Duration) (Event, bool) {
 	if len(q.events) == 0 || q.events[0].at > until {
 		return Event{}, false
@@ -70,12 +71,12 @@
 	q.events[0] = q.events[last]
 	q.events[last] = Event{}
 	q.events = q.events[:last]
-	q.sink()
+	q.siftDown()
 	q.now = first.at
 	return first, true
 }
 
-// push adds an event and moves it up to its place.
+// push adds an event to the heap.
 func (q *Queue) push(entry Event) {
 	entry.at = max(entry.at, q.now)
 	q.last++
@@ -92,8 +93,8 @@
 	}
 }
 
-// sink moves the root down to its place.
-func (q *Queue) sink() {
+// siftDown restores the heap order after the root was replaced.
+func (q *Queue) siftDown() {
 	parent := 0
 	for {
 		least := 2*parent + 1
--- a/internal/virtualtime/queue_test.go
+++ b/internal/virtualtime/queue_test.go
@@ -10,14 +10,14 @@
 	"rockwind.example/rockwind/internal/virtualtime"
 )
 
-// planned is an event as the model of the queue, a plain list, knows it.
+// planned is an event in the reference model, an unordered list.
 type planned struct {
 	at     time.Duration
 	engine int
 }
 
-// takeModel removes the earliest event up to a time, the first scheduled among
-// equals.
+// takeModel removes the earliest event at or before a time; among equals, the
+// one scheduled first.
 func takeModel(events []planned, until time.Duration) (planned, []planned, bool) {
 	earliest := -1
 	for index, entry := range events {
@@ -32,14 +32,14 @@
 	return taken, slices.Delete(events, earliest, earliest+1), true
 }
 
-// TestQueueOrdersByTimeThenInsertion schedules and takes events at random, many
-// of them at equal times or in the past, and compares each with a plain list.
+// TestQueueOrdersByTimeThenInsertion compares the queue with the reference
+// model under random operations, many of them at equal or past times.
 func TestQueueOrdersByTimeThenInsertion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var queue virtualtime.Queue
 		var model []planned
 		var now time.Duration
-		// ran is the event whose function was called last.
+		// ran is the number of the event that ran last.
 		ran := -1
 		times := rapid.Custom(func(t *rapid.T) time.Duration {
 			return time.Duration(rapid.IntRange(0, 12).Draw(t, "time"))
@@ -88,21 +88,21 @@
 			},
 			"": func(t *rapid.T) {
 				if queue.Now() != now {
-					t.Fatalf("the present is %d, want %d", queue.Now(), now)
+					t.Fatalf("current time is %d, want %d", queue.Now(), now)
 				}
 			},
 		})
 	})
 }
 
-// TestQueueRepeatsAtTheInterval follows one periodic event between others of the
-// same times: it comes after those that were scheduled before its last run.
+// TestQueueRepeatsAtTheInterval checks that a periodic event runs after events
+// of the same time that were scheduled before its previous run.
 func TestQueueRepeatsAtTheInterval(t *testing.T) {
 	var queue virtualtime.Queue
-	var came []time.Duration
-	queue.Every(2, 5, func() { came = append(came, queue.Now()) })
+	var ran []time.Duration
+	queue.Every(2, 5, func() { ran = append(ran, queue.Now()) })
 	for at := range time.Duration(20) {
-		queue.At(at, func() { came = append(came, -at) })
+		queue.At(at, func() { ran = append(ran, -at) })
 	}
 	for {
 		event, some := queue.Next(19)
@@ -115,7 +115,7 @@
 		0, -1, 2, -2, -3, -4, -5, -6, -7, 7, -8, -9, -10, -11, -12, 12,
 		-13, -14, -15, -16, -17, 17, -18, -19,
 	}
-	if !slices.Equal(came, want) {
-		t.Fatalf("the events came as %d, want %d", came, want)
+	if !slices.Equal(ran, want) {
+		t.Fatalf("events ran as %d, want %d", ran, want)
 	}
 }
--- a/internal/virtualtime/seed_test.go
+++ b/internal/virtualtime/seed_test.go
@@ -6,6 +6,6 @@
 	_ "pgregory.net/rapid" // registers the flag
 )
 
-// The seed of the property tests is fixed, so that each run gives the same
-// verdict. The flag -rapid.seed changes it; 0 draws a fresh one.
+// Fixed seed for reproducible property tests; override it with -rapid.seed (0
+// for a random one).
 var _ = flag.Set("rapid.seed", "20261202")
