--- a/internal/virtualtime/timer.go
+++ b/internal/virtualtime/timer.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Timer tracks the next time at which an engine must be advanced. An earlier time replaces a later
-// one. The zero value is not set.
+// Timer is the next time at which an engine has to be advanced. An earlier time replaces a
+// later one. The zero value is not set.
 type Timer struct {
 	set bool
 	at  time.Duration
