--- a/internal/serverview/benchmark_test.go
+++ b/internal/serverview/benchmark_test.go
@@ -55,7 +55,7 @@
 	for _, servers := range []int{12, 37, 1200} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			view, requirements := loadedView(servers), benchmarkRequirements()
-			report := upstream.Report{Outcome: upstream.CallerLeft}
+			report := upstream.Report{Outcome: upstream.Canceled}
 			b.ReportAllocs()
 			for b.Loop() {
 				choice, err := view.Choose(requirements, nil)
@@ -76,7 +76,7 @@
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			view := loadedView(servers)
 			requirements := BatchRequirements{Model: "m", PromptTokens: 300, Objective: sharing.Throughput}
-			report := upstream.Report{Outcome: upstream.CallerLeft}
+			report := upstream.Report{Outcome: upstream.Canceled}
 			b.ReportAllocs()
 			for b.Loop() {
 				choice, ok := view.StartBatch(requirements, nil)
@@ -94,7 +94,7 @@
 // to zero.
 func TestRoutingDecisionAllocatesNothing(t *testing.T) {
 	view, requirements := loadedView(benchmarkZoneSize), benchmarkRequirements()
-	report := upstream.Report{Outcome: upstream.CallerLeft}
+	report := upstream.Report{Outcome: upstream.Canceled}
 	allocations := testing.AllocsPerRun(20000, func() {
 		choice, err := view.Choose(requirements, nil)
 		if err != nil {
--- a/internal/serverview/choose.go
+++ b/internal/serverview/choose.go
@@ -90,11 +90,11 @@
 	v.routing.RecordSent(decision.Server, promptTokens, false)
 	e.history.sent.add(now)
 	if requirements.Streamed {
-		v.tracker.Sent(e.slot, decision.Wait, now)
+		v.tracker.RecordSent(e.slot, decision.Wait, now)
 	}
 	v.lastAttemptID++
 	defer v.notifyOnlineChanged(e)
-	e.batch.pace.Sent(v.lastAttemptID, promptTokens, now)
+	e.batch.pace.RecordSent(v.lastAttemptID, promptTokens, now)
 	for _, prefix := range requirements.Prefixes {
 		v.prefixes.Add(prefix.Block, int32(e.slot))
 	}
@@ -183,11 +183,11 @@
 	if e := v.byName[target.Name]; e != nil {
 		v.routing.RecordFirstToken(e.index, attempt.promptTokens)
 		if attempt.awaited {
-			v.tracker.FirstToken(e.slot, came, v.now())
+			v.tracker.RecordFirstToken(e.slot, came, v.now())
 		}
-		e.batch.pace.FirstToken(attempt.id, streamed, v.now())
+		e.batch.pace.RecordFirstToken(attempt.id, streamed, v.now())
 		if streamed && came && e.kind == rockwindpb.BackEndKind_BACK_END_KIND_ENGINE {
-			v.tail.FirstToken(v.now() - attempt.sentAt)
+			v.tail.RecordFirstToken(v.now() - attempt.sentAt)
 		}
 		v.notifyOnlineChanged(e)
 		e.batch.publishLeader()
@@ -199,7 +199,7 @@
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	if e := v.byName[target.Name]; e != nil {
-		e.batch.pace.Token(attempt.id, count, v.latencyTarget().PerToken, e.batch.batchStepTime(), v.now())
+		e.batch.pace.RecordTokens(attempt.id, count, v.latencyTarget().PerToken, e.batch.batchStepTime(), v.now())
 	}
 }
 
@@ -209,8 +209,8 @@
 func (v *View) RecordEnded(target upstream.Target, attempt Attempt, report upstream.Report) {
 	v.mutex.Lock()
 	if e := v.byName[target.Name]; e != nil {
-		if mean, known := e.batch.pace.Ended(attempt.id, v.routing.Cost.StepBase, v.now()); known {
-			v.tail.PerToken(mean)
+		if mean, known := e.batch.pace.RecordEnd(attempt.id, v.routing.Cost.StepBase, v.now()); known {
+			v.tail.RecordPerToken(mean)
 		}
 		v.notifyOnlineChanged(e)
 		e.batch.publishLeader()
--- a/internal/serverview/report.go
+++ b/internal/serverview/report.go
@@ -249,7 +249,7 @@
 // batchState is the batch scheduling state of one server.
 type batchState struct {
 	// pace tracks the online requests that this gateway sent to the server.
-	pace sharing.Pace
+	pace sharing.OnlineTracker
 	// leader is the ID of the attempt whose tokens measure the pace; zero for
 	// none.
 	leader atomic.Uint64
@@ -261,5 +261,5 @@
 
 // publishLeader makes the leader visible to Attempt.Leads, which takes no lock.
 func (b *batchState) publishLeader() {
-	b.leader.Store(b.pace.Leader())
+	b.leader.Store(b.pace.SampledRequest())
 }
