--- a/internal/bench/routingfleet/attempts.go
+++ b/internal/bench/routingfleet/attempts.go
@@ -257,8 +257,8 @@
 	g.prefilled(index, number, false)
 	current := &g.fleet.requests[index].attempts[number]
 	current.open = false
-	g.view.RecordEnded(int(current.server), false)
-	g.recent[current.server].RecordEnded(g.fleet.queue.Now())
+	g.view.RecordEnd(int(current.server), false)
+	g.recent[current.server].RecordEnd(g.fleet.queue.Now())
 }
 
 // cancel stops an attempt at its engine.
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -75,7 +75,7 @@
 			continue
 		}
 		c.reportFirstToken(current, false)
-		c.view.RecordEnded(target, current.attempt, report)
+		c.view.RecordEnd(target, current.attempt, report)
 		c.attempts = slices.Delete(c.attempts, index, index+1)
 		return
 	}
@@ -110,7 +110,7 @@
 	}
 	count := sequence - c.reportedTokens
 	c.reportedTokens = sequence
-	if current := &c.attempts[0]; current.attempt.Leads() {
+	if current := &c.attempts[0]; current.attempt.IsSampled() {
 		c.view.RecordTokens(current.target, current.attempt, int(count))
 	}
 }
--- a/internal/routing/requesthistory.go
+++ b/internal/routing/requesthistory.go
@@ -15,8 +15,8 @@
 	r.sent = append(r.sent, now)
 }
 
-// RecordEnded records a request that ended at the given time.
-func (r *RequestHistory) RecordEnded(now time.Duration) {
+// RecordEnd records a request that ended at the given time.
+func (r *RequestHistory) RecordEnd(now time.Duration) {
 	r.ended = append(r.ended, now)
 }
 
--- a/internal/routing/view.go
+++ b/internal/routing/view.go
@@ -198,8 +198,8 @@
 	entry.OwnPromptTokens = max(0, entry.OwnPromptTokens-int32(promptTokens))
 }
 
-// RecordEnded records that a request ended.
-func (v *View) RecordEnded(server int, batch bool) {
+// RecordEnd records that a request ended.
+func (v *View) RecordEnd(server int, batch bool) {
 	entry := &v.Servers[server]
 	if batch {
 		entry.OwnBatch = max(0, entry.OwnBatch-1)
--- a/internal/serverview/batch.go
+++ b/internal/serverview/batch.go
@@ -139,7 +139,7 @@
 	server := &v.routing.Servers[e.index]
 	return sharing.ServerState{
 		Online:       float64(server.OnlineRequests()),
-		Tracker:      &e.batch.pace,
+		Tracker:      &e.batch.online,
 		Target:       v.latencyTarget(),
 		BatchRunning: e.batch.running,
 		KVUsed:       float64(server.Report.KVUsed),
@@ -232,7 +232,7 @@
 	v.mutex.Lock()
 	if e := v.byName[target.Name]; e != nil {
 		v.routing.RecordFirstToken(e.index, promptTokens)
-		v.routing.RecordEnded(e.index, true)
+		v.routing.RecordEnd(e.index, true)
 		if paused {
 			e.batch.paused--
 		} else {
--- a/internal/serverview/benchmark_test.go
+++ b/internal/serverview/benchmark_test.go
@@ -63,7 +63,7 @@
 					b.Fatal(err)
 				}
 				view.RecordFirstToken(choice.Target, choice.Attempt, true, true)
-				view.RecordEnded(choice.Target, choice.Attempt, report)
+				view.RecordEnd(choice.Target, choice.Attempt, report)
 			}
 		})
 	}
@@ -101,7 +101,7 @@
 			t.Fatal(err)
 		}
 		view.RecordFirstToken(choice.Target, choice.Attempt, true, true)
-		view.RecordEnded(choice.Target, choice.Attempt, report)
+		view.RecordEnd(choice.Target, choice.Attempt, report)
 	})
 	if allocations != 0 {
 		t.Fatalf("a routing decision allocates %v times", allocations)
--- a/internal/serverview/choose.go
+++ b/internal/serverview/choose.go
@@ -55,15 +55,15 @@
 	awaited bool
 	// sentAt is when the server was chosen.
 	sentAt time.Duration
-	// leader holds the ID of the attempt whose tokens measure the server's
+	// sampled holds the ID of the attempt whose tokens measure the server's
 	// pace.
-	leader *atomic.Uint64
+	sampled *atomic.Uint64
 }
 
-// Leads reports whether the tokens of this attempt currently measure the
+// IsSampled reports whether the tokens of this attempt currently measure the
 // server's pace. It takes no lock.
-func (a Attempt) Leads() bool {
-	return a.leader != nil && a.leader.Load() == a.id
+func (a Attempt) IsSampled() bool {
+	return a.sampled != nil && a.sampled.Load() == a.id
 }
 
 // Estimate returns the estimated time to the first token of a request, and
@@ -94,7 +94,7 @@
 	}
 	v.lastAttemptID++
 	defer v.notifyOnlineChanged(e)
-	e.batch.pace.RecordSent(v.lastAttemptID, promptTokens, now)
+	e.batch.online.RecordSent(v.lastAttemptID, promptTokens, now)
 	for _, prefix := range requirements.Prefixes {
 		v.prefixes.Add(prefix.Block, int32(e.slot))
 	}
@@ -102,7 +102,7 @@
 		Target:  upstream.Target{Name: e.name, Address: e.address},
 		Version: v.names.Name(decision.Version),
 		Wait:    decision.Wait,
-		Attempt: Attempt{id: v.lastAttemptID, promptTokens: promptTokens, awaited: requirements.Streamed, sentAt: now, leader: &e.batch.leader},
+		Attempt: Attempt{id: v.lastAttemptID, promptTokens: promptTokens, awaited: requirements.Streamed, sentAt: now, sampled: &e.batch.sampled},
 	}, nil
 }
 
@@ -185,12 +185,12 @@
 		if attempt.awaited {
 			v.tracker.RecordFirstToken(e.slot, came, v.now())
 		}
-		e.batch.pace.RecordFirstToken(attempt.id, streamed, v.now())
+		e.batch.online.RecordFirstToken(attempt.id, streamed, v.now())
 		if streamed && came && e.kind == rockwindpb.BackEndKind_BACK_END_KIND_ENGINE {
 			v.tail.RecordFirstToken(v.now() - attempt.sentAt)
 		}
 		v.notifyOnlineChanged(e)
-		e.batch.publishLeader()
+		e.batch.publishSampled()
 	}
 }
 
@@ -199,22 +199,22 @@
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	if e := v.byName[target.Name]; e != nil {
-		e.batch.pace.RecordTokens(attempt.id, count, v.latencyTarget().PerToken, e.batch.batchStepTime(), v.now())
+		e.batch.online.RecordTokens(attempt.id, count, v.latencyTarget().PerToken, e.batch.batchStepTime(), v.now())
 	}
 }
 
-// RecordEnded records the end of an online request and reports its outcome to
+// RecordEnd records the end of an online request and reports its outcome to
 // the owner goroutine. RecordFirstToken must have been called before, even if
 // no token arrived.
-func (v *View) RecordEnded(target upstream.Target, attempt Attempt, report upstream.Report) {
+func (v *View) RecordEnd(target upstream.Target, attempt Attempt, report upstream.Report) {
 	v.mutex.Lock()
 	if e := v.byName[target.Name]; e != nil {
-		if mean, known := e.batch.pace.RecordEnd(attempt.id, v.routing.Cost.StepBase, v.now()); known {
+		if mean, known := e.batch.online.RecordEnd(attempt.id, v.routing.Cost.StepBase, v.now()); known {
 			v.tail.RecordPerToken(mean)
 		}
 		v.notifyOnlineChanged(e)
-		e.batch.publishLeader()
-		v.routing.RecordEnded(e.index, false)
+		e.batch.publishSampled()
+		v.routing.RecordEnd(e.index, false)
 		e.history.ended.add(v.now())
 	}
 	v.mutex.Unlock()
--- a/internal/serverview/report.go
+++ b/internal/serverview/report.go
@@ -243,23 +243,23 @@
 // promptBacklog returns the number of prompt tokens of this gateway's online
 // requests that are waiting on a server. The caller holds the lock.
 func (v *View) promptBacklog(server int) int {
-	return v.entries[server].batch.pace.PromptTokens()
+	return v.entries[server].batch.online.PromptTokens()
 }
 
 // batchState is the batch scheduling state of one server.
 type batchState struct {
-	// pace tracks the online requests that this gateway sent to the server.
-	pace sharing.OnlineTracker
-	// leader is the ID of the attempt whose tokens measure the pace; zero for
+	// online tracks the online requests that this gateway sent to the server.
+	online sharing.OnlineTracker
+	// sampled is the ID of the attempt whose tokens measure the pace; zero for
 	// none.
-	leader atomic.Uint64
+	sampled atomic.Uint64
 	// running counts the batch items that this gateway is running on the
 	// server, not including paused ones.
 	running int
 	paused  int
 }
 
-// publishLeader makes the leader visible to Attempt.Leads, which takes no lock.
-func (b *batchState) publishLeader() {
-	b.leader.Store(b.pace.SampledRequest())
+// publishSampled makes the leader visible to Attempt.Leads, which takes no lock.
+func (b *batchState) publishSampled() {
+	b.sampled.Store(b.online.SampledRequest())
 }
--- a/internal/simulator/executor.go
+++ b/internal/simulator/executor.go
@@ -186,7 +186,7 @@
 // leave takes an item off its lane.
 func (g *gateway) leave(entry *item, server int) {
 	lane := &g.lanes[server]
-	g.view.RecordEnded(server, true)
+	g.view.RecordEnd(server, true)
 	if index := slices.Index(lane.running, entry); index >= 0 {
 		lane.running = slices.Delete(lane.running, index, index+1)
 	}
--- a/internal/simulator/gateway.go
+++ b/internal/simulator/gateway.go
@@ -191,8 +191,8 @@
 
 func (g *gateway) ended(record *onlineRecord, server int) {
 	g.noteEnded(record, server)
-	g.view.RecordEnded(server, false)
-	g.recent[server].RecordEnded(g.fleet.clock.Now())
+	g.view.RecordEnd(server, false)
+	g.recent[server].RecordEnd(g.fleet.clock.Now())
 	g.balance(server)
 }
 
@@ -203,9 +203,9 @@
 func (g *gateway) lost(index, server int) {
 	record := &g.fleet.online[index]
 	g.noteEnded(record, server)
-	g.view.RecordEnded(server, false)
+	g.view.RecordEnd(server, false)
 	g.view.RecordFirstToken(server, record.arrival.shape.prompt)
-	g.recent[server].RecordEnded(g.fleet.clock.Now())
+	g.recent[server].RecordEnd(g.fleet.clock.Now())
 	g.health.Record(server, health.Failure, 0, g.fleet.clock.Now(), g.random)
 	g.publishHealth(server)
 	if record.attempts >= maxAttempts || record.firstAt > 0 {
