--- a/internal/serverview/batch.go
+++ b/internal/serverview/batch.go
@@ -26,13 +26,13 @@
 	TokensPerStep int
 }
 
-// BatchYield tells how many batch items must leave a server.
+// BatchYield tells how many batch items must be paused on a server.
 type BatchYield struct {
 	Target upstream.Target
-	// Count is the number of items.
+	// Count is the number of items to pause.
 	Count int
-	// Lost is true if the server was ejected, so that no response can be
-	// expected.
+	// Lost is true if the server was ejected, so that its items can't be
+	// expected to finish.
 	Lost bool
 }
 
--- a/internal/serverview/choose.go
+++ b/internal/serverview/choose.go
@@ -32,7 +32,7 @@
 }
 
 // Choice is the server chosen for one attempt. The request counts as in flight
-// until RecordEnded is called.
+// until RecordEnd is called.
 type Choice struct {
 	Target upstream.Target
 	// Version is the chosen version, as "model@version".
@@ -40,7 +40,7 @@
 	// Wait is the estimated time to the first token.
 	Wait time.Duration
 	// Attempt identifies the attempt in RecordFirstToken, RecordTokens and
-	// RecordEnded.
+	// RecordEnd.
 	Attempt Attempt
 }
 
@@ -55,13 +55,13 @@
 	awaited bool
 	// sentAt is when the server was chosen.
 	sentAt time.Duration
-	// sampled holds the ID of the attempt whose tokens measure the server's
-	// pace.
+	// sampled holds the ID of the attempt on this server whose tokens are
+	// sampled.
 	sampled *atomic.Uint64
 }
 
-// IsSampled reports whether the tokens of this attempt currently measure the
-// server's pace. It takes no lock.
+// IsSampled reports whether RecordTokens must be called for this attempt's
+// tokens now. It takes no lock.
 func (a Attempt) IsSampled() bool {
 	return a.sampled != nil && a.sampled.Load() == a.id
 }
@@ -194,7 +194,8 @@
 	}
 }
 
-// RecordTokens records that more tokens of a streamed response arrived.
+// RecordTokens records that more tokens of a streamed response arrived. Only
+// those of a sampled attempt are needed.
 func (v *View) RecordTokens(target upstream.Target, attempt Attempt, count int) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -203,9 +204,9 @@
 	}
 }
 
-// RecordEnd records the end of an online request and reports its outcome to
-// the owner goroutine. RecordFirstToken must have been called before, even if
-// no token arrived.
+// RecordEnd records the end of an online request and reports its outcome to the
+// owner goroutine. RecordFirstToken must have been called before, even if no
+// token arrived.
 func (v *View) RecordEnd(target upstream.Target, attempt Attempt, report upstream.Report) {
 	v.mutex.Lock()
 	if e := v.byName[target.Name]; e != nil {
--- a/internal/serverview/report.go
+++ b/internal/serverview/report.go
@@ -250,8 +250,8 @@
 type batchState struct {
 	// online tracks the online requests that this gateway sent to the server.
 	online sharing.OnlineTracker
-	// sampled is the ID of the attempt whose tokens measure the pace; zero for
-	// none.
+	// sampled is the ID of the online attempt whose tokens are sampled; zero
+	// for none.
 	sampled atomic.Uint64
 	// running counts the batch items that this gateway is running on the
 	// server, not including paused ones.
@@ -259,7 +259,8 @@
 	paused  int
 }
 
-// publishSampled makes the leader visible to Attempt.Leads, which takes no lock.
+// publishSampled makes the sampled attempt visible to Attempt.IsSampled, which
+// takes no lock.
 func (b *batchState) publishSampled() {
 	b.sampled.Store(b.online.SampledRequest())
 }
--- a/internal/virtualtime/timer.go
+++ b/internal/virtualtime/timer.go
@@ -9,8 +9,8 @@
 	at  time.Duration
 }
 
-// Set schedules a wake-up of the engine at a time, or now if that has passed. It does nothing if
-// the timer is already set for that time or an earlier one.
+// Set has the queue wake the engine at a time, or now where that has passed. It does nothing
+// if the timer is already set for that time or an earlier one.
 func (t *Timer) Set(queue *Queue, at time.Duration, engine int) {
 	at = max(at, queue.Now())
 	if t.set && at >= t.at {
