--- a/internal/routing/prefixindex.go
+++ b/internal/routing/prefixindex.go
@@ -71,24 +71,24 @@
 }
 
 func (x *PrefixIndex) state(server int32) *serverCacheState {
-	known := x.servers[server]
-	if known == nil {
-		known = &serverCacheState{}
-		x.servers[server] = known
+	state := x.servers[server]
+	if state == nil {
+		state = &serverCacheState{}
+		x.servers[server] = state
 	}
-	return known
+	return state
 }
 
 // Add records that a server probably caches a block, because a prompt with it
 // was sent there or an event reported it.
 func (x *PrefixIndex) Add(block uint64, server int32) {
-	known := x.state(server)
+	state := x.state(server)
 	x.stamp++
 	held := x.blocks[block]
 	held.add(server, x.stamp)
 	x.blocks[block] = held
-	known.observations = append(known.observations, observation{block: block, stamp: x.stamp})
-	x.trim(server, known)
+	state.observations = append(state.observations, observation{block: block, stamp: x.stamp})
+	x.trim(server, state)
 }
 
 // add records a server with a new stamp, replacing the server with the oldest
@@ -143,16 +143,16 @@
 
 // trim removes the oldest observations of a server once there are twice as many
 // as maxBlocksPerServer.
-func (x *PrefixIndex) trim(server int32, known *serverCacheState) {
-	excess := len(known.observations) - maxBlocksPerServer
+func (x *PrefixIndex) trim(server int32, state *serverCacheState) {
+	excess := len(state.observations) - maxBlocksPerServer
 	if excess < maxBlocksPerServer {
 		return
 	}
-	for _, old := range known.observations[:excess] {
+	for _, old := range state.observations[:excess] {
 		x.removeBlock(old.block, server, old.stamp)
 	}
-	kept := copy(known.observations, known.observations[excess:])
-	known.observations = known.observations[:kept]
+	kept := copy(state.observations, state.observations[excess:])
+	state.observations = state.observations[:kept]
 }
 
 // Cursor returns the sequence number from which to read the server's events.
@@ -170,18 +170,18 @@
 // snapshot, because events were missed or the cache was emptied. Until then the
 // recorded blocks remain in use as hints, unless the cache was emptied.
 func (x *PrefixIndex) Apply(server int32, page CachePage) (resynchronise bool) {
-	known := x.state(server)
+	state := x.state(server)
 	switch {
-	case known.epoch == noEpoch:
-		known.epoch = page.Epoch
+	case state.epoch == noEpoch:
+		state.epoch = page.Epoch
 		resynchronise = page.First > 1
-	case known.epoch != page.Epoch:
+	case state.epoch != page.Epoch:
 		x.RemoveServer(server)
-		known = x.state(server)
-		known.epoch = page.Epoch
+		state = x.state(server)
+		state.epoch = page.Epoch
 		resynchronise = true
 	default:
-		resynchronise = page.First > known.cursor
+		resynchronise = page.First > state.cursor
 	}
 	for _, event := range page.Events {
 		if event.Evicted {
@@ -190,7 +190,7 @@
 			x.Add(event.Block, server)
 		}
 	}
-	known.cursor = page.Next
+	state.cursor = page.Next
 	return resynchronise
 }
 
@@ -198,9 +198,9 @@
 // cache.
 func (x *PrefixIndex) Replace(server int32, epoch, next uint64, blocks []uint64) {
 	x.RemoveServer(server)
-	known := x.state(server)
-	known.epoch = epoch
-	known.cursor = next
+	state := x.state(server)
+	state.epoch = epoch
+	state.cursor = next
 	for _, block := range blocks {
 		x.Add(block, server)
 	}
@@ -208,11 +208,11 @@
 
 // RemoveServer removes all state of a server.
 func (x *PrefixIndex) RemoveServer(server int32) {
-	known := x.servers[server]
-	if known == nil {
+	state := x.servers[server]
+	if state == nil {
 		return
 	}
-	for _, old := range known.observations {
+	for _, old := range state.observations {
 		x.removeBlock(old.block, server, old.stamp)
 	}
 	delete(x.servers, server)
--- a/internal/serverview/caches_test.go
+++ b/internal/serverview/caches_test.go
@@ -18,7 +18,7 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// engineFixture is a view with one real engine and one unreachable one.
+// engineFixture is a view with one stand-in engine and one unreachable server.
 type engineFixture struct {
 	*testing.T
 	view    *View
--- a/internal/serverview/leaving.go
+++ b/internal/serverview/leaving.go
@@ -66,16 +66,16 @@
 
 // applyList applies one platform list: whether it contains the server, and
 // whether as leaving.
-func (s *leavingState) applyList(named, leaving bool) {
+func (s *leavingState) applyList(present, leaving bool) {
 	switch {
-	case named && leaving, !named && s.listed:
+	case present && leaving, !present && s.listed:
 		s.platform = true
 		s.liveLists = 0
-	case named && s.platform:
+	case present && s.platform:
 		s.liveLists++
 		if s.liveLists >= liveListsToReadmit {
 			s.platform = false
 		}
 	}
-	s.listed = s.listed || named
+	s.listed = s.listed || present
 }
--- a/internal/serverview/leaving_test.go
+++ b/internal/serverview/leaving_test.go
@@ -14,7 +14,7 @@
 
 // platformList is what one platform list says about a server.
 type platformList struct {
-	named, leaving bool
+	present, leaving bool
 }
 
 // TestStaleReportsAndListsDoNotReadmitServer applies reports and lists in
@@ -35,8 +35,8 @@
 					draining, newest = reported, taken
 				}
 			} else {
-				list := platformList{named: rapid.IntRange(0, 4).Draw(t, "named") > 0, leaving: rapid.IntRange(0, 4).Draw(t, "leaving") == 0}
-				state.applyList(list.named, list.leaving)
+				list := platformList{present: rapid.IntRange(0, 4).Draw(t, "named") > 0, leaving: rapid.IntRange(0, 4).Draw(t, "leaving") == 0}
+				state.applyList(list.present, list.leaving)
 				lists = append(lists, list)
 			}
 			if want := draining || listedAsLeaving(lists); state.excluded() != want {
@@ -51,10 +51,10 @@
 func listedAsLeaving(lists []platformList) bool {
 	lastNotLive, listed := -1, false
 	for position, list := range lists {
-		if (list.named && list.leaving) || (!list.named && listed) {
+		if (list.present && list.leaving) || (!list.present && listed) {
 			lastNotLive = position
 		}
-		listed = listed || list.named
+		listed = listed || list.present
 	}
 	const requiredLiveLists = 3
 	return lastNotLive >= 0 && len(lists)-1-lastNotLive < requiredLiveLists
--- a/internal/serverview/ready.go
+++ b/internal/serverview/ready.go
@@ -126,8 +126,8 @@
 func (v *View) mergeLeaving(response *rockwindpb.ExchangeResponse) {
 	names := response.GetLeaving()
 	for _, e := range v.entries {
-		if named := slices.Contains(names, e.name); named != e.leaving.control {
-			e.leaving.control = named
+		if leaving := slices.Contains(names, e.name); leaving != e.leaving.control {
+			e.leaving.control = leaving
 			v.publish(e)
 		}
 	}
--- a/internal/serverview/run.go
+++ b/internal/serverview/run.go
@@ -130,8 +130,8 @@
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	for _, e := range v.entries {
-		state, named := states[e.address]
-		e.leaving.applyList(named, state == machineStateLeaving)
+		state, present := states[e.address]
+		e.leaving.applyList(present, state == machineStateLeaving)
 		v.publish(e)
 	}
 }
--- a/internal/serverview/states.go
+++ b/internal/serverview/states.go
@@ -7,17 +7,22 @@
 
 // A server is counted in the first state that applies, in this order.
 const (
-	// StateLeaving: draining, or leaving according to the platform.
+	// StateLeaving means that the server is draining, or leaving according to
+	// the platform.
 	StateLeaving State = "leaving"
-	// StateEjected: excluded because of failures until trials succeed.
+	// StateEjected means that the server is excluded because of failures until
+	// trials succeed.
 	StateEjected State = "ejected"
-	// StateNotLoaded: has loaded nothing that the configuration asks for.
+	// StateNotLoaded means that the server has loaded nothing that the
+	// configuration asks for.
 	StateNotLoaded State = "not_loaded"
-	// StateSuspect: receives traffic only if no healthy server can take it.
+	// StateSuspect means that the server receives traffic only if no healthy
+	// server can take it.
 	StateSuspect State = "suspect"
-	// StateSlowStart: recovered and receives a growing fraction of its traffic.
+	// StateSlowStart means that the server recovered and receives a growing
+	// fraction of its traffic.
 	StateSlowStart State = "slow_start"
-	// StateHealthy: receives traffic.
+	// StateHealthy means that the server receives traffic.
 	StateHealthy State = "healthy"
 )
 
