--- a/internal/gateway/model_usage_test.go
+++ b/internal/gateway/model_usage_test.go
@@ -11,11 +11,11 @@
 // requests, and that restored usage is delivered exactly once.
 func TestModelUsageCountsServedAndRefused(t *testing.T) {
 	usage := newModelUsage()
-	plain := serverview.Wanted{Model: "m", PromptTokens: 50}
+	plain := serverview.Requirements{Model: "m", PromptTokens: 50}
 	usage.addOnline(plain, 7, true)
 	usage.addOnline(plain, 0, false)
-	usage.addOnline(serverview.Wanted{Model: "m", Adapter: "a"}, 3, true)
-	usage.addOnline(serverview.Wanted{Service: "s"}, 9, true)
+	usage.addOnline(serverview.Requirements{Model: "m", Adapter: "a"}, 3, true)
+	usage.addOnline(serverview.Requirements{Service: "s"}, 9, true)
 	usage.addBatch("m", 5)
 	usage.restore(usage.take())
 	usage.addBatch("m", 5)
--- a/internal/serverview/states.go
+++ b/internal/serverview/states.go
@@ -2,22 +2,27 @@
 
 import "rockwind.example/rockwind/internal/routing"
 
-// State is what keeps a server from traffic, or that nothing does.
+// State tells whether a server receives traffic and, if not, why.
 type State string
 
-// The states; a server counts in the first that applies, from the top.
+// A server is counted in the first state that applies, in this order.
 const (
-	// StateLeaving: it takes no new work, by its own word or the platform's.
+	// StateLeaving means that the server is draining, or leaving according to
+	// the platform.
 	StateLeaving State = "leaving"
-	// StateEjected: its failures put it out until trials succeed.
+	// StateEjected means that the server is excluded because of failures until
+	// trials succeed.
 	StateEjected State = "ejected"
-	// StateNotLoaded: it holds nothing that the configuration asks for.
+	// StateNotLoaded means that the server has loaded nothing that the
+	// configuration asks for.
 	StateNotLoaded State = "not_loaded"
-	// StateSuspect: it gets traffic only where no healthy server can take it.
+	// StateSuspect means that the server receives traffic only if no healthy
+	// server can take it.
 	StateSuspect State = "suspect"
-	// StateSlowStart: it came back and gets a growing part of its traffic.
+	// StateSlowStart means that the server recovered and receives a growing
+	// fraction of its traffic.
 	StateSlowStart State = "slow_start"
-	// StateHealthy: it takes traffic.
+	// StateHealthy means that the server receives traffic.
 	StateHealthy State = "healthy"
 )
 
@@ -52,8 +57,8 @@
 	}
 }
 
-// InProgress counts the online requests in flight at all servers.
-func (v *View) InProgress() int {
+// InFlight returns the number of this gateway's online requests in flight.
+func (v *View) InFlight() int {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	count := 0
