--- a/internal/gateway/model_usage.go
+++ b/internal/gateway/model_usage.go
@@ -23,7 +23,7 @@
 const assumedOutputTokens = 100
 
 // modelName returns the name under which a request counts, including its adapter.
-func modelName(wanted serverview.Wanted) string {
+func modelName(wanted serverview.Requirements) string {
 	if wanted.Adapter != "" {
 		return wanted.Model + ":" + wanted.Adapter
 	}
@@ -32,7 +32,7 @@
 
 // addOnline adds the cost of an online request: the served cost if its response
 // began, otherwise the estimated cost as refused. Requests to services are ignored.
-func (u *modelUsage) addOnline(wanted serverview.Wanted, served float64, begun bool) {
+func (u *modelUsage) addOnline(wanted serverview.Requirements, served float64, begun bool) {
 	if wanted.Model == "" {
 		return
 	}
