--- a/internal/ledger/acquire.go
+++ b/internal/ledger/acquire.go
@@ -5,11 +5,11 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// acquire grants leases: groups take turns, each with an equal part of the items
-// asked for, and within a group jobs come in the ledger's order.
+// acquire grants leases round-robin across groups. Each group gets an equal share of
+// the requested items; within a group, jobs are served in the order of before.
 func (l *Ledger) acquire(now int64, request *rockwindpb.AcquireLeasesRequest) (*rockwindpb.AcquireLeasesResponse, *fault.Fault) {
 	if request.GetHolder() == "" {
-		return nil, fault.New(fault.InvalidArgument, "the request for leases names no holder", "name the gateway")
+		return nil, fault.New(fault.InvalidArgument, "the lease request has no holder", "set the holder to the name of the gateway")
 	}
 	l.expireLeases(now)
 	response := &rockwindpb.AcquireLeasesResponse{}
@@ -24,7 +24,8 @@
 	return response, nil
 }
 
-// grantRound gives each group with work one lease and returns the items granted.
+// grantRound grants one lease to each group with waiting items and returns the
+// number of items granted.
 func (l *Ledger) grantRound(
 	now int64,
 	request *rockwindpb.AcquireLeasesRequest,
@@ -35,66 +36,66 @@
 	if len(groups) == 0 {
 		return 0
 	}
-	part := min((remaining-1)/uint32(len(groups))+1, MaxLeaseItems)
+	share := min((remaining-1)/uint32(len(groups))+1, MaxLeaseItems)
 	total := uint32(0)
 	for _, group := range groups {
 		chosen := l.waiting.first(group, request.Models)
 		if chosen == nil || total == remaining {
 			continue
 		}
-		granted := l.grant(now, chosen, request, min(part, remaining-total))
+		granted := l.grant(now, chosen, request, min(share, remaining-total))
 		l.lastGroup = group
 		total += granted.held.count()
 		response.Grants = append(response.Grants, &rockwindpb.GrantedLease{
-			Lease: granted.describe(chosen),
+			Lease: granted.toProto(chosen),
 			Job:   chosen.forLease(granted),
 		})
 	}
 	return total
 }
 
-// grant leases the first waiting items of a job, at most limit, in one range.
-// Items of the range that are done already are skipped; an item of another lease
-// ends the range.
-func (l *Ledger) grant(now int64, from *job, request *rockwindpb.AcquireLeasesRequest, limit uint32) *lease {
-	first := from.nextWaiting()
-	end, taken := from.rangeFrom(first, limit)
+// grant leases up to limit waiting items of a job as one contiguous range. Items in
+// the range that already have a result are skipped; the range ends before an item
+// that another lease holds.
+func (l *Ledger) grant(now int64, chosen *job, request *rockwindpb.AcquireLeasesRequest, limit uint32) *lease {
+	first := chosen.lowestWaiting()
+	end, taken := chosen.leaseRange(first, limit)
 	l.fence++
 	granted := &lease{
 		fence:     l.fence,
 		firstItem: first,
 		itemCount: end - first,
 		holder:    request.Holder,
-		expires:   now + leaseLength(request.LeaseMs),
+		expires:   now + leaseDuration(request.LeaseMs),
 		held:      newBitmap(end - first),
 	}
 	for item := first; item < end; item++ {
-		if from.done.has(item) {
+		if chosen.done.has(item) {
 			continue
 		}
 		granted.held.add(item - first)
-		from.leased.add(item)
+		chosen.leased.add(item)
 	}
-	from.waiting -= taken
-	from.firstWaiting = end
-	from.leases[granted.fence] = granted
-	l.waiting.update(from)
-	l.leaseDue.add(granted.expires, leaseKey{jobID: from.definition.Id, fence: granted.fence})
+	chosen.waiting -= taken
+	chosen.waitingFrom = end
+	chosen.leases[granted.fence] = granted
+	l.waiting.update(chosen)
+	l.leaseExpiries.add(granted.expires, leaseKey{jobID: chosen.definition.Id, fence: granted.fence})
 	return granted
 }
 
-// nextWaiting returns the lowest waiting item; there must be one.
-func (j *job) nextWaiting() uint32 {
-	item := j.firstWaiting
+// lowestWaiting returns the lowest waiting item. The job must have one.
+func (j *job) lowestWaiting() uint32 {
+	item := j.waitingFrom
 	for j.done.has(item) || j.leased.has(item) {
 		item++
 	}
 	return item
 }
 
-// rangeFrom returns where a lease that starts at first ends, and how many
-// waiting items it takes.
-func (j *job) rangeFrom(first, limit uint32) (end, taken uint32) {
+// leaseRange returns the exclusive end of a lease that starts at first and covers up
+// to limit waiting items, and the number of waiting items it covers.
+func (j *job) leaseRange(first, limit uint32) (end, taken uint32) {
 	bound := min(j.definition.ItemCount, first+MaxLeaseItems)
 	end = first
 	for item := first; item < bound && taken < limit; item++ {
@@ -110,46 +111,46 @@
 	return end, taken
 }
 
-func leaseLength(milliseconds uint32) int64 {
+func leaseDuration(milliseconds uint32) int64 {
 	if milliseconds == 0 {
 		return DefaultLeaseMilliseconds
 	}
 	return int64(milliseconds)
 }
 
-// describe returns the lease as its holder sees it.
-func (l *lease) describe(of *job) *rockwindpb.Lease {
+// toProto returns the lease message sent to the holder. owner is the job of the lease.
+func (l *lease) toProto(owner *job) *rockwindpb.Lease {
 	return &rockwindpb.Lease{
-		JobId:         of.definition.Id,
+		JobId:         owner.definition.Id,
 		Fence:         l.fence,
 		FirstItem:     l.firstItem,
 		ItemCount:     l.itemCount,
 		Holder:        l.holder,
 		ExpiresUnixMs: l.expires,
 		Skip:          l.skip(),
-		LastTry:       of.markLost(l, of.definition.Tries-1),
-		Lost:          of.markLost(l, 1),
+		LastTry:       owner.lostItems(l, owner.definition.Tries-1),
+		Lost:          owner.lostItems(l, 1),
 	}
 }
 
-// markLost marks the items of a lease that were lost before at least so many times;
-// it is nil where there are none.
-func (j *job) markLost(of *lease, times uint32) []byte {
-	var marked bitmap
+// lostItems returns a bitmap of the items of a lease that have been lost at least
+// the given number of times, or nil if there are none.
+func (j *job) lostItems(within *lease, losses uint32) []byte {
+	var lost bitmap
 	for item, tries := range j.tries {
-		if tries < times || !of.holds(item) {
+		if tries < losses || !within.holds(item) {
 			continue
 		}
-		if marked == nil {
-			marked = newBitmap(of.itemCount)
+		if lost == nil {
+			lost = newBitmap(within.itemCount)
 		}
-		marked.add(item - of.firstItem)
+		lost.add(item - within.firstItem)
 	}
-	return marked
+	return lost
 }
 
-// skip marks the items of a fresh lease that are done already; it is nil where
-// there are none.
+// skip returns a bitmap of the items of a new lease that already have a result, or
+// nil if there are none.
 func (l *lease) skip() []byte {
 	if l.held.count() == l.itemCount {
 		return nil
@@ -163,7 +164,7 @@
 	return skipped
 }
 
-// heartbeat renews leases of one holder.
+// heartbeat extends the leases of one holder.
 func (l *Ledger) heartbeat(now int64, request *rockwindpb.HeartbeatLeasesRequest) (*rockwindpb.HeartbeatLeasesResponse, *fault.Fault) {
 	response := &rockwindpb.HeartbeatLeasesResponse{}
 	for _, key := range request.Leases {
@@ -173,57 +174,57 @@
 		if current == nil {
 			continue
 		}
-		current.expires = max(current.expires, now+leaseLength(request.LeaseMs))
+		current.expires = max(current.expires, now+leaseDuration(request.LeaseMs))
 		verdict.ExpiresUnixMs = current.expires
 	}
 	return response, nil
 }
 
-// currentLease returns the lease that a holder names if it is still the
-// holder's, and otherwise tells the holder in the verdict to stop.
+// currentLease returns the job and the lease if the holder still owns the lease.
+// Otherwise it returns nil and sets the reason to stop in the verdict.
 func (l *Ledger) currentLease(id string, fence uint64, holder string, verdict *rockwindpb.LeaseVerdict) (*job, *lease) {
-	found, known := l.jobs[id]
-	if !known {
-		stop(verdict, rockwindpb.StopReason_STOP_REASON_JOB_ENDED)
+	found, exists := l.jobs[id]
+	if !exists {
+		markStopped(verdict, rockwindpb.StopReason_STOP_REASON_JOB_ENDED)
 		return nil, nil
 	}
-	if !found.running() && !l.defects.cancelUnchecked {
-		stop(verdict, reasonOfEnd(found))
+	if !found.running() && !l.defects.skipCancelCheck {
+		markStopped(verdict, stopReason(found))
 		return nil, nil
 	}
 	current, held := found.leases[fence]
-	if !held && l.defects.noFence {
-		return found, found.unfenced(fence, holder)
+	if !held && l.defects.skipFenceCheck {
+		return found, found.fabricateLease(fence, holder)
 	}
 	if !held || current.holder != holder {
-		stop(verdict, rockwindpb.StopReason_STOP_REASON_FENCED)
+		markStopped(verdict, rockwindpb.StopReason_STOP_REASON_FENCED)
 		return nil, nil
 	}
 	verdict.ExpiresUnixMs = current.expires
 	return found, current
 }
 
-func reasonOfEnd(ended *job) rockwindpb.StopReason {
+func stopReason(ended *job) rockwindpb.StopReason {
 	if ended.definition.State == rockwindpb.JobState_JOB_STATE_CANCELLED {
 		return rockwindpb.StopReason_STOP_REASON_JOB_CANCELLED
 	}
 	return rockwindpb.StopReason_STOP_REASON_JOB_ENDED
 }
 
-func stop(verdict *rockwindpb.LeaseVerdict, reason rockwindpb.StopReason) {
+func markStopped(verdict *rockwindpb.LeaseVerdict, reason rockwindpb.StopReason) {
 	verdict.Stop = true
 	verdict.Reason = reason
 	verdict.ExpiresUnixMs = 0
 }
 
-// unfenced is the defect of a ledger that lets a holder without a lease report
-// any item that is not done; tests prove that they see it.
-func (j *job) unfenced(fence uint64, holder string) *lease {
-	whole := &lease{fence: fence, itemCount: j.definition.ItemCount, holder: holder, held: newBitmap(j.definition.ItemCount)}
+// fabricateLease returns a lease on all items without a result. Only the defect
+// skipFenceCheck uses it.
+func (j *job) fabricateLease(fence uint64, holder string) *lease {
+	fabricated := &lease{fence: fence, itemCount: j.definition.ItemCount, holder: holder, held: newBitmap(j.definition.ItemCount)}
 	for item := range j.definition.ItemCount {
 		if !j.done.has(item) {
-			whole.held.add(item)
+			fabricated.held.add(item)
 		}
 	}
-	return whole
+	return fabricated
 }
--- a/internal/ledger/benchmark_test.go
+++ b/internal/ledger/benchmark_test.go
@@ -14,8 +14,8 @@
 	benchmarkJobItems = 72_000
 )
 
-// BenchmarkRestore restores a shard of large running jobs, half of whose items
-// are done and sealed.
+// BenchmarkRestore restores a shard of large running jobs with half of the items done
+// and sealed.
 func BenchmarkRestore(b *testing.B) {
 	l := New(1)
 	for number := range benchmarkJobs {
@@ -62,8 +62,8 @@
 
 func mustApply(b *testing.B, l *Ledger, command *rockwindpb.JobCommand) any {
 	result := l.apply(command)
-	if refused, is := result.(error); is {
-		b.Fatal(refused)
+	if failure, ok := result.(error); ok {
+		b.Fatal(failure)
 	}
 	return result
 }
--- a/internal/ledger/bitmap.go
+++ b/internal/ledger/bitmap.go
@@ -5,10 +5,10 @@
 	"math/bits"
 )
 
-// bitmap is a set of item numbers, least significant bit first.
+// bitmap is a set of item numbers, stored least significant bit first.
 type bitmap []byte
 
-// newBitmap returns an empty set that can hold count items.
+// newBitmap returns an empty set for the items [0, count).
 func newBitmap(count uint32) bitmap {
 	return make(bitmap, (count+7)/8)
 }
@@ -39,14 +39,14 @@
 	return uint32(total)
 }
 
-// countBlock returns how many of size items from first on, which is a multiple of
-// 8, are in the set.
+// countBlock returns the number of members in [first, first+size). first must be a
+// multiple of 8, and size too unless the range ends at the last item.
 func (b bitmap) countBlock(first, size uint32) uint32 {
 	return b[first/8 : (first+size+7)/8].count()
 }
 
-// valid tells whether the set has the length for count items and holds none
-// above.
+// valid reports whether the bitmap has the length for count items and has no bit set
+// beyond them.
 func (b bitmap) valid(count uint32) bool {
 	if uint32(len(b)) != (count+7)/8 {
 		return false
@@ -55,12 +55,12 @@
 	return unused == 0 || b[len(b)-1]>>(8-unused) == 0
 }
 
-// each calls visit with each member in order.
+// each calls visit for each member in ascending order.
 func (b bitmap) each(visit func(item uint32)) {
-	for index, word := range b {
-		for word != 0 {
-			visit(uint32(index*8 + bits.TrailingZeros8(word)))
-			word &= word - 1
+	for index, members := range b {
+		for members != 0 {
+			visit(uint32(index*8 + bits.TrailingZeros8(members)))
+			members &= members - 1
 		}
 	}
 }
--- a/internal/ledger/complete.go
+++ b/internal/ledger/complete.go
@@ -5,14 +5,14 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// complete records the reports of one holder. A report counts only under the
-// current lease of its item; everything else changes nothing.
+// complete records item reports from one holder. Reports for items that the holder
+// does not currently lease are ignored.
 func (l *Ledger) complete(now int64, request *rockwindpb.CompleteItemsRequest) (*rockwindpb.CompleteItemsResponse, *fault.Fault) {
 	reports := make([][]*rockwindpb.ItemCompletion, len(request.Completions))
 	for index, completion := range request.Completions {
-		checked, refused := checkReports(completion)
-		if refused != nil {
-			return nil, refused
+		checked, failure := checkReports(completion)
+		if failure != nil {
+			return nil, failure
 		}
 		reports[index] = checked
 	}
@@ -24,16 +24,15 @@
 	return response, nil
 }
 
-// checkReports decodes the reports of a lease and refuses those that say
-// nothing.
+// checkReports decodes and validates the reports of a lease.
 func checkReports(completion *rockwindpb.LeaseCompletion) ([]*rockwindpb.ItemCompletion, *fault.Fault) {
-	reports, refused := unpackReports(completion)
-	if refused != nil {
-		return nil, refused
+	reports, failure := unpackReports(completion)
+	if failure != nil {
+		return nil, failure
 	}
 	for _, report := range reports {
-		if refused := checkReport(report); refused != nil {
-			return nil, refused
+		if failure := checkReport(report); failure != nil {
+			return nil, failure
 		}
 	}
 	return reports, nil
@@ -43,15 +42,15 @@
 	switch report.GetOutcome() {
 	case rockwindpb.ItemOutcome_ITEM_OUTCOME_COMPLETED:
 		if report.Result == nil {
-			return fault.Newf(fault.InvalidArgument, "store the result first and give its reference",
-				"the completion of item %d names no result", report.Item)
+			return fault.Newf(fault.InvalidArgument, "store the result and pass its reference",
+				"the completion of item %d has no result reference", report.Item)
 		}
 	case rockwindpb.ItemOutcome_ITEM_OUTCOME_FAILED,
 		rockwindpb.ItemOutcome_ITEM_OUTCOME_RETRY,
 		rockwindpb.ItemOutcome_ITEM_OUTCOME_RETURNED:
 	default:
 		return fault.Newf(fault.InvalidArgument, "report completed, failed, retry or returned",
-			"the outcome %v of item %d is unknown", report.GetOutcome(), report.GetItem())
+			"unknown outcome %v of item %d", report.GetOutcome(), report.GetItem())
 	}
 	return nil
 }
@@ -75,22 +74,22 @@
 	if completion.Release {
 		found.release(current)
 	}
-	l.settle(now, found)
+	l.updateJob(now, found)
 	return verdict
 }
 
-// applyReport executes the report of an item that the lease holds, and tells
-// whether it recorded a result.
+// applyReport applies the report of an item that the lease holds, and reports whether
+// a result was recorded.
 func (l *Ledger) applyReport(now int64, found *job, current *lease, report *rockwindpb.ItemCompletion) bool {
 	switch report.Outcome {
 	case rockwindpb.ItemOutcome_ITEM_OUTCOME_RETRY:
-		if l.defects.unboundedRetry {
-			found.giveBack(current, report.Item)
+		if l.defects.skipTryCount {
+			found.requeue(current, report.Item)
 			return false
 		}
-		return found.countTry(now, current, report.Item)
+		return found.countFailedTry(now, current, report.Item)
 	case rockwindpb.ItemOutcome_ITEM_OUTCOME_RETURNED:
-		found.giveBack(current, report.Item)
+		found.requeue(current, report.Item)
 		return false
 	default:
 		found.record(now, current, report, found.tries[report.Item]+1)
@@ -98,17 +97,17 @@
 	}
 }
 
-// release ends a lease; the items that it still holds wait again.
+// release ends a lease and requeues the items that it still holds.
 func (j *job) release(ended *lease) {
 	for _, item := range ended.heldItems() {
-		j.giveBack(ended, item)
+		j.requeue(ended, item)
 	}
 	delete(j.leases, ended.fence)
 }
 
-// settle brings the indexes up to date after a job's items changed, and ends the
-// job when its last item is recorded.
-func (l *Ledger) settle(now int64, changed *job) {
+// updateJob updates the index of waiting jobs after items changed, and completes the
+// job once all items have a result.
+func (l *Ledger) updateJob(now int64, changed *job) {
 	l.waiting.update(changed)
 	if changed.running() && changed.recorded() == changed.definition.ItemCount {
 		l.endJob(now, changed, rockwindpb.JobState_JOB_STATE_COMPLETED)
--- a/internal/ledger/due.go
+++ b/internal/ledger/due.go
@@ -2,9 +2,9 @@
 
 import "container/heap"
 
-// dueQueue orders keys by a time. Entries may be outdated: whoever pops one
-// checks it against the state. The order is total, so that a queue that was
-// rebuilt from a snapshot pops like the original one.
+// dueQueue is a priority queue of keys ordered by due time. Entries may be stale, so
+// callers check them against the state. Ties are broken by key, so that a queue
+// rebuilt from a snapshot pops entries in the same order as the original.
 type dueQueue[K comparable] struct {
 	entries []dueEntry[K]
 	less    func(left, right K) bool
@@ -15,21 +15,20 @@
 	key  K
 }
 
-// add puts a key into the queue.
 func (q *dueQueue[K]) add(time int64, key K) {
 	heap.Push(q, dueEntry[K]{time: time, key: key})
 }
 
-// take removes and returns the first entry if its time is at most limit.
-func (q *dueQueue[K]) take(limit int64) (dueEntry[K], bool) {
+// popDue removes and returns the earliest entry if its time is at most limit.
+func (q *dueQueue[K]) popDue(limit int64) (dueEntry[K], bool) {
 	if len(q.entries) == 0 || q.entries[0].time > limit {
 		return dueEntry[K]{}, false
 	}
 	return heap.Pop(q).(dueEntry[K]), true
 }
 
-// first returns the earliest time in the queue.
-func (q *dueQueue[K]) first() (int64, bool) {
+// earliest returns the earliest time in the queue, or false if the queue is empty.
+func (q *dueQueue[K]) earliest() (int64, bool) {
 	if len(q.entries) == 0 {
 		return 0, false
 	}
--- a/internal/ledger/damage_test.go
+++ b/internal/ledger/encoding_test.go
@@ -13,16 +13,16 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// example returns a snapshot of a ledger with a bit of everything, and commands
-// that change it.
-func example(f *testing.F) (snapshot []byte, commands [][]byte) {
+// fuzzSeeds runs random commands and returns the largest snapshot seen, with the
+// commands that led to it.
+func fuzzSeeds(f *testing.F) (snapshot []byte, commands [][]byte) {
 	checks := flag.Lookup("rapid.checks").Value.String()
 	if err := flag.Set("rapid.checks", "10"); err != nil {
 		f.Fatal(err)
 	}
 	defer func() { _ = flag.Set("rapid.checks", checks) }()
 	rapid.Check(f, func(t *rapid.T) {
-		s := newSystem(defects{})
+		s := newHarness(defects{})
 		t.Repeat(rapid.StateMachineActions(s))
 		state, err := s.subject.Snapshot()
 		if err != nil {
@@ -44,10 +44,10 @@
 	return snapshot, commands
 }
 
-// FuzzLedger restores and applies arbitrary bytes: both end with a typed fault
-// or with a state whose snapshot can be restored, and never with a panic.
+// FuzzLedger restores and applies arbitrary bytes. Either must yield a *fault.Fault or a
+// state whose snapshot can be restored, and must not panic.
 func FuzzLedger(f *testing.F) {
-	snapshot, commands := example(f)
+	snapshot, commands := fuzzSeeds(f)
 	for _, command := range commands {
 		f.Add(snapshot, command)
 	}
@@ -57,7 +57,7 @@
 		if err := l.Restore(snapshot); err != nil {
 			after, _ := l.Snapshot()
 			if !fault.Is(err, fault.Corrupt) || !bytes.Equal(before, after) {
-				t.Fatalf("a refused snapshot changed the ledger or gave %v", err)
+				t.Fatalf("a rejected snapshot changed the ledger or failed with %v", err)
 			}
 		}
 		switch answer := l.Apply(1, command).(type) {
@@ -67,7 +67,7 @@
 			}
 		case proto.Message:
 		default:
-			t.Fatalf("answer of type %T", answer)
+			t.Fatalf("unexpected response of type %T", answer)
 		}
 		l.Demand()
 		l.NextExpiry(0)
@@ -82,7 +82,8 @@
 	})
 }
 
-// TestPackedResultsRoundTrip packs results with gaps and any reference.
+// TestPackedResultsRoundTrip checks that results with gaps and arbitrary references
+// survive packing, and that truncated packed results are rejected.
 func TestPackedResultsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		results := rapid.SliceOf(rapid.Custom(func(t *rapid.T) storedResult {
@@ -111,18 +112,19 @@
 		}
 		if len(packed) > 0 {
 			if _, err := unpackResults(packed[:len(packed)-1], uint32(len(results))); err == nil {
-				t.Fatal("cut off results were unpacked")
+				t.Fatal("truncated results were unpacked")
 			}
 		}
 	})
 }
 
-// TestOrderOfReportsIsNotLogged: items end in any order, which must cost no log.
-func TestOrderOfReportsIsNotLogged(t *testing.T) {
+// TestEncodedSizeIgnoresReportOrder guards against log entries that grow if items end
+// out of order.
+func TestEncodedSizeIgnoresReportOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var ordered []*rockwindpb.ItemCompletion
 		for item := range rapid.Uint32Range(2, 200).Draw(t, "items") {
-			ordered = append(ordered, report(item, "cfry"[item%4], uint64(item)))
+			ordered = append(ordered, itemReport(item, "cfry"[item%4], uint64(item)))
 		}
 		shuffled := rapid.Permutation(ordered).Draw(t, "shuffled")
 		first, err := EncodeCommand(completionOf(ordered))
@@ -146,8 +148,8 @@
 	}}}
 }
 
-// TestWholeJobIsSealed runs a job of three blocks, seals it and reads it back,
-// also after a restore.
+// TestWholeJobIsSealed completes and seals a job of three blocks, and reads the results
+// after a restore.
 func TestWholeJobIsSealed(t *testing.T) {
 	const items = 2*BlockItems + 100
 	l := New(testShard)
@@ -188,14 +190,14 @@
 		}
 		for _, result := range page.Results {
 			if int(result.Item) != read || result.Result.Offset != uint64(result.Item) {
-				t.Fatalf("result %d is %v", read, result)
+				t.Fatalf("result %d: got %v", read, result)
 			}
 			read++
 		}
 		request.FromItem = page.NextItem
 	}
 	if read != items {
-		t.Fatalf("%d results, want %d", read, items)
+		t.Fatalf("got %d results, want %d", read, items)
 	}
 }
 
@@ -206,8 +208,8 @@
 		t.Fatal(err)
 	}
 	answer := l.Apply(1, encoded)
-	if refused, is := answer.(*fault.Fault); is {
-		t.Fatal(refused)
+	if failure, ok := answer.(*fault.Fault); ok {
+		t.Fatal(failure)
 	}
 	return answer
 }
--- a/internal/ledger/estimate.go
+++ b/internal/ledger/estimate.go
@@ -1,39 +1,40 @@
 package ledger
 
-// sampleMilliseconds is the length of the window over which the rate of a job's
-// completions is measured: one to two windows back.
-const sampleMilliseconds = 30_000
+// sampleIntervalMilliseconds is the interval between samples of a job's progress. The
+// completion rate covers the last one to two intervals.
+const sampleIntervalMilliseconds = 30_000
 
-// sample is a count of recorded items at a time.
+// sample is the number of recorded items at a point in time.
 type sample struct {
 	unixMs   int64
 	recorded uint32
 }
 
-// sampleWindow holds the last two samples, older first.
+// sampleWindow holds the last two samples, oldest first.
 type sampleWindow struct {
 	samples []sample
 }
 
-// add takes a sample if the last one is a window old.
+// add appends a sample if the last one is at least one interval old.
 func (w *sampleWindow) add(now int64, recorded uint32) {
-	taken := sample{unixMs: now, recorded: recorded}
+	newest := sample{unixMs: now, recorded: recorded}
 	count := len(w.samples)
 	switch {
 	case count == 0:
-		w.samples = append(w.samples, taken)
-	case now-w.samples[count-1].unixMs < sampleMilliseconds:
+		w.samples = append(w.samples, newest)
+	case now-w.samples[count-1].unixMs < sampleIntervalMilliseconds:
 	case count == 1:
-		w.samples = append(w.samples, taken)
+		w.samples = append(w.samples, newest)
 	default:
 		w.samples[0] = w.samples[1]
-		w.samples[1] = taken
+		w.samples[1] = newest
 	}
 }
 
-// end estimates when total items will be recorded, in Unix milliseconds, from
-// the rate since the older sample. It returns zero while there is no rate.
-func (w *sampleWindow) end(now int64, recorded, total uint32) int64 {
+// estimateEnd extrapolates the rate since the oldest sample and returns when total
+// items will be recorded, in Unix milliseconds. It returns zero if there is no
+// progress since that sample.
+func (w *sampleWindow) estimateEnd(now int64, recorded, total uint32) int64 {
 	if len(w.samples) == 0 {
 		return 0
 	}
--- a/internal/ledger/expire.go
+++ b/internal/ledger/expire.go
@@ -7,25 +7,26 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// expire ends leases past their time and drops jobs, files and records past
-// their retention. A retention of zero keeps them.
+// expire ends expired leases, times out idempotency records that stayed started, and
+// drops jobs, files and records past their retention. A retention of zero keeps them
+// forever.
 func (l *Ledger) expire(now int64, command *rockwindpb.ExpireCommand) (*rockwindpb.ExpireResponse, *fault.Fault) {
 	if renewal := command.GetRenewLeasesMs(); renewal > 0 {
 		l.renewLeases(now + renewal)
 	}
 	response := &rockwindpb.ExpireResponse{Leases: l.expireLeases(now)}
-	response.Unknown = l.giveUpRecords(now, command.GetStartedTimeoutMs())
-	if limit, bounded := keptSince(now, command.GetRetentionMs()); bounded {
-		response.Jobs = l.dropJobs(limit)
-		response.Files = l.dropFiles(now, limit)
+	response.Unknown = l.timeOutRecords(now, command.GetStartedTimeoutMs())
+	if cutoff, bounded := retentionCutoff(now, command.GetRetentionMs()); bounded {
+		response.Jobs = l.dropJobs(cutoff)
+		response.Files = l.dropFiles(now, cutoff)
 	}
-	if limit, bounded := keptSince(now, command.GetIdempotencyRetentionMs()); bounded {
-		response.Records = l.dropRecords(limit)
+	if cutoff, bounded := retentionCutoff(now, command.GetIdempotencyRetentionMs()); bounded {
+		response.Records = l.dropRecords(cutoff)
 	}
 	return response, nil
 }
 
-// renewLeases lengthens all leases to at least a time.
+// renewLeases extends all leases to at least the given time.
 func (l *Ledger) renewLeases(until int64) {
 	for _, found := range l.jobs {
 		for _, current := range found.leases {
@@ -34,19 +35,21 @@
 	}
 }
 
-// keptSince returns the time before which things are past their retention.
-func keptSince(now, retention int64) (limit int64, bounded bool) {
+// retentionCutoff returns the time up to which entries are past the retention. It
+// returns false if the retention is unlimited or the time would overflow.
+func retentionCutoff(now, retention int64) (cutoff int64, bounded bool) {
 	if retention <= 0 || now < math.MinInt64+retention {
 		return 0, false
 	}
 	return now - retention, true
 }
 
-// expireLeases ends the leases past their time; each of their items counts a try.
+// expireLeases ends the expired leases and counts a failed try for each item they
+// hold. It returns the number of leases.
 func (l *Ledger) expireLeases(now int64) uint32 {
-	expired := l.takeDueLeases(now)
+	expired := l.popExpiredLeases(now)
 	for _, key := range expired {
-		// The job may have ended with an earlier one of these leases.
+		// The job may have ended when an earlier lease of this batch expired.
 		if found, current := l.leaseOf(key); current != nil {
 			l.expireLease(now, found, current)
 		}
@@ -54,12 +57,12 @@
 	return uint32(len(expired))
 }
 
-// takeDueLeases removes the leases past their time from the queue. An entry
-// whose lease was renewed goes back under its new time.
-func (l *Ledger) takeDueLeases(now int64) []leaseKey {
+// popExpiredLeases removes the expired leases from the queue and returns their keys.
+// The entry of a lease that was renewed is queued again under the new time.
+func (l *Ledger) popExpiredLeases(now int64) []leaseKey {
 	var expired []leaseKey
 	for {
-		entry, due := l.leaseDue.take(now)
+		entry, due := l.leaseExpiries.popDue(now)
 		if !due {
 			return expired
 		}
@@ -67,7 +70,7 @@
 		switch {
 		case current == nil:
 		case current.expires > now:
-			l.leaseDue.add(current.expires, entry.key)
+			l.leaseExpiries.add(current.expires, entry.key)
 		default:
 			expired = append(expired, entry.key)
 		}
@@ -76,31 +79,32 @@
 
 func (l *Ledger) expireLease(now int64, found *job, current *lease) {
 	for _, item := range current.heldItems() {
-		found.countTry(now, current, item)
+		found.countFailedTry(now, current, item)
 	}
 	delete(found.leases, current.fence)
-	l.settle(now, found)
+	l.updateJob(now, found)
 }
 
-// leaseOf returns the lease with the key, or nil where it has ended.
+// leaseOf returns the job and the lease with the key; the lease is nil if it has
+// ended.
 func (l *Ledger) leaseOf(key leaseKey) (*job, *lease) {
-	found, known := l.jobs[key.jobID]
-	if !known {
+	found, exists := l.jobs[key.jobID]
+	if !exists {
 		return nil, nil
 	}
 	return found, found.leases[key.fence]
 }
 
-// dropJobs removes jobs that ended at the limit or before.
-func (l *Ledger) dropJobs(limit int64) uint32 {
+// dropJobs removes jobs that ended at or before the cutoff.
+func (l *Ledger) dropJobs(cutoff int64) uint32 {
 	dropped := uint32(0)
 	for {
-		entry, due := l.jobDue.take(limit)
+		entry, due := l.endedJobs.popDue(cutoff)
 		if !due {
 			return dropped
 		}
-		found, known := l.jobs[entry.key]
-		if !known || found.running() || found.definition.EndedUnixMs != entry.time {
+		found, exists := l.jobs[entry.key]
+		if !exists || found.running() || found.definition.EndedUnixMs != entry.time {
 			continue
 		}
 		l.dropJob(found)
@@ -108,22 +112,22 @@
 	}
 }
 
-// dropFiles removes files that have been kept since the limit or before. A file
-// that a kept job reads starts its retention anew.
-func (l *Ledger) dropFiles(now, limit int64) uint32 {
+// dropFiles removes files whose retention started at or before the cutoff. The
+// retention of a file that a job still uses restarts.
+func (l *Ledger) dropFiles(now, cutoff int64) uint32 {
 	dropped := uint32(0)
 	for {
-		entry, due := l.fileDue.take(limit)
+		entry, due := l.fileRetention.popDue(cutoff)
 		if !due {
 			return dropped
 		}
-		found, known := l.files[entry.key]
-		if !known || found.kept != entry.time {
+		found, exists := l.files[entry.key]
+		if !exists || found.retentionStart != entry.time {
 			continue
 		}
-		if l.fileUse[entry.key] > 0 {
-			found.kept = now
-			l.fileDue.add(now, entry.key)
+		if l.fileUsers[entry.key] > 0 {
+			found.retentionStart = now
+			l.fileRetention.add(now, entry.key)
 			continue
 		}
 		delete(l.files, entry.key)
--- a/internal/ledger/identifier.go
+++ b/internal/ledger/identifier.go
@@ -6,31 +6,32 @@
 	"strings"
 )
 
-// Prefixes of identifiers; the shard and 16 hexadecimal digits follow.
+// Identifiers have the form PREFIX-SHARD-NUMBER, where the number has 16 hexadecimal
+// digits.
 const (
 	jobPrefix  = "job-"
 	filePrefix = "file-"
-	// identifierDigits is the length of the last part.
+	// identifierDigits is the length of the number.
 	identifierDigits = 16
 )
 
-// JobID returns the identifier of a job: the proposer draws number at random.
+// JobID returns the identifier of a job. number is chosen at random by the proposer.
 func JobID(shard uint32, number uint64) string {
 	return fmt.Sprintf("%s%d-%016x", jobPrefix, shard, number)
 }
 
-// FileID returns the identifier of a file: the proposer draws number at random.
+// FileID returns the identifier of a file. number is chosen at random by the proposer.
 func FileID(shard uint32, number uint64) string {
 	return fmt.Sprintf("%s%d-%016x", filePrefix, shard, number)
 }
 
-// ShardOfJob returns the shard that a job identifier names, and whether it is
-// well formed.
+// ShardOfJob returns the shard in a job identifier, and whether the identifier is well
+// formed.
 func ShardOfJob(id string) (uint32, bool) {
 	return shardOf(jobPrefix, id)
 }
 
-// ShardOfFile returns the shard that a file identifier names, and whether it is
+// ShardOfFile returns the shard in a file identifier, and whether the identifier is
 // well formed.
 func ShardOfFile(id string) (uint32, bool) {
 	return shardOf(filePrefix, id)
--- a/internal/ledger/job.go
+++ b/internal/ledger/job.go
@@ -6,39 +6,40 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// job is one job with its items. Items that are neither done nor leased wait.
+// job is one job with its items. Items that are neither done nor leased are waiting.
 type job struct {
-	// definition holds the state and the counts, too.
+	// definition also holds the job state and the counts of results.
 	definition *rockwindpb.Job
-	// done marks items with a recorded result, leased those that a lease holds.
+	// done holds the items with a recorded result, leased those that a lease holds.
 	// Both are nil once the job has ended.
 	done   bitmap
 	leased bitmap
-	// waiting counts items that are neither done nor leased.
+	// waiting is the number of waiting items.
 	waiting uint32
-	// firstWaiting is at most the lowest waiting item.
-	firstWaiting uint32
-	leases       map[uint64]*lease
-	// tries counts the starts of items that have no result yet.
+	// waitingFrom is a lower bound of the waiting items.
+	waitingFrom uint32
+	leases      map[uint64]*lease
+	// tries counts the failed tries of items that have no result yet.
 	tries   map[uint32]uint32
 	results resultStore
 	samples sampleWindow
-	// queued tells whether the job stands in the index of waiting jobs.
+	// queued is set while the job is in the index of waiting jobs.
 	queued bool
 }
 
-// lease is a range of items that one gateway may run.
+// lease is a range of items assigned to one gateway.
 type lease struct {
 	fence     uint64
 	firstItem uint32
 	itemCount uint32
 	holder    string
 	expires   int64
-	// held marks the items, from firstItem, that the holder may still report.
+	// held holds the offsets from firstItem of the items that the holder may still
+	// report.
 	held bitmap
 }
 
-// leaseKey names a lease.
+// leaseKey identifies a lease.
 type leaseKey struct {
 	jobID string
 	fence uint64
@@ -60,18 +61,19 @@
 	}
 }
 
-// running tells whether items of the job may still be recorded.
+// running reports whether results of the job may still be recorded.
 func (j *job) running() bool {
 	return j.definition.State == rockwindpb.JobState_JOB_STATE_RUNNING
 }
 
-// visibleTo tells whether a tenant may see the job; operators name no tenant.
+// visibleTo reports whether a tenant may see the job. The empty tenant stands for an
+// operator, who sees all jobs.
 func (j *job) visibleTo(tenant string) bool {
 	return tenant == "" || tenant == j.definition.Tenant
 }
 
-// describe returns a copy of the job's definition.
-func (j *job) describe() *rockwindpb.Job {
+// toProto returns a copy of the job's definition.
+func (j *job) toProto() *rockwindpb.Job {
 	return proto.CloneOf(j.definition)
 }
 
@@ -80,7 +82,8 @@
 	return withInput(j.definition, nil)
 }
 
-// forLease returns a copy of the definition with the chunks that a lease needs.
+// forLease returns a copy of the definition with only the input chunks that the lease
+// needs.
 func (j *job) forLease(granted *lease) *rockwindpb.Job {
 	var chunks []*rockwindpb.InputChunk
 	end := granted.firstItem + granted.itemCount
@@ -92,7 +95,7 @@
 	return withInput(j.definition, chunks)
 }
 
-// withInput copies a definition, but for its input chunks.
+// withInput returns a copy of a definition with other input chunks.
 func withInput(definition *rockwindpb.Job, chunks []*rockwindpb.InputChunk) *rockwindpb.Job {
 	input := definition.Input
 	definition.Input = nil
@@ -102,17 +105,17 @@
 	return copied
 }
 
-// recorded counts the items that have a result.
+// recorded returns the number of items with a result.
 func (j *job) recorded() uint32 {
 	return j.definition.Completed + j.definition.Failed
 }
 
-// giveBack makes an item of a lease wait again.
-func (j *job) giveBack(l *lease, item uint32) {
+// requeue removes an item from its lease and makes it wait again.
+func (j *job) requeue(l *lease, item uint32) {
 	l.held.remove(item - l.firstItem)
 	j.leased.remove(item)
 	j.waiting++
-	j.firstWaiting = min(j.firstWaiting, item)
+	j.waitingFrom = min(j.waitingFrom, item)
 }
 
 // record stores the result of an item that a lease holds.
@@ -131,13 +134,13 @@
 	j.samples.add(now, j.recorded())
 }
 
-// countTry counts a start that gave no result. An item that has used up its
-// tries ends as failed; any other waits again. It tells which.
-func (j *job) countTry(now int64, l *lease, item uint32) (ended bool) {
+// countFailedTry counts a try without a result and requeues the item. An item without
+// tries left is recorded as failed instead, and true is returned.
+func (j *job) countFailedTry(now int64, l *lease, item uint32) (ended bool) {
 	tries := j.tries[item] + 1
 	if tries < j.definition.Tries {
 		j.tries[item] = tries
-		j.giveBack(l, item)
+		j.requeue(l, item)
 		return false
 	}
 	failed := &rockwindpb.ItemCompletion{Item: item, Outcome: rockwindpb.ItemOutcome_ITEM_OUTCOME_FAILED}
@@ -145,14 +148,14 @@
 	return true
 }
 
-// heldItems returns the items that a lease still holds, in order.
+// heldItems returns the items that the lease still holds, in ascending order.
 func (l *lease) heldItems() []uint32 {
 	items := make([]uint32, 0, l.held.count())
 	l.held.each(func(offset uint32) { items = append(items, l.firstItem+offset) })
 	return items
 }
 
-// holds tells whether the lease's holder may still report the item.
+// holds reports whether the lease still holds the item.
 func (l *lease) holds(item uint32) bool {
 	return item >= l.firstItem && item-l.firstItem < l.itemCount && l.held.has(item-l.firstItem)
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,8 +1,8 @@
-// Package ledger is the state machine of a job shard: jobs, their items, the
-// leases under which gateways run items, the references of results, uploaded
-// files and idempotency records. It is pure: time comes in the commands, it does
-// no I/O, and replicas that apply the same commands hold the same state. Only
-// the goroutine that owns the shard's replica may call it.
+// Package ledger implements the replicated state machine of a job shard: jobs, their
+// items, the leases under which gateways run items, references to results, metadata of
+// uploaded files and idempotency records. It is deterministic: commands carry the
+// time, it does no I/O, and replicas that apply the same commands have the same state.
+// It is not safe for concurrent use; only the goroutine of the shard's replica calls it.
 package ledger
 
 import (
@@ -12,24 +12,23 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Limits and defaults.
 const (
-	// MaxItems bounds the items of one job.
+	// MaxItems is the maximum number of items of a job.
 	MaxItems = 1 << 20
-	// MaxLeaseItems bounds the items of one lease.
+	// MaxLeaseItems is the maximum number of items of a lease.
 	MaxLeaseItems = 1024
-	// DefaultTries bounds the starts of an item whose job names no bound.
+	// DefaultTries is the maximum number of tries per item if the job sets none.
 	DefaultTries = 3
-	// DefaultLeaseMilliseconds is the length of a lease that names none.
+	// DefaultLeaseMilliseconds is the lease duration if the request sets none.
 	DefaultLeaseMilliseconds = 30_000
-	// DefaultStartedTimeoutMilliseconds is how long an idempotency record may
-	// stay started before its outcome counts as unknown.
+	// DefaultStartedTimeoutMilliseconds is how long an idempotency record may stay
+	// started before its outcome is considered unknown.
 	DefaultStartedTimeoutMilliseconds = 10 * 60_000
 )
 
-// earlierDeadline orders the jobs of a group by deadline, then by acceptance; jobs
-// without a deadline come last. Replicas must agree on it, so that it depends on
-// the two jobs only.
+// earlierDeadline reports whether left is served before right: jobs are ordered by
+// deadline, then by time of acceptance, and jobs without a deadline come last. The
+// order must be the same on all replicas, so it depends on nothing but the two jobs.
 func earlierDeadline(left, right *rockwindpb.Job) bool {
 	if left.DeadlineUnixMs != right.DeadlineUnixMs {
 		if left.DeadlineUnixMs == 0 || right.DeadlineUnixMs == 0 {
@@ -47,65 +46,65 @@
 	state
 }
 
-// state is everything that a snapshot holds, with the indexes over it.
+// state is the content of a snapshot and the indexes over it.
 type state struct {
-	// fence is the last fence that was granted.
+	// fence is the fencing token of the last lease granted.
 	fence uint64
-	// lastGroup is the group that was granted items last.
+	// lastGroup is the group of the last lease granted.
 	lastGroup string
 	jobs      map[string]*job
 	files     map[string]*storedFile
 	records   map[recordKey]*record
 
-	// Indexes, rebuilt by Restore.
-	keys       map[clientKey]*job
-	waiting    waitingJobs
-	fileUse    map[string]int
-	leaseDue   dueQueue[leaseKey]
-	jobDue     dueQueue[string]
-	fileDue    dueQueue[string]
-	startedDue dueQueue[recordKey]
-	endedDue   dueQueue[recordKey]
+	// Indexes, rebuilt by Restore. fileUsers counts the jobs that use a file.
+	jobsByClientKey map[clientKey]*job
+	waiting         waitingJobs
+	fileUsers       map[string]int
+	leaseExpiries   dueQueue[leaseKey]
+	endedJobs       dueQueue[string]
+	fileRetention   dueQueue[string]
+	startedRecords  dueQueue[recordKey]
+	endedRecords    dueQueue[recordKey]
 }
 
-// defects are faults that tests switch on to prove that the checks see them.
+// defects are faults that tests inject to verify that the test oracle detects them.
 type defects struct {
-	// noFence accepts reports without a lease.
-	noFence bool
-	// unboundedRetry counts no tries.
-	unboundedRetry bool
-	// cancelUnchecked accepts reports after a cancel.
-	cancelUnchecked bool
-	// recordGrantedTwice grants a started request to a second owner.
-	recordGrantedTwice bool
-	// blindRetry frees the key of a request whose owner was given up.
-	blindRetry bool
+	// skipFenceCheck accepts reports without a current lease.
+	skipFenceCheck bool
+	// skipTryCount does not count tries of items that are to be retried.
+	skipTryCount bool
+	// skipCancelCheck accepts reports after a cancellation.
+	skipCancelCheck bool
+	// grantRecordTwice grants a started request to a second owner.
+	grantRecordTwice bool
+	// freeTimedOutKey releases the idempotency key of a request that timed out.
+	freeTimedOutKey bool
 }
 
-// clientKey is a tenant's own name for a job.
+// clientKey is the idempotency key of a tenant's job submission.
 type clientKey struct {
 	tenant string
 	key    string
 }
 
-// New returns an empty ledger of the given shard.
+// New returns an empty ledger for the given shard.
 func New(shard uint32) *Ledger {
 	return &Ledger{shard: shard, state: newState()}
 }
 
 func newState() state {
 	return state{
-		jobs:       map[string]*job{},
-		files:      map[string]*storedFile{},
-		records:    map[recordKey]*record{},
-		keys:       map[clientKey]*job{},
-		waiting:    waitingJobs{},
-		fileUse:    map[string]int{},
-		leaseDue:   dueQueue[leaseKey]{less: leaseKey.less},
-		jobDue:     dueQueue[string]{less: lessString},
-		fileDue:    dueQueue[string]{less: lessString},
-		startedDue: dueQueue[recordKey]{less: recordKey.less},
-		endedDue:   dueQueue[recordKey]{less: recordKey.less},
+		jobs:            map[string]*job{},
+		files:           map[string]*storedFile{},
+		records:         map[recordKey]*record{},
+		jobsByClientKey: map[clientKey]*job{},
+		waiting:         waitingJobs{},
+		fileUsers:       map[string]int{},
+		leaseExpiries:   dueQueue[leaseKey]{less: leaseKey.less},
+		endedJobs:       dueQueue[string]{less: lessString},
+		fileRetention:   dueQueue[string]{less: lessString},
+		startedRecords:  dueQueue[recordKey]{less: recordKey.less},
+		endedRecords:    dueQueue[recordKey]{less: recordKey.less},
 	}
 }
 
@@ -113,9 +112,9 @@
 	return left < right
 }
 
-// Apply executes one encoded rockwindpb.JobCommand and returns the response
-// message of its kind, or a *fault.Fault that changed nothing. Results share no
-// memory with the state.
+// Apply executes one encoded rockwindpb.JobCommand. It returns the matching response
+// message, or a *fault.Fault if the command was rejected without a change of the
+// state. Responses share no memory with the state.
 func (l *Ledger) Apply(_ uint64, command []byte) any {
 	decoded := &rockwindpb.JobCommand{}
 	if err := proto.Unmarshal(command, decoded); err != nil {
@@ -149,15 +148,16 @@
 	case *rockwindpb.JobCommand_Seal:
 		return result(l.seal(c.Seal))
 	default:
-		return fault.New(fault.Corrupt, "the job command is empty or of an unknown kind",
+		return fault.New(fault.Corrupt, "the job command is empty or has an unknown type",
 			"run the same release on all control machines")
 	}
 }
 
-// result turns a response and a fault into the one value that Apply returns.
-func result[M any](response *M, refused *fault.Fault) any {
-	if refused != nil {
-		return refused
+// result returns the fault if there is one, and the response otherwise. It avoids a
+// typed nil in the returned interface.
+func result[M any](response *M, failure *fault.Fault) any {
+	if failure != nil {
+		return failure
 	}
 	return response
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -19,7 +19,7 @@
 
 const testShard = 7
 
-// TestMain fixes the seed, so that each run gives the same verdict.
+// TestMain fixes the seed of rapid to make runs reproducible.
 func TestMain(m *testing.M) {
 	for _, setting := range [][2]string{
 		{"rapid.seed", "20261202"}, {"rapid.checks", "250"}, {"rapid.steps", "60"}, {"rapid.nofailfile", "true"},
@@ -31,11 +31,11 @@
 	os.Exit(m.Run())
 }
 
-// system is a ledger under test beside a shadow that was restored from it at
-// some point and must answer alike ever since.
-type system struct {
+// harness is the state machine that rapid drives. The replica is restored from snapshots
+// of the subject, and must give the same responses.
+type harness struct {
 	subject *Ledger
-	shadow  *Ledger
+	replica *Ledger
 	oracle  *oracle
 	now     int64
 	serial  uint64
@@ -44,15 +44,15 @@
 	bodies  map[uint64][]byte
 }
 
-func newSystem(broken defects) *system {
-	s := &system{subject: New(testShard), shadow: New(testShard), oracle: newOracle(), now: 1000, bodies: map[uint64][]byte{}}
-	s.subject.defects = broken
-	s.shadow.defects = broken
+func newHarness(injected defects) *harness {
+	s := &harness{subject: New(testShard), replica: New(testShard), oracle: newOracle(), now: 1000, bodies: map[uint64][]byte{}}
+	s.subject.defects = injected
+	s.replica.defects = injected
 	return s
 }
 
-// run applies a command to both ledgers and checks the answers.
-func (s *system) run(t *rapid.T, command *rockwindpb.JobCommand) any {
+// run applies a command to both ledgers and checks the responses.
+func (s *harness) run(t *rapid.T, command *rockwindpb.JobCommand) any {
 	s.now += rapid.SampledFrom([]int64{0, 1, 500, 5000, 12_000}).Draw(t, "pass")
 	command.NowUnixMs = s.now
 	encoded, err := EncodeCommand(command)
@@ -60,8 +60,8 @@
 		t.Fatalf("encode: %v", err)
 	}
 	answer := s.subject.Apply(0, encoded)
-	if shadow := s.shadow.Apply(0, encoded); fmt.Sprint(shadow) != fmt.Sprint(answer) {
-		t.Fatalf("the restored ledger answers %v, the first %v", shadow, answer)
+	if replica := s.replica.Apply(0, encoded); fmt.Sprint(replica) != fmt.Sprint(answer) {
+		t.Fatalf("the restored ledger responded %v, the original %v", replica, answer)
 	}
 	s.oracle.check(t, command, answer)
 	s.history = append(s.history, proto.CloneOf(command))
@@ -72,7 +72,7 @@
 	return rapid.SampledFrom(values).Draw(t, label)
 }
 
-func (s *system) Submit(t *rapid.T) {
+func (s *harness) Submit(t *rapid.T) {
 	s.serial++
 	number := draw(t, "id", s.serial, s.serial, s.serial, max(1, s.serial-1))
 	count := draw(t, "items", uint32(1), 2, 5, 20, 70, 300)
@@ -99,7 +99,7 @@
 	s.run(t, &rockwindpb.JobCommand{Command: &rockwindpb.JobCommand_Submit{Submit: &rockwindpb.SubmitJobRequest{Job: job}}})
 }
 
-func (s *system) Acquire(t *rapid.T) {
+func (s *harness) Acquire(t *rapid.T) {
 	request := &rockwindpb.AcquireLeasesRequest{
 		Holder:   drawHolder(t),
 		MaxItems: draw(t, "max", uint32(0), 1, 3, 16, 100, 2000),
@@ -117,8 +117,8 @@
 	return draw(t, "holder", "g1", "g2", "g3")
 }
 
-// drawLease chooses a lease of any age, mostly one of the last.
-func (s *system) drawLease(t *rapid.T) *rockwindpb.Lease {
+// drawLease picks a granted lease, preferring recent ones.
+func (s *harness) drawLease(t *rapid.T) *rockwindpb.Lease {
 	if len(s.granted) == 0 {
 		t.Skip("no lease was granted yet")
 	}
@@ -129,12 +129,12 @@
 	return rapid.SampledFrom(recent).Draw(t, "lease")
 }
 
-// holderOf mostly returns the true holder.
+// holderOf returns the holder of a lease in most cases, and sometimes a fixed one.
 func holderOf(t *rapid.T, lease *rockwindpb.Lease) string {
 	return draw(t, "as", lease.Holder, lease.Holder, lease.Holder, "g1")
 }
 
-func (s *system) Heartbeat(t *rapid.T) {
+func (s *harness) Heartbeat(t *rapid.T) {
 	lease := s.drawLease(t)
 	request := &rockwindpb.HeartbeatLeasesRequest{
 		Holder:  holderOf(t, lease),
@@ -144,7 +144,7 @@
 	s.run(t, &rockwindpb.JobCommand{Command: &rockwindpb.JobCommand_Heartbeat{Heartbeat: request}})
 }
 
-func (s *system) Complete(t *rapid.T) {
+func (s *harness) Complete(t *rapid.T) {
 	lease := s.drawLease(t)
 	completion := &rockwindpb.LeaseCompletion{JobId: lease.JobId, Fence: lease.Fence, Release: draw(t, "release", false, false, true)}
 	kinds := draw(t, "kinds", "ccccc", "cfry", "r")
@@ -152,10 +152,10 @@
 	for item := lease.FirstItem; item < lease.FirstItem+lease.ItemCount; item += every {
 		s.serial++
 		kind := kinds[int(s.serial)%len(kinds)]
-		completion.Items = append(completion.Items, report(item, kind, s.serial))
+		completion.Items = append(completion.Items, itemReport(item, kind, s.serial))
 	}
 	if rapid.IntRange(0, 9).Draw(t, "outside") == 0 {
-		completion.Items = append(completion.Items, report(lease.FirstItem+lease.ItemCount+1, 'c', s.serial))
+		completion.Items = append(completion.Items, itemReport(lease.FirstItem+lease.ItemCount+1, 'c', s.serial))
 	}
 	if rapid.Bool().Draw(t, "reversed") {
 		slices.Reverse(completion.Items)
@@ -164,7 +164,7 @@
 	s.run(t, &rockwindpb.JobCommand{Command: &rockwindpb.JobCommand_Complete{Complete: request}})
 }
 
-func report(item uint32, kind byte, serial uint64) *rockwindpb.ItemCompletion {
+func itemReport(item uint32, kind byte, serial uint64) *rockwindpb.ItemCompletion {
 	reference := &rockwindpb.BodyReference{Segment: 1 + serial%3, Offset: serial * 100, Length: 100, Checksum: uint32(serial)}
 	switch kind {
 	case 'c':
@@ -178,9 +178,8 @@
 	}
 }
 
-// Resend repeats any earlier command, as a client or gateway does after it lost
-// the answer, or as a late worker does.
-func (s *system) Resend(t *rapid.T) {
+// Resend repeats an earlier command, as a client does after a lost response.
+func (s *harness) Resend(t *rapid.T) {
 	if len(s.history) == 0 {
 		t.Skip("nothing was sent yet")
 	}
@@ -189,14 +188,14 @@
 		recent = s.history
 	}
 	answer := s.run(t, proto.CloneOf(rapid.SampledFrom(recent).Draw(t, "command")))
-	if acquired, is := answer.(*rockwindpb.AcquireLeasesResponse); is {
+	if acquired, ok := answer.(*rockwindpb.AcquireLeasesResponse); ok {
 		for _, grant := range acquired.Grants {
 			s.granted = append(s.granted, grant.Lease)
 		}
 	}
 }
 
-func (s *system) Cancel(t *rapid.T) {
+func (s *harness) Cancel(t *rapid.T) {
 	request := &rockwindpb.CancelJobRequest{
 		JobId:  JobID(testShard, uint64(rapid.IntRange(1, int(s.serial)+1).Draw(t, "id"))),
 		Tenant: draw(t, "tenant", "", "t1", "t2"),
@@ -207,7 +206,7 @@
 	s.run(t, &rockwindpb.JobCommand{Command: &rockwindpb.JobCommand_Cancel{Cancel: request}})
 }
 
-func (s *system) Expire(t *rapid.T) {
+func (s *harness) Expire(t *rapid.T) {
 	command := &rockwindpb.ExpireCommand{
 		RetentionMs:            draw(t, "retention", int64(20_000), 300_000),
 		IdempotencyRetentionMs: draw(t, "records", int64(20_000), 300_000),
@@ -217,7 +216,7 @@
 	s.run(t, &rockwindpb.JobCommand{Command: &rockwindpb.JobCommand_Expire{Expire: command}})
 }
 
-func (s *system) Begin(t *rapid.T) {
+func (s *harness) Begin(t *rapid.T) {
 	request := &rockwindpb.BeginRequestRequest{
 		Tenant:     draw(t, "tenant", "t1", "t2"),
 		Key:        draw(t, "key", "r1", "r2"),
@@ -227,7 +226,7 @@
 	s.run(t, &rockwindpb.JobCommand{Command: &rockwindpb.JobCommand_BeginRequest{BeginRequest: request}})
 }
 
-func (s *system) Finish(t *rapid.T) {
+func (s *harness) Finish(t *rapid.T) {
 	request := &rockwindpb.FinishRequestRequest{
 		Tenant: draw(t, "tenant", "t1", "t2"),
 		Key:    draw(t, "key", "r1", "r2"),
@@ -241,7 +240,7 @@
 	s.run(t, &rockwindpb.JobCommand{Command: &rockwindpb.JobCommand_FinishRequest{FinishRequest: request}})
 }
 
-func (s *system) PutFile(t *rapid.T) {
+func (s *harness) PutFile(t *rapid.T) {
 	file := &rockwindpb.StoredFile{
 		Id:     FileID(testShard, draw(t, "id", uint64(1), 2)),
 		Tenant: draw(t, "tenant", "t1", "t1", "t2"),
@@ -250,8 +249,8 @@
 	s.run(t, &rockwindpb.JobCommand{Command: &rockwindpb.JobCommand_PutFile{PutFile: &rockwindpb.PutFileRequest{File: file}}})
 }
 
-// Seal seals a block, and sometimes names a body that does not hold it.
-func (s *system) Seal(t *rapid.T) {
+// Seal seals a block, in some cases with the wrong digest, which must be rejected.
+func (s *harness) Seal(t *rapid.T) {
 	blocks := s.subject.SealableBlocks(1)
 	if len(blocks) == 0 {
 		t.Skip("nothing can be sealed")
@@ -268,14 +267,15 @@
 	}
 	answer := s.run(t, &rockwindpb.JobCommand{Command: &rockwindpb.JobCommand_Seal{Seal: command}})
 	if wrong {
-		expectFault(t, "seal of another body", answer, fault.Conflict)
+		expectFault(t, "seal with a wrong digest", answer, fault.Conflict)
 		return
 	}
 	expect(t, "seal", answer, &rockwindpb.SealResultsResponse{Sealed: true})
 }
 
-// Restore makes the shadow anew from a snapshot, and swaps the two at times.
-func (s *system) Restore(t *rapid.T) {
+// Restore replaces the replica with a ledger restored from a snapshot of the subject,
+// and swaps the two in some cases.
+func (s *harness) Restore(t *rapid.T) {
 	snapshot, err := s.subject.Snapshot()
 	if err != nil {
 		t.Fatalf("snapshot: %v", err)
@@ -285,18 +285,18 @@
 	if err := restored.Restore(snapshot); err != nil {
 		t.Fatalf("restore: %v", err)
 	}
-	s.shadow = restored
+	s.replica = restored
 	if rapid.Bool().Draw(t, "swap") {
-		s.subject, s.shadow = s.shadow, s.subject
+		s.subject, s.replica = s.replica, s.subject
 	}
 }
 
-// Check compares everything that can be read with the oracle.
-func (s *system) Check(t *rapid.T) {
+// Check compares all reads with the oracle.
+func (s *harness) Check(t *rapid.T) {
 	first, err := s.subject.Snapshot()
-	second, shadowErr := s.shadow.Snapshot()
-	if err != nil || shadowErr != nil || !bytes.Equal(first, second) {
-		t.Fatalf("the snapshots of equal ledgers differ: %v, %v", err, shadowErr)
+	second, replicaErr := s.replica.Snapshot()
+	if err != nil || replicaErr != nil || !bytes.Equal(first, second) {
+		t.Fatalf("the snapshots of equal ledgers differ: %v, %v", err, replicaErr)
 	}
 	stats := s.subject.Stats()
 	waiting := uint64(0)
@@ -308,7 +308,7 @@
 		}
 		s.checkResults(t, id, job)
 	}
-	listed := s.subject.ListJobs(&rockwindpb.ListJobsRequest{Limit: maximumPage})
+	listed := s.subject.ListJobs(&rockwindpb.ListJobsRequest{Limit: maximumPageSize})
 	if len(listed.Jobs) != len(s.oracle.jobs) || stats.ItemsWaiting != waiting || stats.Leases != len(s.oracle.leases) {
 		t.Fatalf("%d jobs, %+v; want %d jobs, %d waiting, %d leases",
 			len(listed.Jobs), stats, len(s.oracle.jobs), waiting, len(s.oracle.leases))
@@ -316,24 +316,25 @@
 	s.checkExpiry(t)
 }
 
-// checkExpiry checks that the leader is told of the earliest lease.
-func (s *system) checkExpiry(t *rapid.T) {
+// checkExpiry checks that NextExpiry is not later than any lease, and that HasWork does
+// not miss work.
+func (s *harness) checkExpiry(t *rapid.T) {
 	next, pending := s.subject.NextExpiry(s.now)
 	for fence, lease := range s.oracle.leases {
 		if !pending || next > max(s.now, lease.expires) {
-			t.Fatalf("the next expiry %d comes after lease %d", next, fence)
+			t.Fatalf("the next expiry %d is later than the expiry of lease %d", next, fence)
 		}
 	}
 	if s.subject.HasWork([]string{"m1", "m2"}, s.now) {
 		return
 	}
-	if len(s.oracle.next(&rockwindpb.AcquireLeasesRequest{Models: []string{"m1", "m2"}})) > 0 {
-		t.Fatalf("the ledger denies that it has work")
+	if len(s.oracle.eligibleJobs(&rockwindpb.AcquireLeasesRequest{Models: []string{"m1", "m2"}})) > 0 {
+		t.Fatalf("HasWork returned false while items are waiting")
 	}
 }
 
-// checkResults reads all pages of a job, sealed ones through their bodies.
-func (s *system) checkResults(t *rapid.T, id string, job *oracleJob) {
+// checkResults reads all results of a job, page by page, and expands sealed blocks.
+func (s *harness) checkResults(t *rapid.T, id string, job *oracleJob) {
 	found := 0
 	request := &rockwindpb.ListResultsRequest{JobId: id, Limit: 64}
 	for request.FromItem < job.definition.ItemCount {
@@ -353,30 +354,30 @@
 		request.FromItem = page.NextItem
 	}
 	if found != len(job.results) {
-		t.Fatalf("%d results of %s, want %d", found, id, len(job.results))
+		t.Fatalf("got %d results of %s, want %d", found, id, len(job.results))
 	}
 }
 
 func TestLedgerAgreesWithOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		t.Repeat(rapid.StateMachineActions(newSystem(defects{})))
+		t.Repeat(rapid.StateMachineActions(newHarness(defects{})))
 	})
 }
 
 func TestOracleSeesDefects(t *testing.T) {
-	for name, broken := range map[string]defects{
-		"no fence":             {noFence: true},
-		"unbounded retry":      {unboundedRetry: true},
-		"cancel unchecked":     {cancelUnchecked: true},
-		"record granted twice": {recordGrantedTwice: true},
-		"blind retry":          {blindRetry: true},
+	for name, injected := range map[string]defects{
+		"no fence":             {skipFenceCheck: true},
+		"unbounded retry":      {skipTryCount: true},
+		"cancel unchecked":     {skipCancelCheck: true},
+		"record granted twice": {grantRecordTwice: true},
+		"blind retry":          {freeTimedOutKey: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			noticed := mutant.Noticed(t, func(t *rapid.T) {
-				t.Repeat(rapid.StateMachineActions(newSystem(broken)))
+				t.Repeat(rapid.StateMachineActions(newHarness(injected)))
 			})
 			if !noticed {
-				t.Fatal("the oracle does not see the defect")
+				t.Fatal("the oracle does not detect the defect")
 			}
 		})
 	}
--- a/internal/ledger/oracle_leases_test.go
+++ b/internal/ledger/oracle_leases_test.go
@@ -8,7 +8,7 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// waiting returns the items that no lease holds and that have no result.
+// waiting returns the items of a running job without a result and without a lease.
 func (o *oracle) waiting(job *oracleJob) []uint32 {
 	var items []uint32
 	if !job.running() {
@@ -28,8 +28,8 @@
 	return items
 }
 
-// next returns the first eligible job of each group.
-func (o *oracle) next(request *rockwindpb.AcquireLeasesRequest) map[string]*oracleJob {
+// eligibleJobs returns the first eligible job of each group.
+func (o *oracle) eligibleJobs(request *rockwindpb.AcquireLeasesRequest) map[string]*oracleJob {
 	first := map[string]*oracleJob{}
 	for _, job := range o.jobs {
 		group := job.definition.Group
@@ -56,38 +56,38 @@
 
 func (o *oracle) acquire(t *rapid.T, now int64, request *rockwindpb.AcquireLeasesRequest, answer any) {
 	o.expireLeases(now)
-	response, is := answer.(*rockwindpb.AcquireLeasesResponse)
-	if !is {
+	response, ok := answer.(*rockwindpb.AcquireLeasesResponse)
+	if !ok {
 		t.Fatalf("acquire: got %v", answer)
 	}
 	total := uint32(0)
 	groups := map[string]bool{}
-	eligible := len(o.next(request))
+	eligible := len(o.eligibleJobs(request))
 	for number, grant := range response.Grants {
 		total += o.grant(t, now, request, grant, number == 0)
 		groups[grant.Job.Group] = true
 	}
-	left := len(o.next(request))
+	left := len(o.eligibleJobs(request))
 	if total > request.MaxItems || (total < request.MaxItems && left > 0) {
-		t.Fatalf("acquire granted %d of %d items while %d groups have work", total, request.MaxItems, left)
+		t.Fatalf("acquire granted %d of %d items while %d groups have waiting items", total, request.MaxItems, left)
 	}
 	if eligible > 1 && request.MaxItems > 1 && len(groups) < 2 {
 		t.Fatalf("acquire served one of %d groups", eligible)
 	}
 }
 
-// grant checks one grant, takes it over and returns its items.
+// grant checks a grant, records its lease and returns the number of its items.
 func (o *oracle) grant(t *rapid.T, now int64, request *rockwindpb.AcquireLeasesRequest, grant *rockwindpb.GrantedLease, first bool) uint32 {
 	lease := grant.Lease
-	candidates := o.next(request)
+	candidates := o.eligibleJobs(request)
 	job := o.jobs[lease.JobId]
 	if job == nil || candidates[job.definition.Group] != job {
-		t.Fatalf("grant %v is not of the next job of its group", lease)
+		t.Fatalf("grant %v is not for the first eligible job of its group", lease)
 	}
 	group := job.definition.Group
 	for other := range candidates {
-		if first && turn(other, o.lastGroup) < turn(group, o.lastGroup) {
-			t.Fatalf("group %q was granted before %q after %q", group, other, o.lastGroup)
+		if first && rotationKey(other, o.lastGroup) < rotationKey(group, o.lastGroup) {
+			t.Fatalf("group %q was served before %q, after group %q", group, other, o.lastGroup)
 		}
 	}
 	o.lastGroup = group
@@ -96,7 +96,7 @@
 	for item := lease.FirstItem; item < lease.FirstItem+lease.ItemCount; item++ {
 		skipped := lease.Skip != nil && bitmap(lease.Skip).has(item-lease.FirstItem)
 		if skipped != (job.results[item] != nil) || (!skipped && !slices.Contains(waiting, item)) {
-			t.Fatalf("grant %v holds item %d, which is not free", lease, item)
+			t.Fatalf("grant %v must not include item %d, or must not skip it", lease, item)
 		}
 		if !skipped {
 			held[item] = true
@@ -109,7 +109,7 @@
 		if lost := job.tries[item]; last != (!skipped && lost > 0 && lost+1 >= job.definition.Tries) {
 			t.Fatalf("grant %v marks the last try of item %d as %v after %d losses", lease, item, last, lost)
 		}
-		if !covered(grant.Job.Input, item) {
+		if !hasInput(grant.Job.Input, item) {
 			t.Fatalf("grant %v has no input for item %d", lease, item)
 		}
 	}
@@ -122,22 +122,24 @@
 	return uint32(len(held))
 }
 
-// turn orders groups such that those after last come first.
-func turn(group, last string) string {
+// rotationKey is the sort key of a group in the round-robin order that starts after
+// last.
+func rotationKey(group, last string) string {
 	if group > last {
 		return "0" + group
 	}
 	return "1" + group
 }
 
-func covered(chunks []*rockwindpb.InputChunk, item uint32) bool {
+func hasInput(chunks []*rockwindpb.InputChunk, item uint32) bool {
 	return slices.ContainsFunc(chunks, func(chunk *rockwindpb.InputChunk) bool {
 		return chunk.FirstItem <= item && item < chunk.FirstItem+chunk.ItemCount
 	})
 }
 
-// find returns the lease of a holder, or the verdict that tells it to stop.
-func (o *oracle) find(id string, fence uint64, holder string) (*oracleLease, *rockwindpb.LeaseVerdict) {
+// findLease returns the current lease of a holder and its verdict. The lease is nil if
+// the holder must stop.
+func (o *oracle) findLease(id string, fence uint64, holder string) (*oracleLease, *rockwindpb.LeaseVerdict) {
 	verdict := &rockwindpb.LeaseVerdict{JobId: id, Fence: fence, Stop: true}
 	job := o.jobs[id]
 	switch {
@@ -156,23 +158,23 @@
 }
 
 func (o *oracle) heartbeat(t *rapid.T, now int64, request *rockwindpb.HeartbeatLeasesRequest, answer any) {
-	wanted := &rockwindpb.HeartbeatLeasesResponse{}
+	want := &rockwindpb.HeartbeatLeasesResponse{}
 	for _, key := range request.Leases {
-		lease, verdict := o.find(key.JobId, key.Fence, request.Holder)
+		lease, verdict := o.findLease(key.JobId, key.Fence, request.Holder)
 		if lease != nil {
 			lease.expires = max(lease.expires, now+int64(request.LeaseMs))
 			verdict.ExpiresUnixMs = lease.expires
 		}
-		wanted.Verdicts = append(wanted.Verdicts, verdict)
+		want.Verdicts = append(want.Verdicts, verdict)
 	}
-	expect(t, "heartbeat", answer, wanted)
+	expect(t, "heartbeat", answer, want)
 }
 
 func (o *oracle) complete(t *rapid.T, now int64, request *rockwindpb.CompleteItemsRequest, answer any) {
-	wanted := &rockwindpb.CompleteItemsResponse{}
+	want := &rockwindpb.CompleteItemsResponse{}
 	for _, completion := range request.Completions {
-		lease, verdict := o.find(completion.JobId, completion.Fence, request.Holder)
-		wanted.Verdicts = append(wanted.Verdicts, verdict)
+		lease, verdict := o.findLease(completion.JobId, completion.Fence, request.Holder)
+		want.Verdicts = append(want.Verdicts, verdict)
 		if lease == nil {
 			continue
 		}
@@ -187,17 +189,17 @@
 		}
 		o.endIfDone(now, job)
 	}
-	expect(t, "complete", answer, wanted)
+	expect(t, "complete", answer, want)
 }
 
-// report takes over the report of an item, and tells whether it has a result now.
+// report applies the report of an item, and reports whether a result was recorded.
 func (o *oracle) report(job *oracleJob, lease *oracleLease, report *rockwindpb.ItemCompletion) bool {
 	delete(lease.items, report.Item)
 	switch report.Outcome {
 	case rockwindpb.ItemOutcome_ITEM_OUTCOME_RETURNED:
 		return false
 	case rockwindpb.ItemOutcome_ITEM_OUTCOME_RETRY:
-		return o.countTry(job, report.Item)
+		return o.countFailedTry(job, report.Item)
 	}
 	job.results[report.Item] = &rockwindpb.ItemResult{
 		Item:    report.Item,
@@ -213,7 +215,7 @@
 	return true
 }
 
-func (o *oracle) countTry(job *oracleJob, item uint32) bool {
+func (o *oracle) countFailedTry(job *oracleJob, item uint32) bool {
 	job.tries[item]++
 	if job.tries[item] < job.definition.Tries {
 		return false
@@ -243,7 +245,7 @@
 	}
 	for _, lease := range expired {
 		for item := range lease.items {
-			o.countTry(o.jobs[lease.job], item)
+			o.countFailedTry(o.jobs[lease.job], item)
 		}
 		o.endIfDone(now, o.jobs[lease.job])
 	}
--- a/internal/ledger/oracle_test.go
+++ b/internal/ledger/oracle_test.go
@@ -8,8 +8,9 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// oracle predicts what a ledger answers, with plain maps and no indexes. It
-// checks grants, which the ledger may choose, against the rules.
+// oracle is a reference model of the ledger with plain maps instead of indexes. It
+// checks grants against the rules of granting, and predicts all other responses except
+// those to seal commands.
 type oracle struct {
 	jobs      map[string]*oracleJob
 	leases    map[uint64]*oracleLease
@@ -38,8 +39,8 @@
 }
 
 type oracleFile struct {
-	definition *rockwindpb.StoredFile
-	kept       int64
+	definition     *rockwindpb.StoredFile
+	retentionStart int64
 }
 
 func newOracle() *oracle {
@@ -55,7 +56,7 @@
 	return j.definition.State == rockwindpb.JobState_JOB_STATE_RUNNING
 }
 
-// check compares the ledger's answer to a command with the rules.
+// check compares the ledger's response to a command with the model.
 func (o *oracle) check(t *rapid.T, command *rockwindpb.JobCommand, answer any) {
 	now := command.NowUnixMs
 	switch c := command.Command.(type) {
@@ -80,18 +81,18 @@
 	}
 }
 
-func expect(t *rapid.T, what string, answer any, wanted proto.Message) {
+func expect(t *rapid.T, what string, answer any, want proto.Message) {
 	t.Helper()
-	given, is := answer.(proto.Message)
-	if !is || !proto.Equal(given, wanted) {
-		t.Fatalf("%s: got %v, want %v", what, answer, wanted)
+	given, ok := answer.(proto.Message)
+	if !ok || !proto.Equal(given, want) {
+		t.Fatalf("%s: got %v, want %v", what, answer, want)
 	}
 }
 
 func expectFault(t *rapid.T, what string, answer any, kind fault.Kind) {
 	t.Helper()
-	refused, is := answer.(*fault.Fault)
-	if !is || refused.Kind != kind || refused.Remedy == "" {
+	failure, ok := answer.(*fault.Fault)
+	if !ok || failure.Kind != kind || failure.Remedy == "" {
 		t.Fatalf("%s: got %v, want a fault %v with a remedy", what, answer, kind)
 	}
 }
@@ -104,7 +105,7 @@
 			continue
 		}
 		if first.Tenant != job.Tenant || first.ClientKey != job.ClientKey || string(first.BodyDigest) != string(job.BodyDigest) {
-			expectFault(t, "submit of another body", answer, fault.Conflict)
+			expectFault(t, "submit with another body", answer, fault.Conflict)
 			return
 		}
 		expect(t, "resend", answer, &rockwindpb.SubmitJobResponse{Job: first, Resent: true})
@@ -150,40 +151,40 @@
 			lease.expires = max(lease.expires, now+command.RenewLeasesMs)
 		}
 	}
-	wanted := &rockwindpb.ExpireResponse{Leases: o.expireLeases(now)}
+	want := &rockwindpb.ExpireResponse{Leases: o.expireLeases(now)}
 	for _, record := range o.records {
 		started := record.definition.State == rockwindpb.RecordState_RECORD_STATE_STARTED
 		if started && record.definition.StartedUnixMs+command.StartedTimeoutMs <= now {
 			record.definition.State = rockwindpb.RecordState_RECORD_STATE_UNKNOWN
 			record.ended = now
-			wanted.Unknown++
+			want.Unknown++
 		}
 	}
 	for id, job := range o.jobs {
 		if !job.running() && job.definition.EndedUnixMs+command.RetentionMs <= now {
 			delete(o.jobs, id)
-			wanted.Jobs++
+			want.Jobs++
 		}
 	}
 	for id, file := range o.files {
-		if file.kept+command.RetentionMs > now {
+		if file.retentionStart+command.RetentionMs > now {
 			continue
 		}
 		if o.fileUsed(id) {
-			file.kept = now
+			file.retentionStart = now
 			continue
 		}
 		delete(o.files, id)
-		wanted.Files++
+		want.Files++
 	}
 	for key, record := range o.records {
 		ended := record.definition.State != rockwindpb.RecordState_RECORD_STATE_STARTED
 		if ended && record.ended+command.IdempotencyRetentionMs <= now {
 			delete(o.records, key)
-			wanted.Records++
+			want.Records++
 		}
 	}
-	expect(t, "expire", answer, wanted)
+	expect(t, "expire", answer, want)
 }
 
 func (o *oracle) fileUsed(id string) bool {
@@ -248,7 +249,7 @@
 func (o *oracle) putFile(t *rapid.T, now int64, file *rockwindpb.StoredFile, answer any) {
 	first := o.files[file.Id]
 	if first == nil {
-		first = &oracleFile{definition: proto.CloneOf(file), kept: now}
+		first = &oracleFile{definition: proto.CloneOf(file), retentionStart: now}
 		first.definition.CreatedUnixMs = now
 		o.files[file.Id] = first
 	}
--- a/internal/ledger/packing.go
+++ b/internal/ledger/packing.go
@@ -13,74 +13,77 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// The packed encoding is a head byte for each of consecutive items, followed by
-// what the head announces:
+// The packed encoding has, for each of consecutive items, a header byte and the
+// optional fields that the header indicates:
 //
-//	bits 0-2  outcome; zero where the item has none
-//	bit  3    a reference follows
-//	bit  4    the reference starts where the one before it ended
-//	bits 5-7  tries; seven announces a varint
+//	bits 0-2  outcome, or zero if the item has no result
+//	bit  3    set if a reference is present
+//	bit  4    set if the reference is contiguous with the previous reference
+//	bits 5-7  tries; the value 7 means that the tries follow as an unsigned varint
 //
-// A reference that does not follow on starts with the zigzag difference of the
-// segments; then comes, in the same segment, the zigzag difference to the end of
-// the reference before, or else the offset. Length and checksum follow.
+// A contiguous reference starts at the end of the previous one, in the same segment.
+// Any other reference begins with the difference to the previous segment number (zigzag
+// varint). If the segment is the same, the difference to the end of the previous
+// reference follows (zigzag varint), otherwise the offset (unsigned varint). Each
+// reference ends with the length (unsigned varint) and the checksum (32 bits, little
+// endian).
 const (
-	headOutcome    = 0x07
-	headReference  = 0x08
-	headFollows    = 0x10
-	headTriesShift = 5
-	headTriesMany  = 7
-	checksumBytes  = 4
+	headerOutcomeMask  = 0x07
+	headerHasReference = 0x08
+	headerContiguous   = 0x10
+	headerTriesShift   = 5
+	headerTriesVarint  = 7
+	checksumBytes      = 4
 )
 
-var errPacked = errors.New("the packed results are cut off or out of range")
+var errMalformedPacking = errors.New("packed results are truncated or out of range")
 
 // packResults encodes the results of consecutive items.
 func packResults(results []storedResult) []byte {
 	packed := make([]byte, 0, 8*len(results))
-	var before storedResult
+	var previous storedResult
 	for _, stored := range results {
-		packed = appendResult(packed, stored, before)
+		packed = appendResult(packed, stored, previous)
 		if stored.hasReference {
-			before = stored
+			previous = stored
 		}
 	}
 	return append(make([]byte, 0, len(packed)), packed...)
 }
 
-func appendResult(packed []byte, stored, before storedResult) []byte {
-	head := byte(stored.outcome) & headOutcome
-	head |= byte(min(stored.tries, headTriesMany)) << headTriesShift
-	follows := stored.segment == before.segment && stored.offset == before.end()
+func appendResult(packed []byte, stored, previous storedResult) []byte {
+	header := byte(stored.outcome) & headerOutcomeMask
+	header |= byte(min(stored.tries, headerTriesVarint)) << headerTriesShift
+	contiguous := stored.segment == previous.segment && stored.offset == previous.end()
 	if stored.hasReference {
-		head |= headReference
+		header |= headerHasReference
 	}
-	if stored.hasReference && follows {
-		head |= headFollows
+	if stored.hasReference && contiguous {
+		header |= headerContiguous
 	}
-	packed = append(packed, head)
-	if stored.tries >= headTriesMany {
+	packed = append(packed, header)
+	if stored.tries >= headerTriesVarint {
 		packed = binary.AppendUvarint(packed, uint64(stored.tries))
 	}
 	if !stored.hasReference {
 		return packed
 	}
-	if !follows {
-		packed = appendPosition(packed, stored, before)
+	if !contiguous {
+		packed = appendPosition(packed, stored, previous)
 	}
 	packed = binary.AppendUvarint(packed, uint64(stored.length))
 	return binary.LittleEndian.AppendUint32(packed, stored.checksum)
 }
 
-func appendPosition(packed []byte, stored, before storedResult) []byte {
-	packed = binary.AppendVarint(packed, int64(stored.segment-before.segment))
-	if stored.segment == before.segment {
-		return binary.AppendVarint(packed, int64(stored.offset-before.end()))
+func appendPosition(packed []byte, stored, previous storedResult) []byte {
+	packed = binary.AppendVarint(packed, int64(stored.segment-previous.segment))
+	if stored.segment == previous.segment {
+		return binary.AppendVarint(packed, int64(stored.offset-previous.end()))
 	}
 	return binary.AppendUvarint(packed, stored.offset)
 }
 
-// end is the offset behind the reference.
+// end returns the offset after the last byte of the reference.
 func (r storedResult) end() uint64 {
 	return r.offset + uint64(r.length)
 }
@@ -88,7 +91,7 @@
 // unpackResults decodes the results of exactly count items.
 func unpackResults(packed []byte, count uint32) ([]storedResult, error) {
 	if uint64(count) > uint64(len(packed)) {
-		return nil, errPacked
+		return nil, errMalformedPacking
 	}
 	reader := packedReader{rest: packed}
 	results := make([]storedResult, 0, count)
@@ -96,51 +99,51 @@
 		results = append(results, reader.next())
 	}
 	if reader.failed || len(reader.rest) > 0 {
-		return nil, errPacked
+		return nil, errMalformedPacking
 	}
 	return results, nil
 }
 
-// packedReader decodes one result after the other. After a failure it returns
-// results without meaning.
+// packedReader decodes results one by one. Once failed is set, the returned results are
+// invalid.
 type packedReader struct {
-	rest   []byte
-	before storedResult
-	failed bool
+	rest     []byte
+	previous storedResult
+	failed   bool
 }
 
 func (p *packedReader) next() storedResult {
-	head := p.bytes(1)[0]
+	header := p.bytes(1)[0]
 	stored := storedResult{
-		outcome:      rockwindpb.ItemOutcome(head & headOutcome),
-		tries:        uint32(head >> headTriesShift),
-		hasReference: head&headReference != 0,
+		outcome:      rockwindpb.ItemOutcome(header & headerOutcomeMask),
+		tries:        uint32(header >> headerTriesShift),
+		hasReference: header&headerHasReference != 0,
 	}
-	if stored.tries == headTriesMany {
-		stored.tries = p.small()
+	if stored.tries == headerTriesVarint {
+		stored.tries = p.uvarint32()
 	}
 	if !stored.hasReference {
 		return stored
 	}
-	p.position(&stored, head&headFollows != 0)
-	stored.length = p.small()
+	p.position(&stored, header&headerContiguous != 0)
+	stored.length = p.uvarint32()
 	stored.checksum = binary.LittleEndian.Uint32(p.bytes(checksumBytes))
-	p.before = stored
+	p.previous = stored
 	return stored
 }
 
-func (p *packedReader) position(stored *storedResult, follows bool) {
-	if follows {
-		stored.segment = p.before.segment
-		stored.offset = p.before.end()
+func (p *packedReader) position(stored *storedResult, contiguous bool) {
+	if contiguous {
+		stored.segment = p.previous.segment
+		stored.offset = p.previous.end()
 		return
 	}
-	stored.segment = p.before.segment + uint64(p.signed())
-	if stored.segment == p.before.segment {
-		stored.offset = p.before.end() + uint64(p.signed())
+	stored.segment = p.previous.segment + uint64(p.varint())
+	if stored.segment == p.previous.segment {
+		stored.offset = p.previous.end() + uint64(p.varint())
 		return
 	}
-	stored.offset = p.unsigned()
+	stored.offset = p.uvarint()
 }
 
 func (p *packedReader) bytes(count int) []byte {
@@ -154,24 +157,25 @@
 	return taken
 }
 
-func (p *packedReader) unsigned() uint64 {
+func (p *packedReader) uvarint() uint64 {
 	value, length := binary.Uvarint(p.rest)
-	if !p.pass(length) {
+	if !p.advance(length) {
 		return 0
 	}
 	return value
 }
 
-func (p *packedReader) signed() int64 {
+func (p *packedReader) varint() int64 {
 	value, length := binary.Varint(p.rest)
-	if !p.pass(length) {
+	if !p.advance(length) {
 		return 0
 	}
 	return value
 }
 
-// pass goes on behind a number of so many bytes. It fails where there is none.
-func (p *packedReader) pass(length int) bool {
+// advance skips a varint of the given length. A length of zero or less, as package
+// binary returns it for an invalid varint, sets failed.
+func (p *packedReader) advance(length int) bool {
 	if length <= 0 {
 		p.failed = true
 		p.rest = nil
@@ -181,8 +185,8 @@
 	return true
 }
 
-func (p *packedReader) small() uint32 {
-	value := p.unsigned()
+func (p *packedReader) uvarint32() uint32 {
+	value := p.uvarint()
 	if value > math.MaxUint32 {
 		p.failed = true
 		return 0
@@ -190,10 +194,10 @@
 	return uint32(value)
 }
 
-// EncodeCommand encodes a command for the log. Reports of items are packed where
-// that is shorter; the command itself is not changed.
+// EncodeCommand encodes a command for the replicated log. Item reports are packed if
+// that is shorter. The command itself is not modified.
 func EncodeCommand(command *rockwindpb.JobCommand) ([]byte, error) {
-	if complete, is := command.Command.(*rockwindpb.JobCommand_Complete); is {
+	if complete, ok := command.Command.(*rockwindpb.JobCommand_Complete); ok {
 		command = &rockwindpb.JobCommand{
 			NowUnixMs: command.NowUnixMs,
 			Command:   &rockwindpb.JobCommand_Complete{Complete: packRequest(complete.Complete)},
@@ -211,12 +215,12 @@
 	return packed
 }
 
-// packCompletion returns the shorter of the plain and the packed form. Items end
-// in any order, and the order of the reports of different items does not matter,
-// so they are packed in the order of the items.
+// packCompletion returns the packed form of a completion, or the completion itself if
+// that is not longer. Reports are packed sorted by item, as the order of reports of
+// different items does not matter.
 func packCompletion(completion *rockwindpb.LeaseCompletion) *rockwindpb.LeaseCompletion {
 	reports := slices.SortedStableFunc(slices.Values(completion.GetItems()), compareItems)
-	results, packable := consecutive(reports)
+	results, packable := layOutReports(reports)
 	if !packable || len(completion.GetPacked()) > 0 {
 		return completion
 	}
@@ -237,30 +241,30 @@
 	return cmp.Compare(left.GetItem(), right.GetItem())
 }
 
-// consecutive lays out reports that are sorted by item, with gaps where nothing is
-// reported. It declines two reports of an item, reports too far apart, and unknown
-// outcomes.
-func consecutive(reports []*rockwindpb.ItemCompletion) ([]storedResult, bool) {
+// layOutReports converts reports sorted by item into results of consecutive items, with
+// zero values for items without a report. It returns false for duplicate items, invalid
+// reports, and reports that span more than MaxLeaseItems items.
+func layOutReports(reports []*rockwindpb.ItemCompletion) ([]storedResult, bool) {
 	if len(reports) == 0 {
 		return nil, false
 	}
 	first := reports[0].GetItem()
 	var results []storedResult
 	for _, report := range reports {
-		place := uint64(report.GetItem()) - uint64(first)
-		if place < uint64(len(results)) || place >= MaxLeaseItems {
+		index := uint64(report.GetItem()) - uint64(first)
+		if index < uint64(len(results)) || index >= MaxLeaseItems {
 			return nil, false
 		}
 		if checkReport(report) != nil {
 			return nil, false
 		}
-		results = append(results, make([]storedResult, place-uint64(len(results)))...)
+		results = append(results, make([]storedResult, index-uint64(len(results)))...)
 		results = append(results, storedResult{outcome: report.Outcome}.withReference(report.Result))
 	}
 	return results, true
 }
 
-// unpackReports returns the reports of a lease in either form.
+// unpackReports returns the reports of a completion, including the packed ones.
 func unpackReports(completion *rockwindpb.LeaseCompletion) ([]*rockwindpb.ItemCompletion, *fault.Fault) {
 	if len(completion.GetPacked()) == 0 {
 		return completion.GetItems(), nil
@@ -270,7 +274,7 @@
 	for item := uint64(completion.PackedFirstItem); len(reader.rest) > 0; item++ {
 		stored := reader.next()
 		if reader.failed || item > math.MaxUint32 {
-			return nil, fault.New(fault.InvalidArgument, errPacked.Error(), "report the items again")
+			return nil, fault.New(fault.InvalidArgument, errMalformedPacking.Error(), "send the reports again")
 		}
 		if !stored.recorded() {
 			continue
--- a/internal/ledger/read.go
+++ b/internal/ledger/read.go
@@ -10,35 +10,35 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Sizes of pages, in entries.
+// Page sizes, in entries.
 const (
-	defaultPage = 100
-	maximumPage = 1000
+	defaultPageSize = 100
+	maximumPageSize = 1000
 )
 
 func pageLimit(limit uint32) uint32 {
 	if limit == 0 {
-		return defaultPage
+		return defaultPageSize
 	}
-	return min(limit, maximumPage)
+	return min(limit, maximumPageSize)
 }
 
-// GetJob returns a job that the tenant may see, with an estimate of its end. It
-// fails with fault.NotFound.
+// GetJob returns a job and its estimated end. It fails with fault.NotFound if the job
+// does not exist or belongs to another tenant.
 func (l *Ledger) GetJob(now int64, request *rockwindpb.GetJobRequest) (*rockwindpb.GetJobResponse, error) {
-	found, refused := l.findJob(request.JobId, request.Tenant)
-	if refused != nil {
-		return nil, refused
+	found, failure := l.findJob(request.JobId, request.Tenant)
+	if failure != nil {
+		return nil, failure
 	}
-	return &rockwindpb.GetJobResponse{Job: found.describe(), EstimatedEndUnixMs: found.estimateEnd(now)}, nil
+	return &rockwindpb.GetJobResponse{Job: found.toProto(), EstimatedEndUnixMs: found.estimateEnd(now)}, nil
 }
 
-// EstimateEnd returns when a job is expected to end, in Unix milliseconds, from
-// its recent rate of completions; the end itself once it has ended; and zero
-// while no estimate can be made.
+// EstimateEnd returns the expected end of a job in Unix milliseconds, based on its
+// recent completion rate. It returns the actual end of an ended job, and zero if no
+// estimate is possible.
 func (l *Ledger) EstimateEnd(now int64, jobID string) int64 {
-	found, known := l.jobs[jobID]
-	if !known {
+	found, exists := l.jobs[jobID]
+	if !exists {
 		return 0
 	}
 	return found.estimateEnd(now)
@@ -48,11 +48,11 @@
 	if !j.running() {
 		return j.definition.EndedUnixMs
 	}
-	return j.samples.end(now, j.recorded(), j.definition.ItemCount)
+	return j.samples.estimateEnd(now, j.recorded(), j.definition.ItemCount)
 }
 
-// ListJobs returns a page of a tenant's jobs by identifier, without their input.
-// An empty tenant lists all jobs.
+// ListJobs returns a page of a tenant's jobs sorted by identifier, without their input.
+// An empty tenant lists the jobs of all tenants.
 func (l *Ledger) ListJobs(request *rockwindpb.ListJobsRequest) *rockwindpb.ListJobsResponse {
 	var found []*job
 	for id, candidate := range l.jobs {
@@ -68,107 +68,108 @@
 	return response
 }
 
-// ListResults returns a page of a job's results in order of items; items without
-// a result are left out. Where the page is in a sealed block, Sealed names it
-// and ExpandSealed makes the page. It fails with fault.NotFound.
+// ListResults returns a page of a job's results sorted by item, without items that have
+// no result. If the page starts in a sealed block, it returns the reference of the
+// block in Sealed, and ExpandSealed produces the results. It fails with fault.NotFound
+// if the job does not exist or belongs to another tenant.
 func (l *Ledger) ListResults(request *rockwindpb.ListResultsRequest) (*rockwindpb.ListResultsResponse, error) {
-	found, refused := l.findJob(request.JobId, request.Tenant)
-	if refused != nil {
-		return nil, refused
+	found, failure := l.findJob(request.JobId, request.Tenant)
+	if failure != nil {
+		return nil, failure
 	}
 	return found.results.page(min(request.FromItem, found.definition.ItemCount), pageLimit(request.Limit)), nil
 }
 
-// GetFile returns a file of the tenant; an empty tenant sees all files. It fails
-// with fault.NotFound.
+// GetFile returns the metadata of a file. An empty tenant may read all files. It fails
+// with fault.NotFound if the file does not exist or belongs to another tenant.
 func (l *Ledger) GetFile(request *rockwindpb.GetFileRequest) (*rockwindpb.GetFileResponse, error) {
-	found, known := l.files[request.Id]
-	if !known || (request.Tenant != "" && request.Tenant != found.definition.Tenant) {
+	found, exists := l.files[request.Id]
+	if !exists || (request.Tenant != "" && request.Tenant != found.definition.Tenant) {
 		return nil, fault.Newf(fault.NotFound, "upload the file; files are dropped after their retention",
 			"there is no file %q", request.Id)
 	}
 	return &rockwindpb.GetFileResponse{File: proto.CloneOf(found.definition)}, nil
 }
 
-// GetRecord returns a copy of the record under a tenant's idempotency key, and
-// whether there is one.
+// GetRecord returns a copy of the record of a tenant's idempotency key, and whether it
+// exists.
 func (l *Ledger) GetRecord(tenant, key string) (*rockwindpb.RequestRecord, bool) {
-	found, known := l.records[recordKey{tenant: tenant, key: key}]
-	if !known {
+	found, exists := l.records[recordKey{tenant: tenant, key: key}]
+	if !exists {
 		return nil, false
 	}
-	return found.describe(), true
+	return found.toProto(), true
 }
 
-// HasWork tells whether items for the models wait, or wait as soon as leases
-// that are past their time at now have been expired.
+// HasWork reports whether items for the models are waiting. It also returns true if any
+// lease has expired at now, since its items may be for one of the models.
 func (l *Ledger) HasWork(models []string, now int64) bool {
 	for group := range l.waiting {
 		if l.waiting.first(group, models) != nil {
 			return true
 		}
 	}
-	l.pruneLeaseDue()
-	first, pending := l.leaseDue.first()
+	l.dropStaleExpiries()
+	first, pending := l.leaseExpiries.earliest()
 	return pending && first <= now && len(models) > 0
 }
 
-// NextExpiry returns the next time, in Unix milliseconds and not before now, at
-// which an ExpireCommand ends a lease or gives up a record. Retention is coarser:
-// for it, the command is proposed about once a minute.
+// NextExpiry returns the next time, in Unix milliseconds and not before now, at which
+// an ExpireCommand ends a lease or times out a record. It ignores retention, for which
+// the command is proposed about once a minute.
 func (l *Ledger) NextExpiry(now int64) (unixMs int64, pending bool) {
-	l.pruneLeaseDue()
-	next, pending := l.leaseDue.first()
-	if started, exists := l.startedDue.first(); exists {
-		givenUp := started + DefaultStartedTimeoutMilliseconds
-		if !pending || givenUp < next {
-			next = givenUp
+	l.dropStaleExpiries()
+	next, pending := l.leaseExpiries.earliest()
+	if started, exists := l.startedRecords.earliest(); exists {
+		timeout := started + DefaultStartedTimeoutMilliseconds
+		if !pending || timeout < next {
+			next = timeout
 		}
 		pending = true
 	}
 	return max(next, now), pending
 }
 
-// pruneLeaseDue makes the first entry of the queue one of a lease that exists,
-// under its present time.
-func (l *Ledger) pruneLeaseDue() {
-	for len(l.leaseDue.entries) > 0 {
-		first := l.leaseDue.entries[0]
+// dropStaleExpiries removes or updates entries until the first entry of the queue has
+// the current expiry of an existing lease.
+func (l *Ledger) dropStaleExpiries() {
+	for len(l.leaseExpiries.entries) > 0 {
+		first := l.leaseExpiries.entries[0]
 		_, current := l.leaseOf(first.key)
 		if current != nil && current.expires == first.time {
 			return
 		}
-		l.leaseDue.take(first.time)
+		l.leaseExpiries.popDue(first.time)
 		if current != nil {
-			l.leaseDue.add(current.expires, first.key)
+			l.leaseExpiries.add(current.expires, first.key)
 		}
 	}
 }
 
-// Demand is the work of one group for one model.
+// Demand is the unfinished work of one group for one model.
 type Demand struct {
 	Group string
 	Model string
-	// Waiting and Leased count items.
+	// Waiting and Leased are numbers of items.
 	Waiting uint64
 	Leased  uint64
 }
 
-// Demand returns the unfinished work by group and model, sorted.
+// Demand returns the unfinished work, sorted by group and model.
 func (l *Ledger) Demand() []Demand {
-	type place struct{ group, model string }
-	sums := map[place]*Demand{}
+	type demandKey struct{ group, model string }
+	sums := map[demandKey]*Demand{}
 	for _, found := range l.jobs {
 		if !found.running() {
 			continue
 		}
 		definition := found.definition
-		at := place{group: definition.Group, model: definition.Model}
-		if sums[at] == nil {
-			sums[at] = &Demand{Group: at.group, Model: at.model}
+		key := demandKey{group: definition.Group, model: definition.Model}
+		if sums[key] == nil {
+			sums[key] = &Demand{Group: key.group, Model: key.model}
 		}
-		sums[at].Waiting += uint64(found.waiting)
-		sums[at].Leased += uint64(definition.ItemCount - found.recorded() - found.waiting)
+		sums[key].Waiting += uint64(found.waiting)
+		sums[key].Leased += uint64(definition.ItemCount - found.recorded() - found.waiting)
 	}
 	demands := make([]Demand, 0, len(sums))
 	for _, sum := range sums {
@@ -180,7 +181,7 @@
 	return demands
 }
 
-// Stats counts what a ledger holds.
+// Stats holds the numbers of entries in a ledger.
 type Stats struct {
 	JobsRunning   int
 	JobsCompleted int
@@ -188,16 +189,16 @@
 	Leases        int
 	Files         int
 	Records       int
-	// ItemsWaiting and ItemsLeased count items of running jobs.
+	// ItemsWaiting and ItemsLeased cover running jobs only.
 	ItemsWaiting uint64
 	ItemsLeased  uint64
-	// ItemsRecorded counts results, ItemsUnsealed those whose references are
-	// held in memory.
+	// ItemsRecorded is the number of results, ItemsUnsealed the number of those whose
+	// references are in memory.
 	ItemsRecorded uint64
 	ItemsUnsealed uint64
 }
 
-// Stats returns the counts.
+// Stats returns the current counts.
 func (l *Ledger) Stats() Stats {
 	stats := Stats{Files: len(l.files), Records: len(l.records)}
 	for _, found := range l.jobs {
--- a/internal/ledger/records.go
+++ b/internal/ledger/records.go
@@ -9,7 +9,7 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// recordKey names an idempotency record.
+// recordKey identifies an idempotency record.
 type recordKey struct {
 	tenant string
 	key    string
@@ -22,41 +22,41 @@
 	return k.key < other.key
 }
 
-// record is an idempotency record. A record of a request that did not run stays
-// as a mark, so that a late repetition of its Begin is not granted again.
+// record is an idempotency record. The record of a request that did not run is kept, so
+// that a delayed duplicate of its BeginRequest from the same owner is not granted again.
 type record struct {
 	definition *rockwindpb.RequestRecord
-	// ended is when the record left the state started.
+	// ended is the time at which the record left the state STARTED.
 	ended int64
 }
 
-func (r *record) in(wanted rockwindpb.RecordState) bool {
+func (r *record) hasState(wanted rockwindpb.RecordState) bool {
 	return r.definition.State == wanted
 }
 
-// describe returns a copy of the record.
-func (r *record) describe() *rockwindpb.RequestRecord {
+// toProto returns a copy of the record.
+func (r *record) toProto() *rockwindpb.RequestRecord {
 	return proto.CloneOf(r.definition)
 }
 
-// begin grants the right to dispatch a request to exactly one owner.
+// begin grants one owner the exclusive right to dispatch a request.
 func (l *Ledger) begin(now int64, request *rockwindpb.BeginRequestRequest) (*rockwindpb.BeginRequestResponse, *fault.Fault) {
 	if request.GetTenant() == "" || request.GetKey() == "" || request.GetOwner() == "" {
-		return nil, fault.New(fault.InvalidArgument, "the request names no tenant, key or owner", "name all three").
+		return nil, fault.New(fault.InvalidArgument, "the request has no tenant, key or owner", "set all three").
 			WithRan(fault.NotRun)
 	}
 	key := recordKey{tenant: request.Tenant, key: request.Key}
-	found, known := l.records[key]
-	if !known || (found.in(rockwindpb.RecordState_RECORD_STATE_NOT_RUN) && found.definition.Owner != request.Owner) {
+	found, exists := l.records[key]
+	if !exists || (found.hasState(rockwindpb.RecordState_RECORD_STATE_NOT_RUN) && found.definition.Owner != request.Owner) {
 		return l.grantRecord(now, key, request), nil
 	}
 	if !bytes.Equal(found.definition.BodyDigest, request.BodyDigest) {
-		return nil, fault.Newf(fault.Conflict, "use another key for another body",
-			"idempotency key %q was used with another body", request.Key).WithRan(fault.NotRun)
+		return nil, fault.Newf(fault.Conflict, "use a new key for a different body",
+			"idempotency key %q was already used with a different body", request.Key).WithRan(fault.NotRun)
 	}
-	granted := found.in(rockwindpb.RecordState_RECORD_STATE_STARTED) &&
-		(found.definition.Owner == request.Owner || l.defects.recordGrantedTwice)
-	return &rockwindpb.BeginRequestResponse{Granted: granted, Record: found.describe()}, nil
+	granted := found.hasState(rockwindpb.RecordState_RECORD_STATE_STARTED) &&
+		(found.definition.Owner == request.Owner || l.defects.grantRecordTwice)
+	return &rockwindpb.BeginRequestResponse{Granted: granted, Record: found.toProto()}, nil
 }
 
 func (l *Ledger) grantRecord(now int64, key recordKey, request *rockwindpb.BeginRequestRequest) *rockwindpb.BeginRequestResponse {
@@ -69,22 +69,22 @@
 		StartedUnixMs: now,
 	}}
 	l.records[key] = granted
-	l.startedDue.add(now, key)
-	return &rockwindpb.BeginRequestResponse{Granted: true, Record: granted.describe()}
+	l.startedRecords.add(now, key)
+	return &rockwindpb.BeginRequestResponse{Granted: true, Record: granted.toProto()}
 }
 
-// finish records how a request ended. The first end stands for ever; an owner
-// that was given up may still deliver the answer, but may not free the key.
+// finish records the final state of a request. It does not change afterwards, except
+// from UNKNOWN to FINISHED when the owner delivers the response late.
 func (l *Ledger) finish(now int64, request *rockwindpb.FinishRequestRequest) (*rockwindpb.FinishRequestResponse, *fault.Fault) {
 	if !finalRecordState(request.GetState()) {
 		return nil, fault.Newf(fault.InvalidArgument, "report finished, not run or unknown",
-			"a request cannot end in the state %v", request.GetState())
+			"%v is not a final state of a request", request.GetState())
 	}
 	key := recordKey{tenant: request.Tenant, key: request.Key}
-	found, known := l.records[key]
-	if !known {
-		return nil, fault.Newf(fault.NotFound, "begin the request before it is dispatched; old records are dropped",
-			"there is no record under idempotency key %q", request.Key)
+	found, exists := l.records[key]
+	if !exists {
+		return nil, fault.Newf(fault.NotFound, "begin the request before dispatching it; records are dropped after their retention",
+			"there is no record for idempotency key %q", request.Key)
 	}
 	if found.definition.Owner != request.Owner {
 		return nil, fault.Newf(fault.Conflict, "only the owner that was granted the request may finish it",
@@ -93,7 +93,7 @@
 	if l.mayFinish(found, request.State) {
 		l.finishRecord(now, key, found, request)
 	}
-	return &rockwindpb.FinishRequestResponse{Record: found.describe()}, nil
+	return &rockwindpb.FinishRequestResponse{Record: found.toProto()}, nil
 }
 
 func finalRecordState(state rockwindpb.RecordState) bool {
@@ -102,12 +102,12 @@
 		state == rockwindpb.RecordState_RECORD_STATE_UNKNOWN
 }
 
-// mayFinish tells whether a record may still move to a final state.
+// mayFinish reports whether a record may still move to the given final state.
 func (l *Ledger) mayFinish(found *record, final rockwindpb.RecordState) bool {
-	if found.in(rockwindpb.RecordState_RECORD_STATE_STARTED) {
+	if found.hasState(rockwindpb.RecordState_RECORD_STATE_STARTED) {
 		return true
 	}
-	return found.in(rockwindpb.RecordState_RECORD_STATE_UNKNOWN) &&
+	return found.hasState(rockwindpb.RecordState_RECORD_STATE_UNKNOWN) &&
 		final == rockwindpb.RecordState_RECORD_STATE_FINISHED
 }
 
@@ -123,48 +123,48 @@
 
 func (l *Ledger) markEnded(now int64, key recordKey, found *record) {
 	found.ended = now
-	l.endedDue.add(now, key)
+	l.endedRecords.add(now, key)
 }
 
-// giveUpRecords turns records that stayed started for too long into unknown
-// ones, and returns how many.
-func (l *Ledger) giveUpRecords(now, timeout int64) uint32 {
+// timeOutRecords sets records that stayed started for longer than the timeout to the
+// state UNKNOWN, and returns their number.
+func (l *Ledger) timeOutRecords(now, timeout int64) uint32 {
 	if timeout <= 0 {
 		timeout = DefaultStartedTimeoutMilliseconds
 	}
-	limit, bounded := keptSince(now, timeout)
+	cutoff, bounded := retentionCutoff(now, timeout)
 	if !bounded {
 		return 0
 	}
-	given := uint32(0)
+	timedOut := uint32(0)
 	for {
-		entry, due := l.startedDue.take(limit)
+		entry, due := l.startedRecords.popDue(cutoff)
 		if !due {
-			return given
+			return timedOut
 		}
-		found, known := l.records[entry.key]
-		if !known || !found.in(rockwindpb.RecordState_RECORD_STATE_STARTED) || found.definition.StartedUnixMs != entry.time {
+		found, exists := l.records[entry.key]
+		if !exists || !found.hasState(rockwindpb.RecordState_RECORD_STATE_STARTED) || found.definition.StartedUnixMs != entry.time {
 			continue
 		}
 		found.definition.State = rockwindpb.RecordState_RECORD_STATE_UNKNOWN
-		if l.defects.blindRetry {
+		if l.defects.freeTimedOutKey {
 			found.definition.State = rockwindpb.RecordState_RECORD_STATE_NOT_RUN
 		}
 		l.markEnded(now, entry.key, found)
-		given++
+		timedOut++
 	}
 }
 
-// dropRecords removes records that ended at the limit or before.
-func (l *Ledger) dropRecords(limit int64) uint32 {
+// dropRecords removes records that ended at or before the cutoff.
+func (l *Ledger) dropRecords(cutoff int64) uint32 {
 	dropped := uint32(0)
 	for {
-		entry, due := l.endedDue.take(limit)
+		entry, due := l.endedRecords.popDue(cutoff)
 		if !due {
 			return dropped
 		}
-		found, known := l.records[entry.key]
-		if !known || found.in(rockwindpb.RecordState_RECORD_STATE_STARTED) || found.ended != entry.time {
+		found, exists := l.records[entry.key]
+		if !exists || found.hasState(rockwindpb.RecordState_RECORD_STATE_STARTED) || found.ended != entry.time {
 			continue
 		}
 		delete(l.records, entry.key)
--- a/internal/ledger/references.go
+++ b/internal/ledger/references.go
@@ -8,26 +8,26 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// References bounds the bodies that a ledger still refers to.
+// References describes which stored bodies a ledger may still refer to.
 type References struct {
-	// OldestJobUnixMs is when the oldest job that is kept was accepted; its
-	// results were stored later. It is math.MaxInt64 where there is no job.
+	// OldestJobUnixMs is the time at which the oldest retained job was accepted. All
+	// results of retained jobs are newer. It is math.MaxInt64 if there are no jobs.
 	OldestJobUnixMs int64
-	// InputSegments are the segments that hold inputs of jobs or files, sorted.
+	// InputSegments is the sorted list of segments with inputs of jobs or files.
 	InputSegments []uint64
 }
 
-// References returns what the jobs and files that are kept refer to. Bodies of
-// idempotency records are not counted: they are bounded by their retention.
+// References returns the references of the retained jobs and files. It omits the bodies
+// of idempotency records, which are kept for a fixed retention.
 func (l *Ledger) References() References {
 	oldest := int64(math.MaxInt64)
 	segments := make(map[uint64]struct{})
-	for _, kept := range l.jobs {
-		oldest = min(oldest, kept.definition.GetAcceptedUnixMs())
-		addSegments(segments, kept.definition.GetInput())
+	for _, retained := range l.jobs {
+		oldest = min(oldest, retained.definition.GetAcceptedUnixMs())
+		addSegments(segments, retained.definition.GetInput())
 	}
-	for _, kept := range l.files {
-		addSegments(segments, kept.definition.GetChunks())
+	for _, retained := range l.files {
+		addSegments(segments, retained.definition.GetChunks())
 	}
 	return References{OldestJobUnixMs: oldest, InputSegments: slices.Sorted(maps.Keys(segments))}
 }
--- a/internal/ledger/result.go
+++ b/internal/ledger/result.go
@@ -4,18 +4,20 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Sizes of the parts of a job's results, in items.
 const (
-	// chunkItems results are packed together once all of them are recorded.
+	// chunkItems is the number of items whose results are packed together once all of
+	// them are recorded.
 	chunkItems = 256
-	// BlockItems results are sealed together: their references move to a body.
+	// BlockItems is the number of items whose results are sealed together, that is,
+	// moved from memory to a stored body.
 	BlockItems = 4096
-	// minimumSealed is the number of results from which sealing saves memory.
-	minimumSealed = 64
+	// minimumSealedResults is the number of results from which sealing a block saves
+	// memory.
+	minimumSealedResults = 64
 )
 
-// storedResult is how an item ended and where its result is. The zero value
-// means that there is no result.
+// storedResult is the outcome of an item and the reference of its result body. The zero
+// value stands for an item without a result.
 type storedResult struct {
 	segment      uint64
 	offset       uint64
@@ -42,7 +44,7 @@
 	return r.outcome != rockwindpb.ItemOutcome_ITEM_OUTCOME_UNSPECIFIED
 }
 
-// final tells whether the outcome is one that a recorded item can have.
+// final reports whether the outcome is valid for a recorded item.
 func (r storedResult) final() bool {
 	return r.outcome == rockwindpb.ItemOutcome_ITEM_OUTCOME_COMPLETED ||
 		r.outcome == rockwindpb.ItemOutcome_ITEM_OUTCOME_FAILED
@@ -60,27 +62,28 @@
 	}
 }
 
-func (r storedResult) describe(item uint32) *rockwindpb.ItemResult {
+func (r storedResult) toProto(item uint32) *rockwindpb.ItemResult {
 	return &rockwindpb.ItemResult{Item: item, Outcome: r.outcome, Result: r.reference(), Tries: r.tries}
 }
 
-// resultStore holds the results of one job in blocks of BlockItems.
+// resultStore holds the results of one job in blocks of BlockItems items.
 type resultStore struct {
 	itemCount uint32
 	blocks    []resultBlock
 }
 
-// resultBlock holds results in memory, or the reference of the body that does.
+// resultBlock holds the results of a block in memory or, once sealed, the reference of
+// the stored body with the results.
 type resultBlock struct {
 	recorded uint32
 	chunks   []resultChunk
 	sealed   *rockwindpb.BodyReference
 }
 
-// resultChunk holds its results one by one until all are there, then packed.
+// resultChunk holds results unpacked until all of its items have one, then packed.
 type resultChunk struct {
 	recorded uint32
-	open     []storedResult
+	unpacked []storedResult
 	packed   []byte
 }
 
@@ -89,65 +92,65 @@
 	return resultStore{itemCount: itemCount, blocks: make([]resultBlock, blocks)}
 }
 
-// blockSize is the number of items of a block; the last one may be shorter.
+// blockSize returns the number of items of a block. The last block may be shorter.
 func (s *resultStore) blockSize(block uint32) uint32 {
 	return min(BlockItems, s.itemCount-block*BlockItems)
 }
 
-// chunkSize is the number of items of a chunk; the last one may be shorter.
+// chunkSize returns the number of items of a chunk. The last chunk may be shorter.
 func (s *resultStore) chunkSize(block, chunk uint32) uint32 {
 	return min(chunkItems, s.blockSize(block)-chunk*chunkItems)
 }
 
-// put stores the result of an item that has none.
+// put stores the result of an item that has none yet.
 func (s *resultStore) put(item uint32, stored storedResult) {
 	number := item / BlockItems
 	block := &s.blocks[number]
 	if block.chunks == nil {
 		block.chunks = make([]resultChunk, (s.blockSize(number)+chunkItems-1)/chunkItems)
 	}
-	place := item % BlockItems / chunkItems
-	chunk := &block.chunks[place]
-	size := s.chunkSize(number, place)
-	if chunk.open == nil {
-		chunk.open = make([]storedResult, size)
+	index := item % BlockItems / chunkItems
+	chunk := &block.chunks[index]
+	size := s.chunkSize(number, index)
+	if chunk.unpacked == nil {
+		chunk.unpacked = make([]storedResult, size)
 	}
-	chunk.open[item%chunkItems] = stored
+	chunk.unpacked[item%chunkItems] = stored
 	chunk.recorded++
 	block.recorded++
 	if chunk.recorded == size {
-		chunk.packed = packResults(chunk.open)
-		chunk.open = nil
+		chunk.packed = packResults(chunk.unpacked)
+		chunk.unpacked = nil
 	}
 }
 
 // read returns the results of a chunk, one for each item.
 func (c *resultChunk) read(size uint32) []storedResult {
-	if c.open != nil {
-		return c.open
+	if c.unpacked != nil {
+		return c.unpacked
 	}
 	if c.packed == nil {
 		return make([]storedResult, size)
 	}
 	results, err := unpackResults(c.packed, size)
 	if err != nil {
-		// The bytes were packed or checked by this process.
+		// Unreachable: this process packed the results.
 		return make([]storedResult, size)
 	}
 	return results
 }
 
-// readBlock returns the results of a block that is in memory.
+// readBlock returns the results of an unsealed block.
 func (s *resultStore) readBlock(number uint32) []storedResult {
 	results := make([]storedResult, 0, s.blockSize(number))
-	for place := range s.blocks[number].chunks {
-		results = append(results, s.blocks[number].chunks[place].read(s.chunkSize(number, uint32(place)))...)
+	for index := range s.blocks[number].chunks {
+		results = append(results, s.blocks[number].chunks[index].read(s.chunkSize(number, uint32(index)))...)
 	}
 	return results
 }
 
-// page returns up to limit results from an item on and where the next page
-// starts. Where the page starts in a sealed block, it returns the block instead.
+// page returns up to limit results starting at an item, and the start of the next page.
+// If the page starts in a sealed block, it returns the reference of the block instead.
 func (s *resultStore) page(from, limit uint32) *rockwindpb.ListResultsResponse {
 	response := &rockwindpb.ListResultsResponse{NextItem: from}
 	for response.NextItem < s.itemCount && uint32(len(response.Results)) < limit {
@@ -157,7 +160,7 @@
 			continue
 		}
 		if len(response.Results) == 0 {
-			response.Sealed = s.describeSealed(number)
+			response.Sealed = s.sealedToProto(number)
 			response.NextItem = number*BlockItems + s.blockSize(number)
 		}
 		break
@@ -165,7 +168,7 @@
 	return response
 }
 
-// pageBlock adds the results of a block in memory to a page.
+// pageBlock appends the results of an unsealed block to a page.
 func (s *resultStore) pageBlock(number, limit uint32, response *rockwindpb.ListResultsResponse) {
 	block := &s.blocks[number]
 	end := number*BlockItems + s.blockSize(number)
@@ -174,21 +177,21 @@
 		return
 	}
 	for response.NextItem < end && uint32(len(response.Results)) < limit {
-		place := response.NextItem % BlockItems / chunkItems
-		results := block.chunks[place].read(s.chunkSize(number, place))
+		index := response.NextItem % BlockItems / chunkItems
+		results := block.chunks[index].read(s.chunkSize(number, index))
 		for _, stored := range results[response.NextItem%chunkItems:] {
 			if uint32(len(response.Results)) == limit {
 				return
 			}
 			if stored.recorded() {
-				response.Results = append(response.Results, stored.describe(response.NextItem))
+				response.Results = append(response.Results, stored.toProto(response.NextItem))
 			}
 			response.NextItem++
 		}
 	}
 }
 
-func (s *resultStore) describeSealed(number uint32) *rockwindpb.SealedResults {
+func (s *resultStore) sealedToProto(number uint32) *rockwindpb.SealedResults {
 	sealed := s.blocks[number].sealed
 	return &rockwindpb.SealedResults{
 		FirstItem: number * BlockItems,
@@ -202,7 +205,7 @@
 	}
 }
 
-// unsealed counts the results whose references are held in memory.
+// unsealed returns the number of results whose references are in memory.
 func (s *resultStore) unsealed() uint32 {
 	total := uint32(0)
 	for index := range s.blocks {
--- a/internal/ledger/seal.go
+++ b/internal/ledger/seal.go
@@ -12,20 +12,19 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// SealableBlock is a block of results that will not change any more. Its body is
-// to be stored, and then named by a SealResultsCommand.
+// SealableBlock is a block of results that can no longer change. To seal it, store its
+// body and apply the command that Command returns.
 type SealableBlock struct {
-	// JobID is the job of the block.
 	JobID string
-	// FirstItem and ItemCount are the items of the block.
+	// FirstItem and ItemCount are the range of items of the block.
 	FirstItem uint32
 	ItemCount uint32
 	// Body holds the results in the packed encoding.
 	Body []byte
 }
 
-// Command returns the command that seals the block, once its body is stored
-// under the given reference.
+// Command returns the command that seals the block after its body was stored under the
+// given reference.
 func (b SealableBlock) Command(index *rockwindpb.BodyReference) *rockwindpb.SealResultsCommand {
 	return &rockwindpb.SealResultsCommand{
 		JobId: b.JobID,
@@ -38,7 +37,7 @@
 	}
 }
 
-// SealableBlocks returns at most limit blocks that are worth sealing.
+// SealableBlocks returns up to limit blocks that are worth sealing.
 func (l *Ledger) SealableBlocks(limit int) []SealableBlock {
 	var blocks []SealableBlock
 	for id, found := range l.jobs {
@@ -54,14 +53,14 @@
 	return blocks
 }
 
-// sealable tells whether a block is worth sealing.
+// sealable reports whether a block is worth sealing.
 func (j *job) sealable(number uint32) bool {
 	block := &j.results.blocks[number]
-	return block.sealed == nil && block.recorded >= minimumSealed && j.settled(number)
+	return block.sealed == nil && block.recorded >= minimumSealedResults && j.immutable(number)
 }
 
-// settled tells whether a block will not change any more.
-func (j *job) settled(number uint32) bool {
+// immutable reports whether the results of a block can no longer change.
+func (j *job) immutable(number uint32) bool {
 	return !j.running() || j.results.blocks[number].recorded == j.results.blockSize(number)
 }
 
@@ -74,36 +73,37 @@
 	}
 }
 
-// seal replaces the results of a block by the reference of the body that holds
-// them, provided that the body is right.
+// seal replaces the results of a block in memory with the reference of their stored
+// body. It fails with fault.Conflict if the results can still change or if the body does
+// not match them.
 func (l *Ledger) seal(command *rockwindpb.SealResultsCommand) (*rockwindpb.SealResultsResponse, *fault.Fault) {
-	found, refused := l.findJob(command.GetJobId(), "")
-	if refused != nil {
-		return nil, refused
+	found, failure := l.findJob(command.GetJobId(), "")
+	if failure != nil {
+		return nil, failure
 	}
 	first := command.GetBlock().GetFirstItem()
 	number := first / BlockItems
 	misplaced := first%BlockItems != 0 || first >= found.definition.ItemCount ||
 		command.Block.ItemCount != found.results.blockSize(number) || command.Block.Index == nil
 	if misplaced {
-		return nil, fault.Newf(fault.InvalidArgument, "seal the blocks that the ledger offers",
-			"items from %d on are no block of job %s", first, command.JobId)
+		return nil, fault.Newf(fault.InvalidArgument, "seal only blocks that SealableBlocks returned",
+			"the range of items at %d is not a block of job %s", first, command.JobId)
 	}
 	block := &found.results.blocks[number]
 	if block.sealed != nil {
 		return &rockwindpb.SealResultsResponse{}, nil
 	}
-	if block.recorded == 0 || !found.settled(number) || !matches(packResults(found.results.readBlock(number)), command) {
-		return nil, fault.Newf(fault.Conflict, "seal the block that the ledger offers now",
-			"the body for items from %d on does not hold the results of job %s", first, command.JobId)
+	if block.recorded == 0 || !found.immutable(number) || !bodyMatches(packResults(found.results.readBlock(number)), command) {
+		return nil, fault.Newf(fault.Conflict, "read the block from SealableBlocks again",
+			"the block at item %d of job %s is not ready to be sealed, or its body does not match the results", first, command.JobId)
 	}
 	block.sealed = cloneReference(command.Block.Index)
 	block.chunks = nil
 	return &rockwindpb.SealResultsResponse{Sealed: true}, nil
 }
 
-// matches tells whether a stored body is the one that the ledger computes.
-func matches(body []byte, command *rockwindpb.SealResultsCommand) bool {
+// bodyMatches reports whether the stored body described by a command equals body.
+func bodyMatches(body []byte, command *rockwindpb.SealResultsCommand) bool {
 	index := command.Block.Index
 	return uint64(index.Length) == uint64(len(body)) &&
 		index.Checksum == crc32.Checksum(body, castagnoli) &&
@@ -119,9 +119,9 @@
 	}
 }
 
-// ExpandSealed turns a page that names a sealed block into one that holds its
-// results, given the block's body. A page without a sealed block is returned as
-// it is. It fails with fault.Corrupt where the body does not fit the block.
+// ExpandSealed converts a page that refers to a sealed block into a page with the
+// results, decoded from the body of the block. A page without a sealed block is
+// returned unchanged. It fails with fault.Corrupt if the body does not match the block.
 func ExpandSealed(
 	request *rockwindpb.ListResultsRequest,
 	page *rockwindpb.ListResultsResponse,
@@ -133,7 +133,7 @@
 	results, err := unpackResults(body, page.Sealed.ItemCount)
 	if err != nil {
 		return nil, errors.WithStack(fault.New(fault.Corrupt, "a sealed block of results cannot be decoded",
-			"read it from another copy: run 'rockwind verify' on the machine"))
+			"run 'rockwind verify' on the machine and read the block from another replica"))
 	}
 	limit := pageLimit(request.Limit)
 	expanded := &rockwindpb.ListResultsResponse{NextItem: max(request.FromItem, page.Sealed.FirstItem)}
@@ -141,7 +141,7 @@
 	for expanded.NextItem < end && uint32(len(expanded.Results)) < limit {
 		stored := results[expanded.NextItem-page.Sealed.FirstItem]
 		if stored.recorded() {
-			expanded.Results = append(expanded.Results, stored.describe(expanded.NextItem))
+			expanded.Results = append(expanded.Results, stored.toProto(expanded.NextItem))
 		}
 		expanded.NextItem++
 	}
--- a/internal/ledger/snapshot.go
+++ b/internal/ledger/snapshot.go
@@ -11,10 +11,10 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// snapshotVersion is the version of the form of snapshots.
+// snapshotVersion is the version of the snapshot format.
 const snapshotVersion = 1
 
-// Snapshot returns the whole state. Equal states give equal bytes.
+// Snapshot returns the encoded state. Equal states have equal encodings.
 func (l *Ledger) Snapshot() ([]byte, error) {
 	snapshot := &rockwindpb.LedgerSnapshot{
 		Version:   snapshotVersion,
@@ -27,11 +27,11 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(l.files)) {
 		file := l.files[id]
-		snapshot.Files = append(snapshot.Files, &rockwindpb.LedgerFile{File: file.definition, KeptUnixMs: file.kept})
+		snapshot.Files = append(snapshot.Files, &rockwindpb.LedgerFile{File: file.definition, KeptUnixMs: file.retentionStart})
 	}
 	for _, key := range slices.SortedFunc(maps.Keys(l.records), compareRecordKeys) {
-		kept := l.records[key]
-		snapshot.Records = append(snapshot.Records, &rockwindpb.LedgerRecord{Record: kept.definition, EndedUnixMs: kept.ended})
+		found := l.records[key]
+		snapshot.Records = append(snapshot.Records, &rockwindpb.LedgerRecord{Record: found.definition, EndedUnixMs: found.ended})
 	}
 	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(snapshot)
 	return encoded, errors.Wrap(err, "encode the snapshot of a job shard")
@@ -42,37 +42,38 @@
 }
 
 func (j *job) snapshot() *rockwindpb.LedgerJob {
-	kept := &rockwindpb.LedgerJob{Job: j.definition, Done: j.done}
+	saved := &rockwindpb.LedgerJob{Job: j.definition, Done: j.done}
 	for _, fence := range slices.Sorted(maps.Keys(j.leases)) {
-		kept.Leases = append(kept.Leases, j.leases[fence].snapshot())
+		saved.Leases = append(saved.Leases, j.leases[fence].snapshot())
 	}
 	for _, item := range slices.Sorted(maps.Keys(j.tries)) {
-		kept.Tries = append(kept.Tries, &rockwindpb.LedgerTries{Item: item, Tries: j.tries[item]})
+		saved.Tries = append(saved.Tries, &rockwindpb.LedgerTries{Item: item, Tries: j.tries[item]})
 	}
 	for number := range j.results.blocks {
-		j.snapshotBlock(uint32(number), kept)
+		j.snapshotBlock(uint32(number), saved)
 	}
-	for _, taken := range j.samples.samples {
-		kept.Samples = append(kept.Samples, &rockwindpb.LedgerSample{UnixMs: taken.unixMs, Recorded: taken.recorded})
+	for _, measured := range j.samples.samples {
+		saved.Samples = append(saved.Samples, &rockwindpb.LedgerSample{UnixMs: measured.unixMs, Recorded: measured.recorded})
 	}
-	return kept
+	return saved
 }
 
-// snapshotBlock adds a block's reference, or its chunks that hold results.
-func (j *job) snapshotBlock(number uint32, kept *rockwindpb.LedgerJob) {
+// snapshotBlock adds the reference of a sealed block, or the non-empty chunks of an
+// unsealed one.
+func (j *job) snapshotBlock(number uint32, saved *rockwindpb.LedgerJob) {
 	block := &j.results.blocks[number]
 	if block.sealed != nil {
-		kept.Sealed = append(kept.Sealed, j.results.describeSealed(number))
+		saved.Sealed = append(saved.Sealed, j.results.sealedToProto(number))
 		return
 	}
-	for place := range block.chunks {
-		chunk := &block.chunks[place]
+	for index := range block.chunks {
+		chunk := &block.chunks[index]
 		if chunk.recorded == 0 {
 			continue
 		}
-		size := j.results.chunkSize(number, uint32(place))
-		kept.Results = append(kept.Results, &rockwindpb.LedgerResults{
-			FirstItem: number*BlockItems + uint32(place)*chunkItems,
+		size := j.results.chunkSize(number, uint32(index))
+		saved.Results = append(saved.Results, &rockwindpb.LedgerResults{
+			FirstItem: number*BlockItems + uint32(index)*chunkItems,
 			ItemCount: size,
 			Packed:    packResults(chunk.read(size)),
 		})
--- a/internal/ledger/waiting.go
+++ b/internal/ledger/waiting.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// waitingJobs indexes the jobs with waiting items by group, each group in the
-// order of granting.
+// waitingJobs is the index of jobs with waiting items: for each group, the jobs in the
+// order in which they are served.
 type waitingJobs map[string][]*job
 
-// update puts a job into the index or takes it out, as its items demand.
+// update adds a job to the index if it has waiting items, and removes it otherwise.
 func (w waitingJobs) update(changed *job) {
 	wanted := changed.waiting > 0
 	if wanted == changed.queued {
@@ -30,7 +30,7 @@
 	}
 }
 
-// before is the total order of jobs: earlierDeadline, then identifiers.
+// before defines the total order of jobs: by earlierDeadline, then by identifier.
 func before(left, right *job) bool {
 	if earlierDeadline(left.definition, right.definition) {
 		return true
@@ -41,8 +41,8 @@
 	return left.definition.Id < right.definition.Id
 }
 
-// groups returns the groups with waiting items that the filter allows, sorted
-// and rotated such that the one after last comes first.
+// groups returns the names of the allowed groups with waiting items; an empty filter
+// allows all. The names are sorted and rotated to start after last, for round-robin.
 func (w waitingJobs) groups(allowed []string, last string) []string {
 	names := make([]string, 0, len(w))
 	for name := range w {
@@ -55,7 +55,7 @@
 	return append(names[start:len(names):len(names)], names[:start]...)
 }
 
-// first returns the first job of a group that one of the models serves.
+// first returns the first job of a group that one of the models can serve, or nil.
 func (w waitingJobs) first(group string, models []string) *job {
 	for _, candidate := range w[group] {
 		if serves(models, candidate.definition.Model) {
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// serves tells whether back ends for the models can run a job that names model,
-// which may be "model:adapter".
+// serves reports whether backends with the given models can run a job for model, which
+// may have the form "model:adapter".
 func serves(models []string, model string) bool {
 	base, _, _ := strings.Cut(model, ":")
 	return slices.Contains(models, model) || slices.Contains(models, base)
