--- a/internal/returning/deadlines.go
+++ b/internal/retryafter/deadlines.go
@@ -1,4 +1,4 @@
-package returning
+package retryafter
 
 import "time"
 
--- a/internal/returning/deadlines_test.go
+++ b/internal/retryafter/deadlines_test.go
@@ -1,18 +1,18 @@
-package returning_test
+package retryafter_test
 
 import (
 	"math/rand/v2"
 	"testing"
 	"time"
 
-	"rockwind.example/rockwind/internal/returning"
+	"rockwind.example/rockwind/internal/retryafter"
 )
 
 // TestWhoComesBackIsToldByUnusualDeadlines uses a route whose clients have timeouts of 5 s or 2 s and
 // two thirds of whose attempts are retries, as under heavy overload.
 func TestWhoComesBackIsToldByUnusualDeadlines(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
-	var timeouts returning.TimeoutEstimator
+	var timeouts retryafter.TimeoutEstimator
 	for range 600 {
 		timeouts.Observe(5 * time.Second)
 		if random.IntN(4) == 0 {
@@ -37,7 +37,7 @@
 
 // TestEstimateWithFewAttempts: a router that has just started sees first attempts only.
 func TestEstimateWithFewAttempts(t *testing.T) {
-	var timeouts returning.TimeoutEstimator
+	var timeouts retryafter.TimeoutEstimator
 	for range 3 {
 		timeouts.Observe(5 * time.Second)
 	}
@@ -48,7 +48,7 @@
 
 // TestUnusedTimeoutIsForgotten: all clients of a route switch to a shorter timeout.
 func TestUnusedTimeoutIsForgotten(t *testing.T) {
-	var timeouts returning.TimeoutEstimator
+	var timeouts retryafter.TimeoutEstimator
 	for range 1000 {
 		timeouts.Observe(8 * time.Second)
 	}
--- a/internal/returning/returning.go
+++ b/internal/retryafter/retryafter.go
@@ -1,11 +1,11 @@
-// Package returning handles clients that retry after a refusal. It determines when a client made
+// Package retryafter handles clients that retry after a refusal. It determines when a client made
 // its first attempt, and when refused clients are to retry. Under overload each refused client
 // is given a different time at which capacity is expected, and then goes before clients that
 // started later. Its latency objective still counts from the first attempt: a retry after that is
 // late and goes after requests that can still meet theirs.
 //
 // The package has no clock: times are arguments.
-package returning
+package retryafter
 
 import (
 	"slices"
--- a/internal/returning/returning_test.go
+++ b/internal/retryafter/retryafter_test.go
@@ -1,10 +1,10 @@
-package returning_test
+package retryafter_test
 
 import (
 	"testing"
 	"time"
 
-	"rockwind.example/rockwind/internal/returning"
+	"rockwind.example/rockwind/internal/retryafter"
 )
 
 var now = time.Unix(1_000_000, 0)
@@ -16,24 +16,24 @@
 		0: 0, timeout: 0, 2 * timeout: 0, 4990 * time.Millisecond: 0,
 		4 * time.Second: time.Second, 500 * time.Millisecond: 4500 * time.Millisecond,
 	} {
-		if first := returning.FirstAttempt(now, timeout, remaining); now.Sub(first) != since {
+		if first := retryafter.FirstAttempt(now, timeout, remaining); now.Sub(first) != since {
 			t.Errorf("with %v of %v remaining the first attempt was %v ago, want %v", remaining, timeout, now.Sub(first), since)
 		}
 	}
 }
 
 func TestEstimateWait(t *testing.T) {
-	if after := returning.NewRate(20, 100*time.Millisecond).EstimateWait(39); after != 200*time.Millisecond {
+	if after := retryafter.NewRate(20, 100*time.Millisecond).EstimateWait(39); after != 200*time.Millisecond {
 		t.Fatalf("the wait behind 39 others is %v", after)
 	}
-	if after := returning.NewRate(0, time.Second).EstimateWait(1000); after != 0 {
+	if after := retryafter.NewRate(0, time.Second).EstimateWait(1000); after != 0 {
 		t.Fatalf("without known slots the wait is %v", after)
 	}
 }
 
 // TestPendingRetriesExpire checks that pending retries expire and are bounded.
 func TestPendingRetriesExpire(t *testing.T) {
-	var retries returning.PendingRetries
+	var retries retryafter.PendingRetries
 	for i := range 10 {
 		retries.Add(now.Add(time.Duration(i) * 100 * time.Millisecond))
 	}
@@ -51,8 +51,8 @@
 // TestRetriesStayWithinCapacity: with 300 requests a second for a capacity of 200, refused
 // clients that retry as advised must not exceed the capacity in any tenth of a second.
 func TestRetriesStayWithinCapacity(t *testing.T) {
-	rate := returning.NewRate(20, 100*time.Millisecond)
-	var retries returning.PendingRetries
+	rate := retryafter.NewRate(20, 100*time.Millisecond)
+	var retries retryafter.PendingRetries
 	arrivals := make(map[int]int)
 	for i := range 100 {
 		at := now.Add(time.Duration(i) * 10 * time.Millisecond)
--- a/internal/router/deadlines.go
+++ b/internal/router/deadlines.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"rockwind.example/rockwind/internal/returning"
+	"rockwind.example/rockwind/internal/retryafter"
 )
 
 // maxRoutes bounds the remembered routes. All are dropped beyond it, because configuration
@@ -15,7 +15,7 @@
 // and its zero value is ready to use.
 type routeTimeouts struct {
 	mutex  sync.Mutex
-	routes map[string]*returning.TimeoutEstimator
+	routes map[string]*retryafter.TimeoutEstimator
 }
 
 // totalTimeout estimates the whole timeout of a client of a route from the time that it has left.
@@ -26,11 +26,11 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.routes == nil || len(d.routes) > maxRoutes {
-		d.routes = make(map[string]*returning.TimeoutEstimator)
+		d.routes = make(map[string]*retryafter.TimeoutEstimator)
 	}
 	known := d.routes[route]
 	if known == nil {
-		known = &returning.TimeoutEstimator{}
+		known = &retryafter.TimeoutEstimator{}
 		d.routes[route] = known
 	}
 	known.Observe(remaining)
--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -16,7 +16,7 @@
 	"rockwind.example/rockwind/internal/health"
 	"rockwind.example/rockwind/internal/rateclient"
 	"rockwind.example/rockwind/internal/retry"
-	"rockwind.example/rockwind/internal/returning"
+	"rockwind.example/rockwind/internal/retryafter"
 	"rockwind.example/rockwind/internal/rockwindpb"
 	"rockwind.example/rockwind/internal/upstream"
 	"rockwind.example/rockwind/internal/waiting"
@@ -208,7 +208,7 @@
 		Service: e.service, Demand: balance.Demand{Parts: e.info.Parts}, Priority: e.priority(),
 		Tenant:  waiting.Tenant{Name: e.tenant.GetName(), Weight: e.tenant.GetWeight()},
 		StartBy: e.startBy(), Tried: e.tried, MaxWait: e.maxWait(),
-		Remaining: time.Until(e.deadline), LastAttempt: e.sent > 0 || !returning.IsFirstAttempt(e.totalTimeout, e.info.Timeout),
+		Remaining: time.Until(e.deadline), LastAttempt: e.sent > 0 || !retryafter.IsFirstAttempt(e.totalTimeout, e.info.Timeout),
 	}
 	if e.router.gates.On(gate.Returns) {
 		request.FirstAsked = e.firstAsked()
@@ -221,7 +221,7 @@
 	if !e.router.gates.On(gate.Returns) {
 		return e.received
 	}
-	return returning.FirstAttempt(e.received, e.totalTimeout, e.info.Timeout)
+	return retryafter.FirstAttempt(e.received, e.totalTimeout, e.info.Timeout)
 }
 
 func (e *exchange) priority() waiting.Priority {
@@ -288,7 +288,7 @@
 // clientMayRetry reports whether the client has all of its time left, so that a retry is still in
 // time. A client that is retrying already has to wait instead.
 func (e *exchange) clientMayRetry() bool {
-	return e.info.Timeout > 0 && returning.IsFirstAttempt(e.totalTimeout, e.info.Timeout)
+	return e.info.Timeout > 0 && retryafter.IsFirstAttempt(e.totalTimeout, e.info.Timeout)
 }
 
 // mayRetry reports whether another server may be tried.
--- a/internal/router/queue.go
+++ b/internal/router/queue.go
@@ -8,7 +8,7 @@
 	"rockwind.example/rockwind/internal/fairshare"
 	"rockwind.example/rockwind/internal/fault"
 	"rockwind.example/rockwind/internal/gate"
-	"rockwind.example/rockwind/internal/returning"
+	"rockwind.example/rockwind/internal/retryafter"
 	"rockwind.example/rockwind/internal/waiting"
 )
 
@@ -75,7 +75,7 @@
 	overloadedSince   time.Duration
 	overloadCheckedAt time.Duration
 	// pendingRetries are the times at which refused clients were told to retry.
-	pendingRetries returning.PendingRetries
+	pendingRetries retryafter.PendingRetries
 	// holdTime is the moving average of slot hold times, and holdTimeSamples the number of
 	// samples in it.
 	holdTime        time.Duration
@@ -139,7 +139,7 @@
 }
 
 // slotRate is the rate at which slots become free.
-func (p *servicePool) slotRate() returning.Rate { return returning.NewRate(p.pool.Slots(), p.holdTime) }
+func (p *servicePool) slotRate() retryafter.Rate { return retryafter.NewRate(p.pool.Slots(), p.holdTime) }
 
 // expectedWait estimates the wait of a request behind the given number of others. If capacity has
 // been short for long enough to know the shares of the tenants, it also considers the other
