--- a/internal/fairshare/flood_test.go
+++ b/internal/fairshare/flood_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"rockwind.example/rockwind/internal/fairshare"
-	"rockwind.example/rockwind/internal/waiting"
+	"rockwind.example/rockwind/internal/waitqueue"
 )
 
 // The simulated load: 75 tenants, a few of them large, at 50 routers in front of servers that are
@@ -83,7 +83,7 @@
 
 // simulatedRouter is one router with its queue.
 type simulatedRouter struct {
-	queue    waiting.Queue[request]
+	queue    waitqueue.Queue[request]
 	ledger   *fairshare.Ledger
 	reported []fairshare.Entry
 	// credit is how many requests it may start, and reportedWaiting how many waited at its last
@@ -96,7 +96,7 @@
 
 func (r *simulatedRouter) waits() map[string]int {
 	waits := make(map[string]int)
-	r.queue.Each(func(place waiting.SortKey) { waits[place.Tenant().Name]++ })
+	r.queue.Each(func(place waitqueue.SortKey) { waits[place.Tenant().Name]++ })
 	return waits
 }
 
@@ -152,7 +152,7 @@
 		router := &simulatedRouter{credit: minCredit}
 		router.ledger = s.ledger(router)
 		if policy.fair {
-			router.queue.EnableFairShare(func(place waiting.SortKey) float64 {
+			router.queue.EnableFairShare(func(place waitqueue.SortKey) float64 {
 				if !s.overloaded(router) {
 					return 0
 				}
@@ -208,8 +208,8 @@
 func (s *simulation) add(tenant, router int) {
 	s.order++
 	now := origin().Add(s.now)
-	place := waiting.NewSortKey(waiting.Priority{}, s.order, now.Add(onTimeLimit), now.Add(waitLimit)).
-		WithTenant(waiting.Tenant{Name: names[tenant]})
+	place := waitqueue.NewSortKey(waitqueue.Priority{}, s.order, now.Add(onTimeLimit), now.Add(waitLimit)).
+		WithTenant(waitqueue.Tenant{Name: names[tenant]})
 	s.routers[router].queue.Add(place, request{tenant: tenant, router: router, arrived: s.now})
 	if s.inFlood() {
 		s.asked[class(tenant)]++
@@ -303,9 +303,9 @@
 }
 
 // next returns the first request of a router that may start or has timed out, or nil.
-func (s *simulation) next(router *simulatedRouter) *waiting.Entry[request] {
-	var found *waiting.Entry[request]
-	router.queue.Walk(origin().Add(s.now), func(entry *waiting.Entry[request]) bool {
+func (s *simulation) next(router *simulatedRouter) *waitqueue.Entry[request] {
+	var found *waitqueue.Entry[request]
+	router.queue.Walk(origin().Add(s.now), func(entry *waitqueue.Entry[request]) bool {
 		if s.now-entry.Value().arrived > waitLimit || s.mayStart(router, entry.Value()) {
 			found = entry
 		}
--- a/internal/router/class.go
+++ b/internal/router/class.go
@@ -8,7 +8,7 @@
 	"rockwind.example/rockwind/internal/balance"
 	"rockwind.example/rockwind/internal/fairshare"
 	"rockwind.example/rockwind/internal/gate"
-	"rockwind.example/rockwind/internal/waiting"
+	"rockwind.example/rockwind/internal/waitqueue"
 )
 
 // minWork is the work of a request without a prompt or events, in tokens.
@@ -32,7 +32,7 @@
 
 // class returns the class of a priority and creates it if needed. Classes are never removed;
 // their number is bounded by the configured priorities.
-func (p *servicePool) class(priority waiting.Priority) *priorityClass {
+func (p *servicePool) class(priority waitqueue.Priority) *priorityClass {
 	found, known := p.classes[priority]
 	if !known {
 		name := fmt.Sprintf("%s at %d.%d", p.name, priority.Tenant, priority.Route)
@@ -49,7 +49,7 @@
 }
 
 // setWeight updates the weight of a tenant.
-func (c *priorityClass) setWeight(tenant waiting.Tenant) {
+func (c *priorityClass) setWeight(tenant waitqueue.Tenant) {
 	if tenant.Weight > 0 {
 		c.weights[tenant.Name] = tenant.Weight
 		return
@@ -59,7 +59,7 @@
 
 func (c *priorityClass) weight(tenant string) uint32 { return c.weights[tenant] }
 
-func (c *priorityClass) virtualTime(tenant waiting.Tenant, now time.Duration) float64 {
+func (c *priorityClass) virtualTime(tenant waitqueue.Tenant, now time.Duration) float64 {
 	return c.ledger.VirtualTime(tenant.Name, tenant.Weight, now)
 }
 
@@ -79,7 +79,7 @@
 
 // virtualTime returns the virtual time of a request's tenant, by which requests of one priority
 // are ordered; zero if capacity is not short.
-func (p *servicePool) virtualTime(key waiting.SortKey, now time.Duration) float64 {
+func (p *servicePool) virtualTime(key waitqueue.SortKey, now time.Duration) float64 {
 	if !p.overloaded {
 		return 0
 	}
@@ -88,7 +88,7 @@
 
 // waitingBehind returns how many requests wait at other processes for tenants with a higher
 // virtual time.
-func (c *priorityClass) waitingBehind(tenant waiting.Tenant, now time.Duration) int {
+func (c *priorityClass) waitingBehind(tenant waitqueue.Tenant, now time.Duration) int {
 	return c.ledger.RemoteWaitingBehind(c.virtualTime(tenant, now), c.weight, now)
 }
 
@@ -138,9 +138,9 @@
 }
 
 // waitingCounts counts the requests that wait here by priority and tenant.
-func (p *servicePool) waitingCounts() map[waiting.Priority]map[string]int {
-	waits := make(map[waiting.Priority]map[string]int)
-	p.waiting.Each(func(key waiting.SortKey) {
+func (p *servicePool) waitingCounts() map[waitqueue.Priority]map[string]int {
+	waits := make(map[waitqueue.Priority]map[string]int)
+	p.waiting.Each(func(key waitqueue.SortKey) {
 		if waits[key.Priority()] == nil {
 			waits[key.Priority()] = make(map[string]int)
 		}
--- a/internal/router/dispatcher.go
+++ b/internal/router/dispatcher.go
@@ -15,7 +15,7 @@
 	"rockwind.example/rockwind/internal/gate"
 	"rockwind.example/rockwind/internal/health"
 	"rockwind.example/rockwind/internal/loadshare"
-	"rockwind.example/rockwind/internal/waiting"
+	"rockwind.example/rockwind/internal/waitqueue"
 	"rockwind.example/rockwind/internal/zonedrain"
 )
 
@@ -123,11 +123,11 @@
 func (d *Dispatcher) newServicePool(name string) *servicePool {
 	created := &servicePool{
 		name: name, gates: d.gates, pool: d.newPool(name), shares: d.shares,
-		classes: make(map[waiting.Priority]*priorityClass), holdTime: defaultHoldTime,
+		classes: make(map[waitqueue.Priority]*priorityClass), holdTime: defaultHoldTime,
 		needHashes: backlog.UnmetDemandHashes(name),
 	}
 	if d.gates.On(gate.FairShare) {
-		created.waiting.EnableFairShare(func(key waiting.SortKey) float64 { return created.virtualTime(key, d.now()) })
+		created.waiting.EnableFairShare(func(key waitqueue.SortKey) float64 { return created.virtualTime(key, d.now()) })
 	}
 	return created
 }
@@ -280,7 +280,7 @@
 	})
 }
 
-func (d *Dispatcher) awaitGrant(ctx context.Context, entry *waiting.Entry[*waiter]) (*Lease, error) {
+func (d *Dispatcher) awaitGrant(ctx context.Context, entry *waitqueue.Entry[*waiter]) (*Lease, error) {
 	limit := time.NewTimer(entry.Value().request.MaxWait)
 	defer limit.Stop()
 	select {
@@ -294,7 +294,7 @@
 
 // stopWaiting removes a request from the queue. One whose client has disconnected or timed out is
 // not expected to retry.
-func (d *Dispatcher) stopWaiting(ctx context.Context, entry *waiting.Entry[*waiter]) (*Lease, error) {
+func (d *Dispatcher) stopWaiting(ctx context.Context, entry *waitqueue.Entry[*waiter]) (*Lease, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	service := entry.Value().request.Service
@@ -337,16 +337,16 @@
 // firstWithCapacity returns the first waiting request that finds capacity. A request that has
 // tried the servers with capacity does not block those behind it, and no request blocks the first
 // of the same priority that may overcommit. The caller holds d.mutex.
-func (d *Dispatcher) firstWithCapacity(pool *servicePool) (served *waiting.Entry[*waiter], given grant) {
+func (d *Dispatcher) firstWithCapacity(pool *servicePool) (served *waitqueue.Entry[*waiter], given grant) {
 	now := time.Now()
-	try := func(entry *waiting.Entry[*waiter]) bool {
+	try := func(entry *waitqueue.Entry[*waiter]) bool {
 		var found bool
 		if given, found = d.choose(pool, entry.Value().request); found {
 			served = entry
 		}
 		return found
 	}
-	pool.waiting.Walk(now, func(entry *waiting.Entry[*waiter]) bool {
+	pool.waiting.Walk(now, func(entry *waitqueue.Entry[*waiter]) bool {
 		return !try(entry) && len(entry.Value().request.Tried) > 0
 	})
 	if served != nil || pool.waiting.Len() == 0 || !pool.pool.Paced() {
--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -19,7 +19,7 @@
 	"rockwind.example/rockwind/internal/retryafter"
 	"rockwind.example/rockwind/internal/rockwindpb"
 	"rockwind.example/rockwind/internal/upstream"
-	"rockwind.example/rockwind/internal/waiting"
+	"rockwind.example/rockwind/internal/waitqueue"
 )
 
 const (
@@ -206,7 +206,7 @@
 func (e *exchange) acquireRequest() AcquireRequest {
 	request := AcquireRequest{
 		Service: e.service, Demand: balance.Demand{Parts: e.info.Parts}, Priority: e.priority(),
-		Tenant:  waiting.Tenant{Name: e.tenant.GetName(), Weight: e.tenant.GetWeight()},
+		Tenant:  waitqueue.Tenant{Name: e.tenant.GetName(), Weight: e.tenant.GetWeight()},
 		StartBy: e.startBy(), Tried: e.tried, MaxWait: e.maxWait(),
 		Remaining: time.Until(e.deadline), LastAttempt: e.sent > 0 || !retryafter.IsFirstAttempt(e.totalTimeout, e.info.Timeout),
 	}
@@ -224,8 +224,8 @@
 	return retryafter.FirstAttempt(e.received, e.totalTimeout, e.info.Timeout)
 }
 
-func (e *exchange) priority() waiting.Priority {
-	return waiting.Priority{Tenant: e.tenant.GetPriority(), Route: e.route.GetPriority()}
+func (e *exchange) priority() waitqueue.Priority {
+	return waitqueue.Priority{Tenant: e.tenant.GetPriority(), Route: e.route.GetPriority()}
 }
 
 // maxWait returns how long the request may wait from now.
--- a/internal/router/queue.go
+++ b/internal/router/queue.go
@@ -9,7 +9,7 @@
 	"rockwind.example/rockwind/internal/fault"
 	"rockwind.example/rockwind/internal/gate"
 	"rockwind.example/rockwind/internal/retryafter"
-	"rockwind.example/rockwind/internal/waiting"
+	"rockwind.example/rockwind/internal/waitqueue"
 )
 
 const (
@@ -35,8 +35,8 @@
 type AcquireRequest struct {
 	Service  string
 	Demand   balance.Demand
-	Priority waiting.Priority
-	Tenant   waiting.Tenant
+	Priority waitqueue.Priority
+	Tenant   waitqueue.Tenant
 	// FirstAsked is when the client first sent the request, including earlier refusals; zero is
 	// unknown.
 	FirstAsked time.Time
@@ -54,8 +54,8 @@
 }
 
 // sortKey returns the key that orders the request in the queue.
-func (a AcquireRequest) sortKey(arrival uint64, now time.Time) waiting.SortKey {
-	return waiting.NewSortKey(a.Priority, arrival, a.StartBy, now.Add(a.MaxWait)).WithTenant(a.Tenant).WithFirstAttempt(a.FirstAsked)
+func (a AcquireRequest) sortKey(arrival uint64, now time.Time) waitqueue.SortKey {
+	return waitqueue.NewSortKey(a.Priority, arrival, a.StartBy, now.Add(a.MaxWait)).WithTenant(a.Tenant).WithFirstAttempt(a.FirstAsked)
 }
 
 // servicePool is the pool of one service with its queue.
@@ -64,11 +64,11 @@
 	gates   gate.Set
 	pool    *balance.Pool
 	shares  *balance.SharedLoads
-	waiting waiting.Queue[*waiter]
+	waiting waitqueue.Queue[*waiter]
 	// rechecking is set while a recheck of the queue is scheduled.
 	rechecking bool
 	// classes are the priority classes, within which tenants share capacity.
-	classes map[waiting.Priority]*priorityClass
+	classes map[waitqueue.Priority]*priorityClass
 	// overloaded is set if capacity is short, so that tenants share it. overloadedSince is when
 	// that began, and overloadCheckedAt when it was last checked.
 	overloaded        bool
@@ -99,7 +99,7 @@
 // waiter is a waiting request.
 type waiter struct {
 	request      AcquireRequest
-	key          waiting.SortKey
+	key          waitqueue.SortKey
 	waitingSince time.Time
 	granted      chan grant
 }
@@ -116,7 +116,7 @@
 }
 
 // aheadElsewhere estimates how many requests at other processes are ahead of the given key.
-func (p *servicePool) aheadElsewhere(key waiting.SortKey, elapsed time.Duration) int {
+func (p *servicePool) aheadElsewhere(key waitqueue.SortKey, elapsed time.Duration) int {
 	count := p.shares.At(balance.QueueHash(p.name)).Inflight
 	if p.gates.On(gate.Returns) {
 		count -= p.lowerElsewhere(key.Priority())
@@ -128,7 +128,7 @@
 }
 
 // lowerElsewhere returns how many requests of known lower priorities wait at other processes.
-func (p *servicePool) lowerElsewhere(priority waiting.Priority) int {
+func (p *servicePool) lowerElsewhere(priority waitqueue.Priority) int {
 	count := 0
 	for other, class := range p.classes {
 		if priority.Before(other) {
--- a/internal/router/queue_test.go
+++ b/internal/router/queue_test.go
@@ -14,13 +14,13 @@
 	"rockwind.example/rockwind/internal/health"
 	"rockwind.example/rockwind/internal/loadshare"
 	"rockwind.example/rockwind/internal/router"
-	"rockwind.example/rockwind/internal/waiting"
+	"rockwind.example/rockwind/internal/waitqueue"
 )
 
 // requestOf returns a request of a tenant with the given maximum wait.
 func requestOf(tenant string, maxWait time.Duration) router.AcquireRequest {
 	return router.AcquireRequest{
-		Service: "app", Tenant: waiting.Tenant{Name: tenant}, StartBy: time.Now().Add(time.Second), MaxWait: maxWait,
+		Service: "app", Tenant: waitqueue.Tenant{Name: tenant}, StartBy: time.Now().Add(time.Second), MaxWait: maxWait,
 	}
 }
 
@@ -164,7 +164,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		here, there := newQueueTest(t, 2), newQueueTest(t, 2)
 		lower := requestOf("", time.Minute)
-		lower.Priority = waiting.Priority{Route: 1}
+		lower.Priority = waitqueue.Priority{Route: 1}
 		for range 6 {
 			here.addWaiter(lower)
 			there.addWaiter(lower)
@@ -184,7 +184,7 @@
 
 func lowPriorityRequest(maxWait time.Duration) router.AcquireRequest {
 	request := requestOf("", maxWait)
-	request.Priority = waiting.Priority{Route: 1}
+	request.Priority = waitqueue.Priority{Route: 1}
 	return request
 }
 
--- a/internal/waiting/waiting.go
+++ b/internal/waitqueue/waitqueue.go
@@ -1,4 +1,4 @@
-// Package waiting orders the online requests that wait in one process for a server. Requests that
+// Package waitqueue orders the online requests that wait in one process for a server. Requests that
 // can still meet their latency objective go before late ones, so that late work delays no other
 // work. A late request that is about to time out goes before others of its priority. With fair
 // share, requests of equal rank are ordered by their tenants' virtual times, and a late request
@@ -6,7 +6,7 @@
 // the late requests of a flooding tenant must not overtake the others.
 //
 // The package has no clock: times are arguments.
-package waiting
+package waitqueue
 
 import (
 	"cmp"
--- a/internal/waiting/waiting_test.go
+++ b/internal/waitqueue/waitqueue_test.go
@@ -1,11 +1,11 @@
-package waiting_test
+package waitqueue_test
 
 import (
 	"slices"
 	"testing"
 	"time"
 
-	"rockwind.example/rockwind/internal/waiting"
+	"rockwind.example/rockwind/internal/waitqueue"
 )
 
 const long = 2 * time.Second
@@ -14,19 +14,19 @@
 
 // testKeys returns the keys of a late request, one that can still be in time, one that is about to
 // time out, and one of lower priority.
-func testKeys() (late, timely, urgent, lower waiting.SortKey) {
-	normal := waiting.Priority{}
-	late = waiting.NewSortKey(normal, 1, now.Add(-time.Second), now.Add(long))
-	timely = waiting.NewSortKey(normal, 2, now.Add(100*time.Millisecond), now.Add(long))
-	urgent = waiting.NewSortKey(normal, 3, now.Add(-time.Second), now.Add(100*time.Millisecond))
-	lower = waiting.NewSortKey(waiting.Priority{Tenant: 1}, 0, now.Add(long), now.Add(long))
+func testKeys() (late, timely, urgent, lower waitqueue.SortKey) {
+	normal := waitqueue.Priority{}
+	late = waitqueue.NewSortKey(normal, 1, now.Add(-time.Second), now.Add(long))
+	timely = waitqueue.NewSortKey(normal, 2, now.Add(100*time.Millisecond), now.Add(long))
+	urgent = waitqueue.NewSortKey(normal, 3, now.Add(-time.Second), now.Add(100*time.Millisecond))
+	lower = waitqueue.NewSortKey(waitqueue.Priority{Tenant: 1}, 0, now.Add(long), now.Add(long))
 	return late, timely, urgent, lower
 }
 
 // TestRequestsThatCanBeInTimeGoBeforeLateOnes also checks that urgent requests go before both.
 func TestRequestsThatCanBeInTimeGoBeforeLateOnes(t *testing.T) {
 	late, timely, urgent, lower := testKeys()
-	queue := waiting.Queue[string]{}
+	queue := waitqueue.Queue[string]{}
 	queue.Add(lower, "lower")
 	queue.Add(late, "late")
 	queue.Add(timely, "timely")
@@ -49,7 +49,7 @@
 // TestOrderFollowsTheTime: a request falls behind once it can no longer be in time.
 func TestOrderFollowsTheTime(t *testing.T) {
 	late, timely, _, _ := testKeys()
-	queue := waiting.Queue[string]{}
+	queue := waitqueue.Queue[string]{}
 	queue.Add(late, "late")
 	queue.Add(timely, "timely")
 	if first := queue.First(now).Value(); first != "timely" {
@@ -62,9 +62,9 @@
 
 func TestEarlierRequestGoesFirstAmongEqualOnes(t *testing.T) {
 	_, timely, _, _ := testKeys()
-	next := waiting.NewSortKey(waiting.Priority{}, 5, now.Add(100*time.Millisecond), now.Add(long))
-	for _, order := range [][]waiting.SortKey{{timely, next}, {next, timely}} {
-		queue := waiting.Queue[waiting.SortKey]{}
+	next := waitqueue.NewSortKey(waitqueue.Priority{}, 5, now.Add(100*time.Millisecond), now.Add(long))
+	for _, order := range [][]waitqueue.SortKey{{timely, next}, {next, timely}} {
+		queue := waitqueue.Queue[waitqueue.SortKey]{}
 		for _, key := range order {
 			queue.Add(key, key)
 		}
@@ -77,7 +77,7 @@
 // TestNewcomerGoesBeforeLateRequests but not before those of a higher priority.
 func TestNewcomerGoesBeforeLateRequests(t *testing.T) {
 	late, timely, _, lower := testKeys()
-	queue := waiting.Queue[string]{}
+	queue := waitqueue.Queue[string]{}
 	if queue.CountAhead(lower, now) != 0 {
 		t.Fatal("requests wait ahead in an empty queue")
 	}
@@ -90,10 +90,10 @@
 // TestEarlierFirstAttemptGoesFirst among requests that can be in time, but a late retry does
 // not.
 func TestEarlierFirstAttemptGoesFirst(t *testing.T) {
-	key := func(arrival uint64, firstAttempt, onTimeUntil time.Duration) waiting.SortKey {
-		return waiting.NewSortKey(waiting.Priority{}, arrival, now.Add(onTimeUntil), now.Add(long)).WithFirstAttempt(now.Add(firstAttempt))
+	key := func(arrival uint64, firstAttempt, onTimeUntil time.Duration) waitqueue.SortKey {
+		return waitqueue.NewSortKey(waitqueue.Priority{}, arrival, now.Add(onTimeUntil), now.Add(long)).WithFirstAttempt(now.Add(firstAttempt))
 	}
-	queue := waiting.Queue[string]{}
+	queue := waitqueue.Queue[string]{}
 	queue.Add(key(1, -10*time.Millisecond, 240*time.Millisecond), "new")
 	queue.Add(key(2, -100*time.Millisecond, 150*time.Millisecond), "retry in time")
 	queue.Add(key(3, -time.Second, -750*time.Millisecond), "late retry")
@@ -108,13 +108,13 @@
 
 // floodQueue returns a queue with late, urgent requests of a flooding tenant, and fair share by
 // fixed virtual times.
-func floodQueue() *waiting.Queue[string] {
+func floodQueue() *waitqueue.Queue[string] {
 	usage := map[string]float64{"flood": 9000, "small": 40}
-	queue := &waiting.Queue[string]{}
-	queue.EnableFairShare(func(key waiting.SortKey) float64 { return usage[key.Tenant().Name] })
+	queue := &waitqueue.Queue[string]{}
+	queue.EnableFairShare(func(key waitqueue.SortKey) float64 { return usage[key.Tenant().Name] })
 	for arrival := range uint64(20) {
-		key := waiting.NewSortKey(waiting.Priority{}, arrival, now.Add(-time.Second), now.Add(100*time.Millisecond))
-		queue.Add(key.WithTenant(waiting.Tenant{Name: "flood"}), "flood")
+		key := waitqueue.NewSortKey(waitqueue.Priority{}, arrival, now.Add(-time.Second), now.Add(100*time.Millisecond))
+		queue.Add(key.WithTenant(waitqueue.Tenant{Name: "flood"}), "flood")
 	}
 	return queue
 }
@@ -123,7 +123,7 @@
 // that overtake the timely ones of all others.
 func TestUrgentFloodDoesNotOvertakeOthers(t *testing.T) {
 	queue := floodQueue()
-	small := waiting.NewSortKey(waiting.Priority{}, 99, now.Add(long), now.Add(long)).WithTenant(waiting.Tenant{Name: "small"})
+	small := waitqueue.NewSortKey(waitqueue.Priority{}, 99, now.Add(long), now.Add(long)).WithTenant(waitqueue.Tenant{Name: "small"})
 	if ahead := queue.CountAhead(small, now); ahead != 0 {
 		t.Fatalf("%d requests of the flooding tenant go before one of a light tenant", ahead)
 	}
@@ -136,7 +136,7 @@
 // TestFloodAloneKeepsItsOrder: urgent requests go first if no other tenant waits.
 func TestFloodAloneKeepsItsOrder(t *testing.T) {
 	queue := floodQueue()
-	timely := waiting.NewSortKey(waiting.Priority{}, 99, now.Add(long), now.Add(long)).WithTenant(waiting.Tenant{Name: "flood"})
+	timely := waitqueue.NewSortKey(waitqueue.Priority{}, 99, now.Add(long), now.Add(long)).WithTenant(waitqueue.Tenant{Name: "flood"})
 	if ahead := queue.CountAhead(timely, now); ahead != 20 {
 		t.Fatalf("%d urgent requests go first", ahead)
 	}
@@ -145,7 +145,7 @@
 // TestPriorityGoesBeforeShare: tenants share only within one priority.
 func TestPriorityGoesBeforeShare(t *testing.T) {
 	queue := floodQueue()
-	lower := waiting.NewSortKey(waiting.Priority{Tenant: 1}, 99, now.Add(long), now.Add(long)).WithTenant(waiting.Tenant{Name: "small"})
+	lower := waitqueue.NewSortKey(waitqueue.Priority{Tenant: 1}, 99, now.Add(long), now.Add(long)).WithTenant(waitqueue.Tenant{Name: "small"})
 	if ahead := queue.CountAhead(lower, now); ahead != 20 {
 		t.Fatalf("%d of 20 of a higher priority go first", ahead)
 	}
@@ -154,14 +154,14 @@
 // TestWalkVisitsInOrderUntilItIsEnded, in the order in which requests would be removed.
 func TestWalkVisitsInOrderUntilItIsEnded(t *testing.T) {
 	late, timely, urgent, lower := testKeys()
-	queue := waiting.Queue[string]{}
-	for value, key := range map[string]waiting.SortKey{"lower": lower, "late": late, "timely": timely, "urgent": urgent} {
+	queue := waitqueue.Queue[string]{}
+	for value, key := range map[string]waitqueue.SortKey{"lower": lower, "late": late, "timely": timely, "urgent": urgent} {
 		queue.Add(key, value)
 	}
 	want := []string{"urgent", "timely", "late", "lower"}
 	for most := range len(want) {
 		var visited []string
-		queue.Walk(now, func(entry *waiting.Entry[string]) bool {
+		queue.Walk(now, func(entry *waitqueue.Entry[string]) bool {
 			visited = append(visited, entry.Value())
 			return len(visited) <= most
 		})
@@ -169,7 +169,7 @@
 			t.Fatalf("%v are visited, want %v", visited, want[:most+1])
 		}
 	}
-	queue.Walk(now, func(entry *waiting.Entry[string]) bool {
+	queue.Walk(now, func(entry *waitqueue.Entry[string]) bool {
 		want = want[1:]
 		return true
 	})
