--- a/internal/relief/relief.go
+++ b/internal/overload/overload.go
@@ -1,4 +1,4 @@
-// Package relief decides when an overloaded router sends clients to other routers, and how.
+// Package overload decides when an overloaded router sends clients to other routers, and how.
 //
 // Load is uneven: clients choose routers by a hash, and the processors and links of the
 // machines in a zone differ by up to a factor of three. An overloaded router delays all of its
@@ -13,7 +13,7 @@
 // any moment at most a quarter of a zone's routers have their turn, and none in a small zone.
 //
 // Detector is not safe for concurrent use.
-package relief
+package overload
 
 import "time"
 
--- a/internal/relief/relief_test.go
+++ b/internal/overload/overload_test.go
@@ -1,29 +1,29 @@
-package relief_test
+package overload_test
 
 import (
 	"testing"
 	"time"
 
-	"rockwind.example/rockwind/internal/relief"
+	"rockwind.example/rockwind/internal/overload"
 )
 
 var (
 	clock = time.UnixMilli(1_000_000)
-	calm  = relief.Sample{TimerDelay: time.Millisecond, InProgress: 10}
-	late  = relief.Sample{TimerDelay: 2 * relief.MaxTimerDelay, InProgress: 10}
-	zone  = relief.ZonePosition{Position: 0, Routers: 24}
+	calm  = overload.Sample{TimerDelay: time.Millisecond, InProgress: 10}
+	late  = overload.Sample{TimerDelay: 2 * overload.MaxTimerDelay, InProgress: 10}
+	zone  = overload.ZonePosition{Position: 0, Routers: 24}
 )
 
 // observe feeds a detector the same sample for a while. It returns the last advice and for how
 // long clients were asked to reconnect and the router was not ready.
-func observe(detector *relief.Detector, sample relief.Sample, of relief.ZonePosition, from time.Time, length time.Duration) (last relief.Advice, closed, unready time.Duration) {
-	for passed := time.Duration(0); passed < length; passed += relief.Interval {
+func observe(detector *overload.Detector, sample overload.Sample, of overload.ZonePosition, from time.Time, length time.Duration) (last overload.Advice, closed, unready time.Duration) {
+	for passed := time.Duration(0); passed < length; passed += overload.Interval {
 		last = detector.Observe(sample, of, from.Add(passed))
 		if last.Close {
-			closed += relief.Interval
+			closed += overload.Interval
 		}
 		if last.Unready {
-			unready += relief.Interval
+			unready += overload.Interval
 		}
 	}
 	return last, closed, unready
@@ -32,13 +32,13 @@
 // TestNormalLoadGivesNoAdvice: small timer delays, a few slow clients and single long delays
 // must be ignored.
 func TestNormalLoadGivesNoAdvice(t *testing.T) {
-	var detector relief.Detector
+	var detector overload.Detector
 	for i := range 10 * 60 * 60 {
-		sample := relief.Sample{TimerDelay: time.Duration(i%20) * time.Millisecond, MemoryFraction: 0.2, DescriptorFraction: 0.3, InProgress: 30, Behind: 3, SendTime: 300 * time.Millisecond}
+		sample := overload.Sample{TimerDelay: time.Duration(i%20) * time.Millisecond, MemoryFraction: 0.2, DescriptorFraction: 0.3, InProgress: 30, Behind: 3, SendTime: 300 * time.Millisecond}
 		if i%4 == 0 {
 			sample.TimerDelay = 100 * time.Millisecond
 		}
-		if advice := detector.Observe(sample, zone, clock.Add(time.Duration(i)*relief.Interval)); advice != (relief.Advice{}) {
+		if advice := detector.Observe(sample, zone, clock.Add(time.Duration(i)*overload.Interval)); advice != (overload.Advice{}) {
 			t.Fatalf("sample %d causes %+v", i, advice)
 		}
 	}
@@ -47,7 +47,7 @@
 // TestFreezeOfSecondsGivesNoAdvice: one timer is late by the whole freeze, and the timers of the
 // next half second are late while the backlog is processed.
 func TestFreezeOfSecondsGivesNoAdvice(t *testing.T) {
-	var detector relief.Detector
+	var detector overload.Detector
 	observe(&detector, calm, zone, clock, 5*time.Second)
 	frozen := calm
 	frozen.TimerDelay = 4 * time.Second
@@ -62,18 +62,18 @@
 // TestSlowedMachineSendsClientsAwayUntilItRecovers: it must first ask clients to reconnect, then
 // also report itself as not ready in its turn, and accept all clients again after it recovers.
 func TestSlowedMachineSendsClientsAwayUntilItRecovers(t *testing.T) {
-	var detector relief.Detector
+	var detector overload.Detector
 	observe(&detector, calm, zone, clock, 5*time.Second)
 	slowed := clock.Add(5 * time.Second)
 	last, closed, unready := observe(&detector, late, zone, slowed, 30*time.Second)
-	if last.Shortage != relief.Processor || closed < 27*time.Second {
+	if last.Shortage != overload.Processor || closed < 27*time.Second {
 		t.Errorf("clients were asked to reconnect for %v, %+v", closed, last)
 	}
 	if unready < 4*time.Second || unready > 12*time.Second {
 		t.Errorf("not ready for %v of 30 s", unready)
 	}
 	last, closed, _ = observe(&detector, calm, zone, slowed.Add(30*time.Second), 10*time.Second)
-	if last != (relief.Advice{}) || closed > 7*time.Second {
+	if last != (overload.Advice{}) || closed > 7*time.Second {
 		t.Errorf("10 s after recovery, with clients asked to reconnect for %v: %+v", closed, last)
 	}
 }
@@ -82,12 +82,12 @@
 // stay ready at any moment, and all of them in a small zone.
 func TestOverloadedZoneStaysMostlyReady(t *testing.T) {
 	for _, routers := range []int{1, 2, 3, 4, 5, 7, 24, 28} {
-		detectors := make([]relief.Detector, routers)
+		detectors := make([]overload.Detector, routers)
 		most := 0
-		for passed := time.Duration(0); passed < time.Minute; passed += relief.Interval {
+		for passed := time.Duration(0); passed < time.Minute; passed += overload.Interval {
 			unready := 0
 			for position := range detectors {
-				if detectors[position].Observe(late, relief.ZonePosition{Position: position, Routers: routers}, clock.Add(passed)).Unready {
+				if detectors[position].Observe(late, overload.ZonePosition{Position: position, Routers: routers}, clock.Add(passed)).Unready {
 					unready++
 				}
 			}
@@ -101,19 +101,19 @@
 
 func TestEachShortageIsDetected(t *testing.T) {
 	for _, each := range []struct {
-		want   relief.Shortage
-		sample relief.Sample
+		want   overload.Shortage
+		sample overload.Sample
 	}{
-		{relief.Processor, late},
-		{relief.Memory, relief.Sample{MemoryFraction: 0.8}},
-		{relief.Descriptors, relief.Sample{DescriptorFraction: 0.9}},
-		{relief.Link, relief.Sample{SendTime: 200 * time.Millisecond, InProgress: 20, Behind: 15}},
+		{overload.Processor, late},
+		{overload.Memory, overload.Sample{MemoryFraction: 0.8}},
+		{overload.Descriptors, overload.Sample{DescriptorFraction: 0.9}},
+		{overload.Link, overload.Sample{SendTime: 200 * time.Millisecond, InProgress: 20, Behind: 15}},
 		// Only some of the clients are slow.
-		{relief.None, relief.Sample{SendTime: 200 * time.Millisecond, InProgress: 40, Behind: 15}},
+		{overload.None, overload.Sample{SendTime: 200 * time.Millisecond, InProgress: 40, Behind: 15}},
 		// A few slow clients of an idle router.
-		{relief.None, relief.Sample{SendTime: 2 * time.Second, Behind: 3}},
+		{overload.None, overload.Sample{SendTime: 2 * time.Second, Behind: 3}},
 	} {
-		var detector relief.Detector
+		var detector overload.Detector
 		if last, _, _ := observe(&detector, each.sample, zone, clock, 3*time.Second); last.Shortage != each.want {
 			t.Errorf("%+v is reported as a shortage of %q", each.sample, last.Shortage)
 		}
--- a/internal/router/relief.go
+++ b/internal/router/relief.go
@@ -13,7 +13,7 @@
 	"rockwind.example/rockwind/internal/clientconn"
 	"rockwind.example/rockwind/internal/decision"
 	"rockwind.example/rockwind/internal/gate"
-	"rockwind.example/rockwind/internal/relief"
+	"rockwind.example/rockwind/internal/overload"
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
@@ -35,15 +35,15 @@
 	enabled     bool
 	name, zone  string
 	descriptors int
-	judge       relief.Detector
+	judge       overload.Detector
 	// inProgress counts running requests, and closed the requests whose clients were told to
 	// close their connections.
 	inProgress, closed atomic.Int64
 	closing, unready   atomic.Bool
-	lack               relief.Shortage
+	lack               overload.Shortage
 	usage              clientconn.Usage
 	// position is the router's position in its zone, looked up at positionedAt.
-	position     relief.ZonePosition
+	position     overload.ZonePosition
 	positionedAt time.Time
 }
 
@@ -61,7 +61,7 @@
 	}
 	due := time.Now()
 	for {
-		due = due.Add(relief.Interval)
+		due = due.Add(overload.Interval)
 		timer := time.NewTimer(time.Until(due))
 		select {
 		case <-ctx.Done():
@@ -76,23 +76,23 @@
 }
 
 // sample measures the load of the router. The delay is that of its timer.
-func (r *reliefController) sample(delay time.Duration) relief.Sample {
+func (r *reliefController) sample(delay time.Duration) overload.Sample {
 	before := r.usage
 	r.usage = r.router.buffers.Usage()
-	sample := relief.Sample{
+	sample := overload.Sample{
 		TimerDelay: delay, MemoryFraction: r.usage.Fraction(), InProgress: int(r.inProgress.Load()), Behind: r.usage.Readers,
 	}
 	if r.descriptors > 0 {
 		sample.DescriptorFraction = float64(descriptorsPerClient*r.usage.Open) / float64(r.descriptors)
 	}
 	if taken := r.usage.Taken - before.Taken; taken > 0 {
-		sample.SendTime = time.Duration(float64(relief.Interval+delay) * float64(r.usage.Unread) / float64(taken))
+		sample.SendTime = time.Duration(float64(overload.Interval+delay) * float64(r.usage.Unread) / float64(taken))
 	}
 	return sample
 }
 
 // apply acts on a sample.
-func (r *reliefController) apply(sample relief.Sample, now time.Time) {
+func (r *reliefController) apply(sample overload.Sample, now time.Time) {
 	if r.closing.Load() && now.Sub(r.positionedAt) >= positionInterval {
 		r.position, r.positionedAt = r.zonePosition(), now
 	}
@@ -112,9 +112,9 @@
 
 // zonePosition returns this router's position among the routers of its zone, ordered by name, or
 // a zero Zone if the directory is out of date.
-func (r *reliefController) zonePosition() relief.ZonePosition {
+func (r *reliefController) zonePosition() overload.ZonePosition {
 	if time.Since(r.router.watcher.LastHeard()) > maxDirectoryAge {
-		return relief.ZonePosition{}
+		return overload.ZonePosition{}
 	}
 	var names []string
 	for _, machine := range r.router.watcher.Directory().WithRole(rockwindpb.SiteRole_SITE_ROLE_ROUTER) {
@@ -125,9 +125,9 @@
 	slices.Sort(names)
 	position := slices.Index(names, r.name)
 	if position < 0 {
-		return relief.ZonePosition{}
+		return overload.ZonePosition{}
 	}
-	return relief.ZonePosition{Position: position, Routers: len(names)}
+	return overload.ZonePosition{Position: position, Routers: len(names)}
 }
 
 // handler counts requests and, while the router is overloaded, tells some clients to close their
@@ -136,7 +136,7 @@
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		r.inProgress.Add(1)
 		defer r.inProgress.Add(-1)
-		if r.closing.Load() && rand.IntN(relief.CloseOneIn) == 0 {
+		if r.closing.Load() && rand.IntN(overload.CloseOneIn) == 0 {
 			r.closed.Add(1)
 			writer.Header().Set("Connection", "close")
 		}
