--- a/internal/gate/gate.go
+++ b/internal/featuregate/featuregate.go
@@ -1,7 +1,7 @@
-// Package gate defines the feature gates of a site: mechanisms that an operator can switch off in
+// Package featuregate defines the feature gates of a site: mechanisms that an operator can switch off in
 // the settings. All gates are on by default; with a gate off, the simpler behavior beneath it
 // applies. Mechanisms that guarantees to callers depend on have no gate.
-package gate
+package featuregate
 
 import (
 	"slices"
--- a/internal/router/batchshare_test.go
+++ b/internal/router/batchshare_test.go
@@ -9,7 +9,7 @@
 
 	"rockwind.example/rockwind/internal/backlog"
 	"rockwind.example/rockwind/internal/balance"
-	"rockwind.example/rockwind/internal/gate"
+	"rockwind.example/rockwind/internal/featuregate"
 	"rockwind.example/rockwind/internal/loadshare"
 	"rockwind.example/rockwind/internal/rockwindpb"
 	"rockwind.example/rockwind/internal/router"
@@ -52,7 +52,7 @@
 // TestBatchUseCountsAllShards checks that usage counts other shards of the same store and other
 // stores, and that an item of a tenant with high usage leaves capacity to one with none.
 func TestBatchUseCountsAllShards(t *testing.T) {
-	here, there := newDispatcher(8, gate.Set{}), newDispatcher(8, gate.Set{})
+	here, there := newDispatcher(8, featuregate.Set{}), newDispatcher(8, featuregate.Set{})
 	here.SetBatchLoad(1, shardLoadOf(itemsOf("everywhere", 30), 50, 42))
 	there.SetBatchLoad(2, shardLoadOf(itemsOf("everywhere", 10), 6, 0))
 	here.LoadSource().Take(digestOf(there, "there", 1))
@@ -79,7 +79,7 @@
 // TestTenantsAreNotSharedWithoutWaitingItems checks that running items alone add nothing to the
 // digest.
 func TestTenantsAreNotSharedWithoutWaitingItems(t *testing.T) {
-	store := newDispatcher(8, gate.Set{})
+	store := newDispatcher(8, featuregate.Set{})
 	before := len(digestOf(store, "store", 1).GetServers())
 	store.SetBatchLoad(1, backlog.NewShardLoad(itemsOf("tenant", 40)))
 	if after := len(digestOf(store, "store", 2).GetServers()); after != before {
--- a/internal/router/charge_test.go
+++ b/internal/router/charge_test.go
@@ -6,7 +6,7 @@
 	"testing/synctest"
 	"time"
 
-	"rockwind.example/rockwind/internal/gate"
+	"rockwind.example/rockwind/internal/featuregate"
 	"rockwind.example/rockwind/internal/router"
 )
 
@@ -32,7 +32,7 @@
 		{(*router.Lease).Abandon, "[busy unlucky]"},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			c := &queueTest{t: t, dispatcher: newDispatcher(1, gate.Set{})}
+			c := &queueTest{t: t, dispatcher: newDispatcher(1, featuregate.Set{})}
 			for range 3 {
 				each.end(c.acquire("unlucky"))
 			}
--- a/internal/router/class.go
+++ b/internal/router/class.go
@@ -7,7 +7,7 @@
 
 	"rockwind.example/rockwind/internal/balance"
 	"rockwind.example/rockwind/internal/fairshare"
-	"rockwind.example/rockwind/internal/gate"
+	"rockwind.example/rockwind/internal/featuregate"
 	"rockwind.example/rockwind/internal/waitqueue"
 )
 
@@ -109,7 +109,7 @@
 
 // chargeRequest charges the estimated work of a request to its tenant.
 func (p *servicePool) chargeRequest(request AcquireRequest, choice balance.Choice, now time.Duration) charge {
-	if !p.gates.On(gate.FairShare) {
+	if !p.gates.On(featuregate.FairShare) {
 		return charge{}
 	}
 	work := max(minWork, float64(choice.Uncached)+p.meanEvents)
@@ -125,7 +125,7 @@
 // mayOvercommit reports whether the tenant has used so little compared with another one that its
 // request may exceed the slots of a server.
 func (p *servicePool) mayOvercommit(request AcquireRequest, now time.Duration) bool {
-	if request.Tenant.Name == "" || !p.gates.On(gate.FairShare) || !p.pool.Paced() {
+	if request.Tenant.Name == "" || !p.gates.On(featuregate.FairShare) || !p.pool.Paced() {
 		return false
 	}
 	class := p.class(request.Priority)
@@ -153,7 +153,7 @@
 // expected retries, the requests by priority, and the tenants with the highest usage.
 func (p *servicePool) visitQueueLoads(now time.Time, elapsed time.Duration, visit func(hash uint32, load balance.SharedLoad)) {
 	total := balance.SharedLoad{Inflight: p.waiting.Len()}
-	if p.gates.On(gate.Returns) {
+	if p.gates.On(featuregate.Returns) {
 		total.Unread = p.pendingRetries.Count(now)
 	}
 	if total != (balance.SharedLoad{}) {
@@ -162,10 +162,10 @@
 	waits := p.waitingCounts()
 	for priority, class := range p.classes {
 		waiting := waits[priority]
-		if sum := sumCounts(waiting); sum > 0 && p.gates.On(gate.Returns) {
+		if sum := sumCounts(waiting); sum > 0 && p.gates.On(featuregate.Returns) {
 			visit(balance.QueueHash(class.name), balance.SharedLoad{Inflight: sum})
 		}
-		if !p.gates.On(gate.FairShare) {
+		if !p.gates.On(featuregate.FairShare) {
 			continue
 		}
 		for _, entry := range class.ledger.Entries(waiting, elapsed) {
--- a/internal/router/continuation.go
+++ b/internal/router/continuation.go
@@ -11,7 +11,7 @@
 	"rockwind.example/rockwind/internal/continuation"
 	"rockwind.example/rockwind/internal/decision"
 	"rockwind.example/rockwind/internal/directory"
-	"rockwind.example/rockwind/internal/gate"
+	"rockwind.example/rockwind/internal/featuregate"
 	"rockwind.example/rockwind/internal/rockwindpb"
 	"rockwind.example/rockwind/internal/upstream"
 )
@@ -63,7 +63,7 @@
 
 // recordRunDuration records how long a stream ran at its server.
 func (e *exchange) recordRunDuration() {
-	if e.route.GetKind() == rockwindpb.RouteKind_ROUTE_KIND_STREAM && e.router.gates.On(gate.Continuation) {
+	if e.route.GetKind() == rockwindpb.RouteKind_ROUTE_KIND_STREAM && e.router.gates.On(featuregate.Continuation) {
 		e.router.copyPlanner.recordDuration(e.service, time.Since(e.attemptSentAt))
 	}
 }
@@ -100,7 +100,7 @@
 // mayCopy reports whether the request benefits from a copy: it must not run twice, and its
 // servers support copies.
 func (e *exchange) mayCopy() bool {
-	if e.repeatable() || e.sent > 0 || e.route.GetKind() != rockwindpb.RouteKind_ROUTE_KIND_STREAM || !e.router.gates.On(gate.Continuation) {
+	if e.repeatable() || e.sent > 0 || e.route.GetKind() != rockwindpb.RouteKind_ROUTE_KIND_STREAM || !e.router.gates.On(featuregate.Continuation) {
 		return false
 	}
 	service, found := e.router.watcher.Configuration().Service(e.service)
--- a/internal/router/dispatcher.go
+++ b/internal/router/dispatcher.go
@@ -12,7 +12,7 @@
 	"rockwind.example/rockwind/internal/configuration"
 	"rockwind.example/rockwind/internal/directory"
 	"rockwind.example/rockwind/internal/fault"
-	"rockwind.example/rockwind/internal/gate"
+	"rockwind.example/rockwind/internal/featuregate"
 	"rockwind.example/rockwind/internal/health"
 	"rockwind.example/rockwind/internal/loadshare"
 	"rockwind.example/rockwind/internal/waitqueue"
@@ -23,7 +23,7 @@
 // capacity. It is safe for concurrent use.
 type Dispatcher struct {
 	zone   string
-	gates  gate.Set
+	gates  featuregate.Set
 	origin time.Time
 
 	mutex sync.Mutex
@@ -65,10 +65,10 @@
 }
 
 // NewDispatcher returns a dispatcher without servers for a process in the given zone.
-func NewDispatcher(zone string, gates gate.Set) *Dispatcher {
+func NewDispatcher(zone string, gates featuregate.Set) *Dispatcher {
 	shares := balance.NewSharedLoads()
 	shares.SetZone(zone)
-	if !gates.On(gate.LeftBehind) {
+	if !gates.On(featuregate.LeftBehind) {
 		shares.IgnoreLeftBehind()
 	}
 	return &Dispatcher{
@@ -126,7 +126,7 @@
 		classes: make(map[waitqueue.Priority]*priorityClass), holdTime: defaultHoldTime,
 		needHashes: backlog.UnmetDemandHashes(name),
 	}
-	if d.gates.On(gate.FairShare) {
+	if d.gates.On(featuregate.FairShare) {
 		created.waiting.EnableFairShare(func(key waitqueue.SortKey) float64 { return created.virtualTime(key, d.now()) })
 	}
 	return created
@@ -190,7 +190,7 @@
 // choose returns a server with capacity for the next request. If there is none, a request that
 // may overcommit gets a server beyond its slots. The caller holds d.mutex.
 func (d *Dispatcher) choose(pool *servicePool, request AcquireRequest) (grant, bool) {
-	if d.gates.On(gate.Returns) {
+	if d.gates.On(featuregate.Returns) {
 		pool.pool.SetWaiting(pool.waiting.Len())
 	}
 	choice, found := pool.pool.Choose(request.Demand, request.Tried, d.now(), d.random)
@@ -406,7 +406,7 @@
 	pool := d.poolOf(l.service)
 	pool.pool.RecordOutcome(l.Choice, outcome, latency, d.now(), d.random)
 	// A request that timed out held its slot for at least this long.
-	if outcome == health.Success || (outcome == health.Timeout && d.gates.On(gate.Returns)) {
+	if outcome == health.Success || (outcome == health.Timeout && d.gates.On(featuregate.Returns)) {
 		pool.recordHoldTime(time.Since(l.startedAt))
 	}
 	d.serveWaiting(l.service)
--- a/internal/router/dispatcher_test.go
+++ b/internal/router/dispatcher_test.go
@@ -8,16 +8,16 @@
 
 	"rockwind.example/rockwind/internal/directory"
 	"rockwind.example/rockwind/internal/fault"
-	"rockwind.example/rockwind/internal/gate"
+	"rockwind.example/rockwind/internal/featuregate"
 	"rockwind.example/rockwind/internal/health"
 	"rockwind.example/rockwind/internal/rockwindpb"
 	"rockwind.example/rockwind/internal/router"
 )
 
 // oneServer returns a dispatcher for a server with the given slots.
-func oneServer(slots uint32) *router.Dispatcher { return newDispatcher(slots, gate.Set{}) }
+func oneServer(slots uint32) *router.Dispatcher { return newDispatcher(slots, featuregate.Set{}) }
 
-func newDispatcher(slots uint32, gates gate.Set) *router.Dispatcher {
+func newDispatcher(slots uint32, gates featuregate.Set) *router.Dispatcher {
 	register := directory.New()
 	register.Apply(&rockwindpb.DirectoryCommand{Command: &rockwindpb.DirectoryCommand_Report{Report: &rockwindpb.Server{
 		Id: "server", Service: "app", Address: "10.0.0.1:1", Slots: slots, State: rockwindpb.ServerState_SERVER_STATE_READY, Sequence: 1,
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -7,7 +7,7 @@
 
 	"rockwind.example/rockwind/internal/balance"
 	"rockwind.example/rockwind/internal/decision"
-	"rockwind.example/rockwind/internal/gate"
+	"rockwind.example/rockwind/internal/featuregate"
 	"rockwind.example/rockwind/internal/sitemetrics"
 )
 
@@ -17,7 +17,7 @@
 // recordHeldBack records which tenants are held back in favor of others. The caller holds
 // d.mutex; recording does not block.
 func (d *Dispatcher) recordHeldBack() {
-	if !d.gates.On(gate.FairShare) || d.now()-d.heldBackRecordedAt < heldBackInterval {
+	if !d.gates.On(featuregate.FairShare) || d.now()-d.heldBackRecordedAt < heldBackInterval {
 		return
 	}
 	d.heldBackRecordedAt = d.now()
@@ -35,7 +35,7 @@
 	var all []sitemetrics.Waiting
 	for _, pool := range d.pools {
 		var held []sitemetrics.HeldBackTenant
-		if d.gates.On(gate.FairShare) {
+		if d.gates.On(featuregate.FairShare) {
 			for _, each := range pool.heldBack(d.now()) {
 				held = append(held, sitemetrics.HeldBackTenant{Tenant: each.tenant, Waiting: each.waiting})
 			}
--- a/internal/router/overcommit_test.go
+++ b/internal/router/overcommit_test.go
@@ -5,7 +5,7 @@
 	"testing/synctest"
 	"time"
 
-	"rockwind.example/rockwind/internal/gate"
+	"rockwind.example/rockwind/internal/featuregate"
 	"rockwind.example/rockwind/internal/health"
 	"rockwind.example/rockwind/internal/router"
 )
@@ -13,7 +13,7 @@
 // pacedRouter returns one of ten routers that share a server with eight slots.
 func pacedRouter(t *testing.T, off ...string) *queueTest {
 	t.Helper()
-	c := &queueTest{t: t, dispatcher: newDispatcher(8, gate.NewSet(off))}
+	c := &queueTest{t: t, dispatcher: newDispatcher(8, featuregate.NewSet(off))}
 	c.dispatcher.SetProcesses("app", 10, 300*time.Millisecond)
 	return c
 }
--- a/internal/router/pace.go
+++ b/internal/router/pace.go
@@ -5,7 +5,7 @@
 
 	"rockwind.example/rockwind/internal/balance"
 	"rockwind.example/rockwind/internal/balance/pace"
-	"rockwind.example/rockwind/internal/gate"
+	"rockwind.example/rockwind/internal/featuregate"
 )
 
 // paceInterval is how often the pace of a running request is reported, so that a slowdown of a
@@ -16,7 +16,7 @@
 // on.
 func (d *Dispatcher) newPool(service string) *balance.Pool {
 	created := balance.NewPool(service, d.zone, d.shares)
-	if d.gates.On(gate.Pace) {
+	if d.gates.On(featuregate.Pace) {
 		created.SetPaceEstimator(pace.New())
 	}
 	return created
--- a/internal/router/queue.go
+++ b/internal/router/queue.go
@@ -7,7 +7,7 @@
 	"rockwind.example/rockwind/internal/balance"
 	"rockwind.example/rockwind/internal/fairshare"
 	"rockwind.example/rockwind/internal/fault"
-	"rockwind.example/rockwind/internal/gate"
+	"rockwind.example/rockwind/internal/featuregate"
 	"rockwind.example/rockwind/internal/retryafter"
 	"rockwind.example/rockwind/internal/waitqueue"
 )
@@ -61,7 +61,7 @@
 // servicePool is the pool of one service with its queue.
 type servicePool struct {
 	name    string
-	gates   gate.Set
+	gates   featuregate.Set
 	pool    *balance.Pool
 	shares  *balance.SharedLoads
 	waiting waitqueue.Queue[*waiter]
@@ -118,10 +118,10 @@
 // aheadElsewhere estimates how many requests at other processes are ahead of the given key.
 func (p *servicePool) aheadElsewhere(key waitqueue.SortKey, elapsed time.Duration) int {
 	count := p.shares.At(balance.QueueHash(p.name)).Inflight
-	if p.gates.On(gate.Returns) {
+	if p.gates.On(featuregate.Returns) {
 		count -= p.lowerElsewhere(key.Priority())
 	}
-	if p.overloaded && p.gates.On(gate.FairShare) {
+	if p.overloaded && p.gates.On(featuregate.FairShare) {
 		count -= p.class(key.Priority()).waitingBehind(key.Tenant(), elapsed)
 	}
 	return max(0, count)
@@ -146,7 +146,7 @@
 // requests of its tenant.
 func (p *servicePool) expectedWait(request AcquireRequest, ahead int, elapsed time.Duration) time.Duration {
 	expected := p.slotRate().EstimateWait(ahead)
-	if p.gates.On(gate.Returns) && p.overloaded && elapsed-p.overloadedSince >= fairshare.DecayTime {
+	if p.gates.On(featuregate.Returns) && p.overloaded && elapsed-p.overloadedSince >= fairshare.DecayTime {
 		expected = max(expected, p.expectedShareWait(request, elapsed))
 	}
 	return expected
@@ -186,7 +186,7 @@
 // queueFullFault returns the refusal of a request whose expected wait is too long.
 func (p *servicePool) queueFullFault(request AcquireRequest, ahead int, now time.Time, elapsed time.Duration) error {
 	retryAfter := max(minRetryAfter, p.slotRate().EstimateWait(ahead)-request.MaxWait)
-	if p.gates.On(gate.Returns) {
+	if p.gates.On(featuregate.Returns) {
 		retryAfter = p.retryAfter(request, ahead, now, elapsed)
 	}
 	return fault.Newf(fault.Overloaded, "retry after the given time",
@@ -197,7 +197,7 @@
 // busyFault returns the refusal of a request that found no capacity in time.
 func (p *servicePool) busyFault(request AcquireRequest, ahead int, now time.Time, elapsed time.Duration) error {
 	retryAfter := max(minRetryAfter, p.holdTime/2)
-	if p.gates.On(gate.Returns) {
+	if p.gates.On(featuregate.Returns) {
 		retryAfter = p.retryAfter(request, ahead, now, elapsed)
 	}
 	return fault.Newf(fault.Overloaded, "retry after the given time", "all servers of service %s are busy", p.name).
--- a/internal/router/queue_test.go
+++ b/internal/router/queue_test.go
@@ -10,7 +10,7 @@
 
 	"rockwind.example/rockwind/internal/balance"
 	"rockwind.example/rockwind/internal/fault"
-	"rockwind.example/rockwind/internal/gate"
+	"rockwind.example/rockwind/internal/featuregate"
 	"rockwind.example/rockwind/internal/health"
 	"rockwind.example/rockwind/internal/loadshare"
 	"rockwind.example/rockwind/internal/router"
@@ -35,7 +35,7 @@
 }
 
 func newQueueTest(t *testing.T, slots int, off ...string) *queueTest {
-	c := &queueTest{t: t, dispatcher: newDispatcher(uint32(slots), gate.NewSet(off))}
+	c := &queueTest{t: t, dispatcher: newDispatcher(uint32(slots), featuregate.NewSet(off))}
 	for range slots {
 		lease, err := c.dispatcher.Acquire(t.Context(), requestOf("flood", time.Minute))
 		if err != nil {
@@ -232,7 +232,7 @@
 // of the time.
 func TestRetryAfterFollowsTenantShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		dispatcher := newDispatcher(1, gate.Set{})
+		dispatcher := newDispatcher(1, featuregate.Set{})
 		serve := func(ask router.AcquireRequest) {
 			lease, err := dispatcher.Acquire(t.Context(), ask)
 			if err != nil {
--- a/internal/router/relay_test.go
+++ b/internal/router/relay_test.go
@@ -20,7 +20,7 @@
 	"rockwind.example/rockwind/internal/clientconn"
 	"rockwind.example/rockwind/internal/decision"
 	"rockwind.example/rockwind/internal/directory"
-	"rockwind.example/rockwind/internal/gate"
+	"rockwind.example/rockwind/internal/featuregate"
 	"rockwind.example/rockwind/internal/rockwindpb"
 	"rockwind.example/rockwind/internal/site"
 	"rockwind.example/rockwind/internal/sitemetrics"
@@ -55,7 +55,7 @@
 	register.Apply(&rockwindpb.DirectoryCommand{Command: &rockwindpb.DirectoryCommand_Report{Report: &rockwindpb.Server{
 		Id: "server", Service: "app", Address: "10.0.0.1:1", Slots: 1, State: rockwindpb.ServerState_SERVER_STATE_READY, Sequence: 1,
 	}}})
-	dispatcher := NewDispatcher("zone", gate.Set{})
+	dispatcher := NewDispatcher("zone", featuregate.Set{})
 	dispatcher.Update(register.View())
 	dialed := false
 	client := upstream.NewClientWithDial(func(ctx context.Context, _ string) (net.Conn, error) {
--- a/internal/router/relief.go
+++ b/internal/router/relief.go
@@ -12,7 +12,7 @@
 
 	"rockwind.example/rockwind/internal/clientconn"
 	"rockwind.example/rockwind/internal/decision"
-	"rockwind.example/rockwind/internal/gate"
+	"rockwind.example/rockwind/internal/featuregate"
 	"rockwind.example/rockwind/internal/overload"
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
@@ -49,7 +49,7 @@
 
 func newReliefController(router *Router, settings *rockwindpb.SiteSettings) *reliefController {
 	return &reliefController{
-		router: router, enabled: router.gates.On(gate.Relief),
+		router: router, enabled: router.gates.On(featuregate.Relief),
 		name: settings.GetName(), zone: settings.GetZone(), descriptors: int(settings.GetMaxDescriptors()),
 	}
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -21,7 +21,7 @@
 	"rockwind.example/rockwind/internal/clientconn"
 	"rockwind.example/rockwind/internal/dial"
 	"rockwind.example/rockwind/internal/fault"
-	"rockwind.example/rockwind/internal/gate"
+	"rockwind.example/rockwind/internal/featuregate"
 	"rockwind.example/rockwind/internal/jobclient"
 	"rockwind.example/rockwind/internal/rateclient"
 	"rockwind.example/rockwind/internal/rockwindpb"
@@ -37,7 +37,7 @@
 
 // Router serves the routes of the current configuration.
 type Router struct {
-	gates       gate.Set
+	gates       featuregate.Set
 	watcher     *site.Watcher
 	dispatcher  *Dispatcher
 	client      *upstream.Client
@@ -61,7 +61,7 @@
 // New returns a router for the site that the watcher follows.
 func New(settings *rockwindpb.SiteSettings, watcher *site.Watcher, protocol Protocol, jobs *jobclient.Client) *Router {
 	client := NewUpstreamClient()
-	gates := gate.NewSet(settings.GetSwitchedOff())
+	gates := featuregate.NewSet(settings.GetSwitchedOff())
 	return &Router{
 		gates:       gates,
 		watcher:     watcher,
@@ -207,7 +207,7 @@
 // totalTimeout returns the whole timeout of a client that has the given time left; zero is
 // unknown.
 func (r *Router) totalTimeout(route *rockwindpb.Route, remaining time.Duration) time.Duration {
-	if !r.gates.On(gate.Returns) {
+	if !r.gates.On(featuregate.Returns) {
 		return time.Duration(route.GetTimeoutMs()) * time.Millisecond
 	}
 	return r.timeouts.totalTimeout(route.GetName(), remaining)
--- a/internal/router/share_test.go
+++ b/internal/router/share_test.go
@@ -5,7 +5,7 @@
 	"testing/synctest"
 	"time"
 
-	"rockwind.example/rockwind/internal/gate"
+	"rockwind.example/rockwind/internal/featuregate"
 	"rockwind.example/rockwind/internal/health"
 	"rockwind.example/rockwind/internal/router"
 )
@@ -13,7 +13,7 @@
 // newFastQueueTest returns a queueTest with eight slots and an average hold time of 100 ms.
 func newFastQueueTest(t *testing.T) *queueTest {
 	t.Helper()
-	c := &queueTest{t: t, dispatcher: newDispatcher(8, gate.Set{})}
+	c := &queueTest{t: t, dispatcher: newDispatcher(8, featuregate.Set{})}
 	for range 20 {
 		lease, err := c.dispatcher.Acquire(t.Context(), requestOf("flood", time.Minute))
 		if err != nil {
--- a/internal/router/sharing_test.go
+++ b/internal/router/sharing_test.go
@@ -6,7 +6,7 @@
 
 	"rockwind.example/rockwind/internal/balance"
 	"rockwind.example/rockwind/internal/directory"
-	"rockwind.example/rockwind/internal/gate"
+	"rockwind.example/rockwind/internal/featuregate"
 	"rockwind.example/rockwind/internal/loadshare"
 	"rockwind.example/rockwind/internal/rockwindpb"
 	"rockwind.example/rockwind/internal/router"
@@ -51,7 +51,7 @@
 			State: rockwindpb.ServerState_SERVER_STATE_READY, Sequence: uint64(i + 1),
 		}}})
 	}
-	dispatcher := router.NewDispatcher("zone", gate.Set{})
+	dispatcher := router.NewDispatcher("zone", featuregate.Set{})
 	dispatcher.Update(register.View())
 	for range names {
 		if dispatcher.TryAcquire("app", balance.Demand{}) == nil {
--- a/internal/router/survey.go
+++ b/internal/router/survey.go
@@ -12,7 +12,7 @@
 	"rockwind.example/rockwind/internal/decision"
 	"rockwind.example/rockwind/internal/directory"
 	"rockwind.example/rockwind/internal/fault"
-	"rockwind.example/rockwind/internal/gate"
+	"rockwind.example/rockwind/internal/featuregate"
 	"rockwind.example/rockwind/internal/leftbehind"
 	"rockwind.example/rockwind/internal/rockwindpb"
 	"rockwind.example/rockwind/internal/site"
@@ -50,7 +50,7 @@
 // behind there. It returns once the survey is over or the context ends.
 func (d *Dispatcher) Survey(ctx context.Context, settings *rockwindpb.SiteSettings, watcher *site.Watcher, protocol Protocol, client *upstream.Client) {
 	query, offered := protocol.(LoadQuery)
-	if !offered || !d.gates.On(gate.LeftBehind) || !d.AwaitReady(ctx) || !watcher.AwaitInitialized(ctx) {
+	if !offered || !d.gates.On(featuregate.LeftBehind) || !d.AwaitReady(ctx) || !watcher.AwaitInitialized(ctx) {
 		return
 	}
 	d.runSurvey(ctx, settings.GetName(), watcher.Directory(), watcher.Configuration(), query, client)
--- a/internal/router/survey_test.go
+++ b/internal/router/survey_test.go
@@ -13,7 +13,7 @@
 	"rockwind.example/rockwind/internal/balance"
 	"rockwind.example/rockwind/internal/configuration"
 	"rockwind.example/rockwind/internal/directory"
-	"rockwind.example/rockwind/internal/gate"
+	"rockwind.example/rockwind/internal/featuregate"
 	"rockwind.example/rockwind/internal/rockwindpb"
 	"rockwind.example/rockwind/internal/router"
 )
@@ -59,7 +59,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	dispatcher = router.NewDispatcher("zone", gate.Set{})
+	dispatcher = router.NewDispatcher("zone", featuregate.Set{})
 	dispatcher.Update(register.View())
 	client := network.client()
 	t.Cleanup(client.Close)
@@ -183,7 +183,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		dispatcher, answer, ended := openSurvey(t)
 		dispatcher.SetBatchLoad(1, shardLoadOf(nil, 6, 0))
-		other := newDispatcher(4, gate.Set{})
+		other := newDispatcher(4, featuregate.Set{})
 		for sequence, wanted := range []int{0, 6} {
 			other.LoadSource().Take(digestOf(dispatcher, "store", uint64(sequence+1)))
 			if shared := other.ShortItems()[0].Elsewhere; shared != wanted {
@@ -206,7 +206,7 @@
 // TestSurveyIsSkippedWithGateOff checks that there are no load queries and that batch work does
 // not wait.
 func TestSurveyIsSkippedWithGateOff(t *testing.T) {
-	dispatcher := newDispatcher(4, gate.NewSet([]string{string(gate.LeftBehind)}))
+	dispatcher := newDispatcher(4, featuregate.NewSet([]string{string(featuregate.LeftBehind)}))
 	// Without a watcher, a survey would panic.
 	dispatcher.Survey(t.Context(), &rockwindpb.SiteSettings{Name: "store"}, nil, protocolWithLoadQuery{}, nil)
 	if _, asked := dispatcher.LeftBehind(); asked != 0 {
--- a/internal/router/tried_test.go
+++ b/internal/router/tried_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"rockwind.example/rockwind/internal/directory"
-	"rockwind.example/rockwind/internal/gate"
+	"rockwind.example/rockwind/internal/featuregate"
 	"rockwind.example/rockwind/internal/health"
 	"rockwind.example/rockwind/internal/rockwindpb"
 	"rockwind.example/rockwind/internal/router"
@@ -22,7 +22,7 @@
 				State: rockwindpb.ServerState_SERVER_STATE_READY, Sequence: uint64(i + 1),
 			}}})
 		}
-		dispatcher := router.NewDispatcher("zone", gate.Set{})
+		dispatcher := router.NewDispatcher("zone", featuregate.Set{})
 		dispatcher.Update(register.View())
 		tried := requestOf("", time.Minute)
 		tried.Tried = []string{"a"}
--- a/internal/router/waiting_bench_test.go
+++ b/internal/router/waiting_bench_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"rockwind.example/rockwind/internal/gate"
+	"rockwind.example/rockwind/internal/featuregate"
 	"rockwind.example/rockwind/internal/health"
 	"rockwind.example/rockwind/internal/router"
 )
@@ -36,7 +36,7 @@
 func newQueueBench(b *testing.B) *queueBench {
 	b.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &queueBench{dispatcher: newDispatcher(1, gate.Set{}), ctx: ctx, granted: make(chan *router.Lease, 1)}
+	c := &queueBench{dispatcher: newDispatcher(1, featuregate.Set{}), ctx: ctx, granted: make(chan *router.Lease, 1)}
 	b.Cleanup(func() {
 		cancel()
 		c.group.Wait()
--- a/internal/settings/site.go
+++ b/internal/settings/site.go
@@ -4,7 +4,7 @@
 	"net/netip"
 
 	"rockwind.example/rockwind/internal/fault"
-	"rockwind.example/rockwind/internal/gate"
+	"rockwind.example/rockwind/internal/featuregate"
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
@@ -34,7 +34,7 @@
 		}
 	}
 	for _, name := range settings.GetSwitchedOff() {
-		if err := gate.Check(name); err != nil {
+		if err := featuregate.Check(name); err != nil {
 			l.add(fieldPath{"switched_off"}, fault.From(err).Message, fault.From(err).Remedy)
 		}
 	}
--- a/internal/store/history.go
+++ b/internal/store/history.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"rockwind.example/rockwind/internal/fingerprint"
-	"rockwind.example/rockwind/internal/gate"
+	"rockwind.example/rockwind/internal/featuregate"
 	"rockwind.example/rockwind/internal/jobstore"
 	"rockwind.example/rockwind/internal/store/output"
 )
@@ -33,7 +33,7 @@
 // newHistory returns the history of an item without attempts by this leader.
 func (e *executor) newHistory(item jobstore.OpenItem) *history {
 	received := item.PartialOutput
-	if !e.store.gates.On(gate.ItemProgress) {
+	if !e.store.gates.On(featuregate.ItemProgress) {
 		received = jobstore.PartialOutput{}
 	}
 	return &history{output: output.New(&e.runs, received)}
--- a/internal/store/order.go
+++ b/internal/store/order.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"rockwind.example/rockwind/internal/backlog"
-	"rockwind.example/rockwind/internal/gate"
+	"rockwind.example/rockwind/internal/featuregate"
 	"rockwind.example/rockwind/internal/jobstore"
 	"rockwind.example/rockwind/internal/rockwindpb"
 	"rockwind.example/rockwind/internal/router"
@@ -43,7 +43,7 @@
 // cannot all finish on time.
 func (e *executor) order(open []jobstore.OpenItem, now time.Time) (ordered, short []jobstore.OpenItem) {
 	e.shares = newTenantShares()
-	if !e.store.gates.On(gate.FairShare) {
+	if !e.store.gates.On(featuregate.FairShare) {
 		return backlog.Order(open, now, e.backlogItem), nil
 	}
 	e.shares.use = e.tenantsUse(open, now)
--- a/internal/store/parting_test.go
+++ b/internal/store/parting_test.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"rockwind.example/rockwind/internal/backlog"
-	"rockwind.example/rockwind/internal/gate"
+	"rockwind.example/rockwind/internal/featuregate"
 	"rockwind.example/rockwind/internal/jobstore"
 	"rockwind.example/rockwind/internal/replica"
 	"rockwind.example/rockwind/internal/rockwindpb"
@@ -31,7 +31,7 @@
 
 func newHandoverShard(t *testing.T, switchedOff ...string) *handoverShard {
 	t.Helper()
-	gates := gate.NewSet(switchedOff)
+	gates := featuregate.NewSet(switchedOff)
 	s := &Store{
 		gates: gates, settings: &rockwindpb.SiteSettings{}, dispatcher: router.NewDispatcher("zone", gates),
 		machines: make(map[uint32]*jobstore.Machine), handovers: make(map[uint32]chan handover), created: make(chan uint32, 1),
@@ -145,7 +145,7 @@
 // TestHandoverRecordsNothingWithGateOff checks that the handover returns at once with progress
 // records switched off.
 func TestHandoverRecordsNothingWithGateOff(t *testing.T) {
-	s := newHandoverShard(t, string(gate.ItemProgress))
+	s := newHandoverShard(t, string(featuregate.ItemProgress))
 	s.receive(1, "a")
 	s.run()
 	s.handOverWithin(10 * time.Second)
--- a/internal/store/progress.go
+++ b/internal/store/progress.go
@@ -7,7 +7,7 @@
 	"github.com/apex/log"
 	"google.golang.org/protobuf/proto"
 
-	"rockwind.example/rockwind/internal/gate"
+	"rockwind.example/rockwind/internal/featuregate"
 	"rockwind.example/rockwind/internal/rockwindpb"
 	"rockwind.example/rockwind/internal/store/output"
 )
@@ -44,7 +44,7 @@
 func (e *executor) recordProgressThen(ctx context.Context, now time.Time, done func()) {
 	e.lastProgress = now
 	var records []*progressRecord
-	if e.store.gates.On(gate.ItemProgress) {
+	if e.store.gates.On(featuregate.ItemProgress) {
 		records = e.pendingProgress()
 	}
 	if len(records) == 0 {
--- a/internal/store/share.go
+++ b/internal/store/share.go
@@ -9,7 +9,7 @@
 	"rockwind.example/rockwind/internal/backlog"
 	"rockwind.example/rockwind/internal/balance"
 	"rockwind.example/rockwind/internal/decision"
-	"rockwind.example/rockwind/internal/gate"
+	"rockwind.example/rockwind/internal/featuregate"
 	"rockwind.example/rockwind/internal/jobstore"
 	"rockwind.example/rockwind/internal/router"
 	"rockwind.example/rockwind/internal/store/claims"
@@ -120,7 +120,7 @@
 // publishBatchLoad tells the other leaders which items run in this shard, and which short items
 // wait.
 func (e *executor) publishBatchLoad(short []jobstore.OpenItem, now time.Time) {
-	if !e.store.gates.On(gate.FairShare) {
+	if !e.store.gates.On(featuregate.FairShare) {
 		return
 	}
 	load := backlog.NewShardLoad(e.runningItems(now))
--- a/internal/store/share_test.go
+++ b/internal/store/share_test.go
@@ -8,7 +8,7 @@
 
 	"rockwind.example/rockwind/internal/backlog"
 	"rockwind.example/rockwind/internal/directory"
-	"rockwind.example/rockwind/internal/gate"
+	"rockwind.example/rockwind/internal/featuregate"
 	"rockwind.example/rockwind/internal/jobstore"
 	"rockwind.example/rockwind/internal/replica"
 	"rockwind.example/rockwind/internal/rockwindpb"
@@ -80,7 +80,7 @@
 	register.Apply(&rockwindpb.DirectoryCommand{Command: &rockwindpb.DirectoryCommand_Report{Report: &rockwindpb.Server{
 		Id: "server", Service: "app", Address: "10.0.0.1:1", Slots: 1, State: rockwindpb.ServerState_SERVER_STATE_READY, Sequence: 1,
 	}}})
-	dispatcher := router.NewDispatcher("", gate.Set{})
+	dispatcher := router.NewDispatcher("", featuregate.Set{})
 	dispatcher.Update(register.View())
 	load := backlog.NewShardLoad(nil)
 	load.AddWaiting("app", 0, false)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -17,7 +17,7 @@
 
 	"rockwind.example/rockwind/internal/decision"
 	"rockwind.example/rockwind/internal/dial"
-	"rockwind.example/rockwind/internal/gate"
+	"rockwind.example/rockwind/internal/featuregate"
 	"rockwind.example/rockwind/internal/jobstore"
 	"rockwind.example/rockwind/internal/replica"
 	"rockwind.example/rockwind/internal/retry"
@@ -41,7 +41,7 @@
 // Store is a running store daemon.
 type Store struct {
 	settings      *rockwindpb.SiteSettings
-	gates         gate.Set
+	gates         featuregate.Set
 	client        *http.Client
 	host          *replica.Host
 	watcher       *site.Watcher
@@ -65,7 +65,7 @@
 // Run serves until the context ends, then hands over leadership and stops.
 func Run(ctx context.Context, settings *rockwindpb.SiteSettings, protocol router.Protocol) error {
 	site.SetMemoryLimit(settings)
-	gates := gate.NewSet(settings.GetSwitchedOff())
+	gates := featuregate.NewSet(settings.GetSwitchedOff())
 	s := &Store{
 		settings:   settings,
 		gates:      gates,
