--- a/internal/balance/leftbehind_test.go
+++ b/internal/balance/leftbehind_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"rockwind.example/rockwind/internal/balance"
-	"rockwind.example/rockwind/internal/leftbehind"
+	"rockwind.example/rockwind/internal/orphans"
 )
 
 // Parameters of a site whose processes all lose power at once. A server's answer describes its load
@@ -125,10 +125,10 @@
 		l.runItems(created, now)
 		return
 	}
-	survey := leftbehind.New(created.started)
-	var servers []leftbehind.Server
+	survey := orphans.New(created.started)
+	var servers []orphans.Server
 	for _, member := range l.members() {
-		servers = append(servers, leftbehind.Server{ID: member.ID, Address: member.Address, Slots: member.Slots})
+		servers = append(servers, orphans.Server{ID: member.ID, Address: member.Address, Slots: member.Slots})
 	}
 	survey.Start(name, l.storeNames(), servers, now)
 	l.survey(created, survey, now)
@@ -136,7 +136,7 @@
 }
 
 // runItemsAfterSurvey starts items once the survey knows the requests left behind.
-func (l *loss) runItemsAfterSurvey(store *process, survey *leftbehind.Survey, now time.Duration) {
+func (l *loss) runItemsAfterSurvey(store *process, survey *orphans.Survey, now time.Duration) {
 	if survey.Pending() {
 		l.schedule(now+pollInterval, func(now time.Duration) { l.runItemsAfterSurvey(store, survey, now) })
 		return
@@ -161,9 +161,9 @@
 }
 
 // survey has a store query servers until its survey is over.
-func (l *loss) survey(store *process, survey *leftbehind.Survey, now time.Duration) {
+func (l *loss) survey(store *process, survey *orphans.Survey, now time.Duration) {
 	earliest, heard := store.sharedLoads.EarliestStart()
-	survey.Evaluate(leftbehind.PeerStatus{Heard: heard, EarliestStart: earliest, SurvivorsReported: store.sharedLoads.SurvivorsReported()}, store.pool.LiveInflight, now)
+	survey.Evaluate(orphans.PeerStatus{Heard: heard, EarliestStart: earliest, SurvivorsReported: store.sharedLoads.SurvivorsReported()}, store.pool.LiveInflight, now)
 	l.reportLeftBehind(store, survey)
 	for _, server := range survey.Due(now) {
 		l.queried++
@@ -178,7 +178,7 @@
 	}
 }
 
-func (l *loss) reportLeftBehind(store *process, survey *leftbehind.Survey) {
+func (l *loss) reportLeftBehind(store *process, survey *orphans.Survey) {
 	left := make(map[string]int)
 	survey.LeftBehind(func(id string, count int) { left[id] = count })
 	store.sharedLoads.SetLeftBehind(left, survey.ReportSurvivors())
--- a/internal/leftbehind/survey.go
+++ b/internal/orphans/survey.go
@@ -1,11 +1,11 @@
-// Package leftbehind estimates the requests that servers still run for callers that no longer
+// Package orphans estimates the requests that servers still run for callers that no longer
 // exist. After a power loss the servers continue with the requests of the failed machines,
 // while the load digests of their processes are lost or replaced by digests that report zero. A
 // process that has just started therefore queries some servers for their load, counts what no
 // live process accounts for as left behind, shares the result with the other processes, and
 // queries again until nothing is left. The package does no I/O; times are durations since an
 // origin that the caller chooses.
-package leftbehind
+package orphans
 
 import (
 	"math"
--- a/internal/leftbehind/survey_test.go
+++ b/internal/orphans/survey_test.go
@@ -1,11 +1,11 @@
-package leftbehind_test
+package orphans_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"rockwind.example/rockwind/internal/leftbehind"
+	"rockwind.example/rockwind/internal/orphans"
 )
 
 const (
@@ -16,28 +16,28 @@
 // restartedPeers is the status where all peers have just started too, and survivingPeers where
 // one of them started a minute earlier.
 var (
-	restartedPeers = leftbehind.PeerStatus{Heard: true, EarliestStart: started - 300}
-	survivingPeers = leftbehind.PeerStatus{Heard: true, EarliestStart: started - 60_000}
+	restartedPeers = orphans.PeerStatus{Heard: true, EarliestStart: started - 300}
+	survivingPeers = orphans.PeerStatus{Heard: true, EarliestStart: started - 60_000}
 	noLoad         = func(string) int { return 0 }
 )
 
 // startSurvey starts the survey of the only process that sends queries.
-func startSurvey(servers int) *leftbehind.Survey {
-	survey := leftbehind.New(started)
+func startSurvey(servers int) *orphans.Survey {
+	survey := orphans.New(started)
 	survey.Start("store", []string{"store"}, makeServers(servers), 0)
 	return survey
 }
 
-func makeServers(servers int) []leftbehind.Server {
-	var all []leftbehind.Server
+func makeServers(servers int) []orphans.Server {
+	var all []orphans.Server
 	for i := range servers {
-		all = append(all, leftbehind.Server{ID: fmt.Sprint("server-", i), Address: "address", Slots: slots})
+		all = append(all, orphans.Server{ID: fmt.Sprint("server-", i), Address: "address", Slots: slots})
 	}
 	return all
 }
 
 // leftAt returns the count of a server, or -1 if the survey has none.
-func leftAt(survey *leftbehind.Survey, id string) int {
+func leftAt(survey *orphans.Survey, id string) int {
 	found := -1
 	survey.LeftBehind(func(each string, count int) {
 		if each == id {
@@ -47,7 +47,7 @@
 	return found
 }
 
-func countDue(survey *leftbehind.Survey, now time.Duration) int { return len(survey.Due(now)) }
+func countDue(survey *orphans.Survey, now time.Duration) int { return len(survey.Due(now)) }
 
 func TestEachServerIsQueriedByTwoProcesses(t *testing.T) {
 	var stores []string
@@ -56,7 +56,7 @@
 	}
 	asked := make(map[string]int)
 	for _, store := range stores {
-		survey := leftbehind.New(started)
+		survey := orphans.New(started)
 		survey.Start(store, stores, makeServers(90), 0)
 		for _, server := range survey.Due(0) {
 			asked[server.ID]++
@@ -67,7 +67,7 @@
 			t.Errorf("%s is queried by %d processes", server.ID, asked[server.ID])
 		}
 	}
-	router := leftbehind.New(started)
+	router := orphans.New(started)
 	router.Start("router", stores, makeServers(90), 0)
 	if countDue(router, 0) != 0 || !router.Done() {
 		t.Error("a process outside of the list sends queries")
@@ -113,7 +113,7 @@
 	countDue(survey, 0)
 	survey.Answered("server-0", 5, 0)
 	for now := time.Duration(0); now < 400*time.Millisecond; now += 20 * time.Millisecond {
-		survey.Evaluate(leftbehind.PeerStatus{}, noLoad, now)
+		survey.Evaluate(orphans.PeerStatus{}, noLoad, now)
 	}
 	if leftAt(survey, "server-0") != 5 {
 		t.Errorf("%d left behind, want 5", leftAt(survey, "server-0"))
@@ -126,7 +126,7 @@
 	survey, queries := startSurvey(12), 0
 	liveLoad := func(string) int { return 5 }
 	for now := time.Duration(0); now < 5*time.Second; now += 20 * time.Millisecond {
-		peers := leftbehind.PeerStatus{}
+		peers := orphans.PeerStatus{}
 		if now >= 60*time.Millisecond {
 			peers = survivingPeers
 		}
@@ -208,7 +208,7 @@
 	if !survey.Pending() {
 		t.Fatal("the survey does not wait for the peers' loads")
 	}
-	survey.Evaluate(leftbehind.PeerStatus{}, noLoad, 500*time.Millisecond)
+	survey.Evaluate(orphans.PeerStatus{}, noLoad, 500*time.Millisecond)
 	if survey.Pending() || countDue(survey, 500*time.Millisecond) != 2 {
 		t.Error("the survey still waits for the peers' loads")
 	}
@@ -329,7 +329,7 @@
 // TestSurvivorHeardAfterSettleTimeDiscardsCounts covers a surviving peer whose load arrives
 // late.
 func TestSurvivorHeardAfterSettleTimeDiscardsCounts(t *testing.T) {
-	for _, peers := range []leftbehind.PeerStatus{{}, restartedPeers} {
+	for _, peers := range []orphans.PeerStatus{{}, restartedPeers} {
 		survey := startSurvey(2)
 		liveLoad := noLoad
 		for now := time.Duration(0); now < 2*time.Second; now += 20 * time.Millisecond {
@@ -378,7 +378,7 @@
 func TestLateRestartCountsNoLoadOfPeers(t *testing.T) {
 	for _, later := range []int64{600, 1000, 1500} {
 		survey := startSurvey(4)
-		laterPeers := leftbehind.PeerStatus{Heard: true, EarliestStart: started - later}
+		laterPeers := orphans.PeerStatus{Heard: true, EarliestStart: started - later}
 		liveLoad := func(string) int { return 6 }
 		for now := time.Duration(0); now < 2*time.Second; now += 20 * time.Millisecond {
 			survey.Evaluate(laterPeers, liveLoad, now)
--- a/internal/router/relief.go
+++ b/internal/router/relief.go
@@ -29,7 +29,7 @@
 )
 
 // reliefController monitors the load of a router and sends clients to other routers when it is
-// overloaded: see package relief.
+// overloaded: see package overload.
 type reliefController struct {
 	router      *Router
 	enabled     bool
--- a/internal/router/survey.go
+++ b/internal/router/survey.go
@@ -13,7 +13,7 @@
 	"rockwind.example/rockwind/internal/directory"
 	"rockwind.example/rockwind/internal/fault"
 	"rockwind.example/rockwind/internal/featuregate"
-	"rockwind.example/rockwind/internal/leftbehind"
+	"rockwind.example/rockwind/internal/orphans"
 	"rockwind.example/rockwind/internal/rockwindpb"
 	"rockwind.example/rockwind/internal/site"
 	"rockwind.example/rockwind/internal/upstream"
@@ -42,7 +42,7 @@
 // survey is the survey of servers after the start of a dispatcher, with the service of each
 // surveyed server.
 type survey struct {
-	*leftbehind.Survey
+	*orphans.Survey
 	services map[string]string
 }
 
@@ -96,29 +96,29 @@
 // left behind at other servers are over by the time their callers have restarted.
 func (d *Dispatcher) beginSurvey(self string, view *directory.View, index *configuration.Index) {
 	services := make(map[string]string)
-	var servers []leftbehind.Server
+	var servers []orphans.Server
 	for _, server := range view.Servers() {
 		service, known := index.Service(server.GetService())
 		if !known || service.GetEngine() == nil || server.GetState() != rockwindpb.ServerState_SERVER_STATE_READY {
 			continue
 		}
 		services[server.GetId()] = server.GetService()
-		servers = append(servers, leftbehind.Server{ID: server.GetId(), Address: server.GetAddress(), Slots: int(server.GetSlots())})
+		servers = append(servers, orphans.Server{ID: server.GetId(), Address: server.GetAddress(), Slots: int(server.GetSlots())})
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.survey = &survey{Survey: leftbehind.New(d.origin.UnixMilli()), services: services}
+	d.survey = &survey{Survey: orphans.New(d.origin.UnixMilli()), services: services}
 	d.survey.Start(self, surveyingProcesses(view), servers, d.now())
 }
 
 // updateSurvey updates the survey with what other processes shared and returns the servers to
 // query now.
-func (d *Dispatcher) updateSurvey() (due []leftbehind.Server, over bool) {
+func (d *Dispatcher) updateSurvey() (due []orphans.Server, over bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.now()
 	earliest, heard := d.shares.EarliestStart()
-	d.survey.Evaluate(leftbehind.PeerStatus{Heard: heard, EarliestStart: earliest, SurvivorsReported: d.shares.SurvivorsReported()}, d.liveLoad, now)
+	d.survey.Evaluate(orphans.PeerStatus{Heard: heard, EarliestStart: earliest, SurvivorsReported: d.shares.SurvivorsReported()}, d.liveLoad, now)
 	d.shareLeftBehind()
 	return d.survey.Due(now), d.survey.Done()
 }
@@ -140,7 +140,7 @@
 }
 
 // queryServer queries a server and adds its answer to the survey.
-func (d *Dispatcher) queryServer(ctx context.Context, server leftbehind.Server, query LoadQuery, client *upstream.Client) {
+func (d *Dispatcher) queryServer(ctx context.Context, server orphans.Server, query LoadQuery, client *upstream.Client) {
 	requests, err := queryLoad(ctx, server, query, client)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -154,7 +154,7 @@
 }
 
 // queryLoad sends a load query to a server.
-func queryLoad(ctx context.Context, server leftbehind.Server, query LoadQuery, client *upstream.Client) (requests int, err error) {
+func queryLoad(ctx context.Context, server orphans.Server, query LoadQuery, client *upstream.Client) (requests int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, loadQueryTimeout)
 	defer cancel()
 	header := make(http.Header)
