--- a/internal/architecture/architecture_test.go
+++ b/internal/architecture/architecture_test.go
@@ -16,7 +16,7 @@
 
 // purePackages decide and do nothing else: time and randomness are arguments.
 var purePackages = []string{
-	"admission", "backlog", "balance", "coldstart", "continuation", "directory", "engine", "fairshare", "fingerprint", "health", "jobstore", "orphans", "ledger", "limits", "ownership", "placement",
+	"admission", "backlog", "balance", "coldstart", "continuation", "directory", "engine", "fairshare", "fingerprint", "health", "jobstore", "orphans", "ledger", "tenantlimits", "ownership", "placement",
 	"quarantine", "quota", "raft", "relaybudget", "overload", "requestrate", "retryafter", "routing", "sharding", "sharing", "simulator", "virtualtime", "waitqueue", "zonedrain",
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -14,7 +14,7 @@
 	"rockwind.example/rockwind/internal/configuration"
 	"rockwind.example/rockwind/internal/controlclient"
 	"rockwind.example/rockwind/internal/follower"
-	"rockwind.example/rockwind/internal/limits"
+	"rockwind.example/rockwind/internal/tenantlimits"
 	"rockwind.example/rockwind/internal/linkfault"
 	"rockwind.example/rockwind/internal/logring"
 	"rockwind.example/rockwind/internal/retry"
@@ -60,7 +60,7 @@
 	relay      *upstream.Relay
 	budget     *retry.Budget
 	view       *serverview.View
-	limiter    *limits.Limiter
+	limiter    *tenantlimits.Limiter
 	groupUsage *groupUsage
 	modelUsage *modelUsage
 	metrics    *metrics
@@ -137,7 +137,7 @@
 func assemble(settings *rockwindpb.GatewaySettings, ring *logring.Ring, logger log.Interface, follower configurationFollower, client control, backEnds *upstream.Client) *Gateway {
 	g := &Gateway{
 		settings: settings, log: logger, ring: ring, started: time.Now(), follower: follower, control: client,
-		client: backEnds, budget: upstream.NewRetryBudget(), limiter: limits.New(),
+		client: backEnds, budget: upstream.NewRetryBudget(), limiter: tenantlimits.New(),
 		groupUsage: newGroupUsage(), modelUsage: newModelUsage(), metrics: newMetrics(), drain: newDrainState(),
 		onConfiguration: func(*configuration.Index) {}, stalls: defaultStallLimits,
 	}
--- a/internal/gateway/limiting.go
+++ b/internal/gateway/limiting.go
@@ -4,14 +4,14 @@
 	"net/http"
 	"time"
 
-	"rockwind.example/rockwind/internal/limits"
+	"rockwind.example/rockwind/internal/tenantlimits"
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
 // admitTenant counts the request against its tenant's limits. If one is exceeded, it
 // returns a fault. Otherwise the caller must call Done on the grant at the end of the
 // request.
-func (g *Gateway) admitTenant(tenant *rockwindpb.Tenant, tenantLimits *rockwindpb.Limits, now time.Time) (*limits.Grant, error) {
+func (g *Gateway) admitTenant(tenant *rockwindpb.Tenant, tenantLimits *rockwindpb.Limits, now time.Time) (*tenantlimits.Grant, error) {
 	grant, err := g.limiter.Admit(tenant.GetName(), tenantLimits, now)
 	if err != nil {
 		g.metrics.refused.WithLabelValues("limit").Inc()
--- a/internal/limits/export_test.go
+++ b/internal/tenantlimits/export_test.go
@@ -1,4 +1,4 @@
-package limits
+package tenantlimits
 
 // Exported for the tests.
 const (
--- a/internal/limits/seed_test.go
+++ b/internal/tenantlimits/seed_test.go
@@ -1,4 +1,4 @@
-package limits_test
+package tenantlimits_test
 
 import (
 	"flag"
--- a/internal/limits/limits.go
+++ b/internal/tenantlimits/tenantlimits.go
@@ -1,10 +1,10 @@
-// Package limits enforces the limits of tenants on requests per second, concurrency and tokens
+// Package tenantlimits enforces the limits of tenants on requests per second, concurrency and tokens
 // per second without a round trip: each gateway spends its own allowance of every limit. The
 // control machines set the allowances at each exchange, from the use that all gateways report. A
 // gateway always lets one request of a tenant run, so a concurrency limit below the number of
 // gateways that the tenant uses is exceeded by at most that number. The package has no clock:
 // times are arguments.
-package limits
+package tenantlimits
 
 import (
 	"math"
--- a/internal/limits/limits_test.go
+++ b/internal/tenantlimits/tenantlimits_test.go
@@ -1,4 +1,4 @@
-package limits_test
+package tenantlimits_test
 
 import (
 	"testing"
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 
 	"rockwind.example/rockwind/internal/fault"
-	"rockwind.example/rockwind/internal/limits"
+	"rockwind.example/rockwind/internal/tenantlimits"
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
@@ -16,8 +16,8 @@
 // gateways is a model of gateways that share one tenant's limits.
 type gateways struct {
 	limits   *rockwindpb.Limits
-	limiters []*limits.Limiter
-	running  [][]*limits.Grant
+	limiters []*tenantlimits.Limiter
+	running  [][]*tenantlimits.Grant
 	now      time.Time
 	started  time.Time
 	admitted int
@@ -34,12 +34,12 @@
 	}
 	g.started = g.now
 	for range rapid.IntRange(1, 4).Draw(t, "gateways") {
-		g.limiters = append(g.limiters, limits.New())
+		g.limiters = append(g.limiters, tenantlimits.New())
 	}
 	for _, limiter := range g.limiters {
 		limiter.SetGateways(len(g.limiters))
 	}
-	g.running = make([][]*limits.Grant, len(g.limiters))
+	g.running = make([][]*tenantlimits.Grant, len(g.limiters))
 	return g
 }
 
@@ -52,10 +52,10 @@
 		return
 	}
 	refusal := fault.From(err)
-	if refusal.Kind != fault.LimitReached || refusal.Ran != fault.NotRun || refusal.RetryAfter < limits.MinimumRetryAfter {
+	if refusal.Kind != fault.LimitReached || refusal.Ran != fault.NotRun || refusal.RetryAfter < tenantlimits.MinimumRetryAfter {
 		t.Fatalf("refused with %+v", refusal)
 	}
-	if limits.Unlimited(g.limits) {
+	if tenantlimits.Unlimited(g.limits) {
 		t.Fatal("refused without limits")
 	}
 }
@@ -110,7 +110,7 @@
 			RequestsPerSecond: rapid.Float64Range(0.1, 100).Draw(t, "requests"),
 			TokensPerSecond:   rapid.Float64Range(10, 1000).Draw(t, "tokens"),
 		}
-		limiter, now := limits.New(), time.Unix(1_000_000, 0)
+		limiter, now := tenantlimits.New(), time.Unix(1_000_000, 0)
 		for range rapid.IntRange(1, 300).Draw(t, "tries") {
 			grant, err := limiter.Admit(tenantName, given, now)
 			if err == nil {
@@ -133,7 +133,7 @@
 // TestRetryAfterAllowsForRounding uses a level that rounds to just below one.
 func TestRetryAfterAllowsForRounding(t *testing.T) {
 	given := &rockwindpb.Limits{RequestsPerSecond: 0.1, TokensPerSecond: 16.921875}
-	limiter, now := limits.New(), time.Unix(1_000_000, 0)
+	limiter, now := tenantlimits.New(), time.Unix(1_000_000, 0)
 	grant, err := limiter.Admit(tenantName, given, now)
 	if err != nil {
 		t.Fatal(err)
@@ -152,7 +152,7 @@
 
 func TestAllowancesMoveLimitsToTheTraffic(t *testing.T) {
 	given := &rockwindpb.Limits{RequestsPerSecond: 10, Concurrency: 10}
-	limiter, now := limits.New(), time.Unix(1_000_000, 0)
+	limiter, now := tenantlimits.New(), time.Unix(1_000_000, 0)
 	limiter.SetGateways(10)
 	admit := func(count int) (admitted int) {
 		for range count {
@@ -178,7 +178,7 @@
 	if admitted := admit(20); admitted != 9 {
 		t.Fatalf("the whole limits admitted %d beside one running", admitted)
 	}
-	now = now.Add(limits.AllowanceLifetime)
+	now = now.Add(tenantlimits.AllowanceLifetime)
 	if admitted := admit(5); admitted != 0 {
 		t.Fatalf("an allowance that is too old admitted %d", admitted)
 	}
