--- a/internal/control/placement.go
+++ b/internal/control/placement.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"rockwind.example/rockwind/internal/fault"
-	"rockwind.example/rockwind/internal/placer"
+	"rockwind.example/rockwind/internal/placementcontroller"
 	"rockwind.example/rockwind/internal/rockwindpb"
 	"rockwind.example/rockwind/internal/sharding"
 )
@@ -22,13 +22,13 @@
 		return nil
 	}
 	started := time.Now()
-	options := placer.FromSettings(settings)
+	options := placementcontroller.FromSettings(settings)
 	options.Leading = d.leadsRoot
 	options.Survey = d.surveyFleet
 	options.Client = &http.Client{}
 	options.Now = func() time.Duration { return time.Since(started) }
 	options.Log = log.Log
-	return placer.New(options).Run(ctx)
+	return placementcontroller.New(options).Run(ctx)
 }
 
 // leadsRoot tells whether this machine holds the leader lease of the root group.
@@ -42,10 +42,10 @@
 
 // surveyFleet gathers what all control machines know of the fleet. A machine that
 // does not answer is left out: its servers have no digest then and are left alone.
-func (d *daemon) surveyFleet(ctx context.Context) (placer.Survey, error) {
+func (d *daemon) surveyFleet(ctx context.Context) (placementcontroller.Survey, error) {
 	index, known := d.index(ctx)
 	if !known {
-		return placer.Survey{}, fault.New(fault.Unavailable, "this machine has no configuration yet", "wait for the first configuration")
+		return placementcontroller.Survey{}, fault.New(fault.Unavailable, "this machine has no configuration yet", "wait for the first configuration")
 	}
 	others := d.others()
 	answers := make([]*rockwindpb.FleetStatusResponse, len(others)+1)
@@ -64,7 +64,7 @@
 		})
 	}
 	_ = calls.Wait()
-	survey := placer.Survey{Index: index}
+	survey := placementcontroller.Survey{Index: index}
 	for _, answer := range answers {
 		survey.Digests = append(survey.Digests, answer.GetServers()...)
 		survey.Demands = append(survey.Demands, answer.GetModels()...)
--- a/internal/placer/view.go
+++ b/internal/placementcontroller/view.go
@@ -1,4 +1,4 @@
-package placer
+package placementcontroller
 
 import (
 	"cmp"
