--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -14,12 +14,12 @@
 	"rockwind.example/rockwind/internal/configuration"
 	"rockwind.example/rockwind/internal/controlclient"
 	"rockwind.example/rockwind/internal/follower"
-	"rockwind.example/rockwind/internal/tenantlimits"
 	"rockwind.example/rockwind/internal/linkfault"
 	"rockwind.example/rockwind/internal/logring"
 	"rockwind.example/rockwind/internal/retry"
 	"rockwind.example/rockwind/internal/rockwindpb"
 	"rockwind.example/rockwind/internal/serverview"
+	"rockwind.example/rockwind/internal/tenantlimits"
 	"rockwind.example/rockwind/internal/upstream"
 )
 
--- a/internal/gateway/limiting.go
+++ b/internal/gateway/limiting.go
@@ -4,8 +4,8 @@
 	"net/http"
 	"time"
 
-	"rockwind.example/rockwind/internal/tenantlimits"
 	"rockwind.example/rockwind/internal/rockwindpb"
+	"rockwind.example/rockwind/internal/tenantlimits"
 )
 
 // admitTenant counts the request against its tenant's limits. If one is exceeded, it
--- a/internal/placementcontroller/applier.go
+++ b/internal/placementcontroller/applier.go
@@ -1,6 +1,6 @@
-// Package placementcontroller carries out the placement of models on engines. The leader of the root group
-// surveys the fleet, makes a plan and sends orders with fencing tokens to engines. A new leader
-// first claims every engine with an order of its own term that changes nothing, so that engines
+// Package placementcontroller carries out the placement of models on engines. The leader of the
+// root group surveys the fleet, makes a plan and sends orders with fencing tokens to engines. A new
+// leader first claims every engine with an order of its own term that changes nothing, so that engines
 // refuse the orders of former leaders from then on.
 package placementcontroller
 
--- a/internal/router/queue.go
+++ b/internal/router/queue.go
@@ -139,7 +139,9 @@
 }
 
 // slotRate is the rate at which slots become free.
-func (p *servicePool) slotRate() retryafter.Rate { return retryafter.NewRate(p.pool.Slots(), p.holdTime) }
+func (p *servicePool) slotRate() retryafter.Rate {
+	return retryafter.NewRate(p.pool.Slots(), p.holdTime)
+}
 
 // expectedWait estimates the wait of a request behind the given number of others. If capacity has
 // been short for long enough to know the shares of the tenants, it also considers the other
--- a/internal/store/history.go
+++ b/internal/store/history.go
@@ -4,8 +4,8 @@
 	"net/http"
 	"time"
 
-	"rockwind.example/rockwind/internal/fingerprint"
 	"rockwind.example/rockwind/internal/featuregate"
+	"rockwind.example/rockwind/internal/fingerprint"
 	"rockwind.example/rockwind/internal/jobstore"
 	"rockwind.example/rockwind/internal/store/output"
 )
--- a/internal/tenantlimits/tenantlimits_test.go
+++ b/internal/tenantlimits/tenantlimits_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 
 	"rockwind.example/rockwind/internal/fault"
-	"rockwind.example/rockwind/internal/tenantlimits"
 	"rockwind.example/rockwind/internal/rockwindpb"
+	"rockwind.example/rockwind/internal/tenantlimits"
 )
 
 const tenantName = "clinic"
