--- a/internal/controlclient/call.go
+++ b/internal/controlclient/call.go
@@ -13,56 +13,60 @@
 	"rockwind.example/rockwind/internal/retry"
 )
 
-// effect tells whether a call changes state, which decides what an unanswered
-// call is reported as.
-type effect int
+// callKind tells reads from writes. An unanswered write may have been executed,
+// and its error says so.
+type callKind int
 
 const (
-	reading effect = iota
-	changing
+	readCall callKind = iota
+	writeCall
 )
 
 const (
-	firstBackOff   = 20 * time.Millisecond
-	longestBackOff = 500 * time.Millisecond
-	// longestFreeBackOff bounds the pause after attempts that cost the machines
-	// next to nothing, such as those made while a leader is elected.
-	longestFreeBackOff = 100 * time.Millisecond
-	// redirectLimit bounds hints followed without a pause.
-	redirectLimit = 4
+	minBackoff = 20 * time.Millisecond
+	maxBackoff = 500 * time.Millisecond
+	// maxCheapBackoff applies after attempts that put no load on the machine, such
+	// as those during a leader election.
+	maxCheapBackoff = 100 * time.Millisecond
+	// maxRedirects is the number of successive redirects followed without backoff.
+	maxRedirects = 4
 )
 
-// route chooses the machine for each attempt of one call.
+// route selects the machine for each attempt of a call. It serves one call only.
 type route struct {
-	// group is the group whose leader is meant; leaderless routes take any.
+	// group is the group whose leader is called, unless anyMachine is set.
 	group      uint32
-	leaderless bool
-	order      []*machine
+	anyMachine bool
+	candidates []*machine
 	next       int
-	hinted     *machine
-	// extra is added to the attempt timeout, for calls that wait by design.
-	extra time.Duration
+	// redirect is the leader that the last answer named. It is tried next.
+	redirect *machine
+	// extraTimeout is added to the call and attempt timeouts, for long polls and
+	// large messages.
+	extraTimeout time.Duration
 }
 
-// method performs one attempt at one machine.
-type method[Request, Response any] func(ctx context.Context, at *machine, request Request) (Response, error)
+// attemptFunc sends the request to one machine.
+type attemptFunc[Request, Response any] func(ctx context.Context, target *machine, request Request) (Response, error)
 
-// anywhere returns a route over all machines: those that answer before those
-// that did not, those of the client's zone first, spread over callers.
-func (c *Client) anywhere() *route {
-	return &route{leaderless: true, order: c.spread(nil)}
+// toAny returns a route to any machine, responsive ones and those of the client's
+// zone first.
+func (c *Client) toAny() *route {
+	return &route{anyMachine: true, candidates: c.orderMachines(nil)}
 }
 
-// replicas returns a route over the machines that replicate a group.
-func (c *Client) replicas(ctx context.Context, group uint32) *route {
-	// Without an answer all machines are tried, which is slower but as good.
+// toReplicas returns a route that prefers the machines that replicate a group.
+func (c *Client) toReplicas(ctx context.Context, group uint32) *route {
+	// Loads the members of the group. If that fails, all machines are candidates
+	// and those that don't replicate the group redirect the call.
 	_, _ = c.Shards(ctx)
-	return &route{leaderless: true, order: c.spread(c.membersOf(group))}
+	return &route{anyMachine: true, candidates: c.orderMachines(c.membersOf(group))}
 }
 
-// meeting returns a route in the order of rendezvous with the client's zone, so
-// that all gateways of a zone meet at one machine.
-func (c *Client) meeting() *route {
+// toZoneMachine returns a route that orders the machines by rendezvous hashing of
+// the client's zone, so that all gateways of a zone call the same machine.
+// Unresponsive machines come last.
+func (c *Client) toZoneMachine() *route {
 	names := make([]string, 0, len(c.machines))
 	for _, candidate := range c.machines {
 		names = append(names, candidate.name)
@@ -73,12 +77,12 @@
 		order = append(order, c.machines[index])
 	}
 	slices.SortStableFunc(order, func(left, right *machine) int {
-		return asInt(left.paused()) - asInt(right.paused())
+		return boolToInt(left.unresponsive()) - boolToInt(right.unresponsive())
 	})
-	return &route{leaderless: true, order: order}
+	return &route{anyMachine: true, candidates: order}
 }
 
-func asInt(condition bool) int {
+func boolToInt(condition bool) int {
 	if condition {
 		return 1
 	}
@@ -87,12 +91,12 @@
 
 // toLeader returns a route to the leader of a group.
 func (c *Client) toLeader(group uint32) *route {
-	return &route{group: group, order: c.spread(c.membersOf(group))}
+	return &route{group: group, candidates: c.orderMachines(c.membersOf(group))}
 }
 
-// waiting lets each attempt take longer by the given time.
-func (r *route) waiting(extra time.Duration) *route {
-	r.extra = extra
+// withExtraTimeout extends the timeouts of the call and of each attempt.
+func (r *route) withExtraTimeout(extra time.Duration) *route {
+	r.extraTimeout = extra
 	return r
 }
 
@@ -102,57 +106,58 @@
 	return c.members[group]
 }
 
-// spread orders the machines: the named ones first, then those that answer, then
-// those of the client's zone; equals are rotated.
-func (c *Client) spread(named []string) []*machine {
+// orderMachines sorts the machines by penalty. Machines with the same penalty are
+// rotated from call to call to distribute the load.
+func (c *Client) orderMachines(preferred []string) []*machine {
 	c.mutex.Lock()
-	c.rotate++
-	start := c.rotate
+	c.rotation++
+	start := c.rotation
 	c.mutex.Unlock()
 	order := make([]*machine, 0, len(c.machines))
 	for offset := range c.machines {
 		order = append(order, c.machines[(start+offset)%len(c.machines)])
 	}
 	slices.SortStableFunc(order, func(left, right *machine) int {
-		return c.distance(left, named) - c.distance(right, named)
+		return c.penalty(left, preferred) - c.penalty(right, preferred)
 	})
 	return order
 }
 
-// Weights of what makes a machine a worse choice.
+// Penalties in the order of machines. Each exceeds the sum of the smaller ones.
 const (
-	notNamedWeight  = 4
-	pausedWeight    = 2
-	otherZoneWeight = 1
+	notPreferredPenalty = 4
+	unresponsivePenalty = 2
+	otherZonePenalty    = 1
 )
 
-func (c *Client) distance(candidate *machine, named []string) int {
-	distance := 0
-	if len(named) > 0 && !slices.Contains(named, candidate.name) {
-		distance += notNamedWeight
+func (c *Client) penalty(candidate *machine, preferred []string) int {
+	penalty := 0
+	if len(preferred) > 0 && !slices.Contains(preferred, candidate.name) {
+		penalty += notPreferredPenalty
 	}
-	if candidate.paused() {
-		distance += pausedWeight
+	if candidate.unresponsive() {
+		penalty += unresponsivePenalty
 	}
 	if candidate.zone != c.options.Zone {
-		distance += otherZoneWeight
+		penalty += otherZonePenalty
 	}
-	return distance
+	return penalty
 }
 
-// pick returns the machine for the next attempt.
+// pick returns the machine for the next attempt: the target of a redirect, the
+// known leader or the next candidate.
 func (c *Client) pick(r *route) *machine {
-	if r.hinted != nil {
-		hinted := r.hinted
-		r.hinted = nil
-		return hinted
+	if r.redirect != nil {
+		redirected := r.redirect
+		r.redirect = nil
+		return redirected
 	}
-	if !r.leaderless {
+	if !r.anyMachine {
 		if leader := c.leaderOf(r.group); leader != nil {
 			return leader
 		}
 	}
-	chosen := r.order[r.next%len(r.order)]
+	chosen := r.candidates[r.next%len(r.candidates)]
 	r.next++
 	return chosen
 }
@@ -163,10 +168,10 @@
 	return c.leaders[group]
 }
 
-func (c *Client) forgetLeader(group uint32, was *machine) {
+func (c *Client) forgetLeader(group uint32, leader *machine) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.leaders[group] == was {
+	if c.leaders[group] == leader {
 		delete(c.leaders, group)
 	}
 }
@@ -177,119 +182,124 @@
 	c.leaders[group] = leader
 }
 
-// call performs a call along a route until it is answered, the context ends or
-// the retry budget is used up.
-func call[Request, Response any](ctx context.Context, c *Client, r *route, kind effect, attempt method[Request, Response], request Request) (Response, error) {
+// call sends a request along a route and retries until it gets a final answer, the
+// timeout expires or the retry budget is exhausted.
+func call[Request, Response any](ctx context.Context, c *Client, r *route, kind callKind, attempt attemptFunc[Request, Response], request Request) (Response, error) {
 	var none Response
 	if len(c.machines) == 0 {
-		return none, fault.New(fault.Unavailable, "no control machine is known",
+		return none, fault.New(fault.Unavailable, "no control machine is configured",
 			"list the control machines in the settings").WithRan(fault.NotRun)
 	}
-	ctx, cancel := c.bounded(ctx, r)
+	ctx, cancel := c.withTimeout(ctx, r)
 	defer cancel()
 	c.budget.Deposit(retryRatio)
-	backOff := firstBackOff
+	backoff := minBackoff
 	redirects := 0
 	executed := false
 	for {
-		at := c.pick(r)
-		response, err := once(ctx, c, at, r, attempt, request)
+		target := c.pick(r)
+		response, err := attemptOnce(ctx, c, target, r, attempt, request)
 		if err == nil {
-			if !r.leaderless {
-				c.rememberLeader(r.group, at)
+			if !r.anyMachine {
+				c.rememberLeader(r.group, target)
 			}
 			return response, nil
 		}
 		if errors.Is(ctx.Err(), context.Canceled) {
-			cause := fault.New(fault.Unavailable, "the caller gave the call up", "call again when the answer is wanted")
-			return none, gaveUp(cause, kind, executed || !neverConnected(err))
+			cause := fault.New(fault.Unavailable, "the caller canceled the call", "retry the call if its result is still needed")
+			return none, unansweredFault(cause, kind, executed || !isDialError(err))
 		}
-		verdict := c.judge(r, at, err)
-		executed = executed || verdict.mayHaveRun
-		if verdict.final {
-			return none, verdict.cause
+		failed := c.classify(r, target, err)
+		executed = executed || failed.mayHaveRun
+		if failed.final {
+			return none, failed.cause
 		}
-		if verdict.redirected && redirects < redirectLimit {
+		if failed.redirected && redirects < maxRedirects {
 			redirects++
 			continue
 		}
 		redirects = 0
-		if !verdict.free && !c.budget.Withdraw() || !c.pause(ctx, backOff) {
-			return none, gaveUp(verdict.cause, kind, executed)
+		if !failed.cheap && !c.budget.Withdraw() || !c.wait(ctx, backoff) {
+			return none, unansweredFault(failed.cause, kind, executed)
 		}
-		backOff = nextBackOff(backOff, verdict)
+		backoff = nextBackoff(backoff, failed)
 	}
 }
 
-// nextBackOff doubles a pause up to the bound for the kind of failure.
-func nextBackOff(backOff time.Duration, failed verdict) time.Duration {
-	if failed.free {
-		return min(2*backOff, longestFreeBackOff)
+// nextBackoff doubles the backoff up to the limit for the kind of failure.
+func nextBackoff(backoff time.Duration, failed attemptError) time.Duration {
+	if failed.cheap {
+		return min(2*backoff, maxCheapBackoff)
 	}
-	return min(2*backOff, longestBackOff)
+	return min(2*backoff, maxBackoff)
 }
 
-func (c *Client) bounded(ctx context.Context, r *route) (context.Context, context.CancelFunc) {
+// withTimeout applies the call timeout unless ctx already has a deadline.
+func (c *Client) withTimeout(ctx context.Context, r *route) (context.Context, context.CancelFunc) {
 	if _, has := ctx.Deadline(); has {
 		return ctx, func() {}
 	}
-	return context.WithTimeout(ctx, c.options.CallTimeout+r.extra)
+	return context.WithTimeout(ctx, c.options.CallTimeout+r.extraTimeout)
 }
 
-func once[Request, Response any](ctx context.Context, c *Client, at *machine, r *route, attempt method[Request, Response], request Request) (Response, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.options.AttemptTimeout+r.extra)
+func attemptOnce[Request, Response any](ctx context.Context, c *Client, target *machine, r *route, attempt attemptFunc[Request, Response], request Request) (Response, error) {
+	ctx, cancel := context.WithTimeout(ctx, c.options.AttemptTimeout+r.extraTimeout)
 	defer cancel()
-	return attempt(ctx, at, request)
+	return attempt(ctx, target, request)
 }
 
-// verdict is what one failed attempt means for the call.
-type verdict struct {
+// attemptError is a failed attempt and what it means for the call.
+type attemptError struct {
 	cause *fault.Fault
-	// final means that another attempt would get the same answer.
+	// final is set if another attempt would get the same answer.
 	final bool
-	// redirected means that the answer named the machine to ask instead.
+	// redirected is set if the answer named another machine as the leader.
 	redirected bool
-	// mayHaveRun means that the attempt may have been executed.
+	// mayHaveRun is set if the request may have been executed.
 	mayHaveRun bool
-	// free means that the attempt cost the machine next to nothing: it was not
-	// reached, or it refused at once. The pause between attempts is bound enough.
-	free bool
+	// cheap is set if the attempt put no load on the machine: it could not be
+	// reached or is not the leader. Such attempts are limited by backoff alone and
+	// don't use the retry budget.
+	cheap bool
 }
 
-func (c *Client) judge(r *route, at *machine, err error) verdict {
+// classify decides how the call continues after a failed attempt. It also forgets
+// the leader and marks unresponsive machines.
+func (c *Client) classify(r *route, target *machine, err error) attemptError {
 	cause := fault.From(err)
-	if isTransport(err) {
-		at.pause()
-		c.forgetLeader(r.group, at)
+	if isTransportError(err) {
+		target.markUnresponsive()
+		c.forgetLeader(r.group, target)
 		cause = fault.Newf(fault.Unavailable, "check that the process at the other end is running",
-			"call to control machine %s at %s failed: %v", at.name, at.address, err)
-		return verdict{cause: cause, mayHaveRun: !neverConnected(err), free: neverConnected(err)}
+			"call to control machine %s at %s failed: %v", target.name, target.address, err)
+		return attemptError{cause: cause, mayHaveRun: !isDialError(err), cheap: isDialError(err)}
 	}
 	switch cause.Kind {
 	case fault.NotLeader:
-		c.forgetLeader(r.group, at)
-		r.hinted = c.byAddress(cause.Leader)
-		return verdict{cause: cause, free: true, redirected: r.hinted != nil && r.hinted != at}
+		c.forgetLeader(r.group, target)
+		r.redirect = c.machineByAddress(cause.Leader)
+		return attemptError{cause: cause, cheap: true, redirected: r.redirect != nil && r.redirect != target}
 	case fault.Unavailable, fault.Overloaded:
-		c.forgetLeader(r.group, at)
-		return verdict{cause: cause, mayHaveRun: cause.Ran != fault.NotRun}
+		c.forgetLeader(r.group, target)
+		return attemptError{cause: cause, mayHaveRun: cause.Ran != fault.NotRun}
 	case fault.OutcomeUnknown:
-		c.forgetLeader(r.group, at)
-		return verdict{cause: cause, mayHaveRun: true}
+		c.forgetLeader(r.group, target)
+		return attemptError{cause: cause, mayHaveRun: true}
 	default:
-		return verdict{cause: cause, final: true}
+		return attemptError{cause: cause, final: true}
 	}
 }
 
-// pause waits about the given time and tells whether the call may go on.
-func (c *Client) pause(ctx context.Context, about time.Duration) bool {
+// wait pauses for the backoff with ±50% jitter. It returns false if ctx ends first.
+func (c *Client) wait(ctx context.Context, about time.Duration) bool {
 	jittered := time.Duration((0.5 + c.options.Random()) * float64(about))
 	return retry.Pause(ctx, jittered)
 }
 
-// gaveUp turns the last failure into what the caller needs to know.
-func gaveUp(cause *fault.Fault, kind effect, executed bool) *fault.Fault {
-	if kind == reading || !executed {
+// unansweredFault converts the last failure into the result of the call:
+// OutcomeUnknown if a write may have been executed, Unavailable otherwise.
+func unansweredFault(cause *fault.Fault, kind callKind, executed bool) *fault.Fault {
+	if kind == readCall || !executed {
 		result := *cause
 		result.Kind = fault.Unavailable
 		return result.WithRan(fault.NotRun)
@@ -298,16 +308,17 @@
 		"repeat the call with the same key; it is executed once").WithRan(fault.RanUnknown)
 }
 
-// isTransport tells whether the attempt failed without an answer.
-func isTransport(err error) bool {
+// isTransportError reports whether an attempt failed without an answer.
+func isTransportError(err error) bool {
 	var network net.Error
 	var operation *net.OpError
 	return errors.As(err, &network) || errors.As(err, &operation) ||
 		errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled)
 }
 
-// neverConnected tells whether no byte of the call can have left.
-func neverConnected(err error) bool {
+// isDialError reports whether no connection was established, so that the request
+// was never sent.
+func isDialError(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
 }
--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -1,13 +1,13 @@
-// Package controlclient calls the control machines: it finds the leader of the
-// shard that owns a job, a file or a key, follows hints to a new leader, and
-// repeats what may be repeated within a budget.
+// Package controlclient is the client of the control machines. It sends each call
+// to the leader of the shard that owns the job, file or key, follows redirects to a
+// new leader and retries within a budget.
 //
-// Every call of rockwind's internal services may be repeated: Submit, Put and
-// Begin are matched by key, Finish by key and owner, completions by fence, Apply
-// by number and checksum, bodies are stored under fresh references. So a call
-// whose outcome is unknown is sent again until the context ends. What is left
-// unanswered then is reported as a fault whose Ran field tells "not_run" (no
-// attempt can have been executed) from "outcome_unknown".
+// All calls of the internal services may be retried: Submit, Put and Begin are
+// deduplicated by key, Finish by key and owner, completions by fence, Apply by
+// number and checksum; stored bodies get new references, and a lease whose response
+// is lost expires. A call with an unknown outcome is therefore retried until its
+// timeout. If it remains unanswered, the Ran field of the returned fault is
+// "not_run" if no attempt can have been executed, and "outcome_unknown" otherwise.
 package controlclient
 
 import (
@@ -25,16 +25,17 @@
 	"rockwind.example/rockwind/internal/twirphttp"
 )
 
-// Defaults of Options.
 const (
-	// retryRatio is the part of a retry that each call earns.
+	// retryRatio is the number of retries that each call adds to the budget.
 	retryRatio = 0.2
-	// retryReserve is how many retries may be spent in a burst.
+	// retryReserve is the maximum retry budget, which bounds bursts of retries.
 	retryReserve = 50
 
 	defaultAttemptTimeout = 2 * time.Second
 	defaultCallTimeout    = 15 * time.Second
-	defaultBodyTimeout    = 10 * time.Second
+	// extraBodyTimeout is the extra timeout of calls that transfer bodies or a
+	// configuration.
+	extraBodyTimeout      = 10 * time.Second
 	dialTimeout           = 500 * time.Millisecond
 	idleConnectionTimeout = 90 * time.Second
 	idleConnections       = 64
@@ -44,29 +45,30 @@
 type Options struct {
 	// Machines lists the control machines.
 	Machines []*rockwindpb.ControlMachine
-	// Zone is the caller's zone; machines of the same zone are preferred where
-	// any machine may answer.
+	// Zone is the caller's zone. Calls that any machine can answer prefer machines
+	// of this zone.
 	Zone string
-	// HTTPClient carries the calls; nil makes one that keeps connections open.
+	// HTTPClient sends the requests. The default uses NewTransport.
 	HTTPClient *http.Client
-	// Secure makes the client speak TLS; the HTTPClient must be set up for it.
+	// Secure enables TLS. HTTPClient must be configured for it.
 	Secure bool
-	// AttemptTimeout bounds one attempt at one machine; zero means 2 s. Time that
-	// the call asks the machine to wait comes on top.
+	// AttemptTimeout is the timeout of one attempt, 2 s by default. The wait time
+	// of long polls is added to it.
 	AttemptTimeout time.Duration
-	// CallTimeout bounds a call whose context has no deadline; zero means 15 s.
+	// CallTimeout is the timeout of calls whose context has no deadline, 15 s by
+	// default. The wait time of long polls is added to it.
 	CallTimeout time.Duration
-	// Random returns a number in [0, 1) for jitter; nil uses math/rand.
+	// Random returns a number in [0, 1) for jitter. The default is math/rand.
 	Random func() float64
 }
 
-// Client calls the control machines. It is safe for concurrent use.
+// Client is a client of all control machines. It is safe for concurrent use.
 type Client struct {
 	options  Options
 	machines []*machine
 	budget   *retry.Budget
 
-	// idle is set while the last wait for work at all shards ended without any.
+	// idle is set if the last long poll of all shards found no work.
 	idle atomic.Bool
 
 	mutex   sync.Mutex
@@ -74,10 +76,11 @@
 	leaders map[uint32]*machine
 	// members holds the names of the machines that replicate each group.
 	members map[uint32][]string
-	rotate  int
+	// rotation is the start position of the next round-robin order of machines.
+	rotation int
 }
 
-// machine holds the connections to one control machine.
+// machine holds the service clients of one control machine.
 type machine struct {
 	name          string
 	zone          string
@@ -90,23 +93,23 @@
 	bodies        rockwindpb.BodyService
 	fleet         rockwindpb.FleetService
 
-	// pausedUntil is when a machine that did not answer is preferred again, in
-	// Unix nanoseconds.
-	pausedUntil atomic.Int64
+	// unresponsiveUntil is the time until which the machine is ordered last, in Unix
+	// nanoseconds.
+	unresponsiveUntil atomic.Int64
 }
 
-// machinePause is how long a machine that did not answer is asked last.
-const machinePause = 3 * time.Second
+// unresponsivePeriod is how long a machine is ordered last after it did not answer.
+const unresponsivePeriod = 3 * time.Second
 
-func (m *machine) pause() {
-	m.pausedUntil.Store(time.Now().Add(machinePause).UnixNano())
+func (m *machine) markUnresponsive() {
+	m.unresponsiveUntil.Store(time.Now().Add(unresponsivePeriod).UnixNano())
 }
 
-func (m *machine) paused() bool {
-	return time.Now().UnixNano() < m.pausedUntil.Load()
+func (m *machine) unresponsive() bool {
+	return time.Now().UnixNano() < m.unresponsiveUntil.Load()
 }
 
-// New returns a client of the given control machines. It makes no call.
+// New returns a client of the given control machines. It does not connect yet.
 func New(options Options) *Client {
 	options = withDefaults(options)
 	client := &Client{
@@ -118,7 +121,7 @@
 	for _, settings := range options.Machines {
 		client.machines = append(client.machines, newMachine(options, settings))
 	}
-	client.rotate = int(options.Random() * float64(len(client.machines)))
+	client.rotation = int(options.Random() * float64(len(client.machines)))
 	return client
 }
 
@@ -138,8 +141,8 @@
 	return options
 }
 
-// NewTransport returns an HTTP transport that keeps connections to the control
-// machines open and gives up dialling early.
+// NewTransport returns an HTTP transport that keeps idle connections to the control
+// machines open and has a short dial timeout.
 func NewTransport() *http.Transport {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Transport{
@@ -155,24 +158,24 @@
 	if options.Secure {
 		scheme = "https://"
 	}
-	base := scheme + settings.GetAddress()
-	carrier := twirphttp.Client{HTTPClient: options.HTTPClient}
+	baseURL := scheme + settings.GetAddress()
+	httpClient := twirphttp.Client{HTTPClient: options.HTTPClient}
 	return &machine{
 		name:          settings.GetMachine(),
 		zone:          settings.GetZone(),
 		address:       settings.GetAddress(),
-		replica:       rockwindpb.NewReplicaServiceProtobufClient(base, carrier),
-		configuration: rockwindpb.NewConfigurationServiceProtobufClient(base, carrier),
-		jobs:          rockwindpb.NewJobServiceProtobufClient(base, carrier),
-		records:       rockwindpb.NewRecordServiceProtobufClient(base, carrier),
-		files:         rockwindpb.NewFileServiceProtobufClient(base, carrier),
-		bodies:        rockwindpb.NewBodyServiceProtobufClient(base, carrier),
-		fleet:         rockwindpb.NewFleetServiceProtobufClient(base, compressedClient{carrier}),
+		replica:       rockwindpb.NewReplicaServiceProtobufClient(baseURL, httpClient),
+		configuration: rockwindpb.NewConfigurationServiceProtobufClient(baseURL, httpClient),
+		jobs:          rockwindpb.NewJobServiceProtobufClient(baseURL, httpClient),
+		records:       rockwindpb.NewRecordServiceProtobufClient(baseURL, httpClient),
+		files:         rockwindpb.NewFileServiceProtobufClient(baseURL, httpClient),
+		bodies:        rockwindpb.NewBodyServiceProtobufClient(baseURL, httpClient),
+		fleet:         rockwindpb.NewFleetServiceProtobufClient(baseURL, gzipClient{httpClient}),
 	}
 }
 
-// Shards returns the number of job shards, asking a control machine the first
-// time.
+// Shards returns the number of job shards. The first call asks a control machine
+// and caches the answer.
 func (c *Client) Shards(ctx context.Context) (uint32, error) {
 	c.mutex.Lock()
 	known := c.shards
@@ -180,34 +183,33 @@
 	if known > 0 {
 		return known, nil
 	}
-	identity, err := call(ctx, c, c.anywhere(), reading, identify, &rockwindpb.IdentityRequest{})
+	identity, err := call(ctx, c, c.toAny(), readCall, identify, &rockwindpb.IdentityRequest{})
 	if err != nil {
 		return 0, err
 	}
-	c.learn(identity)
+	c.updateGroups(identity)
 	return shardCount(identity), nil
 }
 
-// identify asks one machine which groups there are; a machine that belongs to no
-// cluster, because it is new or its disk is, does not know.
-func identify(ctx context.Context, at *machine, request *rockwindpb.IdentityRequest) (*rockwindpb.IdentityResponse, error) {
-	identity, err := at.replica.Identity(ctx, request)
+// identify returns the groups that one machine knows. It fails with Unavailable if
+// the machine has not joined a cluster, for example because its disk was replaced.
+func identify(ctx context.Context, target *machine, request *rockwindpb.IdentityRequest) (*rockwindpb.IdentityResponse, error) {
+	identity, err := target.replica.Identity(ctx, request)
 	if err == nil && shardCount(identity) == 0 {
 		return nil, fault.Newf(fault.Unavailable, "found the cluster, or wait until the machine has joined it",
-			"control machine %s belongs to no cluster", at.name).WithRan(fault.NotRun)
+			"control machine %s belongs to no cluster", target.name).WithRan(fault.NotRun)
 	}
 	return identity, err
 }
 
-// learn keeps what an identity tells: the number of shards, the leaders and the
-// machines that replicate each group. A group never moves to another machine
-// name.
-func (c *Client) learn(identity *rockwindpb.IdentityResponse) {
+// updateGroups caches the number of shards and the leader and members of each
+// group. The machine names of a group's members never change.
+func (c *Client) updateGroups(identity *rockwindpb.IdentityResponse) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.shards = shardCount(identity)
 	for _, group := range identity.GetGroups() {
-		leader := c.byAddress(group.GetLeaderAddress())
+		leader := c.machineByAddress(group.GetLeaderAddress())
 		if leader != nil {
 			c.leaders[group.GetGroup()] = leader
 		}
@@ -219,6 +221,8 @@
 	}
 }
 
+// shardCount returns the highest group number. Group 0 is the root group, the
+// others are job shards.
 func shardCount(identity *rockwindpb.IdentityResponse) uint32 {
 	highest := uint32(0)
 	for _, group := range identity.GetGroups() {
@@ -227,7 +231,7 @@
 	return highest
 }
 
-func (c *Client) byAddress(address string) *machine {
+func (c *Client) machineByAddress(address string) *machine {
 	for _, candidate := range c.machines {
 		if candidate.address == address {
 			return candidate
--- a/internal/controlclient/client_test.go
+++ b/internal/controlclient/client_test.go
@@ -20,36 +20,36 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// behaviour is how a machine treats calls.
+// behaviour is how a fake machine responds to calls.
 type behaviour int
 
 const (
 	leads behaviour = iota
-	namesLeader
-	namesNobody
+	redirectsToLeader
+	refusesWithoutLeader
 	refusesConnections
-	hangsUp
-	freezes
-	loses
+	closesConnection
+	hangs
+	losesResponse
 )
 
-// network carries calls to machines in memory.
-type network struct {
-	mutex    sync.Mutex
-	machines []*rockwindpb.ControlMachine
-	behave   map[string]behaviour
-	leader   string
-	attempts int
-	executed int
+// fakeNetwork is an HTTP transport to fake machines in memory.
+type fakeNetwork struct {
+	mutex      sync.Mutex
+	machines   []*rockwindpb.ControlMachine
+	behaviours map[string]behaviour
+	leader     string
+	attempts   int
+	executed   int
 }
 
-func newNetwork(behave []behaviour) *network {
-	n := &network{behave: make(map[string]behaviour)}
-	for index, how := range behave {
+func newFakeNetwork(behaviours []behaviour) *fakeNetwork {
+	n := &fakeNetwork{behaviours: make(map[string]behaviour)}
+	for index, behaviour := range behaviours {
 		address := fmt.Sprintf("10.0.0.%d:1", index+1)
 		n.machines = append(n.machines, &rockwindpb.ControlMachine{Machine: fmt.Sprint(index), Address: address})
-		n.behave[address] = how
-		if how == leads {
+		n.behaviours[address] = behaviour
+		if behaviour == leads {
 			n.leader = address
 		}
 	}
@@ -57,66 +57,66 @@
 }
 
 // RoundTrip implements http.RoundTripper.
-func (n *network) RoundTrip(request *http.Request) (*http.Response, error) {
+func (n *fakeNetwork) RoundTrip(request *http.Request) (*http.Response, error) {
 	address := request.URL.Host
 	n.mutex.Lock()
-	how := n.behave[address]
+	behaviour := n.behaviours[address]
 	n.mutex.Unlock()
-	switch how {
+	switch behaviour {
 	case refusesConnections:
 		return nil, &net.OpError{Op: "dial", Err: errors.New("connection refused")}
-	case hangsUp:
+	case closesConnection:
 		return nil, io.ErrUnexpectedEOF
-	case freezes:
+	case hangs:
 		<-request.Context().Done()
 		return nil, request.Context().Err()
 	}
 	recorder := httptest.NewRecorder()
-	server := served{network: n, address: address, how: how}
+	server := jobService{network: n, address: address, behaviour: behaviour}
 	handler := http.NewServeMux()
 	jobs := rockwindpb.NewJobServiceServer(server)
-	replicas := rockwindpb.NewReplicaServiceServer(identity{network: n})
+	replicas := rockwindpb.NewReplicaServiceServer(replicaService{network: n})
 	handler.Handle(jobs.PathPrefix(), jobs)
 	handler.Handle(replicas.PathPrefix(), replicas)
 	handler.ServeHTTP(recorder, request)
-	if how == loses && request.URL.Path == jobs.PathPrefix()+"Cancel" {
+	if behaviour == losesResponse && request.URL.Path == jobs.PathPrefix()+"Cancel" {
 		return nil, io.ErrUnexpectedEOF
 	}
 	return recorder.Result(), nil
 }
 
-type identity struct {
+type replicaService struct {
 	rockwindpb.ReplicaService
-	network *network
+	network *fakeNetwork
 }
 
-func (i identity) Identity(context.Context, *rockwindpb.IdentityRequest) (*rockwindpb.IdentityResponse, error) {
+func (r replicaService) Identity(context.Context, *rockwindpb.IdentityRequest) (*rockwindpb.IdentityResponse, error) {
 	return &rockwindpb.IdentityResponse{Groups: []*rockwindpb.GroupStatus{{Group: 0}, {Group: 1}}}, nil
 }
 
-type served struct {
+type jobService struct {
 	rockwindpb.JobService
-	network *network
-	address string
-	how     behaviour
+	network   *fakeNetwork
+	address   string
+	behaviour behaviour
 }
 
-func (s served) Cancel(context.Context, *rockwindpb.CancelJobRequest) (*rockwindpb.CancelJobResponse, error) {
+func (s jobService) Cancel(context.Context, *rockwindpb.CancelJobRequest) (*rockwindpb.CancelJobResponse, error) {
 	s.network.mutex.Lock()
 	defer s.network.mutex.Unlock()
 	s.network.attempts++
-	switch s.how {
-	case leads, loses:
+	switch s.behaviour {
+	case leads, losesResponse:
 		s.network.executed++
 		return &rockwindpb.CancelJobResponse{Job: &rockwindpb.Job{Id: "done"}}, nil
-	case namesLeader:
+	case redirectsToLeader:
 		return nil, fault.ToTwirp(fault.New(fault.NotLeader, "not the leader", "ask it").WithLeader(s.network.leader))
 	default:
 		return nil, fault.ToTwirp(fault.New(fault.NotLeader, "not the leader", "ask another"))
 	}
 }
 
-func (n *network) client() *controlclient.Client {
+func (n *fakeNetwork) client() *controlclient.Client {
 	return controlclient.New(controlclient.Options{
 		Machines:   n.machines,
 		HTTPClient: &http.Client{Transport: n},
@@ -129,50 +129,49 @@
 	return err
 }
 
-// TestCallsFindTheLeader draws machines that do not lead, refuse, hang up or
-// freeze around one leader, and checks that a call reaches the leader and that
-// the next one goes straight to it.
+// A call must reach the leader among machines that redirect, refuse, disconnect or
+// hang, and the next call must go to the leader directly.
 func TestCallsFindTheLeader(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		others := rapid.SliceOfN(rapid.SampledFrom([]behaviour{namesLeader, namesNobody, refusesConnections, hangsUp, freezes}), 0, 4).Draw(rt, "others")
+		others := rapid.SliceOfN(rapid.SampledFrom([]behaviour{redirectsToLeader, refusesWithoutLeader, refusesConnections, closesConnection, hangs}), 0, 4).Draw(rt, "others")
 		position := rapid.IntRange(0, len(others)).Draw(rt, "position")
-		behave := append(append(append([]behaviour{}, others[:position]...), leads), others[position:]...)
+		behaviours := append(append(append([]behaviour{}, others[:position]...), leads), others[position:]...)
 		var failure error
-		synctest.Test(t, func(*testing.T) { failure = findLeader(newNetwork(behave)) })
+		synctest.Test(t, func(*testing.T) { failure = checkFindsLeader(newFakeNetwork(behaviours)) })
 		if failure != nil {
 			rt.Fatal(failure)
 		}
 	})
 }
 
-func findLeader(n *network) error {
+func checkFindsLeader(n *fakeNetwork) error {
 	client := n.client()
 	if err := cancelJob(client); err != nil {
-		return fmt.Errorf("the first call failed: %w", err)
+		return fmt.Errorf("first call: %w", err)
 	}
 	n.attempts = 0
 	before := time.Now()
 	if err := cancelJob(client); err != nil {
-		return fmt.Errorf("the second call failed: %w", err)
+		return fmt.Errorf("second call: %w", err)
 	}
 	if n.attempts != 1 || time.Since(before) > 0 {
-		return fmt.Errorf("the second call took %d attempts and %v", n.attempts, time.Since(before))
+		return fmt.Errorf("second call took %d attempts and %v, want 1 attempt without backoff", n.attempts, time.Since(before))
 	}
 	return nil
 }
 
-// TestUnansweredCallsTellWhetherTheyRan checks that a call which no machine
-// answered is reported as not run only where no attempt was executed.
+// A write without an answer must be reported as not run only if no attempt was
+// executed.
 func TestUnansweredCallsTellWhetherTheyRan(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		behave := rapid.SliceOfN(rapid.SampledFrom([]behaviour{namesNobody, refusesConnections, loses}), 1, 4).Draw(rt, "behave")
+		behaviours := rapid.SliceOfN(rapid.SampledFrom([]behaviour{refusesWithoutLeader, refusesConnections, losesResponse}), 1, 4).Draw(rt, "behaviours")
 		var failure error
 		synctest.Test(t, func(*testing.T) {
-			n := newNetwork(behave)
+			n := newFakeNetwork(behaviours)
 			found := fault.From(cancelJob(n.client()))
 			switch {
 			case found == nil:
-				failure = errors.New("a call without an answer succeeded")
+				failure = errors.New("call succeeded without an answer")
 			case n.executed > 0 && (found.Kind != fault.OutcomeUnknown || found.Ran != fault.RanUnknown):
 				failure = fmt.Errorf("executed %d times, reported as %s, %s", n.executed, found.Kind, found.Ran)
 			case n.executed == 0 && found.Ran != fault.NotRun:
@@ -185,16 +184,15 @@
 	})
 }
 
-// TestRetriesAreBounded checks that many calls to a machine that never answers
-// cost little more than one attempt each.
+// The retry budget must bound the attempts at a machine that never answers.
 func TestRetriesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newNetwork([]behaviour{loses})
+		n := newFakeNetwork([]behaviour{losesResponse})
 		client := n.client()
 		const calls = 500
 		for range calls {
 			if err := cancelJob(client); err == nil {
-				t.Fatal("a call without an answer succeeded")
+				t.Fatal("call succeeded without an answer")
 			}
 		}
 		if n.attempts > calls*13/10 {
--- a/internal/controlclient/jobs.go
+++ b/internal/controlclient/jobs.go
@@ -14,7 +14,7 @@
 	"rockwind.example/rockwind/internal/sharding"
 )
 
-// Prefixes of identifiers.
+// Prefixes of IDs.
 const (
 	jobPrefix  = "job"
 	filePrefix = "file"
@@ -22,9 +22,9 @@
 
 type jobService struct{ client *Client }
 
-// Submit may be repeated: the client key, made up where the caller gave none,
-// answers the same job. The job's shard and identifier follow from tenant and
-// key.
+// Submit is idempotent: a request with the same client key returns the same job. A
+// job without a client key gets a random one. The shard and the ID of the job are
+// derived from the tenant and the key.
 func (s jobService) Submit(ctx context.Context, request *rockwindpb.SubmitJobRequest) (*rockwindpb.SubmitJobResponse, error) {
 	job := proto.CloneOf(request.GetJob())
 	if job.GetClientKey() == "" {
@@ -35,32 +35,33 @@
 		return nil, err
 	}
 	job.Shard = shard
-	job.Id = sharding.Identifier(jobPrefix, shard, numberOfKey(job.GetTenant(), job.GetClientKey()))
-	return call(ctx, s.client, s.client.toLeader(shard), changing,
-		func(ctx context.Context, at *machine, request *rockwindpb.SubmitJobRequest) (*rockwindpb.SubmitJobResponse, error) {
-			return at.jobs.Submit(ctx, request)
+	job.Id = sharding.Identifier(jobPrefix, shard, idNumber(job.GetTenant(), job.GetClientKey()))
+	return call(ctx, s.client, s.client.toLeader(shard), writeCall,
+		func(ctx context.Context, target *machine, request *rockwindpb.SubmitJobRequest) (*rockwindpb.SubmitJobResponse, error) {
+			return target.jobs.Submit(ctx, request)
 		}, &rockwindpb.SubmitJobRequest{Job: job})
 }
 
-// numberOfKey makes a resend propose the same identifier.
-func numberOfKey(tenant, key string) uint64 {
+// idNumber returns the numeric part of an ID. It is derived from tenant and key, so
+// that a retry uses the same ID.
+func idNumber(tenant, key string) uint64 {
 	digest := sha256.Sum256([]byte(tenant + "\x00" + key))
 	return binary.BigEndian.Uint64(digest[:])
 }
 
-// Get reads and may be repeated.
+// Get asks the leader of the job's shard.
 func (s jobService) Get(ctx context.Context, request *rockwindpb.GetJobRequest) (*rockwindpb.GetJobResponse, error) {
 	shard, err := s.client.ShardOf(ctx, request.GetJobId())
 	if err != nil {
 		return nil, err
 	}
-	return call(ctx, s.client, s.client.toLeader(shard), reading,
-		func(ctx context.Context, at *machine, request *rockwindpb.GetJobRequest) (*rockwindpb.GetJobResponse, error) {
-			return at.jobs.Get(ctx, request)
+	return call(ctx, s.client, s.client.toLeader(shard), readCall,
+		func(ctx context.Context, target *machine, request *rockwindpb.GetJobRequest) (*rockwindpb.GetJobResponse, error) {
+			return target.jobs.Get(ctx, request)
 		}, request)
 }
 
-// List asks every shard and merges the answers by identifier.
+// List asks the leaders of all shards and returns the jobs sorted by ID.
 func (s jobService) List(ctx context.Context, request *rockwindpb.ListJobsRequest) (*rockwindpb.ListJobsResponse, error) {
 	shards, err := s.client.Shards(ctx)
 	if err != nil {
@@ -68,12 +69,12 @@
 	}
 	merged := &rockwindpb.ListJobsResponse{}
 	for shard := uint32(1); shard <= shards; shard++ {
-		asked := proto.CloneOf(request)
-		asked.Shard = shard
-		part, err := call(ctx, s.client, s.client.toLeader(shard), reading,
-			func(ctx context.Context, at *machine, request *rockwindpb.ListJobsRequest) (*rockwindpb.ListJobsResponse, error) {
-				return at.jobs.List(ctx, request)
-			}, asked)
+		shardRequest := proto.CloneOf(request)
+		shardRequest.Shard = shard
+		part, err := call(ctx, s.client, s.client.toLeader(shard), readCall,
+			func(ctx context.Context, target *machine, request *rockwindpb.ListJobsRequest) (*rockwindpb.ListJobsResponse, error) {
+				return target.jobs.List(ctx, request)
+			}, shardRequest)
 		if err != nil {
 			return nil, err
 		}
@@ -88,34 +89,34 @@
 	return merged, nil
 }
 
-// Cancel may be repeated: a cancelled job stays cancelled.
+// Cancel is idempotent: a canceled job stays canceled.
 func (s jobService) Cancel(ctx context.Context, request *rockwindpb.CancelJobRequest) (*rockwindpb.CancelJobResponse, error) {
 	shard, err := s.client.ShardOf(ctx, request.GetJobId())
 	if err != nil {
 		return nil, err
 	}
-	return call(ctx, s.client, s.client.toLeader(shard), changing,
-		func(ctx context.Context, at *machine, request *rockwindpb.CancelJobRequest) (*rockwindpb.CancelJobResponse, error) {
-			return at.jobs.Cancel(ctx, request)
+	return call(ctx, s.client, s.client.toLeader(shard), writeCall,
+		func(ctx context.Context, target *machine, request *rockwindpb.CancelJobRequest) (*rockwindpb.CancelJobResponse, error) {
+			return target.jobs.Cancel(ctx, request)
 		}, request)
 }
 
-// ListResults reads and may be repeated.
+// ListResults asks the leader of the job's shard.
 func (s jobService) ListResults(ctx context.Context, request *rockwindpb.ListResultsRequest) (*rockwindpb.ListResultsResponse, error) {
 	shard, err := s.client.ShardOf(ctx, request.GetJobId())
 	if err != nil {
 		return nil, err
 	}
-	return call(ctx, s.client, s.client.toLeader(shard), reading,
-		func(ctx context.Context, at *machine, request *rockwindpb.ListResultsRequest) (*rockwindpb.ListResultsResponse, error) {
-			return at.jobs.ListResults(ctx, request)
+	return call(ctx, s.client, s.client.toLeader(shard), readCall,
+		func(ctx context.Context, target *machine, request *rockwindpb.ListResultsRequest) (*rockwindpb.ListResultsResponse, error) {
+			return target.jobs.ListResults(ctx, request)
 		}, request)
 }
 
 type fileService struct{ client *Client }
 
-// Put may be repeated: the identifier, made up where there is none, names the
-// file.
+// Put is idempotent: the file is stored under its ID. A file without an ID gets a
+// random one.
 func (s fileService) Put(ctx context.Context, request *rockwindpb.PutFileRequest) (*rockwindpb.PutFileResponse, error) {
 	file := proto.CloneOf(request.GetFile())
 	if file.GetId() == "" {
@@ -124,26 +125,26 @@
 		if err != nil {
 			return nil, err
 		}
-		file.Id = sharding.Identifier(filePrefix, shard, numberOfKey(file.GetTenant(), unique))
+		file.Id = sharding.Identifier(filePrefix, shard, idNumber(file.GetTenant(), unique))
 	}
 	shard, err := s.client.ShardOf(ctx, file.GetId())
 	if err != nil {
 		return nil, err
 	}
-	return call(ctx, s.client, s.client.toLeader(shard), changing,
-		func(ctx context.Context, at *machine, request *rockwindpb.PutFileRequest) (*rockwindpb.PutFileResponse, error) {
-			return at.files.Put(ctx, request)
+	return call(ctx, s.client, s.client.toLeader(shard), writeCall,
+		func(ctx context.Context, target *machine, request *rockwindpb.PutFileRequest) (*rockwindpb.PutFileResponse, error) {
+			return target.files.Put(ctx, request)
 		}, &rockwindpb.PutFileRequest{File: file})
 }
 
-// Get reads and may be repeated.
+// Get asks the leader of the file's shard.
 func (s fileService) Get(ctx context.Context, request *rockwindpb.GetFileRequest) (*rockwindpb.GetFileResponse, error) {
 	shard, err := s.client.ShardOf(ctx, request.GetId())
 	if err != nil {
 		return nil, err
 	}
-	return call(ctx, s.client, s.client.toLeader(shard), reading,
-		func(ctx context.Context, at *machine, request *rockwindpb.GetFileRequest) (*rockwindpb.GetFileResponse, error) {
-			return at.files.Get(ctx, request)
+	return call(ctx, s.client, s.client.toLeader(shard), readCall,
+		func(ctx context.Context, target *machine, request *rockwindpb.GetFileRequest) (*rockwindpb.GetFileResponse, error) {
+			return target.files.Get(ctx, request)
 		}, request)
 }
--- a/internal/controlclient/leases.go
+++ b/internal/controlclient/leases.go
@@ -9,14 +9,14 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// AcquireLeases asks the shards in turn, from a random one on, until max_items
-// are granted. Where no shard has work it waits at all leaders at once, without
-// asking for a grant, and asks again when one of them reports work: a wait that
-// is given up therefore never loses a lease. Where the last wait ended without
-// work, the next call begins with a wait, which ends at once where there is some.
-// A grant whose answer is lost expires by itself.
+// AcquireLeases asks the shards in turn, starting at a random one, until max_items
+// are granted. If no shard has work, it long-polls all leaders concurrently without
+// requesting a grant, and asks again when one reports work, so that canceling a
+// poll never loses a lease. If the last poll found no work, the next call starts
+// with a poll, which returns immediately if there is work by then. A lease whose
+// response is lost expires.
 func (s jobService) AcquireLeases(ctx context.Context, request *rockwindpb.AcquireLeasesRequest) (*rockwindpb.AcquireLeasesResponse, error) {
-	shards, err := s.askedShards(ctx, request)
+	shards, err := s.requestedShards(ctx, request)
 	if err != nil {
 		return nil, err
 	}
@@ -33,7 +33,8 @@
 	return s.acquireOnce(ctx, request, shards, first)
 }
 
-func (s jobService) askedShards(ctx context.Context, request *rockwindpb.AcquireLeasesRequest) ([]uint32, error) {
+// requestedShards returns the shards that the request names, or else all shards.
+func (s jobService) requestedShards(ctx context.Context, request *rockwindpb.AcquireLeasesRequest) ([]uint32, error) {
 	if len(request.GetShards()) > 0 {
 		return request.GetShards(), nil
 	}
@@ -52,8 +53,8 @@
 	return min(int(s.client.options.Random()*float64(count)), count-1)
 }
 
-// acquireOnce asks each shard once without waiting. A shard that cannot be
-// reached is passed over as long as another answers.
+// acquireOnce asks each shard once, without waiting for work. It fails only if no
+// shard answers.
 func (s jobService) acquireOnce(ctx context.Context, request *rockwindpb.AcquireLeasesRequest, shards []uint32, start int) (*rockwindpb.AcquireLeasesResponse, error) {
 	merged := &rockwindpb.AcquireLeasesResponse{}
 	remaining := request.GetMaxItems()
@@ -61,10 +62,10 @@
 	var failure error
 	for offset := range shards {
 		shard := shards[(start+offset)%len(shards)]
-		asked := proto.CloneOf(request)
-		asked.MaxItems = remaining
-		asked.WaitMs = 0
-		part, err := s.acquireAt(ctx, shard, asked)
+		shardRequest := proto.CloneOf(request)
+		shardRequest.MaxItems = remaining
+		shardRequest.WaitMs = 0
+		part, err := s.acquireFromShard(ctx, shard, shardRequest)
 		if err != nil {
 			failure = err
 			continue
@@ -82,7 +83,7 @@
 	return merged, nil
 }
 
-// GrantedItems counts the items of all the leases that an answer grants.
+// GrantedItems returns the number of items in all granted leases.
 func GrantedItems(response *rockwindpb.AcquireLeasesResponse) uint32 {
 	total := uint32(0)
 	for _, grant := range response.GetGrants() {
@@ -91,52 +92,51 @@
 	return total
 }
 
-// shardReport is what a shard said of its work.
-type shardReport struct {
-	position        int
-	answered, waits bool
+// workAnswer is the result of polling one shard for work.
+type workAnswer struct {
+	index             int
+	answered, hasWork bool
 }
 
-// awaitWork waits at all shards and returns the position of the first that
+// awaitWork long-polls all shards and returns the index of the first one that
 // reports work.
 func (s jobService) awaitWork(ctx context.Context, request *rockwindpb.AcquireLeasesRequest, shards []uint32) (int, bool) {
 	ctx, cancel := context.WithTimeout(ctx, milliseconds(request.GetWaitMs())+time.Second)
 	defer cancel()
-	reports := make(chan shardReport, len(shards))
-	for position, shard := range shards {
-		asked := proto.CloneOf(request)
-		asked.MaxItems = 0
+	answers := make(chan workAnswer, len(shards))
+	for index, shard := range shards {
+		shardRequest := proto.CloneOf(request)
+		shardRequest.MaxItems = 0
 		go func() {
-			answer, err := s.acquireAt(ctx, shard, asked)
-			reports <- shardReport{position: position, answered: err == nil, waits: answer.GetWorkWaits()}
+			response, err := s.acquireFromShard(ctx, shard, shardRequest)
+			answers <- workAnswer{index: index, answered: err == nil, hasWork: response.GetWorkWaits()}
 		}()
 	}
 	allAnswered := true
 	for range shards {
-		report := <-reports
-		if report.answered && report.waits {
+		answer := <-answers
+		if answer.answered && answer.hasWork {
 			s.client.idle.Store(false)
-			return report.position, true
+			return answer.index, true
 		}
-		allAnswered = allAnswered && report.answered
+		allAnswered = allAnswered && answer.answered
 	}
-	// After a wait at which a shard was missing, the next call asks all of them and
-	// tells what failed.
+	// If a shard did not answer, the next call starts with acquireOnce, which
+	// returns the error if all shards fail.
 	s.client.idle.Store(allAnswered)
 	return 0, false
 }
 
-func (s jobService) acquireAt(ctx context.Context, shard uint32, request *rockwindpb.AcquireLeasesRequest) (*rockwindpb.AcquireLeasesResponse, error) {
+func (s jobService) acquireFromShard(ctx context.Context, shard uint32, request *rockwindpb.AcquireLeasesRequest) (*rockwindpb.AcquireLeasesResponse, error) {
 	request.Shards = []uint32{shard}
-	return call(ctx, s.client, s.client.toLeader(shard).waiting(milliseconds(request.GetWaitMs())), changing,
-		func(ctx context.Context, at *machine, request *rockwindpb.AcquireLeasesRequest) (*rockwindpb.AcquireLeasesResponse, error) {
-			return at.jobs.AcquireLeases(ctx, request)
+	return call(ctx, s.client, s.client.toLeader(shard).withExtraTimeout(milliseconds(request.GetWaitMs())), writeCall,
+		func(ctx context.Context, target *machine, request *rockwindpb.AcquireLeasesRequest) (*rockwindpb.AcquireLeasesResponse, error) {
+			return target.jobs.AcquireLeases(ctx, request)
 		}, request)
 }
 
-// HeartbeatLeases may be repeated. Leases of several shards are split by shard;
-// shards that cannot be reached are left out of the answer as long as another
-// answers.
+// HeartbeatLeases splits the request by shard. The response leaves out shards that
+// did not answer; the call fails only if none did.
 func (s jobService) HeartbeatLeases(ctx context.Context, request *rockwindpb.HeartbeatLeasesRequest) (*rockwindpb.HeartbeatLeasesResponse, error) {
 	byShard := make(map[uint32]*rockwindpb.HeartbeatLeasesRequest)
 	for _, lease := range request.GetLeases() {
@@ -151,10 +151,10 @@
 		}
 		part.Leases = append(part.Leases, lease)
 	}
-	verdicts, err := gather(byShard, func(shard uint32, part *rockwindpb.HeartbeatLeasesRequest) ([]*rockwindpb.LeaseVerdict, error) {
-		answer, err := call(ctx, s.client, s.client.toLeader(shard), changing,
-			func(ctx context.Context, at *machine, request *rockwindpb.HeartbeatLeasesRequest) (*rockwindpb.HeartbeatLeasesResponse, error) {
-				return at.jobs.HeartbeatLeases(ctx, request)
+	verdicts, err := callShards(byShard, func(shard uint32, part *rockwindpb.HeartbeatLeasesRequest) ([]*rockwindpb.LeaseVerdict, error) {
+		answer, err := call(ctx, s.client, s.client.toLeader(shard), writeCall,
+			func(ctx context.Context, target *machine, request *rockwindpb.HeartbeatLeasesRequest) (*rockwindpb.HeartbeatLeasesResponse, error) {
+				return target.jobs.HeartbeatLeases(ctx, request)
 			}, part)
 		return answer.GetVerdicts(), err
 	})
@@ -164,10 +164,9 @@
 	return &rockwindpb.HeartbeatLeasesResponse{Verdicts: verdicts}, nil
 }
 
-// CompleteItems may be repeated: the fence decides, and an item that was
-// recorded before stays as it was. Completions of several shards are split by
-// shard; those of shards that cannot be reached are left out of the answer as
-// long as another answers.
+// CompleteItems is idempotent: a completion needs a current fence, and an item that
+// is already recorded is not changed. The request is split by shard. The response
+// leaves out shards that did not answer; the call fails only if none did.
 func (s jobService) CompleteItems(ctx context.Context, request *rockwindpb.CompleteItemsRequest) (*rockwindpb.CompleteItemsResponse, error) {
 	byShard := make(map[uint32]*rockwindpb.CompleteItemsRequest)
 	for _, completion := range request.GetCompletions() {
@@ -182,10 +181,10 @@
 		}
 		part.Completions = append(part.Completions, completion)
 	}
-	verdicts, err := gather(byShard, func(shard uint32, part *rockwindpb.CompleteItemsRequest) ([]*rockwindpb.LeaseVerdict, error) {
-		answer, err := call(ctx, s.client, s.client.toLeader(shard), changing,
-			func(ctx context.Context, at *machine, request *rockwindpb.CompleteItemsRequest) (*rockwindpb.CompleteItemsResponse, error) {
-				return at.jobs.CompleteItems(ctx, request)
+	verdicts, err := callShards(byShard, func(shard uint32, part *rockwindpb.CompleteItemsRequest) ([]*rockwindpb.LeaseVerdict, error) {
+		answer, err := call(ctx, s.client, s.client.toLeader(shard), writeCall,
+			func(ctx context.Context, target *machine, request *rockwindpb.CompleteItemsRequest) (*rockwindpb.CompleteItemsResponse, error) {
+				return target.jobs.CompleteItems(ctx, request)
 			}, part)
 		return answer.GetVerdicts(), err
 	})
@@ -195,9 +194,9 @@
 	return &rockwindpb.CompleteItemsResponse{Verdicts: verdicts}, nil
 }
 
-// gather calls every shard at once and joins the verdicts. It fails only where
-// no shard answered.
-func gather[Part any](parts map[uint32]Part, ask func(uint32, Part) ([]*rockwindpb.LeaseVerdict, error)) ([]*rockwindpb.LeaseVerdict, error) {
+// callShards calls all shards concurrently and concatenates their verdicts. It
+// fails only if no shard answers.
+func callShards[Part any](parts map[uint32]Part, ask func(uint32, Part) ([]*rockwindpb.LeaseVerdict, error)) ([]*rockwindpb.LeaseVerdict, error) {
 	type answer struct {
 		verdicts []*rockwindpb.LeaseVerdict
 		err      error
--- a/internal/controlclient/leases_test.go
+++ b/internal/controlclient/leases_test.go
@@ -13,46 +13,45 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// workShards is the number of shards of a workNetwork.
-const workShards = 4
+// leaderShards is the number of shards of fakeLeader.
+const leaderShards = 4
 
-// workNetwork carries calls to one machine that leads all shards, in memory.
-type workNetwork struct {
+// fakeLeader is an HTTP transport to one fake machine that leads all shards.
+type fakeLeader struct {
 	rockwindpb.ReplicaService
 	rockwindpb.JobService
 	mutex sync.Mutex
 	calls int
-	// work is closed when shard 3 has an item.
+	// work is closed once shard 3 has an item.
 	work chan struct{}
 }
 
-func (n *workNetwork) Identity(context.Context, *rockwindpb.IdentityRequest) (*rockwindpb.IdentityResponse, error) {
+func (l *fakeLeader) Identity(context.Context, *rockwindpb.IdentityRequest) (*rockwindpb.IdentityResponse, error) {
 	response := &rockwindpb.IdentityResponse{}
-	for group := range uint32(workShards + 1) {
+	for group := range uint32(leaderShards + 1) {
 		response.Groups = append(response.Groups, &rockwindpb.GroupStatus{Group: group})
 	}
 	return response, nil
 }
 
-func (n *workNetwork) AcquireLeases(ctx context.Context, request *rockwindpb.AcquireLeasesRequest) (*rockwindpb.AcquireLeasesResponse, error) {
-	n.mutex.Lock()
-	n.calls++
-	n.mutex.Unlock()
+func (l *fakeLeader) AcquireLeases(ctx context.Context, request *rockwindpb.AcquireLeasesRequest) (*rockwindpb.AcquireLeasesResponse, error) {
+	l.mutex.Lock()
+	l.calls++
+	l.mutex.Unlock()
 	var work chan struct{}
 	if request.GetShards()[0] == 3 {
-		work = n.work
+		work = l.work
 	}
 	select {
 	case <-work:
 	case <-time.After(time.Duration(request.GetWaitMs()) * time.Millisecond):
 	case <-ctx.Done():
 	}
-	return answerTo(request, work), nil
+	return leaseResponse(request, work), nil
 }
 
-// answerTo reports or grants the item once the channel is closed, whatever ended
-// the wait.
-func answerTo(request *rockwindpb.AcquireLeasesRequest, work <-chan struct{}) *rockwindpb.AcquireLeasesResponse {
+// leaseResponse reports or grants the item if the channel is closed.
+func leaseResponse(request *rockwindpb.AcquireLeasesRequest, work <-chan struct{}) *rockwindpb.AcquireLeasesResponse {
 	select {
 	case <-work:
 	default:
@@ -65,10 +64,10 @@
 }
 
 // RoundTrip implements http.RoundTripper.
-func (n *workNetwork) RoundTrip(request *http.Request) (*http.Response, error) {
+func (l *fakeLeader) RoundTrip(request *http.Request) (*http.Response, error) {
 	handler := http.NewServeMux()
 	for _, server := range []rockwindpb.TwirpServer{
-		rockwindpb.NewJobServiceServer(n), rockwindpb.NewReplicaServiceServer(n),
+		rockwindpb.NewJobServiceServer(l), rockwindpb.NewReplicaServiceServer(l),
 	} {
 		handler.Handle(server.PathPrefix(), server)
 	}
@@ -77,14 +76,14 @@
 	return recorder.Result(), nil
 }
 
-// A gateway without work calls each shard once in a wait, and has work as soon as
-// there is some.
+// An idle gateway must call each shard only once per long poll, and get work as
+// soon as there is some.
 func TestIdleWaitsCallEachShardOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		network := &workNetwork{work: make(chan struct{})}
+		leader := &fakeLeader{work: make(chan struct{})}
 		client := controlclient.New(controlclient.Options{
 			Machines:   []*rockwindpb.ControlMachine{{Machine: "one", Address: "10.0.0.1:1"}},
-			HTTPClient: &http.Client{Transport: network},
+			HTTPClient: &http.Client{Transport: leader},
 		})
 		acquire := func() int {
 			response, err := client.Jobs().AcquireLeases(t.Context(), &rockwindpb.AcquireLeasesRequest{MaxItems: 8, WaitMs: 5000})
@@ -96,19 +95,19 @@
 		const waits = 10
 		for range waits {
 			if granted := acquire(); granted != 0 {
-				t.Fatalf("%d leases are granted without work", granted)
+				t.Fatalf("got %d leases without work", granted)
 			}
 		}
-		if most := (waits + 1) * workShards; network.calls > most {
-			t.Fatalf("%d calls in %d waits at %d shards", network.calls, waits, workShards)
+		if most := (waits + 1) * leaderShards; leader.calls > most {
+			t.Fatalf("%d calls in %d waits at %d shards", leader.calls, waits, leaderShards)
 		}
 		go func() {
 			time.Sleep(time.Second)
-			close(network.work)
+			close(leader.work)
 		}()
-		begun := time.Now()
-		if granted := acquire(); granted != 1 || time.Since(begun) > time.Second {
-			t.Fatalf("%d leases are granted %s after the work came", granted, time.Since(begun)-time.Second)
+		start := time.Now()
+		if granted := acquire(); granted != 1 || time.Since(start) > time.Second {
+			t.Fatalf("got %d leases %s after the work was added, want 1 at once", granted, time.Since(start)-time.Second)
 		}
 	})
 }
--- a/internal/twirphttp/client.go
+++ b/internal/twirphttp/client.go
@@ -1,17 +1,16 @@
-// Package twirphttp carries twirp calls with as few bytes of headers as the
-// services need, because the control traffic of a daemon is small enough for
-// headers to count.
+// Package twirphttp provides an HTTP client for generated Twirp code that omits
+// request headers the services don't read. Calls between daemons are frequent and
+// small, so the headers are a large part of their traffic.
 package twirphttp
 
 import "net/http"
 
-// Client sends requests by the HTTP client that it wraps, without the headers
-// that our services do not read.
+// Client sends requests over HTTPClient without optional headers.
 type Client struct {
 	HTTPClient *http.Client
 }
 
-// Do sends one request. It implements the HTTP client of generated twirp code.
+// Do implements the HTTPClient interface of generated Twirp code.
 func (c Client) Do(request *http.Request) (*http.Response, error) {
 	request.Header.Del("Twirp-Version")
 	request.Header.Del("Accept")
