--- a/internal/control/admin.go
+++ b/internal/control/admin.go
@@ -9,7 +9,7 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// role is how the daemon calls itself.
+// role is the role that the daemon reports.
 const role = "control"
 
 // adminService implements rockwindpb.AdminService.
@@ -26,8 +26,8 @@
 	return &rockwindpb.LogsResponse{Lines: s.ring.Lines(int(request.GetLimit()))}, nil
 }
 
-// Drain implements rockwindpb.AdminService: it hands over the leadership of all
-// groups. The machine goes on as a follower until it is stopped.
+// Drain implements rockwindpb.AdminService. It transfers the leadership of all
+// groups; the machine remains a follower until it is stopped.
 func (s adminService) Drain(ctx context.Context, request *rockwindpb.DrainRequest) (*rockwindpb.DrainResponse, error) {
 	if deadline := request.GetDeadlineMs(); deadline > 0 {
 		var cancel context.CancelFunc
--- a/internal/control/benchmark_test.go
+++ b/internal/control/benchmark_test.go
@@ -19,8 +19,8 @@
 	benchmarkResult     = 2048
 )
 
-// BenchmarkItems counts how many items a second three machines in one process
-// lease, store (2 KiB each) and complete, with nothing run.
+// BenchmarkItems measures the rate at which three control machines in one process
+// lease items, store their results of 2 KiB and complete them.
 func BenchmarkItems(b *testing.B) {
 	c := startCluster(b)
 	ctx := b.Context()
@@ -43,7 +43,7 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "items/s")
 }
 
-// completeAll leases and completes items until there are none.
+// completeAll leases and completes items until none are left.
 func completeAll(ctx context.Context, client *controlclient.Client, holder string) error {
 	body := bytes.Repeat([]byte("r"), benchmarkResult)
 	for {
--- a/internal/control/compress_test.go
+++ b/internal/control/compress_test.go
@@ -16,28 +16,28 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// answeringFleet answers every exchange with the same sums.
-type answeringFleet struct {
+// fakeFleetService returns the same response to every exchange.
+type fakeFleetService struct {
 	rockwindpb.FleetService
-	answer *rockwindpb.ExchangeResponse
+	response *rockwindpb.ExchangeResponse
 }
 
-func (a answeringFleet) Exchange(context.Context, *rockwindpb.ExchangeRequest) (*rockwindpb.ExchangeResponse, error) {
-	return a.answer, nil
+func (f fakeFleetService) Exchange(context.Context, *rockwindpb.ExchangeRequest) (*rockwindpb.ExchangeResponse, error) {
+	return f.response, nil
 }
 
-// An exchange's answer takes less than half of its size on the wire, headers
-// included, and arrives whole.
+// An exchange response must take less than half of its size on the wire, including
+// headers, and be decompressed correctly.
 func TestExchangeIsCompressed(t *testing.T) {
-	answer := &rockwindpb.ExchangeResponse{Version: 7}
+	response := &rockwindpb.ExchangeResponse{Version: 7}
 	for number := range 74 {
-		answer.Zones = append(answer.Zones, &rockwindpb.ZoneDigest{
+		response.Zones = append(response.Zones, &rockwindpb.ZoneDigest{
 			Zone: fmt.Sprintf("region-%d-zone-%d", number/48, number/12%4), Model: fmt.Sprintf("model-%02d", number%12),
 			Servers: 3, RunningOnline: uint32(number), RunningBatch: uint32(7 * number % 97), Waiting: uint32(number % 5),
 		})
 	}
 	router := chi.NewRouter()
-	control.MountCompressed(router, rockwindpb.NewFleetServiceServer(answeringFleet{answer: answer}))
+	control.MountCompressed(router, rockwindpb.NewFleetServiceServer(fakeFleetService{response: response}))
 	server := httptest.NewServer(router)
 	defer server.Close()
 	var counter wire.Counter
@@ -51,12 +51,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !proto.Equal(received, answer) {
-		t.Fatalf("the answer arrived as %v", received)
+	if !proto.Equal(received, response) {
+		t.Fatalf("got response %v", received)
 	}
-	if carried, whole := counter.Traffic().Received, int64(proto.Size(answer)); carried > whole/2 {
-		t.Fatalf("an answer of %d bytes took %d on the wire", whole, carried)
+	if carried, whole := counter.Traffic().Received, int64(proto.Size(response)); carried > whole/2 {
+		t.Fatalf("a response of %d bytes took %d on the wire", whole, carried)
 	} else {
-		t.Logf("an answer of %d bytes took %d on the wire", whole, carried)
+		t.Logf("a response of %d bytes took %d on the wire", whole, carried)
 	}
 }
--- a/internal/control/configuration.go
+++ b/internal/control/configuration.go
@@ -15,7 +15,8 @@
 	"rockwind.example/rockwind/internal/sharding"
 )
 
-// configurationService answers once this machine replicates the root group.
+// configurationService implements rockwindpb.ConfigurationService on machines that
+// replicate the root group.
 type configurationService struct{ daemon *daemon }
 
 // Apply implements rockwindpb.ConfigurationService.
@@ -42,17 +43,17 @@
 	if err != nil {
 		return nil, fault.ToTwirp(err)
 	}
-	ctx, cancel := s.daemon.whileServing(ctx)
+	ctx, cancel := s.daemon.cancelOnStop(ctx)
 	defer cancel()
 	return service.Watch(ctx, request)
 }
 
-// catalogService returns the service over the root group.
+// catalogService returns the configuration service of the root group.
 func (d *daemon) catalogService() (*catalog.Service, error) {
 	group, known := d.host.Group(sharding.RootGroup)
-	machine := d.machines.catalog()
-	if d.founded() && !known {
-		return nil, unknownGroup(sharding.RootGroup)
+	machine := d.stateMachines.catalog()
+	if d.inCluster() && !known {
+		return nil, notReplicatedFault(sharding.RootGroup)
 	}
 	if !known || machine == nil {
 		return nil, fault.New(fault.Unavailable, "this machine belongs to no cluster yet",
@@ -61,20 +62,20 @@
 	return catalog.NewService(group, machine, time.Now), nil
 }
 
-// index returns the newest configuration that this machine knows: as applied
-// here where it replicates the root group, else as followed from the others.
+// index returns the latest configuration known to this machine: the applied one if
+// it replicates the root group, otherwise the one polled from the other machines.
 func (d *daemon) index(ctx context.Context) (*configuration.Index, bool) {
 	if view, known := d.catalogView(ctx); known {
 		return view.Index(), true
 	}
-	if following := d.following.Load(); following != nil {
-		return following.Current(), true
+	if configurationFollower := d.configurationFollower.Load(); configurationFollower != nil {
+		return configurationFollower.Current(), true
 	}
 	return nil, false
 }
 
-// followConfiguration keeps a machine that does not replicate the root group on
-// the newest configuration.
+// followConfiguration polls the other machines for the latest configuration if this
+// machine does not replicate the root group.
 func (d *daemon) followConfiguration(ctx context.Context) error {
 	select {
 	case <-d.host.InCluster():
@@ -85,27 +86,28 @@
 		return nil
 	}
 	var sources []rockwindpb.ConfigurationService
-	for _, other := range d.others() {
+	for _, other := range d.otherMachines() {
 		sources = append(sources, rockwindpb.NewConfigurationServiceProtobufClient(d.baseURL(other), d.client))
 	}
 	folder := filepath.Join(d.settings.GetDataFolder(), configurationFolder)
-	following, err := follower.New(follower.Options{Sources: sources, Folder: folder, Log: log.Log})
+	configurationFollower, err := follower.New(follower.Options{Sources: sources, Folder: folder, Log: log.Log})
 	if err != nil {
 		return err
 	}
-	d.following.Store(following)
-	go d.publishFollowed(ctx, following)
-	if err := following.Run(ctx); ctx.Err() == nil {
+	d.configurationFollower.Store(configurationFollower)
+	go d.publishFollowed(ctx, configurationFollower)
+	if err := configurationFollower.Run(ctx); ctx.Err() == nil {
 		return err
 	}
 	return nil
 }
 
-// publishFollowed publishes each configuration that the follower puts in force.
-func (d *daemon) publishFollowed(ctx context.Context, following *follower.Follower) {
+// publishFollowed publishes an event for each configuration that the follower
+// activates.
+func (d *daemon) publishFollowed(ctx context.Context, configurationFollower *follower.Follower) {
 	for ctx.Err() == nil {
-		changed := following.Changed()
-		current := following.Current()
+		changed := configurationFollower.Changed()
+		current := configurationFollower.Current()
 		if current.Number() > 0 {
 			d.publishConfiguration(&rockwindpb.Acceptance{Number: current.Number(), Checksum: current.Checksum()})
 		}
@@ -118,7 +120,7 @@
 
 func (d *daemon) catalogView(ctx context.Context) (*catalog.View, bool) {
 	group, known := d.host.Group(sharding.RootGroup)
-	machine := d.machines.catalog()
+	machine := d.stateMachines.catalog()
 	if !known || machine == nil {
 		return nil, false
 	}
@@ -129,7 +131,7 @@
 	return view, true
 }
 
-// policy returns the policy in force, nil before the first configuration.
+// policy returns the current policy, or nil before the first configuration.
 func (d *daemon) policy(ctx context.Context) *rockwindpb.Policy {
 	index, known := d.index(ctx)
 	if !known || index.Number() == 0 {
@@ -138,9 +140,9 @@
 	return index.Policy()
 }
 
-// followRoot publishes each configuration that is applied on this machine, and
-// changes of the root group's leadership.
-func (d *daemon) followRoot(ctx context.Context) {
+// watchRoot publishes events for configurations applied on this machine and for
+// leadership changes of the root group.
+func (d *daemon) watchRoot(ctx context.Context) {
 	group, _ := d.host.Group(sharding.RootGroup)
 	number := uint64(0)
 	lastTerm, wasLeading := uint64(0), false
@@ -154,7 +156,7 @@
 			lastTerm, wasLeading = term, leading
 			d.publishLeadership(sharding.RootGroup, term, leading)
 		}
-		timer := time.NewTimer(keeperPause)
+		timer := time.NewTimer(maintenanceInterval)
 		select {
 		case <-applied:
 		case <-timer.C:
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -25,15 +25,15 @@
 	testTimeout  = 60 * time.Second
 )
 
-// cluster runs control daemons in this process.
+// cluster runs control daemons in the test process.
 type cluster struct {
 	t        testing.TB
 	machines []*rockwindpb.ControlMachine
 	folders  []string
 	running  []*running
-	// tls is nil where the machines talk in the clear.
+	// tls is nil if TLS is off.
 	tls *rockwindpb.TlsSettings
-	// placement is nil where it is off.
+	// placement is nil if placement is off.
 	placement *rockwindpb.PlacementSettings
 }
 
@@ -49,15 +49,15 @@
 	return c
 }
 
-// startPlacing starts a cluster with placement turned on.
-func startPlacing(t testing.TB, placement *rockwindpb.PlacementSettings) *cluster {
+// startClusterWithPlacement starts a cluster with placement enabled.
+func startClusterWithPlacement(t testing.TB, placement *rockwindpb.PlacementSettings) *cluster {
 	t.Helper()
 	c := newClusterWith(t, nil, placement)
 	c.found(http.DefaultClient, "http://")
 	return c
 }
 
-// newCluster starts machines that belong to no cluster yet.
+// newCluster starts machines that do not belong to a cluster yet.
 func newCluster(t testing.TB, tls *rockwindpb.TlsSettings) *cluster {
 	t.Helper()
 	return newClusterWith(t, tls, nil)
@@ -91,7 +91,7 @@
 	return c
 }
 
-// found makes a cluster of the machines.
+// found founds a cluster of all machines.
 func (c *cluster) found(client *http.Client, scheme string) {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(c.t.Context(), testTimeout)
@@ -136,7 +136,7 @@
 	}
 }
 
-// replaceDisk starts a stopped machine with an empty disk.
+// replaceDisk restarts a stopped machine with an empty disk.
 func (c *cluster) replaceDisk(index int) {
 	c.t.Helper()
 	if err := os.RemoveAll(c.folders[index]); err != nil {
@@ -145,7 +145,7 @@
 	c.restart(index)
 }
 
-// restart starts a stopped machine at its address.
+// restart restarts a stopped machine at the same address.
 func (c *cluster) restart(index int) {
 	c.t.Helper()
 	listener, err := net.Listen("tcp", c.machines[index].GetAddress())
@@ -159,12 +159,12 @@
 	return controlclient.New(controlclient.Options{Machines: c.machines, Zone: "zone-0", CallTimeout: testTimeout})
 }
 
-// awaitCopies waits until one machine holds every segment of another.
+// awaitCopies waits until a machine has copies of all segments of another.
 func (c *cluster) awaitCopies(ctx context.Context, from, to int) {
 	c.t.Helper()
 	for {
 		if ctx.Err() != nil {
-			c.t.Fatalf("machine %d did not get its copies", to)
+			c.t.Fatalf("machine %d did not get copies of all segments", to)
 		}
 		have := c.segments(ctx, to)
 		missing := false
@@ -191,9 +191,8 @@
 	return lengths
 }
 
-// TestJobSurvivesLostDisks runs jobs through three daemons over HTTP. One loses
-// its disk; after it was repaired another is stopped for good, so that the
-// repaired copies have to serve.
+// Jobs and their results must survive the loss of a machine's disk, even if another
+// machine stops for good once the lost copies are repaired.
 func TestJobSurvivesLostDisks(t *testing.T) {
 	c := startCluster(t)
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
@@ -209,7 +208,7 @@
 	submitted := submit(ctx, t, client, "key", 2, references[0], false)
 	again := submit(ctx, t, client, "key", 2, references[0], true)
 	if again.GetId() != submitted.GetId() {
-		t.Fatalf("a resend made another job: %s and %s", submitted.GetId(), again.GetId())
+		t.Fatalf("a retry created another job: %s and %s", submitted.GetId(), again.GetId())
 	}
 	lease := acquire(ctx, t, client, 1)
 	complete(ctx, t, client, lease, references[1])
@@ -228,7 +227,7 @@
 		t.Fatal(err)
 	}
 	if len(results.GetResults()) != 2 {
-		t.Fatalf("2 results were recorded, %d are listed", len(results.GetResults()))
+		t.Fatalf("got %d results, want 2", len(results.GetResults()))
 	}
 	for index, result := range results.GetResults() {
 		read, err := client.Bodies().Read(ctx, &rockwindpb.ReadBodiesRequest{References: []*rockwindpb.BodyReference{result.GetResult()}})
@@ -236,7 +235,7 @@
 			t.Fatal(err)
 		}
 		if !bytes.Equal(read.GetBodies()[0], bodies[index+1]) {
-			t.Fatalf("item %d reads %q", index, read.GetBodies()[0])
+			t.Fatalf("item %d: got result %q", index, read.GetBodies()[0])
 		}
 	}
 	cancelled := submit(ctx, t, client, "other", 5, references[0], false)
@@ -245,12 +244,12 @@
 	}
 	none, err := client.Jobs().AcquireLeases(ctx, &rockwindpb.AcquireLeasesRequest{Holder: "gateway", MaxItems: 5, Models: []string{"model"}})
 	if err != nil || len(none.GetGrants()) != 0 {
-		t.Fatalf("a cancelled job gave %v (%v)", none.GetGrants(), err)
+		t.Fatalf("got %v of a cancelled job (%v)", none.GetGrants(), err)
 	}
 }
 
-// TestNewLeaderRenewsLeases restarts all machines while a gateway holds a lease. The
-// gateway could not renew it meanwhile, and must get the time to.
+// A lease must survive a restart of all control machines, during which its holder
+// cannot renew it.
 func TestNewLeaderRenewsLeases(t *testing.T) {
 	const leaseLength = 10 * time.Second
 	c := startCluster(t)
@@ -271,7 +270,7 @@
 	for index := range machineCount {
 		c.restart(index)
 	}
-	// Work is shown only after the leases were renewed.
+	// The new leader publishes its demand only after it has extended the leases.
 	acquire(ctx, t, client, 1)
 	renewed, err := client.Jobs().HeartbeatLeases(ctx, &rockwindpb.HeartbeatLeasesRequest{
 		Holder: "gateway", LeaseMs: 1, Leases: []*rockwindpb.LeaseKey{{JobId: lease.GetJobId(), Fence: lease.GetFence()}},
@@ -281,12 +280,12 @@
 	}
 	verdict := renewed.GetVerdicts()[0]
 	if verdict.GetStop() || verdict.GetExpiresUnixMs() <= lease.GetExpiresUnixMs() {
-		t.Fatalf("the lease ended at %d before the restart, and is %v after it", lease.GetExpiresUnixMs(), verdict)
+		t.Fatalf("lease expired at %d before the restart, got %v after it", lease.GetExpiresUnixMs(), verdict)
 	}
 }
 
-// awaitVoter waits until a machine votes in all groups and its old disk is no
-// member any more; until then the groups cannot do without another machine.
+// awaitVoter waits until a machine votes in all groups and its old disk is no longer
+// a member. Until then the groups have no quorum without another machine.
 func (c *cluster) awaitVoter(ctx context.Context, index int) {
 	c.t.Helper()
 	service := rockwindpb.NewReplicaServiceProtobufClient("http://"+c.machines[index].GetAddress(), http.DefaultClient)
@@ -331,7 +330,7 @@
 		t.Fatal(err)
 	}
 	if len(response.GetGrants()) != 1 {
-		t.Fatalf("%d leases were granted, want 1", len(response.GetGrants()))
+		t.Fatalf("got %d leases, want 1", len(response.GetGrants()))
 	}
 	return response.GetGrants()[0].GetLease()
 }
@@ -351,6 +350,6 @@
 		t.Fatal(err)
 	}
 	if len(response.GetVerdicts()) != 1 || response.GetVerdicts()[0].GetRecorded() != 1 {
-		t.Fatalf("the completion was answered with %v", response)
+		t.Fatalf("completion returned %v", response)
 	}
 }
--- a/internal/control/daemon.go
+++ b/internal/control/daemon.go
@@ -1,6 +1,6 @@
-// Package control is the control daemon: it serves the replicated groups of its
-// machine (configuration and job shards), the store of bodies, and the exchange
-// of load digests among gateways.
+// Package control implements the control daemon. It hosts the replicated groups of
+// its machine (configuration and job shards), the body store, and the exchange of
+// load digests among gateways.
 package control
 
 import (
@@ -37,34 +37,34 @@
 	configurationFolder = "configuration"
 )
 
-// Option changes how the daemon runs.
+// Option configures the daemon.
 type Option func(*daemon)
 
-// WithLogs lets the administration service hand out the entries of a log ring.
+// WithLogs sets the log ring that the administration service reads.
 func WithLogs(ring *logring.Ring) Option {
 	return func(d *daemon) { d.ring = ring }
 }
 
-// WithClient sets the HTTP client for calls to other control machines, in place
-// of one that the settings describe.
+// WithClient sets the HTTP client for calls to other control machines. By default
+// it is built from the settings.
 func WithClient(client *http.Client) Option {
 	return func(d *daemon) { d.client = client }
 }
 
-// WithLinkFaults lets experiments cut the links to other control machines over
-// HTTP.
+// WithLinkFaults allows experiments to cut the connections to other control
+// machines over HTTP.
 func WithLinkFaults(links *linkfault.Links) Option {
 	return func(d *daemon) { d.links = links }
 }
 
-// WithListener makes the daemon serve on a listener in place of the address in
-// its settings.
+// WithListener makes the daemon serve on a listener instead of the address in its
+// settings.
 func WithListener(listener net.Listener) Option {
 	return func(d *daemon) { d.listener = listener }
 }
 
-// WithRepairInterval sets the time between rounds in which the machine looks for
-// bodies that it lacks.
+// WithRepairInterval sets the interval at which the machine looks for missing
+// copies of bodies.
 func WithRepairInterval(interval time.Duration) Option {
 	return func(d *daemon) { d.repairInterval = interval }
 }
@@ -76,35 +76,35 @@
 	ring     *logring.Ring
 	client   *http.Client
 	listener net.Listener
-	// certificates is nil where TLS is off.
+	// certificates is nil if TLS is off.
 	certificates *secure.Source
 	// links is nil outside experiments.
 	links *linkfault.Links
 	// repairInterval is zero for the default.
 	repairInterval time.Duration
 
-	host     *replica.Host
-	machines *machines
-	bodies   *segment.Node
-	exchange *fleetService
-	bus      *events.Bus
-	metrics  *metrics
+	host          *replica.Host
+	stateMachines *stateMachines
+	bodies        *segment.Node
+	exchange      *fleetService
+	bus           *events.Bus
+	metrics       *metrics
 
-	// following is set on a machine that does not replicate the root group.
-	following atomic.Pointer[follower.Follower]
+	// configurationFollower is set on machines that do not replicate the root group.
+	configurationFollower atomic.Pointer[follower.Follower]
 
 	draining   atomic.Bool
 	inProgress atomic.Int64
-	// stopping ends when calls that wait must return.
-	stopping    context.Context
-	stopWaiting context.CancelFunc
+	// stopping is canceled to end long polls when the daemon stops.
+	stopping        context.Context
+	cancelLongPolls context.CancelFunc
 
 	mutex  sync.Mutex
 	shards map[uint32]*shard
 }
 
-// Run serves until the context ends, and then stops as planned: it hands over
-// leadership, finishes the calls in progress and syncs.
+// Run serves until ctx is done. It then transfers leadership, finishes the calls in
+// progress and syncs.
 func Run(ctx context.Context, settings *rockwindpb.ControlSettings, options ...Option) error {
 	release, err := openDataFolder(settings.GetDataFolder())
 	if err != nil {
@@ -112,9 +112,9 @@
 	}
 	defer release()
 	created := &daemon{
-		settings: settings,
-		machines: newMachines(),
-		shards:   make(map[uint32]*shard),
+		settings:      settings,
+		stateMachines: newStateMachines(),
+		shards:        make(map[uint32]*shard),
 	}
 	for _, option := range options {
 		option(created)
@@ -128,9 +128,9 @@
 	return created.run(ctx)
 }
 
-// open opens the parts of the daemon.
+// open initializes the components of the daemon.
 func (d *daemon) open() error {
-	d.stopping, d.stopWaiting = context.WithCancel(context.Background())
+	d.stopping, d.cancelLongPolls = context.WithCancel(context.Background())
 	var err error
 	if d.certificates, err = secure.Open(secure.Internal, d.settings.GetInternalTls(), log.Log); err != nil {
 		return err
@@ -178,11 +178,11 @@
 		Secure:        d.certificates != nil,
 		Tick:          d.settings.GetTick().AsDuration(),
 		Peers:         d.settings.GetControl(),
-		StateMachines: d.machines.create,
+		StateMachines: d.stateMachines.create,
 	})
 }
 
-// openBodies opens the segments of this machine.
+// openBodies opens the body store of this machine.
 func (d *daemon) openBodies() (*segment.Node, error) {
 	files, err := segment.NewFolder(filepath.Join(d.settings.GetDataFolder(), segmentFolder))
 	if err != nil {
@@ -200,7 +200,7 @@
 
 func (d *daemon) segmentPeers() []segment.Peer {
 	var peers []segment.Peer
-	for _, other := range d.others() {
+	for _, other := range d.otherMachines() {
 		peers = append(peers, segment.Peer{
 			Machine: other.GetMachine(),
 			Service: rockwindpb.NewSegmentServiceProtobufClient(d.baseURL(other), d.client),
@@ -209,8 +209,8 @@
 	return peers
 }
 
-// others returns the control machines but this one.
-func (d *daemon) others() []*rockwindpb.ControlMachine {
+// otherMachines returns the control machines except this one.
+func (d *daemon) otherMachines() []*rockwindpb.ControlMachine {
 	var result []*rockwindpb.ControlMachine
 	for _, machine := range d.settings.GetControl() {
 		if machine.GetMachine() != d.settings.GetMachine() {
@@ -227,8 +227,8 @@
 	return "http://" + machine.GetAddress()
 }
 
-// run drives all parts. The server stops first, while the parts that it needs to
-// finish its calls still run.
+// run runs all components. The server stops first, while the components that it
+// needs to finish its calls still run.
 func (d *daemon) run(ctx context.Context) error {
 	parts, stopParts := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopParts()
@@ -240,23 +240,23 @@
 	group.Go(func() error { return d.bodies.Run(parts) })
 	group.Go(func() error { return d.bus.Run(parts) })
 	group.Go(func() error { return d.exchange.run(parts) })
-	group.Go(func() error { return d.keepGroups(parts, group) })
+	group.Go(func() error { return d.startGroups(parts, group) })
 	group.Go(func() error { return d.followConfiguration(parts) })
-	group.Go(func() error { return d.place(parts) })
+	group.Go(func() error { return d.runPlacement(parts) })
 	group.Go(func() error {
 		defer stopParts()
-		serving, cancel := joined(ctx, parts)
+		serving, cancel := withEither(ctx, parts)
 		defer cancel()
 		return d.serve(serving)
 	})
 	log.WithField("address", d.address).Info("control machine serves")
 	err := group.Wait()
-	d.stopWaiting()
+	d.cancelLongPolls()
 	return errors.CombineErrors(err, d.bodies.Close())
 }
 
-// joined returns a context that ends with either of two.
-func joined(first, second context.Context) (context.Context, context.CancelFunc) {
+// withEither returns a context that is canceled when either of two contexts is.
+func withEither(first, second context.Context) (context.Context, context.CancelFunc) {
 	both, cancel := context.WithCancel(first)
 	detach := context.AfterFunc(second, cancel)
 	return both, func() {
@@ -265,55 +265,57 @@
 	}
 }
 
-// whileServing returns a context that also ends when the daemon stops, for calls
-// that wait.
-func (d *daemon) whileServing(ctx context.Context) (context.Context, context.CancelFunc) {
-	return joined(ctx, d.stopping)
+// cancelOnStop returns a context for long polls. It is also canceled when the
+// daemon stops.
+func (d *daemon) cancelOnStop(ctx context.Context) (context.Context, context.CancelFunc) {
+	return withEither(ctx, d.stopping)
 }
 
-// groupPause is the time between looks for a group whose state machine was made.
-const groupPause = 10 * time.Millisecond
+// groupPollInterval is the interval at which runGroup checks whether the host has
+// added the group of a new state machine.
+const groupPollInterval = 10 * time.Millisecond
 
-// keepGroups starts a keeper for each group as it appears.
-func (d *daemon) keepGroups(ctx context.Context, parts *errgroup.Group) error {
+// startGroups starts a goroutine for each new group.
+func (d *daemon) startGroups(ctx context.Context, parts *errgroup.Group) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case number := <-d.machines.created:
+		case number := <-d.stateMachines.created:
 			parts.Go(func() error {
-				d.keepGroup(ctx, number)
+				d.runGroup(ctx, number)
 				return nil
 			})
 		}
 	}
 }
 
-func (d *daemon) keepGroup(ctx context.Context, number uint32) {
+// runGroup watches the root group or maintains a shard until ctx is done.
+func (d *daemon) runGroup(ctx context.Context, number uint32) {
 	group, known := d.host.Group(number)
 	for !known {
-		if !retry.Pause(ctx, groupPause) {
+		if !retry.Pause(ctx, groupPollInterval) {
 			return
 		}
 		group, known = d.host.Group(number)
 	}
 	if number == sharding.RootGroup {
-		d.followRoot(ctx)
+		d.watchRoot(ctx)
 		return
 	}
-	started := &shard{number: number, group: group, ledger: d.machines.ledger(number), work: newWorkBoard()}
+	started := &shard{number: number, group: group, ledger: d.stateMachines.ledger(number), demand: newDemandNotifier()}
 	d.mutex.Lock()
 	d.shards[number] = started
 	d.mutex.Unlock()
-	keeper := &keeper{daemon: d, shard: started}
-	keeper.run(ctx)
+	maintainer := &shardMaintainer{daemon: d, shard: started}
+	maintainer.run(ctx)
 }
 
-// handOver gives up the leadership of all groups before a stop.
-func (d *daemon) handOver(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
+// transferLeadership gives up the leadership of all groups.
+func (d *daemon) transferLeadership(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
 	if err := d.host.Drain(ctx); err != nil {
-		log.WithError(err).Warn("cannot hand over all leadership")
+		log.WithError(err).Warn("cannot transfer the leadership of all groups")
 	}
 }
--- a/internal/control/events.go
+++ b/internal/control/events.go
@@ -25,11 +25,11 @@
 	}
 )
 
-// handleEvents registers the handlers; it is called before the bus runs.
+// handleEvents registers the event handlers. It must be called before the bus runs.
 func (d *daemon) handleEvents() {
 	events.Handle(d.bus, "count_configurations", configurationAccepted, func(_ context.Context, accepted *rockwindpb.Acceptance) error {
 		d.metrics.configuration.Set(float64(accepted.GetNumber()))
-		d.exchange.configure()
+		d.exchange.configurationChanged()
 		return nil
 	})
 	events.Handle(d.bus, "count_jobs", jobChanged, func(_ context.Context, job *rockwindpb.Job) error {
@@ -43,19 +43,19 @@
 }
 
 func (d *daemon) publishConfiguration(accepted *rockwindpb.Acceptance) {
-	noteEvent(events.Publish(d.bus, configurationAccepted, accepted))
+	logPublishError(events.Publish(d.bus, configurationAccepted, accepted))
 }
 
-// publishJob leaves the input out: handlers need only the state.
+// publishJob publishes only the fields of the job that handlers use.
 func (d *daemon) publishJob(job *rockwindpb.Job) {
-	noteEvent(events.Publish(d.bus, jobChanged, &rockwindpb.Job{Id: job.GetId(), Tenant: job.GetTenant(), State: job.GetState()}))
+	logPublishError(events.Publish(d.bus, jobChanged, &rockwindpb.Job{Id: job.GetId(), Tenant: job.GetTenant(), State: job.GetState()}))
 }
 
 func (d *daemon) publishLeadership(group uint32, term uint64, leading bool) {
-	noteEvent(events.Publish(d.bus, leadershipChanged, &rockwindpb.LeadershipChanged{Group: group, Term: term, Leading: leading}))
+	logPublishError(events.Publish(d.bus, leadershipChanged, &rockwindpb.LeadershipChanged{Group: group, Term: term, Leading: leading}))
 }
 
-func noteEvent(err error) {
+func logPublishError(err error) {
 	if err != nil {
 		log.WithError(err).Warn("cannot publish an event")
 	}
--- a/internal/control/exchange/exchange_test.go
+++ b/internal/control/exchange/exchange_test.go
@@ -18,7 +18,7 @@
 
 const limitPerSecond = 100
 
-func index(t interface{ Fatal(...any) }) *configuration.Index {
+func newIndex(t interface{ Fatal(...any) }) *configuration.Index {
 	built, err := configuration.NewIndex(&rockwindpb.Configuration{
 		Number: 3,
 		Groups: []*rockwindpb.Group{{Name: "a", Share: 1}, {Name: "b", Share: 1}},
@@ -33,19 +33,18 @@
 	return built
 }
 
-// TestGatewaysLearnAllDigests lets gateways come, go and report in any order, and
-// checks that each that stays holds the newest digest of every server of its
-// zone, although only changes are sent.
+// Gateways that exchange in any order must hold the latest digest of every server
+// in their zone, although responses contain only changes.
 func TestGatewaysLearnAllDigests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		board := exchange.NewFleetState("control", 1)
+		state := exchange.NewFleetState("control", 1)
 		now := time.Unix(1000, 0)
 		servers := []string{"s0", "s1", "s2", "s3", "s4"}
 		running := make(map[string]uint32)
-		held := make([]map[string]uint32, 3)
+		received := make([]map[string]uint32, 3)
 		versions := make([]uint64, 3)
-		for index := range held {
-			held[index] = make(map[string]uint32)
+		for index := range received {
+			received[index] = make(map[string]uint32)
 		}
 		steps := rapid.SliceOfN(rapid.IntRange(0, 2), 5, 60).Draw(t, "steps")
 		for _, caller := range append(steps, 0, 1, 2, 0, 1, 2) {
@@ -56,17 +55,17 @@
 					continue
 				}
 				running[server] = rapid.Uint32Range(0, 2).Draw(t, "running")
-				held[caller][server] = running[server]
+				received[caller][server] = running[server]
 				report.Owned = append(report.Owned, &rockwindpb.ServerDigest{Name: server, RunningOnline: running[server]})
 			}
-			answer := board.Exchange(now, report)
-			versions[caller] = answer.GetVersion()
-			for _, digest := range answer.GetServers() {
-				held[caller][digest.GetName()] = digest.GetRunningOnline()
+			response := state.Exchange(now, report)
+			versions[caller] = response.GetVersion()
+			for _, digest := range response.GetServers() {
+				received[caller][digest.GetName()] = digest.GetRunningOnline()
 			}
 			for server, value := range running {
-				if have, known := held[caller][server]; !known || have != value {
-					t.Fatalf("%s holds %d for %s, newest is %d", name, have, server, value)
+				if have, known := received[caller][server]; !known || have != value {
+					t.Fatalf("%s has %d for %s, latest is %d", name, have, server, value)
 				}
 			}
 			now = now.Add(exchange.Period / 3)
@@ -74,13 +73,13 @@
 	})
 }
 
-// TestAllowancesSumToTheLimit spreads a tenant over gateways of two control
-// machines and checks that the parts sum to the limit and follow the demand.
+// The parts of a tenant's limit at gateways of two control machines must add up to
+// the limit.
 func TestAllowancesSumToTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		boards := []*exchange.FleetState{exchange.NewFleetState("one", 1), exchange.NewFleetState("two", 1)}
-		for _, board := range boards {
-			board.Configure(index(t))
+		states := []*exchange.FleetState{exchange.NewFleetState("one", 1), exchange.NewFleetState("two", 1)}
+		for _, state := range states {
+			state.Configure(newIndex(t))
 		}
 		demands := rapid.SliceOfN(rapid.Float64Range(1, 100), 2, 8).Draw(t, "demands")
 		now := time.Unix(1000, 0)
@@ -88,41 +87,40 @@
 		for range 40 {
 			sum = 0
 			for gateway, demand := range demands {
-				answer := boards[gateway%2].Exchange(now, &rockwindpb.ExchangeRequest{
+				response := states[gateway%2].Exchange(now, &rockwindpb.ExchangeRequest{
 					Gateway: fmt.Sprintf("gateway-%d", gateway), Zone: "zone",
 					Tenants: []*rockwindpb.TenantUsage{
 						{Tenant: "limited", Requests: demand * exchange.Period.Seconds()},
 						{Tenant: "free", Requests: demand},
 					},
 				})
-				if len(answer.GetTenants()) != 1 {
-					t.Fatalf("%d allowances were given, one tenant has limits", len(answer.GetTenants()))
+				if len(response.GetTenants()) != 1 {
+					t.Fatalf("%d allowances were given, one tenant has limits", len(response.GetTenants()))
 				}
-				sum += answer.GetTenants()[0].GetRequestsPerSecond()
+				sum += response.GetTenants()[0].GetRequestsPerSecond()
 			}
-			boards[0].ApplyAggregates(now, boards[1].Aggregates(now))
-			boards[1].ApplyAggregates(now, boards[0].Aggregates(now))
+			states[0].ApplyAggregates(now, states[1].Aggregates(now))
+			states[1].ApplyAggregates(now, states[0].Aggregates(now))
 			now = now.Add(exchange.Period)
 		}
 		if math.Abs(sum-limitPerSecond) > 0.01*limitPerSecond {
-			t.Fatalf("the parts sum to %.2f of %d", sum, limitPerSecond)
+			t.Fatalf("the parts add up to %.2f, want %d", sum, limitPerSecond)
 		}
 	})
 }
 
-// TestExchangeIsSmall counts the bytes of an exchange in a zone of the target
-// size: 37 servers, 11 gateways, 31 other zones and 12 models.
+// The size of exchanges must stay within budget in a zone with 37 servers and 11
+// gateways, with 31 other zones and 12 models.
 func TestExchangeIsSmall(t *testing.T) {
 	const (
 		servers  = 37
 		gateways = 11
 		zones    = 32
 		models   = 12
-		// budget is what protobuf may take of 6 KB/s, the rest is for headers and
-		// all other calls of a daemon.
+		// budget is in bytes per second.
 		budget = 3000
 	)
-	board := exchange.NewFleetState("control", 1)
+	state := exchange.NewFleetState("control", 1)
 	now := time.Unix(1000, 0)
 	other := &rockwindpb.ShareAggregatesRequest{Machine: "other"}
 	for zone := range zones {
@@ -137,7 +135,7 @@
 	total := 0
 	const rounds = 30
 	for round := range rounds {
-		board.ApplyAggregates(now, other)
+		state.ApplyAggregates(now, other)
 		for gateway := range gateways {
 			request := &rockwindpb.ExchangeRequest{
 				Gateway: fmt.Sprintf("gateway-%d", gateway), Zone: "region-0-zone-0", SinceVersion: versions[gateway],
@@ -148,10 +146,10 @@
 					KvUsedPermille: 700, StepMicroseconds: 20_000, AgeMs: 150, Health: rockwindpb.HealthState_HEALTH_STATE_HEALTHY,
 				})
 			}
-			answer := board.Exchange(now, request)
-			versions[gateway] = answer.GetVersion()
+			response := state.Exchange(now, request)
+			versions[gateway] = response.GetVersion()
 			if round > 0 {
-				total += proto.Size(request) + proto.Size(answer)
+				total += proto.Size(request) + proto.Size(response)
 			}
 		}
 		now = now.Add(exchange.Period)
@@ -163,9 +161,8 @@
 	}
 }
 
-// TestPeersAreNamedOnceAllAreHeard moves the gateways of a zone to a board that
-// has not heard them, in any order and with jitter, and checks that no answer
-// leaves out a gateway that lives.
+// When the gateways of a zone move to another control machine, no response may name
+// only some of them.
 func TestPeersAreNamedOnceAllAreHeard(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const rounds = 6
@@ -184,12 +181,12 @@
 			}
 		}
 		slices.SortFunc(calls, func(left, right call) int { return left.at.Compare(right.at) })
-		board := exchange.NewFleetState("control", 1)
+		state := exchange.NewFleetState("control", 1)
 		named := false
 		for _, each := range calls {
-			peers := board.Exchange(each.at, &rockwindpb.ExchangeRequest{Gateway: each.name, Zone: "zone"}).GetPeers()
+			peers := state.Exchange(each.at, &rockwindpb.ExchangeRequest{Gateway: each.name, Zone: "zone"}).GetPeers()
 			if len(peers) != 0 && len(peers) != gateways {
-				t.Fatalf("%d of %d gateways are named", len(peers), gateways)
+				t.Fatalf("response names %d of %d gateways", len(peers), gateways)
 			}
 			named = named || len(peers) == gateways
 		}
--- a/internal/control/exchange/export_test.go
+++ b/internal/control/exchange/export_test.go
@@ -1,4 +1,3 @@
 package exchange
 
-// Its figure that the tests use.
-const LeavingTimeout = leavingFor
+const LeavingTimeout = leavingTimeout
--- a/internal/control/exchange/leaving.go
+++ b/internal/control/exchange/leaving.go
@@ -6,39 +6,39 @@
 	"time"
 )
 
-// leavingFor is how long a back end counts as leaving after a gateway last said
-// so; gateways repeat it in each exchange.
-const leavingFor = 3 * Period
+// leavingTimeout is how long a back end counts as leaving after the last report.
+// Gateways repeat the report in each exchange.
+const leavingTimeout = 3 * Period
 
-// hearLeaving notes the back ends that a gateway found leaving.
-func (b *FleetState) hearLeaving(now time.Time, names []string) {
+// recordLeaving records the back ends that a gateway reports as leaving.
+func (f *FleetState) recordLeaving(now time.Time, names []string) {
 	for _, name := range names {
-		if heard, known := b.leaving[name]; !known || now.Sub(heard) >= leavingFor {
-			b.newsOfLeaving = true
+		if lastSeen, known := f.leaving[name]; !known || now.Sub(lastSeen) >= leavingTimeout {
+			f.newlyLeaving = true
 		}
-		b.leaving[name] = now
+		f.leaving[name] = now
 	}
 }
 
-// TakeNewlyLeaving tells whether something was heard since the last call that the other
-// machines need to know at once.
-func (b *FleetState) TakeNewlyLeaving() bool {
-	news := b.newsOfLeaving
-	b.newsOfLeaving = false
-	return news
+// TakeNewlyLeaving reports whether a back end started to leave since the last call.
+// The other control machines need to know it at once.
+func (f *FleetState) TakeNewlyLeaving() bool {
+	newlyLeaving := f.newlyLeaving
+	f.newlyLeaving = false
+	return newlyLeaving
 }
 
-// ownLeaving lists the leaving back ends that this machine's gateways named.
-func (b *FleetState) ownLeaving(now time.Time) []string {
-	maps.DeleteFunc(b.leaving, func(_ string, heard time.Time) bool { return now.Sub(heard) >= leavingFor })
-	return slices.Sorted(maps.Keys(b.leaving))
+// localLeaving returns the leaving back ends that gateways reported to this machine.
+func (f *FleetState) localLeaving(now time.Time) []string {
+	maps.DeleteFunc(f.leaving, func(_ string, lastSeen time.Time) bool { return now.Sub(lastSeen) >= leavingTimeout })
+	return slices.Sorted(maps.Keys(f.leaving))
 }
 
-// allLeaving lists the leaving back ends that any machine knows.
-func (b *FleetState) allLeaving(now time.Time) []string {
-	names := b.ownLeaving(now)
-	for _, other := range b.others {
-		if now.Sub(other.heard) < liveFor {
+// allLeaving returns the leaving back ends known to any control machine.
+func (f *FleetState) allLeaving(now time.Time) []string {
+	names := f.localLeaving(now)
+	for _, other := range f.others {
+		if now.Sub(other.lastSeen) < livenessTimeout {
 			names = append(names, other.leaving...)
 		}
 	}
--- a/internal/control/exchange/leaving_test.go
+++ b/internal/control/exchange/leaving_test.go
@@ -9,26 +9,28 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
+// A leaving server must be named to all zones and control machines until its
+// report expires.
 func TestLeavingServersAreNamedToAllZonesAndMachinesWhileGatewaysNameThem(t *testing.T) {
 	first, second := exchange.NewFleetState("one", 1), exchange.NewFleetState("two", 2)
 	now := time.Unix(1000, 0)
 	first.Exchange(now, &rockwindpb.ExchangeRequest{Gateway: "a", Zone: "x", Leaving: []string{"engine-7"}})
 	if !first.TakeNewlyLeaving() || first.TakeNewlyLeaving() {
-		t.Fatal("a server that was found leaving is news once")
+		t.Fatal("a newly leaving server must be reported exactly once")
 	}
 	first.Exchange(now, &rockwindpb.ExchangeRequest{Gateway: "a", Zone: "x", Leaving: []string{"engine-7"}})
 	if first.TakeNewlyLeaving() {
-		t.Fatal("a server that is known to leave is news again")
+		t.Fatal("a server that is already leaving was reported again")
 	}
 	second.ApplyAggregates(now, first.Aggregates(now))
-	answer := second.Exchange(now, &rockwindpb.ExchangeRequest{Gateway: "b", Zone: "y"})
-	if !slices.Equal(answer.GetLeaving(), []string{"engine-7"}) {
-		t.Fatalf("another machine names %v", answer.GetLeaving())
+	response := second.Exchange(now, &rockwindpb.ExchangeRequest{Gateway: "b", Zone: "y"})
+	if !slices.Equal(response.GetLeaving(), []string{"engine-7"}) {
+		t.Fatalf("another machine names %v, want engine-7", response.GetLeaving())
 	}
 	later := now.Add(exchange.LeavingTimeout)
 	second.ApplyAggregates(later, first.Aggregates(later))
-	answer = second.Exchange(later, &rockwindpb.ExchangeRequest{Gateway: "b", Zone: "y"})
-	if len(answer.GetLeaving()) != 0 {
-		t.Fatalf("%v are named though no gateway does", answer.GetLeaving())
+	response = second.Exchange(later, &rockwindpb.ExchangeRequest{Gateway: "b", Zone: "y"})
+	if len(response.GetLeaving()) != 0 {
+		t.Fatalf("%v are still named after the report expired", response.GetLeaving())
 	}
 }
--- a/internal/control/exchange/models.go
+++ b/internal/control/exchange/models.go
@@ -8,34 +8,33 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// countModels takes what was asked of models since the gateway's last exchange.
-// What the report leaves out was not asked for.
-func (g *gateway) countModels(now time.Time, usages []*rockwindpb.ModelUsage) {
+// recordModelUsage adds the demand for models since the gateway's last exchange.
+func (g *gateway) recordModelUsage(now time.Time, usages []*rockwindpb.ModelUsage) {
 	for _, usage := range usages {
-		held, known := g.models[usage.GetModel()]
+		modelRate, known := g.models[usage.GetModel()]
 		if !known {
-			held = &rate{}
-			g.models[usage.GetModel()] = held
+			modelRate = &rate{}
+			g.models[usage.GetModel()] = modelRate
 		}
-		held.add(now, usage.GetOnlineCost()+usage.GetBatchCost()+usage.GetRefusedCost())
+		modelRate.add(now, usage.GetOnlineCost()+usage.GetBatchCost()+usage.GetRefusedCost())
 	}
-	for name, held := range g.models {
-		if held.current(now) < negligible {
+	for name, modelRate := range g.models {
+		if modelRate.current(now) < negligibleRate {
 			delete(g.models, name)
 		}
 	}
 }
 
-// ModelDemands sums what is asked of models through the live gateways of this
+// ModelDemands sums the demand for each model over the live gateways of this
 // machine.
-func (b *FleetState) ModelDemands(now time.Time) []*rockwindpb.ModelDemand {
+func (f *FleetState) ModelDemands(now time.Time) []*rockwindpb.ModelDemand {
 	sums := make(map[string]float64)
-	for _, known := range b.gateways {
-		if !known.live(now) {
+	for _, gw := range f.gateways {
+		if !gw.live(now) {
 			continue
 		}
-		for name, held := range known.models {
-			sums[name] += held.current(now)
+		for name, modelRate := range gw.models {
+			sums[name] += modelRate.current(now)
 		}
 	}
 	var demands []*rockwindpb.ModelDemand
--- a/internal/control/exchange/tenants.go
+++ b/internal/control/exchange/tenants.go
@@ -8,32 +8,32 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// tenantTotal is the demand for a tenant's limits over the whole fleet.
-type tenantTotal struct {
+// tenantTotals is the demand of a tenant summed over gateways.
+type tenantTotals struct {
 	requests    float64
 	tokens      float64
 	concurrency float64
-	// gateways counts those at which the tenant is active.
+	// gateways is the number of gateways at which the tenant is active.
 	gateways int
 }
 
-// tenantAllowances divides the limits of the tenants that are active at the
-// caller.
-func (b *FleetState) tenantAllowances(now time.Time, caller *gateway) []*rockwindpb.TenantAllowance {
+// tenantAllowances returns the caller's parts of the limits of the tenants that are
+// active there.
+func (f *FleetState) tenantAllowances(now time.Time, caller *gateway) []*rockwindpb.TenantAllowance {
 	var allowances []*rockwindpb.TenantAllowance
 	for _, name := range slices.Sorted(maps.Keys(caller.tenants)) {
-		tenant, known := b.index.Tenant(name)
+		tenant, known := f.index.Tenant(name)
 		limits := tenant.GetLimits()
 		if !known || unlimited(limits) {
 			continue
 		}
-		held := caller.tenants[name]
-		total := b.tenantTotal(now, name)
+		rates := caller.tenants[name]
+		total := f.tenantTotals(now, name)
 		allowances = append(allowances, &rockwindpb.TenantAllowance{
 			Tenant:            name,
-			RequestsPerSecond: part(limits.GetRequestsPerSecond(), held.requests.current(now), total.requests, total.gateways),
-			TokensPerSecond:   part(limits.GetTokensPerSecond(), held.tokens.current(now), total.tokens, total.gateways),
-			Concurrency:       uint32(part(float64(limits.GetConcurrency()), float64(held.concurrency), total.concurrency, total.gateways)),
+			RequestsPerSecond: limitPart(limits.GetRequestsPerSecond(), rates.requests.current(now), total.requests, total.gateways),
+			TokensPerSecond:   limitPart(limits.GetTokensPerSecond(), rates.tokens.current(now), total.tokens, total.gateways),
+			Concurrency:       uint32(limitPart(float64(limits.GetConcurrency()), float64(rates.concurrency), total.concurrency, total.gateways)),
 		})
 	}
 	return allowances
@@ -43,10 +43,10 @@
 	return limits.GetRequestsPerSecond() == 0 && limits.GetConcurrency() == 0 && limits.GetTokensPerSecond() == 0
 }
 
-// part divides a limit over the gateways. While the demand is below the limit
-// each gets its demand and an equal part of what is left; above it each gets a
-// part in proportion to its demand. The parts sum to the limit.
-func part(limit, demand, total float64, gateways int) float64 {
+// limitPart returns a gateway's part of a limit. If the total demand is below the
+// limit, each gateway gets its demand and an equal part of the rest, otherwise a
+// part proportional to its demand. The parts add up to the limit.
+func limitPart(limit, demand, total float64, gateways int) float64 {
 	gateways = max(gateways, 1)
 	total = max(total, demand)
 	if total <= limit {
@@ -55,11 +55,10 @@
 	return limit * demand / total
 }
 
-// tenantTotal sums a tenant's demand over this machine's gateways and those of
-// the others.
-func (b *FleetState) tenantTotal(now time.Time, name string) tenantTotal {
-	total := b.ownTenantTotal(now, name)
-	for _, other := range b.others {
+// tenantTotals sums a tenant's demand over all gateways of the fleet.
+func (f *FleetState) tenantTotals(now time.Time, name string) tenantTotals {
+	total := f.localTenantTotals(now, name)
+	for _, other := range f.others {
 		demand, found := other.tenants[name]
 		if !found {
 			continue
@@ -72,35 +71,36 @@
 	return total
 }
 
-func (b *FleetState) ownTenantTotal(now time.Time, name string) tenantTotal {
-	total := tenantTotal{}
-	for _, known := range b.gateways {
-		held, active := known.tenants[name]
-		if !active || !known.live(now) {
+// localTenantTotals sums a tenant's demand over the live gateways of this machine.
+func (f *FleetState) localTenantTotals(now time.Time, name string) tenantTotals {
+	total := tenantTotals{}
+	for _, gw := range f.gateways {
+		rates, active := gw.tenants[name]
+		if !active || !gw.live(now) {
 			continue
 		}
-		total.requests += held.requests.current(now)
-		total.tokens += held.tokens.current(now)
-		total.concurrency += float64(held.concurrency)
+		total.requests += rates.requests.current(now)
+		total.tokens += rates.tokens.current(now)
+		total.concurrency += float64(rates.concurrency)
 		total.gateways++
 	}
 	return total
 }
 
-// tenantDemands describes the active tenants of this machine's gateways.
-func (b *FleetState) tenantDemands(now time.Time) []*rockwindpb.TenantDemand {
+// tenantDemands returns the demands of the active tenants for the other machines.
+func (f *FleetState) tenantDemands(now time.Time) []*rockwindpb.TenantDemand {
 	names := make(map[string]struct{})
-	for _, known := range b.gateways {
-		if !known.live(now) {
+	for _, gw := range f.gateways {
+		if !gw.live(now) {
 			continue
 		}
-		for name := range known.tenants {
+		for name := range gw.tenants {
 			names[name] = struct{}{}
 		}
 	}
 	var demands []*rockwindpb.TenantDemand
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		total := b.ownTenantTotal(now, name)
+		total := f.localTenantTotals(now, name)
 		demands = append(demands, &rockwindpb.TenantDemand{
 			Tenant:            name,
 			RequestsPerSecond: total.requests,
--- a/internal/control/exchange/usage.go
+++ b/internal/control/exchange/usage.go
@@ -8,144 +8,145 @@
 	"rockwind.example/rockwind/internal/sharing"
 )
 
-// rateWindow is the time constant over which use is averaged.
+// rateWindow is the time constant of the moving averages.
 const rateWindow = 2 * Period
 
-// rate is an exponentially weighted average, per second.
+// rate is an exponentially weighted moving average of an amount per second.
 type rate struct {
-	value float64
-	at    time.Time
+	value   float64
+	updated time.Time
 }
 
-// add counts an amount used since the last call.
+// add records the amount used since the last call.
 func (r *rate) add(now time.Time, amount float64) {
-	if r.at.IsZero() {
-		r.at = now
+	if r.updated.IsZero() {
+		r.updated = now
 		r.value = amount / Period.Seconds()
 		return
 	}
-	elapsed := now.Sub(r.at).Seconds()
+	elapsed := now.Sub(r.updated).Seconds()
 	if elapsed <= 0 {
 		r.value += amount / rateWindow.Seconds()
 		return
 	}
-	kept := math.Exp(-elapsed / rateWindow.Seconds())
-	r.value = r.value*kept + amount/elapsed*(1-kept)
-	r.at = now
+	decay := math.Exp(-elapsed / rateWindow.Seconds())
+	r.value = r.value*decay + amount/elapsed*(1-decay)
+	r.updated = now
 }
 
-// current returns the rate, faded since it was last counted.
+// current returns the rate, which decays if no amount is added for longer than a
+// period.
 func (r *rate) current(now time.Time) float64 {
-	elapsed := max(now.Sub(r.at)-Period, 0).Seconds()
+	elapsed := max(now.Sub(r.updated)-Period, 0).Seconds()
 	return r.value * math.Exp(-elapsed/rateWindow.Seconds())
 }
 
-// groupRate is the service that a group gets through one gateway.
+// groupRate is the usage of a group through one gateway.
 type groupRate struct {
 	online rate
 	batch  rate
 	demand float64
 }
 
-// tenantRate is the use of a tenant through one gateway.
+// tenantRate is the usage of a tenant through one gateway.
 type tenantRate struct {
 	requests    rate
 	tokens      rate
 	concurrency uint32
 }
 
-// countUsage takes the use since the gateway's last exchange. What the report
-// leaves out was not used.
-func (b *FleetState) countUsage(now time.Time, caller *gateway, request *rockwindpb.ExchangeRequest) {
-	for _, held := range caller.groups {
-		held.demand = 0
+// recordUsage adds the usage since the gateway's last exchange. A group or tenant
+// that the report leaves out has no demand.
+func (f *FleetState) recordUsage(now time.Time, caller *gateway, request *rockwindpb.ExchangeRequest) {
+	for _, rates := range caller.groups {
+		rates.demand = 0
 	}
 	for _, usage := range request.GetGroups() {
-		held, known := caller.groups[usage.GetGroup()]
+		rates, known := caller.groups[usage.GetGroup()]
 		if !known {
-			held = &groupRate{}
-			caller.groups[usage.GetGroup()] = held
+			rates = &groupRate{}
+			caller.groups[usage.GetGroup()] = rates
 		}
-		held.online.add(now, usage.GetOnlineCost())
-		held.batch.add(now, usage.GetBatchCost())
-		held.demand = usage.GetDemand()
+		rates.online.add(now, usage.GetOnlineCost())
+		rates.batch.add(now, usage.GetBatchCost())
+		rates.demand = usage.GetDemand()
 	}
-	for _, held := range caller.tenants {
-		held.concurrency = 0
+	for _, rates := range caller.tenants {
+		rates.concurrency = 0
 	}
 	for _, usage := range request.GetTenants() {
-		held, known := caller.tenants[usage.GetTenant()]
+		rates, known := caller.tenants[usage.GetTenant()]
 		if !known {
-			held = &tenantRate{}
-			caller.tenants[usage.GetTenant()] = held
+			rates = &tenantRate{}
+			caller.tenants[usage.GetTenant()] = rates
 		}
-		held.requests.add(now, usage.GetRequests())
-		held.tokens.add(now, usage.GetTokens())
-		held.concurrency = usage.GetConcurrency()
+		rates.requests.add(now, usage.GetRequests())
+		rates.tokens.add(now, usage.GetTokens())
+		rates.concurrency = usage.GetConcurrency()
 	}
-	caller.forgetIdle(now)
+	caller.removeIdle(now)
 }
 
-// negligible is a rate that counts as none.
-const negligible = 1e-3
+// negligibleRate is the rate below which an entry is removed.
+const negligibleRate = 1e-3
 
-func (g *gateway) forgetIdle(now time.Time) {
-	for name, held := range g.tenants {
-		if held.concurrency == 0 && held.requests.current(now) < negligible && held.tokens.current(now) < negligible {
+func (g *gateway) removeIdle(now time.Time) {
+	for name, rates := range g.tenants {
+		if rates.concurrency == 0 && rates.requests.current(now) < negligibleRate && rates.tokens.current(now) < negligibleRate {
 			delete(g.tenants, name)
 		}
 	}
-	for name, held := range g.groups {
-		if held.demand == 0 && held.online.current(now) < negligible && held.batch.current(now) < negligible {
+	for name, rates := range g.groups {
+		if rates.demand == 0 && rates.online.current(now) < negligibleRate && rates.batch.current(now) < negligibleRate {
 			delete(g.groups, name)
 		}
 	}
 }
 
-// groupRates sums the use of groups over the live gateways of this machine.
-func (b *FleetState) groupRates(now time.Time) map[string]*rockwindpb.GroupRate {
+// groupRates sums the usage of groups over the live gateways of this machine.
+func (f *FleetState) groupRates(now time.Time) map[string]*rockwindpb.GroupRate {
 	sums := make(map[string]*rockwindpb.GroupRate)
-	for _, known := range b.gateways {
-		if !known.live(now) {
+	for _, gw := range f.gateways {
+		if !gw.live(now) {
 			continue
 		}
-		for name, held := range known.groups {
+		for name, rates := range gw.groups {
 			sum, found := sums[name]
 			if !found {
 				sum = &rockwindpb.GroupRate{Group: name}
 				sums[name] = sum
 			}
-			sum.OnlineCostPerSecond += held.online.current(now)
-			sum.BatchCostPerSecond += held.batch.current(now)
-			sum.Demand += held.demand
+			sum.OnlineCostPerSecond += rates.online.current(now)
+			sum.BatchCostPerSecond += rates.batch.current(now)
+			sum.Demand += rates.demand
 		}
 	}
 	return sums
 }
 
-// settleGroups computes what each group may use of the batch capacity, from the
-// use over the whole fleet since the last call.
-func (b *FleetState) settleGroups(now time.Time) {
-	period := now.Sub(b.settled)
-	if b.settled.IsZero() {
+// updateGroupAllowances computes each group's part of the batch capacity from the
+// usage of the whole fleet since the last call.
+func (f *FleetState) updateGroupAllowances(now time.Time) {
+	period := now.Sub(f.allowancesUpdated)
+	if f.allowancesUpdated.IsZero() {
 		period = Period
 	}
-	b.settled = now
-	sums := b.groupRates(now)
-	for _, other := range b.others {
-		for _, part := range other.groups {
-			sum, found := sums[part.GetGroup()]
+	f.allowancesUpdated = now
+	sums := f.groupRates(now)
+	for _, other := range f.others {
+		for _, groupRate := range other.groups {
+			sum, found := sums[groupRate.GetGroup()]
 			if !found {
 				sum = &rockwindpb.GroupRate{}
-				sums[part.GetGroup()] = sum
+				sums[groupRate.GetGroup()] = sum
 			}
-			sum.OnlineCostPerSecond += part.GetOnlineCostPerSecond()
-			sum.BatchCostPerSecond += part.GetBatchCostPerSecond()
-			sum.Demand += part.GetDemand()
+			sum.OnlineCostPerSecond += groupRate.GetOnlineCostPerSecond()
+			sum.BatchCostPerSecond += groupRate.GetBatchCostPerSecond()
+			sum.Demand += groupRate.GetDemand()
 		}
 	}
 	var uses []sharing.GroupUse
-	for _, group := range b.index.Groups() {
+	for _, group := range f.index.Groups() {
 		sum := sums[group.GetName()]
 		uses = append(uses, sharing.GroupUse{
 			Group:      group.GetName(),
@@ -155,8 +156,8 @@
 			Demand:     sum.GetDemand(),
 		})
 	}
-	b.allowances = nil
-	for _, allowance := range b.account.Allowances(uses, period) {
-		b.allowances = append(b.allowances, &rockwindpb.GroupAllowance{Group: allowance.Group, BatchPart: allowance.BatchFraction})
+	f.allowances = nil
+	for _, allowance := range f.account.Allowances(uses, period) {
+		f.allowances = append(f.allowances, &rockwindpb.GroupAllowance{Group: allowance.Group, BatchPart: allowance.BatchFraction})
 	}
 }
--- a/internal/control/exchange/zones.go
+++ b/internal/control/exchange/zones.go
@@ -12,41 +12,41 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// machineView is what another control machine passed on last.
-type machineView struct {
-	heard   time.Time
-	zones   []*rockwindpb.ZoneDigest
-	groups  []*rockwindpb.GroupRate
-	tenants map[string]*rockwindpb.TenantDemand
-	daemons []*rockwindpb.DaemonStatus
-	leaving []string
+// peerState holds the last aggregates of another control machine.
+type peerState struct {
+	lastSeen time.Time
+	zones    []*rockwindpb.ZoneDigest
+	groups   []*rockwindpb.GroupRate
+	tenants  map[string]*rockwindpb.TenantDemand
+	daemons  []*rockwindpb.DaemonStatus
+	leaving  []string
 }
 
-// ApplyAggregates takes what another control machine passed on.
-func (b *FleetState) ApplyAggregates(now time.Time, shared *rockwindpb.ShareAggregatesRequest) {
-	view := &machineView{
-		heard:   now,
-		zones:   shared.GetZones(),
-		groups:  shared.GetGroups(),
-		tenants: make(map[string]*rockwindpb.TenantDemand, len(shared.GetTenants())),
-		daemons: shared.GetDaemons(),
-		leaving: shared.GetLeaving(),
+// ApplyAggregates replaces the aggregates of another control machine.
+func (f *FleetState) ApplyAggregates(now time.Time, shared *rockwindpb.ShareAggregatesRequest) {
+	view := &peerState{
+		lastSeen: now,
+		zones:    shared.GetZones(),
+		groups:   shared.GetGroups(),
+		tenants:  make(map[string]*rockwindpb.TenantDemand, len(shared.GetTenants())),
+		daemons:  shared.GetDaemons(),
+		leaving:  shared.GetLeaving(),
 	}
 	for _, demand := range shared.GetTenants() {
 		view.tenants[demand.GetTenant()] = demand
 	}
-	b.others[shared.GetMachine()] = view
+	f.others[shared.GetMachine()] = view
 }
 
-// Aggregates returns what this machine passes on to the others.
-func (b *FleetState) Aggregates(now time.Time) *rockwindpb.ShareAggregatesRequest {
-	sums := b.groupRates(now)
+// Aggregates returns the aggregates of this machine for the others.
+func (f *FleetState) Aggregates(now time.Time) *rockwindpb.ShareAggregatesRequest {
+	sums := f.groupRates(now)
 	shared := &rockwindpb.ShareAggregatesRequest{
-		Machine: b.machine,
-		Zones:   b.ownZones(now),
-		Tenants: b.tenantDemands(now),
-		Daemons: b.ownDaemons(now),
-		Leaving: b.ownLeaving(now),
+		Machine: f.machine,
+		Zones:   f.localZones(now),
+		Tenants: f.tenantDemands(now),
+		Daemons: f.localDaemons(now),
+		Leaving: f.localLeaving(now),
 	}
 	for _, name := range slices.Sorted(maps.Keys(sums)) {
 		shared.Groups = append(shared.Groups, sums[name])
@@ -54,33 +54,33 @@
 	return shared
 }
 
-// ownZones sums the servers of the zones that meet at this machine, by model.
-func (b *FleetState) ownZones(now time.Time) []*rockwindpb.ZoneDigest {
+// localZones aggregates the zones whose gateways exchange with this machine.
+func (f *FleetState) localZones(now time.Time) []*rockwindpb.ZoneDigest {
 	var digests []*rockwindpb.ZoneDigest
-	for _, name := range slices.Sorted(maps.Keys(b.zones)) {
-		digests = append(digests, b.zones[name].sums(now, name)...)
+	for _, name := range slices.Sorted(maps.Keys(f.zones)) {
+		digests = append(digests, f.zones[name].loadByModel(now, name)...)
 	}
 	return digests
 }
 
-// sums adds up the healthy servers of a zone by the models that they hold.
-func (z *zone) sums(now time.Time, name string) []*rockwindpb.ZoneDigest {
+// loadByModel sums the load of the usable servers of a zone by loaded model.
+func (z *zone) loadByModel(now time.Time, name string) []*rockwindpb.ZoneDigest {
 	byModel := make(map[string]*rockwindpb.ZoneDigest)
-	for _, known := range z.servers {
-		unusable := known.digest.GetLeaving() || known.digest.GetHealth() == rockwindpb.HealthState_HEALTH_STATE_EJECTED
-		if unusable || now.Sub(known.received) >= liveFor {
+	for _, srv := range z.servers {
+		unusable := srv.digest.GetLeaving() || srv.digest.GetHealth() == rockwindpb.HealthState_HEALTH_STATE_EJECTED
+		if unusable || now.Sub(srv.received) >= livenessTimeout {
 			continue
 		}
-		for _, model := range modelsOf(known.digest.GetLoaded()) {
+		for _, model := range modelsOf(srv.digest.GetLoaded()) {
 			sum, found := byModel[model]
 			if !found {
 				sum = &rockwindpb.ZoneDigest{Zone: name, Model: model}
 				byModel[model] = sum
 			}
 			sum.Servers++
-			sum.RunningOnline += known.digest.GetRunningOnline()
-			sum.RunningBatch += known.digest.GetRunningBatch()
-			sum.Waiting += known.digest.GetWaiting()
+			sum.RunningOnline += srv.digest.GetRunningOnline()
+			sum.RunningBatch += srv.digest.GetRunningBatch()
+			sum.Waiting += srv.digest.GetWaiting()
 		}
 	}
 	var digests []*rockwindpb.ZoneDigest
@@ -90,7 +90,8 @@
 	return digests
 }
 
-// modelsOf returns the models in a list of "model@version" and "model:adapter".
+// modelsOf returns the models in a list of "model@version" and "model:adapter"
+// entries.
 func modelsOf(loaded []string) []string {
 	var models []string
 	for _, entry := range loaded {
@@ -102,14 +103,14 @@
 	return models
 }
 
-// otherZones returns sums of the zones other than the caller's: all of them at
-// first, and then each zone once in zoneTurns exchanges, because the sums of 31
-// zones and 12 models in each exchange would use up a daemon's traffic.
-func (b *FleetState) otherZones(now time.Time, caller *gateway, all bool) []*rockwindpb.ZoneDigest {
+// otherZones returns the aggregates of the zones other than the caller's. With all
+// unset it returns only the zones whose turn it is, which bounds the traffic in
+// fleets of many zones and models.
+func (f *FleetState) otherZones(now time.Time, caller *gateway, all bool) []*rockwindpb.ZoneDigest {
 	var digests []*rockwindpb.ZoneDigest
-	for _, digest := range b.allZones(now) {
-		turn := int(xxhash.Sum64String(digest.GetZone()) % zoneTurns)
-		due := all || turn == caller.turn%zoneTurns
+	for _, digest := range f.allZones(now) {
+		turn := int(xxhash.Sum64String(digest.GetZone()) % zoneRotation)
+		due := all || turn == caller.exchanges%zoneRotation
 		if due && digest.GetZone() != caller.zone {
 			digests = append(digests, digest)
 		}
@@ -117,38 +118,37 @@
 	return digests
 }
 
-func (b *FleetState) allZones(now time.Time) []*rockwindpb.ZoneDigest {
-	digests := b.ownZones(now)
-	for _, name := range slices.Sorted(maps.Keys(b.others)) {
-		digests = append(digests, b.others[name].zones...)
+func (f *FleetState) allZones(now time.Time) []*rockwindpb.ZoneDigest {
+	digests := f.localZones(now)
+	for _, name := range slices.Sorted(maps.Keys(f.others)) {
+		digests = append(digests, f.others[name].zones...)
 	}
 	return digests
 }
 
-// Status describes all daemons that are known, and the servers whose zones meet
-// at this machine.
-func (b *FleetState) Status(now time.Time) *rockwindpb.FleetStatusResponse {
+// Status returns all known daemons and the servers in the zones of this machine.
+func (f *FleetState) Status(now time.Time) *rockwindpb.FleetStatusResponse {
 	response := &rockwindpb.FleetStatusResponse{
-		Daemons:             b.ownDaemons(now),
-		LatestConfiguration: b.index.Number(),
-		Models:              b.ModelDemands(now),
+		Daemons:             f.localDaemons(now),
+		LatestConfiguration: f.index.Number(),
+		Models:              f.ModelDemands(now),
 	}
-	for _, name := range slices.Sorted(maps.Keys(b.others)) {
-		response.Daemons = append(response.Daemons, b.others[name].daemons...)
+	for _, name := range slices.Sorted(maps.Keys(f.others)) {
+		response.Daemons = append(response.Daemons, f.others[name].daemons...)
 	}
-	response.Daemons = newestOfEach(response.Daemons)
-	for _, known := range b.zones {
-		for _, held := range known.servers {
-			response.Servers = append(response.Servers, held.describe(now, true))
+	response.Daemons = latestByName(response.Daemons)
+	for _, zone := range f.zones {
+		for _, srv := range zone.servers {
+			response.Servers = append(response.Servers, srv.describe(now, true))
 		}
 	}
 	slices.SortFunc(response.Servers, byName)
 	return response
 }
 
-// newestOfEach keeps the newest word of each daemon, which may have moved from
+// latestByName keeps the latest status of each daemon. A daemon may have moved from
 // one control machine to another.
-func newestOfEach(daemons []*rockwindpb.DaemonStatus) []*rockwindpb.DaemonStatus {
+func latestByName(daemons []*rockwindpb.DaemonStatus) []*rockwindpb.DaemonStatus {
 	slices.SortFunc(daemons, func(left, right *rockwindpb.DaemonStatus) int {
 		return cmp.Or(
 			compareNames(left.GetName(), right.GetName()),
@@ -160,21 +160,21 @@
 	})
 }
 
-func (b *FleetState) ownDaemons(now time.Time) []*rockwindpb.DaemonStatus {
+func (f *FleetState) localDaemons(now time.Time) []*rockwindpb.DaemonStatus {
 	var daemons []*rockwindpb.DaemonStatus
-	for _, name := range slices.Sorted(maps.Keys(b.gateways)) {
-		known := b.gateways[name]
-		if now.Sub(known.heard) >= forgetAfter {
+	for _, name := range slices.Sorted(maps.Keys(f.gateways)) {
+		gw := f.gateways[name]
+		if now.Sub(gw.lastSeen) >= removalTimeout {
 			continue
 		}
 		daemons = append(daemons, &rockwindpb.DaemonStatus{
-			Name:                known.name,
+			Name:                gw.name,
 			Role:                "gateway",
-			Zone:                known.zone,
-			Address:             known.address,
-			ConfigurationNumber: known.configuration,
-			LastHeardUnixMs:     known.heard.UnixMilli(),
-			Draining:            known.draining,
+			Zone:                gw.zone,
+			Address:             gw.address,
+			ConfigurationNumber: gw.configuration,
+			LastHeardUnixMs:     gw.lastSeen.UnixMilli(),
+			Draining:            gw.draining,
 		})
 	}
 	return daemons
@@ -186,13 +186,13 @@
 
 func compareNames(left, right string) int { return cmp.Compare(left, right) }
 
-// mix draws 32 bits that tell one board from another.
-func mix(machine string, epoch uint64) uint64 {
+// instanceHash returns a non-zero 32-bit ID of a FleetState.
+func instanceHash(machine string, epoch uint64) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(machine)
 	_, _ = digest.Write([]byte{
 		byte(epoch), byte(epoch >> 8), byte(epoch >> 16), byte(epoch >> 24),
 		byte(epoch >> 32), byte(epoch >> 40), byte(epoch >> 48), byte(epoch >> 56),
 	})
-	return max(digest.Sum64()>>versionBits, 1)
+	return max(digest.Sum64()>>versionCounterBits, 1)
 }
--- a/internal/control/export_test.go
+++ b/internal/control/export_test.go
@@ -1,7 +1,6 @@
 package control
 
-// Its functions that the tests use.
 var (
 	MountCompressed = mountCompressed
-	RetainSegments  = retainAt
+	RetainSegments  = retainSegments
 )
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// sharePause is the time between two calls that pass aggregates on.
-	sharePause = 2 * time.Second
-	// shareTimeout bounds one of them.
+	// shareInterval is the interval at which aggregates are sent to other machines.
+	shareInterval = 2 * time.Second
+	// shareTimeout bounds a call to another machine's fleet service.
 	shareTimeout = time.Second
-	// waitingExchanges is how many calls may wait for the owner of the board.
-	waitingExchanges = 1024
+	// taskQueueSize is the number of calls that may wait for the owner goroutine.
+	taskQueueSize = 1024
 )
 
-// fleetService implements rockwindpb.FleetService. One goroutine owns the board;
-// calls hand it functions to run.
+// fleetService implements rockwindpb.FleetService. One goroutine owns the state and
+// runs the functions that calls queue in tasks.
 type fleetService struct {
 	daemon *daemon
-	board  *exchange.FleetState
-	orders chan func(now time.Time)
-	// reconfigured asks the owner to read the configuration again.
+	state  *exchange.FleetState
+	tasks  chan func(now time.Time)
+	// reconfigured tells the owner goroutine to load the configuration.
 	reconfigured chan struct{}
 }
 
@@ -35,52 +35,52 @@
 	epoch := uint64(time.Now().UnixNano())
 	return &fleetService{
 		daemon:       d,
-		board:        exchange.NewFleetState(d.settings.GetMachine(), epoch),
-		orders:       make(chan func(time.Time), waitingExchanges),
+		state:        exchange.NewFleetState(d.settings.GetMachine(), epoch),
+		tasks:        make(chan func(time.Time), taskQueueSize),
 		reconfigured: make(chan struct{}, 1),
 	}
 }
 
-// configure makes the owner read the configuration again.
-func (s *fleetService) configure() {
+// configurationChanged makes the owner goroutine load the configuration.
+func (s *fleetService) configurationChanged() {
 	select {
 	case s.reconfigured <- struct{}{}:
 	default:
 	}
 }
 
-// run owns the board until the context ends.
+// run owns the state until ctx is done.
 func (s *fleetService) run(ctx context.Context) error {
-	ticker := time.NewTicker(sharePause)
+	ticker := time.NewTicker(shareInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case order := <-s.orders:
-			order(time.Now())
+		case task := <-s.tasks:
+			task(time.Now())
 		case <-s.reconfigured:
 			if index, known := s.daemon.index(ctx); known {
-				s.board.Configure(index)
+				s.state.Configure(index)
 			}
 		case <-ticker.C:
 			now := time.Now()
-			s.board.Refresh(now)
-			go s.share(ctx, s.board.Aggregates(now))
+			s.state.Refresh(now)
+			go s.shareAggregates(ctx, s.state.Aggregates(now))
 		}
 	}
 }
 
-// share passes what this machine knows to the others.
-func (s *fleetService) share(ctx context.Context, aggregates *rockwindpb.ShareAggregatesRequest) {
+// shareAggregates sends the aggregates of this machine to the others.
+func (s *fleetService) shareAggregates(ctx context.Context, aggregates *rockwindpb.ShareAggregatesRequest) {
 	ctx, cancel := context.WithTimeout(ctx, shareTimeout)
 	defer cancel()
 	var calls errgroup.Group
-	for _, other := range s.daemon.others() {
+	for _, other := range s.daemon.otherMachines() {
 		client := rockwindpb.NewFleetServiceProtobufClient(s.daemon.baseURL(other), s.daemon.client)
 		calls.Go(func() error {
 			if _, err := client.ShareAggregates(ctx, aggregates); err != nil {
-				log.WithError(err).WithField("machine", other.GetMachine()).Debug("cannot pass aggregates on")
+				log.WithError(err).WithField("machine", other.GetMachine()).Debug("cannot send aggregates to control machine")
 			}
 			return nil
 		})
@@ -88,37 +88,37 @@
 	_ = calls.Wait()
 }
 
-// do runs a function on the owner goroutine.
+// do runs a function on the owner goroutine and waits for it.
 func (s *fleetService) do(ctx context.Context, work func(now time.Time)) error {
 	done := make(chan struct{})
-	order := func(now time.Time) {
+	task := func(now time.Time) {
 		work(now)
 		close(done)
 	}
 	select {
-	case s.orders <- order:
+	case s.tasks <- task:
 	case <-ctx.Done():
-		return busy()
+		return overloadedFault()
 	}
 	select {
 	case <-done:
 		return nil
 	case <-ctx.Done():
-		return busy()
+		return overloadedFault()
 	}
 }
 
-func busy() error {
-	return fault.New(fault.Overloaded, "the exchange did not answer in time", "exchange again in the next period")
+func overloadedFault() error {
+	return fault.New(fault.Overloaded, "the fleet state did not answer in time", "retry in the next exchange")
 }
 
 // Exchange implements rockwindpb.FleetService.
 func (s *fleetService) Exchange(ctx context.Context, request *rockwindpb.ExchangeRequest) (*rockwindpb.ExchangeResponse, error) {
 	var response *rockwindpb.ExchangeResponse
 	err := s.do(ctx, func(now time.Time) {
-		response = s.board.Exchange(now, request)
-		if s.board.TakeNewlyLeaving() {
-			go s.share(context.WithoutCancel(ctx), s.board.Aggregates(now))
+		response = s.state.Exchange(now, request)
+		if s.state.TakeNewlyLeaving() {
+			go s.shareAggregates(context.WithoutCancel(ctx), s.state.Aggregates(now))
 		}
 	})
 	if err != nil {
@@ -130,7 +130,7 @@
 // Status implements rockwindpb.FleetService.
 func (s *fleetService) Status(ctx context.Context, _ *rockwindpb.FleetStatusRequest) (*rockwindpb.FleetStatusResponse, error) {
 	var response *rockwindpb.FleetStatusResponse
-	err := s.do(ctx, func(now time.Time) { response = s.board.Status(now) })
+	err := s.do(ctx, func(now time.Time) { response = s.state.Status(now) })
 	if err != nil {
 		return nil, fault.ToTwirp(err)
 	}
@@ -140,7 +140,7 @@
 
 // ShareAggregates implements rockwindpb.FleetService.
 func (s *fleetService) ShareAggregates(ctx context.Context, request *rockwindpb.ShareAggregatesRequest) (*rockwindpb.ShareAggregatesResponse, error) {
-	err := s.do(ctx, func(now time.Time) { s.board.ApplyAggregates(now, request) })
+	err := s.do(ctx, func(now time.Time) { s.state.ApplyAggregates(now, request) })
 	if err != nil {
 		return nil, fault.ToTwirp(err)
 	}
--- a/internal/control/jobs.go
+++ b/internal/control/jobs.go
@@ -34,21 +34,21 @@
 		return nil, fault.ToTwirp(err)
 	}
 	now := time.Now().UnixMilli()
-	response, err := view(ctx, owner, func(state *ledger.Ledger) (*rockwindpb.GetJobResponse, error) {
+	response, err := readShard(ctx, owner, func(state *ledger.Ledger) (*rockwindpb.GetJobResponse, error) {
 		return state.GetJob(now, request)
 	})
 	return response, fault.ToTwirp(err)
 }
 
-// List implements rockwindpb.JobService for one shard.
+// List implements rockwindpb.JobService.
 func (s jobService) List(ctx context.Context, request *rockwindpb.ListJobsRequest) (*rockwindpb.ListJobsResponse, error) {
 	response := &rockwindpb.ListJobsResponse{}
-	asked, err := s.asked(request.GetShard())
+	shards, err := s.requestedShards(request.GetShard())
 	if err != nil {
 		return nil, fault.ToTwirp(err)
 	}
-	for _, owner := range asked {
-		part, err := view(ctx, owner, func(state *ledger.Ledger) (*rockwindpb.ListJobsResponse, error) {
+	for _, owner := range shards {
+		part, err := readShard(ctx, owner, func(state *ledger.Ledger) (*rockwindpb.ListJobsResponse, error) {
 			return state.ListJobs(request), nil
 		})
 		if err != nil {
@@ -59,14 +59,14 @@
 	return response, nil
 }
 
-// asked returns the shard with the number, or those that this machine leads
-// where it is zero.
-func (s jobService) asked(number uint32) ([]*shard, error) {
+// requestedShards returns the shard with the given number, or the shards that this
+// machine leads if number is zero.
+func (s jobService) requestedShards(number uint32) ([]*shard, error) {
 	if number != 0 {
 		owner, err := s.daemon.shard(number)
 		return []*shard{owner}, err
 	}
-	return s.daemon.led(), nil
+	return s.daemon.ledShards(), nil
 }
 
 // Cancel implements rockwindpb.JobService.
@@ -84,14 +84,14 @@
 	return response, nil
 }
 
-// ListResults implements rockwindpb.JobService. Results that were sealed are
-// read from their body.
+// ListResults implements rockwindpb.JobService. Sealed results are read from the
+// body store.
 func (s jobService) ListResults(ctx context.Context, request *rockwindpb.ListResultsRequest) (*rockwindpb.ListResultsResponse, error) {
 	owner, err := s.daemon.shardOfJob(request.GetJobId())
 	if err != nil {
 		return nil, fault.ToTwirp(err)
 	}
-	page, err := view(ctx, owner, func(state *ledger.Ledger) (*rockwindpb.ListResultsResponse, error) {
+	page, err := readShard(ctx, owner, func(state *ledger.Ledger) (*rockwindpb.ListResultsResponse, error) {
 		return state.ListResults(request)
 	})
 	if err != nil || page.GetSealed() == nil {
@@ -105,7 +105,7 @@
 	return expanded, fault.ToTwirp(err)
 }
 
-// HeartbeatLeases implements rockwindpb.JobService for leases of one shard.
+// HeartbeatLeases implements rockwindpb.JobService. All leases must be of one shard.
 func (s jobService) HeartbeatLeases(ctx context.Context, request *rockwindpb.HeartbeatLeasesRequest) (*rockwindpb.HeartbeatLeasesResponse, error) {
 	if len(request.GetLeases()) == 0 {
 		return &rockwindpb.HeartbeatLeasesResponse{}, nil
@@ -119,7 +119,7 @@
 	return response, fault.ToTwirp(err)
 }
 
-// CompleteItems implements rockwindpb.JobService for leases of one shard.
+// CompleteItems implements rockwindpb.JobService. All leases must be of one shard.
 func (s jobService) CompleteItems(ctx context.Context, request *rockwindpb.CompleteItemsRequest) (*rockwindpb.CompleteItemsResponse, error) {
 	if len(request.GetCompletions()) == 0 {
 		return &rockwindpb.CompleteItemsResponse{}, nil
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -10,24 +10,24 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// longestWait bounds how long an acquire may be held.
-const longestWait = 30 * time.Second
+// maxWait bounds the wait of a long poll for work.
+const maxWait = 30 * time.Second
 
-// AcquireLeases implements rockwindpb.JobService. While there is no work it waits
-// on the boards that the shards' keepers maintain, and neither reads the ledgers
-// nor writes to the log.
+// AcquireLeases implements rockwindpb.JobService. It waits on the demand that the
+// shard maintainers publish, so that an idle wait neither reads the ledgers nor
+// writes to the replicated log.
 func (s jobService) AcquireLeases(ctx context.Context, request *rockwindpb.AcquireLeasesRequest) (*rockwindpb.AcquireLeasesResponse, error) {
-	asked, err := s.askedForWork(request)
+	shards, err := s.shardsToAcquire(request)
 	if err != nil {
 		return nil, fault.ToTwirp(err)
 	}
-	wait := min(time.Duration(request.GetWaitMs())*time.Millisecond, longestWait)
-	ctx, cancel := s.daemon.whileServing(ctx)
+	wait := min(time.Duration(request.GetWaitMs())*time.Millisecond, maxWait)
+	ctx, cancel := s.daemon.cancelOnStop(ctx)
 	defer cancel()
 	ended := time.After(wait)
-	wake := s.daemon.wakeOnWork(ctx, asked)
+	wake := s.daemon.notifyOnWork(ctx, shards)
 	for {
-		response, err := s.acquire(ctx, request, asked)
+		response, err := s.acquire(ctx, request, shards)
 		if err != nil || response.GetWorkWaits() || len(response.GetGrants()) > 0 {
 			return response, fault.ToTwirp(err)
 		}
@@ -41,42 +41,42 @@
 	}
 }
 
-func (s jobService) askedForWork(request *rockwindpb.AcquireLeasesRequest) ([]*shard, error) {
+func (s jobService) shardsToAcquire(request *rockwindpb.AcquireLeasesRequest) ([]*shard, error) {
 	if len(request.GetShards()) == 0 {
-		return s.daemon.led(), nil
+		return s.daemon.ledShards(), nil
 	}
-	asked := make([]*shard, 0, len(request.GetShards()))
+	shards := make([]*shard, 0, len(request.GetShards()))
 	for _, number := range request.GetShards() {
 		owner, err := s.daemon.shard(number)
 		if err != nil {
 			return nil, err
 		}
 		if _, leading := owner.group.Leading(); !leading {
-			return nil, notLeading(owner)
+			return nil, notLeaderFault(owner)
 		}
-		asked = append(asked, owner)
+		shards = append(shards, owner)
 	}
-	return asked, nil
+	return shards, nil
 }
 
-func notLeading(owner *shard) error {
+func notLeaderFault(owner *shard) error {
 	return fault.Newf(fault.NotLeader, "ask the leader",
 		"this machine does not lead shard %d", owner.number).
 		WithLeader(owner.group.Status().GetLeaderAddress()).WithRan(fault.NotRun)
 }
 
-// acquire asks the ledgers of the shards whose boards show work.
-func (s jobService) acquire(ctx context.Context, request *rockwindpb.AcquireLeasesRequest, asked []*shard) (*rockwindpb.AcquireLeasesResponse, error) {
+// acquire requests leases from the shards whose published demand matches.
+func (s jobService) acquire(ctx context.Context, request *rockwindpb.AcquireLeasesRequest, shards []*shard) (*rockwindpb.AcquireLeasesResponse, error) {
 	merged := &rockwindpb.AcquireLeasesResponse{}
 	remaining := request.GetMaxItems()
-	for _, owner := range asked {
+	for _, owner := range shards {
 		if _, leading := owner.group.Leading(); !leading {
 			if len(merged.GetGrants()) > 0 {
 				return merged, nil
 			}
-			return nil, notLeading(owner)
+			return nil, notLeaderFault(owner)
 		}
-		if !owner.work.current().matches(request) {
+		if !owner.demand.current().matches(request) {
 			continue
 		}
 		if request.GetMaxItems() == 0 {
@@ -107,8 +107,8 @@
 	return merged, nil
 }
 
-// led returns the shards that this machine leads now.
-func (d *daemon) led() []*shard {
+// ledShards returns the shards that this machine leads, ordered by number.
+func (d *daemon) ledShards() []*shard {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var result []*shard
@@ -121,12 +121,12 @@
 	return result
 }
 
-// wakeOnWork returns a channel that receives when the board of one of the shards
-// changes, until the context ends.
-func (d *daemon) wakeOnWork(ctx context.Context, asked []*shard) <-chan struct{} {
+// notifyOnWork returns a channel that receives when one of the shards has more
+// work, until ctx is done.
+func (d *daemon) notifyOnWork(ctx context.Context, shards []*shard) <-chan struct{} {
 	wake := make(chan struct{}, 1)
-	for _, owner := range asked {
-		go owner.work.follow(ctx, owner.work.next(), wake)
+	for _, owner := range shards {
+		go owner.demand.forwardChanges(ctx, owner.demand.nextChange(), wake)
 	}
 	return wake
 }
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -14,7 +14,7 @@
 	"rockwind.example/rockwind/internal/segment"
 )
 
-// metrics of a control daemon.
+// metrics holds the metrics of a control daemon.
 type metrics struct {
 	registry      *prometheus.Registry
 	calls         *prometheus.CounterVec
@@ -54,8 +54,8 @@
 	return created
 }
 
-// DescribeMetrics sends the descriptions of all metrics of a control machine, for
-// checks of their documentation.
+// DescribeMetrics sends the descriptions of all metrics of a control machine. It is
+// used to check their documentation.
 func DescribeMetrics(descriptions chan<- *prometheus.Desc) {
 	newMetrics(nil).registry.Describe(descriptions)
 	secure.Metrics(nil).Describe(descriptions)
@@ -78,7 +78,7 @@
 		func(s segment.Statistics) float64 { return float64(s.DamagedBytes) })
 }
 
-// hooks count the calls of the twirp services.
+// hooks returns Twirp hooks that count calls.
 func (m *metrics) hooks() *twirp.ServerHooks {
 	return &twirp.ServerHooks{
 		ResponseSent: func(ctx context.Context) {
--- a/internal/control/placement.go
+++ b/internal/control/placement.go
@@ -14,9 +14,9 @@
 	"rockwind.example/rockwind/internal/sharding"
 )
 
-// place runs placement where the settings turn it on. It acts on the machine that
-// leads the root group.
-func (d *daemon) place(ctx context.Context) error {
+// runPlacement runs placement if the settings enable it. It is active only on the
+// machine that leads the root group.
+func (d *daemon) runPlacement(ctx context.Context) error {
 	settings := d.settings.GetPlacement()
 	if !settings.GetEnabled() {
 		return nil
@@ -31,7 +31,8 @@
 	return placer.New(options).Run(ctx)
 }
 
-// leadsRoot tells whether this machine holds the leader lease of the root group.
+// leadsRoot reports whether this machine holds the leader lease of the root group,
+// and its term.
 func (d *daemon) leadsRoot() (uint64, bool) {
 	group, known := d.host.Group(sharding.RootGroup)
 	if !known {
@@ -40,14 +41,14 @@
 	return group.Leading()
 }
 
-// surveyFleet gathers what all control machines know of the fleet. A machine that
-// does not answer is left out: its servers have no digest then and are left alone.
+// surveyFleet merges the fleet status of all control machines. Placement leaves the
+// servers of machines that do not answer as they are.
 func (d *daemon) surveyFleet(ctx context.Context) (placer.Survey, error) {
 	index, known := d.index(ctx)
 	if !known {
 		return placer.Survey{}, fault.New(fault.Unavailable, "this machine has no configuration yet", "wait for the first configuration")
 	}
-	others := d.others()
+	others := d.otherMachines()
 	answers := make([]*rockwindpb.FleetStatusResponse, len(others)+1)
 	var calls errgroup.Group
 	calls.Go(func() error {
@@ -72,14 +73,14 @@
 	return survey, nil
 }
 
-// waitingItems counts the batch items that wait by model in the shards that this
-// machine leads; keepers show no work elsewhere.
+// waitingItems returns the waiting batch items by model in the shards that this
+// machine leads. The published demand of other shards is empty.
 func (d *daemon) waitingItems() []*rockwindpb.ModelDemand {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var demands []*rockwindpb.ModelDemand
-	for _, held := range d.shards {
-		for _, entry := range held.work.current().demand {
+	for _, s := range d.shards {
+		for _, entry := range s.demand.current().entries {
 			demands = append(demands, &rockwindpb.ModelDemand{Model: entry.Model, WaitingItems: entry.Waiting})
 		}
 	}
--- a/internal/control/placement_test.go
+++ b/internal/control/placement_test.go
@@ -19,20 +19,20 @@
 	"rockwind.example/rockwind/internal/standin"
 )
 
-// placed is a cluster that places two models on engine stand-ins.
-type placed struct {
+// placementCluster is a cluster that places two models on fake engines.
+type placementCluster struct {
 	*cluster
 	engines []string
 	started int64
 }
 
-// placingEngines is the number of engines, a zone each.
-const placingEngines = 4
+// engineCount is the number of engines, each in its own zone.
+const engineCount = 4
 
-func startPlaced(t *testing.T) *placed {
+func startPlacementCluster(t *testing.T) *placementCluster {
 	t.Helper()
-	p := &placed{started: time.Now().UnixMilli()}
-	for range placingEngines {
+	p := &placementCluster{started: time.Now().UnixMilli()}
+	for range engineCount {
 		config := engine.FastConfig()
 		config.ReportLag, config.WeightsRate, config.WeightsBytes = 0, 1e12, 1
 		config.Loaded = []string{"large@v1"}
@@ -47,14 +47,14 @@
 		})
 		p.engines = append(p.engines, listener.Listener.Addr().String())
 	}
-	p.cluster = startPlacing(t, &rockwindpb.PlacementSettings{
+	p.cluster = startClusterWithPlacement(t, &rockwindpb.PlacementSettings{
 		Enabled: true, Interval: durationpb.New(100 * time.Millisecond), WarmUp: durationpb.New(500 * time.Millisecond),
 		Dwell: durationpb.New(0), Sustain: durationpb.New(0), FloorReplicas: 1, FloorZones: 1,
 	})
 	return p
 }
 
-func (p *placed) apply(ctx context.Context) {
+func (p *placementCluster) apply(ctx context.Context) {
 	p.t.Helper()
 	declared := &rockwindpb.Configuration{Number: 1, Groups: []*rockwindpb.Group{{Name: "clinic", Share: 1}}}
 	for _, name := range []string{"large", "small"} {
@@ -74,9 +74,9 @@
 	}
 }
 
-// exchange reports the engines and the demand as a gateway of each zone does, to
-// the machines that run.
-func (p *placed) exchange(ctx context.Context, model string) {
+// exchange reports the engines and the demand to the running machines, as a gateway
+// in each zone does.
+func (p *placementCluster) exchange(ctx context.Context, model string) {
 	for index := range p.engines {
 		for machine, running := range p.running {
 			if running == nil {
@@ -94,28 +94,28 @@
 	}
 }
 
-// awaitHolding exchanges until so many engines hold a version.
-func (p *placed) awaitHolding(ctx context.Context, model string, wanted int) {
+// awaitLoaded exchanges until the given number of engines has loaded a model.
+func (p *placementCluster) awaitLoaded(ctx context.Context, model string, wanted int) {
 	p.t.Helper()
 	for {
 		p.exchange(ctx, model)
-		holding := 0
+		loaded := 0
 		for _, address := range p.engines {
 			if slices.Contains(p.load(ctx, address).Loaded, model+"@v1") {
-				holding++
+				loaded++
 			}
 		}
-		if holding == wanted {
+		if loaded == wanted {
 			return
 		}
 		if ctx.Err() != nil {
-			p.t.Fatalf("%d engines hold %s, want %d", holding, model, wanted)
+			p.t.Fatalf("%d engines have loaded %s, want %d", loaded, model, wanted)
 		}
 		time.Sleep(testTick)
 	}
 }
 
-func (p *placed) load(ctx context.Context, address string) standin.LoadReport {
+func (p *placementCluster) load(ctx context.Context, address string) standin.LoadReport {
 	var report standin.LoadReport
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/load", nil)
 	if err != nil {
@@ -128,9 +128,9 @@
 	return report
 }
 
-// fence returns the last fence that an engine accepted, from its refusal of an
-// order without one.
-func (p *placed) fence(ctx context.Context, address string, offered uint64) (uint64, int) {
+// fence returns the last fence that an engine accepted, and the status of an order
+// with the offered fence.
+func (p *placementCluster) fence(ctx context.Context, address string, offered uint64) (uint64, int) {
 	p.t.Helper()
 	body, err := json.Marshal(engine.Order{Fence: offered, Action: engine.ActionSetRole, Role: engine.RoleBatch})
 	if err != nil {
@@ -153,7 +153,7 @@
 }
 
 // rootLeader returns the machine that leads the root group.
-func (p *placed) rootLeader(ctx context.Context) int {
+func (p *placementCluster) rootLeader(ctx context.Context) int {
 	for ctx.Err() == nil {
 		for _, machine := range p.machines {
 			service := rockwindpb.NewReplicaServiceProtobufClient("http://"+machine.GetAddress(), http.DefaultClient)
@@ -169,27 +169,26 @@
 		}
 		time.Sleep(testTick)
 	}
-	p.t.Fatal("nobody leads the root group")
+	p.t.Fatal("the root group has no leader")
 	return 0
 }
 
-// TestPlacementFollowsDemandOverALeadersEnd runs placement in the control daemons:
-// demand moves engines, a new leader goes on, and the orders of the leader before
-// it are refused.
+// Placement must follow the demand, continue under a new leader, and engines must
+// refuse orders of the old one.
 func TestPlacementFollowsDemandOverALeadersEnd(t *testing.T) {
-	p := startPlaced(t)
+	p := startPlacementCluster(t)
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	p.apply(ctx)
-	p.awaitHolding(ctx, "small", placingEngines-1)
+	p.awaitLoaded(ctx, "small", engineCount-1)
 	before, status := p.fence(ctx, p.engines[0], 0)
 	if status != http.StatusConflict || placement.FenceTerm(before) == 0 {
-		t.Fatalf("an order without a fence got %d and the fence %d", status, before)
+		t.Fatalf("an order without a fence returned status %d and fence %d", status, before)
 	}
 	p.stop(p.rootLeader(ctx))
-	p.awaitHolding(ctx, "large", placingEngines-1)
+	p.awaitLoaded(ctx, "large", engineCount-1)
 	after, status := p.fence(ctx, p.engines[0], before+1)
 	if status != http.StatusConflict || placement.FenceTerm(after) <= placement.FenceTerm(before) {
-		t.Fatalf("an order of the leader before got %d; terms %d and %d", status, placement.FenceTerm(before), placement.FenceTerm(after))
+		t.Fatalf("an order of the previous leader returned status %d; terms %d and %d", status, placement.FenceTerm(before), placement.FenceTerm(after))
 	}
 }
--- a/internal/control/records.go
+++ b/internal/control/records.go
@@ -9,7 +9,7 @@
 	"rockwind.example/rockwind/internal/sharding"
 )
 
-// recordService implements rockwindpb.RecordService over the shards.
+// recordService implements rockwindpb.RecordService.
 type recordService struct{ daemon *daemon }
 
 // Begin implements rockwindpb.RecordService.
@@ -34,23 +34,23 @@
 	return response, fault.ToTwirp(err)
 }
 
-// owner returns the shard of a key. The number of shards is that of the groups
-// of the cluster and never changes.
+// owner returns the shard of an idempotency key. The number of shards of a cluster
+// never changes.
 func (s recordService) owner(ctx context.Context, tenant, key string) (*shard, error) {
 	if tenant == "" || key == "" {
-		return nil, fault.New(fault.InvalidArgument, "an idempotency record needs a tenant and a key", "name both")
+		return nil, fault.New(fault.InvalidArgument, "an idempotency record needs a tenant and a key", "set both")
 	}
 	shards, err := s.daemon.shardCount(ctx)
 	if err != nil {
 		return nil, err
 	}
 	if shards == 0 {
-		return nil, unknownGroup(0)
+		return nil, notReplicatedFault(0)
 	}
 	return s.daemon.shard(sharding.ForKey(tenant, key, shards))
 }
 
-// fileService implements rockwindpb.FileService over the shards.
+// fileService implements rockwindpb.FileService.
 type fileService struct{ daemon *daemon }
 
 // Put implements rockwindpb.FileService.
@@ -70,7 +70,7 @@
 	if err != nil {
 		return nil, fault.ToTwirp(err)
 	}
-	response, err := view(ctx, owner, func(state *ledger.Ledger) (*rockwindpb.GetFileResponse, error) {
+	response, err := readShard(ctx, owner, func(state *ledger.Ledger) (*rockwindpb.GetFileResponse, error) {
 		return state.GetFile(request)
 	})
 	return response, fault.ToTwirp(err)
--- a/internal/control/retention.go
+++ b/internal/control/retention.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// uploadMargin is how long before its job or file a body may have been
-	// stored, with room for clocks that differ.
+	// uploadMargin is the maximum time from the upload of a body to the submission of
+	// the job or file that refers to it, including clock skew.
 	uploadMargin = 6 * time.Hour
-	// retainTimeout bounds one report to one machine.
+	// retainTimeout bounds the calls that send a report to all machines.
 	retainTimeout = 2 * time.Second
 )
 
-// reportReferences tells every machine which bodies the shard may still refer
-// to. It reads as the leader: a report of a replica that lost the lead without
-// knowing would miss what was accepted since.
-func (k *keeper) reportReferences(ctx context.Context, now time.Time, policy *rockwindpb.Policy) {
-	shards, err := k.daemon.shardCount(ctx)
+// reportReferences tells all machines which bodies the shard may refer to. It reads
+// as the leader, because the report of a stale replica would omit references that
+// were accepted since.
+func (m *shardMaintainer) reportReferences(ctx context.Context, now time.Time, policy *rockwindpb.Policy) {
+	shards, err := m.daemon.shardCount(ctx)
 	if err != nil || policy.GetIdempotencyRetention().AsDuration() <= 0 {
 		return
 	}
-	report := &rockwindpb.RetainSegmentsRequest{Shard: k.shard.number, Shards: shards}
-	err = k.shard.group.Read(ctx, func() {
-		references := k.shard.ledger.References()
+	report := &rockwindpb.RetainSegmentsRequest{Shard: m.shard.number, Shards: shards}
+	err = m.shard.group.Read(ctx, func() {
+		references := m.shard.ledger.References()
 		report.OldestUnixMs = references.OldestJobUnixMs
 		report.InputSegments = references.InputSegments
 	})
@@ -37,29 +37,29 @@
 	}
 	records := now.Add(-policy.GetIdempotencyRetention().AsDuration()).UnixMilli()
 	report.OldestUnixMs = min(report.OldestUnixMs, records) - uploadMargin.Milliseconds()
-	k.daemon.retain(ctx, report)
+	m.daemon.retainOnAllMachines(ctx, report)
 }
 
-// retain passes a report to all machines. One that is not reached removes
-// nothing until it is.
-func (d *daemon) retain(ctx context.Context, report *rockwindpb.RetainSegmentsRequest) {
+// retainOnAllMachines sends a report to all machines. A machine that does not
+// receive it removes no bodies.
+func (d *daemon) retainOnAllMachines(ctx context.Context, report *rockwindpb.RetainSegmentsRequest) {
 	services := []rockwindpb.SegmentService{d.bodies.Segments()}
 	for _, peer := range d.segmentPeers() {
 		services = append(services, peer.Service)
 	}
-	retainAt(ctx, services, report)
+	retainSegments(ctx, services, report)
 }
 
-// retainAt passes a report to all machines at the same time: one that does not
-// answer must not keep the others from removing what is unused.
-func retainAt(ctx context.Context, services []rockwindpb.SegmentService, report *rockwindpb.RetainSegmentsRequest) {
+// retainSegments calls all services concurrently, so that an unresponsive machine
+// does not prevent the others from removing unused bodies.
+func retainSegments(ctx context.Context, services []rockwindpb.SegmentService, report *rockwindpb.RetainSegmentsRequest) {
 	ctx, cancel := context.WithTimeout(ctx, retainTimeout)
 	defer cancel()
 	var calls errgroup.Group
 	for _, service := range services {
 		calls.Go(func() error {
 			if _, err := service.Retain(ctx, report); err != nil {
-				log.WithError(err).Debug("cannot report references to a machine")
+				log.WithError(err).Debug("cannot report referenced bodies to a control machine")
 			}
 			return nil
 		})
@@ -67,7 +67,7 @@
 	_ = calls.Wait()
 }
 
-// shardCount is the number of job shards of the cluster.
+// shardCount returns the number of job shards of the cluster.
 func (d *daemon) shardCount(ctx context.Context) (uint32, error) {
 	identity, err := d.host.Service().Identity(ctx, &rockwindpb.IdentityRequest{})
 	if err != nil {
--- a/internal/control/retention_test.go
+++ b/internal/control/retention_test.go
@@ -9,33 +9,32 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// silentSegments stands for a machine that is cut off in silence.
-type silentSegments struct{ rockwindpb.SegmentService }
+// unresponsiveSegments is an unresponsive machine.
+type unresponsiveSegments struct{ rockwindpb.SegmentService }
 
-func (silentSegments) Retain(ctx context.Context, _ *rockwindpb.RetainSegmentsRequest) (*rockwindpb.RetainSegmentsResponse, error) {
+func (unresponsiveSegments) Retain(ctx context.Context, _ *rockwindpb.RetainSegmentsRequest) (*rockwindpb.RetainSegmentsResponse, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-// reachedSegments notes that a report came before its deadline.
-type reachedSegments struct {
+// reachableSegments records whether a report arrived before its deadline.
+type reachableSegments struct {
 	rockwindpb.SegmentService
 	reached bool
 }
 
-func (r *reachedSegments) Retain(ctx context.Context, _ *rockwindpb.RetainSegmentsRequest) (*rockwindpb.RetainSegmentsResponse, error) {
+func (r *reachableSegments) Retain(ctx context.Context, _ *rockwindpb.RetainSegmentsRequest) (*rockwindpb.RetainSegmentsResponse, error) {
 	r.reached = ctx.Err() == nil
 	return &rockwindpb.RetainSegmentsResponse{}, ctx.Err()
 }
 
-// TestSilentMachineKeepsNoOtherFromRemoving reports references past a machine that
-// does not answer.
+// An unresponsive machine must not keep the report from reaching the others.
 func TestSilentMachineKeepsNoOtherFromRemoving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		other := &reachedSegments{}
-		control.RetainSegments(t.Context(), []rockwindpb.SegmentService{silentSegments{}, other}, &rockwindpb.RetainSegmentsRequest{})
+		other := &reachableSegments{}
+		control.RetainSegments(t.Context(), []rockwindpb.SegmentService{unresponsiveSegments{}, other}, &rockwindpb.RetainSegmentsRequest{})
 		if !other.reached {
-			t.Fatal("the report did not reach the machine after the silent one")
+			t.Fatal("the report did not reach the machine after the unresponsive one")
 		}
 	})
 }
--- a/internal/control/secure_test.go
+++ b/internal/control/secure_test.go
@@ -18,7 +18,7 @@
 	"rockwind.example/rockwind/internal/sharding"
 )
 
-// issue writes certificates of the authority and returns their settings.
+// issue writes a certificate of the authority and returns the settings for it.
 func issue(t *testing.T, signer *authority.Authority, folder string) *rockwindpb.TlsSettings {
 	t.Helper()
 	if err := signer.Write(folder, "process", netip.MustParseAddr("127.0.0.1")); err != nil {
@@ -31,7 +31,7 @@
 	}
 }
 
-// securedClient returns a client with certificates of the authority.
+// securedClient returns an HTTP client with a certificate of the authority.
 func securedClient(t *testing.T, signer *authority.Authority) *http.Client {
 	t.Helper()
 	source, err := secure.Open(secure.Internal, issue(t, signer, t.TempDir()), log.Log)
@@ -43,8 +43,8 @@
 	return &http.Client{Transport: transport}
 }
 
-// putFile stores a file through a control client; it needs the agreement of a
-// shard's replicas, who talk by mutual TLS.
+// putFile stores a file, which requires the replicas of a shard to reach each other
+// over mutual TLS.
 func (c *cluster) putFile(client *http.Client, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(c.t.Context(), timeout)
 	defer cancel()
@@ -55,6 +55,7 @@
 	return err
 }
 
+// Machines must accept only callers with certificates of their own authority.
 func TestMutualTLSOverARealGroup(t *testing.T) {
 	ours, err := authority.New("ours", time.Hour)
 	if err != nil {
@@ -68,16 +69,16 @@
 	client := securedClient(t, ours)
 	c.found(client, "https://")
 	if err := c.putFile(client, testTimeout); err != nil {
-		t.Fatalf("a process of the authority was refused: %v", err)
+		t.Fatalf("a caller with a certificate of the same authority was refused: %v", err)
 	}
 	if err := c.putFile(securedClient(t, other), time.Second); err == nil {
-		t.Error("a process of another authority was served")
+		t.Error("a caller with a certificate of another authority was accepted")
 	}
 	response, err := http.Get("http://" + c.machines[0].GetAddress() + "/healthz")
 	if err == nil {
 		defer response.Body.Close()
 		if response.StatusCode == http.StatusOK {
-			t.Error("a call in the clear was served")
+			t.Error("a request without TLS was accepted")
 		}
 	} else if !strings.Contains(err.Error(), "malformed") {
 		t.Error(err)
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -19,20 +19,20 @@
 )
 
 const (
-	// readHeaderTimeout bounds how long a caller may take to send its headers.
+	// readHeaderTimeout bounds reading the request headers.
 	readHeaderTimeout = 5 * time.Second
-	// stopTimeout bounds a planned stop.
+	// stopTimeout bounds a graceful stop.
 	stopTimeout = 15 * time.Second
-	// handOverTimeout bounds the part of it in which leadership is handed over.
-	handOverTimeout = 5 * time.Second
-	// contentProtobuf is the type of the answers that may be compressed.
+	// transferTimeout is the part of it for the transfer of leadership.
+	transferTimeout = 5 * time.Second
+	// contentProtobuf is the content type of responses that are compressed.
 	contentProtobuf  = "application/protobuf"
 	compressionLevel = 5
 	folderMode       = 0o750
 	fileMode         = 0o640
 )
 
-// handler mounts the services. Profiles of the process are under /debug/pprof.
+// handler returns the handler of all services. Profiles are under /debug/pprof.
 func (d *daemon) handler() http.Handler {
 	router := chi.NewRouter()
 	router.Use(d.countInProgress)
@@ -60,23 +60,23 @@
 	return router
 }
 
-// mountCompressed mounts a service whose answers are compressed for callers which
-// ask for it.
+// mountCompressed mounts a service and compresses its responses if the caller
+// accepts it.
 func mountCompressed(router chi.Router, server rockwindpb.TwirpServer) {
 	router.With(middleware.Compress(compressionLevel, contentProtobuf)).Mount(server.PathPrefix(), server)
 }
 
-// ready answers 200 once the machine replicates its groups and is not leaving.
+// ready responds with 200 if the machine belongs to a cluster and is not draining.
 func (d *daemon) ready(writer http.ResponseWriter, _ *http.Request) {
-	if d.draining.Load() || !d.founded() {
+	if d.draining.Load() || !d.inCluster() {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	writer.WriteHeader(http.StatusOK)
 }
 
-// founded tells whether this machine belongs to a cluster.
-func (d *daemon) founded() bool {
+// inCluster reports whether this machine belongs to a cluster.
+func (d *daemon) inCluster() bool {
 	select {
 	case <-d.host.InCluster():
 		return true
@@ -93,13 +93,13 @@
 	})
 }
 
-// openDataFolder locks the machine's folder until release is called.
+// openDataFolder locks the data folder until release is called.
 func openDataFolder(folder string) (release func(), err error) {
 	return settings.OpenDataFolder(folder)
 }
 
-// listen binds the address of the settings, unless a listener was given, and
-// writes down which address it got.
+// listen opens the listener, unless WithListener set one, and writes its address to
+// the data folder.
 func (d *daemon) listen() error {
 	if d.listener == nil {
 		listener, err := settings.Listen("listen", d.settings.GetListen())
@@ -115,8 +115,8 @@
 	return nil
 }
 
-// accept serves on the listener, by TLS where it is turned on.
-func (d *daemon) accept(server *http.Server) error {
+// serveListener serves on the listener, over TLS if there are certificates.
+func (d *daemon) serveListener(server *http.Server) error {
 	if d.certificates == nil {
 		return server.Serve(d.listener)
 	}
@@ -124,8 +124,8 @@
 	return server.ServeTLS(d.listener, "", "")
 }
 
-// serve answers calls until the context ends. Then it hands over leadership,
-// ends the calls that wait for news or work, and finishes the others.
+// serve handles calls until ctx is done. It then transfers leadership, ends long
+// polls and waits for the other calls.
 func (d *daemon) serve(ctx context.Context) error {
 	server := &http.Server{
 		Handler:           d.handler(),
@@ -133,7 +133,7 @@
 		ErrorLog:          logring.ServerLog(log.Log),
 	}
 	failed := make(chan error, 1)
-	go func() { failed <- d.accept(server) }()
+	go func() { failed <- d.serveListener(server) }()
 	select {
 	case err := <-failed:
 		return errors.Wrap(err, "serve")
@@ -142,7 +142,7 @@
 	d.draining.Store(true)
 	stopping, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
 	defer cancel()
-	d.handOver(stopping)
-	d.stopWaiting()
+	d.transferLeadership(stopping)
+	d.cancelLongPolls()
 	return errors.Wrap(server.Shutdown(stopping), "stop the server")
 }
--- a/internal/control/shard.go
+++ b/internal/control/shard.go
@@ -10,50 +10,50 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// shard is a job shard on this machine.
+// shard is a job shard that this machine replicates.
 type shard struct {
 	number uint32
 	group  replica.Group
 	ledger *ledger.Ledger
-	// work is kept by the shard's keeper.
-	work *workBoard
+	// demand is published by the shard's maintainer.
+	demand *demandNotifier
 }
 
-// shardOf returns a shard that this machine replicates.
+// shard returns a shard that this machine replicates.
 func (d *daemon) shard(number uint32) (*shard, error) {
 	d.mutex.Lock()
 	found, known := d.shards[number]
 	d.mutex.Unlock()
 	if !known {
-		return nil, unknownGroup(number)
+		return nil, notReplicatedFault(number)
 	}
 	return found, nil
 }
 
-// shardOfJob returns the shard that a job's identifier names.
+// shardOfJob returns the shard encoded in a job's ID.
 func (d *daemon) shardOfJob(id string) (*shard, error) {
 	number, valid := ledger.ShardOfJob(id)
 	if !valid {
-		return nil, unknownIdentifier("job", id)
+		return nil, invalidIDFault("job", id)
 	}
 	return d.shard(number)
 }
 
-// shardOfFile returns the shard that a file's identifier names.
+// shardOfFile returns the shard encoded in a file's ID.
 func (d *daemon) shardOfFile(id string) (*shard, error) {
 	number, valid := ledger.ShardOfFile(id)
 	if !valid {
-		return nil, unknownIdentifier("file", id)
+		return nil, invalidIDFault("file", id)
 	}
 	return d.shard(number)
 }
 
-func unknownIdentifier(kind, id string) error {
-	return fault.Newf(fault.NotFound, "check the identifier", "%q is no identifier of a %s", id, kind)
+func invalidIDFault(kind, id string) error {
+	return fault.Newf(fault.NotFound, "check the identifier", "%q is not a valid %s ID", id, kind)
 }
 
-// propose replicates a command, stamped with this machine's time, and returns
-// the ledger's response.
+// propose replicates a command, stamped with the local time, and returns the
+// ledger's response.
 func propose[Response any](ctx context.Context, s *shard, command *rockwindpb.JobCommand) (*Response, error) {
 	command.NowUnixMs = time.Now().UnixMilli()
 	encoded, err := ledger.EncodeCommand(command)
@@ -71,12 +71,13 @@
 		return nil, outcome
 	default:
 		return nil, fault.Newf(fault.Internal, "report this with the output of 'rockwind logs'",
-			"shard %d answered a command with %T", s.number, result)
+			"shard %d returned an unexpected %T for a command", s.number, result)
 	}
 }
 
-// view reads the ledger's state as the leader.
-func view[Response any](ctx context.Context, s *shard, read func(*ledger.Ledger) (Response, error)) (Response, error) {
+// readShard runs read on the ledger as the leader, with all committed commands
+// applied.
+func readShard[Response any](ctx context.Context, s *shard, read func(*ledger.Ledger) (Response, error)) (Response, error) {
 	var response Response
 	var failure error
 	err := s.group.Read(ctx, func() { response, failure = read(s.ledger) })
