--- /dev/null
+++ b/internal/backlog/runtimeestimator.go
@@ -0,0 +1,41 @@
+package backlog
+
+import "time"
+
+const (
+	// runWeight is the weight of one run in the running means.
+	runWeight = 0.05
+	// safetyFactor increases the expected time of a run, since runs vary.
+	safetyFactor = 1.25
+	// minimumRemainingFraction is the fraction of a whole run that is always expected to remain.
+	minimumRemainingFraction = 0.1
+)
+
+// RunTimeEstimator estimates the run time of a service's items from earlier runs. The zero value
+// has no data and estimates zero.
+type RunTimeEstimator struct {
+	// meanEvents is the mean number of events of a whole output, and meanInterval the mean time per
+	// event.
+	meanEvents   float64
+	meanInterval float64
+}
+
+// RecordRun records a run that produced a number of events of an output with total events.
+func (e *RunTimeEstimator) RecordRun(produced, total int, duration time.Duration) {
+	if produced <= 0 || duration <= 0 {
+		return
+	}
+	interval := float64(duration) / float64(produced)
+	if e.meanEvents == 0 {
+		e.meanEvents, e.meanInterval = float64(total), interval
+		return
+	}
+	e.meanEvents += runWeight * (float64(total) - e.meanEvents)
+	e.meanInterval += runWeight * (interval - e.meanInterval)
+}
+
+// Remaining returns the expected remaining run time of an item that has produced a number of events.
+func (e *RunTimeEstimator) Remaining(produced int) time.Duration {
+	remaining := max(e.meanEvents-float64(produced), minimumRemainingFraction*e.meanEvents)
+	return time.Duration(safetyFactor * remaining * e.meanInterval)
+}
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -16,7 +16,7 @@
 // chooser implements upstream.Chooser for one online request.
 type chooser struct {
 	view   *serverview.View
-	wanted serverview.Wanted
+	wanted serverview.Requirements
 	// body is sent with the name of the chosen version if the model has several.
 	body         []byte
 	versionCount int
@@ -75,7 +75,7 @@
 			continue
 		}
 		c.reportFirstToken(current, false)
-		c.view.Ended(target, current.attempt, report)
+		c.view.RecordEnd(target, current.attempt, report)
 		c.attempts = slices.Delete(c.attempts, index, index+1)
 		return
 	}
@@ -88,7 +88,7 @@
 		return
 	}
 	current.firstTokenReported = true
-	c.view.FirstToken(current.target, current.attempt, c.streamed, received)
+	c.view.RecordFirstToken(current.target, current.attempt, c.streamed, received)
 }
 
 // responseBegun reports the first token to the view. By then the attempt whose
@@ -110,13 +110,13 @@
 	}
 	count := sequence - c.reportedTokens
 	c.reportedTokens = sequence
-	if current := &c.attempts[0]; current.attempt.Leads() {
-		c.view.Tokens(current.target, current.attempt, int(count))
+	if current := &c.attempts[0]; current.attempt.IsSampled() {
+		c.view.RecordTokens(current.target, current.attempt, int(count))
 	}
 }
 
 // admit returns a fault if the request is not expected to start in time.
-func (g *Gateway) admit(wanted serverview.Wanted, within time.Duration) error {
+func (g *Gateway) admit(wanted serverview.Requirements, within time.Duration) error {
 	policy := admission.DefaultPolicy
 	if timeout := g.follower.Current().Policy().GetOnlineQueueTimeout().AsDuration(); timeout > 0 {
 		policy.QueueTimeout = timeout
--- a/internal/ledger/benchmark_test.go
+++ b/internal/ledger/benchmark_test.go
@@ -14,13 +14,13 @@
 	benchmarkJobItems = 72_000
 )
 
-// BenchmarkRestore restores a shard of large running jobs, half of whose items
-// are done and sealed.
+// BenchmarkRestore restores a shard of large running jobs with half of the items done
+// and sealed.
 func BenchmarkRestore(b *testing.B) {
 	l := New(1)
 	for number := range benchmarkJobs {
 		mustApply(b, l, &rockwindpb.JobCommand{Command: &rockwindpb.JobCommand_Submit{Submit: &rockwindpb.SubmitJobRequest{
-			Job: &rockwindpb.Job{Id: sharding.Identifier("job", 1, uint64(number)), Tenant: "t", Group: fmt.Sprint(number), Model: "m", ItemCount: benchmarkJobItems},
+			Job: &rockwindpb.Job{Id: sharding.FormatIdentifier("job", 1, uint64(number)), Tenant: "t", Group: fmt.Sprint(number), Model: "m", ItemCount: benchmarkJobItems},
 		}}})
 		completeHalf(b, l, fmt.Sprint(number))
 	}
@@ -62,8 +62,8 @@
 
 func mustApply(b *testing.B, l *Ledger, command *rockwindpb.JobCommand) any {
 	result := l.apply(command)
-	if refused, is := result.(error); is {
-		b.Fatal(refused)
+	if failure, ok := result.(error); ok {
+		b.Fatal(failure)
 	}
 	return result
 }
