--- a/internal/catalog/machine_test.go
+++ b/internal/catalog/machine_test.go
@@ -32,7 +32,7 @@
 func digestOf(t fataler, configured *rockwindpb.Configuration) string {
 	copied := proto.CloneOf(configured)
 	configuration.Normalise(copied)
-	digest, err := configuration.Digest(copied)
+	digest, err := configuration.Checksum(copied)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -171,7 +171,7 @@
 		t.Fatal(err)
 	}
 	command, err := proto.Marshal(&rockwindpb.CatalogCommand{
-		NowUnixMs: w.now.UnixMilli(), Operator: "slow", Change: configuration.Between(w.machine.View().Index(), next),
+		NowUnixMs: w.now.UnixMilli(), Operator: "slow", Change: configuration.CompareIndexes(w.machine.View().Index(), next),
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/catalog/service.go
+++ b/internal/catalog/service.go
@@ -66,7 +66,7 @@
 	command, err := proto.Marshal(&rockwindpb.CatalogCommand{
 		NowUnixMs: s.now().UnixMilli(),
 		Operator:  request.GetOperator(),
-		Change:    configuration.Between(view.Index(), next),
+		Change:    configuration.CompareIndexes(view.Index(), next),
 		Source:    request.GetSource(),
 	})
 	if err != nil {
@@ -90,7 +90,7 @@
 		return nil, fault.New(fault.InvalidArgument, "the request holds no configuration", "send the whole configuration")
 	}
 	configuration.Normalise(received)
-	if err := configuration.Refusal(configuration.Check(received)); err != nil {
+	if err := configuration.ProblemsError(configuration.Check(received)); err != nil {
 		return nil, err
 	}
 	return configuration.NewIndex(received)
--- a/internal/catalog/view.go
+++ b/internal/catalog/view.go
@@ -142,7 +142,7 @@
 	if !kept || !v.holds(number, checksum) {
 		return v.Full()
 	}
-	merged := configuration.Merge(v.changes[first:])
+	merged := configuration.MergeChanges(v.changes[first:])
 	if proto.Size(merged) >= v.fullSize() {
 		return v.Full()
 	}
@@ -174,6 +174,6 @@
 }
 
 func (v *View) makeFull() {
-	v.full.change = v.index.Full()
+	v.full.change = v.index.FullChange()
 	v.full.size = proto.Size(v.full.change)
 }
--- a/internal/command/apply.go
+++ b/internal/command/apply.go
@@ -77,7 +77,7 @@
 	if len(problems) == 0 {
 		return parsed, nil
 	}
-	refusal := fault.From(configuration.Refusal(problems))
+	refusal := fault.From(configuration.ProblemsError(problems))
 	return nil, fault.New(refusal.Kind, "the file is refused, and nothing was changed:\n"+refusal.Message, "")
 }
 
--- a/internal/configuration/change.go
+++ b/internal/configuration/change.go
@@ -18,11 +18,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return Between(before, after), nil
+	return CompareIndexes(before, after), nil
 }
 
-// Between returns the change that turns one index into another.
-func Between(before, after *Index) *rockwindpb.ConfigurationChange {
+// CompareIndexes returns the change that turns one index into another.
+func CompareIndexes(before, after *Index) *rockwindpb.ConfigurationChange {
 	change := &rockwindpb.ConfigurationChange{
 		FromNumber: before.number,
 		Number:     after.number,
@@ -135,9 +135,9 @@
 	return result
 }
 
-// Merge joins consecutive changes into one with the same effect. The last
+// MergeChanges joins consecutive changes into one with the same effect. The last
 // writer of each object wins. It returns nil for no changes.
-func Merge(changes []*rockwindpb.ConfigurationChange) *rockwindpb.ConfigurationChange {
+func MergeChanges(changes []*rockwindpb.ConfigurationChange) *rockwindpb.ConfigurationChange {
 	if len(changes) == 0 {
 		return nil
 	}
--- a/internal/configuration/change_test.go
+++ b/internal/configuration/change_test.go
@@ -104,7 +104,7 @@
 			}
 			assertLookups(t, stepwise)
 		}
-		merged := configuration.Merge(changes[from:])
+		merged := configuration.MergeChanges(changes[from:])
 		after, err := mustIndex(t, chain[from]).Apply(merged)
 		if err != nil {
 			t.Fatal(err)
@@ -160,11 +160,11 @@
 		one := drawConfiguration(t, rapid.Uint64Range(1, 2).Draw(t, "number"))
 		other := drawConfiguration(t, rapid.Uint64Range(1, 2).Draw(t, "number"))
 		equal := proto.Equal(sorted(one), sorted(other))
-		first, err := configuration.Digest(one)
+		first, err := configuration.Checksum(one)
 		if err != nil {
 			t.Fatal(err)
 		}
-		second, err := configuration.Digest(other)
+		second, err := configuration.Checksum(other)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -290,7 +290,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	change := configuration.Between(before, after)
+	change := configuration.CompareIndexes(before, after)
 	b.ReportMetric(float64(proto.Size(change)), "bytes/change")
 	for b.Loop() {
 		if _, err := before.Apply(change); err != nil {
--- a/internal/configuration/checksum.go
+++ b/internal/configuration/checksum.go
@@ -24,9 +24,9 @@
 	return sum
 }
 
-// Digest is the checksum of a whole configuration. It does not depend on the
+// Checksum is the checksum of a whole configuration. It does not depend on the
 // order of objects within a kind.
-func Digest(configuration *rockwindpb.Configuration) ([]byte, error) {
+func Checksum(configuration *rockwindpb.Configuration) ([]byte, error) {
 	entries, err := newEntries(Objects(configuration))
 	if err != nil {
 		return nil, err
--- a/internal/configuration/index.go
+++ b/internal/configuration/index.go
@@ -166,8 +166,8 @@
 	return whole
 }
 
-// Full returns the change that transfers the whole configuration.
-func (x *Index) Full() *rockwindpb.ConfigurationChange {
+// FullChange returns the change that transfers the whole configuration.
+func (x *Index) FullChange() *rockwindpb.ConfigurationChange {
 	change := &rockwindpb.ConfigurationChange{Number: x.number, Full: true, Checksum: x.Checksum()}
 	for i := range x.entries {
 		change.Upserts = append(change.Upserts, x.entries[i].object)
--- a/internal/configuration/parse_test.go
+++ b/internal/configuration/parse_test.go
@@ -250,7 +250,7 @@
 	for name, noise := range noises() {
 		t.Run(name, func(t *testing.T) {
 			parsed, problems := configuration.Parse("noise", noise)
-			if parsed != nil || len(problems) == 0 || len(problems) > configuration.MaximumListed+1 {
+			if parsed != nil || len(problems) == 0 || len(problems) > configuration.MaximumListedProblems+1 {
 				t.Errorf("got configuration %v and %d problems", parsed, len(problems))
 			}
 			for _, problem := range problems {
@@ -292,8 +292,8 @@
 		if len(problems) > 0 {
 			t.Fatalf("refused when written out: %v\n%s", problems, text)
 		}
-		first, _ := configuration.Digest(parsed)
-		second, _ := configuration.Digest(again)
+		first, _ := configuration.Checksum(parsed)
+		second, _ := configuration.Checksum(again)
 		if !bytes.Equal(first, second) {
 			t.Fatalf("changed when written out:\n%s", text)
 		}
--- a/internal/configuration/problem.go
+++ b/internal/configuration/problem.go
@@ -7,9 +7,9 @@
 	"rockwind.example/rockwind/internal/fault"
 )
 
-// MaximumListed is how many problems of one file are listed; the rest is
+// MaximumListedProblems is how many problems of one file are listed; the rest is
 // counted.
-const MaximumListed = 20
+const MaximumListedProblems = 20
 
 // Problem is one fault of a configuration or settings file.
 type Problem struct {
@@ -101,7 +101,7 @@
 
 // full tells that further problems would only be counted.
 func (l *problemList) full() bool {
-	return len(l.problems) >= MaximumListed
+	return len(l.problems) >= MaximumListedProblems
 }
 
 // result is the list, with one more entry that counts what is not listed.
@@ -117,9 +117,9 @@
 	return append(l.problems, rest)
 }
 
-// Refusal turns the problems of a file into one fault.InvalidArgument with a
+// ProblemsError turns the problems of a file into one fault.InvalidArgument with a
 // line for each. It returns nil where there are none.
-func Refusal(problems []Problem) error {
+func ProblemsError(problems []Problem) error {
 	if len(problems) == 0 {
 		return nil
 	}
--- a/internal/configuration/routes_test.go
+++ b/internal/configuration/routes_test.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	next, err := before.Apply(configuration.Between(before, after))
+	next, err := before.Apply(configuration.CompareIndexes(before, after))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/configuration/tenants_test.go
+++ b/internal/configuration/tenants_test.go
@@ -30,7 +30,7 @@
 				place := rapid.IntRange(0, len(whole.Tenants)-1).Draw(t, "place")
 				alter(t, whole, place)
 			}
-			next, err := current.Apply(configuration.Between(current, mustIndex(t, whole)))
+			next, err := current.Apply(configuration.CompareIndexes(current, mustIndex(t, whole)))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/control/daemon.go
+++ b/internal/control/daemon.go
@@ -77,7 +77,7 @@
 	client   *http.Client
 	listener net.Listener
 	// certificates is nil where TLS is off.
-	certificates *secure.Source
+	certificates *secure.CertificateSource
 	// links is nil outside experiments.
 	links *linkfault.Links
 	// repairInterval is zero for the default.
@@ -184,7 +184,7 @@
 
 // openBodies opens the segments of this machine.
 func (d *daemon) openBodies() (*segment.Node, error) {
-	files, err := segment.NewFolder(filepath.Join(d.settings.GetDataFolder(), segmentFolder))
+	files, err := segment.NewFileSystem(filepath.Join(d.settings.GetDataFolder(), segmentFolder))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/control/retention.go
+++ b/internal/control/retention.go
@@ -43,7 +43,7 @@
 // retain passes a report to all machines. One that is not reached removes
 // nothing until it is.
 func (d *daemon) retain(ctx context.Context, report *rockwindpb.RetainSegmentsRequest) {
-	services := []rockwindpb.SegmentService{d.bodies.Segments()}
+	services := []rockwindpb.SegmentService{d.bodies.SegmentService()}
 	for _, peer := range d.segmentPeers() {
 		services = append(services, peer.Service)
 	}
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -43,8 +43,8 @@
 		rockwindpb.NewJobServiceServer(jobService{daemon: d}, hooks),
 		rockwindpb.NewRecordServiceServer(recordService{daemon: d}, hooks),
 		rockwindpb.NewFileServiceServer(fileService{daemon: d}, hooks),
-		rockwindpb.NewBodyServiceServer(d.bodies.Bodies(), hooks),
-		rockwindpb.NewSegmentServiceServer(d.bodies.Segments(), hooks),
+		rockwindpb.NewBodyServiceServer(d.bodies.BodyService(), hooks),
+		rockwindpb.NewSegmentServiceServer(d.bodies.SegmentService(), hooks),
 		rockwindpb.NewAdminServiceServer(adminService{daemon: d, ring: d.ring}, hooks),
 	} {
 		router.Mount(server.PathPrefix(), server)
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -90,7 +90,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	change := configuration.Between(before, index)
+	change := configuration.CompareIndexes(before, index)
 	command, err := proto.Marshal(&rockwindpb.CatalogCommand{Change: change})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/follower/journal.go
+++ b/internal/follower/journal.go
@@ -95,7 +95,7 @@
 		return base
 	}
 	// Applying one merged change is much cheaper than applying all in sequence.
-	if merged, err := base.Apply(configuration.Merge(changes)); err == nil {
+	if merged, err := base.Apply(configuration.MergeChanges(changes)); err == nil {
 		return merged
 	}
 	j.damaged = true
--- a/internal/follower/sources_test.go
+++ b/internal/follower/sources_test.go
@@ -57,7 +57,7 @@
 	ended := time.Now().Add(time.Duration(request.GetWaitMs()) * time.Millisecond)
 	for time.Now().Before(ended) {
 		if newest := m.accepted.Load(); newest.Number() > request.GetHaveNumber() {
-			return &rockwindpb.WatchConfigurationResponse{Change: newest.Full()}, nil
+			return &rockwindpb.WatchConfigurationResponse{Change: newest.FullChange()}, nil
 		}
 		select {
 		case <-ctx.Done():
@@ -156,7 +156,7 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-time.After(m.transfer):
-		return &rockwindpb.WatchConfigurationResponse{Change: m.accepted.Full()}, nil
+		return &rockwindpb.WatchConfigurationResponse{Change: m.accepted.FullChange()}, nil
 	}
 }
 
--- a/internal/gateway/certificates.go
+++ b/internal/gateway/certificates.go
@@ -16,8 +16,8 @@
 // certificates holds the certificate sources for callers and for internal
 // connections. TLS is off where a source is nil.
 type certificates struct {
-	callers  *secure.Source
-	internal *secure.Source
+	callers  *secure.CertificateSource
+	internal *secure.CertificateSource
 }
 
 func openCertificates(settings *rockwindpb.GatewaySettings, logger log.Interface) (certificates, error) {
@@ -42,9 +42,9 @@
 }
 
 // sources returns the sources that are not nil.
-func (c certificates) sources() []*secure.Source {
-	var sources []*secure.Source
-	for _, source := range []*secure.Source{c.callers, c.internal} {
+func (c certificates) sources() []*secure.CertificateSource {
+	var sources []*secure.CertificateSource
+	for _, source := range []*secure.CertificateSource{c.callers, c.internal} {
 		if source != nil {
 			sources = append(sources, source)
 		}
@@ -67,7 +67,7 @@
 }
 
 // serveListener serves on a listener, over TLS if source is not nil.
-func serveListener(server *http.Server, listener net.Listener, source *secure.Source) error {
+func serveListener(server *http.Server, listener net.Listener, source *secure.CertificateSource) error {
 	if source == nil {
 		return server.Serve(listener)
 	}
--- a/internal/secure/connection.go
+++ b/internal/secure/connection.go
@@ -21,7 +21,7 @@
 // Each connection gets the certificates in force when it is made. Where there is
 // an authority, clients without a certificate of its are refused. Callers may
 // speak HTTP/2; rockwind's own processes do not.
-func (s *Source) ServerConfig() *tls.Config {
+func (s *CertificateSource) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -30,7 +30,7 @@
 	}
 }
 
-func (s *Source) serverConfig() *tls.Config {
+func (s *CertificateSource) serverConfig() *tls.Config {
 	made := s.current.Load()
 	config := &tls.Config{
 		MinVersion:   tls.VersionTLS12,
@@ -51,7 +51,7 @@
 }
 
 // clientConfig is the configuration of one connection to a host.
-func (s *Source) clientConfig(host string) *tls.Config {
+func (s *CertificateSource) clientConfig(host string) *tls.Config {
 	made := s.current.Load()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
@@ -65,7 +65,7 @@
 // Transport makes a transport open its TLS connections with the certificates in
 // force at the time, and returns it. A failed handshake is reported as a failed
 // dial: no byte of the call was sent.
-func (s *Source) Transport(transport *http.Transport) *http.Transport {
+func (s *CertificateSource) Transport(transport *http.Transport) *http.Transport {
 	transport.DialTLSContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 		plain, err := transport.DialContext(ctx, network, address)
 		if err != nil {
@@ -82,7 +82,7 @@
 	return transport
 }
 
-func (s *Source) handshake(ctx context.Context, plain net.Conn, address string) (net.Conn, error) {
+func (s *CertificateSource) handshake(ctx context.Context, plain net.Conn, address string) (net.Conn, error) {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return nil, err
--- a/internal/secure/metrics.go
+++ b/internal/secure/metrics.go
@@ -11,7 +11,7 @@
 )
 
 // Metrics are those of all sources of a daemon.
-type Metrics []*Source
+type Metrics []*CertificateSource
 
 // Describe implements prometheus.Collector.
 func (Metrics) Describe(descriptions chan<- *prometheus.Desc) {
@@ -26,7 +26,7 @@
 	}
 }
 
-func (s *Source) collect(metrics chan<- prometheus.Metric) {
+func (s *CertificateSource) collect(metrics chan<- prometheus.Metric) {
 	end := s.current.Load().certificate.Leaf.NotAfter
 	metrics <- prometheus.MustNewConstMetric(notAfterMetric, prometheus.GaugeValue, float64(end.Unix()), string(s.use))
 	metrics <- prometheus.MustNewConstMetric(failuresMetric, prometheus.CounterValue, float64(s.failures.Load()), string(s.use))
--- a/internal/secure/secure.go
+++ b/internal/secure/secure.go
@@ -41,8 +41,8 @@
 	Internal Use = "internal"
 )
 
-// Source holds the certificates of one use. It is safe for concurrent use.
-type Source struct {
+// CertificateSource holds the certificates of one use. It is safe for concurrent use.
+type CertificateSource struct {
 	use      Use
 	settings *rockwindpb.TlsSettings
 	log      log.Interface
@@ -82,11 +82,11 @@
 // Open reads the files of the settings. It returns nil where the settings do not
 // turn TLS on, and fails with fault.InvalidArgument where the files cannot be
 // used.
-func Open(use Use, settings *rockwindpb.TlsSettings, logger log.Interface) (*Source, error) {
+func Open(use Use, settings *rockwindpb.TlsSettings, logger log.Interface) (*CertificateSource, error) {
 	if !Enabled(settings) {
 		return nil, nil
 	}
-	source := &Source{use: use, settings: settings, log: logger}
+	source := &CertificateSource{use: use, settings: settings, log: logger}
 	read, err := source.read()
 	if err != nil {
 		return nil, err
@@ -103,7 +103,7 @@
 // Reload reads the files again, and puts them in force where they changed and can
 // be used. It fails with fault.InvalidArgument where they cannot; what was in
 // force stays so.
-func (s *Source) Reload() error {
+func (s *CertificateSource) Reload() error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	read, err := s.read()
@@ -128,7 +128,7 @@
 }
 
 // Run reloads at ReloadInterval and at SIGHUP until the context ends.
-func (s *Source) Run(ctx context.Context) {
+func (s *CertificateSource) Run(ctx context.Context) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
@@ -139,7 +139,7 @@
 
 // reloadAt reloads at each tick and signal. A failure is reported again only when
 // its reason changes.
-func (s *Source) reloadAt(ctx context.Context, ticks <-chan time.Time, hangups <-chan os.Signal) {
+func (s *CertificateSource) reloadAt(ctx context.Context, ticks <-chan time.Time, hangups <-chan os.Signal) {
 	reported := ""
 	for {
 		select {
@@ -161,7 +161,7 @@
 }
 
 // read reads the files.
-func (s *Source) read() (contents, error) {
+func (s *CertificateSource) read() (contents, error) {
 	var read contents
 	for _, file := range []struct {
 		name    string
@@ -184,7 +184,7 @@
 }
 
 // parse makes certificates of the files and checks that they can serve now.
-func (s *Source) parse(read contents, now time.Time) (*material, error) {
+func (s *CertificateSource) parse(read contents, now time.Time) (*material, error) {
 	pair, err := tls.X509KeyPair(read.certificate, read.key)
 	if err != nil {
 		return nil, s.unusable("give a certificate and its key in PEM form", "certificate and key do not fit: %v", err)
@@ -211,7 +211,7 @@
 }
 
 // checkSigned finds a certificate that the other processes would refuse.
-func (s *Source) checkSigned(made *material) error {
+func (s *CertificateSource) checkSigned(made *material) error {
 	intermediates := x509.NewCertPool()
 	for _, encoded := range made.certificate.Certificate[1:] {
 		if certificate, err := x509.ParseCertificate(encoded); err == nil {
@@ -228,13 +228,13 @@
 	return nil
 }
 
-func (s *Source) unusable(remedy, format string, arguments ...any) error {
+func (s *CertificateSource) unusable(remedy, format string, arguments ...any) error {
 	return fault.Newf(fault.InvalidArgument, remedy, "TLS for "+string(s.use)+": "+format, arguments...)
 }
 
 // keep closes the idle connections of a transport at each reload, so that new
 // certificates take force for its next call.
-func (s *Source) keep(carrier *http.Transport) {
+func (s *CertificateSource) keep(carrier *http.Transport) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.carriers = append(slices.Clip(s.carriers), carrier)
--- a/internal/secure/secure_test.go
+++ b/internal/secure/secure_test.go
@@ -40,7 +40,7 @@
 // party is one process with its files.
 type party struct {
 	folder string
-	source *Source
+	source *CertificateSource
 	ring   *logring.Ring
 }
 
--- a/internal/segment/files.go
+++ b/internal/segment/files.go
@@ -38,9 +38,9 @@
 	path string
 }
 
-// NewFolder returns the file system of a folder, which is created where it does
+// NewFileSystem returns the file system of a folder, which is created where it does
 // not exist.
-func NewFolder(path string) (FileSystem, error) {
+func NewFileSystem(path string) (FileSystem, error) {
 	if err := os.MkdirAll(path, folderMode); err != nil {
 		return nil, errors.Wrap(err, "create the folder of segments")
 	}
--- a/internal/segment/retention_test.go
+++ b/internal/segment/retention_test.go
@@ -51,7 +51,7 @@
 	for range 120 {
 		for shard := uint32(1); shard <= shards; shard++ {
 			for _, receiver := range w.machines {
-				_, _ = receiver.node.Segments().Retain(context.Background(), &rockwindpb.RetainSegmentsRequest{
+				_, _ = receiver.node.SegmentService().Retain(context.Background(), &rockwindpb.RetainSegmentsRequest{
 					Shard: shard, Shards: 2, OldestUnixMs: horizon, InputSegments: []uint64{input.GetSegment()},
 				})
 			}
@@ -72,7 +72,7 @@
 	t.Helper()
 	holders := 0
 	for _, asked := range w.machines {
-		listed, err := asked.node.Segments().List(context.Background(), &rockwindpb.ListSegmentsRequest{})
+		listed, err := asked.node.SegmentService().List(context.Background(), &rockwindpb.ListSegmentsRequest{})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/segment/segment_test.go
+++ b/internal/segment/segment_test.go
@@ -84,7 +84,7 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	return node.Segments(), nil
+	return node.SegmentService(), nil
 }
 
 func (l link) Append(ctx context.Context, request *rockwindpb.AppendSegmentRequest) (*rockwindpb.AppendSegmentResponse, error) {
--- a/internal/segment/service.go
+++ b/internal/segment/service.go
@@ -14,11 +14,11 @@
 // listPage is how many segments one List call returns.
 const listPage = 4096
 
-// Bodies returns the service that daemons store and read bodies with.
-func (n *Node) Bodies() rockwindpb.BodyService { return bodyService{n} }
+// BodyService returns the service that daemons store and read bodies with.
+func (n *Node) BodyService() rockwindpb.BodyService { return bodyService{n} }
 
-// Segments returns the service that machines with disks speak.
-func (n *Node) Segments() rockwindpb.SegmentService { return segmentService{n} }
+// SegmentService returns the service that machines with disks speak.
+func (n *Node) SegmentService() rockwindpb.SegmentService { return segmentService{n} }
 
 type bodyService struct{ node *Node }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -90,7 +90,7 @@
 }
 
 func (l *loader) refusal() error {
-	return configuration.Refusal(l.problems)
+	return configuration.ProblemsError(l.problems)
 }
 
 // add records a problem of a field, at its place in the file or with the name
--- a/internal/site/watcher_test.go
+++ b/internal/site/watcher_test.go
@@ -132,7 +132,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &rockwindpb.WatchConfigurationResponse{Change: index.Full()}, nil
+	return &rockwindpb.WatchConfigurationResponse{Change: index.FullChange()}, nil
 }
 
 // TestConfigurationArrivesAfterTheWatchedCoordinatorHangs: the configuration call hangs at an
