--- a/internal/segment/copies.go
+++ b/internal/segment/copies.go
@@ -10,27 +10,27 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// holding is what one machine holds.
-type holding struct {
+// listing is the list of segments on one machine's disk.
+type listing struct {
 	machine  string
 	disk     string
 	segments []*rockwindpb.SegmentSummary
 }
 
-// Copies counts the synced copies of the bodies on all machines. What it says
-// holds for everything that was acknowledged before the call.
+// Copies counts the synced copies of all segments on all machines. The result
+// covers every body that was acknowledged before the call.
 //
-// It lists all machines twice. The first lists tell how long each segment must
-// be: all bytes that were written anywhere, so that a body that is acknowledged
-// meanwhile, on the strength of a disk that was lost before, is among them. The
-// second lists tell which machines hold so much, synced and not known to be
-// damaged, on the same disk as at first.
+// It lists all machines twice. The first lists give the required length of each
+// segment: the longest written copy, synced or not, because a body may be
+// acknowledged during the call by a copy whose disk is lost before the second
+// lists. The second lists give the machines that have this length synced, not
+// known to be damaged, on the same disk as in the first lists.
 func (n *Node) Copies(ctx context.Context) *rockwindpb.CopiesResponse {
-	before, _ := n.holdings(ctx)
-	after, silent := n.holdings(ctx)
-	counted := countCopies(before, after, n.fullCopies(), n.removable)
+	before, _ := n.listMachines(ctx)
+	after, silent := n.listMachines(ctx)
+	counted := countCopies(before, after, n.targetCopies(), n.removable)
 	counted.SilentMachines = silent
-	for _, machine := range n.unsteady(before, after) {
+	for _, machine := range n.changedDisks(before, after) {
 		if !slices.Contains(silent, machine) {
 			counted.SilentMachines = append(counted.SilentMachines, machine)
 		}
@@ -39,9 +39,9 @@
 	return counted
 }
 
-// holdings lists what this machine and its peers hold, and names the peers that
-// did not answer.
-func (n *Node) holdings(ctx context.Context) (holdings []holding, silent []string) {
+// listMachines lists the segments of this machine and its peers, and returns the
+// names of the peers that did not answer.
+func (n *Node) listMachines(ctx context.Context) (listings []listing, silent []string) {
 	var mutex sync.Mutex
 	var calls errgroup.Group
 	for _, candidate := range n.peers {
@@ -53,19 +53,19 @@
 				silent = append(silent, candidate.Machine)
 				return nil
 			}
-			holdings = append(holdings, holding{machine: candidate.Machine, disk: disk, segments: segments})
+			listings = append(listings, listing{machine: candidate.Machine, disk: disk, segments: segments})
 			return nil
 		})
 	}
 	_ = calls.Wait()
-	holdings = append(holdings, holding{machine: n.options.Machine, disk: n.options.DiskID, segments: n.summaries()})
+	listings = append(listings, listing{machine: n.options.Machine, disk: n.options.DiskID, segments: n.summaries()})
 	slices.Sort(silent)
-	return holdings, silent
+	return listings, silent
 }
 
-// unsteady names the peers that answered with one disk before and not, or with
-// another one, after.
-func (n *Node) unsteady(before, after []holding) []string {
+// changedDisks returns the machines of the second lists that are missing from the
+// first ones, or that had another disk there.
+func (n *Node) changedDisks(before, after []listing) []string {
 	disks := make(map[string]string, len(before))
 	for _, listed := range before {
 		disks[listed.machine] = listed.disk
@@ -79,9 +79,9 @@
 	return changed
 }
 
-// countCopies compares the lengths that segments must have by the first lists
-// with the copies in the second ones.
-func countCopies(before, after []holding, wanted int, removable func(segment uint64, createdUnixMs int64) bool) *rockwindpb.CopiesResponse {
+// countCopies compares the required lengths of the first lists with the copies of
+// the second ones.
+func countCopies(before, after []listing, wanted int, removable func(segment uint64, createdUnixMs int64) bool) *rockwindpb.CopiesResponse {
 	lengths := make(map[uint64]int64)
 	irreparable := make(map[uint64]bool)
 	for _, listed := range before {
@@ -90,7 +90,7 @@
 			if removable(id, summary.GetCreatedUnixMs()) {
 				continue
 			}
-			lengths[id] = max(lengths[id], reparable(summary, summary.GetWrittenLength()))
+			lengths[id] = max(lengths[id], repairableLength(summary, summary.GetWrittenLength()))
 			irreparable[id] = irreparable[id] || summary.GetIrreparableFrom() > 0
 		}
 	}
@@ -99,13 +99,13 @@
 		for _, summary := range listed.segments {
 			if !summary.GetDamaged() {
 				id := summary.GetSegment()
-				copies[id] = append(copies[id], reparable(summary, summary.GetLength()))
+				copies[id] = append(copies[id], repairableLength(summary, summary.GetLength()))
 			}
 		}
 	}
 	result := &rockwindpb.CopiesResponse{WantedCopies: uint32(wanted), FewestCopies: uint32(wanted)}
 	for id, length := range lengths {
-		whole, missing := wholeCopies(copies[id], length, wanted)
+		whole, missing := completeCopies(copies[id], length, wanted)
 		result.Segments++
 		if irreparable[id] {
 			result.IrreparableSegments++
@@ -119,9 +119,9 @@
 	return result
 }
 
-// wholeCopies counts the copies of at least a length, up to the wanted number,
-// and the bytes that the longest others lack.
-func wholeCopies(copies []int64, length int64, wanted int) (whole int, missing int64) {
+// completeCopies counts the copies of at least the given length, up to the wanted
+// number, and the bytes missing from the longest incomplete ones.
+func completeCopies(copies []int64, length int64, wanted int) (whole int, missing int64) {
 	slices.Sort(copies)
 	slices.Reverse(copies)
 	for position := range wanted {
--- a/internal/segment/disk_test.go
+++ b/internal/segment/disk_test.go
@@ -11,13 +11,13 @@
 	"rockwind.example/rockwind/internal/segment"
 )
 
-// disk is a file system in memory that keeps after a crash what was synced, and
-// of what was not synced any part.
+// disk is a file system in memory. A crash keeps synced data and a random part of
+// the unsynced writes.
 type disk struct {
 	mutex sync.Mutex
 	files map[string]*diskFile
 	full  bool
-	// dead is set once the disk crashed: what is written then goes nowhere.
+	// dead is set by a crash: later writes do not reach the disk that crash returned.
 	dead bool
 }
 
@@ -28,13 +28,13 @@
 	pending []pendingWrite
 }
 
-// pendingWrite is a write that was not synced; data is nil for a cut.
+// pendingWrite is an unsynced write, or a truncation to offset if data is nil.
 type pendingWrite struct {
 	offset int64
 	data   []byte
 }
 
-var errLost = errors.New("the file is gone")
+var errUnavailable = errors.New("file not found or disk crashed")
 
 func newDisk() *disk {
 	return &disk{files: make(map[string]*diskFile)}
@@ -55,7 +55,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.dead {
-		return nil, errLost
+		return nil, errUnavailable
 	}
 	if d.full {
 		return nil, syscall.ENOSPC
@@ -70,7 +70,7 @@
 	defer d.mutex.Unlock()
 	found, known := d.files[name]
 	if !known {
-		return nil, errLost
+		return nil, errUnavailable
 	}
 	return found, nil
 }
@@ -80,7 +80,7 @@
 	defer d.mutex.Unlock()
 	found, known := d.files[from]
 	if !known || d.dead {
-		return errLost
+		return errUnavailable
 	}
 	delete(d.files, from)
 	d.files[to] = found
@@ -100,8 +100,8 @@
 	d.full = full
 }
 
-// crash returns the disk as it is found after a crash: writes that were not
-// synced are there whole, in part, or not at all, in any combination.
+// crash returns the disk as it is after a crash: each unsynced write is applied
+// entirely, partly or not at all.
 func (d *disk) crash(random *rand.Rand) *disk {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -131,7 +131,7 @@
 	return after
 }
 
-// damage changes one stored byte.
+// damage flips a bit of one synced byte.
 func (d *disk) damage(random *rand.Rand) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -204,7 +204,7 @@
 	f.disk.mutex.Lock()
 	defer f.disk.mutex.Unlock()
 	if f.disk.dead {
-		return errLost
+		return errUnavailable
 	}
 	f.synced = slices.Clone(f.current)
 	f.pending = nil
--- a/internal/segment/files.go
+++ b/internal/segment/files.go
@@ -8,8 +8,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// FileSystem is the folder that holds the segments. Create, Rename and Remove
-// are durable when they return.
+// FileSystem gives access to the folder with the segment files. Create, Rename and
+// Remove are durable when they return.
 type FileSystem interface {
 	List() ([]string, error)
 	Create(name string) (File, error)
@@ -33,18 +33,18 @@
 	fileMode   = 0o640
 )
 
-// folder implements FileSystem by a folder of the operating system.
-type folder struct {
+// osFileSystem implements FileSystem with a folder of the operating system.
+type osFileSystem struct {
 	path string
 }
 
-// NewFileSystem returns the file system of a folder, which is created where it does
-// not exist.
+// NewFileSystem returns a FileSystem for a folder, which is created if it does not
+// exist.
 func NewFileSystem(path string) (FileSystem, error) {
 	if err := os.MkdirAll(path, folderMode); err != nil {
-		return nil, errors.Wrap(err, "create the folder of segments")
+		return nil, errors.Wrap(err, "create segment folder")
 	}
-	created := folder{path: path}
+	created := osFileSystem{path: path}
 	if err := syncFolder(filepath.Dir(path)); err != nil {
 		return nil, err
 	}
@@ -52,7 +52,7 @@
 }
 
 // List implements FileSystem.
-func (f folder) List() ([]string, error) {
+func (f osFileSystem) List() ([]string, error) {
 	entries, err := os.ReadDir(f.path)
 	if err != nil {
 		return nil, errors.Wrap(err, "list segments")
@@ -65,7 +65,7 @@
 }
 
 // Create implements FileSystem.
-func (f folder) Create(name string) (File, error) {
+func (f osFileSystem) Create(name string) (File, error) {
 	created, err := os.OpenFile(filepath.Join(f.path, name), os.O_RDWR|os.O_CREATE|os.O_EXCL, fileMode)
 	if err != nil {
 		return nil, errors.Wrap(err, "create segment")
@@ -73,20 +73,20 @@
 	if err := f.sync(); err != nil {
 		return nil, errors.CombineErrors(err, created.Close())
 	}
-	return plainFile{created}, nil
+	return osFile{created}, nil
 }
 
 // Open implements FileSystem.
-func (f folder) Open(name string) (File, error) {
+func (f osFileSystem) Open(name string) (File, error) {
 	opened, err := os.OpenFile(filepath.Join(f.path, name), os.O_RDWR, fileMode)
 	if err != nil {
 		return nil, errors.Wrap(err, "open segment")
 	}
-	return plainFile{opened}, nil
+	return osFile{opened}, nil
 }
 
 // Rename implements FileSystem.
-func (f folder) Rename(from, to string) error {
+func (f osFileSystem) Rename(from, to string) error {
 	if err := os.Rename(filepath.Join(f.path, from), filepath.Join(f.path, to)); err != nil {
 		return errors.Wrap(err, "rename segment")
 	}
@@ -94,14 +94,14 @@
 }
 
 // Remove implements FileSystem.
-func (f folder) Remove(name string) error {
+func (f osFileSystem) Remove(name string) error {
 	if err := os.Remove(filepath.Join(f.path, name)); err != nil {
 		return errors.Wrap(err, "remove segment")
 	}
 	return f.sync()
 }
 
-func (f folder) sync() error {
+func (f osFileSystem) sync() error {
 	return syncFolder(f.path)
 }
 
@@ -114,16 +114,16 @@
 	return errors.Wrap(errors.CombineErrors(err, opened.Close()), "sync folder")
 }
 
-// plainFile implements File by a file of the operating system.
-type plainFile struct {
+// osFile implements File with a file of the operating system.
+type osFile struct {
 	*os.File
 }
 
 // Size implements File.
-func (p plainFile) Size() (int64, error) {
+func (p osFile) Size() (int64, error) {
 	information, err := p.Stat()
 	if err != nil {
-		return 0, errors.Wrap(err, "read the size of a segment")
+		return 0, errors.Wrap(err, "read segment size")
 	}
 	return information.Size(), nil
 }
--- a/internal/segment/node.go
+++ b/internal/segment/node.go
@@ -22,26 +22,24 @@
 	defaultDownGrace      = 2 * time.Minute
 	defaultOpenAge        = time.Hour
 	defaultCommitTimeout  = 2 * time.Second
-	// wantedCopies is how many copies a segment has once it is repaired.
-	wantedCopies = 3
-	// busyRepairDivisor shortens the time between rounds of repair while copies are
-	// missing.
+	// replicationFactor is how many machines hold a repaired segment, if there are
+	// that many.
+	replicationFactor = 3
+	// busyRepairDivisor shortens RepairInterval while copies are missing.
 	busyRepairDivisor = 5
-	// pendingStores is how many Store calls may wait for the writer.
-	pendingStores = 4096
+	// maximumPendingStores bounds the Store calls that wait for the writer.
+	maximumPendingStores = 4096
 )
 
 // Peer is another machine with a disk.
 type Peer struct {
-	// Machine is its name.
 	Machine string
-	// Service reaches its segments.
+	// Service is the client of its segment service.
 	Service rockwindpb.SegmentService
 }
 
 // Options of a node.
 type Options struct {
-	// Machine is the name of this machine.
 	Machine string
 	// DiskID is the identity of this machine's disk.
 	DiskID string
@@ -50,10 +48,11 @@
 	Peers []Peer
 	// SegmentBytes is the size at which a segment is sealed; zero means 128 MiB.
 	SegmentBytes int64
-	// OpenAge is the longest time that a segment takes appends; zero means 1 h.
+	// OpenAge is the age from which on nothing is appended to a segment; zero means
+	// 1 h.
 	OpenAge time.Duration
-	// CommitTimeout is how long a commit waits for enough copies before it goes
-	// on in another segment at other machines; zero means 2 s.
+	// CommitTimeout is how long a commit waits for enough synced copies before it
+	// is retried; zero means 2 s.
 	CommitTimeout time.Duration
 	// RepairBytesPerSecond bounds copying and scrubbing; zero means 32 MiB/s.
 	RepairBytesPerSecond int
@@ -62,11 +61,11 @@
 	// ScrubInterval is the time between rounds of scrubbing; zero means 6 h.
 	ScrubInterval time.Duration
 	// DownGrace is how long a machine may be unreachable before its copies are
-	// made again elsewhere; zero means 2 min, below zero means at once.
+	// replaced on other machines; zero means 2 min, a negative value means at once.
 	DownGrace time.Duration
-	// Now tells the time; nil means time.Now.
+	// Now is the clock; nil means time.Now.
 	Now func() time.Time
-	// Random draws segment ids; nil means a random source seeded by the system.
+	// Random generates segment ids and placement keys; nil means crypto/rand.
 	Random func() uint64
 }
 
@@ -80,14 +79,14 @@
 
 	mutex   sync.Mutex
 	holders map[uint64][]*peer
-	// lagging holds the lengths of unsealed segments that were too short here in
-	// the last round of repair.
+	// lagging holds the lengths of the unsealed segments whose copy here was missing
+	// or too short in the last repair round.
 	lagging   map[uint64]int64
 	retention retention
 	statistics
 }
 
-// statistics counts what a node did since it started.
+// statistics holds counters since the start of the node.
 type statistics struct {
 	stored   uint64
 	repaired uint64
@@ -95,24 +94,24 @@
 	removed  uint64
 }
 
-// Statistics describes a node.
+// Statistics holds gauges of the disk and counters since the start of the node.
 type Statistics struct {
-	// Segments on this disk.
+	// Segments counts the segments on this disk.
 	Segments int
-	// BytesOnDisk of all segments.
+	// BytesOnDisk is the length of all segments on this disk.
 	BytesOnDisk int64
-	// StoredBodies acknowledged by this node as writer.
+	// StoredBodies counts the bodies that this node acknowledged as the writer.
 	StoredBodies uint64
-	// RepairedBytes copied from peers.
+	// RepairedBytes counts the bytes copied from peers.
 	RepairedBytes uint64
-	// DamagedBytes found by scrubbing and reading.
+	// DamagedBytes counts the damaged bytes found by scrubs and reads.
 	DamagedBytes uint64
-	// RemovedSegments past their retention.
+	// RemovedSegments counts the segments removed because no live reference exists.
 	RemovedSegments uint64
 }
 
-// Open reads the segments of the disk. Nothing is appended to the segments that
-// this node wrote before: a writer that restarts goes on in a new one.
+// Open loads the segments of the disk. The writer does not append to any of them:
+// it always starts a new segment.
 func Open(options Options) (*Node, error) {
 	options = withDefaults(options)
 	opened, err := openLocalStore(options.Files, options.Now)
@@ -122,8 +121,8 @@
 	node := &Node{
 		options: options,
 		store:   opened,
-		pending: make(chan *pendingStore, pendingStores),
-		limiter: rate.NewLimiter(rate.Limit(options.RepairBytesPerSecond), max(options.RepairBytesPerSecond, copyBytes)),
+		pending: make(chan *pendingStore, maximumPendingStores),
+		limiter: rate.NewLimiter(rate.Limit(options.RepairBytesPerSecond), max(options.RepairBytesPerSecond, chunkBytes)),
 		holders: make(map[uint64][]*peer),
 		lagging: make(map[uint64]int64),
 		retention: retention{
@@ -132,7 +131,7 @@
 		},
 	}
 	for _, settings := range options.Peers {
-		node.peers = append(node.peers, &peer{Peer: settings, heard: options.Now()})
+		node.peers = append(node.peers, &peer{Peer: settings, lastAnswer: options.Now()})
 	}
 	return node, nil
 }
@@ -163,12 +162,12 @@
 	return fallback
 }
 
-// Run writes, repairs and scrubs until the context ends.
+// Run runs the writer, repair and scrubbing until the context ends.
 func (n *Node) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return n.write(ctx) })
-	group.Go(func() error { return n.keepRepairing(ctx) })
-	group.Go(func() error { return every(ctx, n.options.ScrubInterval, n.Scrub) })
+	group.Go(func() error { return n.runWriter(ctx) })
+	group.Go(func() error { return n.runRepair(ctx) })
+	group.Go(func() error { return runPeriodically(ctx, n.options.ScrubInterval, n.Scrub) })
 	err := group.Wait()
 	if errors.Is(err, context.Canceled) {
 		return nil
@@ -176,9 +175,8 @@
 	return err
 }
 
-// keepRepairing repairs in rounds, which follow each other faster while copies are
-// missing.
-func (n *Node) keepRepairing(ctx context.Context) error {
+// runRepair repairs in rounds, with shorter pauses while copies are missing.
+func (n *Node) runRepair(ctx context.Context) error {
 	for {
 		pause := n.options.RepairInterval
 		if n.Repair(ctx) {
@@ -190,8 +188,8 @@
 	}
 }
 
-// every calls work at once and then after each interval.
-func every(ctx context.Context, interval time.Duration, work func(context.Context)) error {
+// runPeriodically calls work at once and then after each interval.
+func runPeriodically(ctx context.Context, interval time.Duration, work func(context.Context)) error {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -204,12 +202,12 @@
 	}
 }
 
-// Close closes the files; nothing may be running.
+// Close closes the segment files. Run must have returned.
 func (n *Node) Close() error {
 	return n.store.close()
 }
 
-// Statistics returns counts for metrics.
+// Statistics returns the values for metrics.
 func (n *Node) Statistics() Statistics {
 	n.mutex.Lock()
 	counted := n.statistics
@@ -220,21 +218,21 @@
 		DamagedBytes:    counted.damaged,
 		RemovedSegments: counted.removed,
 	}
-	for _, held := range n.store.all() {
+	for _, local := range n.store.all() {
 		result.Segments++
-		result.BytesOnDisk += held.extent().length
+		result.BytesOnDisk += local.state().length
 	}
 	return result
 }
 
-// syncedCopies is how many synced copies acknowledge a body, this machine's
-// included.
-func (n *Node) syncedCopies() int {
+// commitQuorum is the number of synced copies, this machine's included, that a body
+// needs before it is acknowledged.
+func (n *Node) commitQuorum() int {
 	machines := len(n.peers) + 1
-	return min(machines/2+1, wantedCopies)
+	return min(machines/2+1, replicationFactor)
 }
 
-// fullCopies is how many copies a segment has once it is repaired.
-func (n *Node) fullCopies() int {
-	return min(len(n.peers)+1, wantedCopies)
+// targetCopies is the number of copies of a repaired segment.
+func (n *Node) targetCopies() int {
+	return min(len(n.peers)+1, replicationFactor)
 }
--- a/internal/segment/peer.go
+++ b/internal/segment/peer.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	// peerPause is how long a peer that failed is not chosen for a new segment.
+	// peerPause is how long a peer is avoided after a failed call.
 	peerPause = 5 * time.Second
-	// peerTimeout bounds a call that lists or reads at a peer. A machine that is
-	// cut off in silence, or stands still, would hold up its caller for good.
+	// peerTimeout bounds a list or read call to a peer, so that an unreachable or
+	// hung machine does not block its caller.
 	peerTimeout = 3 * time.Second
 )
 
-// peer is another machine as this node knows it.
+// peer is a Peer with the outcome of its latest calls.
 type peer struct {
 	Peer
 
 	mutex sync.Mutex
-	// pausedUntil is set when a call failed.
+	// pausedUntil is set when a call fails, and reset when the peer answers an append
+	// or a repair round.
 	pausedUntil time.Time
-	// listed is what the peer held when it last answered a round of repair; only
-	// the repairer uses it.
-	listed []*rockwindpb.SegmentSummary
-	// heard is when the peer last answered.
-	heard time.Time
+	// lastListing holds the peer's segments at its last answer to a repair round;
+	// only the repair goroutine uses it.
+	lastListing []*rockwindpb.SegmentSummary
+	lastAnswer  time.Time
 }
 
-// read reads bytes of a segment at the peer, fewer where it holds fewer. A
-// failure pauses the peer.
+// read reads bytes of a segment from the peer; the result is shorter if the peer's
+// copy is. A failure pauses the peer.
 func (p *peer) read(ctx context.Context, now func() time.Time, segment uint64, offset, length int64) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
@@ -42,13 +42,13 @@
 		Segment: segment, Offset: uint64(offset), Length: uint32(length),
 	})
 	if err != nil {
-		p.failed(now())
+		p.markFailed(now())
 		return nil, err
 	}
 	return answer.GetData(), nil
 }
 
-// listAll lists the segments that the peer holds, and tells its disk.
+// listAll returns the id of the peer's disk and all segments on it.
 func (p *peer) listAll(ctx context.Context) (disk string, all []*rockwindpb.SegmentSummary, err error) {
 	after := uint64(0)
 	for {
@@ -57,7 +57,7 @@
 			return "", nil, err
 		}
 		all = append(all, page.GetSegments()...)
-		if len(page.GetSegments()) < listPage {
+		if len(page.GetSegments()) < listPageSize {
 			return page.GetDiskId(), all, nil
 		}
 		after = all[len(all)-1].GetSegment()
@@ -70,17 +70,17 @@
 	return p.Service.List(ctx, &rockwindpb.ListSegmentsRequest{After: after})
 }
 
-func (p *peer) failed(now time.Time) {
+func (p *peer) markFailed(now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.pausedUntil = now.Add(peerPause)
 }
 
-func (p *peer) answered(now time.Time) {
+func (p *peer) markAnswered(now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.pausedUntil = time.Time{}
-	p.heard = now
+	p.lastAnswer = now
 }
 
 func (p *peer) paused(now time.Time) bool {
@@ -89,23 +89,23 @@
 	return now.Before(p.pausedUntil)
 }
 
-func (p *peer) silentFor(now time.Time) time.Duration {
+func (p *peer) sinceLastAnswer(now time.Time) time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return now.Sub(p.heard)
+	return now.Sub(p.lastAnswer)
 }
 
-// randomID draws a segment id. 63 random bits make ids unique without agreement:
-// among ten million segments two are equal with a chance below one in 100,000.
+// randomID generates a segment id, with enough random bits for ids to be unique
+// without coordination.
 func randomID() uint64 {
 	var drawn [8]byte
-	// Read of crypto/rand never fails.
+	// crypto/rand.Read never returns an error.
 	_, _ = rand.Read(drawn[:])
 	return binary.BigEndian.Uint64(drawn[:]) >> 1
 }
 
-// rank orders peers for a read: known holders first, paused peers last.
-func rank(candidate *peer, holders []*peer, now time.Time) int {
+// readPriority orders peers for reads: known holders first, paused peers last.
+func readPriority(candidate *peer, holders []*peer, now time.Time) int {
 	switch {
 	case candidate.paused(now):
 		return 2
--- a/internal/segment/read.go
+++ b/internal/segment/read.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	// gapBytes is the largest gap between bodies that one read spans.
-	gapBytes = 64 << 10
-	// parallelReads bounds the reads from peers of one call.
+	// maximumGapBytes is the largest gap between two bodies fetched by one read.
+	maximumGapBytes = 64 << 10
+	// parallelReads bounds the concurrent reads from peers for one Read call.
 	parallelReads = 4
 )
 
-// Read returns the bodies of the references in their order. Each body is
-// verified; one that is missing or damaged here is read from a peer.
+// Read returns the bodies of the references, in the same order. Each body is
+// verified; one that is missing or damaged on this disk is read from a peer.
 func (n *Node) Read(ctx context.Context, references []*rockwindpb.BodyReference) ([][]byte, error) {
 	bodies := make([][]byte, len(references))
 	var missing []int
 	for index, reference := range references {
 		if reference.GetLength() > MaximumBodyBytes {
-			return nil, fault.New(fault.InvalidArgument, "a reference is longer than any body", "check the reference")
+			return nil, fault.New(fault.InvalidArgument, "the body length of a reference exceeds the maximum", "check the reference")
 		}
-		body, found := n.readHere(reference)
+		body, found := n.readLocal(reference)
 		if !found {
 			missing = append(missing, index)
 			continue
@@ -37,25 +37,25 @@
 	if len(missing) == 0 {
 		return bodies, nil
 	}
-	return bodies, n.readElsewhere(ctx, references, missing, bodies)
+	return bodies, n.readFromPeers(ctx, references, missing, bodies)
 }
 
-// readHere reads a body from this disk.
-func (n *Node) readHere(reference *rockwindpb.BodyReference) ([]byte, bool) {
-	held := n.store.find(reference.GetSegment())
-	if held == nil {
+// readLocal reads a body from this disk.
+func (n *Node) readLocal(reference *rockwindpb.BodyReference) ([]byte, bool) {
+	local := n.store.find(reference.GetSegment())
+	if local == nil {
 		return nil, false
 	}
 	offset := int64(reference.GetOffset())
-	data, err := held.read(offset, recordHeaderBytes+int(reference.GetLength()))
+	data, err := local.read(offset, recordHeaderBytes+int(reference.GetLength()))
 	if err != nil || len(data) < recordHeaderBytes+int(reference.GetLength()) {
 		return nil, false
 	}
 	body, intact := extractBody(data, reference)
 	if !intact {
 		end := offset + int64(len(data))
-		n.count(func(counted *statistics) { counted.damaged += uint64(len(data)) })
-		held.addDamage(span{start: offset, end: end})
+		n.updateStatistics(func(counted *statistics) { counted.damaged += uint64(len(data)) })
+		local.addDamage(span{start: offset, end: end})
 	}
 	return body, intact
 }
@@ -74,7 +74,7 @@
 	return body, checksum(body) == reference.GetChecksum()
 }
 
-// readRange is one read that holds several bodies of one segment.
+// readRange is one read that covers one or more bodies of a segment.
 type readRange struct {
 	segment uint64
 	start   uint64
@@ -82,8 +82,8 @@
 	indexes []int
 }
 
-// ranges joins neighbouring references into few reads.
-func ranges(references []*rockwindpb.BodyReference, wanted []int) []*readRange {
+// joinRanges combines references that are close together into one read.
+func joinRanges(references []*rockwindpb.BodyReference, wanted []int) []*readRange {
 	slices.SortFunc(wanted, func(left, right int) int {
 		return cmp.Or(
 			cmp.Compare(references[left].GetSegment(), references[right].GetSegment()),
@@ -96,7 +96,7 @@
 		end := reference.GetOffset() + recordHeaderBytes + uint64(reference.GetLength())
 		if len(result) > 0 {
 			last := result[len(result)-1]
-			near := reference.GetOffset() <= last.end+gapBytes && end-last.start <= copyBytes
+			near := reference.GetOffset() <= last.end+maximumGapBytes && end-last.start <= chunkBytes
 			if last.segment == reference.GetSegment() && near {
 				last.end = max(last.end, end)
 				last.indexes = append(last.indexes, index)
@@ -110,20 +110,21 @@
 	return result
 }
 
-func (n *Node) readElsewhere(ctx context.Context, references []*rockwindpb.BodyReference, missing []int, bodies [][]byte) error {
+func (n *Node) readFromPeers(ctx context.Context, references []*rockwindpb.BodyReference, missing []int, bodies [][]byte) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(parallelReads)
-	for _, wanted := range ranges(references, missing) {
+	for _, wanted := range joinRanges(references, missing) {
 		group.Go(func() error { return n.readRange(ctx, references, wanted, bodies) })
 	}
 	return group.Wait()
 }
 
-// readRange asks the peers in turn until each body of the range was verified.
+// readRange reads from one peer after the other until all bodies of the range are
+// verified.
 func (n *Node) readRange(ctx context.Context, references []*rockwindpb.BodyReference, wanted *readRange, bodies [][]byte) error {
 	unreachable := false
 	remaining := wanted.indexes
-	for _, candidate := range n.likelyHolders(wanted.segment) {
+	for _, candidate := range n.peersByPriority(wanted.segment) {
 		data, err := candidate.read(ctx, n.options.Now, wanted.segment, int64(wanted.start), int64(wanted.end-wanted.start))
 		if err != nil {
 			unreachable = true
@@ -149,27 +150,27 @@
 
 func missingFault(segment uint64, unreachable bool) error {
 	if unreachable {
-		return fault.Newf(fault.Unavailable, "try again; a machine that may hold the body does not answer",
-			"no machine that answers holds an intact body of segment %016x", segment)
+		return fault.Newf(fault.Unavailable, "try again; a machine that may have the body does not answer",
+			"no reachable machine has an intact copy of the body in segment %016x", segment)
 	}
 	return fault.Newf(fault.NotFound, "check the reference; results are removed after their retention",
-		"no machine holds an intact body of segment %016x", segment)
+		"no machine has an intact copy of the body in segment %016x", segment)
 }
 
-// likelyHolders returns all peers, those known to hold the segment first.
-func (n *Node) likelyHolders(segment uint64) []*peer {
+// peersByPriority returns all peers in the order of readPriority.
+func (n *Node) peersByPriority(segment uint64) []*peer {
 	n.mutex.Lock()
 	known := slices.Clone(n.holders[segment])
 	n.mutex.Unlock()
 	now := n.options.Now()
 	ordered := slices.Clone(n.peers)
 	slices.SortStableFunc(ordered, func(left, right *peer) int {
-		return rank(left, known, now) - rank(right, known, now)
+		return readPriority(left, known, now) - readPriority(right, known, now)
 	})
 	return ordered
 }
 
-// addDamage notes a span that the repairer is to copy again.
+// addDamage records a damaged span for repair.
 func (l *localSegment) addDamage(found span) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/segment/record.go
+++ b/internal/segment/record.go
@@ -1,12 +1,12 @@
 // Package segment stores bodies, the inputs and results of batch items, in
 // append-only files that are replicated to other machines and synced before a
-// body is acknowledged. A body is found again by its segment, offset, length and
-// checksum; the checksum is verified on every read.
+// body is acknowledged. A reference to a body consists of its segment, offset,
+// length and checksum; the checksum is verified on every read.
 //
 // The bytes at an offset of a segment never change once written: only the
-// segment's writer appends, and a writer that restarts, or whose append failed,
-// goes on in a new segment. Copies of a segment may therefore differ in length
-// only, and the longest copy holds what any other holds.
+// segment's writer appends, and after a restart or a failed append it starts a new
+// segment. Intact copies of a segment therefore differ only in length, and each is
+// a prefix of the longest one.
 package segment
 
 import (
@@ -23,20 +23,20 @@
 	fileHeaderBytes = 32
 	// recordHeaderBytes: magic, body length, CRC of the body, CRC of the header.
 	recordHeaderBytes = 16
-	// MaximumBodyBytes bounds one body.
+	// MaximumBodyBytes bounds the size of a body.
 	MaximumBodyBytes = 64 << 20
 )
 
 const (
 	fileMagic   = uint64(0x52574b5345473031)
 	recordMagic = uint32(0xb0d1e5a7)
-	// windowBytes is how much of a file is read at once in a scan.
-	windowBytes = 64 << 10
+	// scanBufferBytes is the size of a scan's reads.
+	scanBufferBytes = 64 << 10
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// checksum is the CRC-32C of the bytes.
+// checksum returns the CRC-32C of data.
 func checksum(data []byte) uint32 {
 	return crc32.Checksum(data, castagnoli)
 }
@@ -44,7 +44,7 @@
 // fileHeader is the start of a segment file; it is the same in all copies.
 type fileHeader struct {
 	segment uint64
-	// createdUnixMs decides when the segment is removed, alike on all copies.
+	// createdUnixMs determines when the segment may be removed, on all machines.
 	createdUnixMs int64
 }
 
@@ -70,13 +70,13 @@
 	}, true
 }
 
-// recordHeader stands before each body.
+// recordHeader precedes each body.
 type recordHeader struct {
 	length   uint32
 	checksum uint32
 }
 
-// appendRecord appends the record of a body.
+// appendRecord appends the encoded record of a body.
 func appendRecord(to, body []byte) []byte {
 	header := make([]byte, recordHeaderBytes)
 	binary.BigEndian.PutUint32(header[0:], recordMagic)
@@ -100,7 +100,7 @@
 	return header, header.length <= MaximumBodyBytes
 }
 
-// span is a range of a segment file that holds whole valid records, or none.
+// span is a range of a segment file: whole valid records, or damaged bytes.
 type span struct {
 	start int64
 	end   int64
@@ -108,7 +108,7 @@
 }
 
 // scan divides [start, end) of a segment file into alternating valid and damaged
-// spans. A start of zero stands before the file header.
+// spans. From a start of zero, the file header is checked as well.
 func scan(source io.ReaderAt, start, end int64) ([]span, error) {
 	var spans []span
 	position := start
@@ -117,7 +117,7 @@
 		if err != nil {
 			return nil, err
 		}
-		spans = extend(spans, span{start: 0, end: next, valid: valid})
+		spans = appendSpan(spans, span{start: 0, end: next, valid: valid})
 		position = next
 	}
 	for position < end {
@@ -125,7 +125,7 @@
 		if err != nil {
 			return nil, err
 		}
-		spans = extend(spans, span{start: position, end: next, valid: valid})
+		spans = appendSpan(spans, span{start: position, end: next, valid: valid})
 		position = next
 	}
 	return spans, nil
@@ -143,8 +143,8 @@
 	return fileHeaderBytes, valid, nil
 }
 
-// scanRecord checks the record at a position and returns where the next one is
-// looked for.
+// scanRecord checks the record at position and returns the position to continue
+// from.
 func scanRecord(source io.ReaderAt, position, end int64) (next int64, valid bool, err error) {
 	if end-position < recordHeaderBytes {
 		return end, false, nil
@@ -155,22 +155,22 @@
 	}
 	header, intact := decodeRecordHeader(encoded)
 	if !intact {
-		next, err = nextHeader(source, position+1, end)
+		next, err = findNextHeader(source, position+1, end)
 		return next, false, err
 	}
 	bodyStart := position + recordHeaderBytes
 	bodyEnd := bodyStart + int64(header.length)
 	if bodyEnd > end {
-		next, err = nextHeader(source, bodyStart, end)
+		next, err = findNextHeader(source, bodyStart, end)
 		return next, false, err
 	}
-	actual, err := checksumOf(source, bodyStart, bodyEnd)
+	actual, err := checksumRange(source, bodyStart, bodyEnd)
 	return bodyEnd, actual == header.checksum, err
 }
 
-// nextHeader searches forward for the next intact record header.
-func nextHeader(source io.ReaderAt, position, end int64) (int64, error) {
-	window := make([]byte, windowBytes)
+// findNextHeader searches forward for the next intact record header.
+func findNextHeader(source io.ReaderAt, position, end int64) (int64, error) {
+	window := make([]byte, scanBufferBytes)
 	for position+recordHeaderBytes <= end {
 		part := window[:min(int64(len(window)), end-position)]
 		if err := readFull(source, part, position); err != nil {
@@ -186,9 +186,9 @@
 	return end, nil
 }
 
-func checksumOf(source io.ReaderAt, start, end int64) (uint32, error) {
+func checksumRange(source io.ReaderAt, start, end int64) (uint32, error) {
 	sum := uint32(0)
-	window := make([]byte, min(windowBytes, end-start))
+	window := make([]byte, min(scanBufferBytes, end-start))
 	for start < end {
 		part := window[:min(int64(len(window)), end-start)]
 		if err := readFull(source, part, start); err != nil {
@@ -208,8 +208,9 @@
 	return errors.Wrapf(err, "read %d bytes at offset %d", len(into), position)
 }
 
-// extend adds a span, joined to the last one where both are alike.
-func extend(spans []span, next span) []span {
+// appendSpan appends a span, merged with the last one if both are valid or both
+// damaged.
+func appendSpan(spans []span, next span) []span {
 	last := len(spans) - 1
 	if last >= 0 && spans[last].valid == next.valid {
 		spans[last].end = next.end
@@ -218,7 +219,8 @@
 	return append(spans, next)
 }
 
-// intactPrefix is the end of the valid records at the start of the spans.
+// intactPrefix returns the end of the valid span at the start, or start if there
+// is none.
 func intactPrefix(spans []span, start int64) int64 {
 	if len(spans) == 0 || !spans[0].valid {
 		return start
@@ -226,7 +228,7 @@
 	return spans[0].end
 }
 
-// damagedSpans returns the spans without valid records.
+// damagedSpans returns the damaged ones of the spans.
 func damagedSpans(spans []span) []span {
 	var damaged []span
 	for _, candidate := range spans {
--- a/internal/segment/record_test.go
+++ b/internal/segment/record_test.go
@@ -5,9 +5,8 @@
 	"testing"
 )
 
-// FuzzScan feeds the decoder arbitrary files: it must end, cover the file without
-// gaps, alternate valid and damaged spans, and find only records that encode to
-// the same bytes.
+// FuzzScan checks that scan covers any file without gaps in alternating valid and
+// damaged spans, and that the records of valid spans encode to the same bytes.
 func FuzzScan(f *testing.F) {
 	whole := fileHeader{segment: 7, createdUnixMs: 9}.encode()
 	whole = appendRecord(whole, []byte("first"))
@@ -28,7 +27,7 @@
 				t.Fatalf("span %d is [%d, %d), expected to start at %d", index, found.start, found.end, position)
 			}
 			if index > 0 && spans[index-1].valid == found.valid {
-				t.Fatalf("spans %d and %d are alike", index-1, index)
+				t.Fatalf("adjacent spans %d and %d have the same validity", index-1, index)
 			}
 			if found.valid {
 				checkEncoding(t, content, found)
@@ -41,14 +40,14 @@
 	})
 }
 
-// checkEncoding encodes the records of a valid span again.
+// checkEncoding compares the records of a valid span with their re-encoding.
 func checkEncoding(t *testing.T, content []byte, found span) {
 	t.Helper()
 	position := int(found.start)
 	if position == 0 {
 		header, valid := decodeFileHeader(content)
 		if !valid || !bytes.Equal(header.encode()[:28], content[:28]) {
-			t.Fatal("a header was taken that encodes to other bytes")
+			t.Fatal("the accepted file header encodes to different bytes")
 		}
 		position = fileHeaderBytes
 	}
@@ -60,7 +59,7 @@
 		}
 		encoded := appendRecord(nil, content[position+recordHeaderBytes:next])
 		if !bytes.Equal(encoded, content[position:next]) {
-			t.Fatalf("the record at %d encodes to other bytes", position)
+			t.Fatalf("the record at %d encodes to different bytes", position)
 		}
 		position = next
 	}
--- a/internal/segment/retention.go
+++ b/internal/segment/retention.go
@@ -10,22 +10,23 @@
 )
 
 const (
-	// reportFresh is how old a shard's report may be when a segment is removed.
-	reportFresh = 5 * time.Minute
-	// unpinnedFor is how long a segment must not have been named by any report,
-	// so that an input which passes from a file to a job in between is not lost.
-	unpinnedFor = time.Hour
-	// openAgeSlack covers a commit that began just before its segment grew too
-	// old.
+	// maximumReportAge is how old a shard's last report may be when a segment is
+	// removed.
+	maximumReportAge = 5 * time.Minute
+	// minimumUnpinnedTime is how long no report may have named a segment before it is
+	// removed. It covers inputs that move from a file to a job between two reports.
+	minimumUnpinnedTime = time.Hour
+	// openAgeSlack covers commits that start just before their segment reaches
+	// OpenAge.
 	openAgeSlack = time.Minute
 )
 
-// retention is what the job shards said they still refer to. It is not kept on
-// disk: after a start nothing is removed for unpinnedFor.
+// retention holds the job shards' reports of what they still refer to. It is not
+// stored on disk: after a start nothing is removed for minimumUnpinnedTime.
 type retention struct {
 	shards  uint32
 	reports map[uint32]shardReport
-	// pinned holds when each segment was last named as holding inputs.
+	// pinned is when each segment was last reported to hold inputs.
 	pinned map[uint64]time.Time
 }
 
@@ -35,14 +36,14 @@
 	oldestUnixMs int64
 }
 
-// retain takes the report of one shard.
+// retain records the report of one shard.
 func (n *Node) retain(request *rockwindpb.RetainSegmentsRequest) {
 	now := n.options.Now()
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.retention.shards = max(n.retention.shards, request.GetShards())
 	report := n.retention.reports[request.GetShard()]
-	if now.Sub(report.last) > reportFresh {
+	if now.Sub(report.last) > maximumReportAge {
 		report.first = now
 	}
 	report.last = now
@@ -52,15 +53,15 @@
 		n.retention.pinned[segment] = now
 	}
 	for segment, last := range n.retention.pinned {
-		if now.Sub(last) > unpinnedFor {
+		if now.Sub(last) > minimumUnpinnedTime {
 			delete(n.retention.pinned, segment)
 		}
 	}
 }
 
-// removable tells whether no live reference into a segment can exist: all shards
-// have reported without a break for as long as a segment must be unpinned, none
-// of them named it, and its last append lies before the oldest reference of each.
+// removable reports whether no live reference into a segment can exist: all shards
+// have reported without a break for minimumUnpinnedTime, none of them named it in
+// that time, and its last append is older than the oldest reference of each.
 func (n *Node) removable(segment uint64, createdUnixMs int64) bool {
 	now := n.options.Now()
 	lastAppend := time.UnixMilli(createdUnixMs).Add(n.options.OpenAge + openAgeSlack)
@@ -69,12 +70,12 @@
 	if n.retention.shards == 0 {
 		return false
 	}
-	if pinned, named := n.retention.pinned[segment]; named && now.Sub(pinned) <= unpinnedFor {
+	if pinned, named := n.retention.pinned[segment]; named && now.Sub(pinned) <= minimumUnpinnedTime {
 		return false
 	}
 	for shard := uint32(1); shard <= n.retention.shards; shard++ {
 		report := n.retention.reports[shard]
-		current := now.Sub(report.last) <= reportFresh && now.Sub(report.first) > unpinnedFor
+		current := now.Sub(report.last) <= maximumReportAge && now.Sub(report.first) > minimumUnpinnedTime
 		if !current || lastAppend.UnixMilli() >= report.oldestUnixMs {
 			return false
 		}
@@ -82,18 +83,18 @@
 	return true
 }
 
-// removeUnused removes the sealed segments into which no live reference exists.
-// Every machine goes by the same reports and by the creation time, which is part
-// of the segment, so a removed segment is not copied back for long.
+// removeUnused removes the sealed segments without live references. All machines
+// decide by the same reports and the creation time in the segment header, so
+// repair does not keep copying a removed segment back.
 func (n *Node) removeUnused() {
-	unused := slices.DeleteFunc(n.store.all(), func(held *localSegment) bool {
-		return !held.extent().sealed || !n.removable(held.header.segment, held.header.createdUnixMs)
+	unused := slices.DeleteFunc(n.store.all(), func(local *localSegment) bool {
+		return !local.state().sealed || !n.removable(local.header.segment, local.header.createdUnixMs)
 	})
-	for _, held := range unused {
-		if err := n.store.remove(held); err != nil {
-			log.WithError(err).Warn("cannot remove a segment")
+	for _, local := range unused {
+		if err := n.store.remove(local); err != nil {
+			log.WithError(err).Warn("cannot remove segment")
 			continue
 		}
-		n.count(func(counted *statistics) { counted.removed++ })
+		n.updateStatistics(func(counted *statistics) { counted.removed++ })
 	}
 }
--- a/internal/segment/scrub.go
+++ b/internal/segment/scrub.go
@@ -8,23 +8,23 @@
 	"golang.org/x/time/rate"
 )
 
-// Scrub verifies all segments of this disk, at the repair rate, and mends what is
-// damaged from peers.
+// Scrub verifies all segments of this disk, limited to the repair rate, and repairs
+// damaged spans from peers.
 func (n *Node) Scrub(ctx context.Context) {
-	for _, held := range n.store.all() {
+	for _, local := range n.store.all() {
 		if ctx.Err() != nil {
 			return
 		}
-		n.scrubOne(ctx, held)
+		n.scrubSegment(ctx, local)
 	}
 }
 
-func (n *Node) scrubOne(ctx context.Context, held *localSegment) {
-	end := held.extent().durable
-	source := limitedReader{ctx: ctx, source: held.file, limiter: n.limiter}
+func (n *Node) scrubSegment(ctx context.Context, local *localSegment) {
+	end := local.state().durable
+	source := limitedReader{ctx: ctx, source: local.file, limiter: n.limiter}
 	spans, err := scan(source, 0, end)
 	if err != nil {
-		log.WithError(err).WithField("segment", segmentKey(held.header.segment)).Warn("cannot verify a segment")
+		log.WithError(err).WithField("segment", segmentKey(local.header.segment)).Warn("cannot verify segment")
 		return
 	}
 	damaged := damagedSpans(spans)
@@ -32,14 +32,14 @@
 		return
 	}
 	for _, found := range damaged {
-		n.count(func(counted *statistics) { counted.damaged += uint64(found.end - found.start) })
+		n.updateStatistics(func(counted *statistics) { counted.damaged += uint64(found.end - found.start) })
 	}
-	log.WithField("segment", segmentKey(held.header.segment)).Warn("a segment is damaged; it is copied again from a peer")
-	held.setDamaged(damaged, 0)
-	n.mend(ctx, held)
+	log.WithField("segment", segmentKey(local.header.segment)).Warn("segment is damaged; repairing it from a peer")
+	local.setDamaged(damaged, 0)
+	n.repairDamage(ctx, local)
 }
 
-// limitedReader reads at a bounded rate.
+// limitedReader is an io.ReaderAt with a rate limit.
 type limitedReader struct {
 	ctx     context.Context
 	source  io.ReaderAt
@@ -54,63 +54,64 @@
 	return l.source.ReadAt(into, position)
 }
 
-// mend copies the damaged spans of a segment again; spans that no peer holds
-// intact are kept for the next round.
-func (n *Node) mend(ctx context.Context, held *localSegment) {
-	damaged := held.extent().damaged
+// repairDamage replaces the damaged spans of a segment by a peer's bytes; spans that
+// cannot be repaired are kept for the next round.
+func (n *Node) repairDamage(ctx context.Context, local *localSegment) {
+	damaged := local.state().damaged
 	if len(damaged) == 0 {
 		return
 	}
 	var left []span
 	irreparable := int64(0)
 	for _, wanted := range damaged {
-		outcome := n.mendSpan(ctx, held, wanted)
-		if outcome != spanMended {
+		outcome := n.repairSpan(ctx, local, wanted)
+		if outcome != spanRepaired {
 			left = append(left, wanted)
 		}
 		if outcome == spanIrreparable && (irreparable == 0 || wanted.start < irreparable) {
 			irreparable = wanted.start
 		}
 	}
-	held.setDamaged(left, irreparable)
+	local.setDamaged(left, irreparable)
 }
 
-// mendOutcome is what became of a damaged span.
-type mendOutcome int
+// repairOutcome is the result of the repair of a damaged span.
+type repairOutcome int
 
 const (
-	// spanMended spans are intact again.
-	spanMended mendOutcome = iota
-	// spanLeft spans are tried again: a peer did not answer.
-	spanLeft
-	// spanIrreparable spans are intact at no machine.
+	// spanRepaired means that the span is intact again.
+	spanRepaired repairOutcome = iota
+	// spanPending means that the repair is retried: a peer did not answer, or the
+	// local write failed.
+	spanPending
+	// spanIrreparable means that no machine has an intact copy of the span.
 	spanIrreparable
 )
 
-func (n *Node) mendSpan(ctx context.Context, held *localSegment, wanted span) mendOutcome {
+func (n *Node) repairSpan(ctx context.Context, local *localSegment, wanted span) repairOutcome {
 	outcome := spanIrreparable
-	for _, candidate := range n.likelyHolders(held.header.segment) {
+	for _, candidate := range n.peersByPriority(local.header.segment) {
 		length := wanted.end - wanted.start
-		data, err := candidate.read(ctx, n.options.Now, held.header.segment, wanted.start, length)
+		data, err := candidate.read(ctx, n.options.Now, local.header.segment, wanted.start, length)
 		if err != nil {
-			outcome = spanLeft
+			outcome = spanPending
 			continue
 		}
-		if int64(len(data)) != length || verifyWhole(data, wanted.start) != nil {
+		if int64(len(data)) != length || verifyRecords(data, wanted.start) != nil {
 			continue
 		}
-		if err := held.patch(wanted.start, data); err != nil {
-			log.WithError(err).Warn("cannot mend a segment")
-			return spanLeft
+		if err := local.overwrite(wanted.start, data); err != nil {
+			log.WithError(err).Warn("cannot write repaired data to segment")
+			return spanPending
 		}
-		n.count(func(counted *statistics) { counted.repaired += uint64(length) })
-		return spanMended
+		n.updateStatistics(func(counted *statistics) { counted.repaired += uint64(length) })
+		return spanRepaired
 	}
 	return outcome
 }
 
-// patch replaces damaged bytes and syncs.
-func (l *localSegment) patch(offset int64, data []byte) error {
+// overwrite replaces damaged bytes and syncs the file.
+func (l *localSegment) overwrite(offset int64, data []byte) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.broken || offset+int64(len(data)) > l.length {
--- a/internal/segment/segment_test.go
+++ b/internal/segment/segment_test.go
@@ -19,14 +19,14 @@
 )
 
 const (
-	// repairTime is enough for orphans to be sealed, missing copies to be made
-	// and damage to be found and mended.
-	repairTime = 10 * time.Minute
-	// storeTime bounds one store.
-	storeTime = 20 * time.Second
+	// repairTimeout covers sealing orphans, copying missing data, and finding and
+	// repairing damage.
+	repairTimeout = 10 * time.Minute
+	// storeTimeout bounds one Store call.
+	storeTimeout = 20 * time.Second
 )
 
-// machine is one machine of the test's cluster.
+// machine is one machine of a cluster.
 type machine struct {
 	name   string
 	disk   *disk
@@ -36,16 +36,15 @@
 	frozen chan struct{}
 }
 
-// world is a cluster with an oracle of what was acknowledged.
-type world struct {
+// cluster is a set of machines with the bodies that they acknowledged.
+type cluster struct {
 	mutex    sync.Mutex
 	random   *rand.Rand
 	machines []*machine
 	stored   []storedBody
-	// spoiled names the machines whose disk was lost or damaged since the last
-	// repair.
-	spoiled map[int]bool
-	// damaged tells that a disk was damaged, which only scrubbing finds.
+	// impaired has the machines whose disk was lost or damaged since the last repair.
+	impaired map[int]bool
+	// damaged is set when a disk was damaged, which only scrubbing detects.
 	damaged bool
 }
 
@@ -54,29 +53,29 @@
 	body      []byte
 }
 
-func newWorld(count int, seed uint64) *world {
-	w := &world{random: rand.New(rand.NewPCG(seed, 1)), spoiled: make(map[int]bool)}
+func newCluster(count int, seed uint64) *cluster {
+	c := &cluster{random: rand.New(rand.NewPCG(seed, 1)), impaired: make(map[int]bool)}
 	for index := range count {
-		w.machines = append(w.machines, &machine{name: fmt.Sprintf("machine-%d", index), disk: newDisk()})
+		c.machines = append(c.machines, &machine{name: fmt.Sprintf("machine-%d", index), disk: newDisk()})
 	}
 	for index := range count {
-		w.start(index)
+		c.start(index)
 	}
-	return w
+	return c
 }
 
-// link is the way from one machine to another; it fails while the other is down
-// and hangs while it is frozen.
+// link is the client of a machine's segment service. Calls fail while the machine
+// is down and block while it is frozen.
 type link struct {
-	world  *world
-	target int
+	cluster *cluster
+	target  int
 }
 
 func (l link) service(ctx context.Context) (rockwindpb.SegmentService, error) {
-	l.world.mutex.Lock()
-	target := l.world.machines[l.target]
+	l.cluster.mutex.Lock()
+	target := l.cluster.machines[l.target]
 	node, frozen := target.node, target.frozen
-	l.world.mutex.Unlock()
+	l.cluster.mutex.Unlock()
 	if node == nil {
 		return nil, fault.New(fault.Unavailable, "the machine is down", "start it")
 	}
@@ -127,18 +126,18 @@
 	return service.Retain(ctx, request)
 }
 
-func (w *world) start(index int) {
-	starting := w.machines[index]
+func (c *cluster) start(index int) {
+	starting := c.machines[index]
 	if starting.node != nil {
 		return
 	}
 	options := segment.Options{
 		Machine: starting.name, DiskID: starting.name, Files: starting.disk,
-		SegmentBytes: 4096, ScrubInterval: time.Minute, Random: w.random.Uint64,
+		SegmentBytes: 4096, ScrubInterval: time.Minute, Random: c.random.Uint64,
 	}
-	for other := range w.machines {
+	for other := range c.machines {
 		if other != index {
-			options.Peers = append(options.Peers, segment.Peer{Machine: w.machines[other].name, Service: link{w, other}})
+			options.Peers = append(options.Peers, segment.Peer{Machine: c.machines[other].name, Service: link{c, other}})
 		}
 	}
 	node, err := segment.Open(options)
@@ -147,44 +146,44 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	w.mutex.Lock()
+	c.mutex.Lock()
 	starting.node, starting.stop, starting.ended, starting.frozen = node, stop, ended, nil
-	w.mutex.Unlock()
+	c.mutex.Unlock()
 	go func() {
 		defer close(ended)
 		_ = node.Run(ctx)
 	}()
 }
 
-// kill ends a machine in the middle of whatever it does.
-func (w *world) kill(index int) {
-	killed := w.machines[index]
+// kill crashes a machine and its disk.
+func (c *cluster) kill(index int) {
+	killed := c.machines[index]
 	if killed.node == nil {
 		return
 	}
-	crashed := killed.disk.crash(w.random)
-	w.mutex.Lock()
+	crashed := killed.disk.crash(c.random)
+	c.mutex.Lock()
 	killed.node, killed.disk = nil, crashed
-	w.mutex.Unlock()
+	c.mutex.Unlock()
 	killed.stop()
 	<-killed.ended
 }
 
-// store stores bodies at a machine and keeps those that are acknowledged. The
-// call may be cut short by a kill of any machine.
-func (w *world) store(index int, killed int) {
-	node := w.machines[index].node
+// store stores random bodies at a machine and records the acknowledged ones. A
+// machine is killed during the call unless killed is negative.
+func (c *cluster) store(index int, killed int) {
+	node := c.machines[index].node
 	if node == nil {
 		return
 	}
-	bodies := make([][]byte, 1+w.random.IntN(4))
+	bodies := make([][]byte, 1+c.random.IntN(4))
 	for position := range bodies {
-		bodies[position] = make([]byte, w.random.IntN(600))
+		bodies[position] = make([]byte, c.random.IntN(600))
 		for at := range bodies[position] {
-			bodies[position][at] = byte(w.random.Uint32())
+			bodies[position][at] = byte(c.random.Uint32())
 		}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), storeTime)
+	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
 	done := make(chan []*rockwindpb.BodyReference, 1)
 	go func() {
@@ -192,62 +191,63 @@
 		done <- references
 	}()
 	if killed >= 0 {
-		w.kill(killed)
+		c.kill(killed)
 	}
 	for position, reference := range <-done {
-		w.stored = append(w.stored, storedBody{reference: reference, body: bodies[position]})
+		c.stored = append(c.stored, storedBody{reference: reference, body: bodies[position]})
 	}
 }
 
-// startAll starts what is down and thaws what is frozen.
-func (w *world) startAll() {
-	for index, known := range w.machines {
+// startAll starts the machines that are down, unfreezes the frozen ones and frees
+// the full disks.
+func (c *cluster) startAll() {
+	for index, known := range c.machines {
 		known.disk.setFull(false)
-		w.mutex.Lock()
+		c.mutex.Lock()
 		known.frozen = nil
-		w.mutex.Unlock()
-		w.start(index)
+		c.mutex.Unlock()
+		c.start(index)
 	}
 }
 
-// repair waits until a machine says that all copies are made again. As much may
-// then be lost at once; damage, though, shows only after the next scrub.
-func (w *world) repair() error {
-	w.startAll()
-	if w.damaged {
-		time.Sleep(repairTime)
-		w.damaged = false
+// repair waits until a machine reports that all copies are repaired. Damage must be
+// given time to be found by a scrub first.
+func (c *cluster) repair() error {
+	c.startAll()
+	if c.damaged {
+		time.Sleep(repairTimeout)
+		c.damaged = false
 	}
-	asked := w.machines[w.random.IntN(len(w.machines))].node
-	for range repairTime / time.Second {
+	asked := c.machines[c.random.IntN(len(c.machines))].node
+	for range repairTimeout / time.Second {
 		if asked.Copies(context.Background()).GetRepaired() {
-			clear(w.spoiled)
+			clear(c.impaired)
 			return nil
 		}
 		time.Sleep(time.Second)
 	}
-	return fmt.Errorf("not repaired in %s: %v", repairTime, asked.Copies(context.Background()))
+	return fmt.Errorf("not repaired in %s: %v", repairTimeout, asked.Copies(context.Background()))
 }
 
-// check reads everything acknowledged from every machine.
-func (w *world) check() error {
-	w.startAll()
-	for _, reader := range w.machines {
-		for _, wanted := range w.stored {
+// check reads every acknowledged body from every machine.
+func (c *cluster) check() error {
+	c.startAll()
+	for _, reader := range c.machines {
+		for _, wanted := range c.stored {
 			read, err := reader.node.Read(context.Background(), []*rockwindpb.BodyReference{wanted.reference})
 			if err != nil {
 				return fmt.Errorf("%s cannot read segment %x at %d: %w", reader.name, wanted.reference.GetSegment(), wanted.reference.GetOffset(), err)
 			}
 			if !bytes.Equal(read[0], wanted.body) {
-				return fmt.Errorf("%s reads other bytes", reader.name)
+				return fmt.Errorf("%s reads different bytes", reader.name)
 			}
 		}
 	}
 	return nil
 }
 
-// action is one step of a run; what it does follows from numbers drawn before
-// the run, so that a failing run shrinks.
+// action is one step of a run. It is drawn before the run, so that rapid can shrink
+// a failing run.
 type action struct {
 	Kind    int
 	Machine int
@@ -264,112 +264,112 @@
 	actionFillDisk
 	actionWait
 	actionRepair
-	actionLoseRound
+	actionLossRound
 	actionDamageRound
-	actionNarrowRound
+	actionMinorityDownRound
 	actionKinds
 )
 
-// perform runs one action. Disks are lost or damaged only as far as the copies
-// of an acknowledged body must survive.
-func (w *world) perform(step action, survivable int) error {
-	index := step.Machine % len(w.machines)
-	maySpoil := w.spoiled[index] || len(w.spoiled) < survivable
+// perform runs one action. At most survivable disks are lost or damaged between two
+// repairs.
+func (c *cluster) perform(step action, survivable int) error {
+	index := step.Machine % len(c.machines)
+	mayImpair := c.impaired[index] || len(c.impaired) < survivable
 	switch step.Kind {
 	case actionStore:
-		w.store(index, -1)
+		c.store(index, -1)
 	case actionStoreAndKill:
-		w.store(index, w.random.IntN(len(w.machines)))
+		c.store(index, c.random.IntN(len(c.machines)))
 	case actionKill:
-		w.kill(index)
+		c.kill(index)
 	case actionStart:
-		w.start(index)
+		c.start(index)
 	case actionLoseDisk:
-		if maySpoil {
-			w.loseDisk(index)
+		if mayImpair {
+			c.loseDisk(index)
 		}
 	case actionDamage:
-		if maySpoil {
-			w.damageDisk(index)
+		if mayImpair {
+			c.damageDisk(index)
 		}
 	case actionFreeze:
-		w.mutex.Lock()
-		w.machines[index].frozen = make(chan struct{})
-		w.mutex.Unlock()
+		c.mutex.Lock()
+		c.machines[index].frozen = make(chan struct{})
+		c.mutex.Unlock()
 	case actionFillDisk:
-		w.machines[index].disk.setFull(true)
+		c.machines[index].disk.setFull(true)
 	case actionWait:
 		time.Sleep(7 * time.Second)
 	case actionRepair:
-		return errors.Join(w.repair(), w.check())
-	case actionLoseRound:
-		return w.round(index, survivable, w.loseDisk)
+		return errors.Join(c.repair(), c.check())
+	case actionLossRound:
+		return c.lossRound(index, survivable, c.loseDisk)
 	case actionDamageRound:
-		return w.round(index, survivable, w.damageDisk)
-	case actionNarrowRound:
-		return w.narrowRound(index, survivable)
+		return c.lossRound(index, survivable, c.damageDisk)
+	case actionMinorityDownRound:
+		return c.minorityDownRound(index, survivable)
 	}
 	return nil
 }
 
-// round spoils as many disks as must be survived, from one machine on, and lets
-// them be repaired, so that a next round shows whether the repair was whole.
-func (w *world) round(first, survivable int, spoil func(int)) error {
-	w.store(first, -1)
-	if err := w.repair(); err != nil {
+// lossRound impairs the maximum number of disks and waits for their repair; the
+// next round then fails if the repair was incomplete.
+func (c *cluster) lossRound(first, survivable int, impair func(int)) error {
+	c.store(first, -1)
+	if err := c.repair(); err != nil {
 		return err
 	}
 	for offset := range survivable {
-		spoil((first + offset) % len(w.machines))
+		impair((first + offset) % len(c.machines))
 	}
-	return errors.Join(w.check(), w.repair())
+	return errors.Join(c.check(), c.repair())
 }
 
-// narrowRound stores while as many machines are down as can be, and then loses
-// disks of those that took the bodies.
-func (w *world) narrowRound(first, survivable int) error {
-	if err := w.repair(); err != nil {
+// minorityDownRound stores bodies while a minority of the machines is down, and then
+// loses disks of machines that acknowledged them.
+func (c *cluster) minorityDownRound(first, survivable int) error {
+	if err := c.repair(); err != nil {
 		return err
 	}
-	count := len(w.machines)
+	count := len(c.machines)
 	for offset := range survivable {
-		w.kill((first + 1 + offset) % count)
+		c.kill((first + 1 + offset) % count)
 	}
-	w.store(first, -1)
-	w.loseDisk(first)
+	c.store(first, -1)
+	c.loseDisk(first)
 	for offset := range survivable - 1 {
-		w.loseDisk((first + 1 + survivable + offset) % count)
+		c.loseDisk((first + 1 + survivable + offset) % count)
 	}
-	return errors.Join(w.check(), w.repair())
+	return errors.Join(c.check(), c.repair())
 }
 
-func (w *world) loseDisk(index int) {
-	w.kill(index)
-	w.machines[index].disk = newDisk()
-	w.spoiled[index] = true
-	w.start(index)
+func (c *cluster) loseDisk(index int) {
+	c.kill(index)
+	c.machines[index].disk = newDisk()
+	c.impaired[index] = true
+	c.start(index)
 }
 
-// damagedBytes is how many bytes one action changes.
+// damagedBytes is the number of bytes that damageDisk changes.
 const damagedBytes = 5
 
-func (w *world) damageDisk(index int) {
+func (c *cluster) damageDisk(index int) {
 	for range damagedBytes {
-		w.machines[index].disk.damage(w.random)
+		c.machines[index].disk.damage(c.random)
 	}
-	w.spoiled[index] = true
-	w.damaged = true
+	c.impaired[index] = true
+	c.damaged = true
 }
 
-func (w *world) end() {
-	for index := range w.machines {
-		w.kill(index)
+func (c *cluster) end() {
+	for index := range c.machines {
+		c.kill(index)
 	}
 }
 
-// TestAcknowledgedBodiesStayReadable drives clusters through kills, torn writes,
-// lost and damaged disks, frozen machines and full disks, and checks that every
-// acknowledged body is readable from every machine.
+// TestAcknowledgedBodiesStayReadable checks that every acknowledged body stays
+// readable from every machine through crashes, torn writes, lost, damaged and full
+// disks, and frozen machines.
 func TestAcknowledgedBodiesStayReadable(t *testing.T) {
 	for _, size := range []struct{ machines, survivable int }{{3, 1}, {5, 2}} {
 		t.Run(fmt.Sprintf("%d machines", size.machines), func(t *testing.T) {
@@ -381,7 +381,7 @@
 						Machine: rapid.IntRange(0, size.machines-1).Draw(rt, "machine"),
 					}
 				}), 1, 40).Draw(rt, "steps")
-				if err := runWorld(t, size.machines, size.survivable, seed, steps); err != nil {
+				if err := runCluster(t, size.machines, size.survivable, seed, steps); err != nil {
 					rt.Fatal(err)
 				}
 			})
@@ -389,41 +389,40 @@
 	}
 }
 
-func runWorld(t *testing.T, machines, survivable int, seed uint64, steps []action) (failure error) {
+func runCluster(t *testing.T, machines, survivable int, seed uint64, steps []action) (failure error) {
 	synctest.Test(t, func(*testing.T) {
-		w := newWorld(machines, seed)
-		defer w.end()
+		c := newCluster(machines, seed)
+		defer c.end()
 		for _, step := range steps {
-			if failure = w.perform(step, survivable); failure != nil {
+			if failure = c.perform(step, survivable); failure != nil {
 				return
 			}
 		}
-		failure = w.check()
+		failure = c.check()
 	})
 	return failure
 }
 
-// TestRepairOutlivesASilentMachine lets one machine stand still, in silence,
-// while the others repair. Once it goes on, a repair must make all copies again
-// that the loss of two disks took, so that two more may be lost.
+// TestRepairOutlivesASilentMachine checks that repair replaces all lost copies after
+// a machine was frozen while the others ran repair rounds.
 func TestRepairOutlivesASilentMachine(t *testing.T) {
 	const machines, survivable, silent = 5, 2, 4
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(machines, 1)
-		defer w.end()
-		if err := w.perform(action{Kind: actionFreeze, Machine: silent}, survivable); err != nil {
+		c := newCluster(machines, 1)
+		defer c.end()
+		if err := c.perform(action{Kind: actionFreeze, Machine: silent}, survivable); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Minute)
-		w.startAll()
+		c.startAll()
 		for first := range machines {
-			w.store(first, -1)
-			if err := w.round(first, survivable, w.loseDisk); err != nil {
+			c.store(first, -1)
+			if err := c.lossRound(first, survivable, c.loseDisk); err != nil {
 				t.Fatalf("round %d: %v", first, err)
 			}
-			for _, stored := range w.stored {
-				if holders := w.holders(t, stored.reference); holders < survivable+1 {
-					t.Fatalf("round %d: %d copies are left after a repair", first, holders)
+			for _, stored := range c.stored {
+				if holders := c.holders(t, stored.reference); holders < survivable+1 {
+					t.Fatalf("round %d: only %d copies after a repair", first, holders)
 				}
 			}
 		}
--- a/internal/segment/service.go
+++ b/internal/segment/service.go
@@ -11,13 +11,14 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// listPage is how many segments one List call returns.
-const listPage = 4096
+// listPageSize is the maximum number of segments that one List call returns.
+const listPageSize = 4096
 
-// BodyService returns the service that daemons store and read bodies with.
+// BodyService returns the service for storing and reading bodies.
 func (n *Node) BodyService() rockwindpb.BodyService { return bodyService{n} }
 
-// SegmentService returns the service that machines with disks speak.
+// SegmentService returns the service that the machines with disks use among each
+// other.
 func (n *Node) SegmentService() rockwindpb.SegmentService { return segmentService{n} }
 
 type bodyService struct{ node *Node }
@@ -42,8 +43,8 @@
 
 type segmentService struct{ node *Node }
 
-// Append implements rockwindpb.SegmentService. An append that does not follow on
-// what is held changes nothing and answers how much is held.
+// Append implements rockwindpb.SegmentService. An append that would leave a gap
+// changes nothing; the response has the length held.
 func (s segmentService) Append(_ context.Context, request *rockwindpb.AppendSegmentRequest) (*rockwindpb.AppendSegmentResponse, error) {
 	durable, err := s.node.appendCopy(request)
 	if err != nil {
@@ -54,86 +55,86 @@
 
 func (n *Node) appendCopy(request *rockwindpb.AppendSegmentRequest) (int64, error) {
 	offset := int64(request.GetOffset())
-	if err := verifyWhole(request.GetData(), offset); err != nil {
+	if err := verifyRecords(request.GetData(), offset); err != nil {
 		return 0, err
 	}
-	held, err := n.heldOrCreated(request)
-	if err != nil || held == nil {
+	local, err := n.findOrCreate(request)
+	if err != nil || local == nil {
 		return 0, err
 	}
-	before := held.extent()
+	before := local.state()
 	end := offset + int64(len(request.GetData()))
 	if before.sealed && end > before.length {
-		return 0, fault.New(fault.Conflict, "the segment is sealed", "go on in another segment")
+		return 0, fault.New(fault.Conflict, "the segment is sealed", "continue in another segment")
 	}
 	if offset > before.length {
 		return before.durable, nil
 	}
-	if err := held.write(offset, request.GetData(), n.options.Now()); err != nil {
+	if err := local.write(offset, request.GetData(), n.options.Now()); err != nil {
 		return 0, err
 	}
-	if err := held.sync(); err != nil {
+	if err := local.sync(); err != nil {
 		return 0, err
 	}
-	if request.GetSealed() && end == held.extent().length {
-		if err := held.seal(); err != nil {
+	if request.GetSealed() && end == local.state().length {
+		if err := local.seal(); err != nil {
 			return 0, err
 		}
 	}
-	return held.extent().durable, nil
+	return local.state().durable, nil
 }
 
-// heldOrCreated returns the segment of an append, nil where it is unknown and
-// the append does not start it.
-func (n *Node) heldOrCreated(request *rockwindpb.AppendSegmentRequest) (*localSegment, error) {
-	held := n.store.find(request.GetSegment())
-	if held != nil || request.GetOffset() != 0 || len(request.GetData()) == 0 {
-		return held, nil
+// findOrCreate returns the segment of an append, or nil if there is none and the
+// append does not contain its start.
+func (n *Node) findOrCreate(request *rockwindpb.AppendSegmentRequest) (*localSegment, error) {
+	local := n.store.find(request.GetSegment())
+	if local != nil || request.GetOffset() != 0 || len(request.GetData()) == 0 {
+		return local, nil
 	}
 	header, valid := decodeFileHeader(request.GetData())
 	if !valid || header.segment != request.GetSegment() {
-		return nil, fault.New(fault.Corrupt, "the header of the segment is damaged", "send it again")
+		return nil, fault.New(fault.Corrupt, "the segment header is damaged", "send it again")
 	}
 	return n.store.create(header)
 }
 
-// bytesAt is a window of a segment file in memory.
-type bytesAt struct {
+// offsetReader is an io.ReaderAt for a part of a segment file in memory.
+type offsetReader struct {
 	base int64
 	data []byte
 }
 
 // ReadAt implements io.ReaderAt.
-func (b bytesAt) ReadAt(into []byte, position int64) (int, error) {
+func (b offsetReader) ReadAt(into []byte, position int64) (int, error) {
 	if position < b.base {
 		return 0, io.EOF
 	}
 	return bytes.NewReader(b.data).ReadAt(into, position-b.base)
 }
 
-// verifyWhole checks that data, which stands at an offset, is whole records.
-func verifyWhole(data []byte, offset int64) error {
+// verifyRecords checks that data, read at offset, consists of whole valid records.
+func verifyRecords(data []byte, offset int64) error {
 	if len(data) == 0 {
 		return nil
 	}
 	end := offset + int64(len(data))
-	spans, err := scan(bytesAt{base: offset, data: data}, offset, end)
+	spans, err := scan(offsetReader{base: offset, data: data}, offset, end)
 	if err != nil {
 		return err
 	}
 	if intactPrefix(spans, offset) != end {
-		return fault.New(fault.Corrupt, "the bytes of the segment were damaged on their way", "send them again")
+		return fault.New(fault.Corrupt, "the segment data was damaged in transit", "send them again")
 	}
 	return nil
 }
 
 // Read implements rockwindpb.SegmentService.
 func (s segmentService) Read(_ context.Context, request *rockwindpb.ReadSegmentRequest) (*rockwindpb.ReadSegmentResponse, error) {
-	held := s.node.store.find(request.GetSegment())
-	if held == nil || request.GetLength() > MaximumBodyBytes+recordHeaderBytes {
+	local := s.node.store.find(request.GetSegment())
+	if local == nil || request.GetLength() > MaximumBodyBytes+recordHeaderBytes {
 		return &rockwindpb.ReadSegmentResponse{}, nil
 	}
-	data, err := held.read(int64(request.GetOffset()), int(request.GetLength()))
+	data, err := local.read(int64(request.GetOffset()), int(request.GetLength()))
 	if err != nil {
 		return nil, fault.ToTwirp(err)
 	}
@@ -148,26 +149,26 @@
 			response.Segments = append(response.Segments, summary)
 		}
 	}
-	if len(response.Segments) > listPage {
-		response.Segments = response.Segments[:listPage]
+	if len(response.Segments) > listPageSize {
+		response.Segments = response.Segments[:listPageSize]
 	}
 	return response, nil
 }
 
-// summaries describes the segments of this disk, in the order of their ids.
+// summaries returns summaries of the segments of this disk, ordered by id.
 func (n *Node) summaries() []*rockwindpb.SegmentSummary {
 	var summaries []*rockwindpb.SegmentSummary
-	for _, held := range n.store.all() {
-		extent := held.extent()
+	for _, local := range n.store.all() {
+		state := local.state()
 		summaries = append(summaries, &rockwindpb.SegmentSummary{
-			Segment:       held.header.segment,
-			Length:        uint64(extent.durable),
-			WrittenLength: uint64(extent.length),
-			Sealed:        extent.sealed,
-			CreatedUnixMs: held.header.createdUnixMs,
-
-			Damaged:         len(extent.damaged) > 0 && extent.irreparable == 0,
-			IrreparableFrom: uint64(extent.irreparable),
+			Segment:       local.header.segment,
+			Length:        uint64(state.durable),
+			WrittenLength: uint64(state.length),
+			Sealed:        state.sealed,
+			CreatedUnixMs: local.header.createdUnixMs,
+
+			Damaged:         len(state.damaged) > 0 && state.irreparable == 0,
+			IrreparableFrom: uint64(state.irreparable),
 		})
 	}
 	slices.SortFunc(summaries, func(left, right *rockwindpb.SegmentSummary) int {
--- a/internal/segment/store.go
+++ b/internal/segment/store.go
@@ -18,7 +18,7 @@
 	sealedSuffix = ".seg"
 )
 
-// localStore holds the segments of one disk.
+// localStore manages the segments of one disk.
 type localStore struct {
 	files FileSystem
 	now   func() time.Time
@@ -27,33 +27,33 @@
 	segments map[uint64]*localSegment
 }
 
-// localSegment is one segment of this disk.
+// localSegment is this machine's copy of a segment.
 type localSegment struct {
 	files  FileSystem
 	header fileHeader
 
 	mutex sync.Mutex
 	file  File
-	// length counts the bytes written and checked, durable those synced.
+	// length is the number of valid bytes written, durable of those synced.
 	length  int64
 	durable int64
 	sealed  bool
-	// broken segments are not written to after a failed write or sync, until they
-	// are restored.
+	// broken is set after a failed write or sync; nothing is written until restore
+	// succeeds.
 	broken bool
-	// breaks counts how often it was broken. The writer appends nothing to a segment
-	// that ever was: followers may hold bytes that this copy lost.
-	breaks  int
-	touched time.Time
-	damaged []span
-	// irreparable is where the first damage begins that no machine holds intact,
-	// zero where there is none.
+	// writeFailures counts how often the segment became broken. The writer abandons
+	// it after the first time: followers may hold bytes that this copy lost.
+	writeFailures int
+	lastWrite     time.Time
+	damaged       []span
+	// irreparable is the start of the first damaged span that no machine has intact,
+	// or zero.
 	irreparable int64
 }
 
-// openLocalStore reads the folder. Tails of open segments that hold no valid
-// record are cut; damage before a valid record is kept for the repairer. Sealed
-// segments are not read: the scrubber verifies them.
+// openLocalStore loads all segments of the folder. An invalid tail of an open
+// segment is truncated; damage before a valid record is left to repair. Sealed
+// segments are not scanned: the scrubber verifies them.
 func openLocalStore(files FileSystem, now func() time.Time) (*localStore, error) {
 	opened := &localStore{files: files, now: now, segments: make(map[uint64]*localSegment)}
 	names, err := files.List()
@@ -81,7 +81,7 @@
 	if err != nil {
 		return err
 	}
-	loaded := &localSegment{files: s.files, header: fileHeader{segment: id}, file: file, sealed: sealed, touched: s.now()}
+	loaded := &localSegment{files: s.files, header: fileHeader{segment: id}, file: file, sealed: sealed, lastWrite: s.now()}
 	usable, err := loaded.recover(size)
 	if err != nil {
 		return err
@@ -93,7 +93,8 @@
 	return nil
 }
 
-// recover finds the length of a segment and tells whether it holds anything.
+// recover determines the header, length and damage of a segment. A segment that is
+// not usable is to be removed.
 func (l *localSegment) recover(size int64) (usable bool, err error) {
 	encoded := make([]byte, fileHeaderBytes)
 	if size < fileHeaderBytes {
@@ -115,20 +116,20 @@
 	if err != nil {
 		return false, err
 	}
-	return l.cutTail(spans)
+	return l.truncateTail(spans)
 }
 
-func (l *localSegment) cutTail(spans []span) (usable bool, err error) {
+func (l *localSegment) truncateTail(spans []span) (usable bool, err error) {
 	last := spans[len(spans)-1]
 	if !last.valid {
 		if err := l.file.Truncate(last.start); err != nil {
-			return false, errors.Wrap(err, "cut a torn tail")
+			return false, errors.Wrap(err, "truncate torn tail")
 		}
 		l.length = last.start
 		spans = spans[:len(spans)-1]
 	}
 	if err := l.file.Sync(); err != nil {
-		return false, errors.Wrap(err, "sync a recovered segment")
+		return false, errors.Wrap(err, "sync recovered segment")
 	}
 	l.durable = l.length
 	l.damaged = damagedSpans(spans)
@@ -151,7 +152,7 @@
 	return id, isSealed, err == nil
 }
 
-// find returns the segment, or nil.
+// find returns a segment, or nil if there is none.
 func (s *localStore) find(id uint64) *localSegment {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -169,8 +170,8 @@
 	return result
 }
 
-// create makes a new empty segment; the header is written as its first bytes.
-// An existing segment is returned as it is.
+// create creates a segment with just the file header, which is not synced. An
+// existing segment is returned unchanged.
 func (s *localStore) create(header fileHeader) (*localSegment, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -181,7 +182,7 @@
 	if err != nil {
 		return nil, diskFault(err)
 	}
-	created := &localSegment{files: s.files, header: header, file: file, touched: s.now()}
+	created := &localSegment{files: s.files, header: header, file: file, lastWrite: s.now()}
 	if _, err := file.WriteAt(header.encode(), 0); err != nil {
 		cleanup := errors.CombineErrors(file.Close(), s.files.Remove(openName(header.segment)))
 		return nil, diskFault(errors.CombineErrors(err, cleanup))
@@ -191,7 +192,7 @@
 	return created, nil
 }
 
-// remove deletes a segment.
+// remove closes a segment and deletes its file.
 func (s *localStore) remove(target *localSegment) error {
 	s.mutex.Lock()
 	delete(s.segments, target.header.segment)
@@ -206,7 +207,6 @@
 	return errors.CombineErrors(target.file.Close(), s.files.Remove(name))
 }
 
-// close closes all files.
 func (s *localStore) close() error {
 	var failure error
 	for _, open := range s.all() {
@@ -215,8 +215,8 @@
 	return failure
 }
 
-// write puts data at an offset, which must be the length of the segment; data
-// that is there already is left alone. Nothing is synced.
+// write appends data, which starts at offset; bytes that the segment has already
+// are skipped, and a gap is an error. Nothing is synced.
 func (l *localSegment) write(offset int64, data []byte, now time.Time) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -225,8 +225,8 @@
 			"store the body again; another segment takes it")
 	}
 	if offset > l.length {
-		return fault.Newf(fault.Conflict, "send the bytes before first",
-			"append at %d leaves a gap after %d", offset, l.length)
+		return fault.Newf(fault.Conflict, "send the preceding bytes first",
+			"append at offset %d leaves a gap after offset %d", offset, l.length)
 	}
 	present := l.length - offset
 	if present >= int64(len(data)) {
@@ -237,7 +237,7 @@
 		return diskFault(errors.CombineErrors(err, l.file.Truncate(l.durable)))
 	}
 	l.length = offset + int64(len(data))
-	l.touched = now
+	l.lastWrite = now
 	return nil
 }
 
@@ -245,7 +245,7 @@
 func (l *localSegment) sync() error {
 	l.mutex.Lock()
 	target := l.length
-	broken, breaks := l.broken, l.breaks
+	broken, writeFailures := l.broken, l.writeFailures
 	l.mutex.Unlock()
 	if broken {
 		return fault.New(fault.Unavailable, "the segment is not written to after a failed write",
@@ -255,27 +255,27 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if err != nil {
-		// The kernel may have dropped the pages: nothing after the last sync counts.
+		// The kernel may have dropped dirty pages: only what was synced before is safe.
 		l.markBroken()
 		return diskFault(err)
 	}
-	if l.breaks != breaks {
+	if l.writeFailures != writeFailures {
 		return fault.New(fault.Unavailable, "a write to the segment failed during the sync", "store the body again")
 	}
 	l.durable = max(l.durable, target)
 	return nil
 }
 
-// markBroken stops writes and forgets what was not synced. The caller holds the
+// markBroken stops writes and discards what was not synced. The caller holds the
 // mutex.
 func (l *localSegment) markBroken() {
 	l.broken = true
-	l.breaks++
+	l.writeFailures++
 	l.length = l.durable
 }
 
-// restore lets a broken copy be written again from its last synced byte on, once
-// the disk takes a cut and a sync.
+// restore makes a broken copy writable again: it truncates the file to the synced
+// length and syncs it.
 func (l *localSegment) restore() error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -292,7 +292,7 @@
 	return nil
 }
 
-// seal syncs the segment and renames it; it may still be extended by repair.
+// seal syncs the segment and renames its file; repair may still append to it.
 func (l *localSegment) seal() error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -311,30 +311,30 @@
 	return nil
 }
 
-// extent is a consistent view of a segment's lengths.
-type extent struct {
-	length  int64
-	durable int64
-	sealed  bool
-	broken  bool
-	failed  bool
-	touched time.Time
-	damaged []span
+// segmentState is a consistent copy of a segment's mutable fields.
+type segmentState struct {
+	length    int64
+	durable   int64
+	sealed    bool
+	broken    bool
+	failed    bool
+	lastWrite time.Time
+	damaged   []span
 
 	irreparable int64
 }
 
-func (l *localSegment) extent() extent {
+func (l *localSegment) state() segmentState {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return extent{
-		length: l.length, durable: l.durable, sealed: l.sealed, broken: l.broken, failed: l.breaks > 0, touched: l.touched,
+	return segmentState{
+		length: l.length, durable: l.durable, sealed: l.sealed, broken: l.broken, failed: l.writeFailures > 0, lastWrite: l.lastWrite,
 		damaged: l.damaged, irreparable: l.irreparable,
 	}
 }
 
-// setDamaged notes what is damaged, and where the first damage begins that no
-// machine holds intact.
+// setDamaged records the damaged spans, and the start of the first irreparable one
+// or zero.
 func (l *localSegment) setDamaged(damaged []span, irreparable int64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -342,9 +342,9 @@
 	l.irreparable = irreparable
 }
 
-// read returns up to length bytes from an offset, fewer at the end.
+// read returns up to length bytes from offset on, fewer at the end of the segment.
 func (l *localSegment) read(offset int64, length int) ([]byte, error) {
-	available := l.extent().length - offset
+	available := l.state().length - offset
 	if available <= 0 || offset < 0 {
 		return nil, nil
 	}
@@ -355,7 +355,7 @@
 	return data, nil
 }
 
-// diskFault is the fault for a failed write.
+// diskFault returns the fault for a failed write or sync.
 func diskFault(err error) error {
 	return fault.New(fault.Unavailable, "the disk did not take the write: "+err.Error(),
 		"free space on the disk or replace it; what was acknowledged before is kept")
--- a/internal/segment/writer.go
+++ b/internal/segment/writer.go
@@ -13,18 +13,19 @@
 )
 
 const (
-	// batchBytes bounds the bodies of one group commit.
-	batchBytes = 8 << 20
-	// commitAttempts is how many segments a batch is tried in.
-	commitAttempts = 3
-	// idleSeal is after how long without appends the writer seals its segment,
-	// so that followers need not guess whether the writer is gone.
-	idleSeal = 20 * time.Second
-	// orphanSeal is after how long without appends any holder seals a segment.
-	orphanSeal = 60 * time.Second
+	// maximumBatchBytes is the size at which a group commit takes no more calls.
+	maximumBatchBytes = 8 << 20
+	// maximumCommitAttempts bounds the attempts to commit a batch.
+	maximumCommitAttempts = 3
+	// idleSealDelay is the time without appends after which the writer seals its
+	// segment, before other machines consider it orphaned.
+	idleSealDelay = 20 * time.Second
+	// orphanSealDelay is the time without appends after which any machine seals its
+	// copy.
+	orphanSealDelay = 60 * time.Second
 )
 
-// pendingStore is one Store call that waits for the writer.
+// pendingStore is a Store call that waits for the writer.
 type pendingStore struct {
 	bodies [][]byte
 	size   int
@@ -37,8 +38,8 @@
 }
 
 // Store replicates bodies and returns their references once enough copies are
-// synced. Bodies of calls that wait together are synced together. A failed call
-// may be repeated; it leaves no reference behind.
+// synced. Concurrent calls are committed together. A failed call may be repeated:
+// no reference to its bodies exists.
 func (n *Node) Store(ctx context.Context, bodies [][]byte) ([]*rockwindpb.BodyReference, error) {
 	if len(bodies) == 0 {
 		return nil, nil
@@ -47,14 +48,14 @@
 	for _, body := range bodies {
 		if len(body) > MaximumBodyBytes {
 			return nil, fault.Newf(fault.InvalidArgument, "split the body",
-				"a body of %d bytes is longer than %d", len(body), MaximumBodyBytes)
+				"a body of %d bytes exceeds the maximum of %d", len(body), MaximumBodyBytes)
 		}
 		waiting.size += len(body)
 	}
 	select {
 	case n.pending <- waiting:
 	default:
-		return nil, fault.New(fault.Overloaded, "too many bodies wait for the disk",
+		return nil, fault.New(fault.Overloaded, "too many calls to store bodies are pending",
 			"store at another control machine or later").WithRan(fault.NotRun)
 	}
 	select {
@@ -66,17 +67,17 @@
 	}
 }
 
-// writer is the state of the goroutine that appends.
+// writer is the state of the goroutine that commits batches.
 type writer struct {
 	node    *Node
 	current *openSegment
 }
 
-// write serves Store calls until the context ends.
-func (n *Node) write(ctx context.Context) error {
+// runWriter commits the bodies of Store calls until the context ends.
+func (n *Node) runWriter(ctx context.Context) error {
 	w := &writer{node: n}
-	defer w.leave()
-	idle := time.NewTicker(idleSeal / 2)
+	defer w.finishCurrent()
+	idle := time.NewTicker(idleSealDelay / 2)
 	defer idle.Stop()
 	for {
 		select {
@@ -85,16 +86,17 @@
 		case <-idle.C:
 			w.sealIdle()
 		case first := <-n.pending:
-			w.commit(ctx, n.gather(first))
+			w.commit(ctx, n.collectBatch(first))
 		}
 	}
 }
 
-// gather takes the calls that wait, up to the bound of a batch.
-func (n *Node) gather(first *pendingStore) []*pendingStore {
+// collectBatch returns the first call and further pending ones, until the batch has
+// maximumBatchBytes.
+func (n *Node) collectBatch(first *pendingStore) []*pendingStore {
 	batch := []*pendingStore{first}
 	size := first.size
-	for size < batchBytes {
+	for size < maximumBatchBytes {
 		select {
 		case next := <-n.pending:
 			batch = append(batch, next)
@@ -106,16 +108,16 @@
 	return batch
 }
 
-// commit stores a batch and answers its calls.
+// commit stores a batch, with retries, and returns the results to its calls.
 func (w *writer) commit(ctx context.Context, batch []*pendingStore) {
 	var references []*rockwindpb.BodyReference
 	var err error
-	for range commitAttempts {
-		references, err = w.attempt(ctx, batch)
+	for range maximumCommitAttempts {
+		references, err = w.tryCommit(ctx, batch)
 		if err == nil || ctx.Err() != nil {
 			break
 		}
-		w.moveOn()
+		w.abandonFailed()
 	}
 	position := 0
 	for _, call := range batch {
@@ -128,30 +130,31 @@
 		position = next
 	}
 	if err == nil {
-		w.node.count(func(counted *statistics) { counted.stored += uint64(len(references)) })
+		w.node.updateStatistics(func(counted *statistics) { counted.stored += uint64(len(references)) })
 	}
 }
 
-func (n *Node) count(change func(*statistics)) {
+func (n *Node) updateStatistics(change func(*statistics)) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	change(&n.statistics)
 }
 
-// attempt appends a batch to the current segment and waits for enough copies.
-func (w *writer) attempt(ctx context.Context, batch []*pendingStore) ([]*rockwindpb.BodyReference, error) {
+// tryCommit appends a batch to the current segment and waits for enough synced
+// copies.
+func (w *writer) tryCommit(ctx context.Context, batch []*pendingStore) ([]*rockwindpb.BodyReference, error) {
 	open, err := w.open(ctx)
 	if err != nil {
 		return nil, err
 	}
 	local := open.local
-	start := local.extent().length
+	start := local.state().length
 	encoded, references := encodeBatch(local.header.segment, start, batch)
 	if err := local.write(start, encoded, w.node.options.Now()); err != nil {
 		return nil, err
 	}
 	end := start + int64(len(encoded))
-	open.announce(end)
+	open.setTarget(end)
 	if err := local.sync(); err != nil {
 		return nil, err
 	}
@@ -178,18 +181,18 @@
 	return encoded, references
 }
 
-// open returns the segment to append to, a new one where the current one is
-// full, old or failed.
+// open returns the segment to append to: the current one, or a new one if the
+// current one is full, old or failed.
 func (w *writer) open(ctx context.Context) (*openSegment, error) {
 	if w.current != nil && w.current.usable() {
 		return w.current, nil
 	}
-	w.leave()
+	w.finishCurrent()
 	node := w.node
 	followers := node.chooseFollowers()
-	if node.answering()+1 < node.syncedCopies() {
+	if node.availablePeers()+1 < node.commitQuorum() {
 		return nil, fault.Newf(fault.Unavailable, "start the control machines that are down, or try again in a few seconds",
-			"a body needs %d synced copies and only %d machines can take one", node.syncedCopies(), node.answering()+1).
+			"a body needs %d synced copies, but only %d machines are available", node.commitQuorum(), node.availablePeers()+1).
 			WithRetryAfter(peerPause)
 	}
 	header := fileHeader{segment: node.options.Random() >> 1, createdUnixMs: node.options.Now().UnixMilli()}
@@ -201,23 +204,23 @@
 	return w.current, nil
 }
 
-// chooseFollowers returns the machines that take copies of the next segment:
-// those that answered lately, spread by rendezvous.
+// chooseFollowers selects the followers of the next segment by rendezvous hashing
+// with a random key, without paused peers where there are enough peers.
 func (n *Node) chooseFollowers() []*peer {
 	now := n.options.Now()
 	key := strconv.FormatUint(n.options.Random(), 16)
 	candidates := slices.Clone(n.peers)
-	if len(n.peers) >= wantedCopies {
+	if len(n.peers) >= replicationFactor {
 		candidates = slices.DeleteFunc(candidates, func(candidate *peer) bool { return candidate.paused(now) })
 	}
 	slices.SortFunc(candidates, func(left, right *peer) int {
 		return cmp.Compare(ownership.Score(right.Machine, key), ownership.Score(left.Machine, key))
 	})
-	return candidates[:min(len(candidates), n.fullCopies()-1)]
+	return candidates[:min(len(candidates), n.targetCopies()-1)]
 }
 
-// answering counts the peers that did not fail lately.
-func (n *Node) answering() int {
+// availablePeers counts the peers that are not paused.
+func (n *Node) availablePeers() int {
 	now := n.options.Now()
 	count := 0
 	for _, candidate := range n.peers {
@@ -228,17 +231,18 @@
 	return count
 }
 
-// moveOn leaves a segment whose commit failed where other machines can take the
-// next one.
-func (w *writer) moveOn() {
-	others := len(w.node.peers) >= w.node.fullCopies()
+// abandonFailed finishes the current segment after a failed commit if it is no
+// longer usable, or if there are other machines to choose followers from.
+func (w *writer) abandonFailed() {
+	others := len(w.node.peers) >= w.node.targetCopies()
 	if w.current != nil && (others || !w.current.usable()) {
-		w.leave()
+		w.finishCurrent()
 	}
 }
 
-// leave seals the current segment; the lanes bring the followers up to its end.
-func (w *writer) leave() {
+// finishCurrent seals the current segment; its replicators bring the followers up to
+// its end.
+func (w *writer) finishCurrent() {
 	if w.current == nil {
 		return
 	}
@@ -250,8 +254,8 @@
 	if w.current == nil {
 		return
 	}
-	extent := w.current.local.extent()
-	if w.node.options.Now().Sub(extent.touched) >= idleSeal {
-		w.leave()
+	state := w.current.local.state()
+	if w.node.options.Now().Sub(state.lastWrite) >= idleSealDelay {
+		w.finishCurrent()
 	}
 }
