--- a/internal/secure/connection.go
+++ b/internal/secure/connection.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// handshakeTimeout bounds the handshake of a connection that this side opened.
+// handshakeTimeout bounds the handshakes of outgoing connections.
 const handshakeTimeout = 2 * time.Second
 
-// Protocols that are agreed on in the handshake.
+// ALPN protocol ids.
 const (
 	protocolHTTP1 = "http/1.1"
 	protocolHTTP2 = "h2"
 )
 
-// ServerConfig returns the configuration of a listener, for http.Server.ServeTLS.
-// Each connection gets the certificates in force when it is made. Where there is
-// an authority, clients without a certificate of its are refused. Callers may
-// speak HTTP/2; rockwind's own processes do not.
+// ServerConfig returns the TLS configuration of a listener, for http.Server.ServeTLS.
+// Each connection uses the certificates that are current at its handshake. If there
+// is a certificate authority, clients need a certificate that it signed. Callers may
+// use HTTP/2, rockwind's own processes use HTTP/1.1 only.
 func (s *CertificateSource) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
@@ -31,40 +31,40 @@
 }
 
 func (s *CertificateSource) serverConfig() *tls.Config {
-	made := s.current.Load()
+	parsed := s.current.Load()
 	config := &tls.Config{
 		MinVersion:   tls.VersionTLS12,
-		Certificates: []tls.Certificate{made.certificate},
+		Certificates: []tls.Certificate{parsed.certificate},
 		NextProtos:   []string{protocolHTTP2, protocolHTTP1},
-		// A resumed session would skip the check against newer authorities.
+		// A resumed session would not be verified against reloaded authorities.
 		SessionTicketsDisabled: true,
 	}
 	if s.use == Internal {
 		config.MinVersion = tls.VersionTLS13
 		config.NextProtos = []string{protocolHTTP1}
 	}
-	if made.authorities != nil {
+	if parsed.authorities != nil {
 		config.ClientAuth = tls.RequireAndVerifyClientCert
-		config.ClientCAs = made.authorities
+		config.ClientCAs = parsed.authorities
 	}
 	return config
 }
 
-// clientConfig is the configuration of one connection to a host.
+// clientConfig returns the TLS configuration of one connection to a host.
 func (s *CertificateSource) clientConfig(host string) *tls.Config {
-	made := s.current.Load()
+	parsed := s.current.Load()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		ServerName:   host,
-		Certificates: []tls.Certificate{made.certificate},
-		RootCAs:      made.authorities,
+		Certificates: []tls.Certificate{parsed.certificate},
+		RootCAs:      parsed.authorities,
 		NextProtos:   []string{protocolHTTP1},
 	}
 }
 
-// Transport makes a transport open its TLS connections with the certificates in
-// force at the time, and returns it. A failed handshake is reported as a failed
-// dial: no byte of the call was sent.
+// Transport configures a transport to open TLS connections with the current
+// certificates, and returns it. A failed handshake is reported as a dial error,
+// since no byte of the request was sent.
 func (s *CertificateSource) Transport(transport *http.Transport) *http.Transport {
 	transport.DialTLSContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 		plain, err := transport.DialContext(ctx, network, address)
@@ -78,7 +78,7 @@
 		}
 		return secured, nil
 	}
-	s.keep(transport)
+	s.closeIdleOnReload(transport)
 	return transport
 }
 
--- a/internal/secure/metrics.go
+++ b/internal/secure/metrics.go
@@ -2,7 +2,6 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Descriptions of the metrics.
 var (
 	notAfterMetric = prometheus.NewDesc("rockwind_tls_certificate_not_after_seconds",
 		"Unix time at which the certificate in force ends, by use.", []string{"use"}, nil)
@@ -10,7 +9,7 @@
 		"Changed certificate files that could not be used, by use.", []string{"use"}, nil)
 )
 
-// Metrics are those of all sources of a daemon.
+// Metrics is a collector for the certificate sources of a daemon.
 type Metrics []*CertificateSource
 
 // Describe implements prometheus.Collector.
--- a/internal/secure/secure.go
+++ b/internal/secure/secure.go
@@ -1,8 +1,8 @@
-// Package secure keeps the certificates of a daemon's listeners and of its calls
-// to other daemons. The files of the settings are read again while the daemon
-// runs: at a fixed interval and at SIGHUP. New files take force for connections
-// made afterwards; files that cannot be used leave the old ones in force and are
-// reported once. Where an authority is given, both sides of a connection must
+// Package secure loads and reloads the TLS certificates of a daemon's listeners and
+// of its calls to other daemons. The certificate files are read again at a fixed
+// interval and on SIGHUP. Changed certificates apply to new connections; if the
+// files are unusable, the previous certificates stay in use and the error is logged
+// once. If a certificate authority is configured, both sides of a connection must
 // present a certificate that it signed.
 package secure
 
@@ -26,62 +26,61 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// ReloadInterval is the time between looks for changed files.
+// ReloadInterval is the interval between checks for changed files.
 const ReloadInterval = 5 * time.Second
 
-// Use names what certificates are for, in messages and metrics.
+// Use is the purpose of certificates, as named in messages and metrics.
 type Use string
 
 // The uses of certificates.
 const (
-	// Callers: the listener that callers and batch clients use.
+	// Callers is for the listener of callers and batch clients.
 	Callers Use = "callers"
-	// Internal: listeners and calls between rockwind's own processes. Both sides
-	// are checked.
+	// Internal is for connections between rockwind's own processes, with mutual TLS.
 	Internal Use = "internal"
 )
 
-// CertificateSource holds the certificates of one use. It is safe for concurrent use.
+// CertificateSource holds the current certificates for one use. It is safe for
+// concurrent use.
 type CertificateSource struct {
 	use      Use
 	settings *rockwindpb.TlsSettings
 	log      log.Interface
-	current  atomic.Pointer[material]
+	current  atomic.Pointer[credentials]
 	failures atomic.Int64
 
 	mutex sync.Mutex
-	// seen is the content of the files at the last look, whether usable or not.
-	seen contents
-	// refusal is why the content seen last cannot be used.
-	refusal  error
-	carriers []*http.Transport
+	// lastRead is the content of the files when last read, whether usable or not.
+	lastRead fileContents
+	// lastError is the reason why lastRead is unusable, or nil.
+	lastError  error
+	transports []*http.Transport
 }
 
-// contents is the content of the three files; the authority's may be nil.
-type contents struct {
+// fileContents is the content of the three files; the authority's may be nil.
+type fileContents struct {
 	certificate, key, authority []byte
 }
 
-func (c contents) equal(other contents) bool {
+func (c fileContents) equal(other fileContents) bool {
 	return bytes.Equal(c.certificate, other.certificate) && bytes.Equal(c.key, other.key) &&
 		bytes.Equal(c.authority, other.authority)
 }
 
-// material is what is made of the files.
-type material struct {
+// credentials are the parsed contents of the files.
+type credentials struct {
 	certificate tls.Certificate
-	// authorities is nil where the other side is not checked.
+	// authorities is nil if the peer's certificate is not verified.
 	authorities *x509.CertPool
 }
 
-// Enabled tells whether settings turn TLS on.
+// Enabled reports whether the settings turn TLS on.
 func Enabled(settings *rockwindpb.TlsSettings) bool {
 	return settings.GetCertificateFile() != "" || settings.GetKeyFile() != "" || settings.GetCaFile() != ""
 }
 
-// Open reads the files of the settings. It returns nil where the settings do not
-// turn TLS on, and fails with fault.InvalidArgument where the files cannot be
-// used.
+// Open loads the files of the settings. It returns nil if the settings do not turn
+// TLS on, and fails with fault.InvalidArgument if the files are unusable.
 func Open(use Use, settings *rockwindpb.TlsSettings, logger log.Interface) (*CertificateSource, error) {
 	if !Enabled(settings) {
 		return nil, nil
@@ -91,18 +90,18 @@
 	if err != nil {
 		return nil, err
 	}
-	made, err := source.parse(read, time.Now())
+	parsed, err := source.parse(read, time.Now())
 	if err != nil {
 		return nil, err
 	}
-	source.seen = read
-	source.current.Store(made)
+	source.lastRead = read
+	source.current.Store(parsed)
 	return source, nil
 }
 
-// Reload reads the files again, and puts them in force where they changed and can
-// be used. It fails with fault.InvalidArgument where they cannot; what was in
-// force stays so.
+// Reload reads the files again and switches to their certificates if they changed.
+// If the files are unusable, it fails with fault.InvalidArgument and the previous
+// certificates stay in use.
 func (s *CertificateSource) Reload() error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -110,24 +109,24 @@
 	if err != nil {
 		return err
 	}
-	if read.equal(s.seen) {
-		return s.refusal
+	if read.equal(s.lastRead) {
+		return s.lastError
 	}
-	made, err := s.parse(read, time.Now())
-	s.seen, s.refusal = read, err
+	parsed, err := s.parse(read, time.Now())
+	s.lastRead, s.lastError = read, err
 	if err != nil {
 		s.failures.Add(1)
 		return err
 	}
-	s.current.Store(made)
-	for _, carrier := range s.carriers {
-		carrier.CloseIdleConnections()
+	s.current.Store(parsed)
+	for _, transport := range s.transports {
+		transport.CloseIdleConnections()
 	}
-	s.log.WithField("use", s.use).WithField("valid_until", made.certificate.Leaf.NotAfter).Info("certificates reloaded")
+	s.log.WithField("use", s.use).WithField("valid_until", parsed.certificate.Leaf.NotAfter).Info("certificates reloaded")
 	return nil
 }
 
-// Run reloads at ReloadInterval and at SIGHUP until the context ends.
+// Run reloads every ReloadInterval and on SIGHUP until the context ends.
 func (s *CertificateSource) Run(ctx context.Context) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -137,8 +136,8 @@
 	s.reloadAt(ctx, ticker.C, hangups)
 }
 
-// reloadAt reloads at each tick and signal. A failure is reported again only when
-// its reason changes.
+// reloadAt reloads on each tick and signal. An error is logged once, until the
+// reload succeeds or fails with another error.
 func (s *CertificateSource) reloadAt(ctx context.Context, ticks <-chan time.Time, hangups <-chan os.Signal) {
 	reported := ""
 	for {
@@ -160,9 +159,8 @@
 	}
 }
 
-// read reads the files.
-func (s *CertificateSource) read() (contents, error) {
-	var read contents
+func (s *CertificateSource) read() (fileContents, error) {
+	var read fileContents
 	for _, file := range []struct {
 		name    string
 		content *[]byte
@@ -176,66 +174,67 @@
 		}
 		content, err := os.ReadFile(file.name)
 		if err != nil {
-			return contents{}, s.unusable("check the path and its permissions", "a file cannot be read: %v", err)
+			return fileContents{}, s.unusableError("check the path and its permissions", "a file cannot be read: %v", err)
 		}
 		*file.content = content
 	}
 	return read, nil
 }
 
-// parse makes certificates of the files and checks that they can serve now.
-func (s *CertificateSource) parse(read contents, now time.Time) (*material, error) {
+// parse parses the files and checks that the certificate is usable now.
+func (s *CertificateSource) parse(read fileContents, now time.Time) (*credentials, error) {
 	pair, err := tls.X509KeyPair(read.certificate, read.key)
 	if err != nil {
-		return nil, s.unusable("give a certificate and its key in PEM form", "certificate and key do not fit: %v", err)
+		return nil, s.unusableError("give a certificate and its key in PEM form", "certificate and key do not fit: %v", err)
 	}
-	made := &material{certificate: pair}
+	parsed := &credentials{certificate: pair}
 	if now.After(pair.Leaf.NotAfter) || now.Before(pair.Leaf.NotBefore) {
-		return nil, s.unusable("renew the certificate and check the machine's clock",
+		return nil, s.unusableError("renew the certificate and check the machine's clock",
 			"the certificate is valid from %v to %v", pair.Leaf.NotBefore, pair.Leaf.NotAfter)
 	}
 	if read.authority == nil {
 		if s.use == Internal {
-			return nil, s.unusable("set ca_file, too", "no authority is given for the other processes")
+			return nil, s.unusableError("set ca_file, too", "no authority is given for the other processes")
 		}
-		return made, nil
+		return parsed, nil
 	}
-	made.authorities = x509.NewCertPool()
-	if !made.authorities.AppendCertsFromPEM(read.authority) {
-		return nil, s.unusable("give a file in PEM form", "the file of the authority holds no certificate")
+	parsed.authorities = x509.NewCertPool()
+	if !parsed.authorities.AppendCertsFromPEM(read.authority) {
+		return nil, s.unusableError("give a file in PEM form", "the file of the authority holds no certificate")
 	}
 	if s.use == Internal {
-		return made, s.checkSigned(made)
+		return parsed, s.checkSigned(parsed)
 	}
-	return made, nil
+	return parsed, nil
 }
 
-// checkSigned finds a certificate that the other processes would refuse.
-func (s *CertificateSource) checkSigned(made *material) error {
+// checkSigned verifies the certificate against the authorities, as the other
+// processes do.
+func (s *CertificateSource) checkSigned(parsed *credentials) error {
 	intermediates := x509.NewCertPool()
-	for _, encoded := range made.certificate.Certificate[1:] {
+	for _, encoded := range parsed.certificate.Certificate[1:] {
 		if certificate, err := x509.ParseCertificate(encoded); err == nil {
 			intermediates.AddCert(certificate)
 		}
 	}
-	_, err := made.certificate.Leaf.Verify(x509.VerifyOptions{
-		Roots: made.authorities, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
+	_, err := parsed.certificate.Leaf.Verify(x509.VerifyOptions{
+		Roots: parsed.authorities, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
 	})
 	if err != nil {
-		return s.unusable("have the certificate signed by an authority in ca_file",
+		return s.unusableError("have the certificate signed by an authority in ca_file",
 			"the other processes would refuse the certificate: %v", err)
 	}
 	return nil
 }
 
-func (s *CertificateSource) unusable(remedy, format string, arguments ...any) error {
+func (s *CertificateSource) unusableError(remedy, format string, arguments ...any) error {
 	return fault.Newf(fault.InvalidArgument, remedy, "TLS for "+string(s.use)+": "+format, arguments...)
 }
 
-// keep closes the idle connections of a transport at each reload, so that new
-// certificates take force for its next call.
-func (s *CertificateSource) keep(carrier *http.Transport) {
+// closeIdleOnReload registers a transport whose idle connections are closed on each
+// reload, so that its next call uses the new certificates.
+func (s *CertificateSource) closeIdleOnReload(transport *http.Transport) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.carriers = append(slices.Clip(s.carriers), carrier)
+	s.transports = append(slices.Clip(s.transports), transport)
 }
--- a/internal/secure/secure_test.go
+++ b/internal/secure/secure_test.go
@@ -37,14 +37,14 @@
 	return made
 }
 
-// party is one process with its files.
-type party struct {
+// process is a process with its certificate files and its log.
+type process struct {
 	folder string
 	source *CertificateSource
 	ring   *logring.Ring
 }
 
-func (p *party) settings() *rockwindpb.TlsSettings {
+func (p *process) settings() *rockwindpb.TlsSettings {
 	return &rockwindpb.TlsSettings{
 		CertificateFile: filepath.Join(p.folder, "process.pem"),
 		KeyFile:         filepath.Join(p.folder, "process.key"),
@@ -52,9 +52,9 @@
 	}
 }
 
-func newParty(t *testing.T, signer *authority.Authority) *party {
+func newProcess(t *testing.T, signer *authority.Authority) *process {
 	t.Helper()
-	p := &party{folder: t.TempDir(), ring: logring.New(16, io.Discard)}
+	p := &process{folder: t.TempDir(), ring: logring.New(16, io.Discard)}
 	must(t, signer.Write(p.folder, "process", loopback))
 	var err error
 	p.source, err = Open(Internal, p.settings(), &log.Logger{Handler: p.ring, Level: log.InfoLevel})
@@ -62,12 +62,12 @@
 	return p
 }
 
-func (p *party) logged(text string) int {
+func (p *process) logged(text string) int {
 	return strings.Count(strings.Join(p.ring.Lines(0), "\n"), text)
 }
 
-// serve answers "served" at the returned URL.
-func (p *party) serve(t *testing.T) string {
+// serve starts an HTTPS server and returns its URL.
+func (p *process) serve(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must(t, err)
@@ -82,7 +82,7 @@
 	return "https://" + listener.Addr().String()
 }
 
-func (p *party) client(t *testing.T) *http.Client {
+func (p *process) client(t *testing.T) *http.Client {
 	transport := p.source.Transport(&http.Transport{DialContext: (&net.Dialer{}).DialContext})
 	t.Cleanup(transport.CloseIdleConnections)
 	return &http.Client{Transport: transport}
@@ -100,19 +100,19 @@
 
 func TestOnlyProcessesOfTheAuthorityAreServed(t *testing.T) {
 	ours, other := newAuthority(t), newAuthority(t)
-	server := newParty(t, ours)
+	server := newProcess(t, ours)
 	url := server.serve(t)
-	must(t, call(newParty(t, ours).client(t), url))
+	must(t, call(newProcess(t, ours).client(t), url))
 
-	stranger := newParty(t, other)
-	if err := call(stranger.client(t), url); err == nil || !strings.Contains(err.Error(), "unknown authority") {
-		t.Errorf("the stranger trusts the server: %v", err)
+	foreignProcess := newProcess(t, other)
+	if err := call(foreignProcess.client(t), url); err == nil || !strings.Contains(err.Error(), "unknown authority") {
+		t.Errorf("a process of another authority trusts the server: %v", err)
 	}
-	// A stranger that trusts our authority is refused by the server.
-	must(t, os.WriteFile(stranger.settings().GetCaFile(), ours.Certificate(), 0o600))
-	stranger.source.use = Callers
-	must(t, stranger.source.Reload())
-	if err := call(stranger.client(t), url); err == nil || !strings.Contains(err.Error(), "remote error") {
+	// The server also refuses a foreign process that trusts the server's authority.
+	must(t, os.WriteFile(foreignProcess.settings().GetCaFile(), ours.Certificate(), 0o600))
+	foreignProcess.source.use = Callers
+	must(t, foreignProcess.source.Reload())
+	if err := call(foreignProcess.client(t), url); err == nil || !strings.Contains(err.Error(), "remote error") {
 		t.Errorf("the server served a certificate of another authority: %v", err)
 	}
 	anonymous := server.source.clientConfig("127.0.0.1")
@@ -124,15 +124,15 @@
 	}
 }
 
-func TestReloadTakesForce(t *testing.T) {
+func TestReloadAppliesToNewConnections(t *testing.T) {
 	before, after := newAuthority(t), newAuthority(t)
-	server, client := newParty(t, before), newParty(t, before)
+	server, client := newProcess(t, before), newProcess(t, before)
 	url, caller := server.serve(t), client.client(t)
 	must(t, call(caller, url))
 
 	must(t, after.Write(server.folder, "process", loopback))
 	must(t, server.source.Reload())
-	late := newParty(t, before)
+	late := newProcess(t, before)
 	if err := call(late.client(t), url); err == nil {
 		t.Error("the server still serves the old authority's processes")
 	}
@@ -144,7 +144,7 @@
 	}
 }
 
-func TestBadReloadKeepsTheOldAndSaysSo(t *testing.T) {
+func TestFailedReloadKeepsPreviousCertificates(t *testing.T) {
 	signer := newAuthority(t)
 	elsewhere, err := authority.New("test", -time.Minute)
 	must(t, err)
@@ -163,7 +163,7 @@
 	}
 	for name, bad := range cases {
 		t.Run(name, func(t *testing.T) {
-			server := newParty(t, signer)
+			server := newProcess(t, signer)
 			url := server.serve(t)
 			must(t, os.WriteFile(server.settings().GetCertificateFile(), bad.certificate, 0o600))
 			must(t, os.WriteFile(server.settings().GetKeyFile(), bad.key, 0o600))
@@ -176,7 +176,7 @@
 			if failures := server.source.failures.Load(); failures != 1 {
 				t.Errorf("%d failures counted", failures)
 			}
-			must(t, call(newParty(t, signer).client(t), url))
+			must(t, call(newProcess(t, signer).client(t), url))
 			must(t, signer.Write(server.folder, "process", loopback))
 			must(t, server.source.Reload())
 		})
@@ -184,10 +184,10 @@
 }
 
 func TestEachFailureIsReportedOnce(t *testing.T) {
-	p := newParty(t, newAuthority(t))
+	p := newProcess(t, newAuthority(t))
 	must(t, os.Remove(p.settings().GetKeyFile()))
 	ctx, cancel := context.WithCancel(context.Background())
-	// Sends to the unbuffered channels order the rounds.
+	// A send to an unbuffered channel waits until the previous reload is done.
 	ticks, hangups, ended := make(chan time.Time), make(chan os.Signal), make(chan struct{})
 	go func() { defer close(ended); p.source.reloadAt(ctx, ticks, hangups) }()
 	for range 3 {
@@ -201,8 +201,8 @@
 	}
 }
 
-func TestOpenRefusesWhatCannotServe(t *testing.T) {
-	p := newParty(t, newAuthority(t))
+func TestOpenRejectsUnusableSettings(t *testing.T) {
+	p := newProcess(t, newAuthority(t))
 	if source, err := Open(Internal, nil, log.Log); source != nil || err != nil {
 		t.Errorf("no settings gave %v, %v", source, err)
 	}
@@ -216,6 +216,6 @@
 	}
 	must(t, os.WriteFile(p.settings().GetCaFile(), bytes.Repeat([]byte{'x'}, 100), 0o600))
 	if _, err := Open(Internal, p.settings(), log.Log); !fault.Is(err, fault.InvalidArgument) {
-		t.Errorf("an authority of noise gave %v", err)
+		t.Errorf("an unreadable CA file gave %v", err)
 	}
 }
