--- a/internal/configuration/change.go
+++ b/internal/configuration/change.go
@@ -8,7 +8,7 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Compare returns the change that turns one configuration into another.
+// Compare returns the change from one configuration to another.
 func Compare(old, new *rockwindpb.Configuration) (*rockwindpb.ConfigurationChange, error) {
 	before, err := NewIndex(old)
 	if err != nil {
@@ -21,7 +21,7 @@
 	return CompareIndexes(before, after), nil
 }
 
-// CompareIndexes returns the change that turns one index into another.
+// CompareIndexes returns the change from one index to another.
 func CompareIndexes(before, after *Index) *rockwindpb.ConfigurationChange {
 	change := &rockwindpb.ConfigurationChange{
 		FromNumber: before.number,
@@ -43,8 +43,8 @@
 	return &rockwindpb.ObjectKey{Kind: k.Kind, Name: k.Name}
 }
 
-// walkPairs visits two sorted lists in step. One of the two entries is nil
-// where a key stands in the other list only.
+// walkPairs visits the keys of two sorted lists in order. One of the two entries is
+// nil if only the other list has the key.
 func walkPairs(old, new []entry, visit func(old, new *entry)) {
 	for len(old) > 0 || len(new) > 0 {
 		switch {
@@ -62,9 +62,10 @@
 }
 
 // ApplyChange returns the configuration after a change, in canonical order. It
-// shares unchanged objects with the old one, which it leaves as it was. It fails
-// with fault.Stale where the change does not start from the old configuration,
-// and with fault.Corrupt where the checksum of the whole does not match.
+// shares unchanged objects with the old configuration, which it does not modify. It
+// fails with fault.Stale if the change is neither full nor starts from the old
+// configuration, and with fault.Corrupt if the result does not match the checksum of
+// the change.
 func ApplyChange(old *rockwindpb.Configuration, change *rockwindpb.ConfigurationChange) (*rockwindpb.Configuration, error) {
 	before, err := NewIndex(old)
 	if err != nil {
@@ -77,7 +78,7 @@
 	return after.Configuration(), nil
 }
 
-// Apply returns the index after a change. See ApplyChange for its faults.
+// Apply returns the index after a change. See ApplyChange for its errors.
 func (x *Index) Apply(change *rockwindpb.ConfigurationChange) (*Index, error) {
 	if change.GetFull() {
 		x = Empty()
@@ -95,14 +96,14 @@
 	}
 	after := newIndex(change.GetNumber(), mergeEntries(x.entries, changed, removed))
 	if !bytes.Equal(after.Checksum(), change.GetChecksum()) {
-		return nil, corrupt("the checksum of configuration %d does not match its content", change.GetNumber())
+		return nil, corruptError("the checksum of configuration %d does not match its content", change.GetNumber())
 	}
-	after.shareLookups(x, changed, removed)
+	after.setLookups(x, changed, removed)
 	return after, nil
 }
 
-// removedKeys returns the keys that a change removes, in order. Keys that the
-// configuration does not hold are allowed: merged changes have them.
+// removedKeys returns the keys that a change removes, sorted. Keys that are not in
+// the configuration are allowed, since merged changes may contain them.
 func removedKeys(change *rockwindpb.ConfigurationChange, changed []entry) ([]Key, error) {
 	removed := make([]Key, 0, len(change.GetRemovals()))
 	for _, key := range change.GetRemovals() {
@@ -112,14 +113,14 @@
 	for _, key := range removed {
 		_, both := slices.BinarySearchFunc(changed, key, func(e entry, k Key) int { return e.key.Compare(k) })
 		if both {
-			return nil, corrupt("the change sets and removes %s", key)
+			return nil, corruptError("the change sets and removes %s", key)
 		}
 	}
 	return removed, nil
 }
 
-// mergeEntries returns the old entries with the changed ones put in and the
-// removed ones left out. All lists are sorted.
+// mergeEntries returns the old entries with the changed ones inserted or replaced
+// and the removed ones left out. All lists are sorted.
 func mergeEntries(old, changed []entry, removed []Key) []entry {
 	result := make([]entry, 0, len(old)+len(changed))
 	walkPairs(old, changed, func(before, after *entry) {
@@ -135,8 +136,8 @@
 	return result
 }
 
-// MergeChanges joins consecutive changes into one with the same effect. The last
-// writer of each object wins. It returns nil for no changes.
+// MergeChanges combines consecutive changes into one with the same effect: the last
+// change of each object wins. It returns nil if there are no changes.
 func MergeChanges(changes []*rockwindpb.ConfigurationChange) *rockwindpb.ConfigurationChange {
 	if len(changes) == 0 {
 		return nil
--- a/internal/configuration/change_test.go
+++ b/internal/configuration/change_test.go
@@ -16,33 +16,33 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// drawConfiguration makes a configuration over few names, so that two of them
-// share objects, change some and lack some. It need not be valid.
+// drawConfiguration generates a configuration with few distinct names, so that two
+// of them have common, changed and missing objects. It may be invalid.
 func drawConfiguration(t *rapid.T, number uint64) *rockwindpb.Configuration {
 	drawn := &rockwindpb.Configuration{Number: number}
 	for _, name := range drawNames(t, "groups") {
-		drawn.Groups = append(drawn.Groups, &rockwindpb.Group{Name: name, Share: drawSmall(t)})
+		drawn.Groups = append(drawn.Groups, &rockwindpb.Group{Name: name, Share: drawSmallNumber(t)})
 	}
 	for _, name := range drawNames(t, "tenants") {
 		hash := fmt.Sprintf("%064x", rapid.Uint64Max(3).Draw(t, "key"))
 		drawn.Tenants = append(drawn.Tenants, &rockwindpb.Tenant{
-			Name: name, Group: "a", ApiKeySha256: []string{hash}, Limits: &rockwindpb.Limits{RequestsPerSecond: drawSmall(t)},
+			Name: name, Group: "a", ApiKeySha256: []string{hash}, Limits: &rockwindpb.Limits{RequestsPerSecond: drawSmallNumber(t)},
 		})
 	}
 	for _, name := range drawNames(t, "models") {
-		drawn.Models = append(drawn.Models, &rockwindpb.Model{Name: name, Versions: []*rockwindpb.Version{{Name: "v", Weight: uint32(drawSmall(t))}}})
+		drawn.Models = append(drawn.Models, &rockwindpb.Model{Name: name, Versions: []*rockwindpb.Version{{Name: "v", Weight: uint32(drawSmallNumber(t))}}})
 	}
 	for _, name := range drawNames(t, "services") {
-		drawn.Services = append(drawn.Services, &rockwindpb.Service{Name: name, Timeout: durationpb.New(time.Duration(drawSmall(t)))})
+		drawn.Services = append(drawn.Services, &rockwindpb.Service{Name: name, Timeout: durationpb.New(time.Duration(drawSmallNumber(t)))})
 	}
 	for _, name := range drawNames(t, "classes") {
-		drawn.BatchClasses = append(drawn.BatchClasses, &rockwindpb.BatchClass{Name: name, Tries: uint32(drawSmall(t))})
+		drawn.BatchClasses = append(drawn.BatchClasses, &rockwindpb.BatchClass{Name: name, Tries: uint32(drawSmallNumber(t))})
 	}
 	for _, name := range drawNames(t, "back ends") {
-		drawn.BackEnds = append(drawn.BackEnds, &rockwindpb.BackEnd{Name: name, Address: fmt.Sprint(drawSmall(t)), Serves: drawNames(t, "serves")})
+		drawn.BackEnds = append(drawn.BackEnds, &rockwindpb.BackEnd{Name: name, Address: fmt.Sprint(drawSmallNumber(t)), Serves: drawNames(t, "serves")})
 	}
 	if rapid.Bool().Draw(t, "policy") {
-		drawn.Policy = &rockwindpb.Policy{RetryRatio: drawSmall(t)}
+		drawn.Policy = &rockwindpb.Policy{RetryRatio: drawSmallNumber(t)}
 	}
 	return drawn
 }
@@ -51,7 +51,7 @@
 	return rapid.Permutation([]string{"a", "b", "c", "d"}).Draw(t, label)[:rapid.IntRange(0, 4).Draw(t, label)]
 }
 
-func drawSmall(t *rapid.T) float64 {
+func drawSmallNumber(t *rapid.T) float64 {
 	return float64(rapid.IntRange(0, 2).Draw(t, "value"))
 }
 
@@ -63,7 +63,7 @@
 	return index
 }
 
-// sorted is the configuration in canonical order, for comparisons.
+// sorted returns a copy of the configuration in canonical order.
 func sorted(given *rockwindpb.Configuration) *rockwindpb.Configuration {
 	copied := proto.CloneOf(given)
 	configuration.SortObjects(copied)
@@ -87,10 +87,10 @@
 				t.Fatal(err)
 			}
 			if !proto.Equal(after, sorted(next)) {
-				t.Fatalf("the change led to %v, want %v", after, next)
+				t.Fatalf("the change resulted in %v, want %v", after, next)
 			}
 			if !proto.Equal(before, chain[i]) {
-				t.Fatal("applying a change altered the configuration before")
+				t.Fatal("applying a change modified the old configuration")
 			}
 			chain = append(chain, next)
 			changes = append(changes, change)
@@ -110,18 +110,18 @@
 			t.Fatal(err)
 		}
 		if !proto.Equal(after.Configuration(), sorted(chain[steps])) {
-			t.Fatal("the merged change led elsewhere than the changes one by one")
+			t.Fatal("the merged change and the single changes have different results")
 		}
 		assertLookups(t, after)
 	})
 }
 
-// assertLookups compares the lookups of an index that was built from changes
-// with those of one built at once.
+// assertLookups compares the lookups of an index after changes with those of a new
+// index.
 func assertLookups(t *rapid.T, index *configuration.Index) {
 	fresh := mustIndex(t, index.Configuration())
 	if !bytes.Equal(fresh.Checksum(), index.Checksum()) {
-		t.Fatal("the checksum depends on the way to the configuration")
+		t.Fatal("the checksum after changes differs from that of a new index")
 	}
 	for _, name := range []string{"a", "b", "c", "d"} {
 		for _, pair := range [][2]any{
@@ -244,8 +244,8 @@
 	}
 }
 
-// fleetOfTargetSize is a configuration with 11,000 tenants and 1,200 back ends.
-func fleetOfTargetSize() *rockwindpb.Configuration {
+// largeConfiguration returns a configuration with 11,000 tenants and 1,200 back ends.
+func largeConfiguration() *rockwindpb.Configuration {
 	fleet := &rockwindpb.Configuration{Number: 1, Groups: []*rockwindpb.Group{{Name: "g", Share: 1}}}
 	for i := range 11_000 {
 		fleet.Tenants = append(fleet.Tenants, &rockwindpb.Tenant{
@@ -269,7 +269,7 @@
 }
 
 func BenchmarkIndexFromScratch(b *testing.B) {
-	fleet := fleetOfTargetSize()
+	fleet := largeConfiguration()
 	for b.Loop() {
 		if _, err := configuration.NewIndex(fleet); err != nil {
 			b.Fatal(err)
@@ -278,7 +278,7 @@
 }
 
 func BenchmarkApplyChangeOfOneTenant(b *testing.B) {
-	fleet := fleetOfTargetSize()
+	fleet := largeConfiguration()
 	before, err := configuration.NewIndex(fleet)
 	if err != nil {
 		b.Fatal(err)
--- a/internal/configuration/check.go
+++ b/internal/configuration/check.go
@@ -10,7 +10,7 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Bounds of the values in a configuration.
+// Limits of the values in a configuration.
 const (
 	maximumNameBytes = 128
 	maximumShare     = 1e6
@@ -21,21 +21,21 @@
 	maximumRatio     = 1.0
 )
 
-// positions finds where a value stands in a file.
-type positions interface {
+// positionFinder finds the position of a value in a file.
+type positionFinder interface {
 	Position(path ...Step) Position
 }
 
-// noPositions is used for configurations that did not come from a file.
+// noPositions is the positionFinder of configurations that did not come from a file.
 type noPositions struct{}
 
-// Position implements positions.
+// Position implements positionFinder.
 func (noPositions) Position(...Step) Position { return Position{} }
 
-// checker finds the faults in the meaning of a configuration.
+// checker validates the values and references of a decoded configuration.
 type checker struct {
 	configuration *rockwindpb.Configuration
-	positions     positions
+	positions     positionFinder
 	problems      *problemList
 
 	groups   map[string]bool
@@ -48,7 +48,7 @@
 		c.problems.add(c.positions.Position(field("number")), "the configuration has no number",
 			"set 'number' to one more than the number in force; 'rockwind get configuration' shows it")
 	}
-	c.collect()
+	c.indexObjects()
 	c.checkGroups()
 	c.checkTenants()
 	c.checkModels()
@@ -59,7 +59,7 @@
 	c.checkRoutes()
 }
 
-func (c *checker) collect() {
+func (c *checker) indexObjects() {
 	c.groups = make(map[string]bool)
 	c.models = make(map[string]*rockwindpb.Model)
 	c.services = make(map[string]*rockwindpb.Service)
@@ -74,36 +74,36 @@
 	}
 }
 
-// field is a step to a field that is not repeated.
+// field returns a step to a whole field.
 func field(name string) Step {
 	return Step{Field: name, Element: -1}
 }
 
-// element is a step to one element of a repeated field.
+// element returns a step to one element of a repeated field.
 func element(name string, index int) Step {
 	return Step{Field: name, Element: index}
 }
 
-// at returns the position of a field below a path.
+// at returns the position of the path extended by one step.
 func (c *checker) at(path []Step, last Step) Position {
 	return c.positions.Position(append(path[:len(path):len(path)], last)...)
 }
 
-// names finds names that are wrong or given twice among the objects of a kind.
-type names struct {
+// nameChecker reports invalid and duplicate names of one kind of object.
+type nameChecker struct {
 	checker *checker
 	kind    string
 	seen    map[string]bool
 }
 
-func (c *checker) names(kind string) *names {
-	return &names{checker: c, kind: kind, seen: make(map[string]bool)}
+func (c *checker) newNameChecker(kind string) *nameChecker {
+	return &nameChecker{checker: c, kind: kind, seen: make(map[string]bool)}
 }
 
-func (n *names) check(name string, at Position) {
-	if fault := nameFault(name); fault != "" {
+func (n *nameChecker) check(name string, at Position) {
+	if problem := nameProblem(name); problem != "" {
 		n.checker.problems.addf(at, "use 1 to 128 letters, digits, '.', '_', '-' or '/', starting with a letter or digit",
-			"the %s name %q %s", n.kind, quotable(name), fault)
+			"the %s name %q %s", n.kind, abbreviate(name), problem)
 		return
 	}
 	if n.seen[name] {
@@ -113,7 +113,7 @@
 	n.seen[name] = true
 }
 
-func nameFault(name string) string {
+func nameProblem(name string) string {
 	if name == "" {
 		return "is missing"
 	}
@@ -143,17 +143,17 @@
 }
 
 func (c *checker) checkGroups() {
-	names := c.names("group")
+	names := c.newNameChecker("group")
 	for i, group := range c.configuration.GetGroups() {
 		path := []Step{element("groups", i)}
 		names.check(group.GetName(), c.at(path, field("name")))
 		if !inRange(group.GetShare(), math.SmallestNonzeroFloat64, maximumShare) {
 			c.problems.addf(c.at(path, field("share")), "give the group a share above 0, at most 1000000",
-				"the share of group %q is %v", quotable(group.GetName()), group.GetShare())
+				"the share of group %q is %v", abbreviate(group.GetName()), group.GetShare())
 		}
 		if _, known := rockwindpb.Objective_name[int32(group.GetObjective())]; !known {
 			c.problems.addf(c.at(path, field("objective")), "write throughput or latency",
-				"the objective %d of group %q is unknown", group.GetObjective(), quotable(group.GetName()))
+				"the objective %d of group %q is unknown", group.GetObjective(), abbreviate(group.GetName()))
 		}
 	}
 }
@@ -162,29 +162,29 @@
 	return value >= lowest && value <= highest
 }
 
-// checkGroupName reports a group that an object names and the file lacks.
+// checkGroupName reports a reference to a group that does not exist.
 func (c *checker) checkGroupName(owner, group string, at Position) {
 	if !c.groups[group] {
-		c.problems.addf(at, "add the group, or name one that the file has", "%s belongs to group %q, which does not exist", owner, quotable(group))
+		c.problems.addf(at, "add the group, or name one that the file has", "%s belongs to group %q, which does not exist", owner, abbreviate(group))
 	}
 }
 
 func (c *checker) checkBatchClasses() {
-	names := c.names("batch class")
+	names := c.newNameChecker("batch class")
 	for i, class := range c.configuration.GetBatchClasses() {
 		path := []Step{element("batch_classes", i)}
 		names.check(class.GetName(), c.at(path, field("name")))
 		if class.GetTries() == 0 || class.GetTries() > maximumTries {
 			c.problems.addf(c.at(path, field("tries")), "set 'tries' between 1 and 1000",
-				"batch class %q allows %d tries", quotable(class.GetName()), class.GetTries())
+				"batch class %q allows %d tries", abbreviate(class.GetName()), class.GetTries())
 		}
 		c.checkDuration(class.GetDeadline(), c.at(path, field("deadline")), "the deadline")
 		c.checkPositive(class.GetWeight(), c.at(path, field("weight")), "the weight")
 	}
 }
 
-// checkPositive accepts a value above zero, and zero that the file does not
-// give: the default takes its place.
+// checkPositive accepts a value above zero, or a missing one, for which the default
+// is used.
 func (c *checker) checkPositive(value float64, at Position, what string) {
 	if value == 0 && !at.given {
 		return
@@ -194,8 +194,8 @@
 	}
 }
 
-// checkDuration accepts a time above zero, and none: the default takes its
-// place.
+// checkDuration accepts a duration above zero, or a missing one, for which the
+// default is used.
 func (c *checker) checkDuration(value *durationpb.Duration, at Position, what string) {
 	if value == nil {
 		return
--- a/internal/configuration/check_backends.go
+++ b/internal/configuration/check_backends.go
@@ -7,16 +7,16 @@
 )
 
 func (c *checker) checkModels() {
-	names := c.names("model")
+	names := c.newNameChecker("model")
 	for i, model := range c.configuration.GetModels() {
 		path := []Step{element("models", i)}
 		names.check(model.GetName(), c.at(path, field("name")))
 		if len(model.GetVersions()) == 0 {
 			c.problems.addf(c.at(path, field("versions")), "add at least one version with a weight",
-				"model %q has no version", quotable(model.GetName()))
+				"model %q has no version", abbreviate(model.GetName()))
 		}
 		c.checkVersions(model.GetVersions(), path)
-		adapters := c.names("adapter")
+		adapters := c.newNameChecker("adapter")
 		for j, adapter := range model.GetAdapters() {
 			adapters.check(adapter, c.at(path, element("adapters", j)))
 		}
@@ -24,7 +24,7 @@
 }
 
 func (c *checker) checkServices() {
-	names := c.names("service")
+	names := c.newNameChecker("service")
 	for i, service := range c.configuration.GetServices() {
 		path := []Step{element("services", i)}
 		names.check(service.GetName(), c.at(path, field("name")))
@@ -37,7 +37,7 @@
 }
 
 func (c *checker) checkVersions(versions []*rockwindpb.Version, path []Step) {
-	names := c.names("version")
+	names := c.newNameChecker("version")
 	total := uint64(0)
 	for i, version := range versions {
 		below := append(path[:len(path):len(path)], element("versions", i))
@@ -54,15 +54,15 @@
 }
 
 func (c *checker) checkBackEnds() {
-	names := c.names("back end")
+	names := c.newNameChecker("back end")
 	owners := make(map[netip.AddrPort]string)
 	for i, backEnd := range c.configuration.GetBackEnds() {
 		path := []Step{element("back_ends", i)}
 		names.check(backEnd.GetName(), c.at(path, field("name")))
 		c.checkAddress(backEnd, c.at(path, field("address")), owners)
-		if fault := nameFault(backEnd.GetZone()); fault != "" {
+		if problem := nameProblem(backEnd.GetZone()); problem != "" {
 			c.problems.addf(c.at(path, field("zone")), "name the zone that the machine stands in",
-				"the zone of back end %q %s", quotable(backEnd.GetName()), fault)
+				"the zone of back end %q %s", abbreviate(backEnd.GetName()), problem)
 		}
 		c.checkServes(backEnd, path)
 	}
@@ -73,12 +73,12 @@
 	unusable := err != nil || address.Port() == 0 || address.Addr().IsUnspecified() || address.Addr().IsMulticast()
 	if unusable {
 		c.problems.addf(at, "write an IP number and a port, for example 10.0.0.1:8000 or [fd00::1]:8000",
-			"the address %q of back end %q cannot be used", quotable(backEnd.GetAddress()), quotable(backEnd.GetName()))
+			"the address %q of back end %q cannot be used", abbreviate(backEnd.GetAddress()), abbreviate(backEnd.GetName()))
 		return
 	}
 	canonical := netip.AddrPortFrom(address.Addr().Unmap(), address.Port())
 	if owner, taken := owners[canonical]; taken {
-		c.problems.addf(at, "give each back end an address of its own", "back end %q has this address already", quotable(owner))
+		c.problems.addf(at, "give each back end an address of its own", "back end %q has this address already", abbreviate(owner))
 		return
 	}
 	owners[canonical] = backEnd.GetName()
@@ -92,27 +92,27 @@
 		c.checkInstance(backEnd, path)
 	default:
 		c.problems.addf(c.at(path, field("kind")), "set 'kind' to engine or service",
-			"back end %q has no known kind", quotable(backEnd.GetName()))
+			"back end %q has no known kind", abbreviate(backEnd.GetName()))
 	}
 }
 
 func (c *checker) checkEngine(backEnd *rockwindpb.BackEnd, path []Step) {
 	if len(backEnd.GetServes()) == 0 {
 		c.problems.addf(c.at(path, field("serves")), "list the models that it may hold",
-			"engine %q serves nothing", quotable(backEnd.GetName()))
+			"engine %q serves nothing", abbreviate(backEnd.GetName()))
 	}
 	if backEnd.GetVersion() != "" {
 		c.problems.addf(c.at(path, field("version")), "remove it; versions of models are given by the model",
-			"engine %q has a service version", quotable(backEnd.GetName()))
+			"engine %q has a service version", abbreviate(backEnd.GetName()))
 	}
 	seen := make(map[string]bool)
 	for i, name := range backEnd.GetServes() {
 		at := c.at(path, element("serves", i))
 		switch {
 		case c.models[name] == nil:
-			c.problems.addf(at, "add the model, or name one that the file has", "the engine serves model %q, which does not exist", quotable(name))
+			c.problems.addf(at, "add the model, or name one that the file has", "the engine serves model %q, which does not exist", abbreviate(name))
 		case seen[name]:
-			c.problems.addf(at, "remove it", "model %q is listed twice", quotable(name))
+			c.problems.addf(at, "remove it", "model %q is listed twice", abbreviate(name))
 		}
 		seen[name] = true
 	}
@@ -121,24 +121,24 @@
 func (c *checker) checkInstance(backEnd *rockwindpb.BackEnd, path []Step) {
 	if len(backEnd.GetServes()) != 1 {
 		c.problems.addf(c.at(path, field("serves")), "list the one service that runs there",
-			"the service instance %q serves %d services", quotable(backEnd.GetName()), len(backEnd.GetServes()))
+			"the service instance %q serves %d services", abbreviate(backEnd.GetName()), len(backEnd.GetServes()))
 		return
 	}
 	name := backEnd.GetServes()[0]
 	service := c.services[name]
 	if service == nil {
 		c.problems.addf(c.at(path, element("serves", 0)), "add the service, or name one that the file has",
-			"the back end serves service %q, which does not exist", quotable(name))
+			"the back end serves service %q, which does not exist", abbreviate(name))
 		return
 	}
 	if !hasVersion(service, backEnd.GetVersion()) {
 		c.problems.addf(c.at(path, field("version")), "name one of the service's versions",
-			"service %q has no version %q", quotable(name), quotable(backEnd.GetVersion()))
+			"service %q has no version %q", abbreviate(name), abbreviate(backEnd.GetVersion()))
 	}
 }
 
-// hasVersion tells whether an instance may have the version. A service without
-// versions has instances without a version.
+// hasVersion reports whether an instance may have the version. The instances of a
+// service without versions have none.
 func hasVersion(service *rockwindpb.Service, name string) bool {
 	if len(service.GetVersions()) == 0 {
 		return name == ""
--- a/internal/configuration/check_routes.go
+++ b/internal/configuration/check_routes.go
@@ -6,52 +6,52 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// routePlace is what no two routes may share.
-type routePlace struct {
+// routeMatch is what a route matches requests by; no two routes may have the same.
+type routeMatch struct {
 	host   string
 	prefix string
 }
 
 func (c *checker) checkRoutes() {
-	names := c.names("route")
-	owners := make(map[routePlace]string)
+	names := c.newNameChecker("route")
+	owners := make(map[routeMatch]string)
 	for i, route := range c.configuration.GetRoutes() {
 		path := []Step{element("routes", i)}
 		names.check(route.GetName(), c.at(path, field("name")))
-		c.checkRoutePlace(route, path, owners)
+		c.checkRouteMatch(route, path, owners)
 		c.checkSplit(route, path)
-		c.checkRouteTimes(route, path)
+		c.checkRouteKindAndTimeout(route, path)
 	}
 }
 
-func (c *checker) checkRoutePlace(route *rockwindpb.Route, path []Step, owners map[routePlace]string) {
-	name := quotable(route.GetName())
+func (c *checker) checkRouteMatch(route *rockwindpb.Route, path []Step, owners map[routeMatch]string) {
+	name := abbreviate(route.GetName())
 	if route.GetHost() == "" {
 		c.problems.addf(c.at(path, field("host")), "name the host that the requests are for", "route %q has no host", name)
 	}
 	prefix := route.GetPathPrefix()
 	if !strings.HasPrefix(prefix, "/") || !strings.HasSuffix(prefix, "/") {
 		c.problems.addf(c.at(path, field("path_prefix")), "write a prefix that begins and ends with a slash, for example /drafts/",
-			"the path prefix %q of route %q does not begin and end with a slash", quotable(prefix), name)
+			"the path prefix %q of route %q does not begin and end with a slash", abbreviate(prefix), name)
 	}
-	place := routePlace{host: strings.ToLower(route.GetHost()), prefix: prefix}
-	if owner, taken := owners[place]; taken {
+	match := routeMatch{host: strings.ToLower(route.GetHost()), prefix: prefix}
+	if owner, taken := owners[match]; taken {
 		c.problems.addf(c.at(path, field("path_prefix")), "give each route a host and prefix of its own",
-			"route %q has the same host and prefix as route %q", name, quotable(owner))
+			"route %q has the same host and prefix as route %q", name, abbreviate(owner))
 		return
 	}
-	owners[place] = route.GetName()
+	owners[match] = route.GetName()
 }
 
-// checkSplit refuses a route without a service to go to.
+// checkSplit reports unknown services, and a split in which no service has a weight.
 func (c *checker) checkSplit(route *rockwindpb.Route, path []Step) {
-	name := quotable(route.GetName())
+	name := abbreviate(route.GetName())
 	total := uint64(0)
 	for j, share := range route.GetSplit() {
 		below := append(path[:len(path):len(path)], element("split", j))
 		if c.services[share.GetService()] == nil {
 			c.problems.addf(c.at(below, field("service")), "add the service, or name one that the file has",
-				"route %q names service %q, which does not exist", name, quotable(share.GetService()))
+				"route %q names service %q, which does not exist", name, abbreviate(share.GetService()))
 		}
 		if share.GetWeight() > maximumWeight {
 			c.problems.addf(c.at(below, field("weight")), "write a weight of at most 1000000", "the weight is %d", share.GetWeight())
@@ -64,8 +64,8 @@
 	}
 }
 
-func (c *checker) checkRouteTimes(route *rockwindpb.Route, path []Step) {
-	name := quotable(route.GetName())
+func (c *checker) checkRouteKindAndTimeout(route *rockwindpb.Route, path []Step) {
+	name := abbreviate(route.GetName())
 	if _, known := rockwindpb.RouteKind_name[int32(route.GetKind())]; !known || route.GetKind() == rockwindpb.RouteKind_ROUTE_KIND_UNSPECIFIED {
 		c.problems.addf(c.at(path, field("kind")), "write safe, at_most_once, stream or batch", "route %q has no known kind", name)
 	}
--- a/internal/configuration/check_tenants.go
+++ b/internal/configuration/check_tenants.go
@@ -7,11 +7,11 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// keyHashLength is the length of an API key's SHA-256 in hexadecimal.
+// keyHashLength is the length of an API key's hexadecimal SHA-256.
 const keyHashLength = 2 * sha256.Size
 
 func (c *checker) checkTenants() {
-	names := c.names("tenant")
+	names := c.newNameChecker("tenant")
 	owners := make(map[string]string)
 	for i, tenant := range c.configuration.GetTenants() {
 		path := []Step{element("tenants", i)}
@@ -29,11 +29,11 @@
 		at := c.at(path, element("api_key_sha256", i))
 		if !isKeyHash(hash) {
 			c.problems.addf(at, "write the key's SHA-256 as 64 lower-case hexadecimal digits; never the key itself",
-				"an API key of tenant %q is not a SHA-256 hash", quotable(tenant.GetName()))
+				"an API key of tenant %q is not a SHA-256 hash", abbreviate(tenant.GetName()))
 			continue
 		}
 		if owner, taken := owners[hash]; taken {
-			c.problems.addf(at, "give each tenant keys of its own", "this API key belongs to tenant %q already", quotable(owner))
+			c.problems.addf(at, "give each tenant keys of its own", "this API key belongs to tenant %q already", abbreviate(owner))
 			continue
 		}
 		owners[hash] = tenant.GetName()
--- a/internal/configuration/decode.go
+++ b/internal/configuration/decode.go
@@ -13,9 +13,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Decode reads YAML text into a message of the schema. It returns the document
-// for positions, or nil where the text could not be read at all, and the
-// problems found so far. The settings of daemons are read through it as well.
+// Decode decodes YAML text into a protobuf message. It returns the document, for
+// positions, or nil if the text cannot be parsed, and the problems found so far.
+// The settings of daemons are decoded with it as well.
 func Decode(fileName string, data []byte, message proto.Message) (*Document, *problemList) {
 	problems := newProblemList(fileName)
 	if !checkText(data, problems) {
@@ -24,17 +24,17 @@
 	if !checkDocuments(data, problems) {
 		return nil, problems
 	}
-	reader := &treeReader{problems: problems}
+	reader := &structureChecker{problems: problems}
 	options := protoyaml.UnmarshalOptions{CustomUnmarshaler: reader}
 	err := options.Unmarshal(data, message)
 	if reader.root == nil {
 		addSyntaxError(err, problems)
 		return nil, problems
 	}
-	if reader.abandoned {
+	if reader.tooManyProblems {
 		return nil, problems
 	}
-	if !isBlockMapping(reader.root) && trailing(data) {
+	if !isBlockMapping(reader.root) && hasTrailingText(data) {
 		problems.add(positionOf(reader.root), "more text follows the end of the YAML document", "keep one document a file")
 		return nil, problems
 	}
@@ -48,33 +48,35 @@
 	return document, problems.result()
 }
 
-// errAbandoned stops the decoder when the tree already has too many problems.
-var errAbandoned = errors.New("too many problems")
+// errTooManyProblems stops the decoder if the structure of the document has too many
+// problems already.
+var errTooManyProblems = errors.New("too many problems")
 
-// treeReader looks at the tree of nodes before its values are decoded.
-type treeReader struct {
-	problems  *problemList
-	root      *yaml.Node
-	abandoned bool
+// structureChecker checks the YAML nodes against the schema before their values are
+// decoded.
+type structureChecker struct {
+	problems        *problemList
+	root            *yaml.Node
+	tooManyProblems bool
 }
 
-// Unmarshal implements protoyaml.CustomUnmarshaler. It handles no message by
-// itself: it only takes the root of the tree and checks its structure.
-func (r *treeReader) Unmarshal(node *yaml.Node, message proto.Message) (bool, error) {
+// Unmarshal implements protoyaml.CustomUnmarshaler. It decodes nothing: on the first
+// call it keeps the root node and checks the structure below it.
+func (r *structureChecker) Unmarshal(node *yaml.Node, message proto.Message) (bool, error) {
 	if r.root != nil {
 		return false, nil
 	}
 	r.root = node
 	checkStructure(node, message.ProtoReflect().Descriptor(), r.problems)
 	if r.problems.full() {
-		r.abandoned = true
-		return false, errAbandoned
+		r.tooManyProblems = true
+		return false, errTooManyProblems
 	}
 	return false, nil
 }
 
-// checkDocuments refuses files with more than one YAML document, since all but
-// the first would be ignored in silence.
+// checkDocuments reports a file with more than one YAML document, since the decoder
+// would silently ignore all but the first.
 func checkDocuments(data []byte, problems *problemList) bool {
 	content := false
 	line := 0
@@ -103,14 +105,15 @@
 	return len(rest) == 0 || rest[0] == ' ' || rest[0] == '\t'
 }
 
-// isBlockMapping tells whether the document can end only at the end of the file.
+// isBlockMapping reports whether the root is a block mapping, which can only end at
+// the end of the file.
 func isBlockMapping(root *yaml.Node) bool {
 	return root.Kind == yaml.MappingNode && root.Style&yaml.FlowStyle == 0 && root.Column == 1
 }
 
-// trailing tells whether a flow-style document is followed by more text, which
-// the YAML reader would ignore.
-func trailing(data []byte) bool {
+// hasTrailingText reports whether text follows a flow-style document, which the
+// decoder would ignore.
+func hasTrailingText(data []byte) bool {
 	decoder := yaml.NewDecoder(bytes.NewReader(data))
 	var first, second yaml.Node
 	if decoder.Decode(&first) != nil {
@@ -130,7 +133,7 @@
 	text := err.Error()
 	found := syntaxPosition.FindStringSubmatch(text)
 	if found == nil {
-		// The reader names no line for what it finds in the first one.
+		// The parser gives no line for errors in the first one.
 		problems.add(Position{Line: 1, Column: 1}, "the file is not YAML: "+strings.TrimPrefix(text, "yaml: "), remedy)
 		return
 	}
@@ -140,7 +143,7 @@
 
 var decodingPosition = regexp.MustCompile(`^:(\d+):(\d+) `)
 
-// addDecodingErrors takes over the decoder's errors about values.
+// addDecodingErrors adds the decoder's errors about values to the problems.
 func addDecodingErrors(err error, problems *problemList) {
 	if err == nil {
 		return
@@ -152,7 +155,7 @@
 	}
 	for _, each := range joined.Unwrap() {
 		if problems.full() {
-			problems.unlisted++
+			problems.omitted++
 			continue
 		}
 		addDecodingError(each, problems)
@@ -169,11 +172,11 @@
 	column, _ := strconv.Atoi(found[2])
 	at := Position{Line: line, Column: column}
 	cause := errors.UnwrapOnce(err)
-	problems.unreadable[at.place()] = true
+	problems.undecodable[at.lineColumn()] = true
 	problems.add(at, cause.Error(), remedyFor(cause.Error()))
 }
 
-// remedyFor advises on the decoder's messages.
+// remedyFor returns the remedy for a message of the decoder.
 func remedyFor(message string) string {
 	switch {
 	case strings.Contains(message, "duration"), strings.Contains(message, "unit"):
--- a/internal/configuration/defaults.go
+++ b/internal/configuration/defaults.go
@@ -10,7 +10,7 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Defaults of values that a file may leave out.
+// Defaults of optional values.
 const (
 	DefaultObjective            = rockwindpb.Objective_OBJECTIVE_THROUGHPUT
 	DefaultServiceTimeout       = 30 * time.Second
@@ -24,9 +24,9 @@
 	DefaultIdempotencyRetention = 24 * time.Hour
 )
 
-// Normalise fills in the defaults and sorts the objects of each kind by name,
-// so that equal configurations have equal digests. It changes its argument and
-// may be repeated.
+// Normalise sets the defaults and sorts the objects of each kind by name, so that
+// equal configurations have equal checksums. It modifies its argument and is
+// idempotent.
 func Normalise(configuration *rockwindpb.Configuration) {
 	for _, group := range configuration.GetGroups() {
 		if group.Objective == rockwindpb.Objective_OBJECTIVE_UNSPECIFIED {
@@ -34,11 +34,11 @@
 		}
 	}
 	for _, service := range configuration.GetServices() {
-		setDuration(&service.Timeout, DefaultServiceTimeout)
+		defaultDuration(&service.Timeout, DefaultServiceTimeout)
 	}
 	for _, class := range configuration.GetBatchClasses() {
-		setDuration(&class.Deadline, DefaultBatchDeadline)
-		setNumber(&class.Weight, DefaultBatchWeight)
+		defaultDuration(&class.Deadline, DefaultBatchDeadline)
+		defaultNumber(&class.Weight, DefaultBatchWeight)
 	}
 	for _, backEnd := range configuration.GetBackEnds() {
 		if backEnd.GetKind() == rockwindpb.BackEndKind_BACK_END_KIND_ENGINE && backEnd.Accelerators == 0 {
@@ -59,22 +59,22 @@
 }
 
 func normalisePolicy(policy *rockwindpb.Policy) {
-	setDuration(&policy.ResultRetention, DefaultResultRetention)
-	setNumber(&policy.RetryRatio, DefaultRetryRatio)
-	setDuration(&policy.OnlineStepTarget, DefaultOnlineStepTarget)
-	setDuration(&policy.OnlineQueueTimeout, DefaultOnlineQueueTimeout)
-	setDuration(&policy.IdempotencyRetention, DefaultIdempotencyRetention)
+	defaultDuration(&policy.ResultRetention, DefaultResultRetention)
+	defaultNumber(&policy.RetryRatio, DefaultRetryRatio)
+	defaultDuration(&policy.OnlineStepTarget, DefaultOnlineStepTarget)
+	defaultDuration(&policy.OnlineQueueTimeout, DefaultOnlineQueueTimeout)
+	defaultDuration(&policy.IdempotencyRetention, DefaultIdempotencyRetention)
 }
 
-func setDuration(value **durationpb.Duration, standard time.Duration) {
+func defaultDuration(value **durationpb.Duration, fallback time.Duration) {
 	if *value == nil {
-		*value = durationpb.New(standard)
+		*value = durationpb.New(fallback)
 	}
 }
 
-func setNumber(value *float64, standard float64) {
+func defaultNumber(value *float64, fallback float64) {
 	if *value == 0 {
-		*value = standard
+		*value = fallback
 	}
 }
 
--- a/internal/configuration/diff.go
+++ b/internal/configuration/diff.go
@@ -13,7 +13,7 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// DifferenceKind tells what became of an object.
+// DifferenceKind is the way in which an object differs.
 type DifferenceKind string
 
 // The kinds of difference.
@@ -26,36 +26,36 @@
 // Difference is one object that differs between two configurations.
 type Difference struct {
 	Kind DifferenceKind `json:"difference"`
-	// Object is its kind, for example "back end".
+	// Object is the kind of the object, for example "back end".
 	Object string `json:"object"`
 	// Name is empty for the policy.
 	Name string `json:"name,omitempty"`
-	// Fields lists what changed within a changed object.
+	// Fields lists the differing fields of a changed object.
 	Fields []FieldDifference `json:"fields,omitempty"`
 }
 
-// FieldDifference is one field that differs. Values are as in JSON; an empty
-// text stands for a field that is not set.
+// FieldDifference is one field that differs. The values are readable text; an empty
+// one means that the field is not set.
 type FieldDifference struct {
 	Field string `json:"field"`
 	Old   string `json:"old"`
 	New   string `json:"new"`
 }
 
-// String is the field with its values before and after.
+// String returns the field with its old and new value.
 func (d FieldDifference) String() string {
-	return fmt.Sprintf("%s: %s -> %s", d.Field, orNothing(d.Old), orNothing(d.New))
+	return fmt.Sprintf("%s: %s -> %s", d.Field, orNone(d.Old), orNone(d.New))
 }
 
-func orNothing(value string) string {
+func orNone(value string) string {
 	if value == "" {
 		return "(none)"
 	}
 	return value
 }
 
-// Diff lists for people what differs between two configurations, besides their
-// numbers.
+// Diff lists the differences between two configurations in a readable form. It
+// ignores their numbers.
 func Diff(before, after *Index) []Difference {
 	var differences []Difference
 	walkPairs(before.entries, after.entries, func(old, new *entry) {
@@ -65,7 +65,7 @@
 		case old == nil:
 			differences = append(differences, difference(Added, new.key, nil))
 		case old.hash != new.hash:
-			fields := fieldDifferences("", content(old.object), content(new.object))
+			fields := fieldDifferences("", messageOf(old.object), messageOf(new.object))
 			differences = append(differences, difference(Changed, old.key, fields))
 		}
 	})
@@ -76,22 +76,22 @@
 	return Difference{Kind: kind, Object: KindName(key.Kind), Name: key.Name, Fields: fields}
 }
 
-// content is the message within the object's union.
-func content(object *rockwindpb.ConfigurationObject) protoreflect.Message {
+// messageOf returns the message in the object's oneof.
+func messageOf(object *rockwindpb.ConfigurationObject) protoreflect.Message {
 	message := object.ProtoReflect()
 	union := message.Descriptor().Oneofs().Get(0)
 	return message.Get(message.WhichOneof(union)).Message()
 }
 
-// fieldDifferences compares two messages of one type field by field, and goes
-// into messages within them.
+// fieldDifferences compares the fields of two messages of the same type, including
+// those of nested messages.
 func fieldDifferences(prefix string, old, new protoreflect.Message) []FieldDifference {
 	var differences []FieldDifference
 	fields := old.Descriptor().Fields()
 	for i := range fields.Len() {
 		field := fields.Get(i)
 		name := prefix + string(field.Name())
-		if isPlainMessage(field) {
+		if isNestedMessage(field) {
 			below := fieldDifferences(name+".", old.Get(field).Message(), new.Get(field).Message())
 			differences = append(differences, below...)
 			continue
@@ -104,7 +104,7 @@
 	return differences
 }
 
-func isPlainMessage(field protoreflect.FieldDescriptor) bool {
+func isNestedMessage(field protoreflect.FieldDescriptor) bool {
 	return field.Message() != nil && !field.IsList() && field.Message().FullName() != "google.protobuf.Duration"
 }
 
--- a/internal/configuration/export_test.go
+++ b/internal/configuration/export_test.go
@@ -1,4 +1,4 @@
 package configuration
 
-// Its function that the tests use.
+// Exported for the external tests.
 var SortObjects = sortObjects
--- a/internal/configuration/index.go
+++ b/internal/configuration/index.go
@@ -7,12 +7,12 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// adapterSeparator stands between model and adapter in the names of requests.
+// adapterSeparator separates model and adapter in the model name of a request.
 const adapterSeparator = ":"
 
-// Index is one configuration in an immutable form for lookups. All its methods
-// may be called by any goroutine. The messages and slices that it returns are
-// shared and must not be changed.
+// Index is an immutable form of a configuration for lookups. It is safe for
+// concurrent use. The returned messages and slices are shared and must not be
+// modified.
 type Index struct {
 	number   uint64
 	checksum Hash
@@ -29,7 +29,7 @@
 	limits   *rockwindpb.ClientLimits
 }
 
-// lookup finds objects of one kind by name; list is in the order of names.
+// lookup finds objects of one kind by name; list is sorted by name.
 type lookup[T named] struct {
 	list   []T
 	byName map[string]T
@@ -55,84 +55,84 @@
 	byAddress map[string]*rockwindpb.BackEnd
 }
 
-// Empty returns the index in force before any configuration was accepted: it
-// has number zero and no objects.
+// Empty returns the index that is used before a configuration is accepted: it has
+// number zero and no objects.
 func Empty() *Index {
 	empty := newIndex(0, nil)
-	empty.shareLookups(nil, nil, nil)
+	empty.setLookups(nil, nil, nil)
 	return empty
 }
 
-// NewIndex builds the index of a configuration; nil stands for the empty one.
-// It fails with fault.Corrupt where two objects have the same key.
+// NewIndex builds the index of a configuration; nil means an empty one. It fails
+// with fault.Corrupt if two objects have the same key.
 func NewIndex(configuration *rockwindpb.Configuration) (*Index, error) {
 	entries, err := newEntries(Objects(configuration))
 	if err != nil {
 		return nil, err
 	}
 	built := newIndex(configuration.GetNumber(), entries)
-	built.shareLookups(nil, nil, nil)
+	built.setLookups(nil, nil, nil)
 	return built, nil
 }
 
 // newIndex returns an index without its lookups.
 func newIndex(number uint64, entries []entry) *Index {
-	return &Index{number: number, checksum: checksumOf(number, entries), entries: entries}
+	return &Index{number: number, checksum: computeChecksum(number, entries), entries: entries}
 }
 
 // kindSet is a set of object kinds.
 type kindSet map[rockwindpb.ObjectKind]bool
 
-func touchedKinds(changed []entry, removed []Key) kindSet {
-	touched := make(kindSet)
+func changedKinds(changed []entry, removed []Key) kindSet {
+	kinds := make(kindSet)
 	for i := range changed {
-		touched[changed[i].key.Kind] = true
+		kinds[changed[i].key.Kind] = true
 	}
 	for _, key := range removed {
-		touched[key.Kind] = true
+		kinds[key.Kind] = true
 	}
-	return touched
+	return kinds
 }
 
-// shareLookups builds the lookups of the kinds that a change touched and takes the
-// others from the index before. It builds all where there is none before.
-func (x *Index) shareLookups(before *Index, changed []entry, removed []Key) {
-	touched := touchedKinds(changed, removed)
-	whole := x.Configuration()
-	fresh := func(kind rockwindpb.ObjectKind) bool { return before == nil || touched[kind] }
+// setLookups builds the lookups of the kinds that a change affects, and shares the
+// others with the previous index. Without a previous index it builds all of them.
+func (x *Index) setLookups(before *Index, changed []entry, removed []Key) {
+	kinds := changedKinds(changed, removed)
+	configuration := x.Configuration()
+	rebuild := func(kind rockwindpb.ObjectKind) bool { return before == nil || kinds[kind] }
 	if before != nil {
 		x.groups, x.tenants, x.models = before.groups, before.tenants, before.models
 		x.services, x.classes, x.backEnds = before.services, before.classes, before.backEnds
 		x.routes = before.routes
 	}
-	x.limits = whole.GetClientLimits()
-	x.policy = whole.GetPolicy()
+	x.limits = configuration.GetClientLimits()
+	x.policy = configuration.GetPolicy()
 	if x.policy == nil {
 		x.policy = defaultPolicy()
 	}
-	if fresh(rockwindpb.ObjectKind_OBJECT_KIND_GROUP) {
-		x.groups = newLookup(whole.GetGroups())
+	if rebuild(rockwindpb.ObjectKind_OBJECT_KIND_GROUP) {
+		x.groups = newLookup(configuration.GetGroups())
 	}
 	switch {
 	case before == nil:
-		x.tenants = newTenantLookup(whole.GetTenants())
-	case touched[rockwindpb.ObjectKind_OBJECT_KIND_TENANT]:
-		x.tenants = before.tenants.after(whole.GetTenants(), changed, removed)
+		x.tenants = newTenantLookup(configuration.GetTenants())
+	case kinds[rockwindpb.ObjectKind_OBJECT_KIND_TENANT]:
+		x.tenants = before.tenants.apply(configuration.GetTenants(), changed, removed)
 	}
-	if fresh(rockwindpb.ObjectKind_OBJECT_KIND_MODEL) {
-		x.models = newLookup(whole.GetModels())
+	if rebuild(rockwindpb.ObjectKind_OBJECT_KIND_MODEL) {
+		x.models = newLookup(configuration.GetModels())
 	}
-	if fresh(rockwindpb.ObjectKind_OBJECT_KIND_SERVICE) {
-		x.services = newLookup(whole.GetServices())
+	if rebuild(rockwindpb.ObjectKind_OBJECT_KIND_SERVICE) {
+		x.services = newLookup(configuration.GetServices())
 	}
-	if fresh(rockwindpb.ObjectKind_OBJECT_KIND_BATCH_CLASS) {
-		x.classes = newLookup(whole.GetBatchClasses())
+	if rebuild(rockwindpb.ObjectKind_OBJECT_KIND_BATCH_CLASS) {
+		x.classes = newLookup(configuration.GetBatchClasses())
 	}
-	if fresh(rockwindpb.ObjectKind_OBJECT_KIND_BACK_END) {
-		x.backEnds = newBackEndLookup(whole.GetBackEnds())
+	if rebuild(rockwindpb.ObjectKind_OBJECT_KIND_BACK_END) {
+		x.backEnds = newBackEndLookup(configuration.GetBackEnds())
 	}
-	if fresh(rockwindpb.ObjectKind_OBJECT_KIND_ROUTE) {
-		x.routes = newRouteLookup(whole.GetRoutes())
+	if rebuild(rockwindpb.ObjectKind_OBJECT_KIND_ROUTE) {
+		x.routes = newRouteLookup(configuration.GetRoutes())
 	}
 }
 
@@ -156,17 +156,17 @@
 	return result
 }
 
-// Configuration returns the configuration in canonical order. The message is
-// new, the objects in it are shared.
+// Configuration returns the configuration in canonical order, as a new message that
+// shares its objects with the index.
 func (x *Index) Configuration() *rockwindpb.Configuration {
-	whole := &rockwindpb.Configuration{Number: x.number}
+	configuration := &rockwindpb.Configuration{Number: x.number}
 	for i := range x.entries {
-		addObject(whole, x.entries[i].object)
+		addObject(configuration, x.entries[i].object)
 	}
-	return whole
+	return configuration
 }
 
-// FullChange returns the change that transfers the whole configuration.
+// FullChange returns a change that contains the whole configuration.
 func (x *Index) FullChange() *rockwindpb.ConfigurationChange {
 	change := &rockwindpb.ConfigurationChange{Number: x.number, Full: true, Checksum: x.Checksum()}
 	for i := range x.entries {
@@ -175,46 +175,46 @@
 	return change
 }
 
-// Number is the number of the configuration; zero before the first.
+// Number returns the number of the configuration; zero before the first.
 func (x *Index) Number() uint64 { return x.number }
 
-// Checksum is the SHA-256 checksum of the whole configuration.
+// Checksum returns the checksum of the configuration.
 func (x *Index) Checksum() []byte { return append([]byte(nil), x.checksum[:]...) }
 
-// Len is the number of objects.
+// Len returns the number of objects.
 func (x *Index) Len() int { return len(x.entries) }
 
-// Policy is the fleet-wide policy; before the first configuration it holds the
-// defaults.
+// Policy returns the policy of the fleet, with defaults if the configuration has
+// none.
 func (x *Index) Policy() *rockwindpb.Policy { return x.policy }
 
-// Group finds a group by name.
+// Group returns a group by name.
 func (x *Index) Group(name string) (*rockwindpb.Group, bool) { return x.groups.get(name) }
 
-// Groups lists the groups by name.
+// Groups returns the groups, sorted by name.
 func (x *Index) Groups() []*rockwindpb.Group { return x.groups.list }
 
-// Tenant finds a tenant by name.
+// Tenant returns a tenant by name.
 func (x *Index) Tenant(name string) (*rockwindpb.Tenant, bool) { return x.tenants.byName.get(name) }
 
-// Tenants lists the tenants by name.
+// Tenants returns the tenants, sorted by name.
 func (x *Index) Tenants() []*rockwindpb.Tenant { return x.tenants.list }
 
-// TenantByAPIKey finds the tenant that an API key belongs to.
+// TenantByAPIKey returns the tenant that owns an API key.
 func (x *Index) TenantByAPIKey(apiKey string) (*rockwindpb.Tenant, bool) {
 	return x.TenantByKeyHash(sha256.Sum256([]byte(apiKey)))
 }
 
-// TenantByKeyHash finds a tenant by the SHA-256 of one of its API keys.
+// TenantByKeyHash returns the tenant that owns the API key with a SHA-256.
 func (x *Index) TenantByKeyHash(hash Hash) (*rockwindpb.Tenant, bool) {
 	return x.tenants.byKey.get(hash)
 }
 
-// Model finds a model by name, without an adapter.
+// Model returns a model by its name without an adapter.
 func (x *Index) Model(name string) (*rockwindpb.Model, bool) { return x.models.get(name) }
 
-// ResolveModel finds the model that a request names as "model" or as
-// "model:adapter". It finds nothing where the model lacks the adapter.
+// ResolveModel returns the model that a request names as "model" or
+// "model:adapter". It finds nothing if the model does not have the adapter.
 func (x *Index) ResolveModel(requested string) (model *rockwindpb.Model, adapter string, found bool) {
 	name, adapter, named := strings.Cut(requested, adapterSeparator)
 	model, found = x.models.get(name)
@@ -232,35 +232,36 @@
 	return nil, "", false
 }
 
-// Models lists the models by name.
+// Models returns the models, sorted by name.
 func (x *Index) Models() []*rockwindpb.Model { return x.models.list }
 
-// Service finds a service by name.
+// Service returns a service by name.
 func (x *Index) Service(name string) (*rockwindpb.Service, bool) { return x.services.get(name) }
 
-// Services lists the services by name.
+// Services returns the services, sorted by name.
 func (x *Index) Services() []*rockwindpb.Service { return x.services.list }
 
-// BatchClass finds a batch class by name.
+// BatchClass returns a batch class by name.
 func (x *Index) BatchClass(name string) (*rockwindpb.BatchClass, bool) { return x.classes.get(name) }
 
-// BatchClasses lists the batch classes by name.
+// BatchClasses returns the batch classes, sorted by name.
 func (x *Index) BatchClasses() []*rockwindpb.BatchClass { return x.classes.list }
 
-// BackEnd finds a back end by name.
+// BackEnd returns a back end by name.
 func (x *Index) BackEnd(name string) (*rockwindpb.BackEnd, bool) { return x.backEnds.get(name) }
 
-// BackEndByAddress finds a back end by its address as the file gives it.
+// BackEndByAddress returns a back end by its address, as written in the
+// configuration.
 func (x *Index) BackEndByAddress(address string) (*rockwindpb.BackEnd, bool) {
 	backEnd, found := x.backEnds.byAddress[address]
 	return backEnd, found
 }
 
-// BackEnds lists the back ends by name.
+// BackEnds returns the back ends, sorted by name.
 func (x *Index) BackEnds() []*rockwindpb.BackEnd { return x.backEnds.list }
 
-// Engines lists the engines that may hold a model.
+// Engines returns the engines that may load a model.
 func (x *Index) Engines(model string) []*rockwindpb.BackEnd { return x.backEnds.engines[model] }
 
-// Instances lists the instances of a service.
+// Instances returns the instances of a service.
 func (x *Index) Instances(service string) []*rockwindpb.BackEnd { return x.backEnds.instances[service] }
--- a/internal/configuration/object.go
+++ b/internal/configuration/object.go
@@ -11,17 +11,17 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Hash is a SHA-256 sum.
+// Hash is a SHA-256 hash.
 type Hash [sha256.Size]byte
 
-// Key identifies an object within a configuration. It may be compared with ==.
+// Key identifies an object within a configuration.
 type Key struct {
 	Kind rockwindpb.ObjectKind
-	// Name is empty for the policy and the client limits, of which there is one.
+	// Name is empty for the policy and the client limits, which exist only once.
 	Name string
 }
 
-// String is the key as people write it, for example "back end engine-1".
+// String returns the key for messages, for example "back end engine-1".
 func (k Key) String() string {
 	if k.Name == "" {
 		return KindName(k.Kind)
@@ -29,7 +29,7 @@
 	return KindName(k.Kind) + " " + k.Name
 }
 
-// KindName is the kind as people write it, for example "back end".
+// KindName returns the name of a kind for messages, for example "back end".
 func KindName(kind rockwindpb.ObjectKind) string {
 	text := strings.TrimPrefix(kind.String(), "OBJECT_KIND_")
 	return strings.ToLower(strings.ReplaceAll(text, "_", " "))
@@ -43,8 +43,8 @@
 	return strings.Compare(k.Name, other.Name)
 }
 
-// KeyOf returns the key of an object. The kind is unspecified for an object
-// without content, or of a kind that this version does not know.
+// KeyOf returns the key of an object. Its kind is unspecified if the object is empty
+// or of a kind that this version does not know.
 func KeyOf(object *rockwindpb.ConfigurationObject) Key {
 	switch content := object.GetObject().(type) {
 	case *rockwindpb.ConfigurationObject_Group:
@@ -70,8 +70,8 @@
 	}
 }
 
-// Objects returns the objects of a configuration. They share their content
-// with it.
+// Objects returns the objects of a configuration, which share their messages with
+// it.
 func Objects(configuration *rockwindpb.Configuration) []*rockwindpb.ConfigurationObject {
 	var objects []*rockwindpb.ConfigurationObject
 	for _, group := range configuration.GetGroups() {
@@ -104,7 +104,7 @@
 	return objects
 }
 
-// addObject appends an object to its list in a configuration.
+// addObject adds an object to a configuration.
 func addObject(configuration *rockwindpb.Configuration, object *rockwindpb.ConfigurationObject) {
 	switch content := object.GetObject().(type) {
 	case *rockwindpb.ConfigurationObject_Group:
@@ -128,25 +128,25 @@
 	}
 }
 
-// entry is one object with its key and the hash of its canonical bytes.
+// entry is an object with its key and the hash of its canonical encoding.
 type entry struct {
 	key    Key
 	hash   Hash
 	object *rockwindpb.ConfigurationObject
 }
 
-// newEntry hashes an object. Its canonical bytes are its protobuf encoding with
-// fields in the order of their numbers.
+// newEntry hashes an object. The canonical encoding is the deterministic protobuf
+// encoding.
 func newEntry(object *rockwindpb.ConfigurationObject) (entry, error) {
 	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(object)
 	if err != nil {
-		return entry{}, corrupt("an object of the configuration cannot be encoded: %v", err)
+		return entry{}, corruptError("an object of the configuration cannot be encoded: %v", err)
 	}
 	return entry{key: KeyOf(object), hash: sha256.Sum256(encoded), object: object}, nil
 }
 
-// newEntries returns the entries of objects in the order of their keys. It
-// refuses objects without a known kind, and two objects with the same key.
+// newEntries returns the entries of objects, sorted by key. It fails if an object
+// has no known kind or two objects have the same key.
 func newEntries(objects []*rockwindpb.ConfigurationObject) ([]entry, error) {
 	entries := make([]entry, 0, len(objects))
 	for _, object := range objects {
@@ -155,14 +155,14 @@
 			return nil, err
 		}
 		if added.key.Kind == rockwindpb.ObjectKind_OBJECT_KIND_UNSPECIFIED {
-			return nil, corrupt("the configuration holds an object of unknown kind")
+			return nil, corruptError("the configuration holds an object of unknown kind")
 		}
 		entries = append(entries, added)
 	}
 	slices.SortFunc(entries, func(a, b entry) int { return a.key.Compare(b.key) })
 	for i := 1; i < len(entries); i++ {
 		if entries[i].key == entries[i-1].key {
-			return nil, corrupt("the configuration holds %s twice", entries[i].key)
+			return nil, corruptError("the configuration holds %s twice", entries[i].key)
 		}
 	}
 	return entries, nil
--- a/internal/configuration/parse.go
+++ b/internal/configuration/parse.go
@@ -1,8 +1,8 @@
-// Package configuration reads, checks, compares and hashes the declarative
-// configuration of a fleet. A file is accepted entirely or refused entirely:
-// Parse lists its faults with their positions. Compare and ApplyChange turn two
-// configurations into a change and back, and Index is the immutable form that
-// daemons look things up in.
+// Package configuration parses, validates, compares and hashes the declarative
+// configuration of a fleet. A file with any problem is rejected; Parse returns the
+// problems with their positions. Compare computes the change between two
+// configurations, ApplyChange applies it, and Index is the immutable form that
+// daemons use for lookups.
 package configuration
 
 import (
@@ -12,9 +12,9 @@
 // MaximumFileBytes bounds the size of a configuration file.
 const MaximumFileBytes = 16 << 20
 
-// Parse reads a YAML configuration file, fills in the defaults, puts the
-// objects into canonical order and checks the whole. The configuration is nil
-// where there are problems. The file name is used in the problems only.
+// Parse decodes and validates a YAML configuration file, sets the defaults and sorts
+// the objects. The configuration is nil if there are problems. The file name is used
+// in problems only.
 func Parse(fileName string, data []byte) (*rockwindpb.Configuration, []Problem) {
 	result := &rockwindpb.Configuration{}
 	document, problems := Decode(fileName, data, result)
@@ -30,8 +30,8 @@
 	return result, nil
 }
 
-// Check lists the faults of a configuration that did not come from a file, for
-// example one that was received over the network.
+// Check returns the problems of a configuration that did not come from a file, for
+// example one received over the network.
 func Check(configuration *rockwindpb.Configuration) []Problem {
 	problems := newProblemList("")
 	checker := &checker{configuration: configuration, positions: noPositions{}, problems: problems}
--- a/internal/configuration/parse_test.go
+++ b/internal/configuration/parse_test.go
@@ -46,9 +46,8 @@
 	}
 }
 
-// base is a small configuration that the cases below break in one place each.
-// Each line stands alone, so that a case replaces one line and expects the
-// problem there.
+// base is a small valid configuration. Each test case replaces one of its lines and
+// expects a problem there.
 const base = `number: 3
 groups:
   - name: alpha
@@ -101,8 +100,8 @@
     version: current
 `
 
-// badFile breaks one line of base, and names the problem that must be found
-// alone: its place and a part of its message.
+// badFile replaces one line of base, and gives the position and a part of the message
+// of the only problem expected.
 type badFile struct {
 	line    string
 	with    string
@@ -168,7 +167,7 @@
 
 func TestBadFilesAreRefusedWithPosition(t *testing.T) {
 	if _, problems := configuration.Parse("base", []byte(base)); len(problems) > 0 {
-		t.Fatalf("the unbroken file is refused: %v", problems)
+		t.Fatalf("the valid file is rejected: %v", problems)
 	}
 	for _, bad := range badFiles {
 		t.Run(bad.with, func(t *testing.T) {
@@ -210,8 +209,8 @@
 	}
 }
 
-// noises are files of about ten megabytes that are not configurations.
-func noises() map[string][]byte {
+// garbageFiles returns invalid files, most of them of about ten megabytes.
+func garbageFiles() map[string][]byte {
 	const size = 10 << 20
 	random := rand.New(rand.NewPCG(1, 2))
 	binary := make([]byte, size)
@@ -246,10 +245,10 @@
 	}
 }
 
-func TestNoiseIsRefusedWithFewProblems(t *testing.T) {
-	for name, noise := range noises() {
+func TestGarbageIsRefusedWithFewProblems(t *testing.T) {
+	for name, garbage := range garbageFiles() {
 		t.Run(name, func(t *testing.T) {
-			parsed, problems := configuration.Parse("noise", noise)
+			parsed, problems := configuration.Parse("noise", garbage)
 			if parsed != nil || len(problems) == 0 || len(problems) > configuration.MaximumListedProblems+1 {
 				t.Errorf("got configuration %v and %d problems", parsed, len(problems))
 			}
@@ -266,8 +265,8 @@
 	}
 }
 
-// FuzzParse checks that no input brings the parser down, and that what it
-// accepts survives being written out and read again.
+// FuzzParse checks that the parser does not crash on any input, and that accepted
+// configurations are equal after encoding and parsing.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(base))
 	for _, bad := range badFiles {
@@ -290,12 +289,12 @@
 		}
 		again, problems := configuration.Parse("again", text)
 		if len(problems) > 0 {
-			t.Fatalf("refused when written out: %v\n%s", problems, text)
+			t.Fatalf("rejected after encoding: %v\n%s", problems, text)
 		}
 		first, _ := configuration.Checksum(parsed)
 		second, _ := configuration.Checksum(again)
 		if !bytes.Equal(first, second) {
-			t.Fatalf("changed when written out:\n%s", text)
+			t.Fatalf("different after encoding:\n%s", text)
 		}
 	})
 }
--- a/internal/configuration/problem.go
+++ b/internal/configuration/problem.go
@@ -7,25 +7,24 @@
 	"rockwind.example/rockwind/internal/fault"
 )
 
-// MaximumListedProblems is how many problems of one file are listed; the rest is
-// counted.
+// MaximumListedProblems is the number of problems of a file that are listed; further
+// ones are only counted.
 const MaximumListedProblems = 20
 
-// Problem is one fault of a configuration or settings file.
+// Problem is one error in a configuration or settings file.
 type Problem struct {
-	// File is the name of the file as the operator gave it.
+	// File is the name of the file, or of the variable or flag that set the value.
 	File string
-	// Line counts from one; zero means that the problem has no position.
+	// Line is 1-based; zero means that the position is unknown.
 	Line int
-	// Column counts from one.
-	Column int
-	// Message says what is wrong.
+	// Column is 1-based.
+	Column  int
 	Message string
-	// Remedy says what to write instead.
+	// Remedy says what to do about it.
 	Remedy string
 }
 
-// String is the problem in one line: position, message and remedy.
+// String returns the position, message and remedy on one line.
 func (p Problem) String() string {
 	var text strings.Builder
 	if p.File != "" {
@@ -46,46 +45,46 @@
 	return text.String()
 }
 
-// Position is a place in a file; the zero value means that it is not known.
+// Position is a position in a file; the zero value means that it is unknown.
 type Position struct {
-	// Line and Column count from one.
+	// Line and Column are 1-based.
 	Line   int
 	Column int
-	// given is true where the file gives the very value that was asked for, and
-	// not only something around it.
+	// given is true if the file contains the requested value, and false if this is
+	// the position of an enclosing one.
 	given bool
 }
 
-func (p Position) place() place {
-	return place{line: p.Line, column: p.Column}
+func (p Position) lineColumn() lineColumn {
+	return lineColumn{line: p.Line, column: p.Column}
 }
 
-type place struct {
+type lineColumn struct {
 	line   int
 	column int
 }
 
-// problemList collects problems and counts those that are not listed.
+// problemList collects problems up to MaximumListedProblems and counts the rest.
 type problemList struct {
 	file     string
 	problems []Problem
-	unlisted int
-	// unreadable holds the places of values that could not be decoded: they are
-	// not also reported as missing or out of range.
-	unreadable map[place]bool
+	omitted  int
+	// undecodable has the positions of values that could not be decoded, so that
+	// they are not also reported as missing or out of range.
+	undecodable map[lineColumn]bool
 }
 
 func newProblemList(file string) *problemList {
-	return &problemList{file: file, unreadable: make(map[place]bool)}
+	return &problemList{file: file, undecodable: make(map[lineColumn]bool)}
 }
 
-// add records a problem unless the value could not be read in the first place.
+// add adds a problem, unless the value at the position could not be decoded.
 func (l *problemList) add(at Position, message, remedy string) {
-	if at.given && l.unreadable[at.place()] {
+	if at.given && l.undecodable[at.lineColumn()] {
 		return
 	}
 	if l.full() {
-		l.unlisted++
+		l.omitted++
 		return
 	}
 	l.problems = append(l.problems, Problem{File: l.file, Line: at.Line, Column: at.Column, Message: message, Remedy: remedy})
@@ -99,26 +98,26 @@
 	return len(l.problems) == 0
 }
 
-// full tells that further problems would only be counted.
+// full reports whether further problems are only counted.
 func (l *problemList) full() bool {
 	return len(l.problems) >= MaximumListedProblems
 }
 
-// result is the list, with one more entry that counts what is not listed.
+// result returns the problems, with a last entry that counts the omitted ones.
 func (l *problemList) result() []Problem {
-	if l.unlisted == 0 {
+	if l.omitted == 0 {
 		return l.problems
 	}
 	rest := Problem{
 		File:    l.file,
-		Message: fmt.Sprintf("%d more problems are not listed", l.unlisted),
+		Message: fmt.Sprintf("%d more problems are not listed", l.omitted),
 		Remedy:  "mend those above and try again",
 	}
 	return append(l.problems, rest)
 }
 
-// ProblemsError turns the problems of a file into one fault.InvalidArgument with a
-// line for each. It returns nil where there are none.
+// ProblemsError returns a fault.InvalidArgument with a line for each problem, or nil
+// if there are none.
 func ProblemsError(problems []Problem) error {
 	if len(problems) == 0 {
 		return nil
--- a/internal/configuration/routes.go
+++ b/internal/configuration/routes.go
@@ -8,15 +8,15 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// routeLookup finds the route of a request: by host, then by the longest path
-// prefix. It is immutable.
+// routeLookup finds the route of a request by host and longest path prefix. It is
+// immutable.
 type routeLookup struct {
 	list   []*rockwindpb.Route
 	byHost map[string]hostRoutes
 }
 
-// hostRoutes holds the routes of one host by path prefix, and the lengths of
-// the prefixes, longest first.
+// hostRoutes holds the routes of one host by path prefix, and the distinct lengths
+// of the prefixes in descending order.
 type hostRoutes struct {
 	byPrefix map[string]*rockwindpb.Route
 	lengths  []int
@@ -43,7 +43,7 @@
 	return result
 }
 
-// find returns the route with the longest prefix that begins the path.
+// find returns the route of the host with the longest prefix of the path.
 func (l *routeLookup) find(host, path string) (*rockwindpb.Route, bool) {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -63,16 +63,17 @@
 	return nil, false
 }
 
-// RouteKindName is the kind as a configuration file writes it, for example "safe".
+// RouteKindName returns the name of a kind in configuration files, for example
+// "safe".
 func RouteKindName(kind rockwindpb.RouteKind) string {
 	return strings.ToLower(strings.TrimPrefix(kind.String(), "ROUTE_KIND_"))
 }
 
-// Route finds the route of a request by its Host header and its path.
+// Route returns the route of a request by its Host header and path.
 func (x *Index) Route(host, path string) (*rockwindpb.Route, bool) { return x.routes.find(host, path) }
 
-// Routes lists the routes by name.
+// Routes returns the routes, sorted by name.
 func (x *Index) Routes() []*rockwindpb.Route { return x.routes.list }
 
-// ClientLimits bounds what clients may send; nil where the file has none.
+// ClientLimits returns the limits for clients, or nil if there are none.
 func (x *Index) ClientLimits() *rockwindpb.ClientLimits { return x.limits }
--- a/internal/configuration/routes_test.go
+++ b/internal/configuration/routes_test.go
@@ -67,10 +67,10 @@
 		t.Error("a removed route is still found")
 	}
 	if _, found := next.Route("site.example", "/drafts/"); !found {
-		t.Error("a kept route is lost")
+		t.Error("an unchanged route is missing after the change")
 	}
 	if _, found := before.Route("site.example", "/elsewhere"); !found {
-		t.Error("the index before the change has changed")
+		t.Error("applying a change modified the old index")
 	}
 }
 
--- a/internal/configuration/tenants.go
+++ b/internal/configuration/tenants.go
@@ -7,57 +7,55 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// tenantLookup finds tenants by name and by key. There are many of them and a
-// change touches few, so that the lookup after a change shares most of the one
-// before.
+// tenantLookup finds tenants by name and by API key. There are many tenants and a
+// change affects few, so a new version shares most of its data with the previous
+// one.
 type tenantLookup struct {
 	list   []*rockwindpb.Tenant
-	byName layered[string]
-	byKey  layered[Hash]
-	// sharedKeys tells that two tenants have one key. A checked configuration has
-	// none.
-	sharedKeys bool
+	byName overlayMap[string]
+	byKey  overlayMap[Hash]
+	// duplicateKeys is set if two tenants have the same key, which a validated
+	// configuration does not contain.
+	duplicateKeys bool
 }
 
 func newTenantLookup(tenants []*rockwindpb.Tenant) tenantLookup {
 	built := tenantLookup{
 		list:   tenants,
-		byName: layered[string]{base: make(map[string]*rockwindpb.Tenant, len(tenants))},
-		byKey:  layered[Hash]{base: make(map[Hash]*rockwindpb.Tenant, len(tenants))},
+		byName: overlayMap[string]{base: make(map[string]*rockwindpb.Tenant, len(tenants))},
+		byKey:  overlayMap[Hash]{base: make(map[Hash]*rockwindpb.Tenant, len(tenants))},
 	}
 	for _, tenant := range tenants {
 		built.byName.base[tenant.GetName()] = tenant
 		for _, hash := range keysOf(tenant) {
 			other := built.byKey.base[hash]
-			built.sharedKeys = built.sharedKeys || (other != nil && other != tenant)
+			built.duplicateKeys = built.duplicateKeys || (other != nil && other != tenant)
 			built.byKey.base[hash] = tenant
 		}
 	}
 	return built
 }
 
-// tenantChanges are the entries of a lookup that a change touches; nil marks a
-// removal.
+// tenantChanges holds the changed entries of a lookup; nil marks a removal.
 type tenantChanges struct {
 	names map[string]*rockwindpb.Tenant
 	keys  map[Hash]*rockwindpb.Tenant
 }
 
-// after returns the lookup of the tenants in list, which differ from those before by
-// a change.
-func (t tenantLookup) after(list []*rockwindpb.Tenant, changed []entry, removed []Key) tenantLookup {
-	if t.sharedKeys || len(changed)+len(removed) > len(list)/layerPart {
+// apply returns the lookup after a change; list contains all tenants after it.
+func (t tenantLookup) apply(list []*rockwindpb.Tenant, changed []entry, removed []Key) tenantLookup {
+	if t.duplicateKeys || len(changed)+len(removed) > len(list)/overlayDivisor {
 		return newTenantLookup(list)
 	}
 	changes := tenantChanges{names: map[string]*rockwindpb.Tenant{}, keys: map[Hash]*rockwindpb.Tenant{}}
 	for _, key := range removed {
 		if key.Kind == rockwindpb.ObjectKind_OBJECT_KIND_TENANT {
-			t.forget(key.Name, changes)
+			t.remove(key.Name, changes)
 		}
 	}
 	for i := range changed {
 		if tenant := changed[i].object.GetTenant(); tenant != nil {
-			t.forget(tenant.GetName(), changes)
+			t.remove(tenant.GetName(), changes)
 		}
 	}
 	for i := range changed {
@@ -68,8 +66,8 @@
 	return tenantLookup{list: list, byName: t.byName.with(changes.names), byKey: t.byKey.with(changes.keys)}
 }
 
-// forget removes a tenant and its keys.
-func (t tenantLookup) forget(name string, from tenantChanges) {
+// remove marks a tenant and its keys as removed.
+func (t tenantLookup) remove(name string, from tenantChanges) {
 	from.names[name] = nil
 	if old, found := t.byName.get(name); found {
 		for _, hash := range keysOf(old) {
@@ -78,7 +76,8 @@
 	}
 }
 
-// add adds a tenant and its keys, and tells whether none of these is taken.
+// add adds a tenant and its keys. It returns false if another tenant has one of the
+// keys.
 func (t tenantLookup) add(tenant *rockwindpb.Tenant, to tenantChanges) bool {
 	to.names[tenant.GetName()] = tenant
 	for _, hash := range keysOf(tenant) {
@@ -94,7 +93,7 @@
 	return true
 }
 
-// keysOf returns the hashes of a tenant's keys, without those that are none.
+// keysOf returns the hashes of a tenant's keys, without the invalid ones.
 func keysOf(tenant *rockwindpb.Tenant) []Hash {
 	hashes := make([]Hash, 0, len(tenant.GetApiKeySha256()))
 	for _, text := range tenant.GetApiKeySha256() {
@@ -106,40 +105,40 @@
 	return hashes
 }
 
-// layerPart bounds the changes that stand above the base of a layered map, as a
-// part of the base.
-const layerPart = 16
+// overlayDivisor bounds the size of an overlay: the size of the base divided by it.
+const overlayDivisor = 16
 
-// layered is an immutable map to tenants: a base that many versions share, and the
-// few entries that differ from it, in which nil marks a removal.
-type layered[K comparable] struct {
-	base   map[K]*rockwindpb.Tenant
-	recent map[K]*rockwindpb.Tenant
+// overlayMap is an immutable map to tenants. It consists of a base, which versions
+// share, and an overlay of the entries that differ; nil in the overlay marks a
+// removal.
+type overlayMap[K comparable] struct {
+	base    map[K]*rockwindpb.Tenant
+	overlay map[K]*rockwindpb.Tenant
 }
 
-func (l layered[K]) get(key K) (*rockwindpb.Tenant, bool) {
-	if found, changed := l.recent[key]; changed {
+func (m overlayMap[K]) get(key K) (*rockwindpb.Tenant, bool) {
+	if found, changed := m.overlay[key]; changed {
 		return found, found != nil
 	}
-	found, known := l.base[key]
+	found, known := m.base[key]
 	return found, known
 }
 
-// with returns the map after changes, in which nil marks a removal.
-func (l layered[K]) with(changes map[K]*rockwindpb.Tenant) layered[K] {
-	recent := make(map[K]*rockwindpb.Tenant, len(l.recent)+len(changes))
-	maps.Copy(recent, l.recent)
-	maps.Copy(recent, changes)
-	if len(recent) <= len(l.base)/layerPart {
-		return layered[K]{base: l.base, recent: recent}
+// with returns the map after changes; nil marks a removal.
+func (m overlayMap[K]) with(changes map[K]*rockwindpb.Tenant) overlayMap[K] {
+	overlay := make(map[K]*rockwindpb.Tenant, len(m.overlay)+len(changes))
+	maps.Copy(overlay, m.overlay)
+	maps.Copy(overlay, changes)
+	if len(overlay) <= len(m.base)/overlayDivisor {
+		return overlayMap[K]{base: m.base, overlay: overlay}
 	}
-	base := maps.Clone(l.base)
-	for key, tenant := range recent {
+	base := maps.Clone(m.base)
+	for key, tenant := range overlay {
 		if tenant == nil {
 			delete(base, key)
 			continue
 		}
 		base[key] = tenant
 	}
-	return layered[K]{base: base}
+	return overlayMap[K]{base: base}
 }
--- a/internal/configuration/tenants_test.go
+++ b/internal/configuration/tenants_test.go
@@ -11,11 +11,11 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// manyTenants is enough for lookups to be shared between versions.
+// manyTenants is large enough for versions to share a base map.
 const manyTenants = 120
 
-// TestTenantLookupsFollowChanges changes, adds and removes a few of many tenants and
-// moves keys between them, and compares the lookups with those built at once.
+// TestTenantLookupsFollowChanges checks that lookups after changes of tenants and
+// their keys equal those of a new index.
 func TestTenantLookupsFollowChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		whole := &rockwindpb.Configuration{Number: 1}
@@ -27,8 +27,8 @@
 			whole = proto.CloneOf(whole)
 			whole.Number++
 			for range rapid.IntRange(1, 3).Draw(t, "tenants") {
-				place := rapid.IntRange(0, len(whole.Tenants)-1).Draw(t, "place")
-				alter(t, whole, place)
+				index := rapid.IntRange(0, len(whole.Tenants)-1).Draw(t, "place")
+				mutateTenant(t, whole, index)
 			}
 			next, err := current.Apply(configuration.CompareIndexes(current, mustIndex(t, whole)))
 			if err != nil {
@@ -44,9 +44,10 @@
 	return &rockwindpb.Tenant{Name: fmt.Sprintf("t%04d", number), ApiKeySha256: []string{fmt.Sprintf("%064x", key)}}
 }
 
-// alter changes, removes or adds a tenant. Keys are few enough to move and to meet.
-func alter(t *rapid.T, whole *rockwindpb.Configuration, place int) {
-	changed := whole.Tenants[place]
+// mutateTenant changes or removes a tenant, or swaps keys with another. Keys come
+// from a small set, so that tenants may get the same one.
+func mutateTenant(t *rapid.T, whole *rockwindpb.Configuration, index int) {
+	changed := whole.Tenants[index]
 	key := fmt.Sprintf("%064x", rapid.Uint64Max(2*manyTenants).Draw(t, "key"))
 	switch rapid.IntRange(0, 4).Draw(t, "kind") {
 	case 0:
@@ -56,7 +57,7 @@
 	case 2:
 		changed.Limits = &rockwindpb.Limits{Concurrency: uint32(whole.Number)}
 	case 3:
-		whole.Tenants = append(whole.Tenants[:place], whole.Tenants[place+1:]...)
+		whole.Tenants = append(whole.Tenants[:index], whole.Tenants[index+1:]...)
 	default:
 		other := whole.Tenants[rapid.IntRange(0, len(whole.Tenants)-1).Draw(t, "other")]
 		changed.ApiKeySha256, other.ApiKeySha256 = other.ApiKeySha256, changed.ApiKeySha256
--- a/internal/configuration/text.go
+++ b/internal/configuration/text.go
@@ -5,12 +5,11 @@
 	"unicode/utf8"
 )
 
-// Bounds that keep the YAML reader's time and memory small: it makes a node for
-// about each line, list element and bracket. A fleet of 11,000 tenants has
-// about 100,000 of them.
+// Limits on the time and memory that the YAML parser takes. It creates about one
+// node for each line, list element and bracket.
 const (
 	maximumLineBytes = 64 << 10
-	maximumMarks     = 400_000
+	maximumNodes     = 400_000
 )
 
 const (
@@ -22,17 +21,17 @@
 	deleteCharacter    = 0x7f
 )
 
-// checkText refuses what is not a plain text file of moderate size, before the
-// YAML reader sees it. It tells whether the text may be parsed.
+// checkText checks the size and characters of a file before it is parsed. It reports
+// whether the text may be parsed.
 func checkText(data []byte, problems *problemList) bool {
 	if len(data) > MaximumFileBytes {
 		problems.addf(Position{}, "split the fleet, or check that this is the right file",
 			"the file has %d bytes, more than the %d allowed", len(data), MaximumFileBytes)
 		return false
 	}
-	if marks := countMarks(data); marks > maximumMarks {
+	if nodes := estimateNodes(data); nodes > maximumNodes {
 		problems.addf(Position{}, "check that this is the right file",
-			"the file has %d lines, list elements and brackets, more than the %d allowed", marks, maximumMarks)
+			"the file has %d lines, list elements and brackets, more than the %d allowed", nodes, maximumNodes)
 		return false
 	}
 	line := 1
@@ -47,13 +46,13 @@
 	return true
 }
 
-// countMarks estimates from above how many nodes the YAML reader would make.
-func countMarks(data []byte) int {
-	marks := 0
-	for _, mark := range []string{"\n", ",", "[", "{", "- ", "? "} {
-		marks += bytes.Count(data, []byte(mark))
+// estimateNodes returns an upper estimate of the nodes that the YAML parser creates.
+func estimateNodes(data []byte) int {
+	nodes := 0
+	for _, token := range []string{"\n", ",", "[", "{", "- ", "? "} {
+		nodes += bytes.Count(data, []byte(token))
 	}
-	return marks
+	return nodes
 }
 
 func cutLine(data []byte) (line, rest []byte) {
@@ -84,7 +83,7 @@
 	return true
 }
 
-// badCharacter names what is wrong with a character, or returns nothing.
+// badCharacter describes a character that is not allowed, or returns "".
 func badCharacter(character rune, size int) string {
 	switch {
 	case character == utf8.RuneError && size <= 1:
--- a/internal/configuration/tree.go
+++ b/internal/configuration/tree.go
@@ -7,14 +7,14 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// maximumQuoted bounds how much of a wrong name is repeated in a message.
-const maximumQuoted = 40
+// maximumAbbreviatedRunes is the length to which names are cut in messages.
+const maximumAbbreviatedRunes = 40
 
-// checkStructure walks the tree along the schema. It reports unknown and
-// repeated fields, anchors and aliases, and completes short names of enum
-// values. Values are left to the decoder.
+// checkStructure checks a YAML node against a message of the schema. It reports
+// anchors, aliases, and unknown and repeated fields, which it removes, and expands
+// short names of enum values. The decoder checks all other values.
 func checkStructure(node *yaml.Node, descriptor protoreflect.MessageDescriptor, problems *problemList) {
-	if hasReference(node, problems) || node.Kind != yaml.MappingNode {
+	if rejectAnchorOrAlias(node, problems) || node.Kind != yaml.MappingNode {
 		return
 	}
 	seen := make(map[protoreflect.FieldNumber]bool)
@@ -31,16 +31,16 @@
 	node.Content = kept
 }
 
-// checkField returns the field that a key names, or nil after it reported why
-// there is none.
+// checkField returns the field that a key names. It returns nil if it reported a
+// problem.
 func checkField(key *yaml.Node, descriptor protoreflect.MessageDescriptor, seen map[protoreflect.FieldNumber]bool, problems *problemList) protoreflect.FieldDescriptor {
-	if hasReference(key, problems) {
+	if rejectAnchorOrAlias(key, problems) {
 		return nil
 	}
 	field := findField(key.Value, descriptor)
 	if field == nil || key.Kind != yaml.ScalarNode {
 		problems.addf(positionOf(key), "remove it, or use one of: "+fieldNames(descriptor),
-			"unknown field %q of %s", quotable(key.Value), describe(descriptor))
+			"unknown field %q of %s", abbreviate(key.Value), messageName(descriptor))
 		return nil
 	}
 	if seen[field.Number()] {
@@ -52,7 +52,7 @@
 }
 
 func checkValue(value *yaml.Node, field protoreflect.FieldDescriptor, problems *problemList) {
-	if hasReference(value, problems) {
+	if rejectAnchorOrAlias(value, problems) {
 		return
 	}
 	if field.IsList() && value.Kind == yaml.SequenceNode {
@@ -68,15 +68,15 @@
 	switch {
 	case field.Message() != nil:
 		checkStructure(value, field.Message(), problems)
-	case hasReference(value, problems):
+	case rejectAnchorOrAlias(value, problems):
 	case field.Enum() != nil:
-		completeEnum(value, field.Enum())
+		expandEnumName(value, field.Enum())
 	}
 }
 
-// hasReference reports anchors and aliases: a few lines of them can stand for
-// gigabytes, and they hide what a file says.
-func hasReference(node *yaml.Node, problems *problemList) bool {
+// rejectAnchorOrAlias reports an anchor or alias: a few lines of them can expand to
+// gigabytes, and they make a file hard to review.
+func rejectAnchorOrAlias(node *yaml.Node, problems *problemList) bool {
 	if node.Kind != yaml.AliasNode && node.Anchor == "" {
 		return false
 	}
@@ -84,8 +84,9 @@
 	return true
 }
 
-// completeEnum lets a file say "throughput" for OBJECTIVE_THROUGHPUT.
-func completeEnum(node *yaml.Node, enum protoreflect.EnumDescriptor) {
+// expandEnumName expands a short name, for example "throughput" to
+// OBJECTIVE_THROUGHPUT.
+func expandEnumName(node *yaml.Node, enum protoreflect.EnumDescriptor) {
 	wanted := strings.ToUpper(strings.ReplaceAll(node.Value, "-", "_"))
 	for i := range enum.Values().Len() {
 		name := string(enum.Values().Get(i).Name())
@@ -96,8 +97,8 @@
 	}
 }
 
-// enumPrefix is the common prefix of an enum's values, taken from the one with
-// the number zero.
+// enumPrefix returns the common prefix of an enum's values, derived from its
+// UNSPECIFIED value.
 func enumPrefix(enum protoreflect.EnumDescriptor) string {
 	return strings.TrimSuffix(string(enum.Values().Get(0).Name()), "UNSPECIFIED")
 }
@@ -117,8 +118,9 @@
 	return strings.Join(names, ", ")
 }
 
-// describe is the message's name as people say it: "back end" for BackEnd.
-func describe(descriptor protoreflect.MessageDescriptor) string {
+// messageName returns the name of a message type for problems: "back end" for
+// BackEnd.
+func messageName(descriptor protoreflect.MessageDescriptor) string {
 	var text strings.Builder
 	for i, letter := range string(descriptor.Name()) {
 		if i > 0 && letter >= 'A' && letter <= 'Z' {
@@ -129,34 +131,34 @@
 	return strings.ToLower(text.String())
 }
 
-func quotable(text string) string {
+func abbreviate(text string) string {
 	runes := []rune(text)
-	if len(runes) <= maximumQuoted {
+	if len(runes) <= maximumAbbreviatedRunes {
 		return text
 	}
-	return string(runes[:maximumQuoted]) + "..."
+	return string(runes[:maximumAbbreviatedRunes]) + "..."
 }
 
 func positionOf(node *yaml.Node) Position {
 	return Position{Line: node.Line, Column: node.Column}
 }
 
-// Document finds the position of a field in a file.
+// Document is a parsed file, used to find the positions of fields.
 type Document struct {
 	root *yaml.Node
 }
 
-// Step is one step of a path: a field, and for a repeated field the element.
+// Step is one step of a path to a value: a field, and possibly an element of it.
 type Step struct {
 	// Field is the name in the schema, for example "back_ends".
 	Field string
-	// Element counts from zero; it is below zero for a field that is not
-	// repeated, or for the list as a whole.
+	// Element is the 0-based index in a repeated field, or negative for the whole
+	// field.
 	Element int
 }
 
-// Position returns where the value at the path stands, or where the closest
-// value around it stands when the file does not give it.
+// Position returns the position of the value at a path, or of the innermost
+// enclosing value if the file does not contain it.
 func (d *Document) Position(path ...Step) Position {
 	node := d.root
 	for _, step := range path {
@@ -194,8 +196,8 @@
 	return nil
 }
 
-// sameField compares a key of the file, in snake case or in lower camel case,
-// with a name of the schema.
+// sameField reports whether a key of the file, in snake case or lower camel case,
+// names a field of the schema.
 func sameField(key, field string) bool {
 	if key == field {
 		return true
