--- a/internal/settings/address.go
+++ b/internal/settings/address.go
@@ -7,21 +7,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Files in a daemon's data folder that name the addresses it listens on, for
-// tools and for tests that leave the choice of the port to the system.
+// Files in a daemon's data folder that contain the addresses it listens on, for
+// tools, and for tests that listen on port 0.
 const (
-	// AddressFile names the address for callers of a gateway, or of a control
+	// AddressFile contains the address of a gateway for callers, or of a control
 	// machine's services.
 	AddressFile = "address"
-	// InternalAddressFile names a gateway's address for operators.
+	// InternalAddressFile contains a gateway's internal address, for operators.
 	InternalAddressFile = "internal_address"
 )
 
-// addressFileMode lets the daemon's user write the file and the group read it.
 const addressFileMode = 0o640
 
-// WriteAddress puts a bound address into a file of the data folder in one step,
-// so that a reader sees the old or the new one whole.
+// WriteAddress writes a bound address to a file in the data folder. It replaces the
+// file atomically, so that readers never see a part of the address.
 func WriteAddress(dataFolder, name, address string) error {
 	path := filepath.Join(dataFolder, name)
 	temporary := path + ".new"
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -13,7 +13,7 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Bounds of the settings.
+// Limits of the settings.
 const (
 	minimumExchangeInterval = 100 * time.Millisecond
 	maximumExchangeInterval = 10 * time.Second
@@ -24,21 +24,21 @@
 
 const addressRemedy = "write an IP number and a port, for example 10.0.0.1:8080"
 
-func defaultDuration(value **durationpb.Duration, standard time.Duration) {
+func defaultDuration(value **durationpb.Duration, fallback time.Duration) {
 	if *value == nil {
-		*value = durationpb.New(standard)
+		*value = durationpb.New(fallback)
 	}
 }
 
 func (l *loader) checkGateway(settings *rockwindpb.GatewaySettings) {
-	l.checkText(fieldPath{"name"}, settings.GetName(), "give each gateway a name of its own")
-	l.checkText(fieldPath{"zone"}, settings.GetZone(), "name the zone that the machine stands in")
+	l.checkNotEmpty(fieldPath{"name"}, settings.GetName(), "give each gateway a name of its own")
+	l.checkNotEmpty(fieldPath{"zone"}, settings.GetZone(), "name the zone that the machine stands in")
 	l.checkAddress(fieldPath{"listen"}, settings.GetListen())
 	l.checkAddress(fieldPath{"internal_listen"}, settings.GetInternalListen())
 	if settings.GetListen() == settings.GetInternalListen() && settings.GetListen() != "" {
 		l.add(fieldPath{"internal_listen"}, "listen and internal_listen are the same address", "use two ports")
 	}
-	l.checkText(fieldPath{"data_folder"}, settings.GetDataFolder(), "name a folder for the daemon's files")
+	l.checkNotEmpty(fieldPath{"data_folder"}, settings.GetDataFolder(), "name a folder for the daemon's files")
 	l.checkMachines(settings.GetControl())
 	l.checkTLS("caller_tls", settings.GetCallerTls())
 	l.checkMutualTLS("internal_tls", settings.GetInternalTls())
@@ -50,18 +50,18 @@
 }
 
 func (l *loader) checkControl(settings *rockwindpb.ControlSettings) {
-	l.checkText(fieldPath{"machine"}, settings.GetMachine(), "give each control machine a name of its own")
-	l.checkText(fieldPath{"zone"}, settings.GetZone(), "name the zone that the machine stands in")
+	l.checkNotEmpty(fieldPath{"machine"}, settings.GetMachine(), "give each control machine a name of its own")
+	l.checkNotEmpty(fieldPath{"zone"}, settings.GetZone(), "name the zone that the machine stands in")
 	l.checkAddress(fieldPath{"listen"}, settings.GetListen())
-	l.checkText(fieldPath{"data_folder"}, settings.GetDataFolder(), "name a folder for the daemon's files")
+	l.checkNotEmpty(fieldPath{"data_folder"}, settings.GetDataFolder(), "name a folder for the daemon's files")
 	l.checkMachines(settings.GetControl())
-	l.checkSelf(settings)
+	l.checkOwnMachine(settings)
 	l.checkMutualTLS("internal_tls", settings.GetInternalTls())
 	l.checkDuration(fieldPath{"tick"}, settings.GetTick(), minimumTick, maximumTick)
 	l.checkPlacement(settings.GetPlacement())
 }
 
-func (l *loader) checkSelf(settings *rockwindpb.ControlSettings) {
+func (l *loader) checkOwnMachine(settings *rockwindpb.ControlSettings) {
 	for _, machine := range settings.GetControl() {
 		if machine.GetMachine() == settings.GetMachine() {
 			return
@@ -70,7 +70,7 @@
 	l.add(fieldPath{"control"}, fmt.Sprintf("the list of control machines lacks this one, %q", settings.GetMachine()), "list all control machines, this one included")
 }
 
-func (l *loader) checkText(path fieldPath, value, remedy string) {
+func (l *loader) checkNotEmpty(path fieldPath, value, remedy string) {
 	if value == "" {
 		l.add(path, "the setting "+path.String()+" is missing", remedy)
 	}
@@ -122,7 +122,7 @@
 	}
 }
 
-// checkMutualTLS checks the files of connections whose both sides are checked.
+// checkMutualTLS checks the files for mutual TLS, which needs a certificate authority.
 func (l *loader) checkMutualTLS(name string, settings *rockwindpb.TlsSettings) {
 	l.checkTLS(name, settings)
 	if settings.GetCertificateFile() != "" && settings.GetCaFile() == "" {
--- a/internal/settings/export_test.go
+++ b/internal/settings/export_test.go
@@ -1,4 +1,4 @@
 package settings
 
-// Its function that the tests use.
-var Leaves = leaves
+// Exported for the external tests.
+var LeafPaths = leafPaths
--- a/internal/settings/override.go
+++ b/internal/settings/override.go
@@ -13,12 +13,12 @@
 	"rockwind.example/rockwind/internal/configuration"
 )
 
-// environmentPrefix starts the names of all environment variables.
+// environmentPrefix is the prefix of all environment variables.
 const environmentPrefix = "ROCKWIND_"
 
 const durationName = protoreflect.FullName("google.protobuf.Duration")
 
-// fieldPath names a field, or a field of a field, by the names in the schema.
+// fieldPath is the path to a possibly nested field, by the names in the schema.
 type fieldPath []string
 
 func parsePath(text string) fieldPath {
@@ -30,7 +30,7 @@
 	return strings.Join(p, ".")
 }
 
-func (p fieldPath) variable() string {
+func (p fieldPath) environmentVariable() string {
 	return environmentPrefix + strings.ToUpper(strings.Join(p, "_"))
 }
 
@@ -42,9 +42,9 @@
 	return steps
 }
 
-// leaves lists the paths of all fields that take one value: scalars, durations,
-// the list of control machines, and the fields of messages.
-func leaves(descriptor protoreflect.MessageDescriptor) []fieldPath {
+// leafPaths returns the paths of all settings: scalars, durations and lists, including
+// those in nested messages.
+func leafPaths(descriptor protoreflect.MessageDescriptor) []fieldPath {
 	var paths []fieldPath
 	for i := range descriptor.Fields().Len() {
 		field := descriptor.Fields().Get(i)
@@ -53,7 +53,7 @@
 			paths = append(paths, fieldPath{name})
 			continue
 		}
-		for _, below := range leaves(field.Message()) {
+		for _, below := range leafPaths(field.Message()) {
 			paths = append(paths, append(fieldPath{name}, below...))
 		}
 	}
@@ -65,10 +65,10 @@
 }
 
 func (l *loader) readEnvironment(message proto.Message) {
-	for _, path := range leaves(message.ProtoReflect().Descriptor()) {
-		value, given := os.LookupEnv(path.variable())
+	for _, path := range leafPaths(message.ProtoReflect().Descriptor()) {
+		value, given := os.LookupEnv(path.environmentVariable())
 		if given {
-			l.set(path, value, path.variable(), message)
+			l.set(path, value, path.environmentVariable(), message)
 		}
 	}
 }
@@ -86,7 +86,7 @@
 	}
 }
 
-// set puts a value from outside the file into the message.
+// set sets a field from an environment variable or a flag.
 func (l *loader) set(path fieldPath, value, source string, message proto.Message) {
 	l.sources[path.String()] = source
 	target := message.ProtoReflect()
@@ -108,14 +108,13 @@
 
 func settingNames(message proto.Message) string {
 	var names []string
-	for _, path := range leaves(message.ProtoReflect().Descriptor()) {
+	for _, path := range leafPaths(message.ProtoReflect().Descriptor()) {
 		names = append(names, path.String())
 	}
 	return strings.Join(names, ", ")
 }
 
-// setField sets one field from text and returns a remedy where the text does
-// not fit.
+// setField parses and sets one field. It returns a remedy if the value is invalid.
 func setField(target protoreflect.Message, field protoreflect.FieldDescriptor, value string) string {
 	switch {
 	case field.IsList():
@@ -139,18 +138,18 @@
 		}
 		target.Set(field, protoreflect.ValueOfFloat64(number))
 	case field.Kind() == protoreflect.BoolKind:
-		truth, err := strconv.ParseBool(value)
+		boolean, err := strconv.ParseBool(value)
 		if err != nil {
 			return "write true or false"
 		}
-		target.Set(field, protoreflect.ValueOfBool(truth))
+		target.Set(field, protoreflect.ValueOfBool(boolean))
 	default:
 		target.Set(field, protoreflect.ValueOfString(value))
 	}
 	return ""
 }
 
-// setMachines replaces the list of control machines by one of the form
+// setMachines replaces the list of control machines with one parsed from
 // "machine=ip:port@zone,...".
 func setMachines(target protoreflect.Message, field protoreflect.FieldDescriptor, value string) string {
 	target.Clear(field)
--- a/internal/settings/placement.go
+++ b/internal/settings/placement.go
@@ -10,13 +10,13 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Bounds of the settings of placement.
+// Limits of the placement settings.
 const (
 	minimumPlacementInterval = 100 * time.Millisecond
 	maximumPlacementTime     = 24 * time.Hour
 )
 
-// checkPlacement checks the settings of placement that are given.
+// checkPlacement checks the placement settings, all of which are optional.
 func (l *loader) checkPlacement(settings *rockwindpb.PlacementSettings) {
 	l.checkGivenDuration("interval", settings.GetInterval(), minimumPlacementInterval)
 	l.checkGivenDuration("dwell", settings.GetDwell(), 0)
@@ -26,8 +26,8 @@
 	l.checkNotNegative("minimum_pressure", settings.GetMinimumPressure())
 	l.checkNotNegative("weight_store_bytes_per_second", settings.GetWeightStoreBytesPerSecond())
 	l.checkNotNegative("weights_bytes", settings.GetWeightsBytes())
-	paced, sized := settings.GetWeightStoreBytesPerSecond() > 0, settings.GetWeightsBytes() > 0
-	if paced != sized {
+	hasRate, hasSize := settings.GetWeightStoreBytesPerSecond() > 0, settings.GetWeightsBytes() > 0
+	if hasRate != hasSize {
 		l.add(fieldPath{"placement", "weights_bytes"},
 			"only one of weight_store_bytes_per_second and weights_bytes is given", "give both or none")
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,8 @@
-// Package settings reads the settings of a daemon: a YAML file in the schema of
-// proto/rockwind/v1/settings.proto, over it the environment (ROCKWIND_ and the
-// field's name in capitals), and over both the flags. Everything is checked at
-// the start, and all faults are listed at once.
+// Package settings loads the settings of a daemon from a YAML file in the schema of
+// proto/rockwind/v1/settings.proto, environment variables (ROCKWIND_ and the field's
+// name in capitals) and flags; later sources take precedence. Settings are validated
+// at startup. All decoding problems are reported together, and then all invalid
+// values.
 package settings
 
 import (
@@ -15,17 +16,17 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Defaults of settings that may be left out.
+// Defaults of optional settings.
 const (
 	DefaultExchangeInterval = time.Second
 	DefaultBatchConcurrency = 256
 	DefaultTick             = 50 * time.Millisecond
 )
 
-// LoadGateway returns the checked settings of a gateway. The path may be empty
-// where environment and overrides give everything. An override is "field=value",
-// with a dot before fields of fields. It fails with fault.InvalidArgument, a line
-// for each problem.
+// LoadGateway returns the validated settings of a gateway. The path may be empty if
+// the environment and the overrides give all settings. An override has the form
+// "field=value" or "field.nested=value". Problems are returned as one
+// fault.InvalidArgument with a line for each.
 func LoadGateway(path string, overrides []string) (*rockwindpb.GatewaySettings, error) {
 	result := &rockwindpb.GatewaySettings{}
 	loader, err := load(path, overrides, result)
@@ -37,14 +38,13 @@
 		result.BatchConcurrency = DefaultBatchConcurrency
 	}
 	loader.checkGateway(result)
-	if err := loader.refusal(); err != nil {
+	if err := loader.problemsError(); err != nil {
 		return nil, err
 	}
 	return result, nil
 }
 
-// LoadControl returns the checked settings of a control machine; see
-// LoadGateway.
+// LoadControl returns the validated settings of a control machine; see LoadGateway.
 func LoadControl(path string, overrides []string) (*rockwindpb.ControlSettings, error) {
 	result := &rockwindpb.ControlSettings{}
 	loader, err := load(path, overrides, result)
@@ -53,18 +53,18 @@
 	}
 	defaultDuration(&result.Tick, DefaultTick)
 	loader.checkControl(result)
-	if err := loader.refusal(); err != nil {
+	if err := loader.problemsError(); err != nil {
 		return nil, err
 	}
 	return result, nil
 }
 
-// loader remembers where each value came from, for the messages.
+// loader collects problems and the sources of values, which the problems name.
 type loader struct {
 	file     string
 	document *configuration.Document
 	problems []configuration.Problem
-	// sources names the environment variable or flag that set a field.
+	// sources has the environment variable or flag that set a field, by field path.
 	sources map[string]string
 }
 
@@ -77,7 +77,7 @@
 	}
 	result.readEnvironment(message)
 	result.readOverrides(overrides, message)
-	return result, result.refusal()
+	return result, result.problemsError()
 }
 
 func (l *loader) readFile(path string, message proto.Message) error {
@@ -86,15 +86,15 @@
 		return fault.Newf(fault.InvalidArgument, "check the path given with --settings", "the settings file cannot be read: %v", err)
 	}
 	l.document, l.problems = configuration.DecodeProblems(path, data, message)
-	return l.refusal()
+	return l.problemsError()
 }
 
-func (l *loader) refusal() error {
+func (l *loader) problemsError() error {
 	return configuration.ProblemsError(l.problems)
 }
 
-// add records a problem of a field, at its place in the file or with the name
-// of the variable or flag that set it.
+// add adds a problem of a field, with its position in the file or the name of the
+// variable or flag that set it.
 func (l *loader) add(path fieldPath, message, remedy string) {
 	problem := configuration.Problem{File: l.file, Message: message, Remedy: remedy}
 	if source, found := l.sources[path.String()]; found {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -15,7 +15,7 @@
 	"rockwind.example/rockwind/internal/settings"
 )
 
-const goodGateway = `name: gateway-1
+const validGateway = `name: gateway-1
 zone: zone-a
 listen: 10.0.0.11:8080
 internal_listen: 10.0.0.11:7000
@@ -38,7 +38,7 @@
 	t.Setenv("ROCKWIND_NAME", "gateway-2")
 	t.Setenv("ROCKWIND_EXCHANGE_INTERVAL", "2s")
 	t.Setenv("ROCKWIND_CONTROL", "a=10.0.0.2:7000@zone-a, b=10.0.0.3:7000@zone-b")
-	loaded, err := settings.LoadGateway(write(t, goodGateway), []string{"name=gateway-3", "batch-concurrency=7"})
+	loaded, err := settings.LoadGateway(write(t, validGateway), []string{"name=gateway-3", "batch-concurrency=7"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,19 +61,19 @@
 		flags    []string
 		expected []string
 	}{
-		{"unknown field", goodGateway + "nmae: x\n", nil, []string{"settings.yaml:8:"}},
+		{"unknown field", validGateway + "nmae: x\n", nil, []string{"settings.yaml:8:"}},
 		{"several faults", "name: g\nlisten: nowhere\ninternal_listen: 10.0.0.11:0\n", nil, []string{"ROCKWIND_BATCH_CONCURRENCY"}},
-		{"bad override", goodGateway, []string{"speed=1", "zone"}, []string{`no setting "speed"`, "the override has no value"}},
+		{"bad override", validGateway, []string{"speed=1", "zone"}, []string{`no setting "speed"`, "the override has no value"}},
 	}
 	for _, each := range cases {
 		t.Run(each.name, func(t *testing.T) {
 			_, err := settings.LoadGateway(write(t, each.content), each.flags)
-			expectRefusal(t, err, each.expected...)
+			expectRejected(t, err, each.expected...)
 		})
 	}
 }
 
-func expectRefusal(t *testing.T, err error, expected ...string) {
+func expectRejected(t *testing.T, err error, expected ...string) {
 	t.Helper()
 	if !fault.Is(err, fault.InvalidArgument) {
 		t.Fatalf("got %v", err)
@@ -97,13 +97,13 @@
   - {machine: a, address: "0.0.0.0:1"}
   - {machine: a, address: "10.0.0.1:7000"}
 `), nil)
-	expectRefusal(t, err, "settings.yaml:2:", "settings.yaml:3:", "settings.yaml:5:", "settings.yaml:6:", "zone is missing",
+	expectRejected(t, err, "settings.yaml:2:", "settings.yaml:3:", "settings.yaml:5:", "settings.yaml:6:", "zone is missing",
 		"missing.pem", "internal_tls has one of certificate_file and key_file", "internal_tls has no ca_file",
 		"control machine 1 has the address", `control machine 2 has the name "a"`)
 	_, err = settings.LoadControl(write(t, "machine: c\nzone: z\nlisten: 10.0.0.9:1\ndata_folder: d\ntick: 2s\ncontrol: [{machine: a, address: \"10.0.0.1:7000\"}]\n"), nil)
-	expectRefusal(t, err, "settings.yaml:5:", "lacks this one")
+	expectRejected(t, err, "settings.yaml:5:", "lacks this one")
 	_, err = settings.LoadControl(filepath.Join(t.TempDir(), "nothing.yaml"), nil)
-	expectRefusal(t, err, "cannot be read")
+	expectRejected(t, err, "cannot be read")
 }
 
 func TestDataFolderHasOneDaemon(t *testing.T) {
@@ -113,7 +113,7 @@
 		t.Fatal(err)
 	}
 	_, err = settings.OpenDataFolder(folder)
-	expectRefusal(t, err, "is in use")
+	expectRejected(t, err, "is in use")
 	release()
 	again, err := settings.OpenDataFolder(folder)
 	if err != nil {
@@ -121,7 +121,7 @@
 	}
 	again()
 	_, err = settings.OpenDataFolder(filepath.Join(write(t, "a file"), "data"))
-	expectRefusal(t, err, "can't be made")
+	expectRejected(t, err, "can't be made")
 }
 
 func TestListenNamesTheSetting(t *testing.T) {
@@ -131,10 +131,10 @@
 	}
 	defer first.Close()
 	_, err = settings.Listen("internal_listen", first.Addr().String())
-	expectRefusal(t, err, "address already in use", "set internal_listen")
+	expectRejected(t, err, "address already in use", "set internal_listen")
 }
 
-// settingRow finds the first cell of the rows of a table.
+// settingRow matches the first cell of a row in a table of settings.
 var settingRow = regexp.MustCompile("(?m)^\\| `([a-z_.]+)` \\|")
 
 func TestOperationsPageListsEverySetting(t *testing.T) {
@@ -155,14 +155,14 @@
 		for _, row := range settingRow.FindAllStringSubmatch(section, -1) {
 			documented[row[1]] = true
 		}
-		for _, path := range settings.Leaves(message.ProtoReflect().Descriptor()) {
+		for _, path := range settings.LeafPaths(message.ProtoReflect().Descriptor()) {
 			if !documented[path.String()] {
 				t.Errorf("docs/OPERATIONS.md lacks %s under %q", path, heading)
 			}
 			delete(documented, path.String())
 		}
 		for name := range documented {
-			t.Errorf("docs/OPERATIONS.md has %s under %q, which is no setting", name, heading)
+			t.Errorf("docs/OPERATIONS.md has %s under %q, which is not a setting", name, heading)
 		}
 	}
 }
--- a/internal/settings/site.go
+++ b/internal/settings/site.go
@@ -8,7 +8,8 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// LoadSite returns the checked settings of a process of a site; see LoadGateway.
+// LoadSite returns the validated settings of a coordinator, router or store; see
+// LoadGateway.
 func LoadSite(path string, overrides []string) (*rockwindpb.SiteSettings, error) {
 	result := &rockwindpb.SiteSettings{}
 	loader, err := load(path, overrides, result)
@@ -16,15 +17,15 @@
 		return nil, err
 	}
 	loader.checkSite(result)
-	if err := loader.refusal(); err != nil {
+	if err := loader.problemsError(); err != nil {
 		return nil, err
 	}
 	return result, nil
 }
 
 func (l *loader) checkSite(settings *rockwindpb.SiteSettings) {
-	l.checkText(fieldPath{"name"}, settings.GetName(), "give each machine a name of its own")
-	l.checkText(fieldPath{"zone"}, settings.GetZone(), "name the zone that the machine stands in")
+	l.checkNotEmpty(fieldPath{"name"}, settings.GetName(), "give each machine a name of its own")
+	l.checkNotEmpty(fieldPath{"zone"}, settings.GetZone(), "name the zone that the machine stands in")
 	if len(settings.GetSeeds()) == 0 {
 		l.add(fieldPath{"seeds"}, "no seed is given", "list the internal addresses of some coordinators")
 	}
@@ -44,10 +45,10 @@
 	switch settings.GetRole() {
 	case rockwindpb.SiteRole_SITE_ROLE_COORDINATOR:
 		l.checkAddress(fieldPath{"internal_listen"}, settings.GetInternalListen())
-		l.checkText(fieldPath{"data_folder"}, settings.GetDataFolder(), "name a folder for the daemon's files")
+		l.checkNotEmpty(fieldPath{"data_folder"}, settings.GetDataFolder(), "name a folder for the daemon's files")
 	case rockwindpb.SiteRole_SITE_ROLE_STORE:
 		l.checkAddress(fieldPath{"internal_listen"}, settings.GetInternalListen())
-		l.checkText(fieldPath{"data_folder"}, settings.GetDataFolder(), "name a folder for the daemon's files")
+		l.checkNotEmpty(fieldPath{"data_folder"}, settings.GetDataFolder(), "name a folder for the daemon's files")
 	case rockwindpb.SiteRole_SITE_ROLE_ROUTER:
 		l.checkAddress(fieldPath{"listen"}, settings.GetListen())
 		l.checkAddress(fieldPath{"ready_listen"}, settings.GetReadyListen())
--- a/internal/settings/start.go
+++ b/internal/settings/start.go
@@ -9,15 +9,15 @@
 	"rockwind.example/rockwind/internal/fault"
 )
 
-// Modes of the data folder and of the file in it that is locked.
+// The data folder and its lock file.
 const (
 	folderMode = 0o755
 	lockFile   = "lock"
 	lockMode   = 0o640
 )
 
-// Listen opens the listener of a setting. It fails with fault.InvalidArgument,
-// since only other settings or another state of the machine help.
+// Listen listens on the address of a setting. It fails with fault.InvalidArgument,
+// since a retry with the same settings does not help.
 func Listen(setting, address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -27,9 +27,9 @@
 	return listener, nil
 }
 
-// OpenDataFolder makes the data folder where it is missing, and locks it, so that
-// no second daemon writes into it. The returned function unlocks it; the end of
-// the process does so, too. It fails with fault.InvalidArgument.
+// OpenDataFolder creates the data folder if it does not exist, and locks it against
+// other daemons. The returned function unlocks it, as does the end of the process.
+// It fails with fault.InvalidArgument.
 func OpenDataFolder(folder string) (release func(), err error) {
 	const remedy = "set data_folder to a folder that the daemon may write to"
 	if err := os.MkdirAll(folder, folderMode); err != nil {
