--- a/internal/segment/store.go
+++ b/internal/segment/store.go
@@ -221,8 +221,8 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.broken {
-		return fault.New(fault.Unavailable, "the segment is not written to after a failed write",
-			"store the body again; another segment takes it")
+		return fault.New(fault.Unavailable, "the segment is not writable after a failed write",
+			"store the body again; it goes to another segment")
 	}
 	if offset > l.length {
 		return fault.Newf(fault.Conflict, "send the preceding bytes first",
@@ -248,8 +248,8 @@
 	broken, writeFailures := l.broken, l.writeFailures
 	l.mutex.Unlock()
 	if broken {
-		return fault.New(fault.Unavailable, "the segment is not written to after a failed write",
-			"store the body again; another segment takes it")
+		return fault.New(fault.Unavailable, "the segment is not writable after a failed write",
+			"store the body again; it goes to another segment")
 	}
 	err := l.file.Sync()
 	l.mutex.Lock()
