--- a/internal/control/retention.go
+++ b/internal/control/retention.go
@@ -43,7 +43,7 @@
 // retainOnAllMachines sends a report to all machines. A machine that does not
 // receive it removes no bodies.
 func (d *daemon) retainOnAllMachines(ctx context.Context, report *rockwindpb.RetainSegmentsRequest) {
-	services := []rockwindpb.SegmentService{d.bodies.Segments()}
+	services := []rockwindpb.SegmentService{d.bodies.SegmentService()}
 	for _, peer := range d.segmentPeers() {
 		services = append(services, peer.Service)
 	}
