--- a/internal/control/benchmark_test.go
+++ b/internal/control/benchmark_test.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	benchmarkGateways   = 24
-	benchmarkLeaseItems = 64
-	benchmarkJobItems   = 2000
-	benchmarkResult     = 2048
+	benchmarkGateways    = 24
+	benchmarkLeaseItems  = 64
+	benchmarkJobItems    = 2000
+	benchmarkResultBytes = 2048
 )
 
 // BenchmarkItems measures the rate at which three control machines in one process
@@ -45,7 +45,7 @@
 
 // completeAll leases and completes items until none are left.
 func completeAll(ctx context.Context, client *controlclient.Client, holder string) error {
-	body := bytes.Repeat([]byte("r"), benchmarkResult)
+	body := bytes.Repeat([]byte("r"), benchmarkResultBytes)
 	for {
 		acquired, err := client.Jobs().AcquireLeases(ctx, &rockwindpb.AcquireLeasesRequest{
 			Holder: holder, MaxItems: benchmarkLeaseItems, Models: []string{"model"}, LeaseMs: 60_000, WaitMs: 200,
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -285,7 +285,7 @@
 }
 
 // awaitVoter waits until a machine votes in all groups and its old disk is no longer
-// a member. Until then the groups have no quorum without another machine.
+// a member. Until then the groups lose their quorum if another machine stops.
 func (c *cluster) awaitVoter(ctx context.Context, index int) {
 	c.t.Helper()
 	service := rockwindpb.NewReplicaServiceProtobufClient("http://"+c.machines[index].GetAddress(), http.DefaultClient)
--- a/internal/control/exchange/exchange_test.go
+++ b/internal/control/exchange/exchange_test.go
@@ -95,7 +95,7 @@
 					},
 				})
 				if len(response.GetTenants()) != 1 {
-					t.Fatalf("%d allowances were given, one tenant has limits", len(response.GetTenants()))
+					t.Fatalf("got %d allowances, want 1 for the tenant with limits", len(response.GetTenants()))
 				}
 				sum += response.GetTenants()[0].GetRequestsPerSecond()
 			}
@@ -163,7 +163,7 @@
 
 // When the gateways of a zone move to another control machine, no response may name
 // only some of them.
-func TestPeersAreNamedOnceAllAreHeard(t *testing.T) {
+func TestPeersAreNamedOnceAllHaveExchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const rounds = 6
 		gateways := rapid.IntRange(1, 12).Draw(t, "gateways")
--- a/internal/control/maintenance.go
+++ b/internal/control/maintenance.go
@@ -25,7 +25,7 @@
 	// heartbeats. Otherwise an outage of the control machines would expire all leases
 	// and count a try for each of their items.
 	leaseGrace = 15 * time.Second
-	// commandTimeout bounds the commands of one step.
+	// commandTimeout bounds the commands of one maintenance step.
 	commandTimeout = 5 * time.Second
 )
 
--- a/internal/control/placement_test.go
+++ b/internal/control/placement_test.go
@@ -175,7 +175,7 @@
 
 // Placement must follow the demand, continue under a new leader, and engines must
 // refuse orders of the old one.
-func TestPlacementFollowsDemandOverALeadersEnd(t *testing.T) {
+func TestPlacementContinuesUnderNewLeader(t *testing.T) {
 	p := startPlacementCluster(t)
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
--- a/internal/control/retention_test.go
+++ b/internal/control/retention_test.go
@@ -29,7 +29,7 @@
 }
 
 // An unresponsive machine must not keep the report from reaching the others.
-func TestSilentMachineKeepsNoOtherFromRemoving(t *testing.T) {
+func TestUnresponsiveMachineDoesNotBlockReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		other := &reachableSegments{}
 		control.RetainSegments(t.Context(), []rockwindpb.SegmentService{unresponsiveSegments{}, other}, &rockwindpb.RetainSegmentsRequest{})
