--- a/internal/router/class.go
+++ b/internal/router/class.go
@@ -7,8 +7,8 @@
 
 	"rockwind.example/rockwind/internal/balance"
 	"rockwind.example/rockwind/internal/fairshare"
-	"rockwind.example/rockwind/internal/gate"
-	"rockwind.example/rockwind/internal/waiting"
+	"rockwind.example/rockwind/internal/featuregate"
+	"rockwind.example/rockwind/internal/waitqueue"
 )
 
 // minWork is the work of a request without a prompt or events, in tokens.
@@ -32,7 +32,7 @@
 
 // class returns the class of a priority and creates it if needed. Classes are never removed;
 // their number is bounded by the configured priorities.
-func (p *servicePool) class(priority waiting.Priority) *priorityClass {
+func (p *servicePool) class(priority waitqueue.Priority) *priorityClass {
 	found, known := p.classes[priority]
 	if !known {
 		name := fmt.Sprintf("%s at %d.%d", p.name, priority.Tenant, priority.Route)
@@ -49,7 +49,7 @@
 }
 
 // setWeight updates the weight of a tenant.
-func (c *priorityClass) setWeight(tenant waiting.Tenant) {
+func (c *priorityClass) setWeight(tenant waitqueue.Tenant) {
 	if tenant.Weight > 0 {
 		c.weights[tenant.Name] = tenant.Weight
 		return
@@ -59,7 +59,7 @@
 
 func (c *priorityClass) weight(tenant string) uint32 { return c.weights[tenant] }
 
-func (c *priorityClass) virtualTime(tenant waiting.Tenant, now time.Duration) float64 {
+func (c *priorityClass) virtualTime(tenant waitqueue.Tenant, now time.Duration) float64 {
 	return c.ledger.VirtualTime(tenant.Name, tenant.Weight, now)
 }
 
@@ -79,7 +79,7 @@
 
 // virtualTime returns the virtual time of a request's tenant, by which requests of one priority
 // are ordered; zero if capacity is not short.
-func (p *servicePool) virtualTime(key waiting.SortKey, now time.Duration) float64 {
+func (p *servicePool) virtualTime(key waitqueue.SortKey, now time.Duration) float64 {
 	if !p.overloaded {
 		return 0
 	}
@@ -88,7 +88,7 @@
 
 // waitingBehind returns how many requests wait at other processes for tenants with a higher
 // virtual time.
-func (c *priorityClass) waitingBehind(tenant waiting.Tenant, now time.Duration) int {
+func (c *priorityClass) waitingBehind(tenant waitqueue.Tenant, now time.Duration) int {
 	return c.ledger.RemoteWaitingBehind(c.virtualTime(tenant, now), c.weight, now)
 }
 
@@ -109,7 +109,7 @@
 
 // chargeRequest charges the estimated work of a request to its tenant.
 func (p *servicePool) chargeRequest(request AcquireRequest, choice balance.Choice, now time.Duration) charge {
-	if !p.gates.On(gate.FairShare) {
+	if !p.gates.On(featuregate.FairShare) {
 		return charge{}
 	}
 	work := max(minWork, float64(choice.Uncached)+p.meanEvents)
@@ -125,7 +125,7 @@
 // mayOvercommit reports whether the tenant has used so little compared with another one that its
 // request may exceed the slots of a server.
 func (p *servicePool) mayOvercommit(request AcquireRequest, now time.Duration) bool {
-	if request.Tenant.Name == "" || !p.gates.On(gate.FairShare) || !p.pool.Paced() {
+	if request.Tenant.Name == "" || !p.gates.On(featuregate.FairShare) || !p.pool.Paced() {
 		return false
 	}
 	class := p.class(request.Priority)
@@ -138,9 +138,9 @@
 }
 
 // waitingCounts counts the requests that wait here by priority and tenant.
-func (p *servicePool) waitingCounts() map[waiting.Priority]map[string]int {
-	waits := make(map[waiting.Priority]map[string]int)
-	p.waiting.Each(func(key waiting.SortKey) {
+func (p *servicePool) waitingCounts() map[waitqueue.Priority]map[string]int {
+	waits := make(map[waitqueue.Priority]map[string]int)
+	p.waiting.Each(func(key waitqueue.SortKey) {
 		if waits[key.Priority()] == nil {
 			waits[key.Priority()] = make(map[string]int)
 		}
@@ -153,7 +153,7 @@
 // expected retries, the requests by priority, and the tenants with the highest usage.
 func (p *servicePool) visitQueueLoads(now time.Time, elapsed time.Duration, visit func(hash uint32, load balance.SharedLoad)) {
 	total := balance.SharedLoad{Inflight: p.waiting.Len()}
-	if p.gates.On(gate.Returns) {
+	if p.gates.On(featuregate.Returns) {
 		total.Unread = p.pendingRetries.Count(now)
 	}
 	if total != (balance.SharedLoad{}) {
@@ -162,10 +162,10 @@
 	waits := p.waitingCounts()
 	for priority, class := range p.classes {
 		waiting := waits[priority]
-		if sum := sumCounts(waiting); sum > 0 && p.gates.On(gate.Returns) {
+		if sum := sumCounts(waiting); sum > 0 && p.gates.On(featuregate.Returns) {
 			visit(balance.QueueHash(class.name), balance.SharedLoad{Inflight: sum})
 		}
-		if !p.gates.On(gate.FairShare) {
+		if !p.gates.On(featuregate.FairShare) {
 			continue
 		}
 		for _, entry := range class.ledger.Entries(waiting, elapsed) {
--- a/internal/router/dispatcher.go
+++ b/internal/router/dispatcher.go
@@ -12,10 +12,10 @@
 	"rockwind.example/rockwind/internal/configuration"
 	"rockwind.example/rockwind/internal/directory"
 	"rockwind.example/rockwind/internal/fault"
-	"rockwind.example/rockwind/internal/gate"
+	"rockwind.example/rockwind/internal/featuregate"
 	"rockwind.example/rockwind/internal/health"
 	"rockwind.example/rockwind/internal/loadshare"
-	"rockwind.example/rockwind/internal/waiting"
+	"rockwind.example/rockwind/internal/waitqueue"
 	"rockwind.example/rockwind/internal/zonedrain"
 )
 
@@ -23,7 +23,7 @@
 // capacity. It is safe for concurrent use.
 type Dispatcher struct {
 	zone   string
-	gates  gate.Set
+	gates  featuregate.Set
 	origin time.Time
 
 	mutex sync.Mutex
@@ -65,10 +65,10 @@
 }
 
 // NewDispatcher returns a dispatcher without servers for a process in the given zone.
-func NewDispatcher(zone string, gates gate.Set) *Dispatcher {
+func NewDispatcher(zone string, gates featuregate.Set) *Dispatcher {
 	shares := balance.NewSharedLoads()
 	shares.SetZone(zone)
-	if !gates.On(gate.LeftBehind) {
+	if !gates.On(featuregate.LeftBehind) {
 		shares.IgnoreLeftBehind()
 	}
 	return &Dispatcher{
@@ -123,11 +123,11 @@
 func (d *Dispatcher) newServicePool(name string) *servicePool {
 	created := &servicePool{
 		name: name, gates: d.gates, pool: d.newPool(name), shares: d.shares,
-		classes: make(map[waiting.Priority]*priorityClass), holdTime: defaultHoldTime,
+		classes: make(map[waitqueue.Priority]*priorityClass), holdTime: defaultHoldTime,
 		needHashes: backlog.UnmetDemandHashes(name),
 	}
-	if d.gates.On(gate.FairShare) {
-		created.waiting.EnableFairShare(func(key waiting.SortKey) float64 { return created.virtualTime(key, d.now()) })
+	if d.gates.On(featuregate.FairShare) {
+		created.waiting.EnableFairShare(func(key waitqueue.SortKey) float64 { return created.virtualTime(key, d.now()) })
 	}
 	return created
 }
@@ -190,7 +190,7 @@
 // choose returns a server with capacity for the next request. If there is none, a request that
 // may overcommit gets a server beyond its slots. The caller holds d.mutex.
 func (d *Dispatcher) choose(pool *servicePool, request AcquireRequest) (grant, bool) {
-	if d.gates.On(gate.Returns) {
+	if d.gates.On(featuregate.Returns) {
 		pool.pool.SetWaiting(pool.waiting.Len())
 	}
 	choice, found := pool.pool.Choose(request.Demand, request.Tried, d.now(), d.random)
@@ -280,7 +280,7 @@
 	})
 }
 
-func (d *Dispatcher) awaitGrant(ctx context.Context, entry *waiting.Entry[*waiter]) (*Lease, error) {
+func (d *Dispatcher) awaitGrant(ctx context.Context, entry *waitqueue.Entry[*waiter]) (*Lease, error) {
 	limit := time.NewTimer(entry.Value().request.MaxWait)
 	defer limit.Stop()
 	select {
@@ -294,7 +294,7 @@
 
 // stopWaiting removes a request from the queue. One whose client has disconnected or timed out is
 // not expected to retry.
-func (d *Dispatcher) stopWaiting(ctx context.Context, entry *waiting.Entry[*waiter]) (*Lease, error) {
+func (d *Dispatcher) stopWaiting(ctx context.Context, entry *waitqueue.Entry[*waiter]) (*Lease, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	service := entry.Value().request.Service
@@ -337,16 +337,16 @@
 // firstWithCapacity returns the first waiting request that finds capacity. A request that has
 // tried the servers with capacity does not block those behind it, and no request blocks the first
 // of the same priority that may overcommit. The caller holds d.mutex.
-func (d *Dispatcher) firstWithCapacity(pool *servicePool) (served *waiting.Entry[*waiter], given grant) {
+func (d *Dispatcher) firstWithCapacity(pool *servicePool) (served *waitqueue.Entry[*waiter], given grant) {
 	now := time.Now()
-	try := func(entry *waiting.Entry[*waiter]) bool {
+	try := func(entry *waitqueue.Entry[*waiter]) bool {
 		var found bool
 		if given, found = d.choose(pool, entry.Value().request); found {
 			served = entry
 		}
 		return found
 	}
-	pool.waiting.Walk(now, func(entry *waiting.Entry[*waiter]) bool {
+	pool.waiting.Walk(now, func(entry *waitqueue.Entry[*waiter]) bool {
 		return !try(entry) && len(entry.Value().request.Tried) > 0
 	})
 	if served != nil || pool.waiting.Len() == 0 || !pool.pool.Paced() {
@@ -406,7 +406,7 @@
 	pool := d.poolOf(l.service)
 	pool.pool.RecordOutcome(l.Choice, outcome, latency, d.now(), d.random)
 	// A request that timed out held its slot for at least this long.
-	if outcome == health.Success || (outcome == health.Timeout && d.gates.On(gate.Returns)) {
+	if outcome == health.Success || (outcome == health.Timeout && d.gates.On(featuregate.Returns)) {
 		pool.recordHoldTime(time.Since(l.startedAt))
 	}
 	d.serveWaiting(l.service)
--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -12,14 +12,14 @@
 	"rockwind.example/rockwind/internal/decision"
 	"rockwind.example/rockwind/internal/fault"
 	"rockwind.example/rockwind/internal/fingerprint"
-	"rockwind.example/rockwind/internal/gate"
+	"rockwind.example/rockwind/internal/featuregate"
 	"rockwind.example/rockwind/internal/health"
 	"rockwind.example/rockwind/internal/rateclient"
 	"rockwind.example/rockwind/internal/retry"
-	"rockwind.example/rockwind/internal/returning"
+	"rockwind.example/rockwind/internal/retryafter"
 	"rockwind.example/rockwind/internal/rockwindpb"
 	"rockwind.example/rockwind/internal/upstream"
-	"rockwind.example/rockwind/internal/waiting"
+	"rockwind.example/rockwind/internal/waitqueue"
 )
 
 const (
@@ -206,11 +206,11 @@
 func (e *exchange) acquireRequest() AcquireRequest {
 	request := AcquireRequest{
 		Service: e.service, Demand: balance.Demand{Parts: e.info.Parts}, Priority: e.priority(),
-		Tenant:  waiting.Tenant{Name: e.tenant.GetName(), Weight: e.tenant.GetWeight()},
+		Tenant:  waitqueue.Tenant{Name: e.tenant.GetName(), Weight: e.tenant.GetWeight()},
 		StartBy: e.startBy(), Tried: e.tried, MaxWait: e.maxWait(),
-		Remaining: time.Until(e.deadline), LastAttempt: e.sent > 0 || !returning.IsFirstAttempt(e.totalTimeout, e.info.Timeout),
+		Remaining: time.Until(e.deadline), LastAttempt: e.sent > 0 || !retryafter.IsFirstAttempt(e.totalTimeout, e.info.Timeout),
 	}
-	if e.router.gates.On(gate.Returns) {
+	if e.router.gates.On(featuregate.Returns) {
 		request.FirstAsked = e.firstAsked()
 	}
 	return request
@@ -218,14 +218,14 @@
 
 // firstAsked estimates when the client first sent the request.
 func (e *exchange) firstAsked() time.Time {
-	if !e.router.gates.On(gate.Returns) {
+	if !e.router.gates.On(featuregate.Returns) {
 		return e.received
 	}
-	return returning.FirstAttempt(e.received, e.totalTimeout, e.info.Timeout)
+	return retryafter.FirstAttempt(e.received, e.totalTimeout, e.info.Timeout)
 }
 
-func (e *exchange) priority() waiting.Priority {
-	return waiting.Priority{Tenant: e.tenant.GetPriority(), Route: e.route.GetPriority()}
+func (e *exchange) priority() waitqueue.Priority {
+	return waitqueue.Priority{Tenant: e.tenant.GetPriority(), Route: e.route.GetPriority()}
 }
 
 // maxWait returns how long the request may wait from now.
@@ -258,7 +258,7 @@
 // rateOptions returns how the request is ordered among others of its tenant at the owner of the
 // rate limit.
 func (e *exchange) rateOptions() rateclient.Options {
-	if e.route.GetGoalMs() == 0 || !e.router.gates.On(gate.Returns) {
+	if e.route.GetGoalMs() == 0 || !e.router.gates.On(featuregate.Returns) {
 		return rateclient.Options{}
 	}
 	remaining := time.Until(e.startBy())
@@ -288,7 +288,7 @@
 // clientMayRetry reports whether the client has all of its time left, so that a retry is still in
 // time. A client that is retrying already has to wait instead.
 func (e *exchange) clientMayRetry() bool {
-	return e.info.Timeout > 0 && returning.IsFirstAttempt(e.totalTimeout, e.info.Timeout)
+	return e.info.Timeout > 0 && retryafter.IsFirstAttempt(e.totalTimeout, e.info.Timeout)
 }
 
 // mayRetry reports whether another server may be tried.
