--- a/internal/batch/dispatch.go
+++ b/internal/batch/dispatch.go
@@ -269,7 +269,7 @@
 	}
 	candidate := e.candidate(current.lease, time.Now())
 	e.picker.Charge(&candidate, cost-current.estimate)
-	e.options.Served(job.GetGroup(), job.GetModel(), cost)
+	e.options.OnServed(job.GetGroup(), job.GetModel(), cost)
 }
 
 // answered reports the answer of an item: an answer with an error status ends
@@ -279,7 +279,7 @@
 	if current.status != http.StatusOK {
 		outcome = rockwindpb.ItemOutcome_ITEM_OUTCOME_FAILED
 	}
-	line, err := EncodeAnswer(current.lease.key.job, current.item, current.line.CustomID, current.status, current.id, current.body)
+	line, err := EncodeResponse(current.lease.key.job, current.item, current.line.CustomID, current.status, current.id, current.body)
 	if err != nil {
 		e.reportOutcome(current.lease, current.item, rockwindpb.ItemOutcome_ITEM_OUTCOME_RETRY, nil)
 		return
@@ -301,7 +301,7 @@
 
 // fail ends an item whose line can't be run at all.
 func (e *Executor) fail(held *lease, item uint32, customID string, why error) {
-	line, err := EncodeFailure(held.key.job, item, customID,
+	line, err := EncodeError(held.key.job, item, customID,
 		fault.Newf(fault.InvalidArgument, "correct the line of the input file", "the request line can't be read: %v", why))
 	if err != nil {
 		line = nil
@@ -313,7 +313,7 @@
 // reportOutcome hands the end of an item to the reporter.
 func (e *Executor) reportOutcome(held *lease, item uint32, outcome rockwindpb.ItemOutcome, body []byte) {
 	held.unacknowledged++
-	e.options.Ended(outcome)
+	e.options.OnItemEnd(outcome)
 	e.reporter.add(report{key: held.key, item: item, outcome: outcome, body: body})
 }
 
--- a/internal/batch/executor.go
+++ b/internal/batch/executor.go
@@ -41,10 +41,10 @@
 	Current func() *configuration.Index
 	// Concurrency bounds the items in flight.
 	Concurrency int
-	// Served is told what an item of a group and model received, in cost units.
-	Served func(group, model string, cost float64)
-	// Ended is told how each item ended.
-	Ended func(outcome rockwindpb.ItemOutcome)
+	// OnServed is told what an item of a group and model received, in cost units.
+	OnServed func(group, model string, cost float64)
+	// OnItemEnd is told how each item ended.
+	OnItemEnd func(outcome rockwindpb.ItemOutcome)
 	// Log takes what operators should know.
 	Log log.Interface
 }
@@ -171,8 +171,8 @@
 	return len(e.running) == 0 && len(e.leases) == 0 && !e.acquiring
 }
 
-// Allow puts the groups' parts of the batch capacity in force.
-func (e *Executor) Allow(groups []*rockwindpb.GroupAllowance) {
+// SetAllowances puts the groups' parts of the batch capacity in force.
+func (e *Executor) SetAllowances(groups []*rockwindpb.GroupAllowance) {
 	allowances := make([]sharing.GroupAllowance, 0, len(groups))
 	for _, group := range groups {
 		allowances = append(allowances, sharing.GroupAllowance{Group: group.GetGroup(), BatchFraction: group.GetBatchPart()})
--- a/internal/batch/line.go
+++ b/internal/batch/line.go
@@ -50,8 +50,8 @@
 	return fmt.Sprintf("batch_req_%s_%d", job, item)
 }
 
-// EncodeAnswer is the output line of an item that was answered.
-func EncodeAnswer(job string, item uint32, customID string, status int, requestID string, body []byte) ([]byte, error) {
+// EncodeResponse is the output line of an item that was answered.
+func EncodeResponse(job string, item uint32, customID string, status int, requestID string, body []byte) ([]byte, error) {
 	if !json.Valid(body) {
 		quoted, err := json.Marshal(string(body))
 		if err != nil {
@@ -65,8 +65,8 @@
 	})
 }
 
-// EncodeFailure is the error line of an item that ended without an answer.
-func EncodeFailure(job string, item uint32, customID string, why *fault.Fault) ([]byte, error) {
+// EncodeError is the error line of an item that ended without an answer.
+func EncodeError(job string, item uint32, customID string, why *fault.Fault) ([]byte, error) {
 	return json.Marshal(OutputLine{
 		ID: lineID(job, item), CustomID: customID,
 		Error: &LineError{Code: string(why.Kind), Message: why.Error()},
--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -97,7 +97,7 @@
 func (m *Machine) Accept(command *rockwindpb.CatalogCommand) Outcome {
 	change := command.GetChange()
 	if !m.hooks.skipCompare {
-		if outcome, settled := m.view.Settled(change.GetNumber(), change.GetChecksum()); settled {
+		if outcome, settled := m.view.OutcomeWithoutChange(change.GetNumber(), change.GetChecksum()); settled {
 			return outcome
 		}
 	}
--- a/internal/catalog/service.go
+++ b/internal/catalog/service.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if outcome, settled := view.Settled(next.Number(), next.Checksum()); settled {
+	if outcome, settled := view.OutcomeWithoutChange(next.Number(), next.Checksum()); settled {
 		return outcome.unpack()
 	}
 	command, err := proto.Marshal(&rockwindpb.CatalogCommand{
--- a/internal/catalog/view.go
+++ b/internal/catalog/view.go
@@ -66,9 +66,9 @@
 	return v.source
 }
 
-// Settled tells whether an application of a file is decided without a change
+// OutcomeWithoutChange tells whether an application of a file is decided without a change
 // of state, and how: it is accepted already, or its number is not the next one.
-func (v *View) Settled(number uint64, checksum []byte) (Outcome, bool) {
+func (v *View) OutcomeWithoutChange(number uint64, checksum []byte) (Outcome, bool) {
 	inForce := v.index.Number()
 	switch {
 	case number == 0:
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -78,7 +78,7 @@
 		g.limiter.SetGateways(peers)
 	}
 	g.limiter.SetAllowances(response.GetTenants(), time.Now())
-	g.batch.Allow(response.GetGroups())
+	g.batch.SetAllowances(response.GetGroups())
 	g.follower.Hint(response.GetLatestConfiguration())
 	return response
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -151,7 +151,7 @@
 		Holder: settings.GetName() + "/" + strconv.FormatInt(g.started.UnixMilli(), 10),
 		Jobs:   client.Jobs(), Bodies: client.Bodies(), Relay: g.relay, View: g.view,
 		Current: follower.Current, Concurrency: int(settings.GetBatchConcurrency()),
-		Served: g.addBatchUsage, Ended: g.metrics.itemEnded, Log: logger,
+		OnServed: g.addBatchUsage, OnItemEnd: g.metrics.itemEnded, Log: logger,
 	})
 	return g
 }
--- a/internal/gateway/results.go
+++ b/internal/gateway/results.go
@@ -187,7 +187,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return batch.EncodeFailure(job.GetId(), result.GetItem(), customID, fault.Newf(fault.OutcomeUnknown,
+	return batch.EncodeError(job.GetId(), result.GetItem(), customID, fault.Newf(fault.OutcomeUnknown,
 		"submit the item again in another batch", "the item was started %d times and gave no answer", result.GetTries()))
 }
 
