--- a/internal/batch/dispatch.go
+++ b/internal/batch/dispatch.go
@@ -17,25 +17,26 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// Bounds of items.
+// Limits for running items.
 const (
 	// connectTimeout bounds a connection attempt.
 	connectTimeout = time.Second
-	// answerTimeout bounds the time to the whole answer of an item, pauses
+	// answerTimeout bounds the time to the complete response to an item, pauses
 	// included.
 	answerTimeout = 15 * time.Minute
-	// bytesPerToken estimates the length of a prompt.
+	// bytesPerToken estimates the tokens of a prompt from its size.
 	bytesPerToken = 4
-	// notRunPause holds a lease back after one of its items was refused.
+	// notRunPause delays the items of a lease after one of them did not run.
 	notRunPause = 100 * time.Millisecond
-	// lossPause is how long a server that lost an item gets none on its last try.
+	// lossPause is how long a server gets no item on its last try after it lost an
+	// item.
 	lossPause = time.Second
-	// notRunTries is how often an item is tried here without running before it
-	// is returned to the job.
-	notRunTries = 20
+	// maximumNotRunTries bounds the attempts of an item that do not run, before it is
+	// returned to the ledger.
+	maximumNotRunTries = 20
 )
 
-// run is one item in flight.
+// run is one attempt to run an item. It implements upstream.Sink.
 type run struct {
 	lease   *lease
 	item    uint32
@@ -45,17 +46,17 @@
 	prompt  int
 	cancel  context.CancelFunc
 	started time.Time
-	// paused is set while the item gave its place up at the engine.
+	// paused is set while the item is paused at the engine.
 	paused bool
-	// abandoned is set once the lease is over: nothing is reported.
+	// abandoned is set once the lease has ended: the result is not reported.
 	abandoned bool
-	// estimate is the cost that the picker was charged.
+	// estimate is the cost that was charged to the picker at the start.
 	estimate float64
 
-	// place sends the orders to pause the item at its engine and to put it back.
-	place place
-	// putBack is when the item was last put back; zero where it never was.
-	putBack time.Time
+	// pauseSender sends the commands that pause and resume the item at its engine.
+	pauseSender pauseSender
+	// resumedAt is when the item was last resumed; zero if never.
+	resumedAt time.Time
 
 	result upstream.Result
 	report upstream.Report
@@ -63,7 +64,7 @@
 	body   []byte
 }
 
-// dispatch starts items while there are items and places.
+// dispatch starts items while there are ready items and free capacity.
 func (e *Executor) dispatch(ctx context.Context) {
 	if e.draining {
 		return
@@ -82,7 +83,7 @@
 	}
 }
 
-// candidates lists the leases with items that are ready.
+// candidates lists the leases with items that are ready to start or paused.
 func (e *Executor) candidates() ([]sharing.Candidate, []*lease) {
 	var candidates []sharing.Candidate
 	var leases []*lease
@@ -108,13 +109,13 @@
 	}
 }
 
-// hasMore tells whether a lease has items that wait to start or to go on.
+// hasMore reports whether a lease has pending or paused items.
 func (e *Executor) hasMore(held *lease) bool {
 	return len(held.pending) > 0 || e.hasPaused(held)
 }
 
-// startNext lets a paused item of the lease's group go on or starts the first
-// waiting item of the lease; false means that no server takes one now.
+// startNext resumes a paused item of the lease's group or starts the first pending
+// item of the lease. It returns false if no server accepts one now.
 func (e *Executor) startNext(ctx context.Context, held *lease, candidate *sharing.Candidate) bool {
 	if e.resumePaused(ctx, held.job.GetGroup()) {
 		return true
@@ -122,19 +123,19 @@
 	return held.ready(time.Now()) && e.startPending(ctx, held, candidate)
 }
 
-// startPending starts the first waiting item of a lease; false means that no
-// server takes it now.
+// startPending starts the first pending item of a lease. It returns false if no
+// server accepts it now.
 func (e *Executor) startPending(ctx context.Context, held *lease, candidate *sharing.Candidate) bool {
 	item := held.pending[0]
 	line, err := parseLine(held.lines[item])
 	if err != nil {
 		held.pending = held.pending[1:]
-		e.fail(held, item, line.CustomID, err)
+		e.failInvalidLine(held, item, line.CustomID, err)
 		return true
 	}
 	wanted := held.wanted
 	wanted.PromptTokens = len(line.Body) / bytesPerToken
-	choice, ok := e.options.View.StartBatch(wanted, e.serversToAvoid(held, item, time.Now()))
+	choice, ok := e.options.View.StartBatch(wanted, e.excludedServers(held, item, time.Now()))
 	if !ok {
 		return false
 	}
@@ -152,31 +153,31 @@
 	return true
 }
 
-// serversToAvoid names the servers that must not get an item now. An item that was
-// lost before may be what brings servers down, so one on its last try never runs
-// beside another that was lost, nor where one was lost a moment ago.
-func (e *Executor) serversToAvoid(held *lease, item uint32, now time.Time) []string {
+// excludedServers lists the servers that must not get an item now. A lost item may
+// have crashed its server, so an item on its last try never runs on the same
+// server as another lost item, nor on a server that lost an item within lossPause.
+func (e *Executor) excludedServers(held *lease, item uint32, now time.Time) []string {
 	if !held.lost[item] {
 		return nil
 	}
 	last := held.lastTry[item]
-	var avoided []string
+	var excluded []string
 	for current := range e.running {
 		other := current.lease
 		if other.lastTry[current.item] || last && other.lost[current.item] {
-			avoided = append(avoided, current.target.Name)
+			excluded = append(excluded, current.target.Name)
 		}
 	}
 	for name, at := range e.lostAt {
 		if last && now.Sub(at) < lossPause {
-			avoided = append(avoided, name)
+			excluded = append(excluded, name)
 		}
 	}
-	return avoided
+	return excluded
 }
 
-// noteLoss remembers when a server lost an item, and forgets what is long ago.
-func (e *Executor) noteLoss(server string, now time.Time) {
+// recordLoss records when a server lost an item, and removes expired records.
+func (e *Executor) recordLoss(server string, now time.Time) {
 	maps.DeleteFunc(e.lostAt, func(_ string, at time.Time) bool { return now.Sub(at) >= lossPause })
 	e.lostAt[server] = now
 }
@@ -191,23 +192,23 @@
 	return parsed, err
 }
 
-// oneTarget is the chooser of an item whose server was chosen already.
-type oneTarget struct {
+// fixedChooser is an upstream.Chooser that offers the server already chosen, once.
+type fixedChooser struct {
 	run  *run
 	used bool
 }
 
 // Choose implements upstream.Chooser.
-func (c *oneTarget) Choose(context.Context, []string) (upstream.Target, error) {
+func (c *fixedChooser) Choose(context.Context, []string) (upstream.Target, error) {
 	if c.used {
-		return upstream.Target{}, fault.New(fault.Unavailable, "the item has had its attempt", "start it again")
+		return upstream.Target{}, fault.New(fault.Unavailable, "the item was already attempted", "start it again")
 	}
 	c.used = true
 	return c.run.target, nil
 }
 
 // Ended implements upstream.Chooser.
-func (c *oneTarget) Ended(_ upstream.Target, report upstream.Report) {
+func (c *fixedChooser) Ended(_ upstream.Target, report upstream.Report) {
 	c.run.report = report
 }
 
@@ -223,43 +224,43 @@
 	return nil
 }
 
-// execute runs one item to its end, outside the owner goroutine.
+// execute runs one item to completion, outside the owner goroutine.
 func (e *Executor) execute(ctx context.Context, current *run, choice serverview.BatchChoice) {
 	request := &upstream.Request{
 		ID: current.id, Kind: upstream.Engine, Method: http.MethodPost, Path: current.line.URL, Body: current.line.Body,
 		Priority: upstream.PriorityBatch, BatchTokenBudget: choice.TokensPerStep, Repeatable: true,
 		Timeouts: upstream.Timeouts{Connect: connectTimeout, FirstByte: answerTimeout},
 	}
-	current.result = e.options.Relay.Run(ctx, request, &oneTarget{run: current}, current)
+	current.result = e.options.Relay.Run(ctx, request, &fixedChooser{run: current}, current)
 	current.cancel()
 	e.finished <- current
 }
 
-// itemEnded takes the end of an item.
+// itemEnded removes a finished run and reports or requeues its item.
 func (e *Executor) itemEnded(current *run) {
 	held := current.lease
 	delete(e.running, current)
 	delete(held.running, current.item)
-	e.forgetPaused(current)
+	e.removePaused(current)
 	e.options.View.EndBatch(current.target, current.report, current.paused, current.prompt)
-	e.account(current)
+	e.recordCost(current)
 	if current.abandoned {
 		return
 	}
 	switch {
 	case current.result.Complete:
-		e.answered(current)
+		e.reportResponse(current)
 	case current.result.Fault != nil && current.result.Fault.Ran == fault.NotRun, current.result.Stopped:
-		e.notRun(current)
+		e.requeueNotRun(current)
 	default:
-		e.noteLoss(current.target.Name, time.Now())
+		e.recordLoss(current.target.Name, time.Now())
 		e.reportOutcome(held, current.item, rockwindpb.ItemOutcome_ITEM_OUTCOME_RETRY, nil)
 	}
 	e.releaseIfDone(held)
 }
 
-// account books what the item cost.
-func (e *Executor) account(current *run) {
+// recordCost replaces the estimate charged for an item by its actual cost.
+func (e *Executor) recordCost(current *run) {
 	job := current.lease.job
 	cost := 0.0
 	if current.result.Complete {
@@ -272,9 +273,9 @@
 	e.options.OnServed(job.GetGroup(), job.GetModel(), cost)
 }
 
-// answered reports the answer of an item: an answer with an error status ends
-// the item as failed.
-func (e *Executor) answered(current *run) {
+// reportResponse reports the response to an item. A status other than 200 ends the
+// item as failed.
+func (e *Executor) reportResponse(current *run) {
 	outcome := rockwindpb.ItemOutcome_ITEM_OUTCOME_COMPLETED
 	if current.status != http.StatusOK {
 		outcome = rockwindpb.ItemOutcome_ITEM_OUTCOME_FAILED
@@ -287,20 +288,21 @@
 	e.reportOutcome(current.lease, current.item, outcome, line)
 }
 
-// notRun puts an item back that provably did not run or did not finish.
-func (e *Executor) notRun(current *run) {
+// requeueNotRun requeues an item that provably did not run or was stopped. After
+// too many attempts, or while draining, it returns the item to the ledger instead.
+func (e *Executor) requeueNotRun(current *run) {
 	held := current.lease
 	held.notRun[current.item]++
-	if e.draining || held.notRun[current.item] >= notRunTries {
+	if e.draining || held.notRun[current.item] >= maximumNotRunTries {
 		e.reportOutcome(held, current.item, rockwindpb.ItemOutcome_ITEM_OUTCOME_RETURNED, nil)
 		return
 	}
-	held.putBack(current.item)
+	held.requeue(current.item)
 	held.notBefore = time.Now().Add(notRunPause)
 }
 
-// fail ends an item whose line can't be run at all.
-func (e *Executor) fail(held *lease, item uint32, customID string, why error) {
+// failInvalidLine ends an item as failed because its request line can't be parsed.
+func (e *Executor) failInvalidLine(held *lease, item uint32, customID string, why error) {
 	line, err := EncodeError(held.key.job, item, customID,
 		fault.Newf(fault.InvalidArgument, "correct the line of the input file", "the request line can't be read: %v", why))
 	if err != nil {
@@ -310,14 +312,14 @@
 	e.releaseIfDone(held)
 }
 
-// reportOutcome hands the end of an item to the reporter.
+// reportOutcome queues the outcome of an item at the reporter.
 func (e *Executor) reportOutcome(held *lease, item uint32, outcome rockwindpb.ItemOutcome, body []byte) {
 	held.unacknowledged++
 	e.options.OnItemEnd(outcome)
 	e.reporter.add(report{key: held.key, item: item, outcome: outcome, body: body})
 }
 
-// cancelAll cancels what still runs.
+// cancelAll cancels all running items.
 func (e *Executor) cancelAll() {
 	for current := range e.running {
 		current.cancel()
--- a/internal/batch/executor.go
+++ b/internal/batch/executor.go
@@ -16,37 +16,36 @@
 
 // Timing of the owner goroutine.
 const (
-	// tick is how often budgets are looked at.
+	// tick is the interval of periodic work such as pausing items and heartbeats.
 	tick = 20 * time.Millisecond
-	// drainGrace is how long running items may go on while the executor stops.
+	// drainGrace is how long running items may continue after the executor is stopped.
 	drainGrace = 3 * time.Second
-	// drainLimit bounds the whole stop.
+	// drainLimit bounds the whole shutdown.
 	drainLimit = 15 * time.Second
-	// defaultConcurrency bounds items in flight where the settings give nothing.
+	// defaultConcurrency bounds the items in flight if the settings don't.
 	defaultConcurrency = 256
 )
 
-// Options of an executor.
+// Options configure an executor.
 type Options struct {
-	// Holder is the name under which leases are held; a restarted gateway takes
-	// another one.
+	// Holder identifies the gateway as the holder of leases. It must change with
+	// each restart.
 	Holder string
 	// Jobs and Bodies are the control machines' services.
 	Jobs   rockwindpb.JobService
 	Bodies rockwindpb.BodyService
-	// Relay sends items to engines, View knows which may take them.
+	// Relay sends items to engines, View tells which servers accept them.
 	Relay *upstream.Relay
 	View  *serverview.View
-	// Current is the configuration in force.
+	// Current returns the configuration in force.
 	Current func() *configuration.Index
 	// Concurrency bounds the items in flight.
 	Concurrency int
-	// OnServed is told what an item of a group and model received, in cost units.
+	// OnServed is called when an item of a group and model ends, with its cost.
 	OnServed func(group, model string, cost float64)
-	// OnItemEnd is told how each item ended.
+	// OnItemEnd is called with the outcome of each item.
 	OnItemEnd func(outcome rockwindpb.ItemOutcome)
-	// Log takes what operators should know.
-	Log log.Interface
+	Log       log.Interface
 }
 
 // Executor runs leased items.
@@ -59,7 +58,7 @@
 	grants    chan grantResult
 	loaded    chan loadedInput
 	verdicts  chan []*rockwindpb.LeaseVerdict
-	reported  chan []acknowledged
+	reported  chan []acknowledgement
 	allowance chan []sharing.GroupAllowance
 
 	// The fields below belong to the owner goroutine.
@@ -67,20 +66,20 @@
 	running   map[*run]struct{}
 	picker    *sharing.Picker
 	acquiring bool
-	// acquireAfter is the end of the pause after a failed call.
-	acquireAfter time.Time
-	heartbeating bool
-	lastBeat     time.Time
-	// paused lists the items that gave way, in the order in which they did.
+	// acquireAfter is the earliest time of the next request for leases.
+	acquireAfter  time.Time
+	heartbeating  bool
+	lastHeartbeat time.Time
+	// paused lists the paused items, oldest pause first.
 	paused []*run
-	// lostAt is when a server last lost an item, by its name.
+	// lostAt is when each server last lost an item, by server name.
 	lostAt   map[string]time.Time
 	rate     rateMeter
 	epoch    time.Time
 	draining bool
 
 	mutex sync.Mutex
-	// demand is the cost of waiting work by group, guarded by mutex.
+	// demand is the cost of pending and running items by group, guarded by mutex.
 	demand map[string]float64
 	costs  *costMeter
 }
@@ -97,7 +96,7 @@
 		grants:    make(chan grantResult, 1),
 		loaded:    make(chan loadedInput),
 		verdicts:  make(chan []*rockwindpb.LeaseVerdict, 1),
-		reported:  make(chan []acknowledged),
+		reported:  make(chan []acknowledgement),
 		allowance: make(chan []sharing.GroupAllowance, 1),
 		leases:    make(map[leaseKey]*lease),
 		running:   make(map[*run]struct{}),
@@ -111,11 +110,11 @@
 	return e
 }
 
-// Run executes batch work until the context ends. Then it takes no new work,
-// lets running items end for a short while, cancels the rest, reports and
-// releases everything, and returns.
+// Run executes batch work until the context ends. Then it stops taking work, gives
+// running items drainGrace to end, cancels the rest, reports the outcomes, releases
+// the leases and returns, at the latest after drainLimit.
 func (e *Executor) Run(ctx context.Context) {
-	// The work itself outlives ctx for the drain.
+	// The work continues after ctx ends, until the drain is complete.
 	working, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	var reporting sync.WaitGroup
@@ -129,7 +128,7 @@
 		case <-stopping:
 			stopping = nil
 			e.draining = true
-			e.dropPending()
+			e.releasePending()
 			cancelAt, endAt = time.After(drainGrace), time.After(drainLimit)
 		case <-cancelAt:
 			e.cancelAll()
@@ -140,12 +139,12 @@
 		case done := <-e.finished:
 			e.itemEnded(done)
 		case result := <-e.grants:
-			e.granted(working, result)
+			e.addLeases(working, result)
 		case input := <-e.loaded:
 			e.inputLoaded(input)
 		case verdicts := <-e.verdicts:
 			e.heartbeating = false
-			e.judge(verdicts)
+			e.applyVerdicts(verdicts)
 		case acks := <-e.reported:
 			e.acknowledge(acks)
 		case allowances := <-e.allowance:
@@ -155,7 +154,7 @@
 		case <-ticker.C:
 			e.yield(working)
 			e.reclaim(working)
-			e.confirmPutBack(working, time.Now())
+			e.resendResumes(working, time.Now())
 			e.heartbeat(working)
 			e.publishDemand()
 		}
@@ -166,12 +165,12 @@
 	reporting.Wait()
 }
 
-// idle tells whether nothing is left to run or to report.
+// idle reports whether nothing is left to run or to report.
 func (e *Executor) idle() bool {
 	return len(e.running) == 0 && len(e.leases) == 0 && !e.acquiring
 }
 
-// SetAllowances puts the groups' parts of the batch capacity in force.
+// SetAllowances sets the groups' fractions of the batch capacity.
 func (e *Executor) SetAllowances(groups []*rockwindpb.GroupAllowance) {
 	allowances := make([]sharing.GroupAllowance, 0, len(groups))
 	for _, group := range groups {
@@ -180,11 +179,12 @@
 	select {
 	case e.allowance <- allowances:
 	default:
-		// The owner has not taken the last ones yet; the next exchange brings newer.
+		// The owner has not read the previous ones yet; the next exchange sends newer
+		// ones.
 	}
 }
 
-// Demand returns the cost of the work that waits or runs here, by group.
+// Demand returns the estimated cost of the pending and running items by group.
 func (e *Executor) Demand() map[string]float64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -206,7 +206,7 @@
 	e.demand = demand
 }
 
-// now is the time since the executor's epoch, for the pure packages.
+// now returns the time since the executor's epoch, the clock of the picker.
 func (e *Executor) now() time.Duration {
 	return time.Since(e.epoch)
 }
--- a/internal/batch/input.go
+++ b/internal/batch/input.go
@@ -10,28 +10,28 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Bounds of reading input.
+// Limits for reading input.
 const (
-	// maximumCachedInput bounds the input bodies that are kept, in bytes.
+	// maximumCachedInput bounds the size of the cached chunks in bytes.
 	maximumCachedInput = 16 << 20
-	// readTimeout bounds one read of bodies.
+	// readTimeout bounds one read.
 	readTimeout = 10 * time.Second
 	// readPause is the pause after a failed read.
 	readPause = 500 * time.Millisecond
-	// readTries bounds the reads for one lease; then the lease is released.
-	readTries = 5
+	// maximumReadTries bounds the attempts to read the input of a lease, which is then released.
+	maximumReadTries = 5
 )
 
-// loadedInput is the input of a lease; lines is nil where it can't be read.
+// loadedInput is the input of a lease; lines is nil if it could not be read.
 type loadedInput struct {
 	key   leaseKey
 	lines map[uint32][]byte
 }
 
-// loadInput reads the request lines of the items.
+// loadInput reads the request lines of the items, with retries.
 func (e *Executor) loadInput(ctx context.Context, key leaseKey, job *rockwindpb.Job, items []uint32) {
 	lines, err := e.input.lines(ctx, job.GetInput(), items)
-	for try := 1; err != nil && try < readTries; try++ {
+	for try := 1; err != nil && try < maximumReadTries; try++ {
 		select {
 		case <-time.After(readPause):
 		case <-ctx.Done():
@@ -40,7 +40,7 @@
 		lines, err = e.input.lines(ctx, job.GetInput(), items)
 	}
 	if err != nil {
-		e.options.Log.WithError(err).WithField("job", key.job).Warn("input of a lease can't be read")
+		e.options.Log.WithError(err).WithField("job", key.job).Warn("failed to read the input of a lease")
 	}
 	select {
 	case e.loaded <- loadedInput{key: key, lines: lines}:
@@ -48,7 +48,8 @@
 	}
 }
 
-// inputLoaded makes the items of a lease ready to run.
+// inputLoaded sets the request lines of a lease, or drops its items if they could
+// not be read.
 func (e *Executor) inputLoaded(input loadedInput) {
 	held := e.leases[input.key]
 	if held == nil {
@@ -61,31 +62,31 @@
 	}
 }
 
-// inputReader reads input chunks and keeps the last ones, because one chunk
-// serves several leases. It is safe for concurrent use.
+// inputReader reads input chunks through an LRU cache, because one chunk holds the
+// input of several leases. It is safe for concurrent use.
 type inputReader struct {
-	bodies rockwindpb.BodyService
-	mutex  sync.Mutex
-	order  *list.List
-	kept   map[chunkKey]*list.Element
-	size   int
+	bodies  rockwindpb.BodyService
+	mutex   sync.Mutex
+	order   *list.List
+	entries map[chunkKey]*list.Element
+	size    int
 }
 
-// chunkKey names a stored body.
+// chunkKey identifies a stored chunk.
 type chunkKey struct {
 	segment, offset uint64
 }
 
-type keptChunk struct {
+type cachedChunk struct {
 	key  chunkKey
 	body []byte
 }
 
 func newInputReader(bodies rockwindpb.BodyService) *inputReader {
-	return &inputReader{bodies: bodies, order: list.New(), kept: make(map[chunkKey]*list.Element)}
+	return &inputReader{bodies: bodies, order: list.New(), entries: make(map[chunkKey]*list.Element)}
 }
 
-// lines returns the request lines of the items.
+// lines returns the request lines of the items by item number.
 func (r *inputReader) lines(ctx context.Context, chunks []*rockwindpb.InputChunk, items []uint32) (map[uint32][]byte, error) {
 	lines := make(map[uint32][]byte, len(items))
 	wanted := make(map[uint32]bool, len(items))
@@ -114,7 +115,7 @@
 
 func (r *inputReader) chunk(ctx context.Context, reference *rockwindpb.BodyReference) ([]byte, error) {
 	key := chunkKey{segment: reference.GetSegment(), offset: reference.GetOffset()}
-	if body := r.find(key); body != nil {
+	if body := r.lookup(key); body != nil {
 		return body, nil
 	}
 	bounded, cancel := context.WithTimeout(ctx, readTimeout)
@@ -124,34 +125,34 @@
 		return nil, err
 	}
 	if len(response.GetBodies()) != 1 {
-		return nil, errNoBody
+		return nil, errBodyCount
 	}
-	r.keep(key, response.GetBodies()[0])
+	r.store(key, response.GetBodies()[0])
 	return response.GetBodies()[0], nil
 }
 
-func (r *inputReader) find(key chunkKey) []byte {
+func (r *inputReader) lookup(key chunkKey) []byte {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	element := r.kept[key]
+	element := r.entries[key]
 	if element == nil {
 		return nil
 	}
 	r.order.MoveToFront(element)
-	return element.Value.(*keptChunk).body
+	return element.Value.(*cachedChunk).body
 }
 
-func (r *inputReader) keep(key chunkKey, body []byte) {
+func (r *inputReader) store(key chunkKey, body []byte) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.kept[key] != nil {
+	if r.entries[key] != nil {
 		return
 	}
-	r.kept[key] = r.order.PushFront(&keptChunk{key: key, body: body})
+	r.entries[key] = r.order.PushFront(&cachedChunk{key: key, body: body})
 	r.size += len(body)
 	for r.size > maximumCachedInput && r.order.Len() > 1 {
-		oldest := r.order.Remove(r.order.Back()).(*keptChunk)
-		delete(r.kept, oldest.key)
+		oldest := r.order.Remove(r.order.Back()).(*cachedChunk)
+		delete(r.entries, oldest.key)
 		r.size -= len(oldest.body)
 	}
 }
--- a/internal/batch/lease.go
+++ b/internal/batch/lease.go
@@ -11,93 +11,93 @@
 	"rockwind.example/rockwind/internal/sharing"
 )
 
-// Timing of leases.
+// Timing and size of lease requests.
 const (
-	// leaseLength is how long a lease holds without a heartbeat.
-	leaseLength = 15 * time.Second
-	// heartbeatEvery is how often leases are renewed.
-	heartbeatEvery = 4 * time.Second
+	// leaseDuration is how long a lease is valid without a heartbeat.
+	leaseDuration = 15 * time.Second
+	// heartbeatInterval is the time between renewals of the leases.
+	heartbeatInterval = 4 * time.Second
 	// heartbeatTimeout bounds one renewal.
 	heartbeatTimeout = 5 * time.Second
-	// acquireWait is how long a control machine may hold a call without work.
+	// acquireWait is how long a control machine may hold a request while there is no work.
 	acquireWait = 5 * time.Second
-	// acquireTimeout bounds a call beyond its wait.
+	// acquireTimeout is the time allowed for a request in addition to acquireWait.
 	acquireTimeout = 10 * time.Second
-	// acquirePause is the pause after a failed or empty call.
+	// acquirePause is the pause after a request that failed or granted nothing.
 	acquirePause = 200 * time.Millisecond
-	// acquireGap is the least time between two looks at the need for leases.
-	acquireGap = 5 * time.Millisecond
-	// lookAhead is for how long the held items should last.
+	// acquireInterval is the minimum time between two checks whether leases are needed.
+	acquireInterval = 5 * time.Millisecond
+	// lookAhead is how long the pending items should last at the current rate.
 	lookAhead = time.Second
-	// maximumAsk bounds the items asked for at once.
-	maximumAsk = 1024
+	// maximumRequestedItems bounds the items of one request.
+	maximumRequestedItems = 1024
 )
 
-// leaseKey names a lease.
+// leaseKey identifies a lease.
 type leaseKey struct {
 	job   string
 	fence uint64
 }
 
-// lease is a range of items that this gateway holds.
+// lease is a range of items that this gateway may run.
 type lease struct {
 	key    leaseKey
 	job    *rockwindpb.Job
 	wanted serverview.BatchRequirements
 	weight float64
-	// pending are the items that wait, next one first.
+	// pending lists the items that have not started, in the order to start them.
 	pending []uint32
 	// lines are the items' request lines; nil until they are read.
 	lines   map[uint32][]byte
 	running map[uint32]*run
-	// lost marks items that were lost before, lastTry those of them that end as
-	// failed if they are lost once more.
+	// lost marks items of which an earlier attempt may have run but gave no result,
+	// lastTry those of them that end as failed if that happens once more.
 	lost    map[uint32]bool
 	lastTry map[uint32]bool
-	// notRun counts how often items were tried and provably did not run.
+	// notRun counts the attempts of each item that provably did not run.
 	notRun map[uint32]int
-	// notBefore holds back a lease whose items were refused.
+	// notBefore delays further items of the lease after one did not run.
 	notBefore time.Time
-	// unacknowledged counts reports that the ledger has not answered.
+	// unacknowledged counts reports that the ledger has not acknowledged.
 	unacknowledged int
 	released       bool
 }
 
-// grantResult is the answer to a call for leases.
+// grantResult is the result of a request for leases.
 type grantResult struct {
 	grants []*rockwindpb.GrantedLease
 	err    error
 }
 
-// acquire asks for leases when the held items run out.
+// acquire requests leases when fewer than half of the wanted items are pending.
 func (e *Executor) acquire(ctx context.Context) {
 	if e.acquiring || e.draining || time.Now().Before(e.acquireAfter) {
 		return
 	}
-	e.acquireAfter = time.Now().Add(acquireGap)
+	e.acquireAfter = time.Now().Add(acquireInterval)
 	free, models := e.capacity()
 	pending := e.pendingItems()
 	target := 2*free + int(e.rate.perSecond(time.Now())*lookAhead.Seconds())
-	target = min(target, maximumAsk)
+	target = min(target, maximumRequestedItems)
 	if free == 0 || 2*pending >= target {
 		return
 	}
 	e.acquiring = true
-	go func() { e.grants <- e.askForLeases(ctx, target-pending, models) }()
+	go func() { e.grants <- e.requestLeases(ctx, target-pending, models) }()
 }
 
-func (e *Executor) askForLeases(ctx context.Context, items int, models []string) grantResult {
+func (e *Executor) requestLeases(ctx context.Context, items int, models []string) grantResult {
 	bounded, cancel := context.WithTimeout(ctx, acquireWait+acquireTimeout)
 	defer cancel()
 	response, err := e.options.Jobs.AcquireLeases(bounded, &rockwindpb.AcquireLeasesRequest{
 		Holder: e.options.Holder, MaxItems: uint32(items), Models: models,
-		LeaseMs: uint32(leaseLength.Milliseconds()), WaitMs: uint32(acquireWait.Milliseconds()),
+		LeaseMs: uint32(leaseDuration.Milliseconds()), WaitMs: uint32(acquireWait.Milliseconds()),
 	})
 	return grantResult{grants: response.GetGrants(), err: err}
 }
 
-// capacity returns how many more items the owned servers take now, and for
-// which models.
+// capacity returns how many more items this gateway's servers accept now, and the
+// models that they accept them for.
 func (e *Executor) capacity() (free int, models []string) {
 	for _, model := range e.options.Current().Models() {
 		count := e.options.View.FreeBatchSlots(serverview.BatchRequirements{Model: model.GetName()})
@@ -109,9 +109,9 @@
 	return min(free, e.options.Concurrency-len(e.running)), models
 }
 
-// pendingItems counts the items that wait here. Items on their last try, which run
-// few at a time, count only beyond a bound: they must not keep others from being
-// leased.
+// pendingItems counts the items that have not started. Items on their last try run
+// few at a time, so the first maximumRequestedItems of them are left out: they
+// must not keep other items from being leased.
 func (e *Executor) pendingItems() int {
 	count, last := 0, 0
 	for _, held := range e.leases {
@@ -120,11 +120,11 @@
 			last += held.waitingOnLastTry()
 		}
 	}
-	return count - min(last, maximumAsk)
+	return count - min(last, maximumRequestedItems)
 }
 
-// granted takes new leases and reads their input.
-func (e *Executor) granted(ctx context.Context, result grantResult) {
+// addLeases adds granted leases and starts to read their input.
+func (e *Executor) addLeases(ctx context.Context, result grantResult) {
 	e.acquiring = false
 	if result.err != nil || len(result.grants) == 0 {
 		e.acquireAfter = time.Now().Add(acquirePause)
@@ -160,18 +160,18 @@
 	return held
 }
 
-// takeItems lists the items of a lease. Those on their last try come last, since
-// they may have to wait for a server.
+// takeItems fills the pending items from a granted lease. Items on their last try
+// come last, since they may have to wait for a server.
 func (l *lease) takeItems(granted *rockwindpb.Lease) {
 	var last []uint32
 	for offset := range granted.GetItemCount() {
 		item := granted.GetFirstItem() + offset
-		if marked(granted.GetLost(), offset) {
+		if isMarked(granted.GetLost(), offset) {
 			l.lost[item] = true
 		}
 		switch {
-		case marked(granted.GetSkip(), offset):
-		case marked(granted.GetLastTry(), offset):
+		case isMarked(granted.GetSkip(), offset):
+		case isMarked(granted.GetLastTry(), offset):
 			l.lastTry[item] = true
 			last = append(last, item)
 		default:
@@ -181,16 +181,17 @@
 	l.pending = append(l.pending, last...)
 }
 
-// putBack makes an item wait again, behind the others of its kind.
-func (l *lease) putBack(item uint32) {
-	place := len(l.pending)
+// requeue adds an item to the pending items again. Those on their last try stay
+// at the end.
+func (l *lease) requeue(item uint32) {
+	position := len(l.pending)
 	if !l.lastTry[item] {
-		place -= l.waitingOnLastTry()
+		position -= l.waitingOnLastTry()
 	}
-	l.pending = slices.Insert(l.pending, place, item)
+	l.pending = slices.Insert(l.pending, position, item)
 }
 
-// waitingOnLastTry counts the items that wait for their last try.
+// waitingOnLastTry counts the pending items on their last try.
 func (l *lease) waitingOnLastTry() int {
 	count := 0
 	for _, item := range l.pending {
@@ -201,8 +202,8 @@
 	return count
 }
 
-// marked tells whether a bitmap marks the item at the offset.
-func marked(bitmap []byte, offset uint32) bool {
+// isMarked reports whether the bit at the offset is set in a bitmap.
+func isMarked(bitmap []byte, offset uint32) bool {
 	index := offset / 8
 	return int(index) < len(bitmap) && bitmap[index]&(1<<(offset%8)) != 0
 }
@@ -215,14 +216,14 @@
 	return sharing.Throughput
 }
 
-// heartbeat renews all leases when it is time.
+// heartbeat renews all leases once per heartbeatInterval.
 func (e *Executor) heartbeat(ctx context.Context) {
-	if e.heartbeating || len(e.leases) == 0 || time.Since(e.lastBeat) < heartbeatEvery {
+	if e.heartbeating || len(e.leases) == 0 || time.Since(e.lastHeartbeat) < heartbeatInterval {
 		return
 	}
 	e.heartbeating = true
-	e.lastBeat = time.Now()
-	request := &rockwindpb.HeartbeatLeasesRequest{Holder: e.options.Holder, LeaseMs: uint32(leaseLength.Milliseconds())}
+	e.lastHeartbeat = time.Now()
+	request := &rockwindpb.HeartbeatLeasesRequest{Holder: e.options.Holder, LeaseMs: uint32(leaseDuration.Milliseconds())}
 	for key, held := range e.leases {
 		if !held.released {
 			request.Leases = append(request.Leases, &rockwindpb.LeaseKey{JobId: key.job, Fence: key.fence})
@@ -233,7 +234,7 @@
 		defer cancel()
 		response, err := e.options.Jobs.HeartbeatLeases(bounded, request)
 		if err != nil {
-			e.options.Log.WithError(err).Warn("leases are not renewed")
+			e.options.Log.WithError(err).Warn("failed to renew leases")
 		}
 		select {
 		case e.verdicts <- response.GetVerdicts():
@@ -242,9 +243,9 @@
 	}()
 }
 
-// judge drops the leases that are over: what runs of them is cancelled and
-// nothing more is reported.
-func (e *Executor) judge(verdicts []*rockwindpb.LeaseVerdict) {
+// applyVerdicts removes the leases that the ledger has ended. Their running items
+// are cancelled and not reported.
+func (e *Executor) applyVerdicts(verdicts []*rockwindpb.LeaseVerdict) {
 	for _, verdict := range verdicts {
 		held := e.leases[leaseKey{job: verdict.GetJobId(), fence: verdict.GetFence()}]
 		if held == nil || !verdict.GetStop() {
@@ -258,15 +259,16 @@
 	}
 }
 
-// dropPending gives back what has not started.
-func (e *Executor) dropPending() {
+// releasePending drops the items that have not started, and releases the leases
+// that are left without any.
+func (e *Executor) releasePending() {
 	for _, held := range e.leases {
 		held.pending = nil
 		e.releaseIfDone(held)
 	}
 }
 
-// releaseIfDone ends a lease that has nothing left to run or to report.
+// releaseIfDone releases a lease that has no items left to run or to report.
 func (e *Executor) releaseIfDone(held *lease) {
 	if held.released || len(held.pending) > 0 || len(held.running) > 0 || held.unacknowledged > 0 {
 		return
--- a/internal/batch/lease_test.go
+++ b/internal/batch/lease_test.go
@@ -13,7 +13,7 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// TestMain fixes the seed, so that each run gives the same verdict.
+// TestMain fixes the seed, which makes the property tests reproducible.
 func TestMain(m *testing.M) {
 	for _, setting := range [][2]string{{"rapid.seed", "20261202"}, {"rapid.nofailfile", "true"}} {
 		if err := flag.Set(setting[0], setting[1]); err != nil {
@@ -23,7 +23,8 @@
 	os.Exit(m.Run())
 }
 
-// drawnLease is a lease with items that are done and items on their last try.
+// drawnLease is a random lease with skipped items, lost items and items on their
+// last try.
 type drawnLease struct {
 	granted *rockwindpb.Lease
 	wanted  []uint32
@@ -59,9 +60,8 @@
 	return drawn
 }
 
-// TestItemsOnTheirLastTryRunApart starts and gives back the items of a lease at
-// random. Others go before those on their last try, and none of those is let onto a
-// server beside an item that was lost before.
+// TestItemsOnTheirLastTryRunApart starts and requeues items at random. Items on their
+// last try start after all others, and never on a server that runs a lost item.
 func TestItemsOnTheirLastTryRunApart(t *testing.T) {
 	servers := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -69,20 +69,20 @@
 		held := &lease{lastTry: map[uint32]bool{}, lost: map[uint32]bool{}}
 		held.takeItems(drawn.granted)
 		if waiting := slices.Sorted(slices.Values(held.pending)); !slices.Equal(waiting, drawn.wanted) {
-			t.Fatalf("items %v wait, want %v", waiting, drawn.wanted)
+			t.Fatalf("items %v are pending, want %v", waiting, drawn.wanted)
 		}
 		e := &Executor{leases: map[leaseKey]*lease{{}: held}, running: map[*run]struct{}{}}
 		for rapid.IntRange(0, 200).Draw(t, "go on") > 0 && len(held.pending) > 0 {
 			if normal := len(held.pending) - held.waitingOnLastTry(); e.pendingItems() != normal {
-				t.Fatalf("%d items count as waiting, want %d", e.pendingItems(), normal)
+				t.Fatalf("%d items count as pending, want %d", e.pendingItems(), normal)
 			}
 			item := held.pending[0]
 			if drawn.last[item] && slices.ContainsFunc(held.pending, func(other uint32) bool { return !drawn.last[other] }) {
-				t.Fatalf("item %d on its last try goes before others: %v", item, held.pending)
+				t.Fatalf("item %d on its last try comes before others: %v", item, held.pending)
 			}
-			avoided := e.serversToAvoid(held, item, time.Time{})
+			excluded := e.excludedServers(held, item, time.Time{})
 			chosen := rapid.SampledFrom(servers).Draw(t, "server")
-			if slices.Contains(avoided, chosen) {
+			if slices.Contains(excluded, chosen) {
 				e.endOne(held, rapid.Bool().Draw(t, "give back"))
 				continue
 			}
@@ -93,7 +93,7 @@
 	})
 }
 
-// endOne ends the lowest item that runs, and perhaps gives it back.
+// endOne ends the running item with the lowest number, and requeues it if asked.
 func (e *Executor) endOne(held *lease, giveBack bool) {
 	var lowest *run
 	for current := range e.running {
@@ -103,7 +103,7 @@
 	}
 	delete(e.running, lowest)
 	if giveBack {
-		held.putBack(lowest.item)
+		held.requeue(lowest.item)
 	}
 }
 
@@ -112,25 +112,26 @@
 		for other := range e.running {
 			together := one != other && one.target.Name == other.target.Name
 			if together && drawn.last[one.item] && drawn.lost[other.item] {
-				t.Fatalf("item %d on its last try runs beside item %d, which was lost before", one.item, other.item)
+				t.Fatalf("item %d on its last try runs on the same server as item %d, which was lost before", one.item, other.item)
 			}
 		}
 	}
 }
 
-// TestServerThatLostAnItemGetsNoLastTry looks at the pause after a loss.
+// TestServerThatLostAnItemGetsNoLastTry checks that a server gets no item on its last
+// try within lossPause after it lost an item.
 func TestServerThatLostAnItemGetsNoLastTry(t *testing.T) {
 	held := &lease{lost: map[uint32]bool{1: true, 2: true}, lastTry: map[uint32]bool{2: true}}
 	lost := time.Unix(100, 0)
 	e := &Executor{lostAt: map[string]time.Time{}}
-	e.noteLoss("a", lost)
+	e.recordLoss("a", lost)
 	for _, asked := range []struct {
 		item  uint32
 		after time.Duration
 		avoid bool
 	}{{0, 0, false}, {1, 0, false}, {2, 0, true}, {2, lossPause - 1, true}, {2, lossPause, false}} {
-		if avoided := e.serversToAvoid(held, asked.item, lost.Add(asked.after)); (len(avoided) > 0) != asked.avoid {
-			t.Errorf("item %d avoids %v %v after a loss", asked.item, avoided, asked.after)
+		if excluded := e.excludedServers(held, asked.item, lost.Add(asked.after)); (len(excluded) > 0) != asked.avoid {
+			t.Errorf("item %d avoids %v %v after a loss", asked.item, excluded, asked.after)
 		}
 	}
 }
--- a/internal/batch/line.go
+++ b/internal/batch/line.go
@@ -8,12 +8,13 @@
 	"rockwind.example/rockwind/internal/fault"
 )
 
-// errNoBody is the failure of a read that returned another number of bodies.
-var errNoBody = errors.New("the store returned another number of bodies than was asked for")
+// errBodyCount is returned when a read yields a different number of bodies than
+// was requested.
+var errBodyCount = errors.New("body service returned a different number of bodies than requested")
 
-// InputLine is one line of a batch's input file in the published shape.
+// InputLine is one line of a batch's input file, in the format of the public batch API.
 type InputLine struct {
-	// CustomID is the caller's name of the item.
+	// CustomID is the caller's identifier for the item.
 	CustomID string `json:"custom_id"`
 	// Method is the HTTP method, always POST.
 	Method string `json:"method"`
@@ -23,8 +24,8 @@
 	Body json.RawMessage `json:"body"`
 }
 
-// OutputLine is one line of a batch's output or error file in the published
-// shape.
+// OutputLine is one line of a batch's output or error file, in the format of the
+// public batch API.
 type OutputLine struct {
 	ID       string        `json:"id"`
 	CustomID string        `json:"custom_id"`
@@ -32,25 +33,26 @@
 	Error    *LineError    `json:"error"`
 }
 
-// LineResponse is the answer to one item.
+// LineResponse is the HTTP response to one item.
 type LineResponse struct {
 	StatusCode int             `json:"status_code"`
 	RequestID  string          `json:"request_id"`
 	Body       json.RawMessage `json:"body"`
 }
 
-// LineError says why an item has no answer.
+// LineError says why an item has no response.
 type LineError struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
 }
 
-// lineID is the identity of an item's line.
+// lineID returns the identifier of an item's output line.
 func lineID(job string, item uint32) string {
 	return fmt.Sprintf("batch_req_%s_%d", job, item)
 }
 
-// EncodeResponse is the output line of an item that was answered.
+// EncodeResponse returns the output line of an item that got a response. A body
+// that is not JSON is encoded as a JSON string.
 func EncodeResponse(job string, item uint32, customID string, status int, requestID string, body []byte) ([]byte, error) {
 	if !json.Valid(body) {
 		quoted, err := json.Marshal(string(body))
@@ -65,7 +67,7 @@
 	})
 }
 
-// EncodeError is the error line of an item that ended without an answer.
+// EncodeError returns the error line of an item that ended without a response.
 func EncodeError(job string, item uint32, customID string, why *fault.Fault) ([]byte, error) {
 	return json.Marshal(OutputLine{
 		ID: lineID(job, item), CustomID: customID,
--- a/internal/batch/meter.go
+++ b/internal/batch/meter.go
@@ -8,18 +8,19 @@
 	"rockwind.example/rockwind/internal/sharing"
 )
 
-// Estimates before anything was measured.
+// Parameters of the meters; the token counts are the estimate for a group without
+// finished items.
 const (
 	firstPromptTokens    = 256
 	firstGeneratedTokens = 128
-	// costWeight is the weight of a new cost in the mean.
+	// costWeight is the weight of a new cost in the moving average.
 	costWeight = 0.05
-	// rateTime is the time constant of the rate of items.
-	rateTime = 2 * time.Second
+	// rateTimeConstant is the time constant of the decaying item rate.
+	rateTimeConstant = 2 * time.Second
 )
 
-// costMeter keeps the mean cost of an item by group. It is safe for concurrent
-// use.
+// costMeter keeps a moving average of the cost of an item by group. It is safe for
+// concurrent use.
 type costMeter struct {
 	mutex sync.Mutex
 	means map[string]float64
@@ -48,7 +49,7 @@
 	m.means[group] = mean + costWeight*(cost-mean)
 }
 
-// rateMeter measures items per second, with old ones decaying away.
+// rateMeter measures items per second with exponential decay.
 type rateMeter struct {
 	count float64
 	at    time.Time
@@ -56,7 +57,7 @@
 
 func (m *rateMeter) decay(now time.Time) {
 	if elapsed := now.Sub(m.at); !m.at.IsZero() && elapsed > 0 {
-		m.count *= math.Exp(-elapsed.Seconds() / rateTime.Seconds())
+		m.count *= math.Exp(-elapsed.Seconds() / rateTimeConstant.Seconds())
 	}
 	m.at = now
 }
@@ -68,5 +69,5 @@
 
 func (m *rateMeter) perSecond(now time.Time) float64 {
 	m.decay(now)
-	return m.count / rateTime.Seconds()
+	return m.count / rateTimeConstant.Seconds()
 }
--- a/internal/batch/reclaim.go
+++ b/internal/batch/reclaim.go
@@ -7,27 +7,27 @@
 	"rockwind.example/rockwind/internal/sharing"
 )
 
-// reclaimLimit bounds the items that change places on a server at a time.
-const reclaimLimit = 16
+// maximumSwaps bounds the items that are swapped on one server per call of reclaim.
+const maximumSwaps = 16
 
-// reclaim gives groups that came back their part of the running items: items of
-// groups that run more than their allowance are paused for them.
+// reclaim pauses items of groups that run more than their allowance to start items
+// of groups that run less and have items waiting.
 func (e *Executor) reclaim(ctx context.Context) {
 	if e.draining {
 		return
 	}
 	for _, server := range e.busyServers() {
-		for range reclaimLimit {
+		for range maximumSwaps {
 			groups := e.groupsOn(server)
 			from, to, found := e.picker.Reclaim(groups)
-			if !found || !e.exchange(ctx, server, groups[from].Group, groups[to].Group) {
+			if !found || !e.swap(ctx, server, groups[from].Group, groups[to].Group) {
 				break
 			}
 		}
 	}
 }
 
-// busyServers lists the servers with running items.
+// busyServers lists the servers with items that run and are not paused.
 func (e *Executor) busyServers() []string {
 	seen := make(map[string]bool)
 	var servers []string
@@ -40,25 +40,25 @@
 	return servers
 }
 
-// groupsOn counts what each group has on a server and could start there.
+// groupsOn counts the items that each group runs on a server and could start there.
 func (e *Executor) groupsOn(server string) []sharing.GroupRunning {
 	var groups []sharing.GroupRunning
-	places := make(map[string]int)
-	of := func(name string) *sharing.GroupRunning {
-		place, known := places[name]
+	positions := make(map[string]int)
+	groupNamed := func(name string) *sharing.GroupRunning {
+		position, known := positions[name]
 		if !known {
-			place = len(groups)
-			places[name] = place
+			position = len(groups)
+			positions[name] = position
 			groups = append(groups, sharing.GroupRunning{Group: name})
 		}
-		return &groups[place]
+		return &groups[position]
 	}
 	now := time.Now()
 	for current := range e.running {
 		if current.target.Name != server || current.abandoned {
 			continue
 		}
-		group := of(current.lease.job.GetGroup())
+		group := groupNamed(current.lease.job.GetGroup())
 		if current.paused {
 			group.Waiting++
 			continue
@@ -67,15 +67,15 @@
 	}
 	for _, held := range e.leases {
 		if held.ready(now) && e.options.View.CanRunBatch(server, held.wanted) {
-			of(held.job.GetGroup()).Waiting += len(held.pending)
+			groupNamed(held.job.GetGroup()).Waiting += len(held.pending)
 		}
 	}
 	return groups
 }
 
-// exchange pauses the newest item of one group on a server and starts one of
-// another; false means that the other could not start.
-func (e *Executor) exchange(ctx context.Context, server, from, to string) bool {
+// swap pauses the newest item of one group on a server and starts an item of
+// another group. It reports whether that item started.
+func (e *Executor) swap(ctx context.Context, server, from, to string) bool {
 	var newest *run
 	for current := range e.running {
 		on := current.target.Name == server && !current.paused && !current.abandoned
@@ -87,11 +87,11 @@
 		return false
 	}
 	e.pause(ctx, newest)
-	return e.startOf(ctx, to)
+	return e.startFromGroup(ctx, to)
 }
 
-// startOf starts an item of a group.
-func (e *Executor) startOf(ctx context.Context, group string) bool {
+// startFromGroup resumes or starts an item of a group and reports whether it did.
+func (e *Executor) startFromGroup(ctx context.Context, group string) bool {
 	if e.resumePaused(ctx, group) {
 		return true
 	}
@@ -108,7 +108,7 @@
 	return false
 }
 
-// ready tells whether the lease has items that may start now.
+// ready reports whether the lease has items that may start now.
 func (l *lease) ready(now time.Time) bool {
 	return len(l.pending) > 0 && l.lines != nil && !now.Before(l.notBefore)
 }
--- a/internal/batch/reporter.go
+++ b/internal/batch/reporter.go
@@ -11,15 +11,15 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Bounds of reporting.
+// Limits for reporting.
 const (
-	// reportEvery is how long a report may wait for others.
-	reportEvery = 50 * time.Millisecond
+	// reportInterval is how long a report may wait to be grouped with others.
+	reportInterval = 50 * time.Millisecond
 	// maximumReports bounds the reports of one group.
 	maximumReports = 1024
 	// maximumReportBytes bounds the results of one group.
 	maximumReportBytes = 4 << 20
-	// reportsInFlight bounds the groups that are reported at once.
+	// reportsInFlight bounds the groups that are reported concurrently.
 	reportsInFlight = 4
 	// reportTimeout bounds one call.
 	reportTimeout = 10 * time.Second
@@ -27,7 +27,7 @@
 	reportPause = 200 * time.Millisecond
 )
 
-// report is the end of one item, or of a lease.
+// report is the outcome of one item, or the release of a lease.
 type report struct {
 	key     leaseKey
 	item    uint32
@@ -36,19 +36,19 @@
 	release bool
 }
 
-// acknowledged counts the reports of a lease that the ledger has answered.
-type acknowledged struct {
+// acknowledgement is the ledger's answer to the reports of one lease.
+type acknowledgement struct {
 	key      leaseKey
 	items    int
 	released bool
 	verdict  *rockwindpb.LeaseVerdict
 }
 
-// reporter stores results and records items in groups.
+// reporter stores the results of items and records their outcomes, in groups.
 type reporter struct {
 	options Options
-	done    chan<- []acknowledged
-	places  chan struct{}
+	done    chan<- []acknowledgement
+	slots   chan struct{}
 
 	mutex sync.Mutex
 	queue []report
@@ -56,10 +56,10 @@
 	wake  chan struct{}
 }
 
-func newReporter(options Options, done chan<- []acknowledged) *reporter {
+func newReporter(options Options, done chan<- []acknowledgement) *reporter {
 	return &reporter{
 		options: options, done: done,
-		places: make(chan struct{}, reportsInFlight), wake: make(chan struct{}, 1),
+		slots: make(chan struct{}, reportsInFlight), wake: make(chan struct{}, 1),
 	}
 }
 
@@ -78,7 +78,7 @@
 	}
 }
 
-// take removes one group from the queue.
+// take removes the next group from the queue.
 func (r *reporter) take() []report {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -95,9 +95,9 @@
 
 // run reports groups until the context ends.
 func (r *reporter) run(ctx context.Context) {
-	var flights sync.WaitGroup
-	defer flights.Wait()
-	ticker := time.NewTicker(reportEvery)
+	var deliveries sync.WaitGroup
+	defer deliveries.Wait()
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -112,21 +112,21 @@
 				break
 			}
 			select {
-			case r.places <- struct{}{}:
+			case r.slots <- struct{}{}:
 			case <-ctx.Done():
 				return
 			}
-			flights.Go(func() {
+			deliveries.Go(func() {
 				r.deliver(ctx, group)
-				<-r.places
+				<-r.slots
 			})
 		}
 	}
 }
 
-// deliver stores the results of a group and records its items, again and again
-// until the ledger has answered for each lease. Both may be repeated: bodies
-// are stored under fresh references, and the ledger records an item once.
+// deliver stores the results of a group and records its items, with retries until
+// the ledger has answered for each lease. Both steps are safe to repeat: bodies are
+// stored under new references, and the ledger records an item once.
 func (r *reporter) deliver(ctx context.Context, group []report) {
 	slices.SortStableFunc(group, compareReports)
 	references := r.store(ctx, group)
@@ -141,18 +141,17 @@
 		})
 		cancel()
 		if err != nil {
-			r.options.Log.WithError(err).Warn("items are not recorded yet")
+			r.options.Log.WithError(err).Warn("failed to record items; retrying")
 		}
-		pending = r.answered(ctx, pending, response.GetVerdicts())
+		pending = r.processVerdicts(ctx, pending, response.GetVerdicts())
 		if len(pending) > 0 && !retry.Pause(ctx, reportPause) {
 			return
 		}
 	}
 }
 
-// compareReports orders reports by lease and item. Items end in any order; results
-// that are stored in the order of the items cost less of the ledger's log, and are
-// read back in one run.
+// compareReports orders reports by lease and item. Results stored in item order take
+// less space in the ledger's log and are read back sequentially.
 func compareReports(left, right report) int {
 	return cmp.Or(
 		cmp.Compare(left.key.job, right.key.job),
@@ -161,8 +160,8 @@
 	)
 }
 
-// store stores the bodies of a group until it succeeds; the result is aligned
-// with the group, and nil when the context ended.
+// store stores the bodies of a group, with retries. It returns one reference per
+// report, nil for those without a body, or nil if the context ended.
 func (r *reporter) store(ctx context.Context, group []report) []*rockwindpb.BodyReference {
 	references := make([]*rockwindpb.BodyReference, len(group))
 	var bodies [][]byte
@@ -183,7 +182,7 @@
 			}
 			break
 		}
-		r.options.Log.WithField("error", err).Warn("results are not stored yet")
+		r.options.Log.WithField("error", err).Warn("failed to store results; retrying")
 		if !retry.Pause(ctx, reportPause) {
 			return nil
 		}
@@ -191,7 +190,7 @@
 	return references
 }
 
-// completions groups reports by lease.
+// completions combines reports into one completion per lease.
 func completions(group []report, references []*rockwindpb.BodyReference) []*rockwindpb.LeaseCompletion {
 	byLease := make(map[leaseKey]*rockwindpb.LeaseCompletion)
 	var ordered []*rockwindpb.LeaseCompletion
@@ -213,15 +212,15 @@
 	return ordered
 }
 
-// answered tells the owner of the leases that were answered and returns those
-// that were not.
-func (r *reporter) answered(ctx context.Context, sent []*rockwindpb.LeaseCompletion, verdicts []*rockwindpb.LeaseVerdict) []*rockwindpb.LeaseCompletion {
+// processVerdicts passes the verdicts to the owner goroutine and returns the
+// completions without one.
+func (r *reporter) processVerdicts(ctx context.Context, sent []*rockwindpb.LeaseCompletion, verdicts []*rockwindpb.LeaseVerdict) []*rockwindpb.LeaseCompletion {
 	byLease := make(map[leaseKey]*rockwindpb.LeaseVerdict, len(verdicts))
 	for _, verdict := range verdicts {
 		byLease[leaseKey{job: verdict.GetJobId(), fence: verdict.GetFence()}] = verdict
 	}
 	var left []*rockwindpb.LeaseCompletion
-	var acks []acknowledged
+	var acks []acknowledgement
 	for _, completion := range sent {
 		key := leaseKey{job: completion.GetJobId(), fence: completion.GetFence()}
 		verdict := byLease[key]
@@ -229,7 +228,7 @@
 			left = append(left, completion)
 			continue
 		}
-		acks = append(acks, acknowledged{key: key, items: len(completion.GetItems()), released: completion.GetRelease(), verdict: verdict})
+		acks = append(acks, acknowledgement{key: key, items: len(completion.GetItems()), released: completion.GetRelease(), verdict: verdict})
 	}
 	if len(acks) > 0 {
 		select {
@@ -240,8 +239,8 @@
 	return left
 }
 
-// acknowledge takes the ledger's answers to reports.
-func (e *Executor) acknowledge(acks []acknowledged) {
+// acknowledge applies the ledger's answers to reports.
+func (e *Executor) acknowledge(acks []acknowledgement) {
 	for _, ack := range acks {
 		held := e.leases[ack.key]
 		if held == nil {
@@ -252,7 +251,7 @@
 			delete(e.leases, ack.key)
 			continue
 		}
-		e.judge([]*rockwindpb.LeaseVerdict{ack.verdict})
+		e.applyVerdicts([]*rockwindpb.LeaseVerdict{ack.verdict})
 		if e.leases[ack.key] != nil {
 			e.releaseIfDone(held)
 		}
--- a/internal/batch/stop_test.go
+++ b/internal/batch/verdict_test.go
@@ -6,9 +6,9 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// TestLeaseThatIsToStopStartsNothing lets the ledger say which of two leases is
-// over: its items are cancelled, also those that are paused, and none is started
-// or resumed; the other lease goes on.
+// TestLeaseThatIsToStopStartsNothing ends one of two leases by a verdict of the
+// ledger. Its running and paused items are cancelled and no item of it starts or
+// resumes; the other lease is unaffected.
 func TestLeaseThatIsToStopStartsNothing(t *testing.T) {
 	cancelled := map[uint32]bool{}
 	e := &Executor{leases: map[leaseKey]*lease{}, running: map[*run]struct{}{}}
@@ -29,26 +29,26 @@
 	paused.paused = true
 	e.paused = []*run{paused}
 
-	e.judge([]*rockwindpb.LeaseVerdict{
+	e.applyVerdicts([]*rockwindpb.LeaseVerdict{
 		{JobId: over.job, Fence: over.fence + 1, Stop: true},
 		{JobId: other.job, Fence: other.fence},
 	})
 	if len(e.leases) != 2 || len(cancelled) != 0 {
-		t.Fatalf("%d leases are left and %v cancelled before any was to stop", len(e.leases), cancelled)
+		t.Fatalf("%d leases remain and items %v are cancelled before a verdict to stop", len(e.leases), cancelled)
 	}
-	e.judge([]*rockwindpb.LeaseVerdict{{JobId: over.job, Fence: over.fence, Stop: true}})
+	e.applyVerdicts([]*rockwindpb.LeaseVerdict{{JobId: over.job, Fence: over.fence, Stop: true}})
 	if e.leases[over] != nil || e.leases[other] == nil {
-		t.Fatalf("the leases left are %v", e.leases)
+		t.Fatalf("the remaining leases are %v", e.leases)
 	}
 	if !cancelled[1] || !cancelled[2] || cancelled[3] {
-		t.Fatalf("cancelled are %v", cancelled)
+		t.Fatalf("the cancelled items are %v", cancelled)
 	}
 	if e.pendingItems() != 2 || e.hasPaused(stopped) || e.resumePaused(t.Context(), "group") {
-		t.Fatal("an item of the lease that is over can still start")
+		t.Fatal("an item of the ended lease can still start")
 	}
 	for _, current := range stopped.running {
 		if !current.abandoned {
-			t.Fatalf("item %d will be reported", current.item)
+			t.Fatalf("item %d of the ended lease would be reported", current.item)
 		}
 	}
 }
--- a/internal/batch/yield.go
+++ b/internal/batch/yield.go
@@ -9,23 +9,24 @@
 	"rockwind.example/rockwind/internal/sharing"
 )
 
-// confirmAfter is how long after an item was put back, and still runs, it is put
-// back again.
-const confirmAfter = 5 * time.Second
+// resumeResendInterval is the time between repeated resume commands for an item
+// that still runs.
+const resumeResendInterval = 5 * time.Second
 
-// yield makes running items give way where they harm online requests.
+// yield pauses running items on servers where they slow down online requests, and
+// cancels those on ejected servers.
 func (e *Executor) yield(ctx context.Context) {
 	for _, found := range e.options.View.BatchYields(e.yieldObjective()) {
 		if found.Lost {
-			e.cancelLost(found.Target.Name)
+			e.cancelItemsOn(found.Target.Name)
 			continue
 		}
 		e.pauseNewest(ctx, found)
 	}
 }
 
-// yieldObjective is the objective by which running items give way: latency where
-// all their groups favour it.
+// yieldObjective returns the objective that decides when running items are paused:
+// latency if all their groups have that objective, otherwise throughput.
 func (e *Executor) yieldObjective() sharing.Objective {
 	for current := range e.running {
 		if e.objective(current.lease.job.GetGroup()) == sharing.Throughput {
@@ -35,7 +36,7 @@
 	return sharing.Latency
 }
 
-// pauseNewest frees the places of the youngest items of a server.
+// pauseNewest pauses the newest items of a server, as many as asked for.
 func (e *Executor) pauseNewest(ctx context.Context, asked serverview.BatchYield) {
 	var candidates []*run
 	for current := range e.running {
@@ -53,11 +54,11 @@
 	current.paused = true
 	e.paused = append(e.paused, current)
 	e.options.View.PauseBatch(current.target.Name)
-	e.order(ctx, current)
+	e.sendPauseState(ctx, current)
 }
 
-// resumePaused lets the item of a group that was paused last go on whose server
-// has room; false means that there is none.
+// resumePaused resumes the most recently paused item of a group whose server has
+// capacity. It returns false if there is none.
 func (e *Executor) resumePaused(ctx context.Context, group string) bool {
 	for index := len(e.paused) - 1; index >= 0; index-- {
 		current := e.paused[index]
@@ -69,27 +70,26 @@
 		}
 		e.paused = slices.Delete(e.paused, index, index+1)
 		current.paused = false
-		e.order(ctx, current)
+		e.sendPauseState(ctx, current)
 		return true
 	}
 	return false
 }
 
-// forgetPaused takes an item that ended off the paused ones.
-func (e *Executor) forgetPaused(current *run) {
+// removePaused removes an ended item from the paused items.
+func (e *Executor) removePaused(current *run) {
 	if index := slices.Index(e.paused, current); index >= 0 {
 		e.paused = slices.Delete(e.paused, index, index+1)
 	}
 }
 
-// hasPaused tells whether items of a lease are paused.
+// hasPaused reports whether items of a lease are paused.
 func (e *Executor) hasPaused(held *lease) bool {
 	return slices.ContainsFunc(e.paused, func(current *run) bool { return current.lease == held && !current.abandoned })
 }
 
-// cancelLost cancels the items at a server that was ejected: their answers are
-// not waited for.
-func (e *Executor) cancelLost(server string) {
+// cancelItemsOn cancels all items on an ejected server.
+func (e *Executor) cancelItemsOn(server string) {
 	for current := range e.running {
 		if current.target.Name == server {
 			current.cancel()
@@ -97,16 +97,16 @@
 	}
 }
 
-// order tells the item's engine whether the item is paused.
-func (e *Executor) order(ctx context.Context, current *run) {
+// sendPauseState tells the item's engine whether the item is paused.
+func (e *Executor) sendPauseState(ctx context.Context, current *run) {
 	if !current.paused {
-		current.putBack = time.Now()
+		current.resumedAt = time.Now()
 	}
-	current.place.want(current.paused, e.sender(ctx, current))
+	current.pauseSender.setPaused(current.paused, e.pauseCommand(ctx, current))
 }
 
-// sender sends the orders of an item to its engine.
-func (e *Executor) sender(ctx context.Context, current *run) func(paused bool) {
+// pauseCommand returns the function that pauses or resumes an item at its engine.
+func (e *Executor) pauseCommand(ctx context.Context, current *run) func(paused bool) {
 	target, id := current.target, current.id
 	return func(paused bool) {
 		if paused {
@@ -117,14 +117,15 @@
 	}
 }
 
-// confirmPutBack puts items back again that were put back a while ago and still
-// run: an item that its engine holds as paused would never end.
-func (e *Executor) confirmPutBack(ctx context.Context, now time.Time) {
+// resendResumes sends the resume command again for items that still run a while
+// after they were resumed: an item that its engine still holds paused would never
+// end.
+func (e *Executor) resendResumes(ctx context.Context, now time.Time) {
 	for current := range e.running {
-		if current.paused || current.abandoned || current.putBack.IsZero() || now.Sub(current.putBack) < confirmAfter {
+		if current.paused || current.abandoned || current.resumedAt.IsZero() || now.Sub(current.resumedAt) < resumeResendInterval {
 			continue
 		}
-		current.putBack = now
-		current.place.confirm(e.sender(ctx, current))
+		current.resumedAt = now
+		current.pauseSender.resendResume(e.pauseCommand(ctx, current))
 	}
 }
