--- a/cmd/rockwind-bench/main.go
+++ b/cmd/rockwind-bench/main.go
@@ -1,4 +1,4 @@
-// Command rockwind-bench runs what measures rockwind: stand-ins for the back
+// Command rockwind-bench runs the benchmark tools of rockwind: stand-ins for the back
 // ends and the platform, the load generator, and the experiments.
 package main
 
@@ -24,7 +24,7 @@
 	"rockwind.example/rockwind/internal/standin"
 )
 
-// arguments is the command line; each subcommand lives in its own package.
+// arguments defines the command line; each subcommand has its own package.
 type arguments struct {
 	Engine   standin.EngineCommand   `cmd:"" help:"Run a stand-in for a model engine."`
 	Service  standin.ServiceCommand  `cmd:"" help:"Run a stand-in for a plain HTTP service."`
@@ -63,7 +63,7 @@
 	Shares   shares.Command            `cmd:"" help:"Judge lending and reclaiming among three groups, in virtual time."`
 }
 
-// fleetCommands run whole fleets.
+// fleetCommands lists the commands that run a complete system.
 type fleetCommands struct {
 	Demo demo.Command `cmd:"" help:"Run the whole system for a minute and show what it does."`
 }
--- a/internal/architecture/architecture.go
+++ b/internal/architecture/architecture.go
@@ -1,5 +1,4 @@
-// Package architecture holds no code of the system. Its tests check the rules
-// that the tree's structure promises: that decision packages are pure, so that
-// the daemons and the simulator run the same decisions, and that only the bench
-// starts processes.
+// Package architecture contains only tests. They check rules on the source tree:
+// decision packages have no side effects, so that the daemons and the simulator
+// share them, only the bench starts processes, and property tests have fixed seeds.
 package architecture
--- a/internal/architecture/architecture_test.go
+++ b/internal/architecture/architecture_test.go
@@ -11,22 +11,23 @@
 	"testing"
 )
 
-// internalFolder is the folder of all packages, from this one.
+// internalFolder is the path of the internal folder, relative to this package.
 const internalFolder = ".."
 
-// purePackages decide and do nothing else: time and randomness are arguments.
+// purePackages are the decision packages. They have no side effects, and take time
+// and randomness as arguments.
 var purePackages = []string{
 	"admission", "backlog", "balance", "coldstart", "continuation", "directory", "engine", "fairshare", "fingerprint", "health", "jobstore", "leftbehind", "ledger", "limits", "ownership", "placement",
 	"quarantine", "quota", "raft", "relaybudget", "relief", "requestrate", "returning", "routing", "sharding", "sharing", "simulator", "virtualtime", "waiting", "zonedrain",
 }
 
-// impureImports bring in the network, the disk or the machine.
+// impureImports give access to the network, the disk or the operating system.
 var impureImports = []string{"net", "net/http", "os", "os/exec", "syscall", "crypto/rand", "io/fs"}
 
-// clockFunctions of the package time read or wait for the machine's clock.
+// clockFunctions are the functions of package time that read the clock or wait.
 var clockFunctions = []string{"Now", "Since", "Until", "Sleep", "After", "AfterFunc", "Tick", "NewTimer", "NewTicker"}
 
-// sourceFiles calls visit with each file of a folder that is not a test.
+// sourceFiles calls visit for each Go file under a folder, except tests.
 func sourceFiles(t *testing.T, folder string, visit func(path string, file *ast.File)) {
 	t.Helper()
 	err := filepath.WalkDir(folder, func(path string, entry fs.DirEntry, err error) error {
@@ -53,9 +54,8 @@
 	return paths
 }
 
-// TestDecisionPackagesArePure reads the source of the decision packages: none
-// imports the network or the disk, reads the clock, draws from the global
-// source of randomness or starts a goroutine.
+// TestDecisionPackagesArePure checks that no decision package imports the network or
+// the disk, reads the clock, uses the global random source or starts a goroutine.
 func TestDecisionPackagesArePure(t *testing.T) {
 	for _, name := range purePackages {
 		files := 0
@@ -79,7 +79,7 @@
 	}
 }
 
-// impurity names what a node does that a decision must not, or nothing.
+// impurity describes the forbidden operation of a node, or returns "".
 func impurity(node ast.Node) string {
 	if _, starts := node.(*ast.GoStmt); starts {
 		return "it starts a goroutine"
@@ -88,28 +88,29 @@
 	if !found {
 		return ""
 	}
-	of, found := selector.X.(*ast.Ident)
+	qualifier, found := selector.X.(*ast.Ident)
 	if !found {
 		return ""
 	}
 	function := selector.Sel.Name
 	switch {
-	case of.Name == "time" && slices.Contains(clockFunctions, function):
+	case qualifier.Name == "time" && slices.Contains(clockFunctions, function):
 		return "it calls time." + function
-	case of.Name == "rand" && isGlobalDraw(function):
+	case qualifier.Name == "rand" && usesGlobalSource(function):
 		return "it draws rand." + function + " from the global source"
 	}
 	return ""
 }
 
-// isGlobalDraw tells whether a name of a package of randomness is a function on
-// the global source: all but types and constructors are.
-func isGlobalDraw(name string) bool {
+// usesGlobalSource reports whether a name of package rand is a function on the global
+// source, which all names but types and constructors are.
+func usesGlobalSource(name string) bool {
 	types := []string{"Rand", "Source", "Source64", "PCG", "ChaCha8", "Zipf"}
 	return !strings.HasPrefix(name, "New") && !slices.Contains(types, name)
 }
 
-// TestOnlyTheBenchStartsProcesses keeps the daemons from starting processes.
+// TestOnlyTheBenchStartsProcesses checks that no package outside the bench imports
+// os/exec.
 func TestOnlyTheBenchStartsProcesses(t *testing.T) {
 	bench := filepath.Join(internalFolder, "bench")
 	sourceFiles(t, internalFolder, func(path string, file *ast.File) {
--- a/internal/architecture/seed_test.go
+++ b/internal/architecture/seed_test.go
@@ -12,8 +12,8 @@
 	fixesSeed = regexp.MustCompile(`"rapid\.seed"`)
 )
 
-// TestPropertyTestsHaveFixedSeeds reads the tests of all packages: one whose
-// tests draw at random fixes the seed, so that each run gives the same verdict.
+// TestPropertyTestsHaveFixedSeeds checks that each package with property tests sets
+// the flag rapid.seed, so that runs are reproducible.
 func TestPropertyTestsHaveFixedSeeds(t *testing.T) {
 	draws, fixed := map[string]bool{}, map[string]bool{}
 	for _, depth := range []string{"*", "*/*", "*/*/*"} {
--- a/internal/catalog/history_test.go
+++ b/internal/catalog/history_test.go
@@ -14,7 +14,7 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// fill accepts configurations up to a number; each differs in one group.
+// fill submits all configurations up to a number; their content differs.
 func fill(t *testing.T, service *Service, to uint64) {
 	t.Helper()
 	for number := uint64(1); number <= to; number++ {
@@ -36,7 +36,7 @@
 	return machine, NewService(replica.NewInMemoryGroup(machine), machine, func() time.Time { return time.UnixMilli(5) })
 }
 
-func TestHistoryIsBoundedAndKeepsItsPromises(t *testing.T) {
+func TestHistoryIsBounded(t *testing.T) {
 	machine, service := newService()
 	const last = KeptAcceptances + 10
 	fill(t, service, last)
@@ -51,7 +51,7 @@
 	}
 	_, err = service.Submit(context.Background(), &rockwindpb.ApplyConfigurationRequest{Configuration: numbered(oldestKept - 1)})
 	if !fault.Is(err, fault.Stale) {
-		t.Errorf("a resend of a forgotten number got %v", err)
+		t.Errorf("a resend of a number that is no longer kept got %v", err)
 	}
 	for behind, wantFull := range map[uint64]bool{1: false, 5: false, KeptChanges + 1: true} {
 		held := numbered(last - behind)
@@ -63,12 +63,12 @@
 		change := view.ChangeSince(index.Number(), index.Checksum())
 		after, err := index.Apply(change)
 		if err != nil || after.Number() != last || change.GetFull() != wantFull {
-			t.Errorf("a daemon %d behind gets full %v and ends at %v, %v", behind, change.GetFull(), after, err)
+			t.Errorf("a daemon %d behind gets a full transfer: %v, and ends at %v, %v", behind, change.GetFull(), after, err)
 		}
 	}
 }
 
-func TestUncheckedConfigurationsAreRefused(t *testing.T) {
+func TestInvalidConfigurationsAreRefused(t *testing.T) {
 	machine, service := newService()
 	wrong := numbered(1)
 	wrong.Groups[0].Share = -1
@@ -79,7 +79,7 @@
 		t.Errorf("got %v", err)
 	}
 	if machine.View().Index().Number() != 0 {
-		t.Error("a wrong configuration is in force")
+		t.Error("an invalid configuration is in force")
 	}
 }
 
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestWatchAnswersAtOnceOrAfterTheWait(t *testing.T) {
+func TestWatchReturnsOnChangeOrAfterTheWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, service := newService()
 		fill(t, service, 1)
--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -1,6 +1,6 @@
-// Package catalog is the state machine of the root group: the configuration in
-// force, the acceptances of the last ones, and the last changes, from which a
-// daemon that fell behind gets one merged change.
+// Package catalog is the state machine of the root group. It holds the configuration
+// in force, the acceptances of recent configurations, and recent changes. A daemon
+// that is behind gets these changes merged into one.
 package catalog
 
 import (
@@ -15,12 +15,12 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Bounds of what a replica keeps.
+// Limits of the history that a replica keeps.
 const (
-	// KeptAcceptances is how many acceptances a resend can still be matched to.
+	// KeptAcceptances is how many acceptances are kept to recognize resent files.
 	KeptAcceptances = 4096
-	// KeptChanges is how many numbers a daemon may be behind and still get a
-	// change instead of the whole.
+	// KeptChanges is how many changes are kept. A daemon that is further behind
+	// gets the full configuration.
 	KeptChanges = 512
 	// keptChangeBytes bounds the encoded size of the kept changes.
 	keptChangeBytes = 16 << 20
@@ -28,28 +28,28 @@
 
 // Outcome is the result of applying a command. Exactly one field is set.
 type Outcome struct {
-	// Response is set where the configuration was accepted, now or before.
+	// Response is set if the configuration is accepted, now or earlier.
 	Response *rockwindpb.ApplyConfigurationResponse
-	// Fault is set where it was refused.
+	// Fault is set if the configuration is refused.
 	Fault *fault.Fault
 }
 
-// NumberPolicy says which numbers of configurations are accepted. All replicas
-// of a group must use the same.
+// NumberPolicy decides which configuration numbers are accepted. All replicas of a
+// group must use the same policy.
 type NumberPolicy int
 
-// The policies.
+// Number policies.
 const (
-	// NextNumber accepts exactly one more than the number in force, and refuses a
-	// different file under an accepted number.
+	// NextNumber accepts only the number in force plus one, and refuses a different
+	// file under an accepted number.
 	NextNumber NumberPolicy = iota
-	// HighestNumber accepts any number above the one in force. A number that is
-	// not above it is acknowledged and changes nothing.
+	// HighestNumber accepts any number above the one in force. Lower or equal numbers
+	// are acknowledged and change nothing.
 	HighestNumber
 )
 
-// Machine is the replicated state. Its owner goroutine alone may call it; the
-// View that it hands out is immutable.
+// Machine is the replicated state machine. Only its owner goroutine may call it; the
+// View that it returns is immutable.
 type Machine struct {
 	policy NumberPolicy
 	view   *View
@@ -58,25 +58,24 @@
 	hooks       hooks
 }
 
-// hooks let tests break the machine on purpose.
+// hooks disable checks so that tests can verify that the oracle detects it.
 type hooks struct {
 	skipCompare bool
 }
 
-// New returns a machine in which no configuration was accepted yet. It accepts
-// consecutive numbers only.
+// New returns a machine without a configuration, with the policy NextNumber.
 func New() *Machine {
 	return NewWithPolicy(NextNumber)
 }
 
-// NewWithPolicy is New with another policy of numbers.
+// NewWithPolicy returns a machine without a configuration, with the given policy.
 func NewWithPolicy(policy NumberPolicy) *Machine {
 	return &Machine{policy: policy, view: newView(policy, configuration.Empty(), nil, nil)}
 }
 
 var _ replica.StateMachine = (*Machine)(nil)
 
-// View returns the state as applied so far.
+// View returns the current state.
 func (m *Machine) View() *View {
 	return m.view
 }
@@ -91,13 +90,13 @@
 	return m.Accept(decoded)
 }
 
-// Accept applies a decoded command. It is the compare-and-set: the change takes effect only where it starts
-// from the configuration in force. The content was checked before it was
-// proposed.
+// Accept applies a decoded command by compare-and-set: the change takes effect only if
+// it starts from the configuration in force. The content must have been checked
+// before the command was proposed.
 func (m *Machine) Accept(command *rockwindpb.CatalogCommand) Outcome {
 	change := command.GetChange()
 	if !m.hooks.skipCompare {
-		if outcome, settled := m.view.OutcomeWithoutChange(change.GetNumber(), change.GetChecksum()); settled {
+		if outcome, decided := m.view.OutcomeWithoutChange(change.GetNumber(), change.GetChecksum()); decided {
 			return outcome
 		}
 	}
@@ -116,8 +115,7 @@
 	return Outcome{Response: &rockwindpb.ApplyConfigurationResponse{Acceptance: acceptance}}
 }
 
-// record makes the next configuration the one in force and drops what is older
-// than the bounds.
+// record puts the next configuration in force and trims the history to its limits.
 func (m *Machine) record(next *configuration.Index, acceptance *rockwindpb.Acceptance, change *rockwindpb.ConfigurationChange) {
 	acceptances := append(m.view.acceptances, acceptance)
 	if len(acceptances) > KeptAcceptances {
@@ -137,7 +135,7 @@
 	return proto.MarshalOptions{Deterministic: true}.Marshal(m.Save())
 }
 
-// Save returns the whole state. The message shares its content with the machine.
+// Save returns the whole state. The message shares memory with the machine.
 func (m *Machine) Save() *rockwindpb.CatalogSnapshot {
 	return &rockwindpb.CatalogSnapshot{
 		Configuration: m.view.index.Configuration(),
--- a/internal/catalog/mutant_test.go
+++ b/internal/catalog/mutant_test.go
@@ -8,8 +8,8 @@
 	"rockwind.example/rockwind/internal/bench/mutant"
 )
 
-func TestOracleNoticesAMissingCompare(t *testing.T) {
+func TestOracleDetectsMissingCompare(t *testing.T) {
 	if !mutant.Noticed(t, func(t *rapid.T) { run(t, hooks{skipCompare: true}) }) {
-		t.Error("a machine that does not compare numbers and checksums passes")
+		t.Error("the oracle accepts a machine that does not compare numbers and checksums")
 	}
 }
--- a/internal/catalog/policy_test.go
+++ b/internal/catalog/policy_test.go
@@ -14,12 +14,12 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-func highest() (*Machine, *Service) {
+func newHighestService() (*Machine, *Service) {
 	machine := NewWithPolicy(HighestNumber)
 	return machine, NewService(replica.NewInMemoryGroup(machine), machine, func() time.Time { return time.UnixMilli(5) })
 }
 
-func submitted(t *testing.T, service *Service, number uint64, source string) *rockwindpb.ApplyConfigurationResponse {
+func submit(t *testing.T, service *Service, number uint64, source string) *rockwindpb.ApplyConfigurationResponse {
 	t.Helper()
 	response, err := service.Submit(context.Background(), &rockwindpb.ApplyConfigurationRequest{
 		Configuration: numbered(number), Source: []byte(source),
@@ -30,13 +30,13 @@
 	return response
 }
 
-func TestHighestNumberHoldsAndEveryOtherIsAcknowledged(t *testing.T) {
-	machine, service := highest()
+func TestHighestNumberIsInForceAndOthersAreAcknowledged(t *testing.T) {
+	machine, service := newHighestService()
 	for _, step := range []struct {
 		number, inForce uint64
 		resent          bool
 	}{{3, 3, false}, {9, 9, false}, {5, 9, true}, {9, 9, true}, {40, 40, false}, {1, 40, true}} {
-		response := submitted(t, service, step.number, "")
+		response := submit(t, service, step.number, "")
 		if response.GetResent() != step.resent || response.GetAcceptance().GetNumber() != step.inForce {
 			t.Errorf("number %d: %v", step.number, response)
 		}
@@ -46,9 +46,9 @@
 	}
 }
 
-func TestOtherContentUnderTheHeldNumberChangesNothing(t *testing.T) {
-	machine, service := highest()
-	submitted(t, service, 7, "first")
+func TestOtherContentUnderTheNumberInForceChangesNothing(t *testing.T) {
+	machine, service := newHighestService()
+	submit(t, service, 7, "first")
 	before := machine.View().Index().Checksum()
 	other := numbered(7)
 	other.Groups[0].Share = 99
@@ -61,11 +61,11 @@
 }
 
 func TestWatchersFollowNumbersWithGaps(t *testing.T) {
-	machine, service := highest()
+	machine, service := newHighestService()
 	held := map[uint64]*configuration.Index{}
 	numbers := []uint64{2, 7, 8, 30, 31, 90}
 	for _, number := range numbers {
-		submitted(t, service, number, "")
+		submit(t, service, number, "")
 		held[number] = machine.View().Index()
 	}
 	for _, number := range numbers[:len(numbers)-1] {
@@ -76,31 +76,31 @@
 		}
 	}
 	if change := machine.View().ChangeSince(5, []byte("none")); !change.GetFull() {
-		t.Error("a watcher with a number that never was gets a change")
+		t.Error("a watcher with an unknown number does not get the full configuration")
 	}
 }
 
-// TestRacingOperatorsBothGetAnAnswer: changes that are made from the same state are
-// made again on top of each other; the highest number holds.
-func TestRacingOperatorsBothGetAnAnswer(t *testing.T) {
-	machine, service := highest()
-	var racing sync.WaitGroup
+// TestConcurrentSubmitsAllSucceed submits configurations concurrently. Overtaken
+// proposals are repeated, and the highest number is in force at the end.
+func TestConcurrentSubmitsAllSucceed(t *testing.T) {
+	machine, service := newHighestService()
+	var submits sync.WaitGroup
 	for number := uint64(1); number <= 20; number++ {
-		racing.Go(func() {
+		submits.Go(func() {
 			if _, err := service.Submit(context.Background(), &rockwindpb.ApplyConfigurationRequest{Configuration: numbered(number)}); err != nil {
 				t.Errorf("number %d: %v", number, err)
 			}
 		})
 	}
-	racing.Wait()
+	submits.Wait()
 	if got := machine.View().Index().Number(); got != 20 {
 		t.Fatalf("number %d is in force", got)
 	}
 }
 
-func TestSourceOutlivesASnapshot(t *testing.T) {
-	machine, service := highest()
-	submitted(t, service, 4, "the file as it was sent")
+func TestSourceIsRestoredFromSnapshot(t *testing.T) {
+	machine, service := newHighestService()
+	submit(t, service, 4, "the file as it was sent")
 	snapshot, err := machine.Snapshot()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/catalog/service.go
+++ b/internal/catalog/service.go
@@ -12,27 +12,26 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// maximumWait bounds how long a replica holds a call that waits for news.
+// maximumWait bounds how long Watch waits for a newer configuration.
 const maximumWait = time.Minute
 
-// Service implements rockwindpb.ConfigurationService over the root group. Its
-// errors are faults, ready for fault.ToTwirp.
+// Service implements rockwindpb.ConfigurationService on the root group.
 type Service struct {
 	group   replica.Group
 	machine *Machine
 	now     func() time.Time
 }
 
-// NewService returns the service of one replica. The machine is the one that
-// the group drives.
+// NewService returns the service of one replica. The machine must be the state machine
+// of the group.
 func NewService(group replica.Group, machine *Machine, now func() time.Time) *Service {
 	return &Service{group: group, machine: machine, now: now}
 }
 
-// Submit accepts or refuses a whole configuration. It fails with
-// fault.InvalidArgument, fault.Conflict or fault.Stale where it is refused, with
-// fault.NotLeader elsewhere than on the leader, and with fault.OutcomeUnknown
-// where it may still be accepted later; a resend of the same file then gets the
+// Submit accepts or refuses a full configuration. It fails with fault.InvalidArgument,
+// fault.Conflict or fault.Stale if the configuration is refused, with fault.NotLeader
+// if this replica is not the leader, and with fault.OutcomeUnknown if the
+// configuration may still be accepted; sending the same file again then returns the
 // same acceptance.
 func (s *Service) Submit(ctx context.Context, request *rockwindpb.ApplyConfigurationRequest) (*rockwindpb.ApplyConfigurationResponse, error) {
 	next, err := checked(request.GetConfiguration())
@@ -47,20 +46,19 @@
 	}
 }
 
-// overtaken tells whether a proposal failed only because another one was
-// accepted since it was made. Where any higher number is accepted it is made
-// again, on top of the other.
+// overtaken reports whether a proposal under the policy HighestNumber failed because
+// another one was accepted after it was prepared, and should be prepared again.
 func (s *Service) overtaken(err error) bool {
 	return s.machine.policy == HighestNumber && fault.Is(err, fault.Stale)
 }
 
-// propose makes one attempt to have a checked configuration accepted.
+// propose proposes a checked configuration once.
 func (s *Service) propose(ctx context.Context, request *rockwindpb.ApplyConfigurationRequest, next *configuration.Index) (*rockwindpb.ApplyConfigurationResponse, error) {
 	view, err := s.current(ctx)
 	if err != nil {
 		return nil, err
 	}
-	if outcome, settled := view.OutcomeWithoutChange(next.Number(), next.Checksum()); settled {
+	if outcome, decided := view.OutcomeWithoutChange(next.Number(), next.Checksum()); decided {
 		return outcome.unpack()
 	}
 	command, err := proto.Marshal(&rockwindpb.CatalogCommand{
@@ -83,8 +81,8 @@
 	return outcome.unpack()
 }
 
-// checked completes a received configuration and refuses a wrong one, so that
-// no replica depends on the care of a client.
+// checked normalises and validates a received configuration, so that replicas don't
+// rely on validation by clients.
 func checked(received *rockwindpb.Configuration) (*configuration.Index, error) {
 	if received == nil {
 		return nil, fault.New(fault.InvalidArgument, "the request holds no configuration", "send the whole configuration")
@@ -103,14 +101,14 @@
 	return o.Response, nil
 }
 
-// current reads the state that holds everything accepted before the call.
+// current returns a state that includes everything accepted before the call.
 func (s *Service) current(ctx context.Context) (*View, error) {
 	var view *View
 	err := s.group.Read(ctx, func() { view = s.machine.View() })
 	return view, err
 }
 
-// local reads the state as applied on this replica, which may be old.
+// local returns the state applied on this replica, which may be outdated.
 func (s *Service) local(ctx context.Context) (*View, error) {
 	var view *View
 	err := s.group.ReadLocal(ctx, func() { view = s.machine.View() })
@@ -123,8 +121,8 @@
 	return response, fault.ToTwirp(err)
 }
 
-// Get implements rockwindpb.ConfigurationService: the configuration in force as
-// this replica knows it, or, where the newest is asked for, as the leader does.
+// Get implements rockwindpb.ConfigurationService. It returns the configuration applied
+// on this replica or, if the newest is requested, the result of a linearizable read.
 func (s *Service) Get(ctx context.Context, request *rockwindpb.GetConfigurationRequest) (*rockwindpb.GetConfigurationResponse, error) {
 	read := s.local
 	if request.GetNewest() {
@@ -141,8 +139,8 @@
 	}, nil
 }
 
-// Watch implements rockwindpb.ConfigurationService: it answers as soon as this
-// replica knows a newer configuration, or without a change after the wait.
+// Watch implements rockwindpb.ConfigurationService. It returns as soon as this replica
+// has applied a newer configuration, or without a change after the requested wait.
 func (s *Service) Watch(ctx context.Context, request *rockwindpb.WatchConfigurationRequest) (*rockwindpb.WatchConfigurationResponse, error) {
 	wait := min(time.Duration(request.GetWaitMs())*time.Millisecond, maximumWait)
 	timer := time.NewTimer(wait)
@@ -153,7 +151,7 @@
 		if err != nil {
 			return nil, fault.ToTwirp(err)
 		}
-		if change := news(view, request); change != nil {
+		if change := changeFor(view, request); change != nil {
 			return &rockwindpb.WatchConfigurationResponse{Change: change}, nil
 		}
 		select {
@@ -161,12 +159,12 @@
 		case <-timer.C:
 			return &rockwindpb.WatchConfigurationResponse{}, nil
 		case <-ctx.Done():
-			return nil, fault.ToTwirp(fault.New(fault.Unavailable, "the wait for a configuration was cut short", "ask again"))
+			return nil, fault.ToTwirp(fault.New(fault.Unavailable, "the wait for a configuration was interrupted", "ask again"))
 		}
 	}
 }
 
-func news(view *View, request *rockwindpb.WatchConfigurationRequest) *rockwindpb.ConfigurationChange {
+func changeFor(view *View, request *rockwindpb.WatchConfigurationRequest) *rockwindpb.ConfigurationChange {
 	if request.GetFull() && view.Index().Number() >= request.GetHaveNumber() {
 		return view.Full()
 	}
--- a/internal/catalog/view.go
+++ b/internal/catalog/view.go
@@ -13,23 +13,22 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// View is the state of the root group at one moment. It is immutable and may
-// be used by any goroutine; messages that it returns must not be changed.
+// View is an immutable snapshot of the state of the root group, safe for concurrent
+// use. Messages that it returns must not be modified.
 type View struct {
 	policy NumberPolicy
 	index  *configuration.Index
-	// acceptances and changes are in the order of their numbers and end with that
-	// of the index; each change starts from the number before it.
+	// acceptances and changes are sorted by number and end with the number of the
+	// index; each change starts from the number of the one before it.
 	acceptances []*rockwindpb.Acceptance
 	changes     []*rockwindpb.ConfigurationChange
-	// source is the operator's own file of the configuration in force.
+	// source is the file from which the configuration in force was submitted.
 	source []byte
 
 	full fullTransfer
 }
 
-// fullTransfer is the change that carries everything, made when it is first
-// needed.
+// fullTransfer is the change that carries the full configuration, built on first use.
 type fullTransfer struct {
 	once   sync.Once
 	change *rockwindpb.ConfigurationChange
@@ -40,17 +39,18 @@
 	return &View{policy: policy, index: index, acceptances: acceptances, changes: changes}
 }
 
-// Index is the configuration in force.
+// Index returns the configuration in force.
 func (v *View) Index() *configuration.Index {
 	return v.index
 }
 
-// Acceptance is that of the configuration in force, or nil before the first.
+// Acceptance returns the acceptance of the configuration in force, or nil if there
+// is none yet.
 func (v *View) Acceptance() *rockwindpb.Acceptance {
 	return v.acceptance(v.index.Number())
 }
 
-// acceptance finds the acceptance of a number, or nil where it is not kept.
+// acceptance returns the acceptance of a number, or nil if it is not kept.
 func (v *View) acceptance(number uint64) *rockwindpb.Acceptance {
 	position, found := slices.BinarySearchFunc(v.acceptances, number,
 		func(kept *rockwindpb.Acceptance, wanted uint64) int { return cmp.Compare(kept.GetNumber(), wanted) })
@@ -60,14 +60,15 @@
 	return v.acceptances[position]
 }
 
-// Source is the operator's own file of the configuration in force, empty where
-// none was given.
+// Source returns the file from which the configuration in force was submitted, or
+// nothing if none was given.
 func (v *View) Source() []byte {
 	return v.source
 }
 
-// OutcomeWithoutChange tells whether an application of a file is decided without a change
-// of state, and how: it is accepted already, or its number is not the next one.
+// OutcomeWithoutChange returns the outcome of a submitted file that does not change the
+// state: one that was accepted before, or whose number is refused. It returns false if
+// the file can be accepted now.
 func (v *View) OutcomeWithoutChange(number uint64, checksum []byte) (Outcome, bool) {
 	inForce := v.index.Number()
 	switch {
@@ -76,7 +77,7 @@
 	case number == inForce+1:
 		return Outcome{}, false
 	case v.policy == HighestNumber:
-		return v.settledByHighest(number)
+		return v.outcomeByHighest(number)
 	case number > inForce:
 		return refuse(fault.Newf(fault.Conflict, useNext(inForce),
 			"the file has number %d, but configuration %d is in force", number, inForce))
@@ -85,19 +86,19 @@
 	switch {
 	case kept == nil:
 		return refuse(fault.Newf(fault.Stale, useNext(inForce),
-			"the file has number %d, which is older than any that is remembered; configuration %d is in force", number, inForce))
+			"the file has number %d, which is older than any that is kept; configuration %d is in force", number, inForce))
 	case bytes.Equal(kept.GetChecksum(), checksum):
 		return Outcome{Response: &rockwindpb.ApplyConfigurationResponse{Acceptance: kept, Resent: true}}, true
 	case number == inForce:
-		return refuse(winnerFault(fault.Conflict, kept, inForce))
+		return refuse(otherFileFault(fault.Conflict, kept, inForce))
 	default:
-		return refuse(winnerFault(fault.Stale, kept, inForce))
+		return refuse(otherFileFault(fault.Stale, kept, inForce))
 	}
 }
 
-// settledByHighest lets any higher number in and acknowledges every other one,
-// since the configuration in force goes before it.
-func (v *View) settledByHighest(number uint64) (Outcome, bool) {
+// outcomeByHighest is OutcomeWithoutChange for the policy HighestNumber: higher numbers
+// can be accepted, and all others are acknowledged with the acceptance in force.
+func (v *View) outcomeByHighest(number uint64) (Outcome, bool) {
 	if number > v.index.Number() {
 		return Outcome{}, false
 	}
@@ -113,17 +114,17 @@
 		"take the configuration in force ('rockwind get configuration'), make the change there and apply it as number %d", inForce+1).Message
 }
 
-// winnerFault names who had another file accepted under the same number.
-func winnerFault(kind fault.Kind, winner *rockwindpb.Acceptance, inForce uint64) *fault.Fault {
+// otherFileFault returns the fault for a number under which another file was accepted.
+func otherFileFault(kind fault.Kind, accepted *rockwindpb.Acceptance, inForce uint64) *fault.Fault {
 	return fault.Newf(kind, useNext(inForce),
 		"another file with number %d was accepted from operator %q at %s, with checksum %x; configuration %d is in force",
-		winner.GetNumber(), winner.GetOperator(), formatTime(winner.GetAcceptedUnixMs()), winner.GetChecksum(), inForce)
+		accepted.GetNumber(), accepted.GetOperator(), formatTime(accepted.GetAcceptedUnixMs()), accepted.GetChecksum(), inForce)
 }
 
-// ChangeSince returns the change that brings a daemon from the configuration
-// that it holds to the one in force here, or nil where it has nothing to learn:
-// it holds this one or a newer one. A daemon whose checksum is not that of the
-// number, or that is too far behind, gets the whole.
+// ChangeSince returns the change from the configuration that a daemon holds to the one
+// in force, or nil if the daemon holds this configuration or a newer one. A daemon
+// whose checksum doesn't match its number, or that is too far behind, gets the full
+// configuration.
 func (v *View) ChangeSince(number uint64, checksum []byte) *rockwindpb.ConfigurationChange {
 	inForce := v.index.Number()
 	if number > inForce {
@@ -139,7 +140,7 @@
 		func(change *rockwindpb.ConfigurationChange, held uint64) int {
 			return cmp.Compare(change.GetFromNumber(), held)
 		})
-	if !kept || !v.holds(number, checksum) {
+	if !kept || !v.accepted(number, checksum) {
 		return v.Full()
 	}
 	merged := configuration.MergeChanges(v.changes[first:])
@@ -149,8 +150,8 @@
 	return merged
 }
 
-// holds tells whether a checksum is the one that was accepted with a number.
-func (v *View) holds(number uint64, checksum []byte) bool {
+// accepted reports whether a configuration with this number and checksum was accepted.
+func (v *View) accepted(number uint64, checksum []byte) bool {
 	if number == 0 {
 		return true
 	}
@@ -158,8 +159,8 @@
 	return kept != nil && bytes.Equal(kept.GetChecksum(), checksum)
 }
 
-// Full returns the change that carries the whole configuration, or nil before
-// the first.
+// Full returns the change that carries the full configuration, or nil if there is no
+// configuration yet.
 func (v *View) Full() *rockwindpb.ConfigurationChange {
 	if v.index.Number() == 0 {
 		return nil
