--- a/internal/batch/pause_sender.go
+++ b/internal/batch/pause_sender.go
@@ -7,8 +7,8 @@
 // is sent is skipped. It is safe for concurrent use.
 type pauseSender struct {
 	mutex sync.Mutex
-	// desired is whether the item should be paused, lastSent the last command.
-	desired, lastSent bool
+	// wanted is whether the item should be paused, sent the last command that was sent.
+	wanted, sent bool
 	// sending is set while a goroutine sends commands.
 	sending bool
 }
@@ -18,7 +18,7 @@
 func (p *pauseSender) setPaused(paused bool, send func(paused bool)) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.desired = paused
+	p.wanted = paused
 	if p.sending {
 		return
 	}
@@ -31,7 +31,7 @@
 func (p *pauseSender) resendResume(send func(paused bool)) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.sending || p.desired {
+	if p.sending || p.wanted {
 		return
 	}
 	p.sending = true
@@ -41,7 +41,7 @@
 	}()
 }
 
-// run sends commands until the last one matches the desired state.
+// run sends commands until the last one matches the wanted state.
 func (p *pauseSender) run(send func(paused bool)) {
 	for {
 		paused, due := p.next()
@@ -56,10 +56,10 @@
 func (p *pauseSender) next() (paused, due bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.desired == p.lastSent {
+	if p.wanted == p.sent {
 		p.sending = false
 		return false, false
 	}
-	p.lastSent = p.desired
-	return p.lastSent, true
+	p.sent = p.wanted
+	return p.sent, true
 }
