--- a/internal/secure/metrics.go
+++ b/internal/secure/metrics.go
@@ -2,7 +2,6 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Descriptions of the metrics.
 var (
 	notAfterMetric = prometheus.NewDesc("rockwind_tls_certificate_not_after_seconds",
 		"Unix time at which the certificate in force ends, by use.", []string{"use"}, nil)
@@ -10,8 +9,8 @@
 		"Changed certificate files that could not be used, by use.", []string{"use"}, nil)
 )
 
-// Metrics are those of all sources of a daemon.
-type Metrics []*Source
+// Metrics is a collector for the certificate sources of a daemon.
+type Metrics []*CertificateSource
 
 // Describe implements prometheus.Collector.
 func (Metrics) Describe(descriptions chan<- *prometheus.Desc) {
@@ -26,7 +25,7 @@
 	}
 }
 
-func (s *Source) collect(metrics chan<- prometheus.Metric) {
+func (s *CertificateSource) collect(metrics chan<- prometheus.Metric) {
 	end := s.current.Load().certificate.Leaf.NotAfter
 	metrics <- prometheus.MustNewConstMetric(notAfterMetric, prometheus.GaugeValue, float64(end.Unix()), string(s.use))
 	metrics <- prometheus.MustNewConstMetric(failuresMetric, prometheus.CounterValue, float64(s.failures.Load()), string(s.use))
