--- a/internal/balance/fleet_test.go
+++ b/internal/balance/fleet_test.go
@@ -83,7 +83,7 @@
 	loads := make(map[uint32]balance.SharedLoad)
 	add := func(server uint32, load balance.SharedLoad) { loads[server] = load }
 	sender.pool.OwnLoads(now, add)
-	sender.sharedLoads.OwnLeftBehind(add)
+	sender.sharedLoads.OwnOrphaned(add)
 	f.sequence++
 	sequence := f.sequence
 	f.schedule(now+time.Millisecond, func(now time.Duration) {
--- a/internal/balance/members.go
+++ b/internal/balance/members.go
@@ -22,8 +22,8 @@
 	Member
 	// hash identifies the server in digests.
 	hash uint32
-	// leftBehindHash identifies the requests left behind there.
-	leftBehindHash uint32
+	// orphanHash identifies the requests left behind there.
+	orphanHash uint32
 	// inflight counts the requests of this process.
 	inflight int
 	// batch counts those of them that are batch work.
@@ -88,7 +88,7 @@
 		srv.Member = member
 		return
 	}
-	p.add(&server{Member: member, hash: ServerHash(member.ID), leftBehindHash: LeftBehindHash(member.ID), parts: make(map[uint64]time.Duration)})
+	p.add(&server{Member: member, hash: ServerHash(member.ID), orphanHash: OrphanHash(member.ID), parts: make(map[uint64]time.Duration)})
 }
 
 // Drop removes a member, if present.
--- a/internal/balance/leftbehind_test.go
+++ b/internal/balance/orphans_test.go
@@ -164,13 +164,13 @@
 func (l *loss) survey(store *process, survey *orphans.Survey, now time.Duration) {
 	earliest, heard := store.sharedLoads.EarliestStart()
 	survey.Evaluate(orphans.PeerStatus{Heard: heard, EarliestStart: earliest, SurvivorsReported: store.sharedLoads.SurvivorsReported()}, store.pool.LiveInflight, now)
-	l.reportLeftBehind(store, survey)
+	l.reportOrphaned(store, survey)
 	for _, server := range survey.Due(now) {
 		l.queried++
 		l.schedule(now+queryTime, func(now time.Duration) {
 			told := l.falsify(server.ID, l.loads[(now - reportAge).Truncate(pollInterval)][server.ID])
 			survey.Answered(server.ID, told, store.pool.LiveInflight(server.ID))
-			l.reportLeftBehind(store, survey)
+			l.reportOrphaned(store, survey)
 		})
 	}
 	if !survey.Done() {
@@ -178,10 +178,10 @@
 	}
 }
 
-func (l *loss) reportLeftBehind(store *process, survey *orphans.Survey) {
+func (l *loss) reportOrphaned(store *process, survey *orphans.Survey) {
 	left := make(map[string]int)
-	survey.LeftBehind(func(id string, count int) { left[id] = count })
-	store.sharedLoads.SetLeftBehind(left, survey.ReportSurvivors())
+	survey.Orphaned(func(id string, count int) { left[id] = count })
+	store.sharedLoads.SetOrphaned(left, survey.ReportSurvivors())
 }
 
 // runScenario runs heavy load before the failure and normal load after it, starting with the
@@ -264,23 +264,23 @@
 	}
 }
 
-// TestLeftBehindIsTheMeanOfReports checks that the number of requests left behind is the mean of
+// TestOrphanedCountIsTheMeanOfReports checks that the number of requests left behind is the mean of
 // the reports and that it expires with the reporting processes.
-func TestLeftBehindIsTheMeanOfReports(t *testing.T) {
+func TestOrphanedCountIsTheMeanOfReports(t *testing.T) {
 	pool, sharedLoads, names := newPool(1, 8)
 	report := func(sender string, left int, now time.Duration) {
 		other := balance.NewSharedLoads()
-		other.SetLeftBehind(map[string]int{names[0]: left}, false)
+		other.SetOrphaned(map[string]int{names[0]: left}, false)
 		loads := make(map[uint32]balance.SharedLoad)
-		other.OwnLeftBehind(func(hash uint32, load balance.SharedLoad) { loads[hash] = load })
+		other.OwnOrphaned(func(hash uint32, load balance.SharedLoad) { loads[hash] = load })
 		sharedLoads.Apply(sender, 1, uint64(now+1), loads, now)
 	}
 	report("store-1", 3, 0)
-	if got := pool.LeftBehind(); got != 3 {
+	if got := pool.Orphaned(); got != 3 {
 		t.Errorf("%d left behind according to one report, want 3", got)
 	}
 	report("store-2", 6, time.Second)
-	if got := pool.LeftBehind(); got != 5 {
+	if got := pool.Orphaned(); got != 5 {
 		t.Errorf("%d left behind according to two reports, want 5", got)
 	}
 	if started := len(startAll(pool, time.Second)); started != 3 {
@@ -288,35 +288,35 @@
 	}
 	// The first report expires before the second one.
 	sharedLoads.Expire(1500 * time.Millisecond)
-	if got := pool.LeftBehind(); got != 6 {
+	if got := pool.Orphaned(); got != 6 {
 		t.Errorf("%d left behind according to the remaining report, want 6", got)
 	}
 	sharedLoads.Expire(3 * time.Second)
-	if got := pool.LeftBehind(); got != 0 {
+	if got := pool.Orphaned(); got != 0 {
 		t.Errorf("%d left behind after all reports expired, want 0", got)
 	}
-	if changed := sharedLoads.SetLeftBehind(map[string]int{names[0]: 2}, false); !changed || pool.LeftBehind() != 2 {
-		t.Errorf("%d left behind according to this process, want 2", pool.LeftBehind())
+	if changed := sharedLoads.SetOrphaned(map[string]int{names[0]: 2}, false); !changed || pool.Orphaned() != 2 {
+		t.Errorf("%d left behind according to this process, want 2", pool.Orphaned())
 	}
 	ignoring, others, _ := newPool(1, 8)
-	others.IgnoreLeftBehind()
-	if others.SetLeftBehind(map[string]int{names[0]: 2}, false); ignoring.LeftBehind() != 0 {
+	others.IgnoreOrphaned()
+	if others.SetOrphaned(map[string]int{names[0]: 2}, false); ignoring.Orphaned() != 0 {
 		t.Error("requests left behind count although they are ignored")
 	}
 	if sharedLoads.SurvivorsReported() {
 		t.Error("survivors are reported, but by no process")
 	}
-	if told := balance.NewSharedLoads(); !told.SetLeftBehind(nil, true) || told.SurvivorsReported() {
+	if told := balance.NewSharedLoads(); !told.SetOrphaned(nil, true) || told.SurvivorsReported() {
 		t.Error("a process counts its own report of survivors")
 	} else {
 		loads := make(map[uint32]balance.SharedLoad)
-		told.OwnLeftBehind(func(hash uint32, load balance.SharedLoad) { loads[hash] = load })
+		told.OwnOrphaned(func(hash uint32, load balance.SharedLoad) { loads[hash] = load })
 		sharedLoads.ApplyGroup("store-3", "zone", 9, 1, 1, loads, 3*time.Second)
-		if !sharedLoads.SurvivorsReported() || pool.LeftBehind() != 2 {
+		if !sharedLoads.SurvivorsReported() || pool.Orphaned() != 2 {
 			t.Error("a report of survivors is not passed on by the delegate")
 		}
 	}
-	if sharedLoads.SetLeftBehind(map[string]int{names[0]: 2}, false) || !sharedLoads.SetLeftBehind(nil, false) || pool.LeftBehind() != 0 {
+	if sharedLoads.SetOrphaned(map[string]int{names[0]: 2}, false) || !sharedLoads.SetOrphaned(nil, false) || pool.Orphaned() != 0 {
 		t.Error("requests left behind still count after the report was withdrawn")
 	}
 }
--- a/internal/balance/serverview.go
+++ b/internal/balance/serverview.go
@@ -25,7 +25,7 @@
 // the router for the preemption.
 func (p *Pool) viewOf(s *server, now time.Duration) serverView {
 	peers := p.loads.At(s.hash)
-	view := serverView{server: s, peers: peers, totalInflight: s.inflight + peers.Inflight + p.loads.leftBehind(s.leftBehindHash), batch: s.batch + peers.Batch}
+	view := serverView{server: s, peers: peers, totalInflight: s.inflight + peers.Inflight + p.loads.orphaned(s.orphanHash), batch: s.batch + peers.Batch}
 	view.load = view.totalInflight
 	ttl := reportTTL
 	if p.loads.HasPeers() {
--- a/internal/balance/shared.go
+++ b/internal/balance/shared.go
@@ -69,11 +69,11 @@
 	// of other zones, by server.
 	zone        string
 	remotePaces map[uint32]SharedPace
-	// ownLeftBehind is what this process tells of requests left behind. hasLeftBehind is set if any
+	// ownOrphaned is what this process tells of requests left behind. hasLeftBehind is set if any
 	// process tells of some and ignoreLeftBehind is not set.
-	ownLeftBehind    map[uint32]SharedLoad
-	hasLeftBehind    bool
-	ignoreLeftBehind bool
+	ownOrphaned    map[uint32]SharedLoad
+	hasOrphaned    bool
+	ignoreOrphaned bool
 }
 
 func NewSharedLoads() *SharedLoads {
@@ -162,7 +162,7 @@
 		}
 		s.sums[server] = sum
 	}
-	s.updateHasLeftBehind()
+	s.updateHasOrphaned()
 }
 
 // Expire drops the digests older than senderTTL.
--- a/internal/featuregate/featuregate.go
+++ b/internal/featuregate/featuregate.go
@@ -30,14 +30,14 @@
 	// ItemProgress lets the leader of a shard record the partial results of items, so that the next
 	// leader can resume them.
 	ItemProgress Gate = "item_progress"
-	// LeftBehind lets a starting process query the servers for requests that terminated processes
+	// Orphans lets a starting process query the servers for requests that terminated processes
 	// left behind there, and count these as load until they end.
-	LeftBehind Gate = "left_behind"
+	Orphans Gate = "left_behind"
 )
 
 // All lists the gates in alphabetical order.
 func All() []Gate {
-	return []Gate{Continuation, FairShare, ItemProgress, LeftBehind, Pace, Relief, Returns}
+	return []Gate{Continuation, FairShare, ItemProgress, Orphans, Pace, Relief, Returns}
 }
 
 // Set is the set of gates that are on. In the zero value all are on.
--- a/internal/loadshare/fit_test.go
+++ b/internal/loadshare/fit_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestLeftBehindIsDroppedBeforeTenants checks the order in which entries are dropped.
-func TestLeftBehindIsDroppedBeforeTenants(t *testing.T) {
+// TestOrphanedIsDroppedBeforeTenants checks the order in which entries are dropped.
+func TestOrphanedIsDroppedBeforeTenants(t *testing.T) {
 	t.Parallel()
 	const servers, tenants, left = 1000, 330, 900
 	w := newWorld(1, largeSite(2, 2, 8))
--- a/internal/orphans/survey.go
+++ b/internal/orphans/survey.go
@@ -103,8 +103,8 @@
 	// Asked is the number of queries sent, and Answered the number of valid answers.
 	Asked    int
 	Answered int
-	// LeftBehind is the number of requests initially counted as left behind.
-	LeftBehind int
+	// Orphaned is the number of requests initially counted as left behind.
+	Orphaned int
 }
 
 type stage int
@@ -126,9 +126,9 @@
 	// reported is the load of the first valid answer, if hasReport is set.
 	reported  int
 	hasReport bool
-	// leftBehind is the current number of requests left behind, and maxLeft its upper bound.
+	// orphaned is the current number of requests left behind, and maxLeft its upper bound.
 	// Where unconfirmed is set, another query is required before any are counted.
-	leftBehind  int
+	orphaned    int
 	maxLeft     int
 	unconfirmed bool
 	// queriedAt is the time of the last query, and awaiting is set until it is answered.
@@ -188,7 +188,7 @@
 	if s.stage != counting {
 		return false
 	}
-	return state.unconfirmed || (state.leftBehind > 0 && state.queries < maxQueries && now-state.queriedAt >= queryInterval)
+	return state.unconfirmed || (state.orphaned > 0 && state.queries < maxQueries && now-state.queriedAt >= queryInterval)
 }
 
 // Answered records how many requests a server reported, running and queued, and how many all
@@ -215,14 +215,14 @@
 		}
 		return
 	}
-	before := state.leftBehind
-	state.leftBehind = min(state.maxLeft, excess(reported, liveLoad))
+	before := state.orphaned
+	state.orphaned = min(state.maxLeft, excess(reported, liveLoad))
 	if state.unconfirmed {
 		state.unconfirmed = false
-		s.counts.LeftBehind += state.leftBehind
+		s.counts.Orphaned += state.orphaned
 		return
 	}
-	state.leftBehind = min(before, state.leftBehind)
+	state.orphaned = min(before, state.orphaned)
 }
 
 // Failed records that a server gave no valid answer. An earlier count stays and decays; an
@@ -253,8 +253,8 @@
 
 // setLeft sets the initial count of a server.
 func (s *Survey) setLeft(state *serverState, left int) {
-	state.leftBehind, state.maxLeft = left, left
-	s.counts.LeftBehind += left
+	state.orphaned, state.maxLeft = left, left
+	s.counts.Orphaned += left
 }
 
 // Evaluate updates the survey with the status of the peers and the load that all live processes
@@ -305,18 +305,18 @@
 func (s *Survey) decay(elapsed time.Duration) {
 	rest := 1 - float64(elapsed)/float64(maxDuration)
 	for _, state := range s.servers {
-		state.leftBehind = min(state.leftBehind, int(math.Ceil(float64(state.maxLeft)*rest)))
+		state.orphaned = min(state.orphaned, int(math.Ceil(float64(state.maxLeft)*rest)))
 	}
 }
 
 // discardCounts resets the counts because peers survived whose loads have yet to arrive.
 func (s *Survey) discardCounts() {
 	if s.stage == counting {
-		s.counts.LeftBehind = 0
+		s.counts.Orphaned = 0
 	}
 	s.stage = settling
 	for _, state := range s.servers {
-		state.leftBehind = 0
+		state.orphaned = 0
 	}
 }
 
@@ -355,7 +355,7 @@
 		return
 	}
 	for _, state := range s.servers {
-		if state.awaiting || state.leftBehind > 0 || state.unconfirmed {
+		if state.awaiting || state.orphaned > 0 || state.unconfirmed {
 			return
 		}
 	}
@@ -365,7 +365,7 @@
 func (s *Survey) end() {
 	s.stage = finished
 	for _, state := range s.servers {
-		state.leftBehind = 0
+		state.orphaned = 0
 	}
 }
 
@@ -380,15 +380,15 @@
 // wait.
 func (s *Survey) Pending() bool { return s.started && (s.stage == listening || s.stage == settling) }
 
-// LeftBehind calls visit for each server that has answered, in no particular order. Zero counts
+// Orphaned calls visit for each server that has answered, in no particular order. Zero counts
 // are included, because another process may have received a higher report.
-func (s *Survey) LeftBehind(visit func(id string, left int)) {
+func (s *Survey) Orphaned(visit func(id string, left int)) {
 	if s.stage != counting {
 		return
 	}
 	for id, state := range s.servers {
 		if state.hasReport {
-			visit(id, state.leftBehind)
+			visit(id, state.orphaned)
 		}
 	}
 }
--- a/internal/orphans/survey_test.go
+++ b/internal/orphans/survey_test.go
@@ -36,10 +36,10 @@
 	return all
 }
 
-// leftAt returns the count of a server, or -1 if the survey has none.
-func leftAt(survey *orphans.Survey, id string) int {
+// orphanedAt returns the count of a server, or -1 if the survey has none.
+func orphanedAt(survey *orphans.Survey, id string) int {
 	found := -1
-	survey.LeftBehind(func(each string, count int) {
+	survey.Orphaned(func(each string, count int) {
 		if each == id {
 			found = count
 		}
@@ -88,22 +88,22 @@
 	}
 }
 
-func TestWholeLoadIsLeftBehindAfterCommonRestart(t *testing.T) {
+func TestWholeLoadIsOrphanedAfterCommonRestart(t *testing.T) {
 	survey := startSurvey(2)
 	if countDue(survey, 0) != 2 || !survey.Pending() {
 		t.Fatal("the servers are not queried at once")
 	}
 	survey.Answered("server-0", 5, 3)
-	if leftAt(survey, "server-0") != -1 {
+	if orphanedAt(survey, "server-0") != -1 {
 		t.Error("a count exists before a peer is heard")
 	}
 	survey.Evaluate(restartedPeers, noLoad, 40*time.Millisecond)
-	if survey.Pending() || leftAt(survey, "server-0") != 5 {
-		t.Errorf("%d left behind, want 5", leftAt(survey, "server-0"))
+	if survey.Pending() || orphanedAt(survey, "server-0") != 5 {
+		t.Errorf("%d left behind, want 5", orphanedAt(survey, "server-0"))
 	}
 	survey.Answered("server-1", 7, 3)
-	if leftAt(survey, "server-1") != 7 {
-		t.Errorf("%d left behind by a later answer, want 7", leftAt(survey, "server-1"))
+	if orphanedAt(survey, "server-1") != 7 {
+		t.Errorf("%d left behind by a later answer, want 7", orphanedAt(survey, "server-1"))
 	}
 }
 
@@ -115,8 +115,8 @@
 	for now := time.Duration(0); now < 400*time.Millisecond; now += 20 * time.Millisecond {
 		survey.Evaluate(orphans.PeerStatus{}, noLoad, now)
 	}
-	if leftAt(survey, "server-0") != 5 {
-		t.Errorf("%d left behind, want 5", leftAt(survey, "server-0"))
+	if orphanedAt(survey, "server-0") != 5 {
+		t.Errorf("%d left behind, want 5", orphanedAt(survey, "server-0"))
 	}
 }
 
@@ -135,19 +135,19 @@
 			queries++
 			survey.Answered(server.ID, 6, 0)
 		}
-		survey.LeftBehind(func(id string, count int) {
+		survey.Orphaned(func(id string, count int) {
 			if count > 0 {
 				t.Errorf("%d left behind at %s at %v", count, id, now)
 			}
 		})
 	}
-	if queries != 12 || !survey.Done() || survey.Counts().LeftBehind != 0 {
-		t.Errorf("%d queries, done: %v, %d left behind", queries, survey.Done(), survey.Counts().LeftBehind)
+	if queries != 12 || !survey.Done() || survey.Counts().Orphaned != 0 {
+		t.Errorf("%d queries, done: %v, %d left behind", queries, survey.Done(), survey.Counts().Orphaned)
 	}
 }
 
-// TestExcessOverPeerLoadIsLeftBehind covers a restart with surviving peers.
-func TestExcessOverPeerLoadIsLeftBehind(t *testing.T) {
+// TestExcessOverPeerLoadIsOrphaned covers a restart with surviving peers.
+func TestExcessOverPeerLoadIsOrphaned(t *testing.T) {
 	survey := startSurvey(4)
 	liveLoad := func(string) int { return 2 }
 	for now := time.Duration(0); now < 800*time.Millisecond; now += 20 * time.Millisecond {
@@ -155,11 +155,11 @@
 		for _, server := range survey.Due(now) {
 			survey.Answered(server.ID, 6, liveLoad(server.ID))
 		}
-		if now < 300*time.Millisecond && leftAt(survey, "server-0") > 0 {
+		if now < 300*time.Millisecond && orphanedAt(survey, "server-0") > 0 {
 			t.Fatalf("counted at %v, before the peers are heard", now)
 		}
 	}
-	if got := leftAt(survey, "server-0"); got < 3 || got > 4 {
+	if got := orphanedAt(survey, "server-0"); got < 3 || got > 4 {
 		t.Errorf("%d left behind, want 3 or 4", got)
 	}
 }
@@ -173,8 +173,8 @@
 			queries++
 			survey.Answered(server.ID, 6, 5)
 		}
-		if leftAt(survey, "server-0") > 0 {
-			t.Fatalf("%d counted at %v", leftAt(survey, "server-0"), now)
+		if orphanedAt(survey, "server-0") > 0 {
+			t.Fatalf("%d counted at %v", orphanedAt(survey, "server-0"), now)
 		}
 	}
 	if queries != 8 || !survey.Done() {
@@ -189,12 +189,12 @@
 	countDue(survey, 0)
 	survey.Answered("server-0", 6, 0)
 	survey.Evaluate(restartedPeers, noLoad, 20*time.Millisecond)
-	if leftAt(survey, "server-0") != 6 {
+	if orphanedAt(survey, "server-0") != 6 {
 		t.Fatal("nothing was counted")
 	}
 	survey.Evaluate(survivingPeers, noLoad, 40*time.Millisecond)
-	if leftAt(survey, "server-0") > 0 {
-		t.Errorf("%d still counted", leftAt(survey, "server-0"))
+	if orphanedAt(survey, "server-0") > 0 {
+		t.Errorf("%d still counted", orphanedAt(survey, "server-0"))
 	}
 }
 
@@ -226,7 +226,7 @@
 	report := restartedPeers
 	report.SurvivorsReported = true
 	survey.Evaluate(report, noLoad, 60*time.Millisecond)
-	if leftAt(survey, "server-0") > 0 || !survey.ReportSurvivors() || !survey.Pending() {
+	if orphanedAt(survey, "server-0") > 0 || !survey.ReportSurvivors() || !survey.Pending() {
 		t.Error("the report of survivors is not accepted")
 	}
 	for now := 80 * time.Millisecond; now < 3*time.Second; now += 20 * time.Millisecond {
@@ -250,7 +250,7 @@
 			t.Fatalf("queried again at %v", now)
 		}
 		for i := range 3 {
-			if leftAt(survey, fmt.Sprint("server-", i)) > 0 {
+			if orphanedAt(survey, fmt.Sprint("server-", i)) > 0 {
 				t.Fatalf("requests are counted at server %d", i)
 			}
 		}
@@ -274,14 +274,14 @@
 		t.Error("the survey is not done")
 	}
 	survey.Answered("server-0", 5, 0)
-	if leftAt(survey, "server-0") > 0 {
+	if orphanedAt(survey, "server-0") > 0 {
 		t.Error("a late answer counts")
 	}
 }
 
-// TestLeftBehindOnlyFalls: the counts follow the reported loads, and end after maxDuration at a
+// TestOrphanedCountOnlyFalls: the counts follow the reported loads, and end after maxDuration at a
 // server that always reports a high load.
-func TestLeftBehindOnlyFalls(t *testing.T) {
+func TestOrphanedCountOnlyFalls(t *testing.T) {
 	survey := startSurvey(2)
 	countDue(survey, 0)
 	survey.Answered("server-0", 8, 0)
@@ -296,10 +296,10 @@
 				survey.Answered(server.ID, 30, 8)
 			}
 		}
-		if now > 1100*time.Millisecond && leftAt(survey, "server-0") > 0 {
-			t.Fatalf("%d counted at %v, although live processes account for the reported load", leftAt(survey, "server-0"), now)
+		if now > 1100*time.Millisecond && orphanedAt(survey, "server-0") > 0 {
+			t.Fatalf("%d counted at %v, although live processes account for the reported load", orphanedAt(survey, "server-0"), now)
 		}
-		if next := max(0, leftAt(survey, "server-1")); next > last {
+		if next := max(0, orphanedAt(survey, "server-1")); next > last {
 			t.Fatalf("requests left behind rise from %d to %d", last, next)
 		} else {
 			last = next
@@ -321,7 +321,7 @@
 		survey.Evaluate(survivingPeers, noLoad, now)
 	}
 	survey.Answered("server-1", 6, 6)
-	if got := leftAt(survey, "server-1"); got != 0 || survey.Counts().LeftBehind != 0 {
+	if got := orphanedAt(survey, "server-1"); got != 0 || survey.Counts().Orphaned != 0 {
 		t.Errorf("%d counted of %d that live processes account for", got, 6)
 	}
 }
@@ -334,7 +334,7 @@
 		liveLoad := noLoad
 		for now := time.Duration(0); now < 2*time.Second; now += 20 * time.Millisecond {
 			if now == 420*time.Millisecond {
-				if leftAt(survey, "server-0") < 5 {
+				if orphanedAt(survey, "server-0") < 5 {
 					t.Fatal("nothing was counted")
 				}
 				peers, liveLoad = survivingPeers, func(string) int { return 6 }
@@ -343,12 +343,12 @@
 			for _, server := range survey.Due(now) {
 				survey.Answered(server.ID, 6, liveLoad(server.ID))
 			}
-			if now >= 420*time.Millisecond && leftAt(survey, "server-0") > 0 {
-				t.Fatalf("%d still counted at %v", leftAt(survey, "server-0"), now)
+			if now >= 420*time.Millisecond && orphanedAt(survey, "server-0") > 0 {
+				t.Fatalf("%d still counted at %v", orphanedAt(survey, "server-0"), now)
 			}
 		}
-		if !survey.Done() || survey.Counts().LeftBehind != 0 {
-			t.Errorf("done: %v, %d left behind", survey.Done(), survey.Counts().LeftBehind)
+		if !survey.Done() || survey.Counts().Orphaned != 0 {
+			t.Errorf("done: %v, %d left behind", survey.Done(), survey.Counts().Orphaned)
 		}
 	}
 }
@@ -368,7 +368,7 @@
 		}
 		survey.Evaluate(peers, func(string) int { return 8 }, now)
 	}
-	if got := leftAt(survey, "server-0"); got < 6 {
+	if got := orphanedAt(survey, "server-0"); got < 6 {
 		t.Errorf("%d left behind, want at least 6", got)
 	}
 }
@@ -385,12 +385,12 @@
 			for _, server := range survey.Due(now) {
 				survey.Answered(server.ID, 6, liveLoad(server.ID))
 			}
-			if got := leftAt(survey, "server-0"); got > 0 {
+			if got := orphanedAt(survey, "server-0"); got > 0 {
 				t.Fatalf("restart %d ms after the peers: %d counted at %v", later, got, now)
 			}
 		}
-		if survey.Counts().LeftBehind != 0 {
-			t.Errorf("restart %d ms after the peers: %d left behind", later, survey.Counts().LeftBehind)
+		if survey.Counts().Orphaned != 0 {
+			t.Errorf("restart %d ms after the peers: %d left behind", later, survey.Counts().Orphaned)
 		}
 	}
 }
@@ -407,7 +407,7 @@
 	}
 	survey.Failed("server-2")
 	survey.Evaluate(survivingPeers, noLoad, 40*time.Millisecond)
-	if survey.Pending() || leftAt(survey, "server-1") > 0 {
+	if survey.Pending() || orphanedAt(survey, "server-1") > 0 {
 		t.Error("work waits although the loads are small")
 	}
 }
--- a/internal/router/daemon.go
+++ b/internal/router/daemon.go
@@ -77,7 +77,7 @@
 	set.DrainedZones(router.dispatcher.DrainedZones)
 	set.ClientBuffers(router.buffers.Usage)
 	set.Waiting(router.dispatcher.Waiting)
-	set.LeftBehind(router.dispatcher.LeftBehind)
+	set.Orphaned(router.dispatcher.Orphaned)
 	set.Coordinators(router.watcher.WatchFailures)
 	set.Relief(d.relief.state)
 	return set
--- a/internal/router/dispatcher.go
+++ b/internal/router/dispatcher.go
@@ -42,10 +42,10 @@
 	processNames []string
 	// serverHashes are the hashes of all servers of the directory, and leftBehindHashes those of
 	// the requests left behind there.
-	serverHashes     map[uint32]struct{}
-	leftBehindHashes map[uint32]struct{}
-	shares           *balance.SharedLoads
-	lastArrival      uint64
+	serverHashes map[uint32]struct{}
+	orphanHashes map[uint32]struct{}
+	shares       *balance.SharedLoads
+	lastArrival  uint64
 	// storeCount is the number of processes that start batch work, and maxLoadAge how old the
 	// shared loads may be.
 	storeCount int
@@ -68,8 +68,8 @@
 func NewDispatcher(zone string, gates featuregate.Set) *Dispatcher {
 	shares := balance.NewSharedLoads()
 	shares.SetZone(zone)
-	if !gates.On(featuregate.LeftBehind) {
-		shares.IgnoreLeftBehind()
+	if !gates.On(featuregate.Orphans) {
+		shares.IgnoreOrphaned()
 	}
 	return &Dispatcher{
 		zone:   zone,
@@ -80,8 +80,8 @@
 		shares: shares,
 		batch:  backlog.NewLedger(),
 
-		serverHashes:     make(map[uint32]struct{}),
-		leftBehindHashes: make(map[uint32]struct{}),
+		serverHashes: make(map[uint32]struct{}),
+		orphanHashes: make(map[uint32]struct{}),
 
 		ready:         make(chan struct{}),
 		onlineWaiting: make(chan struct{}),
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -127,10 +127,10 @@
 	added := change.Servers()
 	if len(change.Removed()) > 0 {
 		// Several servers may have the same hash, so a removal rebuilds the sets.
-		d.serverHashes, d.leftBehindHashes, added = make(map[uint32]struct{}), make(map[uint32]struct{}), view.Servers()
+		d.serverHashes, d.orphanHashes, added = make(map[uint32]struct{}), make(map[uint32]struct{}), view.Servers()
 	}
 	for _, server := range added {
 		d.serverHashes[balance.ServerHash(server.GetId())] = struct{}{}
-		d.leftBehindHashes[balance.LeftBehindHash(server.GetId())] = struct{}{}
+		d.orphanHashes[balance.OrphanHash(server.GetId())] = struct{}{}
 	}
 }
--- a/internal/router/sharing.go
+++ b/internal/router/sharing.go
@@ -81,7 +81,7 @@
 	if s.dispatcher.isServerOrQueue(hash) {
 		return loadshare.NeverDrop
 	}
-	if _, isLeft := s.dispatcher.leftBehindHashes[hash]; isLeft {
+	if _, isLeft := s.dispatcher.orphanHashes[hash]; isLeft {
 		return loadshare.DropFirst
 	}
 	return loadshare.DropSecond
@@ -121,7 +121,7 @@
 		pool.visitQueueLoads(time.Now(), d.now(), add)
 	}
 	d.visitBatchLoads(add)
-	d.shares.OwnLeftBehind(add)
+	d.shares.OwnOrphaned(add)
 	return loads
 }
 
--- a/internal/router/sharing_test.go
+++ b/internal/router/sharing_test.go
@@ -34,7 +34,7 @@
 	source := oneServer(4).LoadSource()
 	for hash, want := range map[uint32]loadshare.DropPriority{
 		balance.ServerHash("server"): loadshare.NeverDrop, balance.QueueHash("app"): loadshare.NeverDrop,
-		balance.LeftBehindHash("server"): loadshare.DropFirst, balance.QueueHash("a tenant"): loadshare.DropSecond,
+		balance.OrphanHash("server"): loadshare.DropFirst, balance.QueueHash("a tenant"): loadshare.DropSecond,
 	} {
 		if got := source.DropPriority(hash); got != want {
 			t.Errorf("%d is spared %d, want %d", hash, got, want)
--- a/internal/router/survey.go
+++ b/internal/router/survey.go
@@ -50,7 +50,7 @@
 // behind there. It returns once the survey is over or the context ends.
 func (d *Dispatcher) Survey(ctx context.Context, settings *rockwindpb.SiteSettings, watcher *site.Watcher, protocol Protocol, client *upstream.Client) {
 	query, offered := protocol.(LoadQuery)
-	if !offered || !d.gates.On(featuregate.LeftBehind) || !d.AwaitReady(ctx) || !watcher.AwaitInitialized(ctx) {
+	if !offered || !d.gates.On(featuregate.Orphans) || !d.AwaitReady(ctx) || !watcher.AwaitInitialized(ctx) {
 		return
 	}
 	d.runSurvey(ctx, settings.GetName(), watcher.Directory(), watcher.Configuration(), query, client)
@@ -119,7 +119,7 @@
 	now := d.now()
 	earliest, heard := d.shares.EarliestStart()
 	d.survey.Evaluate(orphans.PeerStatus{Heard: heard, EarliestStart: earliest, SurvivorsReported: d.shares.SurvivorsReported()}, d.liveLoad, now)
-	d.shareLeftBehind()
+	d.shareOrphaned()
 	return d.survey.Due(now), d.survey.Done()
 }
 
@@ -129,12 +129,12 @@
 	return d.poolOf(d.survey.services[id]).pool.LiveInflight(id)
 }
 
-// shareLeftBehind counts the left-behind requests found so far and shares them, at once if they
+// shareOrphaned counts the left-behind requests found so far and shares them, at once if they
 // changed. The caller holds d.mutex.
-func (d *Dispatcher) shareLeftBehind() {
+func (d *Dispatcher) shareOrphaned() {
 	left := make(map[string]int)
-	d.survey.LeftBehind(func(id string, count int) { left[id] = count })
-	if d.shares.SetLeftBehind(left, d.survey.ReportSurvivors()) {
+	d.survey.Orphaned(func(id string, count int) { left[id] = count })
+	if d.shares.SetOrphaned(left, d.survey.ReportSurvivors()) {
 		d.shareLoadsNow()
 	}
 }
@@ -150,7 +150,7 @@
 		return
 	}
 	d.survey.Answered(server.ID, requests, d.liveLoad(server.ID))
-	d.shareLeftBehind()
+	d.shareOrphaned()
 }
 
 // queryLoad sends a load query to a server.
@@ -184,7 +184,7 @@
 		return
 	}
 	decision.Default.Record(decision.ServersAsked, self, log.Fields{
-		"asked": counts.Asked, "answered": counts.Answered, "left_behind": counts.LeftBehind, "after_ms": d.now().Milliseconds(),
+		"asked": counts.Asked, "answered": counts.Answered, "left_behind": counts.Orphaned, "after_ms": d.now().Milliseconds(),
 	})
 }
 
@@ -192,13 +192,13 @@
 // holds d.mutex.
 func (d *Dispatcher) surveyPending() bool { return d.survey != nil && d.survey.Pending() }
 
-// LeftBehind returns how many requests of processes that are gone are counted at the servers by
+// Orphaned returns how many requests of processes that are gone are counted at the servers by
 // all processes, and how many load queries this process has sent since its start.
-func (d *Dispatcher) LeftBehind() (requests, queries int) {
+func (d *Dispatcher) Orphaned() (requests, queries int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, pool := range d.pools {
-		requests += pool.pool.LeftBehind()
+		requests += pool.pool.Orphaned()
 	}
 	if d.survey != nil {
 		queries = d.survey.Counts().Asked
--- a/internal/router/survey_test.go
+++ b/internal/router/survey_test.go
@@ -73,15 +73,15 @@
 	return func(writer http.ResponseWriter, _ *http.Request) { _, _ = writer.Write([]byte(load)) }
 }
 
-// leftBehind returns how many left-behind requests the dispatcher counts.
-func leftBehind(dispatcher *router.Dispatcher) int {
-	requests, _ := dispatcher.LeftBehind()
+// orphaned returns how many left-behind requests the dispatcher counts.
+func orphaned(dispatcher *router.Dispatcher) int {
+	requests, _ := dispatcher.Orphaned()
 	return requests
 }
 
-// TestServersFullOfLeftBehindRunsGetNoRequests uses a full server, an empty one, one that hangs
+// TestServersFullOfOrphanedRunsGetNoRequests uses a full server, an empty one, one that hangs
 // and one with an invalid response.
-func TestServersFullOfLeftBehindRunsGetNoRequests(t *testing.T) {
+func TestServersFullOfOrphanedRunsGetNoRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began, release := time.Now(), make(chan struct{})
 		var load atomic.Int64
@@ -94,7 +94,7 @@
 		ended := make(chan struct{})
 		go func() { run(t.Context()); close(ended) }()
 		time.Sleep(200 * time.Millisecond)
-		if got := leftBehind(dispatcher); got != 4 {
+		if got := orphaned(dispatcher); got != 4 {
 			t.Fatalf("%d requests of the full server are counted, want 4", got)
 		}
 		if heard := dispatcher.LoadSource().Own(); len(heard.GetServers()) < 2 {
@@ -111,8 +111,8 @@
 		}
 		load.Store(0)
 		<-ended
-		if took := time.Since(began); leftBehind(dispatcher) != 0 || took > 1500*time.Millisecond {
-			t.Errorf("%d are counted after %v, though the server is asked again after a second", leftBehind(dispatcher), took)
+		if took := time.Since(began); orphaned(dispatcher) != 0 || took > 1500*time.Millisecond {
+			t.Errorf("%d are counted after %v, though the server is asked again after a second", orphaned(dispatcher), took)
 		}
 		if lease, err := acquire(dispatcher, 100*time.Millisecond); err != nil || lease.ID != "full" {
 			t.Errorf("the server that is empty now is not used: %v", err)
@@ -123,16 +123,16 @@
 	})
 }
 
-// TestServersFullOfLeftBehindRunsGetNoBatchWork covers batch items that are restarted after a
+// TestServersFullOfOrphanedRunsGetNoBatchWork covers batch items that are restarted after a
 // loss.
-func TestServersFullOfLeftBehindRunsGetNoBatchWork(t *testing.T) {
+func TestServersFullOfOrphanedRunsGetNoBatchWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dispatcher, run, _ := newSurvey(t, map[string]http.HandlerFunc{"full": reportsLoad("4")})
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		go func() { run(ctx); close(ended) }()
 		time.Sleep(200 * time.Millisecond)
-		if got := leftBehind(dispatcher); got != 4 {
+		if got := orphaned(dispatcher); got != 4 {
 			t.Fatalf("%d requests are counted, want 4", got)
 		}
 		if lease := dispatcher.TryAcquire("app", balance.Demand{Batch: true}); lease != nil {
@@ -206,10 +206,10 @@
 // TestSurveyIsSkippedWithGateOff checks that there are no load queries and that batch work does
 // not wait.
 func TestSurveyIsSkippedWithGateOff(t *testing.T) {
-	dispatcher := newDispatcher(4, featuregate.NewSet([]string{string(featuregate.LeftBehind)}))
+	dispatcher := newDispatcher(4, featuregate.NewSet([]string{string(featuregate.Orphans)}))
 	// Without a watcher, a survey would panic.
 	dispatcher.Survey(t.Context(), &rockwindpb.SiteSettings{Name: "store"}, nil, protocolWithLoadQuery{}, nil)
-	if _, asked := dispatcher.LeftBehind(); asked != 0 {
+	if _, asked := dispatcher.Orphaned(); asked != 0 {
 		t.Errorf("%d load queries", asked)
 	}
 	if lease := dispatcher.TryAcquire("app", balance.Demand{Batch: true}); lease == nil {
--- a/internal/sitemetrics/leftbehind.go
+++ b/internal/sitemetrics/orphans.go
@@ -2,10 +2,10 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// LeftBehind registers metrics for the number of requests that terminated processes are estimated
+// Orphaned registers metrics for the number of requests that terminated processes are estimated
 // to have left behind at servers, and for the number of load queries that this process sent. The
 // source is called at each scrape.
-func (s *Set) LeftBehind(source func() (requests, queries int)) {
+func (s *Set) Orphaned(source func() (requests, queries int)) {
 	s.registry.MustRegister(
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "rockwind_left_behind_requests", Help: "Requests of processes that are gone that servers are taken to have still.",
--- a/internal/sitemetrics/leftbehind_test.go
+++ b/internal/sitemetrics/orphans_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-func TestScrapeShowsWhatWasLeftBehind(t *testing.T) {
+func TestScrapeShowsOrphanedRequests(t *testing.T) {
 	set := newSet("store")
-	set.LeftBehind(func() (requests, questions int) { return 12, 34 })
+	set.Orphaned(func() (requests, questions int) { return 12, 34 })
 	page := scrape(set)
 	for _, want := range []string{"rockwind_left_behind_requests 12", "rockwind_load_questions_total 34"} {
 		if !strings.Contains(page, want) {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -158,7 +158,7 @@
 	set.LoadTraffic(s.dispatcher.LoadTraffic)
 	set.Paces(s.dispatcher.Paces)
 	set.DrainedZones(s.dispatcher.DrainedZones)
-	set.LeftBehind(s.dispatcher.LeftBehind)
+	set.Orphaned(s.dispatcher.Orphaned)
 	set.Quarantined(s.crashReporter.QuarantinedCount)
 	set.ShortItems(s.dispatcher.ShortItems)
 	set.Coordinators(s.watcher.WatchFailures)
