--- a/internal/balance/copyserver_test.go
+++ b/internal/balance/copyserver_test.go
@@ -24,11 +24,11 @@
 func TestCopyIsInTheRequestedZone(t *testing.T) {
 	pool, random := twoZonePool()
 	for range 20 {
-		if holder, found := pool.ChooseCopyServer("s1", false, 0, random); !found || holder.ID != "s3" {
-			t.Fatalf("the copy of a run at s1 is at %q", holder.ID)
+		if copyServer, found := pool.ChooseCopyServer("s1", false, 0, random); !found || copyServer.ID != "s3" {
+			t.Fatalf("the copy of a run at s1 is at %q", copyServer.ID)
 		}
-		if holder, found := pool.ChooseCopyServer("s1", true, 0, random); !found || holder.Zone != "zone-0" {
-			t.Fatalf("the copy is at %q in %q", holder.ID, holder.Zone)
+		if copyServer, found := pool.ChooseCopyServer("s1", true, 0, random); !found || copyServer.Zone != "zone-0" {
+			t.Fatalf("the copy is at %q in %q", copyServer.ID, copyServer.Zone)
 		}
 	}
 }
@@ -44,13 +44,13 @@
 		}
 	}
 	fill("s2")
-	if holder, found := pool.ChooseCopyServer("s0", false, 0, random); !found || holder.Zone != "zone-1" {
-		t.Fatalf("with its zone full the copy is at %q", holder.ID)
+	if copyServer, found := pool.ChooseCopyServer("s0", false, 0, random); !found || copyServer.Zone != "zone-1" {
+		t.Fatalf("with its zone full the copy is at %q", copyServer.ID)
 	}
 	fill("s1")
 	fill("s3")
-	if holder, found := pool.ChooseCopyServer("s0", false, 0, random); found {
-		t.Fatalf("with all others full the copy is at %q", holder.ID)
+	if copyServer, found := pool.ChooseCopyServer("s0", false, 0, random); found {
+		t.Fatalf("with all others full the copy is at %q", copyServer.ID)
 	}
 }
 
--- a/internal/balance/preemptsize_test.go
+++ b/internal/balance/preemptsize_test.go
@@ -9,8 +9,8 @@
 	"rockwind.example/rockwind/internal/balance"
 )
 
-// BenchmarkYield measures PreemptBatch of a store with 20 running items.
-func BenchmarkYield(b *testing.B) {
+// BenchmarkPreemptBatch measures PreemptBatch of a store with 20 running items.
+func BenchmarkPreemptBatch(b *testing.B) {
 	for _, servers := range []int{300, 1000, 3000, 10_000, 20_000} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			pool := balance.NewPool("app", "zone", balance.NewSharedLoads())
--- a/internal/batch/yield.go
+++ b/internal/batch/yield.go
@@ -16,7 +16,7 @@
 // yield pauses running items on servers where they slow down online requests, and
 // cancels those on ejected servers.
 func (e *Executor) yield(ctx context.Context) {
-	for _, found := range e.options.View.BatchYields(e.yieldObjective()) {
+	for _, found := range e.options.View.BatchPreemptions(e.yieldObjective()) {
 		if found.Lost {
 			e.cancelItemsOn(found.Target.Name)
 			continue
@@ -37,7 +37,7 @@
 }
 
 // pauseNewest pauses the newest items of a server, as many as asked for.
-func (e *Executor) pauseNewest(ctx context.Context, asked serverview.BatchYield) {
+func (e *Executor) pauseNewest(ctx context.Context, asked serverview.BatchPreemption) {
 	var candidates []*run
 	for current := range e.running {
 		if current.target.Name == asked.Target.Name && !current.paused && !current.abandoned {
--- a/internal/coordinator/slowdisk_test.go
+++ b/internal/coordinator/slowdisk_test.go
@@ -168,9 +168,9 @@
 	}
 }
 
-// TestLeaderWithASlowDiskHandsOver guards against a leader that stays although its disk is slow, but
+// TestLeaderWithASlowDiskTransfersLeadership guards against a leader that stays although its disk is slow, but
 // not slow enough to miss heartbeats.
-func TestLeaderWithASlowDiskHandsOver(t *testing.T) {
+func TestLeaderWithASlowDiskTransfersLeadership(t *testing.T) {
 	for _, took := range []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 280 * time.Millisecond, 400 * time.Millisecond} {
 		t.Run(took.String(), func(t *testing.T) {
 			began, writes, terms := writesWithSlowDisks(t, func(disks []func(func())) { disks[0](fixedDelay(took)) })
--- a/internal/coordinator/statemachine.go
+++ b/internal/coordinator/statemachine.go
@@ -21,7 +21,7 @@
 	catalog    *catalog.Machine
 	directory  *directory.Directory
 	quarantine *quarantine.Registry
-	zoneDrains *zonedrain.Register
+	zoneDrains *zonedrain.Registry
 	// published is the view for other goroutines.
 	published atomic.Pointer[rootView]
 	// urgent is notified at changes that watchers receive immediately: those of the configuration
--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -76,8 +76,8 @@
 	TenantHeldBack Kind = "tenant held back"
 	// CoordinatorsSilent: no known coordinator has answered for some time.
 	CoordinatorsSilent Kind = "coordinators are silent"
-	// LeadershipHandedOver: a replica gave up the leadership of a group without being told to.
-	LeadershipHandedOver Kind = "leadership handed over"
+	// LeadershipTransferred: a replica gave up the leadership of a group without being told to.
+	LeadershipTransferred Kind = "leadership handed over"
 	// ZoneDrainsInForce: this process applied another list of drained zones.
 	ZoneDrainsInForce Kind = "zone drains in force"
 	// DependencyLost and DependencyRegained: a coordinator or store stopped answering or answers
--- a/internal/orphans/survey.go
+++ b/internal/orphans/survey.go
@@ -129,7 +129,7 @@
 	// orphaned is the current number of requests left behind, and maxLeft its upper bound.
 	// Where unconfirmed is set, another query is required before any are counted.
 	orphaned    int
-	maxLeft     int
+	maxOrphaned int
 	unconfirmed bool
 	// queriedAt is the time of the last query, and awaiting is set until it is answered.
 	queriedAt time.Duration
@@ -216,7 +216,7 @@
 		return
 	}
 	before := state.orphaned
-	state.orphaned = min(state.maxLeft, excess(reported, liveLoad))
+	state.orphaned = min(state.maxOrphaned, excess(reported, liveLoad))
 	if state.unconfirmed {
 		state.unconfirmed = false
 		s.counts.Orphaned += state.orphaned
@@ -253,7 +253,7 @@
 
 // setLeft sets the initial count of a server.
 func (s *Survey) setLeft(state *serverState, left int) {
-	state.orphaned, state.maxLeft = left, left
+	state.orphaned, state.maxOrphaned = left, left
 	s.counts.Orphaned += left
 }
 
@@ -305,7 +305,7 @@
 func (s *Survey) decay(elapsed time.Duration) {
 	rest := 1 - float64(elapsed)/float64(maxDuration)
 	for _, state := range s.servers {
-		state.orphaned = min(state.orphaned, int(math.Ceil(float64(state.maxLeft)*rest)))
+		state.orphaned = min(state.orphaned, int(math.Ceil(float64(state.maxOrphaned)*rest)))
 	}
 }
 
@@ -339,10 +339,10 @@
 	s.stage, s.compared = counting, true
 	reported, sum := 0, 0
 	for id, state := range s.servers {
-		state.maxLeft = excess(state.reported, liveLoad(id))
-		state.unconfirmed = state.maxLeft > 0
+		state.maxOrphaned = excess(state.reported, liveLoad(id))
+		state.unconfirmed = state.maxOrphaned > 0
 		reported += state.reported
-		sum += state.maxLeft
+		sum += state.maxOrphaned
 	}
 	if sum < minTotalExcess || float64(sum) < minExcessFraction*float64(reported) {
 		s.end()
--- a/internal/placementcontroller/applier.go
+++ b/internal/placementcontroller/applier.go
@@ -37,8 +37,8 @@
 	Log log.Interface
 }
 
-// Applier makes plans and sends orders. It is not safe for concurrent use.
-type Applier struct {
+// Controller makes plans and sends orders. It is not safe for concurrent use.
+type Controller struct {
 	options Options
 	client  engineClient
 	planner *placement.Planner
@@ -62,8 +62,8 @@
 	Orders, Refused, Failed int
 }
 
-func New(options Options) *Applier {
-	return &Applier{
+func New(options Options) *Controller {
+	return &Controller{
 		options: options,
 		client:  engineClient{client: options.Client},
 		totals:  Totals{Changes: make(map[placement.Reason]int)},
@@ -71,13 +71,13 @@
 }
 
 // Totals returns the totals. It must not be called concurrently with Round.
-func (a *Applier) Totals() Totals { return a.totals }
+func (a *Controller) Totals() Totals { return a.totals }
 
 // Deposed reports whether an engine answered with the fence of a later leader in this term.
-func (a *Applier) Deposed() bool { return a.deposed }
+func (a *Controller) Deposed() bool { return a.deposed }
 
 // Run calls Round at each interval until the context ends.
-func (a *Applier) Run(ctx context.Context) error {
+func (a *Controller) Run(ctx context.Context) error {
 	ticker := time.NewTicker(a.options.Interval)
 	defer ticker.Stop()
 	for {
@@ -92,7 +92,7 @@
 
 // Round surveys the fleet, claims new engines, makes a plan and carries it out, if this process
 // leads.
-func (a *Applier) Round(ctx context.Context) {
+func (a *Controller) Round(ctx context.Context) {
 	if !a.checkLeadership() {
 		return
 	}
@@ -118,7 +118,7 @@
 
 // checkLeadership reports whether this process may send orders now. It resets the state when the
 // term changes; within a term no other process sends orders.
-func (a *Applier) checkLeadership() bool {
+func (a *Controller) checkLeadership() bool {
 	term, leading := a.options.Leading()
 	if leading && (a.engines == nil || term != a.term) {
 		a.term, a.sequence, a.deposed = term, 0, false
@@ -130,7 +130,7 @@
 }
 
 // updateEngines adds the engines of the configuration and drops those that it no longer has.
-func (a *Applier) updateEngines(declared []*rockwindpb.BackEnd) {
+func (a *Controller) updateEngines(declared []*rockwindpb.BackEnd) {
 	engines := make(map[string]*engineState, len(declared))
 	for _, backEnd := range declared {
 		engine := a.engines[backEnd.GetName()]
@@ -151,7 +151,7 @@
 )
 
 // refreshReports reads the reports of the engines whose state may have changed.
-func (a *Applier) refreshReports(ctx context.Context, digests map[string]*rockwindpb.ServerDigest) {
+func (a *Controller) refreshReports(ctx context.Context, digests map[string]*rockwindpb.ServerDigest) {
 	var due []*engineState
 	position := 0
 	for _, engine := range a.sortedEngines() {
@@ -189,7 +189,7 @@
 
 // claim orders each engine into the role that it already has. From then on the engine refuses
 // orders of earlier terms.
-func (a *Applier) claim(ctx context.Context) {
+func (a *Controller) claim(ctx context.Context) {
 	for _, engine := range a.sortedEngines() {
 		if engine.claimed || !engine.known {
 			continue
@@ -208,13 +208,13 @@
 }
 
 // stillLeads reports whether this process still leads in its term.
-func (a *Applier) stillLeads() bool {
+func (a *Controller) stillLeads() bool {
 	term, leading := a.options.Leading()
 	return leading && term == a.term && !a.deposed
 }
 
 // applyChange sends the orders of a change.
-func (a *Applier) applyChange(ctx context.Context, change placement.Change) {
+func (a *Controller) applyChange(ctx context.Context, change placement.Change) {
 	engine := a.engines[change.Server]
 	now := a.options.Now()
 	for index, order := range change.Orders {
@@ -236,7 +236,7 @@
 
 // recordFailure records that the order at an index of a change failed. If the outcome is unknown,
 // the change counts as in progress until the engine reports what it holds.
-func (a *Applier) recordFailure(engine *engineState, change placement.Change, index int, err error) {
+func (a *Controller) recordFailure(engine *engineState, change placement.Change, index int, err error) {
 	now := a.options.Now()
 	engine.known = false
 	engine.changedAt = now
@@ -250,7 +250,7 @@
 }
 
 // send sends one order with the next fence.
-func (a *Applier) send(ctx context.Context, engine *engineState, order placement.Order) error {
+func (a *Controller) send(ctx context.Context, engine *engineState, order placement.Order) error {
 	a.sequence++
 	err := a.client.send(ctx, engine.address, encode(order, placement.Fence(a.term, a.sequence)))
 	var stale *staleFence
@@ -268,7 +268,7 @@
 
 // observeFence records the fence of a refused order. A later term ends this applier's term; in its
 // own term the sequence number continues after the fence.
-func (a *Applier) observeFence(last uint64) {
+func (a *Controller) observeFence(last uint64) {
 	switch term := placement.FenceTerm(last); {
 	case term > a.term:
 		a.deposed = true
--- a/internal/placementcontroller/placementcontroller_test.go
+++ b/internal/placementcontroller/placementcontroller_test.go
@@ -87,7 +87,7 @@
 }
 
 // newApplier returns an applier that leads in a term while leading is true.
-func (f *fleet) newApplier(term uint64, leading *bool) *Applier {
+func (f *fleet) newApplier(term uint64, leading *bool) *Controller {
 	policy := placement.DefaultPolicy()
 	policy.SmoothingHalfLife = testRound
 	return New(Options{
@@ -135,7 +135,7 @@
 	return count
 }
 
-func (f *fleet) rounds(applier *Applier, count int) {
+func (f *fleet) rounds(applier *Controller, count int) {
 	for range count {
 		f.now += testRound
 		applier.Round(f.t.Context())
--- a/internal/placementcontroller/view.go
+++ b/internal/placementcontroller/view.go
@@ -9,7 +9,7 @@
 )
 
 // sortedEngines returns the engines sorted by name.
-func (a *Applier) sortedEngines() []*engineState {
+func (a *Controller) sortedEngines() []*engineState {
 	list := make([]*engineState, 0, len(a.engines))
 	for _, engine := range a.engines {
 		list = append(list, engine)
@@ -19,7 +19,7 @@
 }
 
 // view returns the planner's view of a survey and of the reports of engines.
-func (a *Applier) view(survey *Survey, digests map[string]*rockwindpb.ServerDigest) placement.View {
+func (a *Controller) view(survey *Survey, digests map[string]*rockwindpb.ServerDigest) placement.View {
 	view := placement.View{Now: a.options.Now(), Models: survey.models()}
 	for _, backEnd := range survey.engines() {
 		server := a.engines[backEnd.GetName()].server()
--- a/internal/replica/host_test.go
+++ b/internal/replica/host_test.go
@@ -154,9 +154,9 @@
 	})
 }
 
-// TestDrainHandsOver checks that Drain transfers all leaderships and that the new leaders serve
+// TestDrainTransfersLeadership checks that Drain transfers all leaderships and that the new leaders serve
 // promptly.
-func TestDrainHandsOver(t *testing.T) {
+func TestDrainTransfersLeadership(t *testing.T) {
 	runCluster(t, 3, nil, func(f *testCluster) {
 		for group := range uint32(3) {
 			f.add(group, "a")
@@ -180,9 +180,9 @@
 	})
 }
 
-// TestHandOverIsPreparedWhileTheGroupTakesCommands checks that BeforeLeadershipTransfer can still
+// TestLeadershipTransferIsPreparedWhileTheGroupTakesCommands checks that BeforeLeadershipTransfer can still
 // propose commands, and that the next leader has them.
-func TestHandOverIsPreparedWhileTheGroupTakesCommands(t *testing.T) {
+func TestLeadershipTransferIsPreparedWhileTheGroupTakesCommands(t *testing.T) {
 	var leaving *machine
 	var refused error
 	prepared := 0
@@ -210,9 +210,9 @@
 	})
 }
 
-// TestHandOverWaitsNoLongerThanItsLimit checks that a transfer starts although
+// TestLeadershipTransferWaitsNoLongerThanItsLimit checks that a transfer starts although
 // BeforeLeadershipTransfer blocks.
-func TestHandOverWaitsNoLongerThanItsLimit(t *testing.T) {
+func TestLeadershipTransferWaitsNoLongerThanItsLimit(t *testing.T) {
 	var release chan struct{}
 	adjust := func(options *replica.Options) {
 		options.BeforeLeadershipTransfer = func(context.Context, uint32) { <-release }
--- a/internal/replica/ready.go
+++ b/internal/replica/ready.go
@@ -97,7 +97,7 @@
 	}
 	o.slowDiskTransfer = target != 0
 	if o.slowDiskTransfer {
-		decision.Default.Record(decision.LeadershipHandedOver, strconv.FormatUint(uint64(o.id), 10), log.Fields{
+		decision.Default.Record(decision.LeadershipTransferred, strconv.FormatUint(uint64(o.id), 10), log.Fields{
 			"reason": "the disk is slow", "term": o.node.Status().Term, "to": strconv.FormatUint(target, 16),
 		})
 	}
--- a/internal/requestrate/requestrate.go
+++ b/internal/requestrate/requestrate.go
@@ -30,10 +30,10 @@
 	// routers passed unchecked.
 	freshTokens   = 5.0
 	freshFraction = 0.6
-	// handoverWindow is the maximum age of a former owner's report, and how long newer reports are
+	// ownerChangeWindow is the maximum age of a former owner's report, and how long newer reports are
 	// accepted: about as long as an election of the stores. Other routers may have used up what an
 	// older report shows as remaining.
-	handoverWindow = time.Second
+	ownerChangeWindow = time.Second
 	// impliedBurst is the burst of a tenant whose limit has none, in seconds of its rate, at most
 	// maxImpliedBurst: requests are not evenly spaced.
 	impliedBurst    = 0.5
@@ -249,7 +249,7 @@
 			began: now, initial: initial, reportedAt: now - request.age, sequences: make(map[string]*sequences),
 		}
 		if request.remaining < 0 {
-			found.reportedAt = now - handoverWindow
+			found.reportedAt = now - ownerChangeWindow
 		}
 		l.buckets[request.tenant] = found
 	} else {
@@ -285,7 +285,7 @@
 // initialLevel returns the level at which a tenant's bucket starts.
 func (l *Limiter) initialLevel(request Request, now time.Duration) float64 {
 	level := max(freshTokens, freshFraction*l.tolerance.excess(request.limit)) + request.limit.perSecond*(now-l.began).Seconds()
-	if request.remaining >= 0 && request.age <= handoverWindow {
+	if request.remaining >= 0 && request.age <= ownerChangeWindow {
 		level = max(level, request.remaining+request.limit.perSecond*request.age.Seconds())
 	}
 	return min(request.limit.burst, level)
@@ -295,7 +295,7 @@
 // with. Reports after the bucket was created are this owner's own.
 func (l *Limiter) lowerInitial(found *bucket, request Request, now time.Duration) {
 	reportedAt := now - request.age
-	if request.remaining < 0 || now-found.began > handoverWindow || reportedAt <= found.reportedAt || reportedAt >= found.began {
+	if request.remaining < 0 || now-found.began > ownerChangeWindow || reportedAt <= found.reportedAt || reportedAt >= found.began {
 		return
 	}
 	request.age = found.began - reportedAt
--- a/internal/router/continuation.go
+++ b/internal/router/continuation.go
@@ -86,7 +86,7 @@
 
 // runCopy is the copy of a run at a second server.
 type runCopy struct {
-	holder balance.Member
+	copyServer balance.Member
 	// started is set once an event was relayed, and unnumbered if one had no number: the run
 	// cannot be continued then.
 	started    bool
@@ -120,13 +120,13 @@
 	if !plan.Copied() {
 		return
 	}
-	holder, found := e.router.dispatcher.ChooseCopyHolder(e.service, lease.ID, plan.OtherZone())
+	server, found := e.router.dispatcher.ChooseCopyServer(e.service, lease.ID, plan.OtherZone())
 	if !found {
 		return
 	}
-	e.runCopy = &runCopy{holder: holder}
+	e.runCopy = &runCopy{copyServer: server}
 	decision.Default.Record(decision.RunCopied, e.info.ID, log.Fields{
-		"service": e.service, "server": lease.ID, "holder": holder.ID, "other_zone": plan.OtherZone(), "chance": plan.Chance(),
+		"service": e.service, "server": lease.ID, "holder": server.ID, "other_zone": plan.OtherZone(), "chance": plan.Chance(),
 	})
 }
 
@@ -135,9 +135,9 @@
 	switch {
 	case c == nil:
 	case c.continued:
-		info.ContinueFrom = c.holder.Address
+		info.ContinueFrom = c.copyServer.Address
 	default:
-		info.CopyTo = c.holder.Address
+		info.CopyTo = c.copyServer.Address
 	}
 	return info
 }
@@ -197,7 +197,7 @@
 // and the verdict.
 func (e *exchange) continueRun(ctx context.Context, previous *Lease) (*Lease, verdict) {
 	run := e.runCopy
-	lease := e.router.dispatcher.AcquireAt(e.service, run.holder.ID, e.acquireRequest().Demand)
+	lease := e.router.dispatcher.AcquireAt(e.service, run.copyServer.ID, e.acquireRequest().Demand)
 	if lease == nil {
 		e.reason = "the server with the copy of the run has left"
 		e.recordLost(previous)
@@ -223,8 +223,8 @@
 	decision.Default.Record(decision.RunLost, e.info.ID, fields)
 }
 
-// ChooseCopyHolder chooses a healthy server with capacity to keep the copy of a run.
-func (d *Dispatcher) ChooseCopyHolder(service, first string, otherZone bool) (balance.Member, bool) {
+// ChooseCopyServer chooses a healthy server with capacity to keep the copy of a run.
+func (d *Dispatcher) ChooseCopyServer(service, first string, otherZone bool) (balance.Member, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.poolOf(service).pool.ChooseCopyServer(first, otherZone, d.now(), d.random)
--- a/internal/router/sharing.go
+++ b/internal/router/sharing.go
@@ -81,7 +81,7 @@
 	if s.dispatcher.isServerOrQueue(hash) {
 		return loadshare.NeverDrop
 	}
-	if _, isLeft := s.dispatcher.orphanHashes[hash]; isLeft {
+	if _, isOrphaned := s.dispatcher.orphanHashes[hash]; isOrphaned {
 		return loadshare.DropFirst
 	}
 	return loadshare.DropSecond
--- a/internal/serverview/batch.go
+++ b/internal/serverview/batch.go
@@ -26,8 +26,8 @@
 	TokensPerStep int
 }
 
-// BatchYield tells how many batch items must be paused on a server.
-type BatchYield struct {
+// BatchPreemption tells how many batch items must be paused on a server.
+type BatchPreemption struct {
 	Target upstream.Target
 	// Count is the number of items to pause.
 	Count int
@@ -165,26 +165,26 @@
 	}
 }
 
-// BatchYields lists the servers that run more batch items than the objective's
+// BatchPreemptions lists the servers that run more batch items than the objective's
 // current budget allows, and the ejected servers with batch items.
-func (v *View) BatchYields(objective sharing.Objective) []BatchYield {
+func (v *View) BatchPreemptions(objective sharing.Objective) []BatchPreemption {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	now := v.now()
 	policy := v.budgetPolicy(objective)
-	var yields []BatchYield
+	var preemptions []BatchPreemption
 	for _, e := range v.entries {
 		if e.batch.running == 0 && e.batch.paused == 0 {
 			continue
 		}
-		found := BatchYield{Target: upstream.Target{Name: e.name, Address: e.address}}
+		found := BatchPreemption{Target: upstream.Target{Name: e.name, Address: e.address}}
 		found.Lost = v.routing.Servers[e.index].Health == routing.Ejected
 		found.Count = sharing.ItemsToPause(v.batchServerState(e, now), policy, now)
 		if found.Lost || found.Count > 0 {
-			yields = append(yields, found)
+			preemptions = append(preemptions, found)
 		}
 	}
-	return yields
+	return preemptions
 }
 
 // ResumeBatch counts a paused item as running again if its server's budget has
--- a/internal/store/executor.go
+++ b/internal/store/executor.go
@@ -60,7 +60,7 @@
 		replicated, running = s.host.Group(shard)
 	}
 	e := &executor{
-		handovers:    s.handoversOf(shard),
+		transfers:    s.transfersOf(shard),
 		store:        s,
 		shard:        shard,
 		shares:       newTenantShares(),
@@ -131,10 +131,10 @@
 	lastProgress      time.Time
 	recordingProgress bool
 	progressDone      chan struct{}
-	// handovers receives planned handovers of the shard, and pendingHandovers holds those that
+	// transfers receives planned transfers of the shard, and pendingHandovers holds those that
 	// wait for progress to be recorded.
-	handovers        <-chan handover
-	pendingHandovers []handover
+	transfers        <-chan leadershipTransfer
+	pendingTransfers []leadershipTransfer
 	// results holds results to record, by job, and failures the claims of items whose failed
 	// attempts are to be recorded.
 	results  map[string][]pendingResult
@@ -172,10 +172,10 @@
 			e.preempt(time.Now())
 		case <-e.progressDone:
 			e.recordingProgress = false
-			e.recordForHandovers(ctx)
-		case request := <-e.handovers:
-			e.pendingHandovers = append(e.pendingHandovers, request)
-			e.recordForHandovers(ctx)
+			e.recordForTransfers(ctx)
+		case request := <-e.transfers:
+			e.pendingTransfers = append(e.pendingTransfers, request)
+			e.recordForTransfers(ctx)
 		case <-applied:
 			// Handle a burst of commands in one scheduling pass.
 			retry.Pause(ctx, recordBatchDelay)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -54,8 +54,8 @@
 
 	mutex    sync.Mutex
 	machines map[uint32]*jobstore.Machine
-	// handovers holds the channels that notify the shards' executors of a handover.
-	handovers map[uint32]chan handover
+	// transfers holds the channels that notify the shards' executors of a handover.
+	transfers map[uint32]chan leadershipTransfer
 	created   chan uint32
 }
 
@@ -74,11 +74,11 @@
 		upstream:   router.NewUpstreamClient(),
 		protocol:   protocol,
 		machines:   make(map[uint32]*jobstore.Machine),
-		handovers:  make(map[uint32]chan handover),
+		transfers:  make(map[uint32]chan leadershipTransfer),
 		created:    make(chan uint32, maximumShards),
 	}
 	host, release, err := site.OpenHost(settings, s.client, site.HostOptions{
-		Discover: s.peers, MustLeave: s.retiring, StateMachines: s.create, BeforeLeadershipTransfer: s.prepareHandover, TargetVoters: site.GroupSize(settings),
+		Discover: s.peers, MustLeave: s.retiring, StateMachines: s.create, BeforeLeadershipTransfer: s.prepareLeadershipTransfer, TargetVoters: site.GroupSize(settings),
 	})
 	if err != nil {
 		return err
@@ -104,7 +104,7 @@
 	defer s.mutex.Unlock()
 	machine := jobstore.New()
 	s.machines[shard] = machine
-	s.handovers[shard] = make(chan handover)
+	s.transfers[shard] = make(chan leadershipTransfer)
 	s.created <- shard
 	return machine
 }
--- a/internal/store/parting_test.go
+++ b/internal/store/transfer_test.go
@@ -18,9 +18,9 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// handoverShard is a shard with one running item, whose next periodic progress record is far in
+// transferShard is a shard with one running item, whose next periodic progress record is far in
 // the future.
-type handoverShard struct {
+type transferShard struct {
 	t        *testing.T
 	store    *Store
 	executor *executor
@@ -29,12 +29,12 @@
 	writer   output.Writer
 }
 
-func newHandoverShard(t *testing.T, switchedOff ...string) *handoverShard {
+func newTransferShard(t *testing.T, switchedOff ...string) *transferShard {
 	t.Helper()
 	gates := featuregate.NewSet(switchedOff)
 	s := &Store{
 		gates: gates, settings: &rockwindpb.SiteSettings{}, dispatcher: router.NewDispatcher("zone", gates),
-		machines: make(map[uint32]*jobstore.Machine), handovers: make(map[uint32]chan handover), created: make(chan uint32, 1),
+		machines: make(map[uint32]*jobstore.Machine), transfers: make(map[uint32]chan leadershipTransfer), created: make(chan uint32, 1),
 	}
 	machine := s.create(1).(*jobstore.Machine)
 	group := replica.NewInMemoryGroup(machine)
@@ -51,7 +51,7 @@
 	e := &executor{
 		store: s, group: group, machine: machine, claims: claims.NewTable(),
 		history: make(map[claims.Key]*history), active: make(map[claims.Key]*activeAttempt), paces: make(map[string]*backlog.RunTimeEstimator),
-		ended: make(chan attemptResult, resultBuffer), progressDone: make(chan struct{}, 1), handovers: s.handoversOf(1),
+		ended: make(chan attemptResult, resultBuffer), progressDone: make(chan struct{}, 1), transfers: s.transfersOf(1),
 		term: 1, historyTerm: 1, lastProgress: time.Now().Add(time.Hour),
 	}
 	item := output.New(&e.runs, jobstore.PartialOutput{})
@@ -61,11 +61,11 @@
 	if _, ok := e.claims.Acquire(key, func() {}); !ok {
 		t.Fatal("the item is already claimed")
 	}
-	return &handoverShard{t: t, store: s, executor: e, group: group, machine: machine, writer: item.NewWriter(0)}
+	return &transferShard{t: t, store: s, executor: e, group: group, machine: machine, writer: item.NewWriter(0)}
 }
 
 // run runs the executor until the test ends.
-func (s *handoverShard) run() {
+func (s *transferShard) run() {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
@@ -75,12 +75,12 @@
 	s.t.Cleanup(func() { cancel(); <-ended })
 }
 
-func (s *handoverShard) receive(number uint64, data string) {
+func (s *transferShard) receive(number uint64, data string) {
 	s.writer.Add([]upstream.Event{{Sequence: number, HasSequence: true, Data: []byte(data), HasData: true}})
 }
 
 // recorded returns the last recorded event of the item and its recorded text.
-func (s *handoverShard) recorded() (last uint64, text string) {
+func (s *transferShard) recorded() (last uint64, text string) {
 	s.t.Helper()
 	err := s.group.Read(s.t.Context(), func() {
 		item := s.machine.OpenItems(func(string, uint32) bool { return true })[0].PartialOutput
@@ -94,61 +94,61 @@
 	return last, text
 }
 
-// handOverWithin returns how long a handover took, with a time limit.
-func (s *handoverShard) handOverWithin(limit time.Duration) time.Duration {
+// transferWithin returns how long a handover took, with a time limit.
+func (s *transferShard) transferWithin(limit time.Duration) time.Duration {
 	ctx, cancel := context.WithTimeout(s.t.Context(), limit)
 	defer cancel()
 	began := time.Now()
-	s.store.prepareHandover(ctx, 1)
+	s.store.prepareLeadershipTransfer(ctx, 1)
 	return time.Since(began)
 }
 
-// TestHandoverRecordsReceivedEvents: without a record at the handover the next leader runs
+// TestTransferRecordsReceivedEvents: without a record at the handover the next leader runs
 // again what was received since the last one.
-func TestHandoverRecordsReceivedEvents(t *testing.T) {
-	s := newHandoverShard(t)
+func TestTransferRecordsReceivedEvents(t *testing.T) {
+	s := newTransferShard(t)
 	s.receive(1, "a")
 	s.receive(2, "b")
 	s.run()
-	s.handOverWithin(10 * time.Second)
+	s.transferWithin(10 * time.Second)
 	if last, text := s.recorded(); last != 2 || text != "a\nb" {
 		t.Fatalf("recorded %q up to event %d at the handover, want 2 events", text, last)
 	}
 	s.receive(3, "c")
-	s.handOverWithin(10 * time.Second)
+	s.transferWithin(10 * time.Second)
 	if last, text := s.recorded(); last != 3 || text != "a\nb\nc" {
 		t.Fatalf("recorded %q up to event %d at the second handover, want 3 events", text, last)
 	}
 }
 
-// TestHandoverWaitsForPendingRecord: events received during a record in flight need another
+// TestTransferWaitsForPendingRecord: events received during a record in flight need another
 // record. The handover waits no longer than its limit.
-func TestHandoverWaitsForPendingRecord(t *testing.T) {
-	s := newHandoverShard(t)
+func TestTransferWaitsForPendingRecord(t *testing.T) {
+	s := newTransferShard(t)
 	s.receive(1, "a")
 	s.executor.recordingProgress = true
 	s.run()
 	const limit = 50 * time.Millisecond
-	if took := s.handOverWithin(limit); took < limit {
+	if took := s.transferWithin(limit); took < limit {
 		t.Fatalf("the handover returned after %v, with a record in flight", took)
 	}
 	if last, _ := s.recorded(); last != 0 {
 		t.Fatalf("event %d was recorded with a record in flight", last)
 	}
 	s.executor.progressDone <- struct{}{}
-	s.handOverWithin(10 * time.Second)
+	s.transferWithin(10 * time.Second)
 	if last, _ := s.recorded(); last != 1 {
 		t.Fatalf("events up to %d are recorded, want 1", last)
 	}
 }
 
-// TestHandoverRecordsNothingWithGateOff checks that the handover returns at once with progress
+// TestTransferRecordsNothingWithGateOff checks that the handover returns at once with progress
 // records switched off.
-func TestHandoverRecordsNothingWithGateOff(t *testing.T) {
-	s := newHandoverShard(t, string(featuregate.ItemProgress))
+func TestTransferRecordsNothingWithGateOff(t *testing.T) {
+	s := newTransferShard(t, string(featuregate.ItemProgress))
 	s.receive(1, "a")
 	s.run()
-	s.handOverWithin(10 * time.Second)
+	s.transferWithin(10 * time.Second)
 	if last, _ := s.recorded(); last != 0 {
 		t.Fatalf("events up to %d are recorded, want none", last)
 	}
--- a/internal/zonedrain/zonedrain.go
+++ b/internal/zonedrain/zonedrain.go
@@ -17,17 +17,17 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Register is the replicated state. Only its owner goroutine may call its methods; the List that
+// Registry is the replicated state. Only its owner goroutine may call its methods; the List that
 // it returns is immutable.
-type Register struct {
+type Registry struct {
 	list *List
 }
 
 // New returns an empty register.
-func New() *Register { return &Register{list: &List{}} }
+func New() *Registry { return &Registry{list: &List{}} }
 
 // Apply executes a committed command.
-func (r *Register) Apply(command *rockwindpb.ZoneDrainCommand) {
+func (r *Registry) Apply(command *rockwindpb.ZoneDrainCommand) {
 	switch content := command.GetCommand().(type) {
 	case *rockwindpb.ZoneDrainCommand_Start:
 		r.start(content.Start.GetZone(), command.GetNowUnixMs())
@@ -36,7 +36,7 @@
 	}
 }
 
-func (r *Register) start(zone string, now int64) {
+func (r *Registry) start(zone string, now int64) {
 	if r.list.Drained(zone) {
 		return
 	}
@@ -44,7 +44,7 @@
 	r.list = NewList(r.list.revision+1, drains)
 }
 
-func (r *Register) end(zone string) {
+func (r *Registry) end(zone string) {
 	if !r.list.Drained(zone) {
 		return
 	}
@@ -53,15 +53,15 @@
 }
 
 // List returns the current drains.
-func (r *Register) List() *List { return r.list }
+func (r *Registry) List() *List { return r.list }
 
 // Save returns the complete state, sorted by zone.
-func (r *Register) Save() *rockwindpb.ZoneDrainSnapshot {
+func (r *Registry) Save() *rockwindpb.ZoneDrainSnapshot {
 	return &rockwindpb.ZoneDrainSnapshot{Revision: r.list.revision, Drains: r.list.Drains()}
 }
 
 // Load replaces the state with one returned by Save; nil is empty.
-func (r *Register) Load(snapshot *rockwindpb.ZoneDrainSnapshot) {
+func (r *Registry) Load(snapshot *rockwindpb.ZoneDrainSnapshot) {
 	r.list = NewList(snapshot.GetRevision(), snapshot.GetDrains())
 }
 
