--- a/internal/balance/members.go
+++ b/internal/balance/members.go
@@ -22,7 +22,7 @@
 	Member
 	// hash identifies the server in digests.
 	hash uint32
-	// orphanHash identifies the requests left behind there.
+	// orphanHash identifies the orphaned requests there.
 	orphanHash uint32
 	// inflight counts the requests of this process.
 	inflight int
--- a/internal/balance/orphans.go
+++ b/internal/balance/orphans.go
@@ -6,7 +6,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// orphanMarker is the hash under which a digest tells that it contains requests left behind.
+// orphanMarker is the hash under which a digest tells that it contains orphaned requests.
 // Without it, each choice would have to look up a second hash per server.
 var orphanMarker = uint32(xxhash.Sum64String("left behind"))
 
@@ -14,14 +14,14 @@
 // have not restarted.
 var survivorsMarker = uint32(xxhash.Sum64String("others lived on"))
 
-// OrphanHash returns the hash that identifies the requests left behind at a server in digests,
+// OrphanHash returns the hash that identifies the orphaned requests at a server in digests,
 // that is, those still running there for processes that have ended. Inflight sums up the counts of
 // the processes that asked the server, and Unread is the number of these processes.
 func OrphanHash(server string) uint32 {
 	return uint32(xxhash.Sum64String("left behind at " + server))
 }
 
-// SetOrphaned replaces the numbers of requests left behind that servers told this process, by
+// SetOrphaned replaces the numbers of orphaned requests that servers told this process, by
 // server identifier, and whether it reports that other processes survived. It returns whether
 // anything changed.
 func (s *SharedLoads) SetOrphaned(left map[string]int, survivors bool) (changed bool) {
@@ -45,23 +45,23 @@
 // restarted.
 func (s *SharedLoads) SurvivorsReported() bool { return s.sums[survivorsMarker].Inflight > 0 }
 
-// OwnOrphaned visits the entries about requests left behind for this process's digest.
+// OwnOrphaned visits the entries about orphaned requests for this process's digest.
 func (s *SharedLoads) OwnOrphaned(visit func(hash uint32, load SharedLoad)) {
 	for hash, load := range s.ownOrphaned {
 		visit(hash, load)
 	}
 }
 
-// IgnoreOrphaned excludes requests left behind from this process's loads. Sums for other
+// IgnoreOrphaned excludes orphaned requests from this process's loads. Sums for other
 // processes still include them.
 func (s *SharedLoads) IgnoreOrphaned() { s.ignoreOrphaned = true }
 
-// updateHasOrphaned updates whether any process tells of requests left behind.
+// updateHasOrphaned updates whether any process tells of orphaned requests.
 func (s *SharedLoads) updateHasOrphaned() {
 	s.hasOrphaned = !s.ignoreOrphaned && (len(s.ownOrphaned) > 0 || s.sums[orphanMarker].Inflight > 0)
 }
 
-// orphaned returns the number of requests left behind at a server: the mean over the processes
+// orphaned returns the number of orphaned requests at a server: the mean over the processes
 // that asked it, rounded up.
 func (s *SharedLoads) orphaned(hash uint32) int {
 	if !s.hasOrphaned {
@@ -74,7 +74,7 @@
 	return (reported.Inflight + reported.Unread - 1) / reported.Unread
 }
 
-// Orphaned returns the number of requests left behind at all servers of the pool.
+// Orphaned returns the number of orphaned requests at all servers of the pool.
 func (p *Pool) Orphaned() int {
 	sum := 0
 	for _, srv := range p.servers {
--- a/internal/balance/orphans_test.go
+++ b/internal/balance/orphans_test.go
@@ -135,7 +135,7 @@
 	l.schedule(now+pollInterval, func(now time.Duration) { l.runItemsAfterSurvey(created, survey, now) })
 }
 
-// runItemsAfterSurvey starts items once the survey knows the requests left behind.
+// runItemsAfterSurvey starts items once the survey knows the orphaned requests.
 func (l *loss) runItemsAfterSurvey(store *process, survey *orphans.Survey, now time.Duration) {
 	if survey.Pending() {
 		l.schedule(now+pollInterval, func(now time.Duration) { l.runItemsAfterSurvey(store, survey, now) })
@@ -210,7 +210,7 @@
 }
 
 // TestRequestsAfterALossOfAllProcessesGoWhereThereIsRoom guards against treating servers as empty
-// that still run requests left behind by failed stores.
+// that still run orphaned requests of failed stores.
 func TestRequestsAfterALossOfAllProcessesGoWhereThereIsRoom(t *testing.T) {
 	const (
 		part       = 0.4
@@ -264,7 +264,7 @@
 	}
 }
 
-// TestOrphanedCountIsTheMeanOfReports checks that the number of requests left behind is the mean of
+// TestOrphanedCountIsTheMeanOfReports checks that the number of orphaned requests is the mean of
 // the reports and that it expires with the reporting processes.
 func TestOrphanedCountIsTheMeanOfReports(t *testing.T) {
 	pool, sharedLoads, names := newPool(1, 8)
@@ -277,11 +277,11 @@
 	}
 	report("store-1", 3, 0)
 	if got := pool.Orphaned(); got != 3 {
-		t.Errorf("%d left behind according to one report, want 3", got)
+		t.Errorf("%d orphaned according to one report, want 3", got)
 	}
 	report("store-2", 6, time.Second)
 	if got := pool.Orphaned(); got != 5 {
-		t.Errorf("%d left behind according to two reports, want 5", got)
+		t.Errorf("%d orphaned according to two reports, want 5", got)
 	}
 	if started := len(startAll(pool, time.Second)); started != 3 {
 		t.Errorf("%d requests were started with 5 of 8 slots in use, want 3", started)
@@ -289,19 +289,19 @@
 	// The first report expires before the second one.
 	sharedLoads.Expire(1500 * time.Millisecond)
 	if got := pool.Orphaned(); got != 6 {
-		t.Errorf("%d left behind according to the remaining report, want 6", got)
+		t.Errorf("%d orphaned according to the remaining report, want 6", got)
 	}
 	sharedLoads.Expire(3 * time.Second)
 	if got := pool.Orphaned(); got != 0 {
-		t.Errorf("%d left behind after all reports expired, want 0", got)
+		t.Errorf("%d orphaned after all reports expired, want 0", got)
 	}
 	if changed := sharedLoads.SetOrphaned(map[string]int{names[0]: 2}, false); !changed || pool.Orphaned() != 2 {
-		t.Errorf("%d left behind according to this process, want 2", pool.Orphaned())
+		t.Errorf("%d orphaned according to this process, want 2", pool.Orphaned())
 	}
 	ignoring, others, _ := newPool(1, 8)
 	others.IgnoreOrphaned()
 	if others.SetOrphaned(map[string]int{names[0]: 2}, false); ignoring.Orphaned() != 0 {
-		t.Error("requests left behind count although they are ignored")
+		t.Error("orphaned requests count although they are ignored")
 	}
 	if sharedLoads.SurvivorsReported() {
 		t.Error("survivors are reported, but by no process")
@@ -317,6 +317,6 @@
 		}
 	}
 	if sharedLoads.SetOrphaned(map[string]int{names[0]: 2}, false) || !sharedLoads.SetOrphaned(nil, false) || pool.Orphaned() != 0 {
-		t.Error("requests left behind still count after the report was withdrawn")
+		t.Error("orphaned requests still count after the report was withdrawn")
 	}
 }
--- a/internal/balance/serverview.go
+++ b/internal/balance/serverview.go
@@ -7,7 +7,7 @@
 	*server
 	// peers is the load of all other processes.
 	peers SharedLoad
-	// totalInflight is the number of requests of all processes, including those left behind. load is
+	// totalInflight is the number of requests of all processes, including orphaned ones. load is
 	// the estimate that also includes the server's own report.
 	totalInflight int
 	load          int
--- a/internal/balance/shared.go
+++ b/internal/balance/shared.go
@@ -69,7 +69,7 @@
 	// of other zones, by server.
 	zone        string
 	remotePaces map[uint32]SharedPace
-	// ownOrphaned is what this process tells of requests left behind. hasLeftBehind is set if any
+	// ownOrphaned is what this process tells of orphaned requests. hasOrphaned is set if any
 	// process tells of some and ignoreLeftBehind is not set.
 	ownOrphaned    map[uint32]SharedLoad
 	hasOrphaned    bool
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -69,7 +69,7 @@
 // Handler returns the handler for calls of operators and servers.
 type Handler func(*Coordinator) http.Handler
 
-// Run serves until the context ends, then hands over leadership and finishes the calls in
+// Run serves until the context ends, then transfers leadership and finishes the calls in
 // progress. The handler is served on settings.Listen, or on the internal address if that is
 // empty; it may be nil.
 func Run(ctx context.Context, settings *rockwindpb.SiteSettings, handler Handler, options ...Option) error {
@@ -116,7 +116,7 @@
 		}
 	}
 	log.WithField("machine", c.settings.GetName()).WithField("address", c.settings.GetInternalListen()).Info("coordinator serves")
-	// Public calls are served until leadership is handed over, internal calls until the replicas
+	// Public calls are served until leadership is transferred, internal calls until the replicas
 	// have stopped.
 	stopServing := func() {}
 	return site.RunHost(ctx, c.host, func(group *errgroup.Group, groupCtx context.Context) {
--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -67,8 +67,7 @@
 	RunLost      Kind = "run lost"
 	// AddressAsked: an address was probed for which of several server incarnations is there.
 	AddressAsked Kind = "address asked"
-	// ServersAsked: after the start of this process, servers were queried for requests that other
-	// processes left behind.
+	// ServersAsked: after the start of this process, servers were queried for orphaned requests.
 	ServersAsked Kind = "servers asked"
 	// StartFinished: this process has the state that it needs to serve.
 	StartFinished Kind = "start finished"
--- a/internal/featuregate/featuregate.go
+++ b/internal/featuregate/featuregate.go
@@ -30,8 +30,8 @@
 	// ItemProgress lets the leader of a shard record the partial results of items, so that the next
 	// leader can resume them.
 	ItemProgress Gate = "item_progress"
-	// Orphans lets a starting process query the servers for requests that terminated processes
-	// left behind there, and count these as load until they end.
+	// Orphans lets a starting process query the servers for orphaned requests, that is
+	// requests of terminated processes, and count these as load until they end.
 	Orphans Gate = "left_behind"
 )
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -178,7 +178,7 @@
 	batchEnded := make(chan struct{})
 	group.Go(func() error { defer close(batchEnded); g.batch.Run(batchContext); return nil })
 	listeners.serve(group, g)
-	g.log.WithField("address", listeners.callers.Addr().String()).Info("gateway is listening")
+	g.log.WithField("address", listeners.callers.Addr().String()).Info("gateway serves")
 	select {
 	case <-ctx.Done():
 	case <-background.Done():
--- a/internal/loadshare/fit.go
+++ b/internal/loadshare/fit.go
@@ -18,7 +18,7 @@
 const (
 	// NeverDrop marks loads of servers and queues.
 	NeverDrop DropPriority = iota
-	// DropFirst marks requests left behind at servers by processes that are gone. They are
+	// DropFirst marks orphaned requests: those that servers run for processes that are gone. They are
 	// only reported for some seconds after a loss.
 	DropFirst
 	// DropSecond marks tenants. Without their entries, requests are served in order of arrival.
@@ -26,7 +26,7 @@
 )
 
 // trimToFit removes the least important parts of a digest until it fits in a datagram: first
-// requests left behind at servers, then tenants, then paces. A digest that still does not fit
+// orphaned requests at servers, then tenants, then paces. A digest that still does not fit
 // is not sent.
 func trimToFit(source Source, digest *rockwindpb.LoadDigest) {
 	for _, priority := range []DropPriority{DropFirst, DropSecond} {
--- a/internal/loadshare/protocol_test.go
+++ b/internal/loadshare/protocol_test.go
@@ -46,7 +46,7 @@
 func (s *simProcess) Heard(name string) bool { return s.shares.Heard(name, s.now) }
 
 // DropPriority implements loadshare.Source. Hashes of tenants have the highest bit set, those of
-// requests left behind the next one.
+// orphaned requests the next one.
 func (s *simProcess) DropPriority(hash uint32) loadshare.DropPriority {
 	switch {
 	case hash >= firstTenant:
@@ -61,7 +61,7 @@
 const (
 	// firstTenant is the first hash of a tenant.
 	firstTenant = 1 << 31
-	// firstLeft is the first hash of requests left behind at a server.
+	// firstLeft is the first hash of orphaned requests at a server.
 	firstLeft = 1 << 30
 )
 
--- a/internal/orphans/survey.go
+++ b/internal/orphans/survey.go
@@ -1,8 +1,8 @@
-// Package orphans estimates the requests that servers still run for callers that no longer
-// exist. After a power loss the servers continue with the requests of the failed machines,
+// Package orphans estimates the orphaned requests: those that servers still run for callers that no
+// longer exist. After a power loss the servers continue with the requests of the failed machines,
 // while the load digests of their processes are lost or replaced by digests that report zero. A
 // process that has just started therefore queries some servers for their load, counts what no
-// live process accounts for as left behind, shares the result with the other processes, and
+// live process accounts for as orphaned, shares the result with the other processes, and
 // queries again until nothing is left. The package does no I/O; times are durations since an
 // origin that the caller chooses.
 package orphans
@@ -44,7 +44,7 @@
 	// different times, so they usually differ by a few requests.
 	minExcessFraction = 0.25
 	minTotalExcess    = 4
-	// queryInterval is the time between queries to a server with requests left behind, and
+	// queryInterval is the time between queries to a server with orphaned requests, and
 	// maxQueries the number of queries, not counting the one that confirms an excess. The
 	// second query detects short runs that have ended and an initial count that was too high.
 	// More queries would add errors, since a count is never raised.
@@ -53,7 +53,7 @@
 	// minServerExcess is the minimum difference between the reported load of a server and the
 	// load of its live callers; differences of one request are normal.
 	minServerExcess = 2
-	// maxDuration is when a process stops counting requests as left behind, after its start. It
+	// maxDuration is when a process stops counting requests as orphaned, after its start. It
 	// is longer than most batch runs, and it ensures that a server that always reports a high
 	// load is used again.
 	maxDuration = 4 * time.Second
@@ -103,7 +103,7 @@
 	// Asked is the number of queries sent, and Answered the number of valid answers.
 	Asked    int
 	Answered int
-	// Orphaned is the number of requests initially counted as left behind.
+	// Orphaned is the number of requests initially counted as orphaned.
 	Orphaned int
 }
 
@@ -114,9 +114,9 @@
 	listening stage = iota
 	// settling: some peers survived, and their loads are still arriving.
 	settling
-	// counting: requests left behind are counted and queried again.
+	// counting: orphaned requests are counted and queried again.
 	counting
-	// finished: no requests are left behind.
+	// finished: no requests are orphaned.
 	finished
 )
 
@@ -126,7 +126,7 @@
 	// reported is the load of the first valid answer, if hasReport is set.
 	reported  int
 	hasReport bool
-	// orphaned is the current number of requests left behind, and maxLeft its upper bound.
+	// orphaned is the current number of orphaned requests, and maxOrphaned its upper bound.
 	// Where unconfirmed is set, another query is required before any are counted.
 	orphaned    int
 	maxOrphaned int
@@ -143,7 +143,7 @@
 }
 
 // Start selects the servers to query among those of the first directory view, given the names
-// of the processes that take part. Servers that appear later have no requests left behind. Only
+// of the processes that take part. Servers that appear later have no orphaned requests. Only
 // the first call has an effect.
 func (s *Survey) Start(self string, processes []string, servers []Server, now time.Duration) {
 	if s.started {
@@ -192,7 +192,7 @@
 }
 
 // Answered records how many requests a server reported, running and queued, and how many all
-// live processes have there. The number of requests left behind at a server only decreases,
+// live processes have there. The number of orphaned requests at a server only decreases,
 // unless surviving peers are heard later.
 func (s *Survey) Answered(id string, reported, liveLoad int) {
 	state := s.endQuery(id)
@@ -260,9 +260,9 @@
 // Evaluate updates the survey with the status of the peers and the load that all live processes
 // have at each server. Call it several times per 100 ms until Done.
 //
-// If all known peers have just started too, the whole reported load is left behind, since it
+// If all known peers have just started too, the whole reported load is orphaned, since it
 // was reported before any of them sent a request. If some peers survived, only the excess over
-// their loads is left behind, once those loads have arrived and a second answer confirms it. A
+// their loads is orphaned, once those loads have arrived and a second answer confirms it. A
 // small excess is ignored, as after a planned restart of a single process.
 //
 // Surviving peers may be heard only after settleTime; the counts are then compared with their
@@ -349,7 +349,7 @@
 	}
 }
 
-// endIfDone ends the survey once nothing is left behind and no answer is awaited.
+// endIfDone ends the survey once nothing is orphaned and no answer is awaited.
 func (s *Survey) endIfDone(elapsed time.Duration) {
 	if s.stage != counting || elapsed < settleTime {
 		return
@@ -376,7 +376,7 @@
 // the same time.
 func (s *Survey) ReportSurvivors() bool { return s.survivors && s.elapsed < survivorReportTime }
 
-// Pending reports whether the requests left behind are still unknown; work that can wait should
+// Pending reports whether the orphaned requests are still unknown; work that can wait should
 // wait.
 func (s *Survey) Pending() bool { return s.started && (s.stage == listening || s.stage == settling) }
 
--- a/internal/orphans/survey_test.go
+++ b/internal/orphans/survey_test.go
@@ -99,11 +99,11 @@
 	}
 	survey.Evaluate(restartedPeers, noLoad, 40*time.Millisecond)
 	if survey.Pending() || orphanedAt(survey, "server-0") != 5 {
-		t.Errorf("%d left behind, want 5", orphanedAt(survey, "server-0"))
+		t.Errorf("%d orphaned, want 5", orphanedAt(survey, "server-0"))
 	}
 	survey.Answered("server-1", 7, 3)
 	if orphanedAt(survey, "server-1") != 7 {
-		t.Errorf("%d left behind by a later answer, want 7", orphanedAt(survey, "server-1"))
+		t.Errorf("%d orphaned by a later answer, want 7", orphanedAt(survey, "server-1"))
 	}
 }
 
@@ -116,7 +116,7 @@
 		survey.Evaluate(orphans.PeerStatus{}, noLoad, now)
 	}
 	if orphanedAt(survey, "server-0") != 5 {
-		t.Errorf("%d left behind, want 5", orphanedAt(survey, "server-0"))
+		t.Errorf("%d orphaned, want 5", orphanedAt(survey, "server-0"))
 	}
 }
 
@@ -137,12 +137,12 @@
 		}
 		survey.Orphaned(func(id string, count int) {
 			if count > 0 {
-				t.Errorf("%d left behind at %s at %v", count, id, now)
+				t.Errorf("%d orphaned at %s at %v", count, id, now)
 			}
 		})
 	}
 	if queries != 12 || !survey.Done() || survey.Counts().Orphaned != 0 {
-		t.Errorf("%d queries, done: %v, %d left behind", queries, survey.Done(), survey.Counts().Orphaned)
+		t.Errorf("%d queries, done: %v, %d orphaned", queries, survey.Done(), survey.Counts().Orphaned)
 	}
 }
 
@@ -160,7 +160,7 @@
 		}
 	}
 	if got := orphanedAt(survey, "server-0"); got < 3 || got > 4 {
-		t.Errorf("%d left behind, want 3 or 4", got)
+		t.Errorf("%d orphaned, want 3 or 4", got)
 	}
 }
 
@@ -300,7 +300,7 @@
 			t.Fatalf("%d counted at %v, although live processes account for the reported load", orphanedAt(survey, "server-0"), now)
 		}
 		if next := max(0, orphanedAt(survey, "server-1")); next > last {
-			t.Fatalf("requests left behind rise from %d to %d", last, next)
+			t.Fatalf("orphaned requests rise from %d to %d", last, next)
 		} else {
 			last = next
 		}
@@ -348,7 +348,7 @@
 			}
 		}
 		if !survey.Done() || survey.Counts().Orphaned != 0 {
-			t.Errorf("done: %v, %d left behind", survey.Done(), survey.Counts().Orphaned)
+			t.Errorf("done: %v, %d orphaned", survey.Done(), survey.Counts().Orphaned)
 		}
 	}
 }
@@ -369,7 +369,7 @@
 		survey.Evaluate(peers, func(string) int { return 8 }, now)
 	}
 	if got := orphanedAt(survey, "server-0"); got < 6 {
-		t.Errorf("%d left behind, want at least 6", got)
+		t.Errorf("%d orphaned, want at least 6", got)
 	}
 }
 
@@ -390,7 +390,7 @@
 			}
 		}
 		if survey.Counts().Orphaned != 0 {
-			t.Errorf("restart %d ms after the peers: %d left behind", later, survey.Counts().Orphaned)
+			t.Errorf("restart %d ms after the peers: %d orphaned", later, survey.Counts().Orphaned)
 		}
 	}
 }
--- a/internal/placementcontroller/applier.go
+++ b/internal/placementcontroller/controller.go
@@ -17,7 +17,7 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Options configure an Applier.
+// Options configure a Controller.
 type Options struct {
 	// Leading returns whether this process leads the root group under a valid lease, and the term.
 	Leading func() (term uint64, leading bool)
@@ -53,7 +53,7 @@
 	totals        Totals
 }
 
-// Totals counts the changes and orders of an applier since it was created.
+// Totals counts the changes and orders of a controller since it was created.
 type Totals struct {
 	// Changes counts the changes whose orders were all accepted, by reason.
 	Changes map[placement.Reason]int
@@ -266,7 +266,7 @@
 	return err
 }
 
-// observeFence records the fence of a refused order. A later term ends this applier's term; in its
+// observeFence records the fence of a refused order. A later term ends this controller's term; in its
 // own term the sequence number continues after the fence.
 func (a *Controller) observeFence(last uint64) {
 	switch term := placement.FenceTerm(last); {
--- a/internal/placementcontroller/placementcontroller_test.go
+++ b/internal/placementcontroller/placementcontroller_test.go
@@ -23,7 +23,7 @@
 // testRound is the time between two rounds.
 const testRound = 10 * time.Second
 
-// fleet runs appliers with simulated engines behind HTTP servers. The applier uses the fleet's
+// fleet runs controllers with simulated engines behind HTTP servers. The controller uses the fleet's
 // clock; engines load instantly.
 type fleet struct {
 	t       *testing.T
@@ -86,8 +86,8 @@
 	}
 }
 
-// newApplier returns an applier that leads in a term while leading is true.
-func (f *fleet) newApplier(term uint64, leading *bool) *Controller {
+// newController returns a controller that leads in a term while leading is true.
+func (f *fleet) newController(term uint64, leading *bool) *Controller {
 	policy := placement.DefaultPolicy()
 	policy.SmoothingHalfLife = testRound
 	return New(Options{
@@ -135,10 +135,10 @@
 	return count
 }
 
-func (f *fleet) rounds(applier *Controller, count int) {
+func (f *fleet) rounds(controller *Controller, count int) {
 	for range count {
 		f.now += testRound
-		applier.Round(f.t.Context())
+		controller.Round(f.t.Context())
 	}
 }
 
@@ -149,19 +149,19 @@
 func TestDemandShiftLoadsEngines(t *testing.T) {
 	f := newFleet(t, sixEngines...)
 	leading := true
-	applier := f.newApplier(1, &leading)
+	controller := f.newController(1, &leading)
 	f.demand["large"], f.demand["small"] = 4000, 2000
-	f.rounds(applier, 40)
-	if len(applier.Totals().Changes) != 0 || applier.Totals().Orders != len(sixEngines) {
-		t.Fatalf("balanced demand changed engines: %+v", applier.Totals())
+	f.rounds(controller, 40)
+	if len(controller.Totals().Changes) != 0 || controller.Totals().Orders != len(sixEngines) {
+		t.Fatalf("balanced demand changed engines: %+v", controller.Totals())
 	}
 	f.demand["large"], f.demand["small"] = 500, 8000
-	f.rounds(applier, 60)
+	f.rounds(controller, 60)
 	if large, small := f.holding("large@v1"), f.holding("small@v1"); large != 2 || small != 4 {
 		t.Fatalf("%d engines hold large and %d small", large, small)
 	}
-	if moved := applier.Totals().Changes[placement.ReasonDemand]; moved != 2 {
-		t.Fatalf("%d moves for two engines: %+v", moved, applier.Totals())
+	if moved := controller.Totals().Changes[placement.ReasonDemand]; moved != 2 {
+		t.Fatalf("%d moves for two engines: %+v", moved, controller.Totals())
 	}
 }
 
@@ -170,7 +170,7 @@
 func TestOrdersOfADeposedLeaderAreRefused(t *testing.T) {
 	f := newFleet(t, sixEngines...)
 	leading := true
-	old, next := f.newApplier(1, &leading), f.newApplier(2, &leading)
+	old, next := f.newController(1, &leading), f.newController(2, &leading)
 	f.demand["large"], f.demand["small"] = 4000, 2000
 	f.rounds(old, 30)
 	f.rounds(next, 1)
@@ -196,39 +196,39 @@
 func TestVersionsRunSideBySideUntilOneIsEnded(t *testing.T) {
 	f := newFleet(t, sixEngines...)
 	leading := true
-	applier := f.newApplier(1, &leading)
+	controller := f.newController(1, &leading)
 	f.demand["large"], f.demand["small"] = 4000, 2000
 	f.config.Models[0] = model("large", "v1", "v2")
 	f.configure()
-	f.rounds(applier, 60)
+	f.rounds(controller, 60)
 	if old, next := f.holding("large@v1"), f.holding("large@v2"); old != 2 || next != 2 {
 		t.Fatalf("%d engines hold the old version and %d the new one", old, next)
 	}
 	f.config.Models[0] = model("large", "v2")
 	f.configure()
-	f.rounds(applier, 60)
+	f.rounds(controller, 60)
 	if old, next := f.holding("large@v1"), f.holding("large@v2"); old != 0 || next != 4 {
 		t.Fatalf("%d engines hold the ended version and %d the other", old, next)
 	}
 }
 
 // TestUnmanagedEnginesGetNoOrders checks that an engine that accepts every model and one that
-// gateways eject get no order except the claim, and that an applier that does not lead sends none.
+// gateways eject get no order except the claim, and that a controller that does not lead sends none.
 func TestUnmanagedEnginesGetNoOrders(t *testing.T) {
 	f := newFleet(t, append([]string{"large"}, sixEngines...)...)
 	leading := true
-	applier := f.newApplier(1, &leading)
+	controller := f.newController(1, &leading)
 	f.unhealthy["engine-1"] = true
 	f.demand["large"], f.demand["small"] = 1, 1e6
-	f.rounds(applier, 100)
+	f.rounds(controller, 100)
 	if first, second := f.loaded(0), f.loaded(1); !slices.Equal(first, []string{"large"}) || !slices.Equal(second, []string{"large@v1"}) {
 		t.Fatalf("unmanaged engines were changed: they hold %v and %v", first, second)
 	}
 	leading = false
-	before := applier.Totals().Orders
+	before := controller.Totals().Orders
 	f.demand["large"], f.demand["small"] = 1e6, 1
-	f.rounds(applier, 100)
-	if applier.Totals().Orders != before {
-		t.Fatal("an applier that does not lead sent orders")
+	f.rounds(controller, 100)
+	if controller.Totals().Orders != before {
+		t.Fatal("a controller that does not lead sent orders")
 	}
 }
--- a/internal/replica/drain.go
+++ b/internal/replica/drain.go
@@ -34,7 +34,7 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return errors.Wrap(ctx.Err(), "hand over leadership")
+			return errors.Wrap(ctx.Err(), "transfer leadership")
 		case <-h.ctx.Done():
 			return nil
 		}
@@ -108,7 +108,7 @@
 	select {
 	case <-prepared:
 	case <-ctx.Done():
-		log.WithField("group", o.id).Info("leadership is handed over before all was prepared")
+		log.WithField("group", o.id).Info("leadership is transferred before all was prepared")
 	}
 }
 
--- a/internal/replica/requests.go
+++ b/internal/replica/requests.go
@@ -126,7 +126,7 @@
 	case errors.Is(err, raft.ErrNotLeader):
 		return o.notLeader()
 	case errors.Is(err, raft.ErrTransferring):
-		return fault.New(fault.Unavailable, "leadership is being handed over",
+		return fault.New(fault.Unavailable, "leadership is being transferred",
 			"try again at the new leader").WithRetryAfter(o.host.options.Tick)
 	}
 	return err
--- a/internal/router/continuation.go
+++ b/internal/router/continuation.go
@@ -91,7 +91,7 @@
 	// cannot be continued then.
 	started    bool
 	unnumbered bool
-	// continued is set once the run continues at the holder, and gap if its first event there is
+	// continued is set once the run continues at the copy server, and gap if its first event there is
 	// not the next one.
 	continued bool
 	gap       bool
--- a/internal/router/dispatcher.go
+++ b/internal/router/dispatcher.go
@@ -41,7 +41,7 @@
 	index        *configuration.Index
 	processNames []string
 	// serverHashes are the hashes of all servers of the directory, and leftBehindHashes those of
-	// the requests left behind there.
+	// the orphaned requests there.
 	serverHashes map[uint32]struct{}
 	orphanHashes map[uint32]struct{}
 	shares       *balance.SharedLoads
@@ -223,8 +223,8 @@
 	return d.lease(service, grant{choice: choice})
 }
 
-// PreemptBatch visits the servers of a service at which batch work of this process should yield
-// to online requests, with the number of requests. The visitor returns how many yielded; it must
+// PreemptBatch visits the servers of a service at which batch work of this process should be
+// preempted, with the number of requests. The visitor returns how many items it preempted; it must
 // not use the dispatcher.
 func (d *Dispatcher) PreemptBatch(service string, visit func(server string, requests int) int) {
 	d.mutex.Lock()
--- a/internal/router/sharing_test.go
+++ b/internal/router/sharing_test.go
@@ -28,7 +28,7 @@
 	return [2]string{}
 }
 
-// TestDropPriorityOfDigestEntries checks that left-behind requests are dropped from a digest
+// TestDropPriorityOfDigestEntries checks that orphaned requests are dropped from a digest
 // before tenants.
 func TestDropPriorityOfDigestEntries(t *testing.T) {
 	source := oneServer(4).LoadSource()
--- a/internal/router/survey.go
+++ b/internal/router/survey.go
@@ -92,8 +92,8 @@
 	return names
 }
 
-// beginSurvey selects the servers to query: model engines, because their runs are long. Requests
-// left behind at other servers are over by the time their callers have restarted.
+// beginSurvey selects the servers to query: model engines, because their runs are long. Orphaned
+// requests at other servers are over by the time their callers have restarted.
 func (d *Dispatcher) beginSurvey(self string, view *directory.View, index *configuration.Index) {
 	services := make(map[string]string)
 	var servers []orphans.Server
@@ -129,7 +129,7 @@
 	return d.poolOf(d.survey.services[id]).pool.LiveInflight(id)
 }
 
-// shareOrphaned counts the left-behind requests found so far and shares them, at once if they
+// shareOrphaned counts the orphaned requests found so far and shares them, at once if they
 // changed. The caller holds d.mutex.
 func (d *Dispatcher) shareOrphaned() {
 	left := make(map[string]int)
--- a/internal/router/survey_test.go
+++ b/internal/router/survey_test.go
@@ -73,7 +73,7 @@
 	return func(writer http.ResponseWriter, _ *http.Request) { _, _ = writer.Write([]byte(load)) }
 }
 
-// orphaned returns how many left-behind requests the dispatcher counts.
+// orphaned returns how many orphaned requests the dispatcher counts.
 func orphaned(dispatcher *router.Dispatcher) int {
 	requests, _ := dispatcher.Orphaned()
 	return requests
@@ -98,7 +98,7 @@
 			t.Fatalf("%d requests of the full server are counted, want 4", got)
 		}
 		if heard := dispatcher.LoadSource().Own(); len(heard.GetServers()) < 2 {
-			t.Error("left-behind requests are not shared")
+			t.Error("orphaned requests are not shared")
 		}
 		for range 12 {
 			lease, err := acquire(dispatcher, 100*time.Millisecond)
--- a/internal/routing/owned.go
+++ b/internal/routing/owned.go
@@ -12,7 +12,7 @@
 // wait behind online requests. Servers to which this gateway assigns batch work
 // are preferred by a margin: the gateway knows nearly all of their requests
 // without delay, so its estimates are accurate there. Batch requests are not
-// counted, since they yield to online requests. If the local zone is slow, it
+// counted, since online requests preempt them. If the local zone is slow, it
 // falls back to PowerOfChoices, which considers other zones. It must not be
 // shared between gateways.
 type OwnedFirst struct {
--- a/internal/sitemetrics/orphans.go
+++ b/internal/sitemetrics/orphans.go
@@ -2,8 +2,8 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Orphaned registers metrics for the number of requests that terminated processes are estimated
-// to have left behind at servers, and for the number of load queries that this process sent. The
+// Orphaned registers metrics for the estimated number of orphaned requests, which servers still
+// run for terminated processes, and for the number of load queries that this process sent. The
 // source is called at each scrape.
 func (s *Set) Orphaned(source func() (requests, queries int)) {
 	s.registry.MustRegister(
--- a/internal/store/executor.go
+++ b/internal/store/executor.go
@@ -131,7 +131,7 @@
 	lastProgress      time.Time
 	recordingProgress bool
 	progressDone      chan struct{}
-	// transfers receives planned transfers of the shard, and pendingHandovers holds those that
+	// transfers receives planned transfers of the shard, and pendingTransfers holds those that
 	// wait for progress to be recorded.
 	transfers        <-chan leadershipTransfer
 	pendingTransfers []leadershipTransfer
@@ -159,7 +159,7 @@
 }
 
 // wait blocks until the next scheduling pass is due. Meanwhile it preempts attempts for online
-// requests and handles handovers.
+// requests and handles transfers.
 func (e *executor) wait(ctx context.Context, wake <-chan time.Time, applied <-chan struct{}) {
 	for {
 		onlineWaiting := e.store.dispatcher.OnlineWaiting()
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -54,7 +54,7 @@
 
 	mutex    sync.Mutex
 	machines map[uint32]*jobstore.Machine
-	// transfers holds the channels that notify the shards' executors of a handover.
+	// transfers holds the channels that notify the shards' executors of a leadership transfer.
 	transfers map[uint32]chan leadershipTransfer
 	created   chan uint32
 }
@@ -62,7 +62,7 @@
 // maximumShards limits the number of shards of one store.
 const maximumShards = 1024
 
-// Run serves until the context ends, then hands over leadership and stops.
+// Run serves until the context ends, then transfers leadership and stops.
 func Run(ctx context.Context, settings *rockwindpb.SiteSettings, protocol router.Protocol) error {
 	site.SetMemoryLimit(settings)
 	gates := featuregate.NewSet(settings.GetSwitchedOff())
--- a/internal/store/transfer.go
+++ b/internal/store/transfer.go
@@ -35,7 +35,7 @@
 	return s.transfers[shard]
 }
 
-// recordForTransfers records progress for pending handovers. If a record is in flight, its
+// recordForTransfers records progress for pending transfers. If a record is in flight, its
 // completion calls this function again.
 func (e *executor) recordForTransfers(ctx context.Context) {
 	if len(e.pendingTransfers) == 0 || e.recordingProgress {
--- a/internal/store/transfer_test.go
+++ b/internal/store/transfer_test.go
@@ -94,7 +94,7 @@
 	return last, text
 }
 
-// transferWithin returns how long a handover took, with a time limit.
+// transferWithin returns how long a transfer took, with a time limit.
 func (s *transferShard) transferWithin(limit time.Duration) time.Duration {
 	ctx, cancel := context.WithTimeout(s.t.Context(), limit)
 	defer cancel()
@@ -103,7 +103,7 @@
 	return time.Since(began)
 }
 
-// TestTransferRecordsReceivedEvents: without a record at the handover the next leader runs
+// TestTransferRecordsReceivedEvents: without a record at the transfer the next leader runs
 // again what was received since the last one.
 func TestTransferRecordsReceivedEvents(t *testing.T) {
 	s := newTransferShard(t)
@@ -112,17 +112,17 @@
 	s.run()
 	s.transferWithin(10 * time.Second)
 	if last, text := s.recorded(); last != 2 || text != "a\nb" {
-		t.Fatalf("recorded %q up to event %d at the handover, want 2 events", text, last)
+		t.Fatalf("recorded %q up to event %d at the transfer, want 2 events", text, last)
 	}
 	s.receive(3, "c")
 	s.transferWithin(10 * time.Second)
 	if last, text := s.recorded(); last != 3 || text != "a\nb\nc" {
-		t.Fatalf("recorded %q up to event %d at the second handover, want 3 events", text, last)
+		t.Fatalf("recorded %q up to event %d at the second transfer, want 3 events", text, last)
 	}
 }
 
 // TestTransferWaitsForPendingRecord: events received during a record in flight need another
-// record. The handover waits no longer than its limit.
+// record. The transfer waits no longer than its limit.
 func TestTransferWaitsForPendingRecord(t *testing.T) {
 	s := newTransferShard(t)
 	s.receive(1, "a")
@@ -130,7 +130,7 @@
 	s.run()
 	const limit = 50 * time.Millisecond
 	if took := s.transferWithin(limit); took < limit {
-		t.Fatalf("the handover returned after %v, with a record in flight", took)
+		t.Fatalf("the transfer returned after %v, with a record in flight", took)
 	}
 	if last, _ := s.recorded(); last != 0 {
 		t.Fatalf("event %d was recorded with a record in flight", last)
@@ -142,7 +142,7 @@
 	}
 }
 
-// TestTransferRecordsNothingWithGateOff checks that the handover returns at once with progress
+// TestTransferRecordsNothingWithGateOff checks that the transfer returns at once with progress
 // records switched off.
 func TestTransferRecordsNothingWithGateOff(t *testing.T) {
 	s := newTransferShard(t, string(featuregate.ItemProgress))
--- a/internal/zonedrain/zonedrain.go
+++ b/internal/zonedrain/zonedrain.go
@@ -23,7 +23,7 @@
 	list *List
 }
 
-// New returns an empty register.
+// New returns an empty registry.
 func New() *Registry { return &Registry{list: &List{}} }
 
 // Apply executes a committed command.
@@ -81,7 +81,7 @@
 	return list
 }
 
-// Revision returns the revision of the register that the list was taken from.
+// Revision returns the revision of the registry that the list was taken from.
 func (l *List) Revision() uint64 {
 	if l == nil {
 		return 0
--- a/internal/zonedrain/zonedrain_test.go
+++ b/internal/zonedrain/zonedrain_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// TestReplicasAgree applies random commands to a register and to one that is restored
+// TestReplicasAgree applies random commands to a registry and to one that is restored
 // from snapshots, and compares both with a set.
 func TestReplicasAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
