--- a/internal/bench/experiment/calibration/calibration.go
+++ b/internal/bench/experiment/calibration/calibration.go
@@ -40,8 +40,8 @@
 	noise []time.Duration
 }
 
-// Figure is one quantity of both sides.
-type Figure struct {
+// Metric is one quantity of both sides.
+type Metric struct {
 	Name string  `json:"name"`
 	Unit string  `json:"unit"`
 	Real float64 `json:"real"`
@@ -94,8 +94,8 @@
 }
 
 // compare sets the real side against the simulator's runs.
-func compare(batch bool, actual *measured, simulated []*measured) []Figure {
-	var figures []Figure
+func compare(batch bool, actual *measured, simulated []*measured) []Metric {
+	var figures []Metric
 	for _, compared := range quantities(batch) {
 		var values []float64
 		sum := 0.0
@@ -104,7 +104,7 @@
 			values = append(values, value)
 			sum += value
 		}
-		figure := Figure{
+		figure := Metric{
 			Name: compared.name, Unit: compared.unit, Real: compared.of(actual),
 			Simulated: sum / float64(len(values)),
 			Lowest:    slices.Min(values), Highest: slices.Max(values),
--- a/internal/bench/experiment/calibration/calibration_test.go
+++ b/internal/bench/experiment/calibration/calibration_test.go
@@ -67,7 +67,7 @@
 		}
 	}
 	figures := compare(true, side(1.2, 109), []*measured{side(0.9, 90), side(1.1, 110)})
-	byName := map[string]Figure{}
+	byName := map[string]Metric{}
 	for _, figure := range figures {
 		byName[figure.Name] = figure
 	}
--- a/internal/bench/experiment/calibration/command.go
+++ b/internal/bench/experiment/calibration/command.go
@@ -54,7 +54,7 @@
 	// percentile. The simulator draws how much longer hops take from the same probes.
 	HopMs    float64  `json:"hop_ms"`
 	HopP99Ms float64  `json:"hop_p99_ms"`
-	Figures  []Figure `json:"figures"`
+	Metrics  []Metric `json:"figures"`
 }
 
 // Result holds the figures of the experiment.
@@ -149,7 +149,7 @@
 		HopP99Ms: float64(actual.between.slow) / float64(time.Millisecond), Requests: actual.requests,
 		RealFailed: actual.failed, SimulatedFailed: simulated[0].failed,
 		SubmissionLateMs: float64(actual.late) / float64(time.Millisecond),
-		Figures:          compare(len(replay.Jobs) > 0, actual, simulated),
+		Metrics:          compare(len(replay.Jobs) > 0, actual, simulated),
 	}, nil
 }
 
@@ -173,7 +173,7 @@
 	if comparison.RealFailed > 0 || comparison.SimulatedFailed > 0 {
 		r.Agrees = false
 	}
-	for _, figure := range comparison.Figures {
+	for _, figure := range comparison.Metrics {
 		r.Agrees = r.Agrees && figure.Agrees
 	}
 }
@@ -184,7 +184,7 @@
 	for _, comparison := range r.Comparisons {
 		fmt.Fprintf(&text, "%s: %d requests; without a whole answer: %d real, %d simulated; jobs accepted at most %.0f ms late; a hop takes %.2f ms, p99 %.2f ms\n",
 			comparison.Load, comparison.Requests, comparison.RealFailed, comparison.SimulatedFailed, comparison.SubmissionLateMs, comparison.HopMs, comparison.HopP99Ms)
-		for _, figure := range comparison.Figures {
+		for _, figure := range comparison.Metrics {
 			fmt.Fprintf(&text, "  %-18s real %9.2f  simulated %9.2f (%.2f to %.2f) %-8s ratio %.3f agrees %t\n",
 				figure.Name, figure.Real, figure.Simulated, figure.Lowest, figure.Highest, figure.Unit, figure.Ratio, figure.Agrees)
 		}
--- a/internal/bench/experiment/overhead/command.go
+++ b/internal/bench/experiment/overhead/command.go
@@ -131,7 +131,7 @@
 	return nil
 }
 
-func (r Relaying) print(name string) {
+func (r RelayCost) print(name string) {
 	fmt.Printf("%s: %.0f requests/s, %.0f tokens/s on %.2f cores; %.0f requests, %.0f events and %.0f tokens a core second; failures %v, not sent %d\n",
 		name, r.RequestsPerSecond, r.TokensPerSecond, r.Cores, r.RequestsPerCoreSecond, r.EventsPerCoreSecond, r.TokensPerCoreSecond, r.Failures, r.NotSent)
 }
@@ -170,7 +170,7 @@
 	return append([]string{name}, numbers("%.2f", c.Direct.P50Ms, c.Relayed.P50Ms, c.Direct.P99Ms, c.Relayed.P99Ms, c.RatioP99)...)
 }
 
-func (r Relaying) row(name string) []string {
+func (r RelayCost) row(name string) []string {
 	row := append([]string{name}, numbers("%.0f", r.RequestsPerSecond, r.TokensPerSecond)...)
 	row = append(row, numbers("%.2f", r.Cores)...)
 	return append(row, numbers("%.0f", r.RequestsPerCoreSecond, r.TokensPerCoreSecond)...)
--- a/internal/bench/experiment/overhead/overhead.go
+++ b/internal/bench/experiment/overhead/overhead.go
@@ -64,8 +64,8 @@
 	RatioP99   float64      `json:"ratio_p99"`
 }
 
-// Relaying is what a phase cost the gateway.
-type Relaying struct {
+// RelayCost is what a phase cost the gateway.
+type RelayCost struct {
 	Requests          int     `json:"requests"`
 	Tokens            int64   `json:"tokens"`
 	Events            int64   `json:"events"`
@@ -103,8 +103,8 @@
 	WholeAnswer Comparison          `json:"whole_answer"`
 	FirstToken  Comparison          `json:"first_token"`
 	Failures    []load.OutcomeCount `json:"failures"`
-	Throughput  Relaying            `json:"throughput"`
-	Requests    Relaying            `json:"requests"`
+	Throughput  RelayCost           `json:"throughput"`
+	Requests    RelayCost           `json:"requests"`
 	// MachineLoad is the load average at the begin: the machine may be shared.
 	MachineLoad string `json:"machine_load"`
 
@@ -227,26 +227,26 @@
 }
 
 // relay runs a schedule and reads what it cost the gateway.
-func relay(ctx context.Context, environment Environment, options Options, schedule load.Schedule) (Relaying, error) {
+func relay(ctx context.Context, environment Environment, options Options, schedule load.Schedule) (RelayCost, error) {
 	before, err := fleet.ReadUsage(environment.GatewayPid)
 	if err != nil {
-		return Relaying{}, errors.Wrap(err, "usage of the gateway")
+		return RelayCost{}, errors.Wrap(err, "usage of the gateway")
 	}
 	result := load.Run(ctx, schedule, load.Options{})
 	after, err := fleet.ReadUsage(environment.GatewayPid)
 	if err != nil {
-		return Relaying{}, errors.Wrap(err, "usage of the gateway")
+		return RelayCost{}, errors.Wrap(err, "usage of the gateway")
 	}
 	report := result.Report()
 	if len(report.Classes) == 0 {
-		return Relaying{}, errors.New("no call was sent; raise the rate or the duration")
+		return RelayCost{}, errors.New("no call was sent; raise the rate or the duration")
 	}
 	return relaying(report.Classes[0], result, after.CPU-before.CPU), nil
 }
 
-func relaying(class load.ClassReport, result *load.Result, processor time.Duration) Relaying {
+func relaying(class load.ClassReport, result *load.Result, processor time.Duration) RelayCost {
 	answered := result.Class(class.Class).Count(load.OutcomeOK)
-	relayed := Relaying{
+	relayed := RelayCost{
 		Requests:          answered,
 		Tokens:            class.Tokens,
 		Events:            int64(answered) + int64(class.BetweenTokens.Count),
--- a/internal/bench/experiment/propagation/command.go
+++ b/internal/bench/experiment/propagation/command.go
@@ -84,13 +84,13 @@
 	r.Restarting.print("daemons restarting")
 	fmt.Printf("idle: %.0f bytes a daemon and second\n", r.IdleBytesPerDaemonSecond)
 	fmt.Printf("away for %d changes: in force %.0f ms after the start, %d whole transfers, %.0f bytes a daemon\n",
-		r.Away.Missed, r.Away.InForceMs, r.Away.Fulls, r.Away.BytesPerDaemon)
+		r.Away.Missed, r.Away.InForceMs, r.Away.FullTransfers, r.Away.BytesPerDaemon)
 	fmt.Printf("%d daemons killed: in force %.0f ms after the start of their process, %d whole transfers\n",
-		r.Killed.Daemons, r.Killed.InForceMs, r.Killed.Fulls)
+		r.Killed.Daemons, r.Killed.InForceMs, r.Killed.FullTransfers)
 	fmt.Printf("reverts: %d, daemons without the last configuration: %d\n", r.Reverts, r.Missing)
 }
 
-func (s Spread) print(name string) {
+func (s PhaseStats) print(name string) {
 	fmt.Printf("%s: %d changes; everywhere after p50 %.0f ms, max %.0f ms; a daemon after p50 %.0f ms, p99 %.0f ms; %.0f bytes a change and daemon (p50), %.0f (max); %d restarts\n",
 		name, s.Changes, s.EverywhereP50Ms, s.EverywhereMaxMs, s.DaemonP50Ms, s.DaemonP99Ms, s.BytesP50, s.BytesMax, s.Restarts)
 }
--- a/internal/bench/experiment/propagation/experiment.go
+++ b/internal/bench/experiment/propagation/experiment.go
@@ -230,7 +230,7 @@
 	if err := e.settle(ctx, []*host{e.away}, e.current.GetNumber()); err != nil {
 		return err
 	}
-	e.result.Away = Return{
+	e.result.Away = Rejoin{
 		Daemons: awayDaemons, InForceMs: milliseconds(time.Since(began)),
 		Missed: int(e.current.GetNumber() - newest(before[0])),
 	}
@@ -241,10 +241,10 @@
 }
 
 // add sums what daemons got between two reports.
-func (r *Return) add(before, after []hollow.FollowerReport) {
+func (r *Rejoin) add(before, after []hollow.FollowerReport) {
 	total := int64(0)
 	for index := range after {
-		r.Fulls += after[index].Fulls - before[index].Fulls
+		r.FullTransfers += after[index].Fulls - before[index].Fulls
 		total += after[index].Control.Minus(before[index].Control).Total()
 	}
 	r.BytesPerDaemon = float64(total) / float64(max(1, len(after)))
@@ -270,7 +270,7 @@
 	if err := e.settle(ctx, []*host{victim}, e.current.GetNumber()); err != nil {
 		return err
 	}
-	e.result.Killed = Return{
+	e.result.Killed = Rejoin{
 		Daemons: len(victim.names), Missed: changesWhileKilled, InForceMs: milliseconds(time.Since(began)),
 	}
 	after, err := victim.reports(ctx)
--- a/internal/bench/experiment/propagation/result.go
+++ b/internal/bench/experiment/propagation/result.go
@@ -21,22 +21,22 @@
 	IdleBytesPerDaemonSecond float64 `json:"idle_bytes_per_daemon_second"`
 	// Steady and Restarting are phases of changes of one tenant each, without and
 	// with daemons that restart.
-	Steady     Spread `json:"steady"`
-	Restarting Spread `json:"restarting"`
+	Steady     PhaseStats `json:"steady"`
+	Restarting PhaseStats `json:"restarting"`
 	// Away is daemons that were stopped while control dropped the changes that
 	// they miss.
-	Away Return `json:"away"`
+	Away Rejoin `json:"away"`
 	// Killed is the daemons of one process that was killed and started again, with
 	// changes meanwhile.
-	Killed Return `json:"killed"`
+	Killed Rejoin `json:"killed"`
 	// Reverts counts moves of a daemon to a lower number, restarts included.
 	Reverts int `json:"reverts"`
 	// Missing counts daemons without the last configuration at the end.
 	Missing int `json:"missing"`
 }
 
-// Spread is how changes reached the daemons.
-type Spread struct {
+// PhaseStats is how changes reached the daemons.
+type PhaseStats struct {
 	Changes  int `json:"changes"`
 	Restarts int `json:"restarts"`
 	// ApplyP50Ms is how long a call that applies a configuration took.
@@ -54,16 +54,16 @@
 	BytesMax float64 `json:"bytes_per_change_max"`
 }
 
-// Return is how daemons came back after they had been away.
-type Return struct {
+// Rejoin is how daemons came back after they had been away.
+type Rejoin struct {
 	Daemons int `json:"daemons"`
 	// Missed is how many changes each missed.
 	Missed int `json:"missed"`
 	// InForceMs is the time from the start until all of them had the newest
 	// configuration in force.
 	InForceMs float64 `json:"in_force_ms"`
-	// Fulls counts whole transfers.
-	Fulls int `json:"fulls"`
+	// FullTransfers counts whole transfers.
+	FullTransfers int `json:"fulls"`
 	// BytesPerDaemon is the traffic until then.
 	BytesPerDaemon float64 `json:"bytes_per_daemon"`
 }
--- a/internal/bench/experiment/propagation/spread.go
+++ b/internal/bench/experiment/propagation/spread.go
@@ -58,10 +58,10 @@
 
 // spread applies changes, lets something go on meanwhile, and works out how the
 // changes reached the daemons.
-func (e *experiment) spread(ctx context.Context, meanwhile func(context.Context) (int, error)) (Spread, error) {
+func (e *experiment) spread(ctx context.Context, meanwhile func(context.Context) (int, error)) (PhaseStats, error) {
 	before, err := reportsOf(ctx, e.hosts)
 	if err != nil {
-		return Spread{}, err
+		return PhaseStats{}, err
 	}
 	began := time.Now()
 	aside, stop := context.WithCancel(ctx)
@@ -75,18 +75,18 @@
 	})
 	applied, err := e.applyChanges(ctx)
 	if err != nil {
-		return Spread{}, err
+		return PhaseStats{}, err
 	}
 	if err := e.settle(ctx, e.hosts, e.current.GetNumber()); err != nil {
-		return Spread{}, err
+		return PhaseStats{}, err
 	}
 	stop()
 	if err := group.Wait(); err != nil {
-		return Spread{}, err
+		return PhaseStats{}, err
 	}
 	after, err := reportsOf(ctx, e.hosts)
 	if err != nil {
-		return Spread{}, err
+		return PhaseStats{}, err
 	}
 	result := spreadOf(applied, after)
 	result.Restarts = restarts
@@ -114,7 +114,7 @@
 }
 
 // spreadOf works out the delays of the applied configurations.
-func spreadOf(applied []application, reports []hollow.FollowerReport) Spread {
+func spreadOf(applied []application, reports []hollow.FollowerReport) PhaseStats {
 	var everywhere, daemons, applies []float64
 	for _, each := range applied {
 		slowest := 0.0
@@ -126,7 +126,7 @@
 		everywhere = append(everywhere, slowest)
 		applies = append(applies, milliseconds(each.took))
 	}
-	return Spread{
+	return PhaseStats{
 		Changes:         len(applied),
 		ApplyP50Ms:      quantile(applies, 0.5),
 		EverywhereP50Ms: quantile(everywhere, 0.5),
@@ -149,7 +149,7 @@
 
 // countBytes works out the bytes of a change and daemon; idle is what a daemon
 // would have sent and received without changes.
-func (s *Spread) countBytes(before, after []hollow.FollowerReport, idle float64) {
+func (s *PhaseStats) countBytes(before, after []hollow.FollowerReport, idle float64) {
 	var bytes []float64
 	for index := range after {
 		total := float64(after[index].Control.Minus(before[index].Control).Total())
--- a/internal/bench/experiment/sharing/experiment.go
+++ b/internal/bench/experiment/sharing/experiment.go
@@ -39,19 +39,19 @@
 type Policy struct {
 	Name string `json:"name"`
 	// The ratios of quantiles, with batch over online alone.
-	TTFTRatio       Figure `json:"online_ttft_p99_ratio"`
-	TPOTRatio       Figure `json:"online_tpot_p99_ratio"`
-	TTFTMedianRatio Figure `json:"online_ttft_p50_ratio"`
-	TPOTMedianRatio Figure `json:"online_tpot_p50_ratio"`
+	TTFTRatio       Summary `json:"online_ttft_p99_ratio"`
+	TPOTRatio       Summary `json:"online_tpot_p99_ratio"`
+	TTFTMedianRatio Summary `json:"online_ttft_p50_ratio"`
+	TPOTMedianRatio Summary `json:"online_tpot_p50_ratio"`
 	// Throughput is the batch work completed over that of the oracle.
-	Throughput Figure `json:"batch_throughput_ratio"`
+	Throughput Summary `json:"batch_throughput_ratio"`
 	// OfCapacity is the batch work completed over that of engines without any
 	// online request.
-	OfCapacity Figure `json:"batch_of_empty_fleet_ratio"`
+	OfCapacity Summary `json:"batch_of_empty_fleet_ratio"`
 	// Refused is the part of online requests refused or lost.
-	Refused Figure `json:"online_refused_part"`
+	Refused Summary `json:"online_refused_part"`
 	// PausesPerSecond counts items paused on the whole fleet.
-	PausesPerSecond Figure `json:"pauses_per_second"`
+	PausesPerSecond Summary `json:"pauses_per_second"`
 	// sample is the run of the first seed.
 	sample *simulator.Result
 }
--- a/internal/bench/experiment/sharing/figure.go
+++ b/internal/bench/experiment/sharing/figure.go
@@ -7,9 +7,9 @@
 	"rockwind.example/rockwind/internal/bench/interval"
 )
 
-// Figure is a figure over the seeds: its mean with the confidence interval, its
+// Summary is a figure over the seeds: its mean with the confidence interval, its
 // extremes and the figure of each seed.
-type Figure struct {
+type Summary struct {
 	interval.Interval
 	Minimum float64   `json:"minimum"`
 	Maximum float64   `json:"maximum"`
@@ -17,8 +17,8 @@
 }
 
 // figureOf sums up the figures of the seeds, of which there is at least one.
-func figureOf(samples []float64) Figure {
-	return Figure{
+func figureOf(samples []float64) Summary {
+	return Summary{
 		Interval: interval.Of(samples),
 		Minimum:  slices.Min(samples),
 		Maximum:  slices.Max(samples),
@@ -27,6 +27,6 @@
 }
 
 // String gives the mean and the half width of the interval.
-func (f Figure) String() string {
+func (f Summary) String() string {
 	return fmt.Sprintf("%.3f ± %.3f", f.Mean, f.HalfWidth)
 }
