--- a/internal/bench/experiment/faults/check.go
+++ b/internal/bench/experiment/faults/check.go
@@ -10,13 +10,13 @@
 	"rockwind.example/rockwind/internal/bench/fleet"
 )
 
-// endTimeout bounds the wait for all jobs to end after the last fault.
-const endTimeout = 3 * time.Minute
+// jobEndTimeout bounds the wait for all jobs to end after the last fault.
+const jobEndTimeout = 3 * time.Minute
 
-// readTimeout bounds the wait for the results of one job that has ended.
-const readTimeout = 20 * time.Second
+// outputTimeout bounds reading the outputs of one ended job.
+const outputTimeout = 20 * time.Second
 
-// itemCounts is the verdict over all items.
+// itemCounts counts the accepted items by outcome.
 type itemCounts struct {
 	Accepted      int `json:"items_accepted"`
 	CompletedOnce int `json:"items_completed_once"`
@@ -29,7 +29,8 @@
 	OfCancelled   int `json:"items_of_cancelled_jobs"`
 }
 
-// checker compares what is in the system with what the clients were told.
+// checker compares the final state of all jobs with the responses that clients
+// received.
 type checker struct {
 	fleet  *fleet.Fleet
 	caller *caller.Caller
@@ -41,56 +42,57 @@
 	return "http://" + pick(c.fleet.Gateways, number).Address
 }
 
-// checkJobs waits for all jobs to end and judges every item twice, through
-// different gateways.
+// checkJobs waits for all jobs to end and classifies their items. It reads the
+// outputs through two gateways, which must return the same.
 func (c *checker) checkJobs(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, endTimeout)
+	ctx, cancel := context.WithTimeout(ctx, jobEndTimeout)
 	defer cancel()
-	for number, made := range c.record.allJobs() {
-		if err := c.checkJob(ctx, number, made); err != nil {
+	for number, submitted := range c.record.allJobs() {
+		if err := c.checkJob(ctx, number, submitted); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *checker) checkJob(ctx context.Context, number int, made *job) error {
-	c.items.Accepted += len(made.items)
-	ended, err := c.awaitEnd(ctx, number, made)
+func (c *checker) checkJob(ctx context.Context, number int, submitted *job) error {
+	c.items.Accepted += len(submitted.items)
+	ended, err := c.awaitEnd(ctx, number, submitted)
 	if err != nil {
-		log.WithField("job", made.id).WithField("status", ended.Status).WithField("counts", ended.Counts).Error("a job did not end")
-		c.items.Lost += len(made.items)
+		log.WithField("job", submitted.id).WithField("status", ended.Status).WithField("counts", ended.Counts).Error("job did not end before the timeout")
+		c.items.Lost += len(submitted.items)
 		return nil
 	}
-	if made.cancelled {
-		c.items.OfCancelled += len(made.items)
-		c.checkCancelled(made, ended)
+	if submitted.cancelled {
+		c.items.OfCancelled += len(submitted.items)
+		c.checkCancelled(submitted, ended)
 		return nil
 	}
 	first, err := c.outputs(ctx, number, ended)
 	if err != nil {
-		c.unreadable(made, err)
+		c.countUnreadable(submitted, err)
 		return nil
 	}
 	second, err := c.outputs(ctx, number+1, ended)
 	if err != nil {
-		c.unreadable(made, err)
+		c.countUnreadable(submitted, err)
 		return nil
 	}
-	c.judge(made, first, second)
+	c.classifyItems(submitted, first, second)
 	return nil
 }
 
-func (c *checker) unreadable(made *job, err error) {
-	log.WithError(err).WithField("job", made.id).Error("results cannot be read")
-	c.items.Unreadable += len(made.items)
+func (c *checker) countUnreadable(submitted *job, err error) {
+	log.WithError(err).WithField("job", submitted.id).Error("cannot read the outputs of a job")
+	c.items.Unreadable += len(submitted.items)
 }
 
-// awaitEnd waits for the end of a job; where it fails it returns what was seen last.
-func (c *checker) awaitEnd(ctx context.Context, number int, made *job) (caller.Batch, error) {
+// awaitEnd polls a job until it has ended. On a timeout it returns the last status
+// received, together with the error.
+func (c *checker) awaitEnd(ctx context.Context, number int, submitted *job) (caller.Batch, error) {
 	var batch caller.Batch
 	for {
-		answer, err := c.look(ctx, number, made)
+		answer, err := c.getBatch(ctx, number, submitted)
 		if err == nil {
 			batch = answer
 		}
@@ -100,37 +102,37 @@
 		if ctx.Err() != nil {
 			return batch, ctx.Err()
 		}
-		wait(ctx, pollGap)
+		sleep(ctx, pollInterval)
 	}
 }
 
-// look asks for a job. It does so also when the time for all jobs is over: one that
-// did not end must not hide the others.
-func (c *checker) look(ctx context.Context, number int, made *job) (caller.Batch, error) {
+// getBatch reads the status of a job. It ignores the deadline of ctx: after one job
+// has used up the time for all jobs, the others must still be read once.
+func (c *checker) getBatch(ctx context.Context, number int, submitted *job) (caller.Batch, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
-	return c.caller.GetBatch(ctx, c.gateway(number), made.id)
+	return c.caller.GetBatch(ctx, c.gateway(number), submitted.id)
 }
 
-// checkCancelled judges a job whose cancel was answered with a cancelled job:
-// it must have stayed cancelled, and nothing was recorded after the answer.
-func (c *checker) checkCancelled(made *job, ended caller.Batch) {
-	if ended.Status == statusCancelled && ended.Counts.Completed == made.completedAtCancel {
+// checkCancelled checks a job whose cancellation was confirmed: it must still be
+// cancelled, with no item completed after the confirmation.
+func (c *checker) checkCancelled(submitted *job, ended caller.Batch) {
+	if ended.Status == statusCancelled && ended.Counts.Completed == submitted.completedAtCancel {
 		return
 	}
 	c.record.count(func(totals *counts) { totals.ItemsAfterCancel++ })
 }
 
-// outputs reads all outputs of an ended job.
+// outputs reads the output and error files of an ended job, by custom ID.
 func (c *checker) outputs(ctx context.Context, number int, ended caller.Batch) (map[string][]caller.ItemOutput, error) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), readTimeout)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), outputTimeout)
 	defer cancel()
 	byID := map[string][]caller.ItemOutput{}
 	for _, fileID := range []string{ended.OutputFileID, ended.ErrorFileID} {
 		if fileID == "" {
 			continue
 		}
-		content, err := untilAnswered(ctx, func(ctx context.Context) ([]byte, error) {
+		content, err := retryUntilAnswered(ctx, func(ctx context.Context) ([]byte, error) {
 			return c.caller.Content(ctx, c.gateway(number), fileID)
 		})
 		if err != nil {
@@ -147,10 +149,10 @@
 	return byID, nil
 }
 
-func (c *checker) judge(made *job, first, second map[string][]caller.ItemOutput) {
-	for _, wanted := range made.items {
-		outputs := first[wanted.customID]
-		again := second[wanted.customID]
+func (c *checker) classifyItems(submitted *job, first, second map[string][]caller.ItemOutput) {
+	for _, expected := range submitted.items {
+		outputs := first[expected.customID]
+		again := second[expected.customID]
 		switch {
 		case len(outputs) == 0:
 			c.items.Lost++
@@ -160,7 +162,7 @@
 			c.items.Changed++
 		case outputs[0].Failed:
 			c.items.Failed++
-		case outputs[0].Text != wanted.text:
+		case outputs[0].Text != expected.text:
 			c.items.Wrong++
 		default:
 			c.items.CompletedOnce++
--- a/internal/bench/experiment/faults/command.go
+++ b/internal/bench/experiment/faults/command.go
@@ -1,6 +1,7 @@
-// Package faults runs a fleet of real processes under kills, frozen processes,
-// cut links, lost disks, racing operators and resends, and compares what the
-// system holds afterwards with what its clients were told.
+// Package faults runs a fleet of real processes under fault injection: killed and
+// frozen processes, network partitions, lost disks, concurrent operators and
+// resubmitted requests. Afterwards it compares the state of the system with the
+// responses that clients received.
 package faults
 
 import (
@@ -33,20 +34,21 @@
 	Kinds    []Kind        `help:"Bring about only these kinds of fault." sep:","`
 }
 
-// Report is the outcome of the experiment.
+// Report is the result of the experiment.
 type Report struct {
 	Seed            uint64  `json:"seed"`
 	DurationSeconds float64 `json:"duration_seconds"`
 	itemCounts
-	ranCounts
+	executionCounts
 	counts
-	// Porcupine is the verdict of the linearizability check over all applies.
+	// Porcupine is the result of the linearizability check of all configuration
+	// applies.
 	Porcupine string `json:"porcupine"`
-	// Faults counts the faults that struck, by kind.
+	// Faults counts the injected faults by kind.
 	Faults map[Kind]int `json:"faults"`
 }
 
-// violations counts what must never happen.
+// violations sums the counts that must be zero.
 func (r *Report) violations() int {
 	bad := r.Lost + r.Unreadable + r.Duplicated + r.Changed + r.Wrong + r.Failed
 	bad += r.RepeatedNonRepeatable + r.NotRunButRan
@@ -58,7 +60,7 @@
 	return bad
 }
 
-// Streams of randomness, one for each part of the experiment.
+// Random number streams, one for each source of load or faults.
 const (
 	streamControlFaults = iota + 1
 	streamEdgeFaults
@@ -66,14 +68,14 @@
 	streamService
 )
 
-// Shape of the fleet under faults.
+// Parameters of the fleet.
 const (
 	controls        = 5
 	gateways        = 3
 	engines         = 4
 	services        = 2
 	shards          = 2
-	inForceWithin   = 10 * time.Second
+	inForceTimeout  = 10 * time.Second
 	clientIdleConns = 64
 )
 
@@ -81,12 +83,12 @@
 func (c *Command) Run() error {
 	folder := c.Folder
 	if folder == "" {
-		made, err := os.MkdirTemp("", "rockwind-faults-")
+		created, err := os.MkdirTemp("", "rockwind-faults-")
 		if err != nil {
 			return err
 		}
-		defer os.RemoveAll(made)
-		folder = made
+		defer os.RemoveAll(created)
+		folder = created
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -122,50 +124,50 @@
 	return nil
 }
 
-// parts are the actors of one experiment.
-type parts struct {
+// actors are the clients, operators and fault generators of one run.
+type actors struct {
 	online    *onlineClient
 	service   *serviceClient
 	batch     *batchClient
 	operators []*operator
 	watcher   *watcher
 	injector  *injector
-	control   *track
-	edge      *track
+	control   *faultGenerator
+	edge      *faultGenerator
 }
 
-func (c *Command) parts(running *fleet.Fleet, seen *record, history *applyHistory) *parts {
+func (c *Command) actors(running *fleet.Fleet, seen *record, history *applyHistory) *actors {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: clientIdleConns, DisableCompression: true}}
 	online := &caller.Caller{Client: client, Key: fleet.APIKey(fleet.TenantName(fleet.GroupPuzzles, 0))}
 	batch := &caller.Caller{Client: client, Key: fleet.APIKey(fleet.TenantName(fleet.GroupScheduling, 0))}
-	struck := newKills()
-	made := &parts{
-		online:  &onlineClient{fleet: running, caller: online, record: seen, kills: struck},
+	kills := newKillTracker()
+	all := &actors{
+		online:  &onlineClient{fleet: running, caller: online, record: seen, killTracker: kills},
 		service: &serviceClient{fleet: running, caller: batch, record: seen, random: c.random(streamService)},
 		batch:   &batchClient{fleet: running, caller: batch, record: seen, random: c.random(streamBatch)},
 		watcher: newWatcher(running, client, seen),
-		control: newTrack(c.Seed, streamControlFaults, c.only(controlKinds)),
-		edge:    newTrack(c.Seed, streamEdgeFaults, c.only(edgeKinds)),
+		control: newFaultGenerator(c.Seed, streamControlFaults, c.filterKinds(controlKinds)),
+		edge:    newFaultGenerator(c.Seed, streamEdgeFaults, c.filterKinds(edgeKinds)),
 	}
 	for number, name := range []string{"operator-a", "operator-b", "operator-in-a-hurry"} {
-		made.operators = append(made.operators, &operator{
+		all.operators = append(all.operators, &operator{
 			name: name, fleet: running, record: seen, history: history, client: number,
 			number:  running.Number(),
 			service: controlclient.New(controlclient.Options{Machines: running.ControlMachines()}).Configuration(),
 		})
 	}
-	made.injector = &injector{
-		fleet: running, client: client, kills: struck, changes: made.operators[2].hurry,
+	all.injector = &injector{
+		fleet: running, client: client, killTracker: kills, applyMany: all.operators[2].applySeries,
 	}
-	return made
+	return all
 }
 
 func (c *Command) random(stream uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(c.Seed, stream))
 }
 
-// only keeps the kinds that the command asks for.
-func (c *Command) only(kinds []Kind) []Kind {
+// filterKinds returns the kinds selected by --kinds, or all if none is selected.
+func (c *Command) filterKinds(kinds []Kind) []Kind {
 	if len(c.Kinds) == 0 {
 		return kinds
 	}
@@ -184,22 +186,22 @@
 	seen := &record{}
 	history := newApplyHistory()
 	first := running.Number()
-	made := c.parts(running, seen, history)
+	all := c.actors(running, seen, history)
 	report := &Report{Seed: c.Seed, DurationSeconds: c.Duration.Seconds(), Faults: map[Kind]int{}}
-	if err := c.storm(ctx, made, report); err != nil {
+	if err := c.runLoadAndFaults(ctx, all, report); err != nil {
 		return nil, err
 	}
-	log.WithField("jobs", len(seen.allJobs())).Info("the faults are over; what is left is checked")
+	log.WithField("jobs", len(seen.allJobs())).Info("all faults were injected; checking jobs and requests")
 	last := uint64(0)
-	for _, operator := range made.operators {
+	for _, operator := range all.operators {
 		last = max(last, operator.number)
 	}
-	made.watcher.awaitInForce(ctx, last, inForceWithin)
-	check := &checker{fleet: running, caller: made.batch.caller, record: seen}
+	all.watcher.awaitInForce(ctx, last, inForceTimeout)
+	check := &checker{fleet: running, caller: all.batch.caller, record: seen}
 	if err := check.checkJobs(ctx); err != nil {
 		return nil, err
 	}
-	if err := judgeRuns(running, seen, report); err != nil {
+	if err := checkExecutions(running, seen, report); err != nil {
 		return nil, err
 	}
 	report.itemCounts = check.items
@@ -208,7 +210,7 @@
 	return report, nil
 }
 
-func judgeRuns(running *fleet.Fleet, seen *record, report *Report) error {
+func checkExecutions(running *fleet.Fleet, seen *record, report *Report) error {
 	serviceRuns, err := readJournals(running.Services)
 	if err != nil {
 		return err
@@ -217,79 +219,80 @@
 	if err != nil {
 		return err
 	}
-	report.ranCounts = judgeJournals(serviceRuns, engineRuns, seen)
+	report.executionCounts = compareJournals(serviceRuns, engineRuns, seen)
 	return nil
 }
 
-// storm runs load and faults together until the duration is over, and waits
-// until the last fault is healed and every client has its answer.
-func (c *Command) storm(ctx context.Context, made *parts, report *Report) error {
+// runLoadAndFaults runs the load and the faults for the duration, then waits until
+// the last fault is reverted and every client has its response.
+func (c *Command) runLoadAndFaults(ctx context.Context, all *actors, report *Report) error {
 	stop, cancel := context.WithTimeout(ctx, c.Duration)
 	defer cancel()
 	watching, stopWatching := context.WithCancel(ctx)
 	defer stopWatching()
-	go made.watcher.run(watching)
+	go all.watcher.run(watching)
 	group, groupContext := errgroup.WithContext(ctx)
-	struckControl, struckEdge := map[Kind]int{}, map[Kind]int{}
-	c.goFaults(groupContext, stop, group, made.injector, made.control, struckControl)
-	c.goFaults(groupContext, stop, group, made.injector, made.edge, struckEdge)
-	for _, operator := range made.operators[:2] {
+	injectedControl, injectedEdge := map[Kind]int{}, map[Kind]int{}
+	c.startInjector(groupContext, stop, group, all.injector, all.control, injectedControl)
+	c.startInjector(groupContext, stop, group, all.injector, all.edge, injectedEdge)
+	for _, operator := range all.operators[:2] {
 		group.Go(func() error { return operator.run(groupContext, stop) })
 	}
-	group.Go(func() error { return repeat(groupContext, stop, jobGap, made.batch.submit) })
-	group.Go(func() error { return made.onlineLoad(groupContext, stop) })
-	group.Go(func() error { return made.serviceLoad(groupContext, stop) })
+	group.Go(func() error { return repeat(groupContext, stop, jobInterval, all.batch.submit) })
+	group.Go(func() error { return all.onlineLoad(groupContext, stop) })
+	group.Go(func() error { return all.serviceLoad(groupContext, stop) })
 	err := group.Wait()
-	for _, struck := range []map[Kind]int{struckControl, struckEdge} {
-		for kind, count := range struck {
+	for _, byKind := range []map[Kind]int{injectedControl, injectedEdge} {
+		for kind, count := range byKind {
 			report.Faults[kind] += count
 		}
 	}
 	return err
 }
 
-func (c *Command) goFaults(ctx, stop context.Context, group *errgroup.Group, base *injector, faults *track, struck map[Kind]int) {
+func (c *Command) startInjector(ctx, stop context.Context, group *errgroup.Group, base *injector, faults *faultGenerator, injected map[Kind]int) {
 	if len(faults.kinds) == 0 {
 		return
 	}
 	own := *base
-	own.struck = struck
+	own.injected = injected
 	group.Go(func() error { return own.run(ctx, stop, faults) })
 }
 
-// repeat calls action with growing numbers until stop is done; an action that
-// is under way ends first.
+// repeat calls action with increasing numbers until stop is done. It lets a running
+// action finish.
 func repeat(ctx, stop context.Context, gap time.Duration, action func(context.Context, int) error) error {
 	for number := 0; stop.Err() == nil; number++ {
 		if err := action(ctx, number); err != nil {
 			return fmt.Errorf("action %d: %w", number, err)
 		}
-		wait(stop, gap)
+		sleep(stop, gap)
 	}
 	return nil
 }
 
-// onlineLoad starts a chat at each gap, however long the answers take.
-func (p *parts) onlineLoad(ctx, stop context.Context) error {
+// onlineLoad generates open-loop chat load: it starts a chat every onlineInterval
+// without waiting for earlier ones.
+func (a *actors) onlineLoad(ctx, stop context.Context) error {
 	var running errgroup.Group
 	var started atomic.Int64
-	err := repeat(ctx, stop, onlineGap, func(ctx context.Context, number int) error {
-		gateway := pick(p.online.fleet.Gateways, int(started.Add(1)))
+	err := repeat(ctx, stop, onlineInterval, func(ctx context.Context, number int) error {
+		gateway := pick(a.online.fleet.Gateways, int(started.Add(1)))
 		running.Go(func() error {
-			p.online.chat(ctx, gateway, number)
+			a.online.chat(ctx, gateway, number)
 			return nil
 		})
 		return nil
 	})
-	// Chats report no error: each is judged and counted.
+	// The functions return no error: chat counts every outcome.
 	_ = running.Wait()
 	return err
 }
 
-// serviceLoad sends requests that may not be repeated, one after another.
-func (p *parts) serviceLoad(ctx, stop context.Context) error {
-	return repeat(ctx, stop, serviceGap, func(ctx context.Context, number int) error {
-		p.service.book(ctx, number)
+// serviceLoad sends non-idempotent service requests, one at a time.
+func (a *actors) serviceLoad(ctx, stop context.Context) error {
+	return repeat(ctx, stop, serviceInterval, func(ctx context.Context, number int) error {
+		a.service.sendBooking(ctx, number)
 		return nil
 	})
 }
--- a/internal/bench/experiment/faults/judge_test.go
+++ b/internal/bench/experiment/faults/faults_test.go
@@ -10,11 +10,11 @@
 	"rockwind.example/rockwind/internal/standin"
 )
 
-// TestJudgeTellsEveryFateOfAnItem gives the judge one item of each fate.
-func TestJudgeTellsEveryFateOfAnItem(t *testing.T) {
-	made := &job{}
+// TestClassifyItemsCountsEveryOutcome classifies items of every outcome.
+func TestClassifyItemsCountsEveryOutcome(t *testing.T) {
+	submitted := &job{}
 	for _, id := range []string{"once", "lost", "twice", "changed", "gone", "failed", "wrong"} {
-		made.items = append(made.items, itemWanted{customID: id, text: "answer"})
+		submitted.items = append(submitted.items, expectedItem{customID: id, text: "answer"})
 	}
 	output := func(text string, failed bool) []caller.ItemOutput {
 		return []caller.ItemOutput{{Text: text, Failed: failed}}
@@ -29,15 +29,15 @@
 		"failed": output("", true), "wrong": output("other", false),
 	}
 	check := &checker{}
-	check.judge(made, first, second)
+	check.classifyItems(submitted, first, second)
 	wanted := itemCounts{CompletedOnce: 1, Lost: 1, Duplicated: 1, Changed: 2, Failed: 1, Wrong: 1}
 	if check.items != wanted {
-		t.Fatalf("judged %+v, want %+v", check.items, wanted)
+		t.Fatalf("got %+v, want %+v", check.items, wanted)
 	}
 }
 
-// TestEveryBadCountFailsTheExperiment raises one count at a time.
-func TestEveryBadCountFailsTheExperiment(t *testing.T) {
+// TestEveryViolationFailsTheExperiment checks that no count of violations is ignored.
+func TestEveryViolationFailsTheExperiment(t *testing.T) {
 	good := func() *Report { return &Report{Porcupine: string(porcupine.Ok)} }
 	if bad := good().violations(); bad != 0 {
 		t.Fatalf("%d violations in a good report", bad)
@@ -68,9 +68,9 @@
 	}
 }
 
-// TestJournalsAreHeldAgainstAnswers has one request of each kind run where its
-// client was told otherwise.
-func TestJournalsAreHeldAgainstAnswers(t *testing.T) {
+// TestCompareJournalsFindsContradictions checks that requests executed twice, or
+// executed despite the answer "not run", are counted.
+func TestCompareJournalsFindsContradictions(t *testing.T) {
 	seen := &record{
 		servicesSent:   []string{"once", "twice", "never"},
 		servicesNotRun: []string{"never", "ran"},
@@ -78,15 +78,15 @@
 	}
 	services := []standin.JournalEntry{{Key: "once"}, {Key: "twice"}, {Key: "twice"}, {Key: "ran"}}
 	engines := []standin.JournalEntry{{ID: "chat-ran"}, {ID: "chat-other"}}
-	wanted := ranCounts{RepeatedNonRepeatable: 1, NotRunButRan: 2}
-	if judged := judgeJournals(services, engines, seen); judged != wanted {
-		t.Fatalf("judged %+v, want %+v", judged, wanted)
+	wanted := executionCounts{RepeatedNonRepeatable: 1, NotRunButRan: 2}
+	if judged := compareJournals(services, engines, seen); judged != wanted {
+		t.Fatalf("got %+v, want %+v", judged, wanted)
 	}
 }
 
-// TestHistoryOfAppliesIsJudged checks histories of two operators, each of calls
-// one after another.
-func TestHistoryOfAppliesIsJudged(t *testing.T) {
+// TestApplyHistoryLinearizability checks the verdict on sequential histories of two
+// operators.
+func TestApplyHistoryLinearizability(t *testing.T) {
 	type call struct {
 		input  applyInput
 		output applyOutput
@@ -106,43 +106,44 @@
 		"a lost answer never took": {[]call{{a2, applyUnknown}, {b2, applyAccepted}}, porcupine.Ok},
 	} {
 		collected := newApplyHistory()
-		for _, made := range history.calls {
-			collected.add(0, made.input, made.output, time.Now())
+		for _, apply := range history.calls {
+			collected.add(0, apply.input, apply.output, time.Now())
 		}
 		if judged := collected.check(1); judged != history.wanted {
-			t.Errorf("%s: judged %s, want %s", name, judged, history.wanted)
+			t.Errorf("%s: got %s, want %s", name, judged, history.wanted)
 		}
 	}
 }
 
-// TestEveryKindStrikesBeforeAnyComesAgain draws two rounds of each track.
-func TestEveryKindStrikesBeforeAnyComesAgain(t *testing.T) {
+// TestEveryKindOccursBeforeAnyRepeats draws two rounds from each generator.
+func TestEveryKindOccursBeforeAnyRepeats(t *testing.T) {
 	for _, kinds := range [][]Kind{controlKinds, edgeKinds} {
-		faults := newTrack(1, 1, kinds)
+		faults := newFaultGenerator(1, 1, kinds)
 		for range 2 {
-			struck := map[Kind]bool{}
+			injected := map[Kind]bool{}
 			for range kinds {
-				struck[faults.next().Kind] = true
+				injected[faults.next().Kind] = true
 			}
-			if len(struck) != len(kinds) {
-				t.Fatalf("one round strikes %d of %d kinds", len(struck), len(kinds))
+			if len(injected) != len(kinds) {
+				t.Fatalf("one round contains %d of %d kinds", len(injected), len(kinds))
 			}
 		}
 	}
 }
 
-// TestCutStreamIsBlamedOnTheKillItOverlaps looks before, during and after a kill.
-func TestCutStreamIsBlamedOnTheKillItOverlaps(t *testing.T) {
-	struck := newKills()
-	before := struck.look("gateway")
-	struck.begin("gateway")
-	during := struck.look("gateway")
-	struck.end("gateway")
-	after := struck.look("gateway")
-	if !struck.since("gateway", before) || !struck.since("gateway", during) {
-		t.Error("a stream that a kill cut is blamed on a planned stop")
+// TestCutStreamIsAttributedToOverlappingKill checks snapshots taken before, during
+// and after a kill.
+func TestCutStreamIsAttributedToOverlappingKill(t *testing.T) {
+	kills := newKillTracker()
+	before := kills.snapshot("gateway")
+	kills.begin("gateway")
+	during := kills.snapshot("gateway")
+	kills.end("gateway")
+	after := kills.snapshot("gateway")
+	if !kills.killedSince("gateway", before) || !kills.killedSince("gateway", during) {
+		t.Error("a stream cut by a kill is attributed to a planned stop")
 	}
-	if struck.since("gateway", after) {
-		t.Error("a stream that began after a kill is blamed on it")
+	if kills.killedSince("gateway", after) {
+		t.Error("a stream that began after a kill is attributed to it")
 	}
 }
--- a/internal/bench/experiment/faults/injector.go
+++ b/internal/bench/experiment/faults/injector.go
@@ -13,79 +13,80 @@
 	"rockwind.example/rockwind/internal/fault"
 )
 
-// Bounds of waiting in the injector.
+// Timeouts and sizes of faults.
 const (
-	planStopTimeout = 60 * time.Second
-	pollGap         = 50 * time.Millisecond
-	// missedChanges is how many configurations pass a gateway that is down.
+	stopTimeout  = 60 * time.Second
+	pollInterval = 50 * time.Millisecond
+	// missedChanges is the number of configurations applied while a gateway is down.
 	missedChanges = 300
 )
 
-// injector brings faults about, one at a time on each track.
+// injector injects faults, one at a time for each fault generator.
 type injector struct {
 	fleet  *fleet.Fleet
 	client *http.Client
-	// changes asks the operators for a number of configurations in a hurry.
-	changes func(ctx context.Context, count int) error
-	kills   *kills
-	// struck counts the faults brought about, by kind; each track has its own.
-	struck map[Kind]int
+	// applyMany applies a number of configurations without pauses.
+	applyMany   func(ctx context.Context, count int) error
+	killTracker *killTracker
+	// injected counts the injected faults by kind. Each copy of the injector has its
+	// own map.
+	injected map[Kind]int
 }
 
-// run strikes until stop is done; the last fault is healed before it returns.
-func (i *injector) run(ctx, stop context.Context, faults *track) error {
+// run injects faults until stop is done, and reverts the last one before it returns.
+func (i *injector) run(ctx, stop context.Context, faults *faultGenerator) error {
 	for stop.Err() == nil {
 		planned := faults.next()
 		log.WithFields(log.Fields{"kind": planned.Kind, "length": planned.Length}).Info("fault")
-		if err := i.strike(ctx, planned); err != nil {
+		if err := i.inject(ctx, planned); err != nil {
 			return errors.Wrapf(err, "fault %s", planned.Kind)
 		}
-		i.struck[planned.Kind]++
-		wait(stop, planned.Gap)
+		i.injected[planned.Kind]++
+		sleep(stop, planned.Gap)
 	}
 	return nil
 }
 
-func (i *injector) strike(ctx context.Context, planned Fault) error {
+func (i *injector) inject(ctx context.Context, planned Fault) error {
 	control := pick(i.fleet.Controls, planned.Target)
 	gateway := pick(i.fleet.Gateways, planned.Target)
-	backEnd := pick(i.fleet.Engines, planned.Target)
+	engineProcess := pick(i.fleet.Engines, planned.Target)
 	switch planned.Kind {
 	case KillControl:
 		return i.kill(ctx, control, planned.Length)
 	case FreezeControl:
 		return freeze(ctx, control, planned.Length)
 	case CutControl:
-		return i.cut(ctx, control, planned.Length)
+		return i.isolateControl(ctx, control, planned.Length)
 	case StopControl:
-		return i.stopAsPlanned(ctx, control)
+		return i.stopGracefully(ctx, control)
 	case LoseDisk:
 		return i.loseDisks(ctx, control)
 	case LoseTwoDisks:
-		return i.loseDisks(ctx, control, another(i.fleet.Controls, planned.Target, planned.Second))
+		return i.loseDisks(ctx, control, pickOther(i.fleet.Controls, planned.Target, planned.Second))
 	case LoseDiskAfterRepair:
 		if err := i.loseDisks(ctx, control); err != nil {
 			return err
 		}
-		return i.loseDisks(ctx, another(i.fleet.Controls, planned.Target, planned.Second))
+		return i.loseDisks(ctx, pickOther(i.fleet.Controls, planned.Target, planned.Second))
 	case LoseDiskWhileCut:
-		return i.loseDiskWhileCut(ctx, control, another(i.fleet.Controls, planned.Target, planned.Second), planned.Length)
+		return i.loseDiskDuringIsolation(ctx, control, pickOther(i.fleet.Controls, planned.Target, planned.Second), planned.Length)
 	case KillGateway:
 		return i.kill(ctx, gateway, planned.Length)
 	case StopGateway:
-		return i.stopAsPlanned(ctx, gateway)
+		return i.stopGracefully(ctx, gateway)
 	case FreezeGateway:
 		return freeze(ctx, gateway, planned.Length*2)
 	case CutGateway:
-		return i.cutGateway(ctx, gateway, planned.Length)
+		return i.isolateGateway(ctx, gateway, planned.Length)
 	case MissChanges:
 		return i.missChanges(ctx, gateway)
 	case KillEngine:
-		return i.kill(ctx, backEnd, planned.Length)
+		return i.kill(ctx, engineProcess, planned.Length)
 	case FreezeEngine:
-		return freeze(ctx, backEnd, planned.Length)
+		return freeze(ctx, engineProcess, planned.Length)
 	default:
-		return fault.Newf(fault.Internal, "add it to strike", "fault %s is not implemented", planned.Kind)
+		return fault.Newf(fault.Internal, "add it to inject", "fault %s is not implemented", planned.Kind)
 	}
 }
 
@@ -93,14 +94,14 @@
 	return processes[target%len(processes)]
 }
 
-// another picks a process other than the one that target picks.
-func another(processes []*fleet.Process, target, second int) *fleet.Process {
+// pickOther returns a process other than the one that pick returns for target.
+func pickOther(processes []*fleet.Process, target, second int) *fleet.Process {
 	first := target % len(processes)
 	offset := 1 + second%(len(processes)-1)
 	return processes[(first+offset)%len(processes)]
 }
 
-func wait(ctx context.Context, length time.Duration) {
+func sleep(ctx context.Context, length time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(length):
@@ -108,14 +109,14 @@
 }
 
 func (i *injector) kill(ctx context.Context, victim *fleet.Process, length time.Duration) error {
-	i.kills.begin(victim.Name)
+	i.killTracker.begin(victim.Name)
 	victim.Kill()
-	i.kills.end(victim.Name)
-	wait(ctx, length)
-	return i.startAgain(ctx, victim)
+	i.killTracker.end(victim.Name)
+	sleep(ctx, length)
+	return i.restart(ctx, victim)
 }
 
-func (i *injector) startAgain(ctx context.Context, victim *fleet.Process) error {
+func (i *injector) restart(ctx context.Context, victim *fleet.Process) error {
 	if err := victim.Start(); err != nil {
 		return err
 	}
@@ -124,18 +125,18 @@
 
 func freeze(ctx context.Context, victim *fleet.Process, length time.Duration) error {
 	victim.Freeze()
-	wait(ctx, length)
+	sleep(ctx, length)
 	victim.Thaw()
 	return nil
 }
 
-// cut blocks the links between a control machine and all others in both
-// directions, without closing them.
-func (i *injector) cut(ctx context.Context, victim *fleet.Process, length time.Duration) error {
+// isolateControl drops the traffic between a control machine and all others in both
+// directions, without closing connections.
+func (i *injector) isolateControl(ctx context.Context, victim *fleet.Process, length time.Duration) error {
 	if err := i.setLinks(ctx, victim, true); err != nil {
 		return err
 	}
-	wait(ctx, length*2)
+	sleep(ctx, length*2)
 	return i.setLinks(ctx, victim, false)
 }
 
@@ -154,12 +155,12 @@
 	return nil
 }
 
-// cutGateway blocks the links of a gateway to all control machines.
-func (i *injector) cutGateway(ctx context.Context, victim *fleet.Process, length time.Duration) error {
+// isolateGateway drops the traffic from a gateway to all control machines.
+func (i *injector) isolateGateway(ctx context.Context, victim *fleet.Process, length time.Duration) error {
 	if err := i.setGatewayLinks(ctx, victim, true); err != nil {
 		return err
 	}
-	wait(ctx, length*2)
+	sleep(ctx, length*2)
 	return i.setGatewayLinks(ctx, victim, false)
 }
 
@@ -194,36 +195,37 @@
 	return nil
 }
 
-// loseDisks kills control daemons, empties their disks, starts them again and
-// waits until the product says that the loss is repaired.
+// loseDisks wipes the disks of control daemons and waits until `rockwind cluster
+// status` reports that all replicas are repaired.
 func (i *injector) loseDisks(ctx context.Context, victims ...*fleet.Process) error {
-	if err := emptyDisks(victims...); err != nil {
+	if err := wipeDisks(victims...); err != nil {
 		return err
 	}
 	return i.awaitRepaired(ctx)
 }
 
-// loseDiskWhileCut empties a disk while another machine is cut off from all.
-func (i *injector) loseDiskWhileCut(ctx context.Context, victim, cutOff *fleet.Process, length time.Duration) error {
-	if err := i.setLinks(ctx, cutOff, true); err != nil {
+// loseDiskDuringIsolation wipes a disk while another control machine is isolated.
+func (i *injector) loseDiskDuringIsolation(ctx context.Context, victim, isolated *fleet.Process, length time.Duration) error {
+	if err := i.setLinks(ctx, isolated, true); err != nil {
 		return err
 	}
-	if err := emptyDisks(victim); err != nil {
+	if err := wipeDisks(victim); err != nil {
 		return err
 	}
-	wait(ctx, length)
-	// It joins without the machine that is cut off.
+	sleep(ctx, length)
+	// The wiped daemon must become ready without the isolated machine.
 	if err := i.fleet.AwaitReady(ctx, victim); err != nil {
 		return err
 	}
-	if err := i.setLinks(ctx, cutOff, false); err != nil {
+	if err := i.setLinks(ctx, isolated, false); err != nil {
 		return err
 	}
 	return i.awaitRepaired(ctx)
 }
 
-// emptyDisks kills control daemons, empties their disks and starts them again.
-func emptyDisks(victims ...*fleet.Process) error {
+// wipeDisks kills control daemons, deletes the files on their disks and starts them
+// again.
+func wipeDisks(victims ...*fleet.Process) error {
 	for _, victim := range victims {
 		victim.Kill()
 	}
@@ -240,21 +242,21 @@
 	return nil
 }
 
-func (i *injector) stopAsPlanned(ctx context.Context, victim *fleet.Process) error {
-	ctx, cancel := context.WithTimeout(ctx, planStopTimeout)
+func (i *injector) stopGracefully(ctx context.Context, victim *fleet.Process) error {
+	ctx, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
 	if err := victim.Terminate(ctx); err != nil {
 		return err
 	}
-	return i.startAgain(ctx, victim)
+	return i.restart(ctx, victim)
 }
 
 func (i *injector) missChanges(ctx context.Context, victim *fleet.Process) error {
-	i.kills.begin(victim.Name)
+	i.killTracker.begin(victim.Name)
 	victim.Kill()
-	i.kills.end(victim.Name)
-	if err := i.changes(ctx, missedChanges); err != nil {
+	i.killTracker.end(victim.Name)
+	if err := i.applyMany(ctx, missedChanges); err != nil {
 		return err
 	}
-	return i.startAgain(ctx, victim)
+	return i.restart(ctx, victim)
 }
--- a/internal/bench/experiment/faults/journal.go
+++ b/internal/bench/experiment/faults/journal.go
@@ -11,13 +11,15 @@
 	"rockwind.example/rockwind/internal/standin"
 )
 
-// ranCounts is the verdict over the requests that back ends let run.
-type ranCounts struct {
+// executionCounts counts requests whose execution contradicts what clients asked for
+// or were told.
+type executionCounts struct {
 	RepeatedNonRepeatable int `json:"repeated_nonrepeatable"`
 	NotRunButRan          int `json:"not_run_but_ran"`
 }
 
-// readJournals reads what the back ends let run.
+// readJournals reads the journals in which backends record the requests that they
+// executed.
 func readJournals(processes []*fleet.Process) ([]standin.JournalEntry, error) {
 	var entries []standin.JournalEntry
 	for _, process := range processes {
@@ -49,8 +51,9 @@
 	return entries, scanner.Err()
 }
 
-// judgeJournals compares what ran with what the clients were told.
-func judgeJournals(services, engines []standin.JournalEntry, seen *record) ranCounts {
+// compareJournals compares the executed requests with the responses that clients
+// received.
+func compareJournals(services, engines []standin.JournalEntry, seen *record) executionCounts {
 	runsByKey := map[string]int{}
 	for _, entry := range services {
 		runsByKey[entry.Key]++
@@ -59,7 +62,7 @@
 	for _, entry := range engines {
 		ranChats[entry.ID] = true
 	}
-	var verdict ranCounts
+	var verdict executionCounts
 	for _, key := range seen.servicesSent {
 		if runsByKey[key] > 1 {
 			verdict.RepeatedNonRepeatable++
--- a/internal/bench/experiment/faults/online.go
+++ b/internal/bench/experiment/faults/online.go
@@ -14,41 +14,41 @@
 	"rockwind.example/rockwind/internal/engine"
 )
 
-// Shape of the online load.
+// Parameters of the online and service loads.
 const (
-	onlineGap       = 60 * time.Millisecond
+	onlineInterval  = 60 * time.Millisecond
 	onlineTokens    = 40
 	onlineTimeout   = 60 * time.Second
-	serviceGap      = 100 * time.Millisecond
+	serviceInterval = 100 * time.Millisecond
 	serviceAttempts = 4
 	serviceTimeout  = 20 * time.Second
 )
 
-// onlineClient sends chats and judges every answer.
+// onlineClient sends chats and counts their outcomes.
 type onlineClient struct {
-	fleet  *fleet.Fleet
-	caller *caller.Caller
-	record *record
-	kills  *kills
+	fleet       *fleet.Fleet
+	caller      *caller.Caller
+	record      *record
+	killTracker *killTracker
 }
 
-// chat sends one streamed chat through the gateway and judges the answer.
+// chat sends one streaming chat through the gateway and records its outcome.
 func (o *onlineClient) chat(ctx context.Context, gateway *fleet.Process, number int) {
 	ctx, cancel := context.WithTimeout(ctx, onlineTimeout)
 	defer cancel()
 	content := fmt.Sprintf("question %d: which seat is free?", number)
 	requestID := fmt.Sprintf("online-%d", number)
-	before := o.kills.look(gateway.Name)
+	before := o.killTracker.snapshot(gateway.Name)
 	body := caller.UserChat(fleet.ModelName, content, onlineTokens, true)
 	text, err := o.caller.Chat(ctx, "http://"+gateway.Address, requestID, body, nil)
 	expected := engine.ExpectedText(engine.UserPrompt(content), onlineTokens)
-	o.judge(gateway, requestID, before, text == expected, err)
+	o.recordOutcome(gateway, requestID, before, text == expected, err)
 }
 
-func (o *onlineClient) judge(gateway *fleet.Process, requestID string, before killsSeen, right bool, err error) {
+func (o *onlineClient) recordOutcome(gateway *fleet.Process, requestID string, before killSnapshot, correct bool, err error) {
 	var refusal *caller.Refusal
 	switch {
-	case err == nil && right:
+	case err == nil && correct:
 		o.record.count(func(c *counts) { c.OnlineAnswers++ })
 	case err == nil:
 		o.record.count(func(c *counts) { c.WrongAnswers++ })
@@ -56,7 +56,7 @@
 		o.record.addChatNotRun(requestID)
 	case errors.As(err, &refusal):
 		o.record.count(func(c *counts) { c.OnlineCutTyped++ })
-	case errors.Is(err, caller.ErrCut) && !o.kills.since(gateway.Name, before):
+	case errors.Is(err, caller.ErrCut) && !o.killTracker.killedSince(gateway.Name, before):
 		o.record.count(func(c *counts) { c.CutStreamsPlannedStop++ })
 	case errors.Is(err, caller.ErrCut):
 		o.record.count(func(c *counts) { c.OnlineCutUntyped++ })
@@ -72,8 +72,8 @@
 	r.counts.OnlineRefused++
 }
 
-// serviceClient sends requests that may not be repeated and sends each again
-// through another gateway until it has a final answer.
+// serviceClient sends non-idempotent requests. It retries each with the same
+// idempotency key through a random gateway, up to serviceAttempts times in all.
 type serviceClient struct {
 	fleet  *fleet.Fleet
 	caller *caller.Caller
@@ -81,7 +81,7 @@
 	random *rand.Rand
 }
 
-func (s *serviceClient) book(ctx context.Context, number int) {
+func (s *serviceClient) sendBooking(ctx context.Context, number int) {
 	key := fmt.Sprintf("booking-%d", number)
 	body := fmt.Appendf(nil, `{"booking":%d}`, number)
 	allNotRun := true
--- a/internal/bench/experiment/faults/operators.go
+++ b/internal/bench/experiment/faults/operators.go
@@ -14,10 +14,11 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// operatorGap is the time between two configurations of one operator.
-const operatorGap = 400 * time.Millisecond
+// applyInterval is the pause between two applies of one operator.
+const applyInterval = 400 * time.Millisecond
 
-// operator applies configurations and races others with the same numbers.
+// operator applies configurations in competition with other operators, which use the
+// same configuration numbers.
 type operator struct {
 	name    string
 	fleet   *fleet.Fleet
@@ -25,12 +26,12 @@
 	record  *record
 	history *applyHistory
 	client  int
-	// number is the last number that the operator knows to be in force.
+	// number is the newest configuration number known to the operator.
 	number uint64
 }
 
-// apply tries to apply the next configuration once. A lost answer is resent
-// until it is known, as an operator does.
+// apply tries to apply the next configuration. It retries calls with an unknown
+// outcome until the configuration is accepted or refused.
 func (o *operator) apply(ctx context.Context) error {
 	wanted := o.fleet.Configuration()
 	wanted.Number = o.number + 1
@@ -43,12 +44,12 @@
 		if done || err != nil {
 			return err
 		}
-		wait(ctx, retryGap)
+		sleep(ctx, retryInterval)
 	}
 	return nil
 }
 
-// applyOnce sends the configuration once and tells whether its fate is known.
+// applyOnce sends the configuration once and reports whether the outcome is known.
 func (o *operator) applyOnce(ctx context.Context, wanted *rockwindpb.Configuration, marker string) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -64,7 +65,7 @@
 	case fault.Is(err, fault.Conflict), fault.Is(err, fault.Stale):
 		o.history.add(o.client, input, applyRefused, called)
 		o.record.count(func(c *counts) { c.ConfigurationConflicts++ })
-		return true, o.catchUp(ctx)
+		return true, o.refreshNumber(ctx)
 	case fault.Is(err, fault.InvalidArgument):
 		return true, err
 	default:
@@ -73,9 +74,9 @@
 	}
 }
 
-// catchUp reads the number in force after a lost race.
-func (o *operator) catchUp(ctx context.Context) error {
-	current, err := untilAnswered(ctx, func(ctx context.Context) (*rockwindpb.GetConfigurationResponse, error) {
+// refreshNumber reads the number in force after a conflict.
+func (o *operator) refreshNumber(ctx context.Context) error {
+	current, err := retryUntilAnswered(ctx, func(ctx context.Context) (*rockwindpb.GetConfigurationResponse, error) {
 		return o.service.Get(ctx, &rockwindpb.GetConfigurationRequest{})
 	})
 	if err != nil {
@@ -91,13 +92,13 @@
 		if err := o.apply(ctx); err != nil {
 			return err
 		}
-		wait(stop, operatorGap)
+		sleep(stop, applyInterval)
 	}
 	return nil
 }
 
-// hurry applies count configurations in a row.
-func (o *operator) hurry(ctx context.Context, count int) error {
+// applySeries applies count configurations without pauses.
+func (o *operator) applySeries(ctx context.Context, count int) error {
 	for range count {
 		if err := o.apply(ctx); err != nil {
 			return err
@@ -106,13 +107,13 @@
 	return nil
 }
 
-// applyInput is one apply as the linearizability check sees it.
+// applyInput is the input of one apply in the linearizability check.
 type applyInput struct {
 	number  uint64
 	content string
 }
 
-// applyOutput is the answer to an apply.
+// applyOutput is the outcome of an apply.
 type applyOutput int
 
 const (
@@ -121,7 +122,7 @@
 	applyUnknown
 )
 
-// applyHistory collects all applies for porcupine.
+// applyHistory collects all applies for the linearizability check.
 type applyHistory struct {
 	mutex      sync.Mutex
 	started    time.Time
@@ -130,19 +131,19 @@
 
 func newApplyHistory() *applyHistory { return &applyHistory{started: time.Now()} }
 
-// endOfTime is the return time of a call whose answer was lost: it may take
-// effect at any later moment.
-const endOfTime = int64(1) << 62
+// unknownReturnTime is the return time of a call whose response was lost: it may take
+// effect at any later time.
+const unknownReturnTime = int64(1) << 62
 
 func (h *applyHistory) add(client int, input applyInput, output applyOutput, called time.Time) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	returned := time.Since(h.started).Nanoseconds()
 	if output == applyUnknown {
-		returned = endOfTime
-		// A client is free again after a lost answer; porcupine wants clients
-		// with one call at a time, so the lost call gets one of its own.
-		client = len(h.operations) + firstLostClient
+		returned = unknownReturnTime
+		// The operator goes on while the lost call is still pending. Porcupine
+		// allows one pending call per client, so the lost call gets its own ID.
+		client = len(h.operations) + firstUnknownClient
 	}
 	h.operations = append(h.operations, porcupine.Operation{
 		ClientId: client, Input: input, Output: output,
@@ -150,17 +151,18 @@
 	})
 }
 
-// firstLostClient is above the number of any operator.
-const firstLostClient = 1000
+// firstUnknownClient is the first client ID for calls with an unknown outcome. It is
+// above the ID of any operator.
+const firstUnknownClient = 1000
 
-// accepted is the chain of accepted configurations, newest first. It is never
-// changed, so that states can share it.
-type accepted struct {
+// acceptedChain is an immutable linked list of accepted configurations, newest first.
+// States of the model share its tail.
+type acceptedChain struct {
 	input    applyInput
-	previous *accepted
+	previous *acceptedChain
 }
 
-func (a *accepted) holds(input applyInput) bool {
+func (a *acceptedChain) contains(input applyInput) bool {
 	for ; a != nil; a = a.previous {
 		if a.input == input {
 			return true
@@ -169,12 +171,12 @@
 	return false
 }
 
-// check judges the history: applies must behave like one compare-and-set on the
-// number, with the same acceptance for a resend. first is the number in force
-// before the history began.
+// check tests whether the history is linearizable: applies must behave like a
+// compare-and-set on the number, and retries of an accepted configuration must be
+// accepted. first is the number in force before the history began.
 func (h *applyHistory) check(first uint64) porcupine.CheckResult {
 	model := porcupine.Model{
-		Init: func() any { return &accepted{input: applyInput{number: first}} },
+		Init: func() any { return &acceptedChain{input: applyInput{number: first}} },
 		Step: stepApply,
 	}
 	h.mutex.Lock()
@@ -186,21 +188,21 @@
 const checkTimeout = 60 * time.Second
 
 func stepApply(state, input, output any) (bool, any) {
-	chain := state.(*accepted)
+	chain := state.(*acceptedChain)
 	wanted := input.(applyInput)
-	takes := wanted.number == chain.input.number+1
-	known := chain.holds(wanted)
+	isNext := wanted.number == chain.input.number+1
+	alreadyAccepted := chain.contains(wanted)
 	switch output.(applyOutput) {
 	case applyAccepted:
-		if takes {
-			return true, &accepted{input: wanted, previous: chain}
+		if isNext {
+			return true, &acceptedChain{input: wanted, previous: chain}
 		}
-		return known, chain
+		return alreadyAccepted, chain
 	case applyRefused:
-		return !takes && !known, chain
+		return !isNext && !alreadyAccepted, chain
 	default:
-		if takes {
-			return true, &accepted{input: wanted, previous: chain}
+		if isNext {
+			return true, &acceptedChain{input: wanted, previous: chain}
 		}
 		return true, chain
 	}
--- a/internal/bench/experiment/faults/record.go
+++ b/internal/bench/experiment/faults/record.go
@@ -8,39 +8,38 @@
 	"rockwind.example/rockwind/internal/engine"
 )
 
-// job is what the experiment knows of one job that it submitted.
+// job is a submitted job with its expected results.
 type job struct {
 	id        string
 	clientKey string
-	items     []itemWanted
-	// cancelled is set once a cancel was answered with a cancelled job.
+	items     []expectedItem
+	// cancelled is set once a cancellation was confirmed.
 	cancelled bool
-	// completedAtCancel is how many items the cancel answer counted.
+	// completedAtCancel is the number of completed items in that confirmation.
 	completedAtCancel int
 }
 
-// itemWanted is one item and the answer that it must have.
-type itemWanted struct {
+// expectedItem is one item with its expected output.
+type expectedItem struct {
 	customID string
 	text     string
 }
 
-// record is what all clients have seen, the oracle of the final check.
+// record collects what the clients observed. The final checks compare the state of
+// the system with it.
 type record struct {
 	mutex sync.Mutex
 	jobs  []*job
-	// chatsNotRun are identities of online requests whose final answer was
-	// "not run".
+	// chatsNotRun are the IDs of online requests that were answered "not run".
 	chatsNotRun []string
-	// servicesSent are the idempotency keys of requests that may not be
-	// repeated; servicesNotRun those whose every answer was "not run".
+	// servicesSent are the idempotency keys of service requests; servicesNotRun
+	// those of requests that were answered "not run" on every attempt.
 	servicesSent   []string
 	servicesNotRun []string
-	// counts of what was seen while running.
-	counts counts
+	counts         counts
 }
 
-// counts are the totals that clients keep while they run.
+// counts are totals of the outcomes that clients and the watcher observed.
 type counts struct {
 	OnlineAnswers          int `json:"online_answers"`
 	OnlineRefused          int `json:"online_refused_not_run"`
@@ -68,10 +67,10 @@
 	change(&r.counts)
 }
 
-func (r *record) addJob(accepted *job) {
+func (r *record) addJob(submitted *job) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.jobs = append(r.jobs, accepted)
+	r.jobs = append(r.jobs, submitted)
 	r.counts.JobsAccepted++
 }
 
@@ -81,19 +80,19 @@
 	return append([]*job(nil), r.jobs...)
 }
 
-// newJob makes a job of count items with distinct prompts, and its input file.
+// newJob creates a job of count items with distinct prompts, and its input file.
 func newJob(model string, number, count, maxTokens int) (*job, []byte, error) {
-	made := &job{clientKey: fmt.Sprintf("job-key-%d", number)}
+	created := &job{clientKey: fmt.Sprintf("job-key-%d", number)}
 	items := make([]caller.Item, 0, count)
 	for index := range count {
 		content := fmt.Sprintf("job %d item %d: rebuild the plan", number, index)
 		item := caller.ChatItem(index, model, content, maxTokens)
 		items = append(items, item)
-		made.items = append(made.items, itemWanted{
+		created.items = append(created.items, expectedItem{
 			customID: item.CustomID,
 			text:     engine.ExpectedText(engine.UserPrompt(content), maxTokens),
 		})
 	}
 	input, err := caller.BatchInput(items)
-	return made, input, err
+	return created, input, err
 }
--- a/internal/bench/experiment/faults/repair.go
+++ b/internal/bench/experiment/faults/repair.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// repairTimeout bounds the wait for a repair after disks were lost.
+	// repairTimeout bounds the wait for a repair after a disk loss.
 	repairTimeout = 90 * time.Second
-	// repairGap is the time between two questions whether it is done.
-	repairGap = 250 * time.Millisecond
+	// repairPollInterval is the pause between two status requests.
+	repairPollInterval = 250 * time.Millisecond
 )
 
-// clusterView is what the experiment reads of `rockwind cluster status --output json`.
-type clusterView struct {
+// clusterStatus holds the fields used from `rockwind cluster status --output json`.
+type clusterStatus struct {
 	Repaired bool     `json:"repaired"`
 	Missing  []string `json:"missing"`
 }
 
-// awaitRepaired waits until the product itself says that everything acknowledged
-// has all its copies again, so that the next disks may be lost at once.
+// awaitRepaired waits until the cluster reports that all acknowledged data is fully
+// replicated again. Only then may another fault wipe a disk.
 func (i *injector) awaitRepaired(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, repairTimeout)
 	defer cancel()
-	last := clusterView{}
+	last := clusterStatus{}
 	for {
-		seen, err := i.clusterView(context.WithoutCancel(ctx))
+		seen, err := i.clusterStatus(context.WithoutCancel(ctx))
 		if err == nil && seen.Repaired {
 			return nil
 		}
@@ -41,12 +41,12 @@
 			return fault.Newf(fault.Unavailable, "read the logs of the control daemons",
 				"lost disks were not repaired in %s: %s", repairTimeout, strings.Join(last.Missing, "; "))
 		}
-		wait(ctx, repairGap)
+		sleep(ctx, repairPollInterval)
 	}
 }
 
-func (i *injector) clusterView(ctx context.Context) (clusterView, error) {
-	seen := clusterView{}
+func (i *injector) clusterStatus(ctx context.Context) (clusterStatus, error) {
+	seen := clusterStatus{}
 	output, err := i.fleet.OperateOutput(ctx, "cluster", "status", "--output", "json")
 	if err != nil {
 		return seen, err
--- a/internal/bench/experiment/faults/watcher.go
+++ b/internal/bench/experiment/faults/watcher.go
@@ -9,11 +9,11 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// watchGap is the time between two looks at a gateway's configuration.
-const watchGap = 100 * time.Millisecond
+// watchInterval is the pause between two checks of all gateways.
+const watchInterval = 100 * time.Millisecond
 
-// watcher looks at the number in force at each gateway and counts every step
-// back, restarts included.
+// watcher polls the configuration number in force at each gateway and counts
+// decreases, also across restarts.
 type watcher struct {
 	fleet  *fleet.Fleet
 	client *http.Client
@@ -29,13 +29,13 @@
 func (w *watcher) run(stop context.Context) {
 	for stop.Err() == nil {
 		for _, gateway := range w.fleet.Gateways {
-			w.look(stop, gateway)
+			w.checkGateway(stop, gateway)
 		}
-		wait(stop, watchGap)
+		sleep(stop, watchInterval)
 	}
 }
 
-func (w *watcher) look(ctx context.Context, gateway *fleet.Process) {
+func (w *watcher) checkGateway(ctx context.Context, gateway *fleet.Process) {
 	number, ok := w.number(ctx, gateway)
 	if !ok || number == 0 {
 		return
@@ -46,8 +46,7 @@
 	w.highest[gateway.Name] = max(w.highest[gateway.Name], number)
 }
 
-// number reads the configuration number in force at a gateway; zero means none
-// yet.
+// number reads the configuration number in force at a gateway; zero means none yet.
 func (w *watcher) number(ctx context.Context, gateway *fleet.Process) (uint64, bool) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -59,8 +58,8 @@
 	return state.GetConfigurationNumber(), true
 }
 
-// awaitInForce waits until every gateway has the number in force and counts
-// those that do not in time.
+// awaitInForce waits until every gateway has the number in force and counts the
+// gateways that miss the deadline.
 func (w *watcher) awaitInForce(ctx context.Context, number uint64, within time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
@@ -74,7 +73,7 @@
 				w.record.count(func(c *counts) { c.LateConfiguration++ })
 				break
 			}
-			wait(ctx, pollGap)
+			sleep(ctx, pollInterval)
 		}
 	}
 }
