--- a/internal/bench/experiment/faults/command.go
+++ b/internal/bench/experiment/faults/command.go
@@ -140,9 +140,9 @@
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: clientIdleConns, DisableCompression: true}}
 	online := &caller.Caller{Client: client, Key: fleet.APIKey(fleet.TenantName(fleet.GroupPuzzles, 0))}
 	batch := &caller.Caller{Client: client, Key: fleet.APIKey(fleet.TenantName(fleet.GroupScheduling, 0))}
-	kills := newKillTracker()
+	kills := newKillLog()
 	all := &actors{
-		online:  &onlineClient{fleet: running, caller: online, record: seen, killTracker: kills},
+		online:  &onlineClient{fleet: running, caller: online, record: seen, killLog: kills},
 		service: &serviceClient{fleet: running, caller: batch, record: seen, random: c.random(streamService)},
 		batch:   &batchClient{fleet: running, caller: batch, record: seen, random: c.random(streamBatch)},
 		watcher: newWatcher(running, client, seen),
@@ -157,7 +157,7 @@
 		})
 	}
 	all.injector = &injector{
-		fleet: running, client: client, killTracker: kills, applyMany: all.operators[2].applySeries,
+		fleet: running, client: client, killLog: kills, applyMany: all.operators[2].applySeries,
 	}
 	return all
 }
--- a/internal/bench/experiment/faults/faults_test.go
+++ b/internal/bench/experiment/faults/faults_test.go
@@ -134,7 +134,7 @@
 // TestCutStreamIsAttributedToOverlappingKill checks snapshots taken before, during
 // and after a kill.
 func TestCutStreamIsAttributedToOverlappingKill(t *testing.T) {
-	kills := newKillTracker()
+	kills := newKillLog()
 	before := kills.snapshot("gateway")
 	kills.begin("gateway")
 	during := kills.snapshot("gateway")
--- a/internal/bench/experiment/faults/injector.go
+++ b/internal/bench/experiment/faults/injector.go
@@ -26,8 +26,8 @@
 	fleet  *fleet.Fleet
 	client *http.Client
 	// applyMany applies a number of configurations without pauses.
-	applyMany   func(ctx context.Context, count int) error
-	killTracker *killTracker
+	applyMany func(ctx context.Context, count int) error
+	killLog   *killLog
 	// injected counts the injected faults by kind. Each copy of the injector has its
 	// own map.
 	injected map[Kind]int
@@ -109,9 +109,9 @@
 }
 
 func (i *injector) kill(ctx context.Context, victim *fleet.Process, length time.Duration) error {
-	i.killTracker.begin(victim.Name)
+	i.killLog.begin(victim.Name)
 	victim.Kill()
-	i.killTracker.end(victim.Name)
+	i.killLog.end(victim.Name)
 	sleep(ctx, length)
 	return i.restart(ctx, victim)
 }
@@ -252,9 +252,9 @@
 }
 
 func (i *injector) missChanges(ctx context.Context, victim *fleet.Process) error {
-	i.killTracker.begin(victim.Name)
+	i.killLog.begin(victim.Name)
 	victim.Kill()
-	i.killTracker.end(victim.Name)
+	i.killLog.end(victim.Name)
 	if err := i.applyMany(ctx, missedChanges); err != nil {
 		return err
 	}
--- a/internal/bench/experiment/faults/online.go
+++ b/internal/bench/experiment/faults/online.go
@@ -26,10 +26,10 @@
 
 // onlineClient sends chats and counts their outcomes.
 type onlineClient struct {
-	fleet       *fleet.Fleet
-	caller      *caller.Caller
-	record      *record
-	killTracker *killTracker
+	fleet   *fleet.Fleet
+	caller  *caller.Caller
+	record  *record
+	killLog *killLog
 }
 
 // chat sends one streaming chat through the gateway and records its outcome.
@@ -38,7 +38,7 @@
 	defer cancel()
 	content := fmt.Sprintf("question %d: which seat is free?", number)
 	requestID := fmt.Sprintf("online-%d", number)
-	before := o.killTracker.snapshot(gateway.Name)
+	before := o.killLog.snapshot(gateway.Name)
 	body := caller.UserChat(fleet.ModelName, content, onlineTokens, true)
 	text, err := o.caller.Chat(ctx, "http://"+gateway.Address, requestID, body, nil)
 	expected := engine.ExpectedText(engine.UserPrompt(content), onlineTokens)
@@ -56,7 +56,7 @@
 		o.record.addChatNotRun(requestID)
 	case errors.As(err, &refusal):
 		o.record.count(func(c *counts) { c.OnlineCutTyped++ })
-	case errors.Is(err, caller.ErrCut) && !o.killTracker.killedSince(gateway.Name, before):
+	case errors.Is(err, caller.ErrCut) && !o.killLog.killedSince(gateway.Name, before):
 		o.record.count(func(c *counts) { c.CutStreamsPlannedStop++ })
 	case errors.Is(err, caller.ErrCut):
 		o.record.count(func(c *counts) { c.OnlineCutUntyped++ })
