--- a/internal/bench/experiment/calibration/calibration.go
+++ b/internal/bench/experiment/calibration/calibration.go
@@ -1,7 +1,6 @@
-// Package calibration runs one recorded load twice, on real processes over
-// stand-in engines in real time and in the simulator in virtual time, and
-// compares latency and throughput. It tells how far the simulator's figures can
-// be trusted.
+// Package calibration replays the same load on real processes with stand-in engines
+// and in the simulator, and compares latency and throughput. The deviation shows how
+// accurate the simulator is.
 package calibration
 
 import (
@@ -11,109 +10,110 @@
 	"rockwind.example/rockwind/internal/simulator"
 )
 
-// Tolerance is the largest deviation of a ratio from one that counts as
-// agreement.
+// Tolerance is the largest deviation of a ratio from 1 that counts as agreement.
 const Tolerance = 0.1
 
-// measured is what one side gave. Both lists are sorted; times are the client's.
-type measured struct {
+// measurement is the result of one run, real or simulated. Both lists are sorted;
+// times are measured at the client.
+type measurement struct {
 	ttft []time.Duration
 	tpot []time.Duration
-	// requests counts online requests with whole answers, failed the others.
+	// requests counts online requests with complete answers, failed the others.
 	requests int
 	failed   int
-	// tokens are those of the whole answers.
+	// tokens is the number of tokens in complete answers.
 	tokens int
-	// items counts batch items completed in the window, and window is its length.
+	// items counts batch items completed in the measured window of length window.
 	items  int
 	window time.Duration
-	// late is how late the last job was accepted.
-	late time.Duration
-	// between tells of the hops between processes beside the load.
-	between hops
+	// maxDelay is the longest delay of a job's acceptance.
+	maxDelay time.Duration
+	// hops holds hop times probed during the run.
+	hops hopTimes
 }
 
-// hops tells what hops between processes take on the machine, one way.
-type hops struct {
-	median, slow time.Duration
-	// noise holds what single hops take longer than the median.
+// hopTimes are one-way times between processes on this machine.
+type hopTimes struct {
+	median, p99 time.Duration
+	// noise holds the excess of single hops over the median.
 	noise []time.Duration
 }
 
-// Metric is one quantity of both sides.
+// Metric is one quantity, measured on real processes and simulated.
 type Metric struct {
 	Name string  `json:"name"`
 	Unit string  `json:"unit"`
 	Real float64 `json:"real"`
-	// Simulated is the mean over the simulator's seeds, Lowest and Highest their
-	// range.
+	// Simulated is the mean over the simulator's seeds, Lowest and Highest the
+	// extremes.
 	Simulated float64 `json:"simulated"`
 	Lowest    float64 `json:"simulated_lowest"`
 	Highest   float64 `json:"simulated_highest"`
 	// Ratio is Real over Simulated.
 	Ratio float64 `json:"ratio"`
-	// Agrees tells whether the ratio deviates by at most Tolerance.
+	// Agrees is set if Ratio deviates from 1 by at most Tolerance.
 	Agrees bool `json:"agrees"`
 }
 
-// quantity computes one figure of one side.
+// quantity computes one metric from a measurement.
 type quantity struct {
 	name, unit string
-	of         func(*measured) float64
+	value      func(*measurement) float64
 }
 
-func quantile(name string, part float64, list func(*measured) []time.Duration) quantity {
-	return quantity{name: name, unit: "ms", of: func(side *measured) float64 {
-		return float64(simulator.Quantile(list(side), part)) / float64(time.Millisecond)
+func quantile(name string, fraction float64, list func(*measurement) []time.Duration) quantity {
+	return quantity{name: name, unit: "ms", value: func(side *measurement) float64 {
+		return float64(simulator.Quantile(list(side), fraction)) / float64(time.Millisecond)
 	}}
 }
 
-func firstTokens(side *measured) []time.Duration { return side.ttft }
+func ttfts(side *measurement) []time.Duration { return side.ttft }
 
-func tokenTimes(side *measured) []time.Duration { return side.tpot }
+func tpots(side *measurement) []time.Duration { return side.tpot }
 
-// quantities lists what is compared; batch is left out of loads without jobs.
+// quantities lists the compared quantities. Batch throughput is included if batch is
+// set.
 func quantities(batch bool) []quantity {
 	compared := []quantity{
-		quantile("ttft_p50", 0.50, firstTokens),
-		quantile("ttft_p95", 0.95, firstTokens),
-		quantile("ttft_p99", 0.99, firstTokens),
-		quantile("tpot_p50", 0.50, tokenTimes),
-		quantile("tpot_p95", 0.95, tokenTimes),
-		quantile("tpot_p99", 0.99, tokenTimes),
-		{name: "online_throughput", unit: "tokens/s", of: func(side *measured) float64 {
+		quantile("ttft_p50", 0.50, ttfts),
+		quantile("ttft_p95", 0.95, ttfts),
+		quantile("ttft_p99", 0.99, ttfts),
+		quantile("tpot_p50", 0.50, tpots),
+		quantile("tpot_p95", 0.95, tpots),
+		quantile("tpot_p99", 0.99, tpots),
+		{name: "online_throughput", unit: "tokens/s", value: func(side *measurement) float64 {
 			return float64(side.tokens) / side.window.Seconds()
 		}},
 	}
 	if batch {
-		compared = append(compared, quantity{name: "batch_throughput", unit: "items/s", of: func(side *measured) float64 {
+		compared = append(compared, quantity{name: "batch_throughput", unit: "items/s", value: func(side *measurement) float64 {
 			return float64(side.items) / side.window.Seconds()
 		}})
 	}
 	return compared
 }
 
-// compare sets the real side against the simulator's runs.
-func compare(batch bool, actual *measured, simulated []*measured) []Metric {
-	var figures []Metric
+// compare computes the metrics of the real run against the simulated runs.
+func compare(batch bool, actual *measurement, simulated []*measurement) []Metric {
+	var metrics []Metric
 	for _, compared := range quantities(batch) {
 		var values []float64
 		sum := 0.0
 		for _, side := range simulated {
-			value := compared.of(side)
+			value := compared.value(side)
 			values = append(values, value)
 			sum += value
 		}
-		figure := Metric{
-			Name: compared.name, Unit: compared.unit, Real: compared.of(actual),
+		metric := Metric{
+			Name: compared.name, Unit: compared.unit, Real: compared.value(actual),
 			Simulated: sum / float64(len(values)),
 			Lowest:    slices.Min(values), Highest: slices.Max(values),
 		}
-		if figure.Simulated > 0 {
-			figure.Ratio = figure.Real / figure.Simulated
+		if metric.Simulated > 0 {
+			metric.Ratio = metric.Real / metric.Simulated
 		}
-		figure.Agrees = figure.Ratio >= 1-Tolerance && figure.Ratio <= 1+Tolerance
-		figures = append(figures, figure)
+		metric.Agrees = metric.Ratio >= 1-Tolerance && metric.Ratio <= 1+Tolerance
+		metrics = append(metrics, metric)
 	}
-	return figures
+	return metrics
 }
--- a/internal/bench/experiment/calibration/command.go
+++ b/internal/bench/experiment/calibration/command.go
@@ -19,7 +19,7 @@
 	"rockwind.example/rockwind/internal/fault"
 )
 
-// Options are the sizes of the experiment.
+// Options are the parameters of the experiment.
 type Options struct {
 	Zones          int           `help:"Zones, each with one gateway." default:"2"`
 	EnginesPerZone int           `help:"Engine stand-ins of a zone." default:"2"`
@@ -40,41 +40,42 @@
 	JSON  bool   `help:"Print the figures as JSON." name:"json"`
 }
 
-// Comparison is one load on both sides.
+// Comparison holds the results of one load on real processes and in the simulator.
 type Comparison struct {
 	Load     string `json:"load"`
 	Requests int    `json:"requests"`
-	// RealFailed and SimulatedFailed count requests without a whole answer.
+	// RealFailed and SimulatedFailed count requests without a complete answer.
 	RealFailed      int `json:"real_failed"`
 	SimulatedFailed int `json:"simulated_failed"`
-	// SubmissionLateMs is how late the last job was accepted on the real side.
+	// SubmissionLateMs is the longest delay of a job's acceptance on real processes.
 	SubmissionLateMs float64 `json:"submission_late_ms"`
-	// HopMs is the median one-way time between processes that was measured beside
-	// the load on the real side and given to the simulator, HopP99Ms its 99th
-	// percentile. The simulator draws how much longer hops take from the same probes.
+	// HopMs and HopP99Ms are the median and 99th percentile of the one-way time
+	// between processes, probed during the real run. The simulator uses the median
+	// as its network delay and draws jitter from the same probes.
 	HopMs    float64  `json:"hop_ms"`
 	HopP99Ms float64  `json:"hop_p99_ms"`
 	Metrics  []Metric `json:"figures"`
 }
 
-// Result holds the figures of the experiment.
+// Result holds the results of the experiment.
 type Result struct {
 	Comparisons []Comparison `json:"comparisons"`
-	// Agrees tells whether every figure of every comparison agrees.
+	// Agrees is set if every metric of every comparison agrees and no request failed.
 	Agrees bool `json:"agrees"`
-	// MachineLoadBefore and MachineLoadAfter are load averages: real processes
-	// meet what else the machine does, virtual time does not.
+	// MachineLoadBefore and MachineLoadAfter are load averages of the machine. Other
+	// load on it slows the real processes but not the simulator.
 	MachineLoadBefore string `json:"machine_load_before"`
 	MachineLoadAfter  string `json:"machine_load_after"`
 }
 
-// namedTrace is a load with its name.
+// namedTrace is a trace with its name in the report.
 type namedTrace struct {
 	name    string
 	records []load.Record
 }
 
-// Run runs both sides and prints the figures.
+// Run replays every trace on real processes and in the simulator and prints the
+// results.
 func (c *Command) Run() error {
 	if err := c.check(); err != nil {
 		return err
@@ -110,8 +111,8 @@
 	return nil
 }
 
-// traces returns the given trace, or one of online requests alone and one with
-// batch beside them.
+// traces returns the trace given by --trace. Without one it generates two: online
+// requests only, and online requests with batch jobs.
 func (c *Command) traces() ([]namedTrace, error) {
 	if c.Trace == "" {
 		return []namedTrace{
@@ -130,40 +131,40 @@
 }
 
 func (c *Command) compare(ctx context.Context, trace namedTrace) (Comparison, error) {
-	if err := c.keep(trace); err != nil {
+	if err := c.saveTrace(trace); err != nil {
 		return Comparison{}, err
 	}
 	folder, err := os.MkdirTemp("", "rockwind-calibration-")
 	if err != nil {
-		return Comparison{}, errors.Wrap(err, "make a folder")
+		return Comparison{}, errors.Wrap(err, "create a temporary folder")
 	}
 	defer os.RemoveAll(folder)
 	actual, err := c.runProcesses(ctx, trace.records, folder)
 	if err != nil {
 		return Comparison{}, err
 	}
-	replay := replayOf(trace.records, c.Zones)
-	simulated := c.simulate(replay, actual.between)
+	replay := simulatorReplay(trace.records, c.Zones)
+	simulated := c.simulate(replay, actual.hops)
 	return Comparison{
-		Load: trace.name, HopMs: float64(actual.between.median) / float64(time.Millisecond),
-		HopP99Ms: float64(actual.between.slow) / float64(time.Millisecond), Requests: actual.requests,
+		Load: trace.name, HopMs: float64(actual.hops.median) / float64(time.Millisecond),
+		HopP99Ms: float64(actual.hops.p99) / float64(time.Millisecond), Requests: actual.requests,
 		RealFailed: actual.failed, SimulatedFailed: simulated[0].failed,
-		SubmissionLateMs: float64(actual.late) / float64(time.Millisecond),
+		SubmissionLateMs: float64(actual.maxDelay) / float64(time.Millisecond),
 		Metrics:          compare(len(replay.Jobs) > 0, actual, simulated),
 	}, nil
 }
 
-// keep writes the trace to the folder that keeps them.
-func (c *Command) keep(trace namedTrace) error {
+// saveTrace writes the trace to the folder given by --keep.
+func (c *Command) saveTrace(trace namedTrace) error {
 	if c.Keep == "" {
 		return nil
 	}
 	if err := os.MkdirAll(c.Keep, 0o755); err != nil {
-		return errors.Wrap(err, "make the folder of traces")
+		return errors.Wrap(err, "create the folder for traces")
 	}
 	file, err := os.Create(filepath.Join(c.Keep, trace.name+".jsonl"))
 	if err != nil {
-		return errors.Wrap(err, "create the trace")
+		return errors.Wrap(err, "create the trace file")
 	}
 	return errors.CombineErrors(load.WriteTrace(file, trace.records), file.Close())
 }
@@ -173,25 +174,25 @@
 	if comparison.RealFailed > 0 || comparison.SimulatedFailed > 0 {
 		r.Agrees = false
 	}
-	for _, figure := range comparison.Metrics {
-		r.Agrees = r.Agrees && figure.Agrees
+	for _, metric := range comparison.Metrics {
+		r.Agrees = r.Agrees && metric.Agrees
 	}
 }
 
-// print writes the figures as text.
+// print writes the results as text.
 func (r *Result) print(writer io.Writer) error {
 	var text strings.Builder
 	for _, comparison := range r.Comparisons {
 		fmt.Fprintf(&text, "%s: %d requests; without a whole answer: %d real, %d simulated; jobs accepted at most %.0f ms late; a hop takes %.2f ms, p99 %.2f ms\n",
 			comparison.Load, comparison.Requests, comparison.RealFailed, comparison.SimulatedFailed, comparison.SubmissionLateMs, comparison.HopMs, comparison.HopP99Ms)
-		for _, figure := range comparison.Metrics {
+		for _, metric := range comparison.Metrics {
 			fmt.Fprintf(&text, "  %-18s real %9.2f  simulated %9.2f (%.2f to %.2f) %-8s ratio %.3f agrees %t\n",
-				figure.Name, figure.Real, figure.Simulated, figure.Lowest, figure.Highest, figure.Unit, figure.Ratio, figure.Agrees)
+				metric.Name, metric.Real, metric.Simulated, metric.Lowest, metric.Highest, metric.Unit, metric.Ratio, metric.Agrees)
 		}
 	}
 	fmt.Fprintf(&text, "all agree: %t; load of the machine: %s before, %s after\n", r.Agrees, r.MachineLoadBefore, r.MachineLoadAfter)
 	_, err := io.WriteString(writer, text.String())
-	return errors.Wrap(err, "print the figures")
+	return errors.Wrap(err, "print the results")
 }
 
 // machineLoad returns the load averages of the machine.
--- a/internal/bench/experiment/calibration/jobs.go
+++ b/internal/bench/experiment/calibration/jobs.go
@@ -13,29 +13,30 @@
 	"rockwind.example/rockwind/internal/bench/load"
 )
 
-// jobRunner submits the jobs of a trace and counts completed items.
+// jobRunner submits the batch jobs of a trace and counts completed items.
 type jobRunner struct {
 	running *fleet.Fleet
 	caller  caller.Caller
-	begin   time.Time
+	started time.Time
 
 	mutex sync.Mutex
 	ids   []string
-	// late is the longest time from a job's place in the trace to its acceptance.
-	late time.Duration
+	// maxDelay is the longest time from a job's arrival in the trace to its
+	// acceptance.
+	maxDelay time.Duration
 }
 
-// preparation is how long before its time a job's input is uploaded, so that the
-// submission itself comes on time.
-const preparation = 3 * time.Second
+// uploadLead is how long before its arrival a job's input is uploaded, so that the
+// upload does not delay the submission.
+const uploadLead = 3 * time.Second
 
-// submitAll submits the jobs at their times, one after the other.
+// submitAll submits the jobs at their arrival times, in sequence.
 func (r *jobRunner) submitAll(ctx context.Context, records []load.Record) error {
 	for number, record := range records {
 		if record.Kind != load.KindJob {
 			continue
 		}
-		if err := r.sleepUntil(ctx, record.At()-preparation); err != nil {
+		if err := r.sleepUntil(ctx, record.At()-uploadLead); err != nil {
 			return err
 		}
 		if err := r.submit(ctx, record, number); err != nil {
@@ -64,7 +65,7 @@
 	}
 	r.mutex.Lock()
 	r.ids = append(r.ids, batch.ID)
-	r.late = max(r.late, time.Since(r.begin)-record.At())
+	r.maxDelay = max(r.maxDelay, time.Since(r.started)-record.At())
 	r.mutex.Unlock()
 	return nil
 }
@@ -81,7 +82,7 @@
 	return "http://" + r.running.Gateways[number%len(r.running.Gateways)].Address
 }
 
-// completedBetween counts the items that completed between two times.
+// completedBetween counts the items that completed between two times of the run.
 func (r *jobRunner) completedBetween(ctx context.Context, from, until time.Duration) (int, error) {
 	before, err := r.completedAt(ctx, from)
 	if err != nil {
@@ -102,16 +103,16 @@
 	for _, id := range ids {
 		batch, err := r.caller.GetBatch(ctx, r.gateway(0), id)
 		if err != nil {
-			return 0, errors.Wrap(err, "read a job")
+			return 0, errors.Wrap(err, "read the status of a job")
 		}
 		completed += batch.Counts.Completed
 	}
 	return completed, nil
 }
 
-// sleepUntil waits for a time since the begin of the run.
+// sleepUntil waits until the given time since the start of the run.
 func (r *jobRunner) sleepUntil(ctx context.Context, at time.Duration) error {
-	timer := time.NewTimer(time.Until(r.begin.Add(at)))
+	timer := time.NewTimer(time.Until(r.started.Add(at)))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/internal/bench/experiment/calibration/probe.go
+++ b/internal/bench/experiment/calibration/probe.go
@@ -10,15 +10,15 @@
 	"rockwind.example/rockwind/internal/simulator"
 )
 
-// probeGap is the time between two probes.
-const probeGap = 50 * time.Millisecond
+// probeInterval is the time between two probes.
+const probeInterval = 50 * time.Millisecond
 
-// probeRoundTrips measures small calls of a process until the context ends, and
-// returns their sorted round trips. They tell what a hop between processes costs
-// on the machine as it is during the run.
+// probeRoundTrips sends health checks to a process until the context ends, and returns
+// the sorted round-trip times. They show the cost of a hop between processes under the
+// load of the run.
 func probeRoundTrips(ctx context.Context, address string) []time.Duration {
 	var trips []time.Duration
-	ticker := time.NewTicker(probeGap)
+	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	client := &http.Client{Timeout: time.Second}
 	defer client.CloseIdleConnections()
@@ -28,7 +28,7 @@
 			slices.Sort(trips)
 			return trips
 		case <-ticker.C:
-			if trip, answered := probe(ctx, client, address); answered {
+			if trip, ok := probe(ctx, client, address); ok {
 				trips = append(trips, trip)
 			}
 		}
@@ -40,19 +40,19 @@
 	if err != nil {
 		return 0, false
 	}
-	begin := time.Now()
+	started := time.Now()
 	response, err := client.Do(request)
 	if err != nil {
 		return 0, false
 	}
 	_, err = io.Copy(io.Discard, response.Body)
 	response.Body.Close()
-	return time.Since(begin), err == nil
+	return time.Since(started), err == nil
 }
 
-// noiseOf lists what each hop took longer than the median one. Of the two hops of a
-// round trip, one is taken to have been delayed.
-func noiseOf(trips []time.Duration) []time.Duration {
+// hopNoise returns the excess of each hop over the median. It attributes the excess of
+// a round trip to one of its two hops.
+func hopNoise(trips []time.Duration) []time.Duration {
 	median := simulator.Quantile(trips, 0.5)
 	noise := make([]time.Duration, 0, 2*len(trips))
 	for _, trip := range trips {
@@ -61,11 +61,11 @@
 	return noise
 }
 
-// hopsOf turns the sorted round trips of probes into hops, half a trip each.
-func hopsOf(trips []time.Duration) hops {
-	return hops{
+// hopTimesOf derives hop times from sorted round-trip times, half a round trip each.
+func hopTimesOf(trips []time.Duration) hopTimes {
+	return hopTimes{
 		median: simulator.Quantile(trips, 0.5) / 2,
-		slow:   simulator.Quantile(trips, 0.99) / 2,
-		noise:  noiseOf(trips),
+		p99:    simulator.Quantile(trips, 0.99) / 2,
+		noise:  hopNoise(trips),
 	}
 }
--- a/internal/bench/experiment/calibration/processes.go
+++ b/internal/bench/experiment/calibration/processes.go
@@ -18,7 +18,7 @@
 	"rockwind.example/rockwind/internal/sharing"
 )
 
-// plan is the fleet of the real side: a gateway in each zone.
+// plan returns the plan of the real fleet, with one gateway in each zone.
 func (o *Options) plan() fleet.Plan {
 	plan := fleet.DefaultPlan()
 	plan.Controls = 1
@@ -34,7 +34,7 @@
 }
 
 // runProcesses starts the fleet, replays the trace and stops the fleet.
-func (o *Options) runProcesses(ctx context.Context, records []load.Record, folder string) (*measured, error) {
+func (o *Options) runProcesses(ctx context.Context, records []load.Record, folder string) (*measurement, error) {
 	running, err := fleet.Start(ctx, o.plan(), folder, o.Programs)
 	if err != nil {
 		return nil, err
@@ -44,11 +44,11 @@
 	return result, errors.CombineErrors(err, stopped)
 }
 
-// collector gathers the online answers of the measured window.
+// collector collects the outcomes of online requests sent in the measured window.
 type collector struct {
 	mutex    sync.Mutex
 	from     time.Duration
-	gathered measured
+	gathered measurement
 }
 
 func (c *collector) observe(planned load.Planned, answer load.Measured) {
@@ -64,12 +64,12 @@
 	c.gathered.requests++
 	c.gathered.tokens += answer.Tokens
 	c.gathered.ttft = append(c.gathered.ttft, answer.FirstToken)
-	between := time.Duration(max(1, answer.Tokens-1))
-	c.gathered.tpot = append(c.gathered.tpot, (answer.Latency-answer.FirstToken)/between)
+	intervals := time.Duration(max(1, answer.Tokens-1))
+	c.gathered.tpot = append(c.gathered.tpot, (answer.Latency-answer.FirstToken)/intervals)
 }
 
-// replay sends the trace: online requests open loop, jobs beside them.
-func (o *Options) replay(ctx context.Context, running *fleet.Fleet, records []load.Record) (*measured, error) {
+// replay sends the online requests of the trace open loop, and its jobs concurrently.
+func (o *Options) replay(ctx context.Context, running *fleet.Fleet, records []load.Record) (*measurement, error) {
 	if err := matchStepTarget(ctx, running); err != nil {
 		return nil, err
 	}
@@ -77,7 +77,7 @@
 	probing, stopProbing := context.WithTimeout(ctx, o.Duration)
 	defer stopProbing()
 	var trips []time.Duration
-	begin := time.Now()
+	started := time.Now()
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
 		trips = probeRoundTrips(probing, running.Gateways[0].InternalAddress)
@@ -88,7 +88,7 @@
 		return ctx.Err()
 	})
 	jobs := &jobRunner{
-		running: running, begin: begin,
+		running: running, started: started,
 		caller: caller.Caller{Client: &http.Client{}, Key: fleet.APIKey(fleet.TenantName(fleet.GroupScheduling, 0))},
 	}
 	group.Go(func() error { return jobs.submitAll(ctx, records) })
@@ -102,14 +102,14 @@
 	}
 	result := &gathered.gathered
 	result.window = o.Duration - o.Warmup
-	result.late = jobs.late
-	result.between = hopsOf(trips)
+	result.maxDelay = jobs.maxDelay
+	result.hops = hopTimesOf(trips)
 	slices.Sort(result.ttft)
 	slices.Sort(result.tpot)
 	return result, nil
 }
 
-// matchStepTarget applies the step target that the simulator's policy has.
+// matchStepTarget sets the fleet's online step target to that of the simulator.
 func matchStepTarget(ctx context.Context, running *fleet.Fleet) error {
 	configuration := running.Configuration()
 	configuration.Policy.OnlineStepTarget = durationpb.New(sharing.DefaultTarget.PerToken)
--- a/internal/bench/experiment/calibration/simulated.go
+++ b/internal/bench/experiment/calibration/simulated.go
@@ -9,26 +9,26 @@
 	"rockwind.example/rockwind/internal/simulator"
 )
 
-// What the real processes do on loopback, as the simulator takes it.
+// Settings of the real fleet that the simulator must match.
 const (
-	// pollInterval is how often a gateway asks an engine that it owns.
+	// pollInterval is the interval at which a gateway polls an engine that it owns.
 	pollInterval = time.Second
-	// exchangeInterval is that of the fleet's gateways.
+	// exchangeInterval is the exchange interval of the fleet's gateways.
 	exchangeInterval = 500 * time.Millisecond
-	// jobDeadline is that of the fleet's batch class.
+	// jobDeadline is the deadline of the fleet's batch class.
 	jobDeadline = 12 * time.Hour
 )
 
-// scenario is the fleet of the real side in the simulator. It has a gateway in
-// each zone, so that gateway N of the fleet is gateway N of the simulator.
-func (o *Options) scenario(replay *simulator.Replay, between hops) simulator.Scenario {
+// scenario describes the real fleet to the simulator. With one gateway in each zone,
+// gateway N of the fleet is gateway N of the simulator.
+func (o *Options) scenario(replay *simulator.Replay, hops hopTimes) simulator.Scenario {
 	config := engine.DefaultConfig()
 	config.MilestonesOnly = true
-	// Gateways follow the tokens of online answers.
+	// Gateways track online answers token by token.
 	config.OnlineTokens = true
 	return simulator.Scenario{
 		Name: "calibration", Zones: o.Zones, GatewaysPerZone: 1, EnginesPerZone: o.EnginesPerZone,
-		ZoneDelay: between.median, LocalDelay: between.median, ClientDelay: between.median, HopNoise: between.noise,
+		ZoneDelay: hops.median, LocalDelay: hops.median, ClientDelay: hops.median, HopNoise: hops.noise,
 		Engine: config, Objective: sharing.Throughput,
 		PollInterval: pollInterval, ExchangeInterval: exchangeInterval,
 		Batch:  []simulator.BatchLoad{{Group: fleet.GroupScheduling, Share: 1, Deadline: jobDeadline}},
@@ -37,16 +37,16 @@
 	}
 }
 
-// simulate runs the trace with several seeds: the decisions of the gateways hold
-// randomness, so that one run of either side is one draw.
-func (o *Options) simulate(replay *simulator.Replay, between hops) []*measured {
-	scenario := o.scenario(replay, between)
+// simulate replays the trace with several seeds, because the decisions of gateways are
+// partly random.
+func (o *Options) simulate(replay *simulator.Replay, hops hopTimes) []*measurement {
+	scenario := o.scenario(replay, hops)
 	policy := simulator.Rockwind(&scenario)
 	policy.Batch = len(replay.Jobs) > 0
-	var runs []*measured
+	var runs []*measurement
 	for seed := range o.SimulatorSeeds {
 		result := simulator.Run(scenario, policy, uint64(seed)+1)
-		runs = append(runs, &measured{
+		runs = append(runs, &measurement{
 			ttft: result.TTFT, tpot: result.TPOT,
 			requests: len(result.TTFT), failed: result.Refused + result.Unfinished,
 			tokens: o.onlineTokens(replay), items: result.BatchItems,
@@ -56,8 +56,8 @@
 	return runs
 }
 
-// onlineTokens sums the answers of the requests within the measured window; the
-// simulator refuses none at the rates of this experiment, which failed shows.
+// onlineTokens sums the answer tokens of the requests in the measured window. It
+// assumes that the simulator refuses none; SimulatedFailed shows whether it did.
 func (o *Options) onlineTokens(replay *simulator.Replay) int {
 	tokens := 0
 	for _, request := range replay.Online {
--- a/internal/bench/experiment/calibration/trace.go
+++ b/internal/bench/experiment/calibration/trace.go
@@ -10,16 +10,16 @@
 	"rockwind.example/rockwind/internal/simulator"
 )
 
-// Shape of the default load: short drafts and some long texts, in bursts, and
-// jobs in bursts.
+// Parameters of the default load: mostly short prompts and some long ones, in bursts,
+// and batch jobs at a fixed interval.
 const (
 	defaultBurstFactor   = 3
 	defaultBurstFraction = 0.1
 	defaultBurstLength   = 2 * time.Second
-	heapEvery            = 4 * time.Second
+	jobInterval          = 4 * time.Second
 )
 
-// makeTrace draws the load: online requests at a mean rate, and bursts of jobs
+// makeTrace generates the default load: online requests at a mean rate, and batch jobs
 // unless items is zero.
 func makeTrace(rate float64, items int, duration time.Duration, seed int64) []load.Record {
 	mix := load.Mix{
@@ -33,27 +33,28 @@
 		Item: load.RequestShape{Kind: load.KindJob, Model: fleet.ModelName, PromptTokens: 300, AnswerTokens: 100, Spread: 0.2, Prefixes: 4, PrefixTokens: 128},
 	}
 	if items > 0 {
-		mix.JobEvery = heapEvery
+		mix.JobEvery = jobInterval
 	}
 	return load.Generate([]load.Mix{mix}, duration, rand.New(rand.NewSource(seed)))
 }
 
-// uniqueStride keeps the unique texts of a job's items apart from each other.
-const uniqueStride = 1 << 20
+// promptIDStride exceeds the number of items of a job, so that prompt IDs are unique.
+const promptIDStride = 1 << 20
 
-// unique numbers the text of an item of a record; item zero is an online request.
-func unique(record, item int) uint64 {
-	return uint64(record)*uniqueStride + uint64(item)
+// promptID returns the ID of the prompt of an item of a record. An online request is
+// item 0.
+func promptID(record, item int) uint64 {
+	return uint64(record)*promptIDStride + uint64(item)
 }
 
-// content is the text that an engine sees for an item of a record.
+// content returns the prompt of an item of a record.
 func content(record load.Record, number, item int) string {
-	return load.Prompt(record.SharedPrefix, record.SharedPrefixTokens, record.PromptTokens, unique(number, item))
+	return load.Prompt(record.SharedPrefix, record.SharedPrefixTokens, record.PromptTokens, promptID(number, item))
 }
 
-// replayOf turns the trace into the simulator's form with the lengths that the
-// real engines count.
-func replayOf(records []load.Record, gateways int) *simulator.Replay {
+// simulatorReplay converts the trace for the simulator, with prompt lengths as the
+// real engines count them.
+func simulatorReplay(records []load.Record, gateways int) *simulator.Replay {
 	replay := &simulator.Replay{}
 	for number, record := range records {
 		switch record.Kind {
