--- a/internal/bench/experiment/calibration/calibration.go
+++ b/internal/bench/experiment/calibration/calibration.go
@@ -58,11 +58,11 @@
 // quantity computes one metric from a measurement.
 type quantity struct {
 	name, unit string
-	value      func(*measurement) float64
+	compute    func(*measurement) float64
 }
 
 func quantile(name string, fraction float64, list func(*measurement) []time.Duration) quantity {
-	return quantity{name: name, unit: "ms", value: func(side *measurement) float64 {
+	return quantity{name: name, unit: "ms", compute: func(side *measurement) float64 {
 		return float64(simulator.Quantile(list(side), fraction)) / float64(time.Millisecond)
 	}}
 }
@@ -81,12 +81,12 @@
 		quantile("tpot_p50", 0.50, tpots),
 		quantile("tpot_p95", 0.95, tpots),
 		quantile("tpot_p99", 0.99, tpots),
-		{name: "online_throughput", unit: "tokens/s", value: func(side *measurement) float64 {
+		{name: "online_throughput", unit: "tokens/s", compute: func(side *measurement) float64 {
 			return float64(side.tokens) / side.window.Seconds()
 		}},
 	}
 	if batch {
-		compared = append(compared, quantity{name: "batch_throughput", unit: "items/s", value: func(side *measurement) float64 {
+		compared = append(compared, quantity{name: "batch_throughput", unit: "items/s", compute: func(side *measurement) float64 {
 			return float64(side.items) / side.window.Seconds()
 		}})
 	}
@@ -100,12 +100,12 @@
 		var values []float64
 		sum := 0.0
 		for _, side := range simulated {
-			value := compared.value(side)
+			value := compared.compute(side)
 			values = append(values, value)
 			sum += value
 		}
 		metric := Metric{
-			Name: compared.name, Unit: compared.unit, Real: compared.value(actual),
+			Name: compared.name, Unit: compared.unit, Real: compared.compute(actual),
 			Simulated: sum / float64(len(values)),
 			Lowest:    slices.Min(values), Highest: slices.Max(values),
 		}
--- a/internal/bench/experiment/calibration/jobs.go
+++ b/internal/bench/experiment/calibration/jobs.go
@@ -103,7 +103,7 @@
 	for _, id := range ids {
 		batch, err := r.caller.GetBatch(ctx, r.gateway(0), id)
 		if err != nil {
-			return 0, errors.Wrap(err, "read the status of a job")
+			return 0, errors.Wrap(err, "read a job")
 		}
 		completed += batch.Counts.Completed
 	}
