--- a/internal/bench/experiment/ledgercost/cluster.go
+++ b/internal/bench/experiment/ledgercost/cluster.go
@@ -14,31 +14,31 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Folders of a control process, below its own.
+// Folders below the folder of a control process; the last two are below the first.
 const (
 	groupsFolder   = "data/groups"
 	logFolder      = "log"
 	snapshotFolder = "snapshots"
 )
 
-// pollGap is the time between two looks at a process or a folder.
-const pollGap = 5 * time.Millisecond
+// pollInterval is the time between two polls of a process or folder.
+const pollInterval = 5 * time.Millisecond
 
-// cluster is the control processes under measurement.
+// cluster is the group of control processes under measurement.
 type cluster struct {
 	fleet   *fleet.Fleet
 	options *Command
-	// submitted counts jobs, for their keys.
-	submitted int
+	// holders counts the holders created; it seeds their random numbers.
+	holders int
 }
 
-// client returns a client with connections of its own.
+// client returns a control client with its own connections.
 func (c *cluster) client() *controlclient.Client {
 	return controlclient.New(controlclient.Options{Machines: c.fleet.ControlMachines(), Zone: c.fleet.Plan.Zones[0]})
 }
 
-// status asks a process how it sees the shard. It returns nil where the process
-// does not answer or does not run the shard.
+// status returns the shard status reported by a process, or nil if the process does
+// not answer or does not host the shard.
 func (c *cluster) status(ctx context.Context, process *fleet.Process) *rockwindpb.GroupStatus {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// leader waits until the shard has a leader that answers.
+// leader waits until a process reports itself as leader of the shard.
 func (c *cluster) leader(ctx context.Context) (*fleet.Process, error) {
 	for ctx.Err() == nil {
 		for _, process := range c.fleet.Controls {
@@ -72,14 +72,14 @@
 func pause(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(pollGap):
+	case <-time.After(pollInterval):
 	}
 }
 
 // folderBytes sums the sizes of the files below a folder.
 func folderBytes(folder string) int64 {
 	total := int64(0)
-	// Files that vanish while the walk goes on are not counted.
+	// Files deleted during the walk are not counted.
 	_ = filepath.WalkDir(folder, func(_ string, entry os.DirEntry, err error) error {
 		if err != nil || entry.IsDir() {
 			return nil
--- a/internal/bench/experiment/ledgercost/command.go
+++ b/internal/bench/experiment/ledgercost/command.go
@@ -1,10 +1,9 @@
-// Package ledgercost measures what it costs to keep the state of jobs: how many
-// completions of items a replicated group records with synced disks, the bytes of
-// log and of memory that an item takes, how recovery grows with the number of
-// changes, and how long a group goes without a leader when one is killed.
+// Package ledgercost measures the cost of the replicated job ledger: the rate of item
+// completions with synced disks, log and memory bytes per item, recovery time by number
+// of changes, and the time without a leader after a kill.
 //
-// Three real control processes on loopback are measured; the memory of an item is
-// that of the ledger package in this process.
+// It measures three real control processes on loopback. Memory per item is measured on
+// a ledger in this process.
 package ledgercost
 
 import (
@@ -37,13 +36,13 @@
 	JSON       bool          `help:"Print the figures as JSON." name:"json"`
 }
 
-// Run measures and prints the figures.
+// Run measures and prints the results.
 func (c *Command) Run() error {
 	ctx, release := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer release()
 	folder, err := os.MkdirTemp(c.Folder, "rockwind-ledger-")
 	if err != nil {
-		return errors.Wrap(err, "make a folder")
+		return errors.Wrap(err, "create a temporary folder")
 	}
 	defer os.RemoveAll(folder)
 	result, err := c.measure(ctx, folder)
@@ -53,7 +52,7 @@
 	return c.print(result)
 }
 
-// measure runs the phases one after the other, so that they share no processor.
+// measure runs the phases in sequence, so that they do not compete for processors.
 func (c *Command) measure(ctx context.Context, folder string) (*Result, error) {
 	result := &Result{}
 	memory, err := measureMemory(c.MemoryJobs, c.JobItems, c.LeaseItems)
@@ -66,22 +65,21 @@
 		return nil, err
 	}
 	defer running.Kill()
-	measured := &cluster{fleet: running, options: c}
-	if err := measured.measureRecovery(ctx, result); err != nil {
+	controls := &cluster{fleet: running, options: c}
+	if err := controls.measureRecovery(ctx, result); err != nil {
 		return nil, errors.Wrap(err, "measure recovery")
 	}
-	if err := measured.measureCompletions(ctx, result); err != nil {
+	if err := controls.measureCompletions(ctx, result); err != nil {
 		return nil, errors.Wrap(err, "measure completions")
 	}
-	if err := measured.measureFailover(ctx, result); err != nil {
+	if err := controls.measureFailover(ctx, result); err != nil {
 		return nil, errors.Wrap(err, "measure failover")
 	}
-	result.summarise()
+	result.computeDerived()
 	return result, nil
 }
 
-// startFleet starts three control processes with one job shard and the clock that
-// the settings have by default.
+// startFleet starts the control processes with one job shard and the default tick.
 func startFleet(ctx context.Context, folder, programs string) (*fleet.Fleet, error) {
 	plan := fleet.DefaultPlan()
 	plan.Gateways, plan.Engines, plan.Services = 0, 0, 0
--- a/internal/bench/experiment/ledgercost/completions.go
+++ b/internal/bench/experiment/ledgercost/completions.go
@@ -16,75 +16,74 @@
 )
 
 const (
-	leaseMilliseconds = 60_000
-	// acquireWait is how long an acquire may be held until the leader knows of the
-	// work that was submitted, in ms.
-	acquireWait = 1000
-	// smallestResult and largestResult bound the sizes of results, in bytes.
-	smallestResult = 256
-	largestResult  = 4096
-	// segmentNumber stands for a segment of results; its number has the size that
-	// real ones have.
+	leaseMs = 60_000
+	// acquireWaitMs is how long the leader may hold an acquire that finds no items.
+	acquireWaitMs = 1000
+	// minResultBytes and maxResultBytes bound the sizes of results.
+	minResultBytes = 256
+	maxResultBytes = 4096
+	// segmentNumber is a placeholder that encodes to as many bytes as a real segment
+	// number.
 	segmentNumber = 0x1234567890ab
-	// longestReport bounds the recorded durations, in microseconds.
-	longestReport = 60_000_000
-	significant   = 3
+	// maxReportMicroseconds bounds the recorded durations.
+	maxReportMicroseconds = 60_000_000
+	significantDigits     = 3
 )
 
-// phase is one way to report items.
+// phase is one configuration of callers and report sizes.
 type phase struct {
 	callers        int
 	itemsPerReport int
 }
 
-// measureCompletions measures the ways to report, each on jobs of its own.
+// measureCompletions measures all phases, each on jobs of its own.
 func (c *cluster) measureCompletions(ctx context.Context, result *Result) error {
 	var err error
-	if result.OneByOne, err = c.complete(ctx, phase{callers: 1, itemsPerReport: 1}); err != nil {
+	if result.OneByOne, err = c.runPhase(ctx, phase{callers: 1, itemsPerReport: 1}); err != nil {
 		return err
 	}
 	concurrent := phase{callers: c.options.Holders, itemsPerReport: 1}
-	if result.OneByOneConcurrent, err = c.complete(ctx, concurrent); err != nil {
+	if result.OneByOneConcurrent, err = c.runPhase(ctx, concurrent); err != nil {
 		return err
 	}
 	grouped := phase{callers: c.options.Holders, itemsPerReport: c.options.GroupItems}
-	result.Grouped, err = c.complete(ctx, grouped)
+	result.Grouped, err = c.runPhase(ctx, grouped)
 	return err
 }
 
-// tally counts what the callers of a phase recorded.
-type tally struct {
+// completionCounts counts the items and report durations of a phase.
+type completionCounts struct {
 	mutex     sync.Mutex
 	items     uint64
 	durations *hdrhistogram.Histogram
 }
 
-func newTally() *tally {
-	return &tally{durations: hdrhistogram.New(1, longestReport, significant)}
+func newCompletionCounts() *completionCounts {
+	return &completionCounts{durations: hdrhistogram.New(1, maxReportMicroseconds, significantDigits)}
 }
 
-func (t *tally) add(items uint32, took time.Duration) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.items += uint64(items)
-	// Longer ones than the histogram holds would have failed.
-	_ = t.durations.RecordValue(took.Microseconds())
+func (c *completionCounts) add(items uint32, took time.Duration) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.items += uint64(items)
+	// Reports beyond the range of the histogram would have failed.
+	_ = c.durations.RecordValue(took.Microseconds())
 }
 
-// complete lets callers lease and report items for the length of a phase.
-func (c *cluster) complete(ctx context.Context, p phase) (Completions, error) {
-	watch := startLogWatch(ctx, c.fleet.Controls[0])
-	counts := newTally()
+// runPhase leases and reports items with several callers for the configured duration.
+func (c *cluster) runPhase(ctx context.Context, p phase) (Completions, error) {
+	watcher := startLogWatcher(ctx, c.fleet.Controls[0])
+	counts := newCompletionCounts()
 	until := time.Now().Add(c.options.Duration)
-	workers, working := errgroup.WithContext(ctx)
-	began := time.Now()
+	workers, workersContext := errgroup.WithContext(ctx)
+	started := time.Now()
 	for number := range p.callers {
 		holder := c.newHolder(fmt.Sprintf("%d-%d-%d", p.callers, p.itemsPerReport, number), p, counts)
-		workers.Go(func() error { return holder.run(working, until) })
+		workers.Go(func() error { return holder.run(workersContext, until) })
 	}
 	err := workers.Wait()
-	seconds := time.Since(began).Seconds()
-	logBytes := watch.stop()
+	seconds := time.Since(started).Seconds()
+	logBytes := watcher.stop()
 	if err != nil {
 		return Completions{}, err
 	}
@@ -102,33 +101,33 @@
 	}, nil
 }
 
-// holder is a gateway that leases items of jobs of its own and reports them. As in
-// a gateway, items of a lease end in any order, and the results of a report are
-// sorted by item and stored one behind the other.
+// holder simulates a gateway that leases the items of its own jobs and reports them. As
+// in a gateway, items of a lease finish in random order, and a report is sorted by item
+// with its results stored contiguously.
 type holder struct {
 	name    string
 	phase   phase
 	options *Command
 	jobs    rockwindpb.JobService
-	counts  *tally
+	counts  *completionCounts
 	random  *rand.Rand
 	offset  uint64
-	// submitted counts jobs of this holder.
+	// submitted counts the jobs of this holder.
 	submitted int
-	// waiting counts the items of its newest job that it has not leased.
-	waiting uint32
+	// unleased is the number of items of its newest job not yet leased.
+	unleased uint32
 }
 
-func (c *cluster) newHolder(name string, p phase, counts *tally) *holder {
-	c.submitted++
+func (c *cluster) newHolder(name string, p phase, counts *completionCounts) *holder {
+	c.holders++
 	return &holder{
 		name: name, phase: p, options: c.options, counts: counts,
 		jobs:   c.client().Jobs(),
-		random: rand.New(rand.NewPCG(uint64(c.submitted), uint64(p.itemsPerReport))),
+		random: rand.New(rand.NewPCG(uint64(c.holders), uint64(p.itemsPerReport))),
 	}
 }
 
-// run leases and reports until the time is over.
+// run leases and reports items until the deadline.
 func (h *holder) run(ctx context.Context, until time.Time) error {
 	for time.Now().Before(until) {
 		leases, err := h.acquire(ctx, h.options.LeaseItems)
@@ -136,7 +135,7 @@
 			return err
 		}
 		for _, lease := range leases {
-			if err := h.runLease(ctx, lease, until); err != nil {
+			if err := h.completeLease(ctx, lease, until); err != nil {
 				return err
 			}
 		}
@@ -144,17 +143,17 @@
 	return nil
 }
 
-// acquire leases items of the holder's newest job, or of a new one where all
-// items of that are leased.
+// acquire leases items of the holder's newest job. It submits a new job if all items
+// of that one are leased.
 func (h *holder) acquire(ctx context.Context, items uint32) ([]*rockwindpb.Lease, error) {
-	if h.waiting == 0 {
+	if h.unleased == 0 {
 		if err := h.submit(ctx); err != nil {
 			return nil, err
 		}
 	}
 	acquired, err := h.jobs.AcquireLeases(ctx, &rockwindpb.AcquireLeasesRequest{
 		Holder: h.name, MaxItems: items, Models: []string{benchModel},
-		LeaseMs: leaseMilliseconds, Groups: []string{h.name}, WaitMs: acquireWait,
+		LeaseMs: leaseMs, Groups: []string{h.name}, WaitMs: acquireWaitMs,
 	})
 	if err != nil {
 		return nil, err
@@ -162,16 +161,15 @@
 	var leases []*rockwindpb.Lease
 	for _, grant := range acquired.GetGrants() {
 		leases = append(leases, grant.GetLease())
-		h.waiting -= min(h.waiting, grant.GetLease().GetItemCount())
+		h.unleased -= min(h.unleased, grant.GetLease().GetItemCount())
 	}
 	return leases, nil
 }
 
-// submit submits one more job in the holder's own group, so that holders do not
-// share jobs.
+// submit submits a job in the holder's own group, so that holders do not share jobs.
 func (h *holder) submit(ctx context.Context) error {
 	h.submitted++
-	h.waiting = h.options.JobItems
+	h.unleased = h.options.JobItems
 	_, err := h.jobs.Submit(ctx, &rockwindpb.SubmitJobRequest{Job: &rockwindpb.Job{
 		Tenant: benchTenant, Group: h.name, Model: benchModel,
 		ClientKey: fmt.Sprintf("%s-%d", h.name, h.submitted), ItemCount: h.options.JobItems,
@@ -179,9 +177,8 @@
 	return err
 }
 
-// runLease reports the items of a lease in groups, in the order in which they
-// happened to end.
-func (h *holder) runLease(ctx context.Context, lease *rockwindpb.Lease, until time.Time) error {
+// completeLease reports the items of a lease in random order, itemsPerReport at a time.
+func (h *holder) completeLease(ctx context.Context, lease *rockwindpb.Lease, until time.Time) error {
 	items := h.random.Perm(int(lease.GetItemCount()))
 	for group := range slices.Chunk(items, h.phase.itemsPerReport) {
 		if time.Now().After(until) {
@@ -193,22 +190,22 @@
 			completion.Items = append(completion.Items, &rockwindpb.ItemCompletion{
 				Item:    lease.GetFirstItem() + uint32(offset),
 				Outcome: rockwindpb.ItemOutcome_ITEM_OUTCOME_COMPLETED,
-				Result:  h.storedResult(),
+				Result:  h.nextResult(),
 			})
 		}
-		began := time.Now()
+		started := time.Now()
 		response, err := h.jobs.CompleteItems(ctx, &rockwindpb.CompleteItemsRequest{
 			Holder: h.name, Completions: []*rockwindpb.LeaseCompletion{completion},
 		})
 		if err != nil {
 			return err
 		}
-		h.counts.add(recorded(response), time.Since(began))
+		h.counts.add(recordedItems(response), time.Since(started))
 	}
 	return nil
 }
 
-func recorded(response *rockwindpb.CompleteItemsResponse) uint32 {
+func recordedItems(response *rockwindpb.CompleteItemsResponse) uint32 {
 	total := uint32(0)
 	for _, verdict := range response.GetVerdicts() {
 		total += verdict.GetRecorded()
@@ -216,11 +213,12 @@
 	return total
 }
 
-// storedResult is a reference as the store of bodies gives out.
-func (h *holder) storedResult() *rockwindpb.BodyReference {
+// nextResult returns a reference to a result of random size, like those of the body
+// store.
+func (h *holder) nextResult() *rockwindpb.BodyReference {
 	reference := &rockwindpb.BodyReference{
 		Segment: segmentNumber, Offset: h.offset,
-		Length:   smallestResult + h.random.Uint32N(largestResult-smallestResult),
+		Length:   minResultBytes + h.random.Uint32N(maxResultBytes-minResultBytes),
 		Checksum: h.random.Uint32(),
 	}
 	h.offset += uint64(reference.GetLength())
--- a/internal/bench/experiment/ledgercost/export_test.go
+++ b/internal/bench/experiment/ledgercost/export_test.go
@@ -1,4 +1,4 @@
 package ledgercost
 
-// Its function that the tests use.
+// MeasureMemory exposes measureMemory to the tests.
 var MeasureMemory = measureMemory
--- a/internal/bench/experiment/ledgercost/failover.go
+++ b/internal/bench/experiment/ledgercost/failover.go
@@ -11,8 +11,8 @@
 	"rockwind.example/rockwind/internal/settings"
 )
 
-// measureFailover kills the shard's leader several times. After each kill the
-// killed process is started again and has caught up before the next.
+// measureFailover kills the shard's leader several times. Before the next kill it
+// restarts the process and waits until it has caught up.
 func (c *cluster) measureFailover(ctx context.Context, result *Result) error {
 	result.Failover.TickMs = milliseconds(settings.DefaultTick)
 	for number := range c.options.Kills {
@@ -23,46 +23,46 @@
 	return nil
 }
 
-// failOver kills the leader and notes the time until another leads, and until a
-// command, proposed after the kill by a client that knew the old leader, was
-// committed.
-func (c *cluster) failOver(ctx context.Context, number int, measured *Failover) error {
+// failOver kills the leader and measures the time until another process leads, and the
+// time until a command is committed that a client of the old leader proposed after the
+// kill.
+func (c *cluster) failOver(ctx context.Context, number int, failover *Failover) error {
 	leader, err := c.leader(ctx)
 	if err != nil {
 		return err
 	}
-	probe := c.newHolder(fmt.Sprintf("probe-%d", number), phase{callers: 1, itemsPerReport: 1}, newTally())
+	probe := c.newHolder(fmt.Sprintf("probe-%d", number), phase{callers: 1, itemsPerReport: 1}, newCompletionCounts())
 	if err := probe.submit(ctx); err != nil {
 		return err
 	}
 	leader.Kill()
-	began := time.Now()
+	started := time.Now()
 	elected := make(chan time.Duration, 1)
 	go func() {
-		// Where the context ends, so does the probe below, with an error.
+		// The error can be ignored: if the context ends, the probe below fails too.
 		_, _ = c.leader(ctx)
-		elected <- time.Since(began)
+		elected <- time.Since(started)
 	}()
 	if err := probe.submit(ctx); err != nil {
 		return err
 	}
-	measured.WithoutLeaderMs = append(measured.WithoutLeaderMs, milliseconds(time.Since(began)))
-	measured.ElectedMs = append(measured.ElectedMs, milliseconds(<-elected))
+	failover.WithoutLeaderMs = append(failover.WithoutLeaderMs, milliseconds(time.Since(started)))
+	failover.ElectedMs = append(failover.ElectedMs, milliseconds(<-elected))
 	if err := leader.Start(); err != nil {
 		return err
 	}
 	return c.awaitCaughtUp(ctx, leader)
 }
 
-// awaitCaughtUp waits until a process has applied what the others had committed.
-func (c *cluster) awaitCaughtUp(ctx context.Context, started *fleet.Process) error {
+// awaitCaughtUp waits until a process has applied everything committed so far.
+func (c *cluster) awaitCaughtUp(ctx context.Context, restarted *fleet.Process) error {
 	leader, err := c.leader(ctx)
 	if err != nil {
 		return err
 	}
 	committed := c.status(ctx, leader).GetCommit()
 	for ctx.Err() == nil {
-		if c.status(ctx, started).GetApplied() >= committed {
+		if c.status(ctx, restarted).GetApplied() >= committed {
 			return nil
 		}
 		pause(ctx)
--- a/internal/bench/experiment/ledgercost/logwatch.go
+++ b/internal/bench/experiment/ledgercost/logwatch.go
@@ -8,9 +8,9 @@
 	"rockwind.example/rockwind/internal/bench/fleet"
 )
 
-// logWatch sums the bytes that a process appends to its log, segments that are
-// removed meanwhile included.
-type logWatch struct {
+// logWatcher sums the bytes that a process appends to its log, including segments
+// deleted meanwhile.
+type logWatcher struct {
 	folder string
 	before map[string]int64
 	sizes  map[string]int64
@@ -18,31 +18,31 @@
 	done   chan struct{}
 }
 
-// startLogWatch looks at the folder until stop is called.
-func startLogWatch(ctx context.Context, process *fleet.Process) *logWatch {
+// startLogWatcher polls the log folder until stop is called.
+func startLogWatcher(ctx context.Context, process *fleet.Process) *logWatcher {
 	ctx, cancel := context.WithCancel(ctx)
-	w := &logWatch{
+	w := &logWatcher{
 		folder: filepath.Join(process.Folder, groupsFolder, logFolder),
 		before: map[string]int64{},
 		sizes:  map[string]int64{},
 		cancel: cancel,
 		done:   make(chan struct{}),
 	}
-	w.look(w.before)
+	w.scan(w.before)
 	go func() {
 		defer close(w.done)
 		for ctx.Err() == nil {
-			w.look(w.sizes)
+			w.scan(w.sizes)
 			pause(ctx)
 		}
-		w.look(w.sizes)
+		w.scan(w.sizes)
 	}()
 	return w
 }
 
-// look notes the sizes of the segments. Segments only grow.
-func (w *logWatch) look(sizes map[string]int64) {
-	// A folder that cannot be read leaves the sizes as they are.
+// scan records the sizes of the segments, which only grow.
+func (w *logWatcher) scan(sizes map[string]int64) {
+	// Without a readable folder the sizes stay as they are.
 	entries, _ := os.ReadDir(w.folder)
 	for _, entry := range entries {
 		if info, err := entry.Info(); err == nil {
@@ -52,7 +52,7 @@
 }
 
 // stop returns the bytes appended since the start.
-func (w *logWatch) stop() int64 {
+func (w *logWatcher) stop() int64 {
 	w.cancel()
 	<-w.done
 	total := int64(0)
--- a/internal/bench/experiment/ledgercost/memory.go
+++ b/internal/bench/experiment/ledgercost/memory.go
@@ -16,67 +16,68 @@
 	benchShard  = 1
 	benchModel  = "assistant-7b"
 	benchTenant = "tenant"
-	// resultBytes is about the size of a result.
+	// resultBytes is the size of a typical result.
 	resultBytes = 2048
-	// longLease outlasts the measurement, in ms.
-	longLease = 24 * 60 * 60 * 1000
-	// minimumJob is the size of a job with all parts that larger ones have.
-	minimumJob = 128
-	// sealBatch is how many blocks are looked for in one go.
-	sealBatch = 64
+	// longLeaseMs exceeds the duration of the measurement.
+	longLeaseMs = 24 * 60 * 60 * 1000
+	// warmupJobItems is the size of the job in the warm-up run.
+	warmupJobItems = 128
+	// maxBlocksPerSeal bounds the blocks fetched at a time.
+	maxBlocksPerSeal = 64
 )
 
-// heldLedger is a ledger in this process under measurement.
-type heldLedger struct {
+// benchLedger is a ledger in this process whose memory is measured.
+type benchLedger struct {
 	ledger *ledger.Ledger
 	now    int64
 	offset uint64
 	err    error
 }
 
-// measureMemory works out the heap of an item in the states of its life.
+// measureMemory measures the heap per item in each state of its life cycle.
 func measureMemory(jobs int, jobItems, leaseItems uint32) (Memory, error) {
-	// What is made once, such as the descriptors of messages, is no item's.
-	if _, err := measureStates(1, minimumJob, minimumJob); err != nil {
+	// A warm-up run allocates what exists once per process, such as message
+	// descriptors.
+	if _, err := measureStates(1, warmupJobItems, warmupJobItems); err != nil {
 		return Memory{}, err
 	}
 	return measureStates(jobs, jobItems, leaseItems)
 }
 
 func measureStates(jobs int, jobItems, leaseItems uint32) (Memory, error) {
-	held := &heldLedger{ledger: ledger.New(benchShard), now: 1}
+	bench := &benchLedger{ledger: ledger.New(benchShard), now: 1}
 	items := float64(jobs) * float64(jobItems)
 	before := heapBytes()
 	perItem := func() float64 { return (heapBytes() - before) / items }
 
-	measured := Memory{Jobs: jobs, JobItems: jobItems}
+	memory := Memory{Jobs: jobs, JobItems: jobItems}
 	for number := range jobs {
-		held.submit(number, jobItems)
+		bench.submit(number, jobItems)
 	}
-	measured.Waiting = perItem()
-	// The last item of each job stays open, so that the jobs run on.
+	memory.Waiting = perItem()
+	// The last item of each job stays open, so that the jobs keep running.
 	var last []*rockwindpb.Lease
 	for number := range jobs {
-		last = append(last, held.runJob(number, jobItems, leaseItems))
+		last = append(last, bench.completeAllButLastItem(number, jobItems, leaseItems))
 	}
-	measured.Done = perItem()
-	held.seal()
-	measured.Sealed = perItem()
+	memory.Done = perItem()
+	bench.sealAll()
+	memory.Sealed = perItem()
 	for _, lease := range last {
-		held.report(lease, lease.GetFirstItem(), lease.GetFirstItem()+lease.GetItemCount())
+		bench.report(lease, lease.GetFirstItem(), lease.GetFirstItem()+lease.GetItemCount())
 	}
-	held.seal()
-	measured.Ended = perItem()
-	if stats := held.ledger.Stats(); stats.JobsCompleted != jobs || stats.ItemsUnsealed != 0 {
-		held.err = errors.CombineErrors(held.err, errors.Newf("jobs have not ended: %+v", stats))
+	bench.sealAll()
+	memory.Ended = perItem()
+	if stats := bench.ledger.Stats(); stats.JobsCompleted != jobs || stats.ItemsUnsealed != 0 {
+		bench.err = errors.CombineErrors(bench.err, errors.Newf("jobs have not ended: %+v", stats))
 	}
-	snapshot, err := held.ledger.Snapshot()
-	measured.SnapshotPerItem = float64(len(snapshot)) / items
-	runtime.KeepAlive(held)
-	return measured, errors.CombineErrors(held.err, err)
+	snapshot, err := bench.ledger.Snapshot()
+	memory.SnapshotPerItem = float64(len(snapshot)) / items
+	runtime.KeepAlive(bench)
+	return memory, errors.CombineErrors(bench.err, err)
 }
 
-// heapBytes is the live heap after a collection.
+// heapBytes returns the size of the live heap after a garbage collection.
 func heapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -85,61 +86,63 @@
 	return float64(stats.HeapAlloc)
 }
 
-// apply takes a command the way that a replica does.
-func (h *heldLedger) apply(command *rockwindpb.JobCommand) any {
-	h.now++
-	command.NowUnixMs = h.now
+// apply applies an encoded command, as a replica does.
+func (b *benchLedger) apply(command *rockwindpb.JobCommand) any {
+	b.now++
+	command.NowUnixMs = b.now
 	encoded, err := ledger.EncodeCommand(command)
 	if err != nil {
-		h.err = errors.CombineErrors(h.err, err)
+		b.err = errors.CombineErrors(b.err, err)
 		return nil
 	}
-	result := h.ledger.Apply(0, encoded)
+	result := b.ledger.Apply(0, encoded)
 	if refused, is := result.(error); is {
-		h.err = errors.CombineErrors(h.err, refused)
+		b.err = errors.CombineErrors(b.err, refused)
 	}
 	return result
 }
 
-func (h *heldLedger) submit(number int, items uint32) {
-	h.apply(&rockwindpb.JobCommand{Command: &rockwindpb.JobCommand_Submit{Submit: &rockwindpb.SubmitJobRequest{
+func (b *benchLedger) submit(number int, items uint32) {
+	b.apply(&rockwindpb.JobCommand{Command: &rockwindpb.JobCommand_Submit{Submit: &rockwindpb.SubmitJobRequest{
 		Job: &rockwindpb.Job{
 			Id:     sharding.FormatIdentifier("job", benchShard, uint64(number)+1),
-			Tenant: benchTenant, Group: groupOf(number), Model: benchModel,
+			Tenant: benchTenant, Group: jobGroup(number), Model: benchModel,
 			ClientKey: fmt.Sprint(number), ItemCount: items,
 		},
 	}}})
 }
 
-// groupOf gives each job a group of its own, so that a lease is of the job meant.
-func groupOf(number int) string {
+// jobGroup returns a separate group for each job, so that a lease selects that job.
+func jobGroup(number int) string {
 	return fmt.Sprint("group-", number)
 }
 
-// runJob completes a job but for its last lease, which it returns.
-func (h *heldLedger) runJob(number int, items, leaseItems uint32) *rockwindpb.Lease {
+// completeAllButLastItem completes all items of a job except the last, and returns a
+// lease of that item.
+func (b *benchLedger) completeAllButLastItem(number int, items, leaseItems uint32) *rockwindpb.Lease {
 	for {
-		answer := h.apply(&rockwindpb.JobCommand{Command: &rockwindpb.JobCommand_Acquire{Acquire: &rockwindpb.AcquireLeasesRequest{
-			Holder: benchTenant, MaxItems: leaseItems, Models: []string{benchModel}, Groups: []string{groupOf(number)},
-			LeaseMs: longLease,
+		answer := b.apply(&rockwindpb.JobCommand{Command: &rockwindpb.JobCommand_Acquire{Acquire: &rockwindpb.AcquireLeasesRequest{
+			Holder: benchTenant, MaxItems: leaseItems, Models: []string{benchModel}, Groups: []string{jobGroup(number)},
+			LeaseMs: longLeaseMs,
 		}}})
 		acquired, granted := answer.(*rockwindpb.AcquireLeasesResponse)
 		if !granted || len(acquired.GetGrants()) != 1 {
-			h.err = errors.CombineErrors(h.err, errors.Newf("job %d was not granted one lease", number))
+			b.err = errors.CombineErrors(b.err, errors.Newf("job %d was not granted one lease", number))
 			return nil
 		}
 		lease := acquired.GetGrants()[0].GetLease()
 		end := lease.GetFirstItem() + lease.GetItemCount()
 		if end == items {
-			h.report(lease, lease.GetFirstItem(), end-1)
+			b.report(lease, lease.GetFirstItem(), end-1)
 			return &rockwindpb.Lease{JobId: lease.GetJobId(), Fence: lease.GetFence(), FirstItem: end - 1, ItemCount: 1}
 		}
-		h.report(lease, lease.GetFirstItem(), end)
+		b.report(lease, lease.GetFirstItem(), end)
 	}
 }
 
-// report completes items of a lease, and ends the lease with its last item.
-func (h *heldLedger) report(lease *rockwindpb.Lease, first, end uint32) {
+// report completes the items of a lease from first to before end, and releases the
+// lease with its last item.
+func (b *benchLedger) report(lease *rockwindpb.Lease, first, end uint32) {
 	if lease == nil {
 		return
 	}
@@ -148,31 +151,31 @@
 		Release: end == lease.GetFirstItem()+lease.GetItemCount(),
 	}
 	for item := first; item < end; item++ {
-		h.offset += resultBytes
+		b.offset += resultBytes
 		completion.Items = append(completion.Items, &rockwindpb.ItemCompletion{
 			Item: item, Outcome: rockwindpb.ItemOutcome_ITEM_OUTCOME_COMPLETED,
-			Result: &rockwindpb.BodyReference{Segment: 1, Offset: h.offset, Length: resultBytes, Checksum: item * 2654435761},
+			Result: &rockwindpb.BodyReference{Segment: 1, Offset: b.offset, Length: resultBytes, Checksum: item * 2654435761},
 		})
 	}
-	h.apply(&rockwindpb.JobCommand{Command: &rockwindpb.JobCommand_Complete{Complete: &rockwindpb.CompleteItemsRequest{
+	b.apply(&rockwindpb.JobCommand{Command: &rockwindpb.JobCommand_Complete{Complete: &rockwindpb.CompleteItemsRequest{
 		Holder: benchTenant, Completions: []*rockwindpb.LeaseCompletion{completion},
 	}}})
 }
 
-// seal moves the references of all settled blocks out of memory.
-func (h *heldLedger) seal() {
-	for h.err == nil {
-		blocks := h.ledger.SealableBlocks(sealBatch)
+// sealAll seals all sealable blocks, which moves their result references out of memory.
+func (b *benchLedger) sealAll() {
+	for b.err == nil {
+		blocks := b.ledger.SealableBlocks(maxBlocksPerSeal)
 		if len(blocks) == 0 {
 			return
 		}
 		for _, block := range blocks {
-			h.offset += uint64(len(block.Body))
+			b.offset += uint64(len(block.Body))
 			reference := &rockwindpb.BodyReference{
-				Segment: 1, Offset: h.offset, Length: uint32(len(block.Body)),
+				Segment: 1, Offset: b.offset, Length: uint32(len(block.Body)),
 				Checksum: crc32.Checksum(block.Body, crc32.MakeTable(crc32.Castagnoli)),
 			}
-			h.apply(&rockwindpb.JobCommand{Command: &rockwindpb.JobCommand_Seal{Seal: block.Command(reference)}})
+			b.apply(&rockwindpb.JobCommand{Command: &rockwindpb.JobCommand_Seal{Seal: block.Command(reference)}})
 		}
 	}
 }
