--- a/internal/bench/experiment/propagation/command.go
+++ b/internal/bench/experiment/propagation/command.go
@@ -1,8 +1,8 @@
-// Package propagation measures how fast and at what cost an accepted configuration
-// is in force everywhere. The control machines are real processes; the daemons are
-// the followers that gateways run, with sockets and folders of their own, many to a
-// process. Daemons restart, are killed and stay away meanwhile, and none may ever
-// move to a lower number.
+// Package propagation measures the delay and the traffic until an accepted
+// configuration is in force on all daemons. The control machines are real processes.
+// The daemons are the configuration followers that gateways run, each with its own
+// connections and folder, many in one process. Some daemons are restarted, killed or
+// stopped during the run, and none may revert to a lower configuration number.
 package propagation
 
 import (
@@ -36,14 +36,14 @@
 	JSON       bool          `help:"Print the figures as JSON." name:"json"`
 }
 
-// Run measures and prints the figures. It fails where a daemon moved to a lower
-// number, or where one did not get the last configuration.
+// Run measures and prints the results. It fails if a daemon reverted to a lower
+// number or missed the last configuration.
 func (c *Command) Run() error {
 	ctx, release := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer release()
 	folder, err := os.MkdirTemp(c.Folder, "rockwind-config-")
 	if err != nil {
-		return errors.Wrap(err, "make a folder")
+		return errors.Wrap(err, "create a temporary folder")
 	}
 	defer os.RemoveAll(folder)
 	plan := fleet.DefaultPlan()
--- a/internal/bench/experiment/propagation/experiment.go
+++ b/internal/bench/experiment/propagation/experiment.go
@@ -17,15 +17,17 @@
 )
 
 const (
-	// awayDaemons stay away while control drops the changes that they miss.
+	// awayDaemons is the number of daemons stopped until control has dropped the
+	// changes that they miss.
 	awayDaemons = 2
-	// settleTimeout bounds a wait until all daemons have a configuration.
-	settleTimeout = 60 * time.Second
-	// changesWhileKilled are applied while a process of daemons is down.
+	// configurationTimeout bounds the wait until all daemons have a configuration.
+	configurationTimeout = 60 * time.Second
+	// changesWhileKilled is the number of changes applied while a process of daemons
+	// is down.
 	changesWhileKilled = 3
 )
 
-// experiment is a run of the experiment.
+// experiment is the state of one run.
 type experiment struct {
 	options  *Command
 	fleet    *fleet.Fleet
@@ -33,14 +35,14 @@
 	hosts    []*host
 	away     *host
 	result   *Result
-	// current is the configuration that was applied last.
+	// current is the last applied configuration.
 	current *rockwindpb.Configuration
 }
 
 func newExperiment(options *Command, running *fleet.Fleet, folder string) *experiment {
 	programs := options.Programs
 	if programs == "" {
-		// Without the path of this program the start of the fleet has failed before.
+		// The error can be ignored: without this path, starting the fleet has failed.
 		executable, _ := os.Executable()
 		programs = filepath.Dir(executable)
 	}
@@ -68,7 +70,7 @@
 	return names
 }
 
-// kill ends the processes of followers.
+// kill kills the processes of the followers.
 func (e *experiment) kill() {
 	for _, each := range append([]*host{e.away}, e.hosts...) {
 		each.process.Kill()
@@ -81,14 +83,14 @@
 		run  func(context.Context) error
 	}{
 		{"miss changes", e.missChanges},
-		{"apply the whole", e.applyWhole},
+		{"apply the whole", e.applyFullSize},
 		{"start the daemons", e.startDaemons},
-		{"stay idle", e.stayIdle},
-		{"apply changes", e.changeSteadily},
-		{"apply changes while daemons restart", e.changeWhileRestarting},
-		{"return after changes were dropped", e.returnAway},
-		{"return after a kill", e.returnKilled},
-		{"count", e.count},
+		{"stay idle", e.measureIdle},
+		{"apply changes", e.measureSteady},
+		{"apply changes while daemons restart", e.measureWhileRestarting},
+		{"return after changes were dropped", e.rejoinAway},
+		{"return after a kill", e.rejoinKilled},
+		{"count", e.countViolations},
 	}
 	for _, step := range steps {
 		if err := step.run(ctx); err != nil {
@@ -98,15 +100,15 @@
 	return nil
 }
 
-// missChanges lets the daemons that stay away get a first configuration, stops
-// them, and applies more changes than control keeps.
+// missChanges gives the away daemons a first configuration, stops them, and applies
+// more changes than control keeps.
 func (e *experiment) missChanges(ctx context.Context) error {
 	if err := e.away.start(ctx); err != nil {
 		return err
 	}
 	e.current = e.fleet.Configuration()
 	e.current.Number = e.fleet.Number()
-	if err := e.settle(ctx, []*host{e.away}, e.current.GetNumber()); err != nil {
+	if err := e.awaitConfiguration(ctx, []*host{e.away}, e.current.GetNumber()); err != nil {
 		return err
 	}
 	for _, name := range e.away.names {
@@ -122,7 +124,7 @@
 	return nil
 }
 
-// nextChange is the next configuration, in which the limits of a tenant changed.
+// nextChange returns the next configuration, which changes the limits of one tenant.
 func (e *experiment) nextChange() *rockwindpb.Configuration {
 	next := proto.CloneOf(e.current)
 	next.Number++
@@ -140,34 +142,35 @@
 	return err
 }
 
-// applyWhole applies the configuration of the full size by the operator's command.
-func (e *experiment) applyWhole(ctx context.Context) error {
+// applyFullSize applies the configuration with all tenants, with the operator's
+// command.
+func (e *experiment) applyFullSize(ctx context.Context) error {
 	e.fleet.Plan.Tenants = e.options.Tenants / len(fleet.Groups())
 	whole := e.fleet.Configuration()
 	whole.Number = e.current.GetNumber() + 1
-	began := time.Now()
+	started := time.Now()
 	if err := e.fleet.Apply(ctx, whole); err != nil {
 		return err
 	}
-	e.result.OperatorApplyMs = milliseconds(time.Since(began))
+	e.result.OperatorApplyMs = milliseconds(time.Since(started))
 	e.current = whole
 	return nil
 }
 
 func (e *experiment) startDaemons(ctx context.Context) error {
-	began := time.Now()
+	started := time.Now()
 	if err := startAll(ctx, e.hosts); err != nil {
 		return err
 	}
-	if err := e.settle(ctx, e.hosts, e.current.GetNumber()); err != nil {
+	if err := e.awaitConfiguration(ctx, e.hosts, e.current.GetNumber()); err != nil {
 		return err
 	}
-	e.result.FirstTransferMs = milliseconds(time.Since(began))
+	e.result.FirstTransferMs = milliseconds(time.Since(started))
 	return nil
 }
 
-// stayIdle measures the traffic without changes.
-func (e *experiment) stayIdle(ctx context.Context) error {
+// measureIdle measures the traffic without changes.
+func (e *experiment) measureIdle(ctx context.Context) error {
 	before, err := reportsOf(ctx, e.hosts)
 	if err != nil {
 		return err
@@ -189,9 +192,10 @@
 	return nil
 }
 
-// settle waits until all followers of the processes have a configuration in force.
-func (e *experiment) settle(ctx context.Context, hosts []*host, number uint64) error {
-	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
+// awaitConfiguration waits until all followers of the hosts have at least the given
+// configuration in force.
+func (e *experiment) awaitConfiguration(ctx context.Context, hosts []*host, number uint64) error {
+	ctx, cancel := context.WithTimeout(ctx, configurationTimeout)
 	defer cancel()
 	for {
 		reports, err := reportsOf(ctx, hosts)
@@ -208,31 +212,32 @@
 func countMissing(reports []hollow.FollowerReport, number uint64) int {
 	missing := 0
 	for _, each := range reports {
-		if newest(each) < number {
+		if newestNumber(each) < number {
 			missing++
 		}
 	}
 	return missing
 }
 
-// returnAway starts the daemons that stayed away.
-func (e *experiment) returnAway(ctx context.Context) error {
+// rejoinAway starts the away daemons and measures until they have the newest
+// configuration.
+func (e *experiment) rejoinAway(ctx context.Context) error {
 	before, err := e.away.reports(ctx)
 	if err != nil {
 		return err
 	}
-	began := time.Now()
+	started := time.Now()
 	for _, name := range e.away.names {
 		if err := e.away.command(ctx, hollow.StartPage, name); err != nil {
 			return err
 		}
 	}
-	if err := e.settle(ctx, []*host{e.away}, e.current.GetNumber()); err != nil {
+	if err := e.awaitConfiguration(ctx, []*host{e.away}, e.current.GetNumber()); err != nil {
 		return err
 	}
 	e.result.Away = Rejoin{
-		Daemons: awayDaemons, InForceMs: milliseconds(time.Since(began)),
-		Missed: int(e.current.GetNumber() - newest(before[0])),
+		Daemons: awayDaemons, InForceMs: milliseconds(time.Since(started)),
+		Missed: int(e.current.GetNumber() - newestNumber(before[0])),
 	}
 	after, err := e.away.reports(ctx)
 	e.result.Away.add(before, after)
@@ -240,7 +245,7 @@
 	return err
 }
 
-// add sums what daemons got between two reports.
+// add adds the transfers and traffic of daemons between two reports.
 func (r *Rejoin) add(before, after []hollow.FollowerReport) {
 	total := int64(0)
 	for index := range after {
@@ -250,8 +255,9 @@
 	r.BytesPerDaemon = float64(total) / float64(max(1, len(after)))
 }
 
-// returnKilled kills a process of daemons, applies changes, and starts it again.
-func (e *experiment) returnKilled(ctx context.Context) error {
+// rejoinKilled kills a process of daemons, applies changes, starts it again and
+// measures until its daemons have the newest configuration.
+func (e *experiment) rejoinKilled(ctx context.Context) error {
 	victim := e.hosts[0]
 	before, err := victim.reports(ctx)
 	if err != nil {
@@ -263,34 +269,34 @@
 			return err
 		}
 	}
-	began := time.Now()
+	started := time.Now()
 	if err := victim.start(ctx); err != nil {
 		return err
 	}
-	if err := e.settle(ctx, []*host{victim}, e.current.GetNumber()); err != nil {
+	if err := e.awaitConfiguration(ctx, []*host{victim}, e.current.GetNumber()); err != nil {
 		return err
 	}
 	e.result.Killed = Rejoin{
-		Daemons: len(victim.names), Missed: changesWhileKilled, InForceMs: milliseconds(time.Since(began)),
+		Daemons: len(victim.names), Missed: changesWhileKilled, InForceMs: milliseconds(time.Since(started)),
 	}
 	after, err := victim.reports(ctx)
 	if err != nil {
 		return err
 	}
-	// The counts of a process start at zero.
+	// The counters of the new process start at zero.
 	e.result.Killed.add(make([]hollow.FollowerReport, len(after)), after)
 	for index := range after {
-		if after[index].InForce[0].Number < newest(before[index]) {
+		if after[index].InForce[0].Number < newestNumber(before[index]) {
 			e.result.Reverts++
 		}
 	}
 	return nil
 }
 
-// count counts what must not have happened. The daemons that a kill has ended have
-// been looked at before.
-func (e *experiment) count(ctx context.Context) error {
-	if err := e.settle(ctx, e.hosts, e.current.GetNumber()); err != nil {
+// countViolations counts reverts and missing configurations. rejoinKilled has already
+// counted the reverts across its restart.
+func (e *experiment) countViolations(ctx context.Context) error {
+	if err := e.awaitConfiguration(ctx, e.hosts, e.current.GetNumber()); err != nil {
 		return err
 	}
 	reports, err := reportsOf(ctx, e.hosts)
--- a/internal/bench/experiment/propagation/hosts.go
+++ b/internal/bench/experiment/propagation/hosts.go
@@ -19,18 +19,18 @@
 const (
 	benchProgram = "rockwind-bench"
 	startTimeout = 60 * time.Second
-	pollGap      = 10 * time.Millisecond
+	pollInterval = 10 * time.Millisecond
 )
 
-// host is a process of followers.
+// host is a process that runs several followers.
 type host struct {
 	process *fleet.Process
 	names   []string
-	// page is where its pages are, known once it has started.
+	// page is the base URL of its HTTP pages, set by start.
 	page string
 }
 
-// newHost prepares a process for the named followers.
+// newHost defines a process for the named followers without starting it.
 func newHost(name, folder, programs string, control []*rockwindpb.ControlMachine, names []string) *host {
 	arguments := []string{"hollow", "followers", "--names", strings.Join(names, ","), "--folder", filepath.Join(folder, name)}
 	for _, machine := range control {
@@ -42,7 +42,7 @@
 	})}
 }
 
-// start starts the process and waits until it serves its pages.
+// start starts the process and waits until it serves HTTP.
 func (h *host) start(ctx context.Context) error {
 	h.process = h.process.Again()
 	if err := h.process.Start(); err != nil {
@@ -58,32 +58,32 @@
 			return nil
 		}
 		if !h.process.Running() || ctx.Err() != nil {
-			return fault.Newf(fault.Unavailable, "read its output", "%s does not serve:\n%s", h.process.Name, h.process.Output())
+			return fault.Newf(fault.Unavailable, "read its output", "%s does not serve HTTP:\n%s", h.process.Name, h.process.Output())
 		}
 		pause(ctx)
 	}
 }
 
-// reports reads what the followers of the process say.
+// reports reads the reports of the followers of the process.
 func (h *host) reports(ctx context.Context) ([]hollow.FollowerReport, error) {
 	var reports []hollow.FollowerReport
 	err := hollow.ReadPage(ctx, http.DefaultClient, h.page+hollow.ReportPage, &reports)
 	return reports, err
 }
 
-// command does something with one follower of the process.
+// command starts, stops or restarts one follower of the process.
 func (h *host) command(ctx context.Context, page, name string) error {
 	return hollow.ReadPage(ctx, http.DefaultClient, h.page+page+"?name="+url.QueryEscape(name), nil)
 }
 
 // reportsOf reads the reports of several processes.
 func reportsOf(ctx context.Context, hosts []*host) ([]hollow.FollowerReport, error) {
-	parts := make([][]hollow.FollowerReport, len(hosts))
+	byHost := make([][]hollow.FollowerReport, len(hosts))
 	group, ctx := errgroup.WithContext(ctx)
 	for index, each := range hosts {
 		group.Go(func() error {
 			var err error
-			parts[index], err = each.reports(ctx)
+			byHost[index], err = each.reports(ctx)
 			return err
 		})
 	}
@@ -91,13 +91,13 @@
 		return nil, err
 	}
 	var all []hollow.FollowerReport
-	for _, part := range parts {
-		all = append(all, part...)
+	for _, reports := range byHost {
+		all = append(all, reports...)
 	}
 	return all, nil
 }
 
-// startAll starts processes at once.
+// startAll starts several processes concurrently.
 func startAll(ctx context.Context, hosts []*host) error {
 	group, ctx := errgroup.WithContext(ctx)
 	for _, each := range hosts {
@@ -109,12 +109,13 @@
 func pause(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(pollGap):
+	case <-time.After(pollInterval):
 	}
 }
 
-// newest is the last configuration that a follower put in force.
-func newest(report hollow.FollowerReport) uint64 {
+// newestNumber returns the number of the last configuration that a follower put in
+// force, or 0.
+func newestNumber(report hollow.FollowerReport) uint64 {
 	if len(report.InForce) == 0 {
 		return 0
 	}
--- a/internal/bench/experiment/propagation/spread.go
+++ b/internal/bench/experiment/propagation/phase.go
@@ -11,31 +11,31 @@
 	"rockwind.example/rockwind/internal/bench/hollow"
 )
 
-// restartSeed seeds the choice of the daemons that restart.
+// restartSeed seeds the random choice of daemons to restart.
 const restartSeed = 20261202
 
-// application is a configuration that was applied.
-type application struct {
-	number uint64
-	began  time.Time
-	took   time.Duration
+// appliedConfiguration is the apply of one configuration.
+type appliedConfiguration struct {
+	number  uint64
+	started time.Time
+	took    time.Duration
 }
 
-func (e *experiment) changeSteadily(ctx context.Context) error {
+func (e *experiment) measureSteady(ctx context.Context) error {
 	var err error
-	e.result.Steady, err = e.spread(ctx, func(context.Context) (int, error) { return 0, nil })
+	e.result.Steady, err = e.measurePhase(ctx, func(context.Context) (int, error) { return 0, nil })
 	return err
 }
 
-// changeWhileRestarting restarts one daemon after the other meanwhile.
-func (e *experiment) changeWhileRestarting(ctx context.Context) error {
+// measureWhileRestarting measures a phase during which daemons are restarted.
+func (e *experiment) measureWhileRestarting(ctx context.Context) error {
 	var err error
-	e.result.Restarting, err = e.spread(ctx, e.restartDaemons)
+	e.result.Restarting, err = e.measurePhase(ctx, e.restartDaemons)
 	return err
 }
 
-// restartDaemons restarts random daemons until the context ends, and returns how
-// many.
+// restartDaemons restarts random daemons, one at a time, until the context ends. It
+// returns the number of restarts.
 func (e *experiment) restartDaemons(ctx context.Context) (int, error) {
 	random := rand.New(rand.NewPCG(restartSeed, 0))
 	ticker := time.NewTicker(e.options.Restart)
@@ -56,28 +56,28 @@
 	}
 }
 
-// spread applies changes, lets something go on meanwhile, and works out how the
-// changes reached the daemons.
-func (e *experiment) spread(ctx context.Context, meanwhile func(context.Context) (int, error)) (PhaseStats, error) {
+// measurePhase applies changes with inBackground running, and computes the delays and
+// traffic of the changes. inBackground returns the number of daemon restarts.
+func (e *experiment) measurePhase(ctx context.Context, inBackground func(context.Context) (int, error)) (PhaseStats, error) {
 	before, err := reportsOf(ctx, e.hosts)
 	if err != nil {
 		return PhaseStats{}, err
 	}
-	began := time.Now()
-	aside, stop := context.WithCancel(ctx)
+	started := time.Now()
+	backgroundContext, stop := context.WithCancel(ctx)
 	defer stop()
 	restarts := 0
 	var group errgroup.Group
 	group.Go(func() error {
 		var err error
-		restarts, err = meanwhile(aside)
+		restarts, err = inBackground(backgroundContext)
 		return err
 	})
 	applied, err := e.applyChanges(ctx)
 	if err != nil {
 		return PhaseStats{}, err
 	}
-	if err := e.settle(ctx, e.hosts, e.current.GetNumber()); err != nil {
+	if err := e.awaitConfiguration(ctx, e.hosts, e.current.GetNumber()); err != nil {
 		return PhaseStats{}, err
 	}
 	stop()
@@ -88,24 +88,24 @@
 	if err != nil {
 		return PhaseStats{}, err
 	}
-	result := spreadOf(applied, after)
+	result := phaseStats(applied, after)
 	result.Restarts = restarts
-	result.countBytes(before, after, e.result.IdleBytesPerDaemonSecond*time.Since(began).Seconds())
+	result.countBytes(before, after, e.result.IdleBytesPerDaemonSecond*time.Since(started).Seconds())
 	return result, nil
 }
 
-// applyChanges applies the changes of a phase, an interval apart.
-func (e *experiment) applyChanges(ctx context.Context) ([]application, error) {
-	var applied []application
+// applyChanges applies the changes of a phase at the configured interval.
+func (e *experiment) applyChanges(ctx context.Context) ([]appliedConfiguration, error) {
+	var applied []appliedConfiguration
 	for range e.options.Changes {
 		next := e.nextChange()
-		began := time.Now()
+		started := time.Now()
 		if err := e.applyNext(ctx, next); err != nil {
 			return nil, err
 		}
-		applied = append(applied, application{number: next.GetNumber(), began: began, took: time.Since(began)})
+		applied = append(applied, appliedConfiguration{number: next.GetNumber(), started: started, took: time.Since(started)})
 		select {
-		case <-time.After(time.Until(began.Add(e.options.Interval))):
+		case <-time.After(time.Until(started.Add(e.options.Interval))):
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -113,13 +113,13 @@
 	return applied, nil
 }
 
-// spreadOf works out the delays of the applied configurations.
-func spreadOf(applied []application, reports []hollow.FollowerReport) PhaseStats {
+// phaseStats computes the delays of the applied configurations.
+func phaseStats(applied []appliedConfiguration, reports []hollow.FollowerReport) PhaseStats {
 	var everywhere, daemons, applies []float64
 	for _, each := range applied {
 		slowest := 0.0
 		for _, report := range reports {
-			delay := milliseconds(time.Unix(0, firstInForce(report, each.number)).Sub(each.began))
+			delay := milliseconds(time.Unix(0, firstInForce(report, each.number)).Sub(each.started))
 			daemons = append(daemons, delay)
 			slowest = max(slowest, delay)
 		}
@@ -136,8 +136,8 @@
 	}
 }
 
-// firstInForce is when a follower first had a configuration, or a newer one, in
-// force, in Unix nanoseconds. The follower has it.
+// firstInForce returns when a follower first had a configuration, or a newer one, in
+// force, in Unix nanoseconds. The caller ensures that it has one.
 func firstInForce(report hollow.FollowerReport, number uint64) int64 {
 	for _, each := range report.InForce {
 		if each.Number >= number {
@@ -147,8 +147,8 @@
 	return 0
 }
 
-// countBytes works out the bytes of a change and daemon; idle is what a daemon
-// would have sent and received without changes.
+// countBytes computes the traffic per change and daemon. idle is the traffic of a
+// daemon without changes in the same time.
 func (s *PhaseStats) countBytes(before, after []hollow.FollowerReport, idle float64) {
 	var bytes []float64
 	for index := range after {
--- a/internal/bench/experiment/propagation/spread_test.go
+++ b/internal/bench/experiment/propagation/phase_test.go
@@ -12,18 +12,18 @@
 	return hollow.InForce{Number: number, UnixNs: int64(at)}
 }
 
-// TestSpread works out the delays of two changes at two daemons. One daemon skips
-// the first change, and restarts with the second.
-func TestSpread(t *testing.T) {
-	applied := []application{
-		{number: 5, began: time.Unix(0, int64(time.Second))},
-		{number: 6, began: time.Unix(0, int64(2*time.Second))},
+// TestPhaseStats checks delays and traffic of two changes at two daemons. One daemon
+// skips the first change and restarts with the second, which must count once.
+func TestPhaseStats(t *testing.T) {
+	applied := []appliedConfiguration{
+		{number: 5, started: time.Unix(0, int64(time.Second))},
+		{number: 6, started: time.Unix(0, int64(2*time.Second))},
 	}
 	reports := []hollow.FollowerReport{
 		{InForce: []hollow.InForce{inForce(4, 0), inForce(5, 1100*time.Millisecond), inForce(6, 2050*time.Millisecond)}},
 		{InForce: []hollow.InForce{inForce(4, 0), inForce(6, 2300*time.Millisecond), {Number: 6, UnixNs: int64(3 * time.Second), FromDisk: true}}},
 	}
-	got := spreadOf(applied, reports)
+	got := phaseStats(applied, reports)
 	if got.EverywhereP50Ms != 300 || got.EverywhereMaxMs != 1300 || got.DaemonP50Ms != 100 || got.DaemonP99Ms != 1300 {
 		t.Errorf("got %+v", got)
 	}
