--- a/internal/bench/experiment/overhead/command.go
+++ b/internal/bench/experiment/overhead/command.go
@@ -35,13 +35,13 @@
 	JSON          bool          `help:"Print the figures as JSON." name:"json"`
 }
 
-// Run starts a fleet with one gateway, measures and prints the figures.
+// Run starts a fleet with one gateway, measures and prints the results.
 func (c *Command) Run() error {
 	ctx, release := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer release()
 	folder, err := os.MkdirTemp("", "rockwind-overhead-")
 	if err != nil {
-		return errors.Wrap(err, "make a folder")
+		return errors.Wrap(err, "create a temporary folder")
 	}
 	defer os.RemoveAll(folder)
 	running, err := fleet.Start(ctx, c.plan(), folder, c.Programs)
@@ -49,14 +49,14 @@
 		return err
 	}
 	result, err := Measure(ctx, environment(running), c.options())
-	stopped := running.Stop(context.WithoutCancel(ctx))
+	stopErr := running.Stop(context.WithoutCancel(ctx))
 	if err != nil {
 		return err
 	}
 	if err := c.print(result); err != nil {
 		return err
 	}
-	return stopped
+	return stopErr
 }
 
 func (c *Command) plan() fleet.Plan {
@@ -110,7 +110,7 @@
 	return strings.TrimSpace(string(data))
 }
 
-// print writes the figures to standard output and, when asked for, a page.
+// print writes the results to standard output and, with --output, an HTML page.
 func (c *Command) print(result *Result) error {
 	if c.Output != "" {
 		if err := result.write(c.Output); err != nil {
@@ -136,7 +136,7 @@
 		name, r.RequestsPerSecond, r.TokensPerSecond, r.Cores, r.RequestsPerCoreSecond, r.EventsPerCoreSecond, r.TokensPerCoreSecond, r.Failures, r.NotSent)
 }
 
-// write makes the page of the experiment.
+// write creates the HTML page of the experiment.
 func (r *Result) write(folder string) error {
 	if err := report.WriteJSON(folder, r); err != nil {
 		return err
@@ -167,16 +167,16 @@
 }
 
 func (c Comparison) row(name string) []string {
-	return append([]string{name}, numbers("%.2f", c.Direct.P50Ms, c.Relayed.P50Ms, c.Direct.P99Ms, c.Relayed.P99Ms, c.RatioP99)...)
+	return append([]string{name}, formatNumbers("%.2f", c.Direct.P50Ms, c.Relayed.P50Ms, c.Direct.P99Ms, c.Relayed.P99Ms, c.RatioP99)...)
 }
 
 func (r RelayCost) row(name string) []string {
-	row := append([]string{name}, numbers("%.0f", r.RequestsPerSecond, r.TokensPerSecond)...)
-	row = append(row, numbers("%.2f", r.Cores)...)
-	return append(row, numbers("%.0f", r.RequestsPerCoreSecond, r.TokensPerCoreSecond)...)
+	row := append([]string{name}, formatNumbers("%.0f", r.RequestsPerSecond, r.TokensPerSecond)...)
+	row = append(row, formatNumbers("%.2f", r.Cores)...)
+	return append(row, formatNumbers("%.0f", r.RequestsPerCoreSecond, r.TokensPerCoreSecond)...)
 }
 
-func numbers(format string, values ...float64) []string {
+func formatNumbers(format string, values ...float64) []string {
 	var result []string
 	for _, value := range values {
 		result = append(result, fmt.Sprintf(format, value))
--- a/internal/bench/experiment/overhead/overhead.go
+++ b/internal/bench/experiment/overhead/overhead.go
@@ -1,7 +1,7 @@
-// Package overhead measures what a gateway adds to a request: latency over
-// direct calls of the same engines in the same run, and the processor time that
-// relaying costs. Direct and relayed calls alternate at random, so that whatever
-// else the machine does meets both alike.
+// Package overhead measures the overhead of a gateway: the added latency against
+// direct calls to the same engines in the same run, and the CPU time of relaying.
+// Direct and relayed calls are interleaved at random, so that other load on the machine
+// affects both equally.
 package overhead
 
 import (
@@ -21,27 +21,27 @@
 	classRelayed = "relayed"
 )
 
-// Environment is what the experiment calls.
+// Environment describes the gateway and engines that the experiment calls.
 type Environment struct {
 	// Gateway and Engines are addresses, "ip:port".
 	Gateway string
 	Engines []string
 	// GatewayInternal is the internal address of the gateway.
 	GatewayInternal string
-	// GatewayPid is the process whose processor time is read.
+	// GatewayPid is the process whose CPU time is read.
 	GatewayPid int
 	APIKey     string
 	Model      string
 }
 
-// Options are the sizes of the experiment.
+// Options are the parameters of the experiment.
 type Options struct {
 	// Duration is the length of each phase.
 	Duration time.Duration
-	// LatencyRate is the rate of calls in the latency phase, direct and relayed
-	// together.
+	// LatencyRate is the total rate of direct and relayed calls in the latency phase.
 	LatencyRate float64
-	// PromptTokens and MaxTokens are the lengths of requests.
+	// PromptTokens is the length of prompts, MaxTokens that of answers in the latency
+	// phase.
 	PromptTokens, MaxTokens int
 	// TokenRate is the rate of tokens to relay in the throughput phase.
 	TokenRate float64
@@ -50,12 +50,12 @@
 	// RequestRate is the rate of one-token requests in the request phase.
 	RequestRate float64
 	Seed        int64
-	// Profile is the file for a processor profile of the gateway in the
-	// throughput phase; empty takes none.
+	// Profile is the file for a CPU profile of the gateway in the throughput phase;
+	// empty disables it.
 	Profile string
 }
 
-// Comparison is a quantity of direct and of relayed calls.
+// Comparison compares a latency of direct and relayed calls.
 type Comparison struct {
 	Direct     load.Summary `json:"direct"`
 	Relayed    load.Summary `json:"relayed"`
@@ -64,7 +64,7 @@
 	RatioP99   float64      `json:"ratio_p99"`
 }
 
-// RelayCost is what a phase cost the gateway.
+// RelayCost is the work and CPU time of the gateway in one phase.
 type RelayCost struct {
 	Requests          int     `json:"requests"`
 	Tokens            int64   `json:"tokens"`
@@ -72,9 +72,9 @@
 	ElapsedSeconds    float64 `json:"elapsed_seconds"`
 	RequestsPerSecond float64 `json:"requests_per_second"`
 	TokensPerSecond   float64 `json:"tokens_per_second"`
-	// CPUSeconds is user and system time of the gateway process.
+	// CPUSeconds is the user and system time of the gateway process.
 	CPUSeconds float64 `json:"cpu_seconds"`
-	// Cores is the processor time a second.
+	// Cores is the CPU time per second.
 	Cores                 float64             `json:"cores"`
 	RequestsPerCoreSecond float64             `json:"requests_per_core_second"`
 	TokensPerCoreSecond   float64             `json:"tokens_per_core_second"`
@@ -85,18 +85,17 @@
 	BetweenEvents         load.Summary        `json:"between_events"`
 }
 
-// Result holds the figures of the experiment.
+// Result holds the results of the experiment.
 type Result struct {
-	// AddedP50Ms, AddedP99Ms and RatioP99 are of whole streamed answers.
+	// AddedP50Ms, AddedP99Ms and RatioP99 apply to complete streamed answers.
 	AddedP50Ms float64 `json:"added_p50_ms"`
 	AddedP99Ms float64 `json:"added_p99_ms"`
 	RatioP99   float64 `json:"ratio_p99"`
-	// TokensPerCoreSecond and EventsPerCoreSecond are of the throughput phase.
-	// How many tokens an event carries is the engine's choice; the cost is by
-	// event.
+	// TokensPerCoreSecond and EventsPerCoreSecond apply to the throughput phase. The
+	// cost depends on the number of events; the engine chooses the tokens per event.
 	TokensPerCoreSecond float64 `json:"tokens_per_core_second"`
 	EventsPerCoreSecond float64 `json:"events_per_core_second"`
-	// RequestsPerSecond and RequestsPerCoreSecond are of the request phase.
+	// RequestsPerSecond and RequestsPerCoreSecond apply to the request phase.
 	RequestsPerSecond     float64 `json:"requests_per_second"`
 	RequestsPerCoreSecond float64 `json:"requests_per_core_second"`
 
@@ -105,25 +104,25 @@
 	Failures    []load.OutcomeCount `json:"failures"`
 	Throughput  RelayCost           `json:"throughput"`
 	Requests    RelayCost           `json:"requests"`
-	// MachineLoad is the load average at the begin: the machine may be shared.
+	// MachineLoad is the load average of the machine at the start.
 	MachineLoad string `json:"machine_load"`
 
 	latency *load.Result
 }
 
-// Measure runs the three phases one after the other.
+// Measure runs the three phases in sequence.
 func Measure(ctx context.Context, environment Environment, options Options) (*Result, error) {
 	result := &Result{MachineLoad: machineLoad()}
 	result.measureLatency(ctx, environment, options)
-	profiled := startProfile(ctx, environment, options)
+	waitForProfile := startProfile(ctx, environment, options)
 	var err error
-	if result.Throughput, err = relay(ctx, environment, options, streamCalls(environment, options)); err != nil {
+	if result.Throughput, err = measureRelay(ctx, environment, options, streamSchedule(environment, options)); err != nil {
 		return nil, err
 	}
-	if err := profiled(); err != nil {
+	if err := waitForProfile(); err != nil {
 		return nil, err
 	}
-	if result.Requests, err = relay(ctx, environment, options, shortCalls(environment, options)); err != nil {
+	if result.Requests, err = measureRelay(ctx, environment, options, shortSchedule(environment, options)); err != nil {
 		return nil, err
 	}
 	result.TokensPerCoreSecond = result.Throughput.TokensPerCoreSecond
@@ -153,17 +152,17 @@
 	r.AddedP99Ms = r.WholeAnswer.AddedP99Ms
 	r.RatioP99 = r.WholeAnswer.RatioP99
 	for _, class := range r.latency.Report().Classes {
-		r.Failures = append(r.Failures, failures(class)...)
+		r.Failures = append(r.Failures, failedOutcomes(class)...)
 	}
 }
 
-// alternate sends each of two calls in a row to an engine and to the gateway, in
-// random order.
+// alternate sends one call of each consecutive pair to an engine and the other to the
+// gateway, in random order.
 func alternate(schedule load.Schedule, environment Environment, random *rand.Rand) load.Schedule {
 	number := 0
 	directFirst := false
 	return func() (load.Planned, bool) {
-		planned, more := schedule()
+		planned, ok := schedule()
 		if number%2 == 0 {
 			directFirst = random.Intn(2) == 0
 		}
@@ -176,7 +175,7 @@
 			planned.Class = classRelayed
 			planned.Call.Target = environment.Gateway
 		}
-		return planned, more
+		return planned, ok
 	}
 }
 
@@ -190,8 +189,8 @@
 	return result
 }
 
-// failures returns what did not end well.
-func failures(class load.ClassReport) []load.OutcomeCount {
+// failedOutcomes returns the counts of all outcomes but success.
+func failedOutcomes(class load.ClassReport) []load.OutcomeCount {
 	var result []load.OutcomeCount
 	for _, entry := range class.Outcomes {
 		if entry.Outcome != load.OutcomeOK {
@@ -201,8 +200,8 @@
 	return result
 }
 
-// streamCalls is the schedule of long streams through the gateway.
-func streamCalls(environment Environment, options Options) load.Schedule {
+// streamSchedule returns the schedule of long streams through the gateway.
+func streamSchedule(environment Environment, options Options) load.Schedule {
 	random := rand.New(rand.NewSource(options.Seed + 1))
 	rate := options.TokenRate / float64(options.StreamTokens)
 	return load.Poisson(rate, options.Duration, random, classRelayed, func(number int) load.Call {
@@ -214,8 +213,8 @@
 	})
 }
 
-// shortCalls is the schedule of one-token requests through the gateway.
-func shortCalls(environment Environment, options Options) load.Schedule {
+// shortSchedule returns the schedule of one-token requests through the gateway.
+func shortSchedule(environment Environment, options Options) load.Schedule {
 	random := rand.New(rand.NewSource(options.Seed + 2))
 	return load.Poisson(options.RequestRate, options.Duration, random, classRelayed, func(number int) load.Call {
 		return load.Call{
@@ -226,25 +225,25 @@
 	})
 }
 
-// relay runs a schedule and reads what it cost the gateway.
-func relay(ctx context.Context, environment Environment, options Options, schedule load.Schedule) (RelayCost, error) {
+// measureRelay runs a schedule and measures the CPU time of the gateway.
+func measureRelay(ctx context.Context, environment Environment, options Options, schedule load.Schedule) (RelayCost, error) {
 	before, err := fleet.ReadUsage(environment.GatewayPid)
 	if err != nil {
-		return RelayCost{}, errors.Wrap(err, "usage of the gateway")
+		return RelayCost{}, errors.Wrap(err, "read the CPU time of the gateway")
 	}
 	result := load.Run(ctx, schedule, load.Options{})
 	after, err := fleet.ReadUsage(environment.GatewayPid)
 	if err != nil {
-		return RelayCost{}, errors.Wrap(err, "usage of the gateway")
+		return RelayCost{}, errors.Wrap(err, "read the CPU time of the gateway")
 	}
 	report := result.Report()
 	if len(report.Classes) == 0 {
 		return RelayCost{}, errors.New("no call was sent; raise the rate or the duration")
 	}
-	return relaying(report.Classes[0], result, after.CPU-before.CPU), nil
+	return relayCost(report.Classes[0], result, after.CPU-before.CPU), nil
 }
 
-func relaying(class load.ClassReport, result *load.Result, processor time.Duration) RelayCost {
+func relayCost(class load.ClassReport, result *load.Result, cpuTime time.Duration) RelayCost {
 	answered := result.Class(class.Class).Count(load.OutcomeOK)
 	relayed := RelayCost{
 		Requests:          answered,
@@ -253,17 +252,17 @@
 		ElapsedSeconds:    result.Elapsed.Seconds(),
 		RequestsPerSecond: class.RequestsPerSecond,
 		TokensPerSecond:   class.TokensPerSecond,
-		CPUSeconds:        processor.Seconds(),
-		Cores:             processor.Seconds() / result.Elapsed.Seconds(),
-		Failures:          failures(class),
+		CPUSeconds:        cpuTime.Seconds(),
+		Cores:             cpuTime.Seconds() / result.Elapsed.Seconds(),
+		Failures:          failedOutcomes(class),
 		NotSent:           class.NotSent,
 		Latency:           class.Latency,
 		BetweenEvents:     class.BetweenTokens,
 	}
-	if processor > 0 {
-		relayed.RequestsPerCoreSecond = float64(answered) / processor.Seconds()
-		relayed.TokensPerCoreSecond = float64(class.Tokens) / processor.Seconds()
-		relayed.EventsPerCoreSecond = float64(relayed.Events) / processor.Seconds()
+	if cpuTime > 0 {
+		relayed.RequestsPerCoreSecond = float64(answered) / cpuTime.Seconds()
+		relayed.TokensPerCoreSecond = float64(class.Tokens) / cpuTime.Seconds()
+		relayed.EventsPerCoreSecond = float64(relayed.Events) / cpuTime.Seconds()
 	}
 	return relayed
 }
--- a/internal/bench/experiment/overhead/overhead_test.go
+++ b/internal/bench/experiment/overhead/overhead_test.go
@@ -12,9 +12,9 @@
 	"rockwind.example/rockwind/internal/standin"
 )
 
-// TestMeasureAgainstAnEngineOnly lets an engine play the gateway: the figures
-// must then count alike on both sides.
-func TestMeasureAgainstAnEngineOnly(t *testing.T) {
+// TestMeasureWithEngineAsGateway calls one engine both directly and in place of the
+// gateway. The counts of both classes must then agree.
+func TestMeasureWithEngineAsGateway(t *testing.T) {
 	config := engine.FastConfig()
 	config.BaseStep = 100 * time.Microsecond
 	server, err := standin.NewEngine(standin.EngineOptions{Config: config})
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestCostIsAnsweredWorkOverProcessorTime(t *testing.T) {
+func TestRelayCostCountsAnsweredRequests(t *testing.T) {
 	result := load.NewResult()
 	result.Elapsed = 2 * time.Second
 	for range 10 {
@@ -58,7 +58,7 @@
 	}
 	result.Started(classRelayed, 0)
 	result.Add(classRelayed, load.Measured{Outcome: load.OutcomeNotRun})
-	cost := relaying(result.Report().Classes[0], result, 500*time.Millisecond)
+	cost := relayCost(result.Report().Classes[0], result, 500*time.Millisecond)
 	if cost.RequestsPerCoreSecond != 20 || cost.TokensPerCoreSecond != 100 || cost.Cores != 0.25 || cost.RequestsPerSecond != 5 {
 		t.Fatalf("%+v", cost)
 	}
