--- a/internal/bench/experiment/failures/command.go
+++ b/internal/bench/experiment/failures/command.go
@@ -23,7 +23,7 @@
 	JSON      bool          `help:"Print the figures as JSON." name:"json"`
 }
 
-// Run measures and prints the figures.
+// Run measures and prints the results.
 func (c *Command) Run() error {
 	if err := c.check(); err != nil {
 		return err
@@ -61,7 +61,7 @@
 		names = append(names, known.name)
 	}
 	for _, name := range c.Scenarios {
-		if !wanted(names, name) {
+		if !isSelected(names, name) {
 			return fault.Newf(fault.InvalidArgument, "name some of "+strings.Join(names, ", "), "there is no scenario %q", name)
 		}
 	}
@@ -86,7 +86,7 @@
 		c.TimeToLastNewOnLeavingS)
 }
 
-// write makes the page of the experiment.
+// write creates the HTML page of the experiment.
 func (r *Result) write(folder string) error {
 	if err := report.WriteJSON(folder, r); err != nil {
 		return err
@@ -107,7 +107,7 @@
 	return report.WriteHTML(folder, "Failures", sections)
 }
 
-// section shows the policies of one scenario.
+// section returns the section of the page for one scenario, with all its policies.
 func section(folder string, cells []*Cell) (report.Section, error) {
 	name := cells[0].Scenario
 	result := report.Section{
@@ -124,7 +124,7 @@
 			cell.Refused.Format("%.4f"), cell.Lost.Format("%.4f"), cell.RecoveryS.Format("%.1f"),
 			fmt.Sprintf("%.2f", cell.TimeToLastNewOnLeavingS),
 		})
-		series = append(series, cell.overTime())
+		series = append(series, cell.goodputOverTime())
 	}
 	chart := report.Chart{
 		Title: "Answers in time, " + name, XLabel: "seconds after the fault", YLabel: "part of the requests sent", Series: series,
@@ -132,8 +132,9 @@
 	return result, report.Lines(filepath.Join(folder, name+".png"), chart)
 }
 
-// overTime is the part answered in time by second, of the first run.
-func (c *Cell) overTime() report.Series {
+// goodputOverTime returns the fraction of requests answered in time for each second of
+// the first run.
+func (c *Cell) goodputOverTime() report.Series {
 	series := report.Series{Name: c.Policy}
 	run := c.runs[0]
 	for second, sent := range run.SentAt {
--- a/internal/bench/experiment/failures/experiment.go
+++ b/internal/bench/experiment/failures/experiment.go
@@ -10,7 +10,7 @@
 	"rockwind.example/rockwind/internal/bench/routingfleet"
 )
 
-// Options select what is measured.
+// Options are the parameters of the experiment.
 type Options struct {
 	Servers   int
 	Scenarios []string
@@ -20,28 +20,29 @@
 	Parallel  int
 }
 
-// Cell is one policy under one scenario.
+// Cell holds the results of one policy in one scenario.
 type Cell struct {
 	Scenario    string `json:"scenario"`
 	Description string `json:"description"`
 	Policy      string `json:"policy"`
-	// Goodput is the part of the requests whose whole answer began within two
-	// seconds of the caller's first call.
+	// Goodput is the fraction of requests with a complete answer that began within
+	// two seconds of the caller's first call.
 	Goodput interval.Interval `json:"goodput"`
-	// Amplification is the sendings to engines per request of a caller.
+	// Amplification is the number of attempts sent to engines per request of a
+	// caller.
 	Amplification interval.Interval `json:"amplification"`
 	TTFTp99Ms     interval.Interval `json:"ttft_p99_ms"`
-	// Refused is the part that got "not run" as the last word, Lost that whose
-	// callers gave up or do not know.
+	// Refused is the fraction of requests finally answered "not run". Lost is the
+	// fraction whose callers gave up or whose outcome is unknown.
 	Refused interval.Interval `json:"refused"`
 	Lost    interval.Interval `json:"lost"`
-	// Hedges is the part of requests with a second attempt beside the first.
+	// Hedges is the fraction of requests with a second concurrent attempt.
 	Hedges interval.Interval `json:"hedges"`
 	// RecoveryS is the time from the fault to the end of the last second in which
 	// fewer than 95% of the requests were answered in time.
 	RecoveryS interval.Interval `json:"recovery_s"`
-	// TimeToLastNewOnLeavingS is the time from a drain to the last new request
-	// that was sent to a draining server, the latest over all runs.
+	// TimeToLastNewOnLeavingS is the time from the start of a drain to the last new
+	// request sent to a draining server, the maximum over all runs.
 	TimeToLastNewOnLeavingS float64 `json:"time_to_last_new_on_leaving_s"`
 
 	fleet  routingfleet.Scenario
@@ -49,7 +50,7 @@
 	runs   []routingfleet.Result
 }
 
-// Result is what the experiment found.
+// Result holds the results of the experiment.
 type Result struct {
 	Servers     int     `json:"servers"`
 	ReportLagS  float64 `json:"report_lag_s"`
@@ -59,9 +60,9 @@
 	Cells       []*Cell `json:"cells"`
 }
 
-// Measure runs all cells, several at a time.
+// Measure runs all cells, up to Parallel runs at a time.
 func Measure(options Options) *Result {
-	begun := time.Now()
+	started := time.Now()
 	result := &Result{
 		Servers: options.Servers, ReportLagS: options.ReportLag.Seconds(),
 		Seed: options.Seed, Seeds: options.Seeds, Cells: cells(options),
@@ -79,16 +80,16 @@
 	}
 	_ = group.Wait()
 	for _, cell := range result.Cells {
-		cell.sumUp()
+		cell.summarize()
 	}
-	result.WallSeconds = time.Since(begun).Seconds()
+	result.WallSeconds = time.Since(started).Seconds()
 	return result
 }
 
 func cells(options Options) []*Cell {
 	var list []*Cell
 	for _, found := range scenarios {
-		if !wanted(options.Scenarios, found.name) {
+		if !isSelected(options.Scenarios, found.name) {
 			continue
 		}
 		for _, policy := range found.policies() {
@@ -101,7 +102,7 @@
 	return list
 }
 
-func wanted(names []string, name string) bool {
+func isSelected(names []string, name string) bool {
 	for _, candidate := range names {
 		if candidate == name {
 			return true
@@ -110,18 +111,18 @@
 	return len(names) == 0
 }
 
-func (c *Cell) sumUp() {
-	part := func(count func(run routingfleet.Result) int) interval.Interval {
+func (c *Cell) summarize() {
+	perRequest := func(count func(run routingfleet.Result) int) interval.Interval {
 		return interval.Map(c.runs, func(run routingfleet.Result) float64 {
 			return float64(count(run)) / float64(max(1, run.Requests))
 		})
 	}
-	c.Goodput = part(func(run routingfleet.Result) int { return sum(run.GoodAt) })
-	c.Amplification = part(func(run routingfleet.Result) int { return run.MeasuredAttempts })
-	c.Refused = part(func(run routingfleet.Result) int { return run.Refused })
-	c.Lost = part(func(run routingfleet.Result) int { return run.Lost })
-	c.Hedges = part(func(run routingfleet.Result) int { return run.Hedges })
-	c.RecoveryS = interval.Map(c.runs, recovery)
+	c.Goodput = perRequest(func(run routingfleet.Result) int { return sum(run.GoodAt) })
+	c.Amplification = perRequest(func(run routingfleet.Result) int { return run.MeasuredAttempts })
+	c.Refused = perRequest(func(run routingfleet.Result) int { return run.Refused })
+	c.Lost = perRequest(func(run routingfleet.Result) int { return run.Lost })
+	c.Hedges = perRequest(func(run routingfleet.Result) int { return run.Hedges })
+	c.RecoveryS = interval.Map(c.runs, recoverySeconds)
 	c.TTFTp99Ms = interval.Map(c.runs, func(run routingfleet.Result) float64 {
 		return float64(routingfleet.Quantile(run.TTFT, 0.99)) / float64(time.Millisecond)
 	})
@@ -138,14 +139,14 @@
 	return total
 }
 
-// recoveredPart is the part of a second's requests that must be answered in
-// time.
-const recoveredPart = 0.95
+// recoveredFraction is the fraction of a second's requests that must be answered in time
+// for the fleet to count as recovered.
+const recoveredFraction = 0.95
 
-func recovery(run routingfleet.Result) float64 {
+func recoverySeconds(run routingfleet.Result) float64 {
 	last := 0
 	for second, sent := range run.SentAt {
-		if sent > 0 && float64(run.GoodAt[second]) < recoveredPart*float64(sent) {
+		if sent > 0 && float64(run.GoodAt[second]) < recoveredFraction*float64(sent) {
 			last = second + 1
 		}
 	}
