--- a/internal/bench/experiment/placementshift/command.go
+++ b/internal/bench/experiment/placementshift/command.go
@@ -30,7 +30,7 @@
 	JSON         bool          `help:"Print the figures as JSON." name:"json"`
 }
 
-// Variant is one way to place, summed up over seeds.
+// Variant holds the results of one placement variant over all seeds.
 type Variant struct {
 	Name           string            `json:"name"`
 	FollowSeconds  interval.Interval `json:"follow_seconds"`
@@ -40,37 +40,37 @@
 	UnservedAfter  interval.Interval `json:"unserved_after_shift"`
 }
 
-// Result holds the figures of the experiment.
+// Result holds the results of the experiment.
 type Result struct {
 	Servers  int       `json:"servers"`
 	Variants []Variant `json:"variants"`
 }
 
-// variant is a policy by name; a nil policy never moves a server.
+// variant is a named policy; a nil policy never changes the model of a server.
 type variant struct {
 	name   string
 	policy *placement.Policy
 }
 
-// variants lists placement, its parts left out, and the baselines.
+// variants lists the default policy, ablations of its hysteresis, and a static fleet.
 func variants() []variant {
 	full := placement.DefaultPolicy()
 	noMargin := full
 	noMargin.Margin = 0
 	noDwell := full
 	noDwell.Dwell, noDwell.Sustain, noDwell.SmoothingHalfLife = 0, 0, 0
-	none := noDwell
-	none.Margin = 0
+	noHysteresis := noDwell
+	noHysteresis.Margin = 0
 	return []variant{
 		{name: "placement", policy: &full},
 		{name: "no_margin", policy: &noMargin},
 		{name: "no_dwell_or_smoothing", policy: &noDwell},
-		{name: "no_hysteresis", policy: &none},
+		{name: "no_hysteresis", policy: &noHysteresis},
 		{name: "static"},
 	}
 }
 
-// Run simulates all variants over the same seeds and prints the figures.
+// Run simulates all variants with the same seeds and prints the results.
 func (c *Command) Run() error {
 	if err := c.check(); err != nil {
 		return err
@@ -80,12 +80,12 @@
 		Servers: c.Servers, Load: c.Load, Noise: c.Noise, Settle: c.Settle, Follow: c.Follow,
 		WeightsBytes: c.WeightsBytes, StoreRate: c.StoreRate, LoadsAtOnce: c.LoadsAtOnce,
 	}
-	for _, chosen := range variants() {
+	for _, candidate := range variants() {
 		var outcomes []Outcome
 		for seed := range c.Seeds {
-			outcomes = append(outcomes, Simulate(trial, chosen.policy, c.Seed+uint64(seed)))
+			outcomes = append(outcomes, Simulate(trial, candidate.policy, c.Seed+uint64(seed)))
 		}
-		result.Variants = append(result.Variants, summed(chosen.name, outcomes))
+		result.Variants = append(result.Variants, summarize(candidate.name, outcomes))
 	}
 	if c.JSON {
 		return report.PrintJSON(os.Stdout, result)
@@ -94,10 +94,10 @@
 }
 
 func (c *Command) check() error {
-	const leastServers = 2 * zones
-	if c.Servers < leastServers || c.Seeds < 1 {
+	const minServers = 2 * zones
+	if c.Servers < minServers || c.Seeds < 1 {
 		return fault.Newf(fault.InvalidArgument, "raise --servers or --seeds",
-			"the trial needs at least %d servers and one seed", leastServers)
+			"the trial needs at least %d servers and one seed", minServers)
 	}
 	if c.Load <= 0 || c.Noise < 0 || c.WeightsBytes <= 0 || c.StoreRate <= 0 {
 		return fault.New(fault.InvalidArgument, "load, size and rate must be above zero and noise not below", "correct the flag")
@@ -105,7 +105,7 @@
 	return nil
 }
 
-func summed(name string, outcomes []Outcome) Variant {
+func summarize(name string, outcomes []Outcome) Variant {
 	return Variant{
 		Name:           name,
 		FollowSeconds:  interval.Map(outcomes, func(o Outcome) float64 { return o.FollowSeconds }),
@@ -116,7 +116,7 @@
 	}
 }
 
-// print writes the figures as text.
+// print writes the results as text.
 func (r *Result) print(writer io.Writer) error {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%-22s %-16s %-14s %-14s %-18s %s\n", "variant", "follow s", "moves before", "moves after", "unserved before", "unserved after")
@@ -126,5 +126,5 @@
 			entry.UnservedBefore.Format("%.4f"), entry.UnservedAfter.Format("%.4f"))
 	}
 	_, err := io.WriteString(writer, text.String())
-	return errors.Wrap(err, "print the figures")
+	return errors.Wrap(err, "print the results")
 }
--- a/internal/bench/experiment/placementshift/run.go
+++ b/internal/bench/experiment/placementshift/run.go
@@ -1,6 +1,6 @@
-// Package placementshift measures in virtual time how placement follows a
-// shift of demand between two models, and how many moves it makes, against
-// placement without hysteresis and against none.
+// Package placementshift simulates a shift of demand between two models. It measures how
+// fast placement follows and how many moves it makes, compared with placement without
+// hysteresis and with a static fleet.
 package placementshift
 
 import (
@@ -13,61 +13,59 @@
 	"rockwind.example/rockwind/internal/placement"
 )
 
-// Shape of the trial.
+// Parameters of all trials.
 const (
 	zones = 3
-	// step is the time between two plans, and between two draws of demand.
+	// step is the interval at which demand is drawn and a plan is made.
 	step = 10 * time.Second
-	// serverRate is what a server serves, in cost units a second.
+	// serverRate is the capacity of a server in cost units per second.
 	serverRate = 1000
-	// majority is the part of the demand that one model has before the shift and
-	// the other after it.
-	majority = 0.75
-	// noiseMemory is how much of the noise of a step stays in the next.
-	noiseMemory = 0.5
+	// majorityFraction is the fraction of demand for the first model before the shift
+	// and for the second after it.
+	majorityFraction = 0.75
+	// noiseCorrelation is the autocorrelation of the noise of consecutive steps.
+	noiseCorrelation = 0.5
 )
 
-// The two models; demand moves from the first to the second.
+// The two models; demand shifts from the first to the second.
 const (
 	modelBefore = "model-a"
 	modelAfter  = "model-b"
 	version     = "v1"
 )
 
-// Trial is the size of one run.
+// Trial holds the parameters of one run.
 type Trial struct {
 	Servers int
-	// Load is the demand as a part of what all servers serve.
+	// Load is the demand as a fraction of the capacity of all servers.
 	Load float64
 	// Noise is the standard deviation of the logarithm of demand around its mean.
 	Noise float64
 	// Settle is the time before the shift and Follow the time after it.
 	Settle, Follow time.Duration
-	// WeightsBytes and StoreRate give the time that the weight store needs for a
-	// version; loads at the same time share the rate.
+	// WeightsBytes is the size of a version's weights, StoreRate the rate of the weight
+	// store in bytes per second, shared by concurrent loads.
 	WeightsBytes, StoreRate float64
-	// LoadsAtOnce bounds the servers that load at a time; twice as many may have a
-	// change under way.
+	// LoadsAtOnce bounds concurrent loads; twice as many servers may be changing.
 	LoadsAtOnce int
 }
 
-// Outcome is what one run gave.
+// Outcome is the result of one run.
 type Outcome struct {
-	// FollowSeconds is the time from the shift until the second model's servers
-	// carry its mean demand; the whole time after the shift where they never do.
+	// FollowSeconds is the time from the shift until the second model's servers have
+	// capacity for its mean demand, or Trial.Follow if they never do.
 	FollowSeconds float64
-	// MovesBefore and MovesAfter count servers that changed their model.
+	// MovesBefore and MovesAfter count changes of a server to the other model.
 	MovesBefore, MovesAfter float64
-	// UnservedBefore and UnservedAfter are the parts of the demand that found no
-	// server.
+	// UnservedBefore and UnservedAfter are the fractions of demand above capacity.
 	UnservedBefore, UnservedAfter float64
 }
 
 // engineServer is one simulated engine.
 type engineServer struct {
 	placement.Server
-	// left is what the weight store has still to deliver, in bytes.
-	left float64
+	// remainingBytes is the part of the weights still to be loaded.
+	remainingBytes float64
 }
 
 // run is one trial in progress.
@@ -81,15 +79,15 @@
 	moves   int
 }
 
-// Simulate runs a trial with a policy; nil never moves a server.
+// Simulate runs a trial with a policy; nil never changes the model of a server.
 func Simulate(trial Trial, policy *placement.Policy, seed uint64) Outcome {
 	r := newRun(trial, policy, seed)
-	before := r.phase(trial.Settle, map[string]float64{modelBefore: majority, modelAfter: 1 - majority})
-	moved := r.moves
-	after := r.phase(trial.Follow, map[string]float64{modelBefore: 1 - majority, modelAfter: majority})
+	before := r.phase(trial.Settle, map[string]float64{modelBefore: majorityFraction, modelAfter: 1 - majorityFraction})
+	movesBefore := r.moves
+	after := r.phase(trial.Follow, map[string]float64{modelBefore: 1 - majorityFraction, modelAfter: majorityFraction})
 	return Outcome{
-		FollowSeconds: after.carried.Seconds(),
-		MovesBefore:   float64(moved), MovesAfter: float64(r.moves - moved),
+		FollowSeconds: after.followTime.Seconds(),
+		MovesBefore:   float64(movesBefore), MovesAfter: float64(r.moves - movesBefore),
 		UnservedBefore: before.unserved, UnservedAfter: after.unserved,
 	}
 }
@@ -97,70 +95,70 @@
 func newRun(trial Trial, policy *placement.Policy, seed uint64) *run {
 	r := &run{trial: trial, random: rand.New(rand.NewPCG(seed, 0)), noise: make(map[string]float64)}
 	if policy != nil {
-		bounded := *policy
-		bounded.WeightsBytes, bounded.WeightStoreRate = trial.WeightsBytes, trial.StoreRate
-		bounded.LoadsAtOnce, bounded.ChangesAtOnce = trial.LoadsAtOnce, 2*trial.LoadsAtOnce
-		r.planner = placement.NewPlanner(bounded)
+		limited := *policy
+		limited.WeightsBytes, limited.WeightStoreRate = trial.WeightsBytes, trial.StoreRate
+		limited.LoadsAtOnce, limited.ChangesAtOnce = trial.LoadsAtOnce, 2*trial.LoadsAtOnce
+		r.planner = placement.NewPlanner(limited)
 	}
-	first := int(math.Round(majority * float64(trial.Servers)))
+	firstOfOther := int(math.Round(majorityFraction * float64(trial.Servers)))
 	for index := range trial.Servers {
-		held := modelBefore
-		if index >= first {
-			held = modelAfter
+		model := modelBefore
+		if index >= firstOfOther {
+			model = modelAfter
 		}
 		r.servers = append(r.servers, engineServer{Server: placement.Server{
 			Name: fmt.Sprintf("engine-%04d", index), Zone: fmt.Sprintf("zone-%d", index%zones),
 			AllowedModels: []string{modelBefore, modelAfter}, Slots: 1, Role: placement.RoleMixed, Usable: true,
-			Versions:  []placement.VersionName{{Model: held, Version: version}},
+			Versions:  []placement.VersionName{{Model: model, Version: version}},
 			ChangedAt: -time.Hour,
 		}})
 	}
 	return r
 }
 
-// phaseFigures is what a phase gave.
-type phaseFigures struct {
-	unserved float64
-	carried  time.Duration
+// phaseResult is the result of one phase.
+type phaseResult struct {
+	unserved   float64
+	followTime time.Duration
 }
 
-// phase lets time pass under demand with the given mean parts.
-func (r *run) phase(length time.Duration, parts map[string]float64) phaseFigures {
-	begin := r.now
-	figures := phaseFigures{carried: length}
-	asked, lost := 0.0, 0.0
-	for r.now < begin+length {
-		demand := r.draw(parts)
+// phase simulates a period with the given mean fractions of demand by model.
+func (r *run) phase(length time.Duration, fractions map[string]float64) phaseResult {
+	started := r.now
+	result := phaseResult{followTime: length}
+	totalDemand, unservedDemand := 0.0, 0.0
+	for r.now < started+length {
+		demand := r.drawDemand(fractions)
 		for model, cost := range demand {
-			asked += cost
-			lost += max(0, cost-r.capacity(model))
+			totalDemand += cost
+			unservedDemand += max(0, cost-r.capacity(model))
 		}
-		if r.capacity(modelAfter) >= parts[modelAfter]*r.total() && figures.carried == length {
-			figures.carried = r.now - begin
+		if r.capacity(modelAfter) >= fractions[modelAfter]*r.meanDemand() && result.followTime == length {
+			result.followTime = r.now - started
 		}
-		r.plan(demand)
+		r.planChanges(demand)
 		r.now += step
-		r.deliver()
+		r.advanceLoads()
 	}
-	figures.unserved = lost / asked
-	return figures
+	result.unserved = unservedDemand / totalDemand
+	return result
 }
 
-// total is the mean demand of both models.
-func (r *run) total() float64 { return r.trial.Load * serverRate * float64(r.trial.Servers) }
+// meanDemand is the mean demand for both models together.
+func (r *run) meanDemand() float64 { return r.trial.Load * serverRate * float64(r.trial.Servers) }
 
-// draw gives the demand of a step: the mean times noise that lasts a few steps.
-func (r *run) draw(parts map[string]float64) map[string]float64 {
-	demand := make(map[string]float64, len(parts))
+// drawDemand draws the demand of a step: the mean times autocorrelated log-normal noise.
+func (r *run) drawDemand(fractions map[string]float64) map[string]float64 {
+	demand := make(map[string]float64, len(fractions))
 	for _, model := range []string{modelBefore, modelAfter} {
-		fresh := r.trial.Noise * math.Sqrt(1-noiseMemory*noiseMemory) * r.random.NormFloat64()
-		r.noise[model] = noiseMemory*r.noise[model] + fresh
-		demand[model] = parts[model] * r.total() * math.Exp(r.noise[model]-r.trial.Noise*r.trial.Noise/2)
+		fresh := r.trial.Noise * math.Sqrt(1-noiseCorrelation*noiseCorrelation) * r.random.NormFloat64()
+		r.noise[model] = noiseCorrelation*r.noise[model] + fresh
+		demand[model] = fractions[model] * r.meanDemand() * math.Exp(r.noise[model]-r.trial.Noise*r.trial.Noise/2)
 	}
 	return demand
 }
 
-// capacity is what the servers that hold a model serve.
+// capacity is the capacity of the servers that hold a model.
 func (r *run) capacity(model string) float64 {
 	serving := 0
 	for index := range r.servers {
@@ -171,8 +169,8 @@
 	return float64(serving) * serverRate
 }
 
-// plan makes a plan and orders it.
-func (r *run) plan(demand map[string]float64) {
+// planChanges makes a plan and starts its changes.
+func (r *run) planChanges(demand map[string]float64) {
 	if r.planner == nil {
 		return
 	}
@@ -187,11 +185,11 @@
 	}
 	for _, change := range r.planner.Plan(view) {
 		index := slices.IndexFunc(r.servers, func(server engineServer) bool { return server.Name == change.Server })
-		r.order(&r.servers[index], change)
+		r.startChange(&r.servers[index], change)
 	}
 }
 
-func (r *run) order(server *engineServer, change placement.Change) {
+func (r *run) startChange(server *engineServer, change placement.Change) {
 	server.Busy, server.ChangedAt = true, r.now
 	for _, order := range change.Orders {
 		switch order.Action {
@@ -199,14 +197,14 @@
 			server.Versions = nil
 		case placement.ActionLoadModel:
 			server.LoadingVersions = []placement.VersionName{order.Version}
-			server.left = r.trial.WeightsBytes
+			server.remainingBytes = r.trial.WeightsBytes
 			r.moves++
 		}
 	}
 }
 
-// deliver lets the weight store deliver for a step, to all loads alike.
-func (r *run) deliver() {
+// advanceLoads advances all loads by one step, sharing the store rate equally.
+func (r *run) advanceLoads() {
 	loading := 0
 	for index := range r.servers {
 		if len(r.servers[index].LoadingVersions) > 0 {
@@ -218,8 +216,8 @@
 		if len(server.LoadingVersions) == 0 {
 			continue
 		}
-		server.left -= r.trial.StoreRate * step.Seconds() / float64(loading)
-		if server.left <= 0 {
+		server.remainingBytes -= r.trial.StoreRate * step.Seconds() / float64(loading)
+		if server.remainingBytes <= 0 {
 			server.Versions, server.LoadingVersions = server.LoadingVersions, nil
 			server.Busy = false
 		}
