--- a/internal/bench/experiment/shares/command.go
+++ b/internal/bench/experiment/shares/command.go
@@ -19,7 +19,7 @@
 	JSON   bool   `help:"Print the figures as JSON." name:"json"`
 }
 
-// Run measures and prints the figures.
+// Run measures and prints the results.
 func (c *Command) Run() error {
 	if c.Seeds < 1 {
 		return fault.New(fault.InvalidArgument, "nothing would be measured", "give --seeds of at least 1")
@@ -45,10 +45,10 @@
 	return nil
 }
 
-// sharesChart is the file of the chart of the page.
+// sharesChart is the file name of the chart.
 const sharesChart = "shares.png"
 
-// write makes the page of the experiment.
+// write creates the HTML page of the experiment.
 func (r *Result) write(folder string) error {
 	section := report.Section{
 		Heading: "Shares of three groups",
@@ -72,12 +72,12 @@
 	}
 	return report.Lines(filepath.Join(folder, sharesChart), report.Chart{
 		Title: "Part of the batch service that each group receives", XLabel: "seconds", YLabel: "part",
-		Series: r.overTime(&r.Runs[0]),
+		Series: r.serviceOverTime(&r.Runs[0]),
 	})
 }
 
-// overTime gives each group's part of the service, a point a second.
-func (r *Result) overTime(run *Run) []report.Series {
+// serviceOverTime returns each group's fraction of the service, one point per second.
+func (r *Result) serviceOverTime(run *Run) []report.Series {
 	series := make([]report.Series, len(r.Groups))
 	for group, name := range r.Groups {
 		series[group].Name = name
--- a/internal/bench/experiment/shares/experiment.go
+++ b/internal/bench/experiment/shares/experiment.go
@@ -1,6 +1,6 @@
-// Package shares is the experiment that judges how batch capacity is lent and
-// reclaimed: three groups, one greedy, one bursty and one idle and back, share a
-// simulated fleet that also serves online requests.
+// Package shares measures how batch capacity is lent between groups and reclaimed. Three
+// groups share a simulated fleet that also serves online requests: a greedy one, a bursty
+// one, and one that is idle for a while and then returns.
 package shares
 
 import (
@@ -13,41 +13,42 @@
 	"rockwind.example/rockwind/internal/simulator"
 )
 
-// What is looked at.
+// Windows and thresholds of the evaluation.
 const (
-	// shortfallWindow is the time over which shortfalls are taken.
+	// shortfallWindow is the length of the windows in which shortfalls are measured.
 	shortfallWindow = 10 * time.Second
-	// reclaimWindow is the time over which a returning group must get its share.
+	// reclaimWindow is the length of the windows in which a returning group must
+	// receive its share.
 	reclaimWindow = 300 * time.Millisecond
-	// reclaimPart is the part of its share that it must get in that time.
-	reclaimPart = 0.9
+	// reclaimFraction is the fraction of its share that it must receive.
+	reclaimFraction = 0.9
 )
 
-// The aims, stated with the figures.
+// The targets that AimsMet checks.
 const (
-	aimReclaimSeconds = 1
-	aimIdle           = 0.02
+	maxReclaimSeconds = 1
+	maxIdle           = 0.02
 )
 
-// Run holds the figures of one seed.
+// Run holds the results of one seed.
 type Run struct {
 	Seed uint64 `json:"seed"`
-	// Shortfall is the largest part of the service owed that a group with work
-	// waiting lacked over any ten seconds.
+	// Shortfall is the largest fraction of its fair share that a group with waiting
+	// work did not receive in any ten seconds.
 	Shortfall float64 `json:"largest_shortfall_10s"`
-	// ShortGroup is the group of that shortfall.
+	// ShortGroup is the group with that shortfall.
 	ShortGroup string `json:"group_of_largest_shortfall"`
-	// Reclaim is the time from the return of the idle group until it gets its
+	// Reclaim is the time from the return of the idle group until it receives its
 	// share.
 	Reclaim float64 `json:"time_to_reclaim_s"`
-	// Idle is the part of the places allowed to batch that stay free while work
+	// Idle is the fraction of the places allowed to batch that are free while work
 	// waits.
 	Idle float64 `json:"idle_while_work_waits"`
 
 	samples []simulator.ServedSample
 }
 
-// Result holds the figures of all seeds.
+// Result holds the results of all seeds.
 type Result struct {
 	Shortfall   interval.Interval `json:"largest_shortfall_10s"`
 	Reclaim     interval.Interval `json:"time_to_reclaim_s"`
@@ -75,7 +76,7 @@
 		result.Shares = append(result.Shares, load.Share)
 	}
 	var workers errgroup.Group
-	workers.SetLimit(maximumWorkers)
+	workers.SetLimit(maxWorkers)
 	for index := range result.Runs {
 		workers.Go(func() error {
 			result.Runs[index] = measureSeed(scenario, seed+uint64(index))
@@ -90,28 +91,28 @@
 	result.Idle = interval.Map(result.Runs, func(run Run) float64 { return run.Idle })
 	result.AimsMet = true
 	for _, run := range result.Runs {
-		result.AimsMet = result.AimsMet && run.Reclaim < aimReclaimSeconds && run.Idle < aimIdle
+		result.AimsMet = result.AimsMet && run.Reclaim < maxReclaimSeconds && run.Idle < maxIdle
 	}
 	return result, nil
 }
 
-// maximumWorkers bounds the simulations at a time.
-const maximumWorkers = 6
+// maxWorkers bounds concurrent simulations.
+const maxWorkers = 6
 
 func measureSeed(scenario simulator.Scenario, seed uint64) Run {
-	alone := simulator.Run(scenario, simulator.OnlineAlone(&scenario), seed)
+	onlineOnly := simulator.Run(scenario, simulator.OnlineAlone(&scenario), seed)
 	scenario.Target = sharing.Target{
-		FirstToken: simulator.Quantile(alone.TTFT, tail),
-		PerToken:   simulator.Quantile(alone.TPOT, tail),
+		FirstToken: simulator.Quantile(onlineOnly.TTFT, tailQuantile),
+		PerToken:   simulator.Quantile(onlineOnly.TPOT, tailQuantile),
 	}
 	shared := simulator.Run(scenario, simulator.Rockwind(&scenario), seed)
-	judged := judge{scenario: &scenario, samples: shared.Served}
-	run := Run{Seed: seed, samples: shared.Served, Idle: judged.idle(), Reclaim: judged.reclaim(simulator.GroupReturning, simulator.IdleUntil).Seconds()}
-	var short int
-	run.Shortfall, short = judged.shortfall()
-	run.ShortGroup = scenario.Batch[short].Group
+	evaluation := evaluator{scenario: &scenario, samples: shared.Served}
+	run := Run{Seed: seed, samples: shared.Served, Idle: evaluation.idle(), Reclaim: evaluation.reclaim(simulator.GroupReturning, simulator.IdleUntil).Seconds()}
+	var shortGroup int
+	run.Shortfall, shortGroup = evaluation.shortfall()
+	run.ShortGroup = scenario.Batch[shortGroup].Group
 	return run
 }
 
-// tail is the quantile of online latency that batch must keep.
-const tail = 0.99
+// tailQuantile is the quantile of online latency that batch must not degrade.
+const tailQuantile = 0.99
--- a/internal/bench/experiment/shares/judge.go
+++ b/internal/bench/experiment/shares/judge.go
@@ -7,114 +7,113 @@
 	"rockwind.example/rockwind/internal/simulator"
 )
 
-// judge computes figures from the samples of one run.
-type judge struct {
+// evaluator computes metrics from the samples of one run.
+type evaluator struct {
 	scenario *simulator.Scenario
 	samples  []simulator.ServedSample
 }
 
-// window sums the samples from first to before last.
+// window holds sums over consecutive samples.
 type window struct {
 	received []float64
-	// wanting tells which groups had items waiting in every sample.
-	wanting []bool
-	total   float64
+	// backlogged tells which groups had items waiting in every sample.
+	backlogged []bool
+	total      float64
 }
 
-func (j *judge) window(first, last int) window {
-	groups := len(j.scenario.Batch)
-	summed := window{received: make([]float64, groups), wanting: make([]bool, groups)}
+func (e *evaluator) window(first, last int) window {
+	groups := len(e.scenario.Batch)
+	sums := window{received: make([]float64, groups), backlogged: make([]bool, groups)}
 	for group := range groups {
-		summed.wanting[group] = true
+		sums.backlogged[group] = true
 	}
-	for _, sample := range j.samples[first:last] {
+	for _, sample := range e.samples[first:last] {
 		for group := range groups {
-			summed.received[group] += sample.Cost[group]
-			summed.total += sample.Cost[group]
-			summed.wanting[group] = summed.wanting[group] && sample.Wanted[group]
+			sums.received[group] += sample.Cost[group]
+			sums.total += sample.Cost[group]
+			sums.backlogged[group] = sums.backlogged[group] && sample.Wanted[group]
 		}
 	}
-	return summed
+	return sums
 }
 
-// owed is what each group is owed of a window's service: weighted max-min
-// fairness, in which groups that did not want more get what they received at
-// most.
-func (j *judge) owed(summed window) []float64 {
-	owed := make([]float64, len(summed.received))
-	given := make([]bool, len(owed))
-	left := summed.total
+// fairShares returns the weighted max-min fair share of each group in the service of a
+// window. The share of a group without a backlog is at most what it received.
+func (e *evaluator) fairShares(sums window) []float64 {
+	fairShares := make([]float64, len(sums.received))
+	settled := make([]bool, len(fairShares))
+	remaining := sums.total
 	for {
 		shares := 0.0
-		for group, load := range j.scenario.Batch {
-			if !given[group] {
+		for group, load := range e.scenario.Batch {
+			if !settled[group] {
 				shares += load.Share
 			}
 		}
 		changed := false
-		for group, load := range j.scenario.Batch {
-			if given[group] {
+		for group, load := range e.scenario.Batch {
+			if settled[group] {
 				continue
 			}
-			owed[group] = left * load.Share / shares
-			if !summed.wanting[group] && summed.received[group] < owed[group] {
-				owed[group], given[group], changed = summed.received[group], true, true
-				left -= owed[group]
+			fairShares[group] = remaining * load.Share / shares
+			if !sums.backlogged[group] && sums.received[group] < fairShares[group] {
+				fairShares[group], settled[group], changed = sums.received[group], true, true
+				remaining -= fairShares[group]
 				break
 			}
 		}
 		if !changed {
-			return owed
+			return fairShares
 		}
 	}
 }
 
-func (j *judge) periods(length time.Duration) int {
-	return int(length / j.scenario.SampleEvery)
+func (e *evaluator) samplesIn(length time.Duration) int {
+	return int(length / e.scenario.SampleEvery)
 }
 
-// shortfall is the largest shortfall over any window and its group.
-func (j *judge) shortfall() (float64, int) {
-	length := j.periods(shortfallWindow)
-	largest, short := 0.0, 0
-	for first := j.periods(j.scenario.Warmup); first+length <= j.periods(j.scenario.End()); first++ {
-		summed := j.window(first, first+length)
-		owed := j.owed(summed)
-		for group := range owed {
-			if !summed.wanting[group] || owed[group] <= 0 {
+// shortfall returns the largest shortfall in any window, and its group.
+func (e *evaluator) shortfall() (float64, int) {
+	length := e.samplesIn(shortfallWindow)
+	largest, shortGroup := 0.0, 0
+	for first := e.samplesIn(e.scenario.Warmup); first+length <= e.samplesIn(e.scenario.End()); first++ {
+		sums := e.window(first, first+length)
+		fairShares := e.fairShares(sums)
+		for group := range fairShares {
+			if !sums.backlogged[group] || fairShares[group] <= 0 {
 				continue
 			}
-			if lacked := 1 - summed.received[group]/owed[group]; lacked > largest {
-				largest, short = lacked, group
+			if missing := 1 - sums.received[group]/fairShares[group]; missing > largest {
+				largest, shortGroup = missing, group
 			}
 		}
 	}
-	return largest, short
+	return largest, shortGroup
 }
 
-// reclaim is the time from a group's return until it gets its share.
-func (j *judge) reclaim(group int, returned time.Duration) time.Duration {
-	length := j.periods(reclaimWindow)
-	begin := j.periods(returned)
-	for first := begin; first+length <= len(j.samples); first++ {
-		summed := j.window(first, first+length)
-		summed.wanting[group] = true
-		if owed := j.owed(summed)[group]; owed > 0 && summed.received[group] >= reclaimPart*owed {
-			return time.Duration(first+length-begin) * j.scenario.SampleEvery
+// reclaim returns the time from a group's return until it receives its share.
+func (e *evaluator) reclaim(group int, returned time.Duration) time.Duration {
+	length := e.samplesIn(reclaimWindow)
+	begin := e.samplesIn(returned)
+	for first := begin; first+length <= len(e.samples); first++ {
+		sums := e.window(first, first+length)
+		sums.backlogged[group] = true
+		if share := e.fairShares(sums)[group]; share > 0 && sums.received[group] >= reclaimFraction*share {
+			return time.Duration(first+length-begin) * e.scenario.SampleEvery
 		}
 	}
 	return math.MaxInt64
 }
 
-// idle is the part of the places that are free while work waits.
-func (j *judge) idle() float64 {
+// idle returns the fraction of places that are free while work waits.
+func (e *evaluator) idle() float64 {
 	places, free := 0, 0
-	for _, sample := range j.samples[j.periods(j.scenario.Warmup):j.periods(j.scenario.End())] {
-		waits := false
+	for _, sample := range e.samples[e.samplesIn(e.scenario.Warmup):e.samplesIn(e.scenario.End())] {
+		waiting := false
 		for _, wanted := range sample.Wanted {
-			waits = waits || wanted
+			waiting = waiting || wanted
 		}
-		if waits {
+		if waiting {
 			places += sample.Places
 			free += sample.Free
 		}
--- a/internal/bench/experiment/shares/judge_test.go
+++ b/internal/bench/experiment/shares/judge_test.go
@@ -10,40 +10,40 @@
 	"rockwind.example/rockwind/internal/simulator"
 )
 
-// TestOwedIsWeightedMaxMinFair checks what defines it: all service is owed to
-// somebody, nobody is owed more than it wants, and groups that want more are owed
-// service in the proportion of their shares.
-func TestOwedIsWeightedMaxMinFair(t *testing.T) {
+// TestFairSharesAreWeightedMaxMin checks the definition of weighted max-min fairness: all
+// service is assigned, no group without a backlog gets more than it received, and
+// backlogged groups get service in proportion to their shares.
+func TestFairSharesAreWeightedMaxMin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		scenario := simulator.Scenario{SampleEvery: time.Second}
-		summed := window{}
-		wanting := false
+		sums := window{}
+		anyBacklogged := false
 		for range rapid.IntRange(1, 5).Draw(t, "groups") {
 			scenario.Batch = append(scenario.Batch, simulator.BatchLoad{Share: float64(rapid.IntRange(1, 5).Draw(t, "share"))})
-			summed.received = append(summed.received, float64(rapid.IntRange(0, 1000).Draw(t, "received")))
-			summed.wanting = append(summed.wanting, rapid.Bool().Draw(t, "wanting"))
-			summed.total += summed.received[len(summed.received)-1]
-			wanting = wanting || summed.wanting[len(summed.wanting)-1]
+			sums.received = append(sums.received, float64(rapid.IntRange(0, 1000).Draw(t, "received")))
+			sums.backlogged = append(sums.backlogged, rapid.Bool().Draw(t, "wanting"))
+			sums.total += sums.received[len(sums.received)-1]
+			anyBacklogged = anyBacklogged || sums.backlogged[len(sums.backlogged)-1]
 		}
-		judged := judge{scenario: &scenario}
-		owed := judged.owed(summed)
+		evaluation := evaluator{scenario: &scenario}
+		fairShares := evaluation.fairShares(sums)
 		sum, level := 0.0, -1.0
-		for group := range owed {
-			sum += owed[group]
-			if !summed.wanting[group] {
-				if owed[group] > summed.received[group]+1e-6 && wanting {
-					t.Fatalf("group %d is owed %v and wants %v", group, owed[group], summed.received[group])
+		for group := range fairShares {
+			sum += fairShares[group]
+			if !sums.backlogged[group] {
+				if fairShares[group] > sums.received[group]+1e-6 && anyBacklogged {
+					t.Fatalf("the fair share of group %d is %v, but it wanted %v", group, fairShares[group], sums.received[group])
 				}
 				continue
 			}
-			perShare := owed[group] / scenario.Batch[group].Share
+			perShare := fairShares[group] / scenario.Batch[group].Share
 			if level >= 0 && math.Abs(level-perShare) > 1e-6 {
-				t.Fatalf("wanting groups are owed %v and %v a share", level, perShare)
+				t.Fatalf("backlogged groups get %v and %v per share", level, perShare)
 			}
 			level = perShare
 		}
-		if wanting && math.Abs(sum-summed.total) > 1e-6 {
-			t.Fatalf("%v of %v is owed", sum, summed.total)
+		if anyBacklogged && math.Abs(sum-sums.total) > 1e-6 {
+			t.Fatalf("fair shares sum to %v of %v", sum, sums.total)
 		}
 	})
 }
