--- a/internal/bench/experiment/sharing/command.go
+++ b/internal/bench/experiment/sharing/command.go
@@ -21,7 +21,7 @@
 	JSON     bool          `help:"Print the figures as JSON." name:"json"`
 }
 
-// Run measures and prints the figures.
+// Run measures and prints the results.
 func (c *Command) Run() error {
 	if c.Seeds < 1 || c.Measured < time.Second {
 		return fault.New(fault.InvalidArgument, "nothing would be measured", "give --seeds of at least 1 and --measured of at least 1s")
--- a/internal/bench/experiment/sharing/page.go
+++ b/internal/bench/experiment/sharing/page.go
@@ -8,7 +8,7 @@
 	"rockwind.example/rockwind/internal/bench/report"
 )
 
-// Files of the page.
+// File names of the charts.
 const (
 	firstTokenChart = "ttft.png"
 	perTokenChart   = "tpot.png"
@@ -16,7 +16,7 @@
 	frontierChart   = "frontier.png"
 )
 
-// write makes the page of the experiment.
+// write creates the HTML page of the experiment.
 func (r *Result) write(folder string) error {
 	section := report.Section{
 		Heading: "Harm and throughput",
@@ -54,15 +54,15 @@
 }
 
 func (r *Result) charts(folder string) error {
-	firstToken := []report.Series{distribution("online_alone", r.alone.TTFT)}
-	perToken := []report.Series{distribution("online_alone", r.alone.TPOT)}
+	firstToken := []report.Series{distribution("online_alone", r.onlineOnly.TTFT)}
+	perToken := []report.Series{distribution("online_alone", r.onlineOnly.TPOT)}
 	var throughput, frontier []report.Series
 	for index := range r.Policies {
 		policy := &r.Policies[index]
-		firstToken = append(firstToken, distribution(policy.Name, policy.sample.TTFT))
-		perToken = append(perToken, distribution(policy.Name, policy.sample.TPOT))
-		throughput = append(throughput, overTime(policy.Name, policy.sample.BatchPerSecond))
-		frontier = append(frontier, policy.cloud())
+		firstToken = append(firstToken, distribution(policy.Name, policy.firstRun.TTFT))
+		perToken = append(perToken, distribution(policy.Name, policy.firstRun.TPOT))
+		throughput = append(throughput, throughputOverTime(policy.Name, policy.firstRun.BatchPerSecond))
+		frontier = append(frontier, policy.frontierPoints())
 	}
 	if err := report.CDF(filepath.Join(folder, firstTokenChart), "Time to the first token", firstToken...); err != nil {
 		return err
@@ -82,12 +82,12 @@
 	})
 }
 
-// cloud has a point for each seed.
-func (p *Policy) cloud() report.Series {
+// frontierPoints returns harm and throughput of each seed.
+func (p *Policy) frontierPoints() report.Series {
 	series := report.Series{Name: p.Name}
 	for index, throughput := range p.Throughput.Samples {
-		harm := max(p.TTFTRatio.Samples[index], p.TPOTRatio.Samples[index])
-		series.Points = append(series.Points, report.Point{X: harm, Y: throughput})
+		runHarm := max(p.TTFTRatio.Samples[index], p.TPOTRatio.Samples[index])
+		series.Points = append(series.Points, report.Point{X: runHarm, Y: throughput})
 	}
 	return series
 }
@@ -107,17 +107,17 @@
 	return series
 }
 
-// smoothing is the number of seconds that a point of throughput covers.
-const smoothing = 5
+// secondsPerPoint is the number of seconds averaged in a point of throughput.
+const secondsPerPoint = 5
 
-func overTime(name string, perSecond []float64) report.Series {
+func throughputOverTime(name string, perSecond []float64) report.Series {
 	series := report.Series{Name: name}
-	for end := smoothing; end <= len(perSecond); end += smoothing {
+	for end := secondsPerPoint; end <= len(perSecond); end += secondsPerPoint {
 		sum := 0.0
-		for _, value := range perSecond[end-smoothing : end] {
+		for _, value := range perSecond[end-secondsPerPoint : end] {
 			sum += value
 		}
-		series.Points = append(series.Points, report.Point{X: float64(end), Y: sum / smoothing})
+		series.Points = append(series.Points, report.Point{X: float64(end), Y: sum / secondsPerPoint})
 	}
 	return series
 }
