--- a/internal/bench/experiment/failures/command.go
+++ b/internal/bench/experiment/failures/command.go
@@ -50,9 +50,9 @@
 
 // Bounds of the flags.
 const (
-	minimumServers = 10
-	maximumServers = 2000
-	maximumSeeds   = 100
+	minServers = 10
+	maxServers = 2000
+	maxSeeds   = 100
 )
 
 func (c *Command) check() error {
@@ -65,12 +65,12 @@
 			return fault.Newf(fault.InvalidArgument, "name some of "+strings.Join(names, ", "), "there is no scenario %q", name)
 		}
 	}
-	if c.Servers < minimumServers || c.Servers > maximumServers {
-		return fault.Newf(fault.InvalidArgument, fmt.Sprintf("give a size from %d to %d", minimumServers, maximumServers),
+	if c.Servers < minServers || c.Servers > maxServers {
+		return fault.Newf(fault.InvalidArgument, fmt.Sprintf("give a size from %d to %d", minServers, maxServers),
 			"the flag --servers is out of range")
 	}
-	if c.Seeds < 1 || c.Seeds > maximumSeeds {
-		return fault.Newf(fault.InvalidArgument, fmt.Sprintf("give a number from 1 to %d", maximumSeeds),
+	if c.Seeds < 1 || c.Seeds > maxSeeds {
+		return fault.Newf(fault.InvalidArgument, fmt.Sprintf("give a number from 1 to %d", maxSeeds),
 			"the flag --seeds is out of range")
 	}
 	if c.Lag < 0 {
--- a/internal/bench/experiment/routingcomparison/command.go
+++ b/internal/bench/experiment/routingcomparison/command.go
@@ -23,7 +23,7 @@
 	JSON     bool            `help:"Print the figures as JSON." name:"json"`
 }
 
-// Run measures and prints the figures.
+// Run measures and prints the results.
 func (c *Command) Run() error {
 	if err := c.check(); err != nil {
 		return err
@@ -49,38 +49,38 @@
 
 // Bounds of the flags.
 const (
-	minimumServers = 3
-	maximumServers = 2000
-	maximumSeeds   = 100
-	maximumRate    = 100
+	minServers = 3
+	maxServers = 2000
+	maxSeeds   = 100
+	maxRate    = 100
 )
 
 func (c *Command) check() error {
 	for _, servers := range c.Servers {
-		if servers < minimumServers || servers > maximumServers {
-			return invalid("--servers", fmt.Sprintf("give sizes from %d to %d", minimumServers, maximumServers))
+		if servers < minServers || servers > maxServers {
+			return outOfRange("--servers", fmt.Sprintf("give sizes from %d to %d", minServers, maxServers))
 		}
 	}
 	for _, lag := range c.Lags {
 		if lag < 0 {
-			return invalid("--lags", "give lags of zero or above")
+			return outOfRange("--lags", "give lags of zero or above")
 		}
 	}
 	for _, loss := range c.Losses {
 		if loss < 0 || loss > 1 {
-			return invalid("--losses", "give probabilities between 0 and 1")
+			return outOfRange("--losses", "give probabilities between 0 and 1")
 		}
 	}
-	if c.Rate <= 0 || c.Rate > maximumRate {
-		return invalid("--rate", fmt.Sprintf("give a rate above 0 and at most %d", maximumRate))
+	if c.Rate <= 0 || c.Rate > maxRate {
+		return outOfRange("--rate", fmt.Sprintf("give a rate above 0 and at most %d", maxRate))
 	}
-	if c.Seeds < 1 || c.Seeds > maximumSeeds {
-		return invalid("--seeds", fmt.Sprintf("give a number from 1 to %d", maximumSeeds))
+	if c.Seeds < 1 || c.Seeds > maxSeeds {
+		return outOfRange("--seeds", fmt.Sprintf("give a number from 1 to %d", maxSeeds))
 	}
 	return nil
 }
 
-func invalid(flag, remedy string) error {
+func outOfRange(flag, remedy string) error {
 	return fault.Newf(fault.InvalidArgument, remedy, "the flag %s is out of range", flag)
 }
 
@@ -97,7 +97,7 @@
 	return fmt.Sprintf("lag %.1f s, loss %.0f%%", c.LagS, 100*c.EventLoss)
 }
 
-// write makes the page of the experiment.
+// write creates the HTML page of the experiment.
 func (r *Result) write(folder string) error {
 	if err := report.WriteJSON(folder, r); err != nil {
 		return err
@@ -151,7 +151,7 @@
 // distributionPoints is the number of points of a plotted distribution.
 const distributionPoints = 200
 
-// distribution is the cumulative distribution of the first run.
+// distribution returns the cumulative distribution of TTFT in the first run.
 func (c *Cell) distribution() report.Series {
 	series := report.Series{Name: c.Policy}
 	if !c.Lagless {
@@ -159,7 +159,7 @@
 	}
 	for point := range distributionPoints {
 		fraction := (float64(point) + 0.5) / distributionPoints
-		series.Points = append(series.Points, report.Point{X: milliseconds(c.runs[0], fraction), Y: fraction})
+		series.Points = append(series.Points, report.Point{X: ttftMs(c.runs[0], fraction), Y: fraction})
 	}
 	return series
 }
--- a/internal/bench/experiment/routingcomparison/experiment.go
+++ b/internal/bench/experiment/routingcomparison/experiment.go
@@ -1,6 +1,6 @@
-// Package routingcomparison measures the time to the first token and the
-// prefix-cache hit rate of the gateways' routing against baselines and an
-// oracle, with lagging load reports and cache events that are lost.
+// Package routingcomparison compares the gateways' routing with baselines and an oracle
+// by time to first token and prefix-cache hit rate, with delayed load reports and lost
+// cache events.
 package routingcomparison
 
 import (
@@ -13,29 +13,29 @@
 	"rockwind.example/rockwind/internal/bench/routingfleet"
 )
 
-// Options select what is measured.
+// Options are the parameters of the experiment.
 type Options struct {
 	Servers []int
-	// Lags are ages of load reports, Losses probabilities that the log of cache
-	// events is cut at an event.
+	// Lags are the ages of load reports. Losses are the probabilities that the log of
+	// cache events is truncated at an event.
 	Lags   []time.Duration
 	Losses []float64
-	// Rate is the requests a second and server outside bursts.
+	// Rate is the number of requests per second and server outside bursts.
 	Rate float64
 	Seed uint64
-	// Seeds is the number of runs of each cell, with seeds from Seed on.
+	// Seeds is the number of runs of each cell, with consecutive seeds from Seed.
 	Seeds int
-	// Parallel bounds the runs at a time.
+	// Parallel bounds concurrent runs.
 	Parallel int
 }
 
-// Cell is a policy under one lag and loss at one size.
+// Cell holds the results of one policy for one fleet size, lag and loss.
 type Cell struct {
 	Servers   int     `json:"servers"`
 	Policy    string  `json:"policy"`
 	LagS      float64 `json:"report_lag_s"`
 	EventLoss float64 `json:"event_loss"`
-	// Lagless tells that lag and loss do not apply to the policy.
+	// Lagless is set if lag and loss do not apply to the policy.
 	Lagless    bool              `json:"lag_and_loss_do_not_apply,omitempty"`
 	TTFTp50Ms  interval.Interval `json:"ttft_p50_ms"`
 	TTFTp99Ms  interval.Interval `json:"ttft_p99_ms"`
@@ -49,7 +49,7 @@
 	runs     []routingfleet.Result
 }
 
-// Result is what the experiment found.
+// Result holds the results of the experiment.
 type Result struct {
 	Rate        float64 `json:"requests_per_second_and_server"`
 	Seed        uint64  `json:"seed"`
@@ -58,16 +58,17 @@
 	Cells       []*Cell `json:"cells"`
 }
 
-// Measure runs all cells, several at a time.
+// Measure runs all cells, up to Parallel runs at a time.
 func Measure(options Options) *Result {
-	begun := time.Now()
+	started := time.Now()
 	result := &Result{Rate: options.Rate, Seed: options.Seed, Seeds: options.Seeds}
 	for _, servers := range options.Servers {
 		result.Cells = append(result.Cells, cells(servers, options)...)
 	}
 	var group errgroup.Group
 	group.SetLimit(max(1, min(options.Parallel, runtime.NumCPU())))
-	// The longest runs go first, so that none is left alone at the end.
+	// Start with the largest fleets, whose runs take longest, to keep all workers busy
+	// until the end.
 	for index := len(result.Cells) - 1; index >= 0; index-- {
 		cell := result.Cells[index]
 		cell.runs = make([]routingfleet.Result, options.Seeds)
@@ -80,14 +81,14 @@
 	}
 	_ = group.Wait()
 	for _, cell := range result.Cells {
-		cell.sumUp()
+		cell.summarize()
 	}
 	result.compare()
-	result.WallSeconds = time.Since(begun).Seconds()
+	result.WallSeconds = time.Since(started).Seconds()
 	return result
 }
 
-// cells lists what is measured at one size.
+// cells lists the cells of one fleet size.
 func cells(servers int, options Options) []*Cell {
 	base := routingfleet.Sized(servers)
 	base.Load.Rate = options.Rate
@@ -114,9 +115,9 @@
 	return list
 }
 
-func (c *Cell) sumUp() {
-	c.TTFTp50Ms = interval.Map(c.runs, func(run routingfleet.Result) float64 { return milliseconds(run, 0.5) })
-	c.TTFTp99Ms = interval.Map(c.runs, func(run routingfleet.Result) float64 { return milliseconds(run, 0.99) })
+func (c *Cell) summarize() {
+	c.TTFTp50Ms = interval.Map(c.runs, func(run routingfleet.Result) float64 { return ttftMs(run, 0.5) })
+	c.TTFTp99Ms = interval.Map(c.runs, func(run routingfleet.Result) float64 { return ttftMs(run, 0.99) })
 	c.HitRate = interval.Map(c.runs, func(run routingfleet.Result) float64 { return run.HitRate() })
 	c.Refused = interval.Map(c.runs, func(run routingfleet.Result) float64 {
 		return float64(run.Refused+run.Lost) / float64(max(1, run.Requests))
@@ -126,11 +127,11 @@
 	}
 }
 
-func milliseconds(run routingfleet.Result, quantile float64) float64 {
+func ttftMs(run routingfleet.Result, quantile float64) float64 {
 	return float64(routingfleet.Quantile(run.TTFT, quantile)) / float64(time.Millisecond)
 }
 
-// compare holds every cell against the oracle of its size.
+// compare sets the p99 ratio of every cell to the oracle of the same fleet size.
 func (r *Result) compare() {
 	oracles := make(map[int]float64)
 	for _, cell := range r.Cells {
