--- a/internal/bench/experiment/faults/command.go
+++ b/internal/bench/experiment/faults/command.go
@@ -119,7 +119,7 @@
 	}
 	if bad := report.violations(); bad > 0 {
 		return fault.Newf(fault.Internal, "run again with the same seed and read the counts above zero",
-			"%d violations of what must always hold", bad)
+			"%d invariant violations", bad)
 	}
 	return nil
 }
--- a/internal/bench/experiment/faults/injector.go
+++ b/internal/bench/experiment/faults/injector.go
@@ -86,7 +86,7 @@
 	case FreezeEngine:
 		return freeze(ctx, engineProcess, planned.Length)
 	default:
-		return fault.Newf(fault.Internal, "add it to inject", "fault %s is not implemented", planned.Kind)
+		return fault.Newf(fault.Internal, "add a case to inject", "fault %s is not implemented", planned.Kind)
 	}
 }
 
@@ -185,7 +185,7 @@
 	}
 	response, err := i.client.Do(request)
 	if err != nil {
-		return errors.Wrapf(err, "set link of %s", from.Name)
+		return errors.Wrapf(err, "change a blocked link of %s", from.Name)
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusNoContent {
--- a/internal/bench/experiment/ledgercost/failover.go
+++ b/internal/bench/experiment/ledgercost/failover.go
@@ -67,5 +67,5 @@
 		}
 		pause(ctx)
 	}
-	return errors.Wrap(ctx.Err(), "wait for the replica")
+	return errors.Wrap(ctx.Err(), "wait for the replica to catch up")
 }
--- a/internal/bench/experiment/ledgercost/recovery.go
+++ b/internal/bench/experiment/ledgercost/recovery.go
@@ -98,7 +98,7 @@
 		}
 		pause(ctx)
 	}
-	return RecoveryPoint{}, errors.Wrap(ctx.Err(), "wait for the replica")
+	return RecoveryPoint{}, errors.Wrap(ctx.Err(), "wait for the replica to catch up")
 }
 
 // otherProcess returns a process other than the excluded one.
--- a/internal/bench/experiment/placementshift/command.go
+++ b/internal/bench/experiment/placementshift/command.go
@@ -100,7 +100,7 @@
 			"the trial needs at least %d servers and one seed", minServers)
 	}
 	if c.Load <= 0 || c.Noise < 0 || c.WeightsBytes <= 0 || c.StoreRate <= 0 {
-		return fault.New(fault.InvalidArgument, "load, size and rate must be above zero and noise not below", "correct the flag")
+		return fault.New(fault.InvalidArgument, "load, size and rate must be positive and noise must not be negative", "correct the flag")
 	}
 	return nil
 }
--- a/internal/bench/experiment/shares/command.go
+++ b/internal/bench/experiment/shares/command.go
@@ -22,7 +22,7 @@
 // Run measures and prints the results.
 func (c *Command) Run() error {
 	if c.Seeds < 1 {
-		return fault.New(fault.InvalidArgument, "nothing would be measured", "give --seeds of at least 1")
+		return fault.New(fault.InvalidArgument, "the number of seeds is below 1", "give --seeds of at least 1")
 	}
 	result, err := Measure(simulator.Shares(), c.Seed, c.Seeds)
 	if err != nil {
--- a/internal/bench/experiment/sharing/command.go
+++ b/internal/bench/experiment/sharing/command.go
@@ -24,7 +24,7 @@
 // Run measures and prints the results.
 func (c *Command) Run() error {
 	if c.Seeds < 1 || c.Measured < time.Second {
-		return fault.New(fault.InvalidArgument, "nothing would be measured", "give --seeds of at least 1 and --measured of at least 1s")
+		return fault.New(fault.InvalidArgument, "seeds or measured time are too small", "give --seeds of at least 1 and --measured of at least 1s")
 	}
 	scenario, _ := simulator.ScenarioNamed(c.Scenario)
 	scenario.Warmup = c.Warmup
