--- a/internal/catalog/history_test.go
+++ b/internal/catalog/history_test.go
@@ -36,7 +36,7 @@
 	return machine, NewService(replica.NewInMemoryGroup(machine), machine, func() time.Time { return time.UnixMilli(5) })
 }
 
-func TestHistoryIsBounded(t *testing.T) {
+func TestHistoryIsBoundedAndKeepsItsPromises(t *testing.T) {
 	machine, service := newService()
 	const last = KeptAcceptances + 10
 	fill(t, service, last)
--- a/internal/catalog/mutant_test.go
+++ b/internal/catalog/mutant_test.go
@@ -8,7 +8,7 @@
 	"rockwind.example/rockwind/internal/bench/mutant"
 )
 
-func TestOracleDetectsMissingCompare(t *testing.T) {
+func TestOracleNoticesAMissingCompare(t *testing.T) {
 	if !mutant.Noticed(t, func(t *rapid.T) { run(t, hooks{skipCompare: true}) }) {
 		t.Error("the oracle accepts a machine that does not compare numbers and checksums")
 	}
