--- a/internal/command/apply.go
+++ b/internal/command/apply.go
@@ -12,7 +12,7 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// standardInput stands for the program's input in place of a file name.
+// standardInput is the file name that selects standard input.
 const standardInput = "-"
 
 // applyCommand is 'rockwind apply'.
@@ -30,7 +30,7 @@
 configuration now in force, and apply it with the next number.`
 }
 
-// Run applies the file.
+// Run applies the file and optionally waits until it is in force.
 func (a *applyCommand) Run(s *session) error {
 	parsed, err := s.readConfiguration(a.File)
 	if err != nil {
@@ -40,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := s.bounded()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
 	response, err := client.Configuration().Apply(ctx, &rockwindpb.ApplyConfigurationRequest{
 		Configuration: parsed,
@@ -81,9 +81,8 @@
 	return nil, fault.New(refusal.Kind, "the file is refused, and nothing was changed:\n"+refusal.Message, "")
 }
 
-// readFile reads a file, or the standard input for "-", and at most one byte
-// more than the limit, so that the check of the size still sees what is too
-// large.
+// readFile reads a file, or standard input for "-". It reads up to one byte more than
+// the limit, so that the caller can detect a file that is too large.
 func (s *session) readFile(name string, limit int64) ([]byte, error) {
 	input := s.stdin
 	if name != standardInput {
@@ -116,11 +115,11 @@
 	return name + "@" + host
 }
 
-// pollInterval is the pause between looks at the state of the fleet.
+// pollInterval is the pause between queries of the fleet's state.
 const pollInterval = 200 * time.Millisecond
 
-// awaitInForce waits until every gateway that control hears has the number in
-// force.
+// awaitInForce waits until the configuration with the given number is in force at every
+// gateway that reports to control.
 func (s *session) awaitInForce(wanted uint64, limit time.Duration) error {
 	deadline := time.Now().Add(limit)
 	progress := newProgress(s.stderr)
@@ -131,15 +130,15 @@
 		}
 		progress.report("configuration %d is not in force yet at %d gateways", wanted, len(behind))
 		if time.Now().After(deadline) {
-			return notInForce(wanted, behind, err)
+			return notInForceFault(wanted, behind, err)
 		}
-		if !s.wait(pollInterval) {
-			return fault.New(fault.Cancelled, "the wait was cut short", "look with 'rockwind status'")
+		if !s.sleep(pollInterval) {
+			return fault.New(fault.Cancelled, "the wait was interrupted", "look with 'rockwind status'")
 		}
 	}
 }
 
-func notInForce(wanted uint64, behind []string, err error) error {
+func notInForceFault(wanted uint64, behind []string, err error) error {
 	const remedy = "look with 'rockwind status'; the gateways take it up by themselves once they reach control"
 	if err != nil {
 		return fault.Newf(fault.Unavailable, remedy, "configuration %d was accepted, but the state of the gateways is not known: %v", wanted, err)
--- a/internal/command/cluster.go
+++ b/internal/command/cluster.go
@@ -22,7 +22,7 @@
 after a failure; it is refused by machines that belong to another cluster.`
 }
 
-// Run founds the cluster.
+// Run creates the cluster.
 func (c *clusterInit) Run(s *session) error {
 	machines, err := s.connection.machines()
 	if err != nil {
@@ -36,7 +36,7 @@
 	for _, machine := range machines {
 		addresses = append(addresses, s.connection.baseURL(machine.GetAddress()))
 	}
-	ctx, cancel := s.bounded()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
 	if err := replica.Found(ctx, client, addresses, c.Shards); err != nil {
 		return err
--- a/internal/command/cluster_status.go
+++ b/internal/command/cluster_status.go
@@ -21,24 +21,25 @@
 lost or replaced; if not, what is missing.`
 }
 
-// clusterState is what the control machines say about groups and bodies.
+// clusterState is the state of groups and bodies as reported by the control machines.
 type clusterState struct {
 	machines []machineState
-	// copies is nil where no machine could count them.
+	// copies is nil if no machine could count the copies.
 	copies *rockwindpb.CopiesResponse
 }
 
-// clusterJSON is the output for programs.
+// clusterJSON is the JSON output.
 type clusterJSON struct {
-	// Repaired tells that nothing is missing.
+	// Repaired is true if nothing is missing.
 	Repaired bool `json:"repaired"`
-	// Missing lists what is, for people.
+	// Missing describes what is missing, as text.
 	Missing  []string      `json:"missing"`
 	Copies   *messageJSON  `json:"copies,omitempty"`
 	Machines []machineJSON `json:"machines"`
 }
 
-// Run prints one row for each group and machine, and what is missing.
+// Run prints one row for each group and machine, and what is missing for full
+// redundancy.
 func (*clusterStatus) Run(s *session) error {
 	state, err := s.clusterState()
 	if err != nil {
@@ -48,11 +49,11 @@
 	if s.printer.json {
 		return s.printer.encode(state.json(missing))
 	}
-	people := &table{header: []string{"GROUP", "MACHINE", "ADDRESS", "ROLE", "TERM", "LEADER", "COMMIT", "APPLIED", "LAST"}}
+	listing := &table{header: []string{"GROUP", "MACHINE", "ADDRESS", "ROLE", "TERM", "LEADER", "COMMIT", "APPLIED", "LAST"}}
 	for _, machine := range state.machines {
-		addGroups(people, machine)
+		addGroups(listing, machine)
 	}
-	if err := people.write(s.printer.output); err != nil {
+	if err := listing.write(s.printer.output); err != nil {
 		return err
 	}
 	fmt.Fprintln(s.printer.output)
@@ -71,12 +72,12 @@
 	return nil
 }
 
-// clusterState asks all control machines for their groups, and one after another
-// for the copies of the bodies until one says that all are there. Any may say so
-// for all; but one that was started lately does not know yet which segments are
-// not needed any more, and misses copies that the others have removed.
+// clusterState queries all control machines for their groups, and one after another for
+// the copies of the bodies until one reports that none is missing. One such report is
+// enough: a recently started machine may count copies as missing that belong to
+// segments which were already removed.
 func (s *session) clusterState() (*clusterState, error) {
-	machines, err := s.askMachines()
+	machines, err := s.queryMachines()
 	if err != nil {
 		return nil, err
 	}
@@ -85,15 +86,15 @@
 		return nil, err
 	}
 	state := &clusterState{machines: machines}
-	for position, asked := range peers {
+	for position, target := range peers {
 		if machines[position].identity == nil {
 			continue
 		}
-		counted, err := s.askCopies(asked)
+		counted, err := s.queryCopies(target)
 		if err != nil {
 			continue
 		}
-		if state.copies == nil || missesLess(counted, state.copies) {
+		if state.copies == nil || missesFewer(counted, state.copies) {
 			state.copies = counted
 		}
 		if counted.GetRepaired() {
@@ -103,18 +104,18 @@
 	return state, nil
 }
 
-// missesLess tells whether one answer names less that is missing than another.
-func missesLess(one, other *rockwindpb.CopiesResponse) bool {
+// missesFewer reports whether one response has less missing than the other.
+func missesFewer(one, other *rockwindpb.CopiesResponse) bool {
 	return cmp.Or(
 		cmp.Compare(len(one.GetSilentMachines()), len(other.GetSilentMachines())),
 		cmp.Compare(one.GetShortSegments(), other.GetShortSegments()),
 	) < 0
 }
 
-func (s *session) askCopies(asked peer) (*rockwindpb.CopiesResponse, error) {
+func (s *session) queryCopies(target peer) (*rockwindpb.CopiesResponse, error) {
 	ctx, cancel := context.WithTimeout(s.context, s.connection.Timeout)
 	defer cancel()
-	return asked.segments.Copies(ctx, &rockwindpb.CopiesRequest{})
+	return target.segments.Copies(ctx, &rockwindpb.CopiesRequest{})
 }
 
 func (c *clusterState) json(missing []string) clusterJSON {
@@ -129,8 +130,8 @@
 	return result
 }
 
-// missing lists what keeps the cluster from standing the loss of as many machines
-// as it was made for.
+// missing lists the reasons why the cluster can't tolerate as many machine failures as
+// it was configured for.
 func (c *clusterState) missing() []string {
 	var missing []string
 	repaired := make(map[uint32]bool)
@@ -172,17 +173,17 @@
 	return slices.Sorted(maps.Keys(values))
 }
 
-func addGroups(people *table, machine machineState) {
+func addGroups(listing *table, machine machineState) {
 	if machine.identity == nil {
-		people.add("-", "-", machine.address, "no answer", "-", "-", "-", "-", "-")
+		listing.add("-", "-", machine.address, "no answer", "-", "-", "-", "-", "-")
 		return
 	}
 	identity := machine.identity
 	if len(identity.GetGroups()) == 0 {
-		people.add("-", identity.GetMachine(), machine.address, "in no group", "-", "-", "-", "-", "-")
+		listing.add("-", identity.GetMachine(), machine.address, "in no group", "-", "-", "-", "-", "-")
 	}
 	for _, group := range identity.GetGroups() {
-		people.add(number(group.GetGroup()), identity.GetMachine(), machine.address, roleName(group.GetVoter(), group.GetLeader() == identity.GetDiskId()),
+		listing.add(number(group.GetGroup()), identity.GetMachine(), machine.address, roleName(group.GetVoter(), group.GetLeader() == identity.GetDiskId()),
 			number(group.GetTerm()), orDash(group.GetLeaderAddress()), number(group.GetCommit()), number(group.GetApplied()), number(group.GetLast()))
 	}
 }
--- a/internal/command/cluster_status_test.go
+++ b/internal/command/cluster_status_test.go
@@ -8,9 +8,9 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// TestMissingNamesWhatKeepsFromRepaired changes one thing at a time in a cluster
-// that lacks nothing.
-func TestMissingNamesWhatKeepsFromRepaired(t *testing.T) {
+// TestMissingListsWhyClusterIsNotRepaired makes one change at a time to a cluster with
+// full redundancy, and expects exactly that change to be reported.
+func TestMissingListsWhyClusterIsNotRepaired(t *testing.T) {
 	group := func(number uint32, repaired bool) *rockwindpb.GroupStatus {
 		return &rockwindpb.GroupStatus{Group: number, Repaired: repaired}
 	}
@@ -24,7 +24,7 @@
 		}
 	}
 	if missing := whole().missing(); len(missing) > 0 {
-		t.Fatalf("a whole cluster lacks %q", missing)
+		t.Fatalf("a cluster with full redundancy lacks %q", missing)
 	}
 	for wanted, change := range map[string]func(*clusterState){
 		"does not answer": func(c *clusterState) {
@@ -48,13 +48,13 @@
 	}
 }
 
-// TestAnswerThatMissesLessIsTaken prefers the machine that reaches more, and then
-// the one that knows what is not needed any more.
-func TestAnswerThatMissesLessIsTaken(t *testing.T) {
+// TestAnswerWithFewerMissingCopiesIsPreferred checks that the response with fewer silent
+// machines is preferred, and then the one with fewer short segments.
+func TestAnswerWithFewerMissingCopiesIsPreferred(t *testing.T) {
 	cutOff := &rockwindpb.CopiesResponse{SilentMachines: []string{"b"}}
 	fresh := &rockwindpb.CopiesResponse{ShortSegments: 2}
 	whole := &rockwindpb.CopiesResponse{Repaired: true}
-	if !missesLess(fresh, cutOff) || !missesLess(whole, fresh) || missesLess(fresh, whole) {
-		t.Fatal("an answer that misses more is taken")
+	if !missesFewer(fresh, cutOff) || !missesFewer(whole, fresh) || missesFewer(fresh, whole) {
+		t.Fatal("a response with more missing is preferred")
 	}
 }
--- a/internal/command/cluster_test.go
+++ b/internal/command/cluster_test.go
@@ -30,7 +30,7 @@
 
 const testWait = 30 * time.Second
 
-// output collects what a daemon or a command prints.
+// output is a buffer that is safe for concurrent use.
 type output struct {
 	mutex sync.Mutex
 	text  bytes.Buffer
@@ -48,7 +48,7 @@
 	return o.text.String()
 }
 
-// daemon is a daemon of the command line in this process.
+// daemon is a daemon command that runs in the test process.
 type daemon struct {
 	address string
 	stderr  *output
@@ -64,7 +64,7 @@
 	gateway *daemon
 	callers string
 	engine  string
-	// scheme is that of all addresses, and client fits it.
+	// scheme is the URL scheme of all addresses, and client supports it.
 	scheme string
 	client *http.Client
 }
@@ -78,7 +78,7 @@
 	machines := fmt.Sprintf("control: [{machine: control-1, address: %q, zone: a}]\n", address)
 	callerTLS := ""
 	if secured {
-		files := s.issue(address, callers, internal)
+		files := s.writeCertificates(address, callers, internal)
 		machines += "internal_tls: " + files
 		callerTLS = "caller_tls: " + files
 	}
@@ -93,9 +93,9 @@
 	return s
 }
 
-// issue makes certificates for the hosts of the addresses, gives them to the commands by their environment and
-// returns the settings that name them.
-func (s *system) issue(addresses ...string) string {
+// writeCertificates creates certificates for the hosts of the addresses, passes them to
+// the commands by environment variables, and returns the TLS settings for daemons.
+func (s *system) writeCertificates(addresses ...string) string {
 	s.t.Helper()
 	var hosts []netip.Addr
 	for _, address := range addresses {
@@ -171,7 +171,7 @@
 	return path
 }
 
-// await waits until a page is there.
+// await waits until a page responds with status 200.
 func (s *system) await(page, address string) {
 	s.t.Helper()
 	s.eventually(page+" of "+address, func() bool {
@@ -188,12 +188,12 @@
 	s.t.Helper()
 	for deadline := time.Now().Add(testWait); !met(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			s.t.Fatalf("waited in vain for %s", what)
+			s.t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-// run runs a command and returns its exit code and what it printed.
+// run runs a command and returns its exit code and output.
 func (s *system) run(arguments ...string) (code int, stdout, stderr string) {
 	out, failure := &output{}, &output{}
 	arguments = append(arguments, "--control", s.control.address)
@@ -201,8 +201,8 @@
 	return code, out.String(), failure.String()
 }
 
-// expect runs a command, checks its exit code and that it prints a text, and
-// returns its output.
+// expect runs a command, checks its exit code and that its output contains a text, and
+// returns its standard output.
 func (s *system) expect(code int, text string, arguments ...string) string {
 	s.t.Helper()
 	got, stdout, stderr := s.run(arguments...)
@@ -212,7 +212,7 @@
 	return stdout
 }
 
-// expectJSON runs a command with --output json and decodes what it prints.
+// expectJSON runs a command with --output json and decodes its output.
 func expectJSON[T any](s *system, arguments ...string) T {
 	s.t.Helper()
 	var decoded T
@@ -223,7 +223,7 @@
 	return decoded
 }
 
-// configuration is a file with the given number and share.
+// configuration writes a configuration file with the given number and share.
 func (s *system) configuration(number int, share string) string {
 	return s.write(fmt.Sprintf("configuration-%d-%s.yaml", number, share), fmt.Sprintf(`number: %d
 groups: [{name: south, share: %s, objective: throughput}]
@@ -235,7 +235,7 @@
 `, number, share, fleet.KeyHash("secret"), s.engine))
 }
 
-// requests is the input of a batch.
+// requests writes a request file for a batch job.
 func (s *system) requests(name string, count, tokens int) string {
 	var lines strings.Builder
 	for number := range count {
@@ -245,8 +245,8 @@
 	return s.write(name+".jsonl", lines.String())
 }
 
-// TestCommandsOverARealSystem runs the operator's commands against daemons that
-// the command line started.
+// TestCommandsOverARealSystem runs the operator's commands against a control daemon and a
+// gateway, without and with TLS.
 func TestCommandsOverARealSystem(t *testing.T) {
 	t.Run("in the clear", func(t *testing.T) { checkSystem(t, false) })
 	t.Run("by TLS", func(t *testing.T) { checkSystem(t, true) })
@@ -309,7 +309,7 @@
 	}
 }
 
-// checkRefusals gives bad input to the commands.
+// checkRefusals runs commands with invalid input.
 func (s *system) checkRefusals() {
 	input := s.requests("again", 1, 1)
 	for _, refused := range []struct {
@@ -357,7 +357,7 @@
 	})
 }
 
-// checkDrain drains the gateway, which then ends.
+// checkDrain drains the gateway and checks that it exits.
 func (s *system) checkDrain() {
 	s.expect(ExitOK, "is drained", "drain", s.gateway.address, "--deadline", "20s")
 	code := <-s.gateway.ended
--- a/internal/command/collector.go
+++ b/internal/command/collector.go
@@ -5,17 +5,16 @@
 	"runtime/debug"
 )
 
-// A gateway's live heap is small beside its budget of memory, so that the
-// collector would run often for little. Both values are replaced by the
-// environment variables of the Go runtime.
+// The live heap of a gateway is small compared to its memory budget, so collections can
+// be less frequent than by default. GOGC and GOMEMLIMIT override these values.
 const (
-	// gatewayCollectorPercent is the growth of the heap between collections.
+	// gatewayCollectorPercent is the heap growth between collections in percent.
 	gatewayCollectorPercent = 400
-	// gatewayMemoryLimit is where collections become more frequent, in bytes.
+	// gatewayMemoryLimit is the soft memory limit in bytes.
 	gatewayMemoryLimit = 224 << 20
 )
 
-// tuneCollector sets the garbage collector of a gateway.
+// tuneCollector configures the garbage collector of a gateway.
 func tuneCollector() {
 	if _, set := os.LookupEnv("GOGC"); !set {
 		debug.SetGCPercent(gatewayCollectorPercent)
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,6 +1,6 @@
-// Package command is the command line of rockwind: the daemons and the
-// operator's commands, a file each. Every failure is printed as one message and
-// its remedy, and ends with a documented exit code.
+// Package command implements the command line of rockwind: the daemons and the
+// operator's commands, one file each. A failure is printed as one message with its
+// remedy, and gives a documented exit code.
 package command
 
 import (
@@ -18,16 +18,16 @@
 
 // Exit codes of all commands.
 const (
-	// ExitOK: the command did what it was asked for.
+	// ExitOK: the command succeeded.
 	ExitOK = 0
-	// ExitFailed: something went wrong that none of the other codes says.
+	// ExitFailed: the command failed for a reason without a code of its own.
 	ExitFailed = 1
-	// ExitRefused: wrong usage, or input that is refused.
+	// ExitRefused: invalid usage or refused input.
 	ExitRefused = 2
-	// ExitConflict: another value was accepted first, or the input is too old.
+	// ExitConflict: another value was accepted first, or the input is outdated.
 	ExitConflict = 3
-	// ExitUnavailable: no process that can answer was reached in time. A change
-	// may have been made; the command can be repeated.
+	// ExitUnavailable: no process that can respond was reached in time. A change may
+	// have been made; the command can be repeated.
 	ExitUnavailable = 4
 )
 
@@ -35,7 +35,7 @@
 
 Exit codes: 0 done, 1 failed, 2 wrong usage or refused input, 3 conflict with what is in force, 4 unavailable (repeat the command).`
 
-// commandLine is the grammar of the program.
+// commandLine defines the commands and flags.
 type commandLine struct {
 	Connection `group:"Connection"`
 	Output     string `enum:"table,json" default:"table" help:"Form of the output: ${enum}."`
@@ -57,7 +57,7 @@
 	Explain    explainCommand    `cmd:"" group:"Operation" help:"Show from logs what became of a request, job, item or server, and why."`
 }
 
-// session is what a command runs in.
+// session holds the connection, input and output of a command.
 type session struct {
 	context    context.Context
 	connection Connection
@@ -66,18 +66,18 @@
 	stderr     io.Writer
 }
 
-// Main runs one command line and returns the exit code. SIGINT and SIGTERM end
-// its context.
+// Main runs one command line and returns the exit code. SIGINT and SIGTERM cancel its
+// context.
 func Main(arguments []string, stdin io.Reader, stdout, stderr io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	return Run(ctx, arguments, stdin, stdout, stderr)
 }
 
-// exitRequest carries the exit code that the parser asks for after --help.
+// exitRequest is the panic value that carries the parser's exit code after --help.
 type exitRequest int
 
-// Run is Main with a context of the caller's.
+// Run runs one command line with the given context and returns the exit code.
 func Run(ctx context.Context, arguments []string, stdin io.Reader, stdout, stderr io.Writer) (code int) {
 	defer func() {
 		switch caught := recover().(type) {
@@ -97,11 +97,11 @@
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true, WrapUpperBound: helpWidth}),
 	)
 	if err != nil {
-		return report(stderr, err)
+		return printError(stderr, err)
 	}
 	parsed, err := parser.Parse(arguments)
 	if err != nil {
-		return report(stderr, fault.New(fault.InvalidArgument, err.Error(), "run 'rockwind --help', or any command with --help"))
+		return printError(stderr, fault.New(fault.InvalidArgument, err.Error(), "run 'rockwind --help', or any command with --help"))
 	}
 	current := &session{
 		context:    ctx,
@@ -111,15 +111,15 @@
 		stderr:     stderr,
 	}
 	if err := parsed.Run(current); err != nil {
-		return report(stderr, err)
+		return printError(stderr, err)
 	}
 	return ExitOK
 }
 
 const helpWidth = 100
 
-// report prints a failure and returns its exit code.
-func report(stderr io.Writer, err error) int {
+// printError prints an error and returns its exit code.
+func printError(stderr io.Writer, err error) int {
 	found := fault.From(err)
 	fmt.Fprintf(stderr, "rockwind: %s\n", found.Error())
 	return exitCode(found.Kind)
@@ -138,13 +138,13 @@
 	}
 }
 
-// bounded returns a context that ends after the connection's timeout.
-func (s *session) bounded() (context.Context, context.CancelFunc) {
+// withTimeout returns a context with the timeout of the connection.
+func (s *session) withTimeout() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(s.context, s.connection.Timeout)
 }
 
-// wait sleeps, and tells whether the command may go on.
-func (s *session) wait(pause time.Duration) bool {
+// sleep pauses, and returns false if the context ended before the pause was over.
+func (s *session) sleep(pause time.Duration) bool {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
--- a/internal/command/connection.go
+++ b/internal/command/connection.go
@@ -15,7 +15,7 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Connection holds the flags that tell how to reach the control machines.
+// Connection holds the flags for connecting to the control machines.
 type Connection struct {
 	ControlAddresses []string      `name:"control" env:"ROCKWIND_CONTROL" placeholder:"IP:PORT" help:"Internal addresses of the control machines; repeat the flag or use commas."`
 	Timeout          time.Duration `default:"30s" help:"Time after which a call is given up."`
@@ -24,7 +24,7 @@
 	Authority        string        `name:"tls-ca" env:"ROCKWIND_TLS_CA" placeholder:"FILE" help:"Certificate of the authority that signed those of the daemons; turns on TLS."`
 }
 
-// Validate implements the check of the command line's parser.
+// Validate is called by kong after parsing.
 func (c *Connection) Validate() error {
 	if c.Timeout <= 0 {
 		return fmt.Errorf("--timeout is %v; write a time above zero, for example 30s", c.Timeout)
@@ -36,8 +36,8 @@
 	return c.Certificate != "" || c.Key != "" || c.Authority != ""
 }
 
-// machines reads the addresses. The form of settings, "machine=ip:port@zone", is
-// understood as well, since both come from the same environment variable.
+// machines parses the addresses. It also accepts the format of the settings,
+// "machine=ip:port@zone", because both use the same environment variable.
 func (c *Connection) machines() ([]*rockwindpb.ControlMachine, error) {
 	if len(c.ControlAddresses) == 0 {
 		return nil, fault.New(fault.InvalidArgument, "no control machine is given", "use --control IP:PORT or set ROCKWIND_CONTROL")
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// httpClient carries all calls of a command.
+// httpClient returns the HTTP client for all calls of a command.
 func (c *Connection) httpClient() (*http.Client, error) {
 	transport := controlclient.NewTransport()
 	if c.secure() {
@@ -92,7 +92,7 @@
 func (c *Connection) tlsSettings() (*tls.Config, error) {
 	settings := &tls.Config{MinVersion: tls.VersionTLS13}
 	if (c.Certificate == "") != (c.Key == "") {
-		return nil, fault.New(fault.InvalidArgument, "one of --tls-certificate and --tls-key is given", "give both or none")
+		return nil, fault.New(fault.InvalidArgument, "only one of --tls-certificate and --tls-key is given", "give both or none")
 	}
 	if c.Certificate != "" {
 		pair, err := tls.LoadX509KeyPair(c.Certificate, c.Key)
@@ -122,19 +122,19 @@
 	return "http://" + address
 }
 
-// client returns a client over all control machines.
+// client returns a client that uses all control machines.
 func (s *session) client() (*controlclient.Client, error) {
 	machines, err := s.connection.machines()
 	if err != nil {
 		return nil, err
 	}
-	carrier, err := s.connection.httpClient()
+	httpClient, err := s.connection.httpClient()
 	if err != nil {
 		return nil, err
 	}
 	return controlclient.New(controlclient.Options{
 		Machines:    machines,
-		HTTPClient:  carrier,
+		HTTPClient:  httpClient,
 		Secure:      s.connection.secure(),
 		CallTimeout: s.connection.Timeout,
 	}), nil
@@ -145,17 +145,17 @@
 	address string
 	replica rockwindpb.ReplicaService
 	fleet   rockwindpb.FleetService
-	// segments holds the bodies.
+	// segments is the service for stored bodies.
 	segments rockwindpb.SegmentService
 }
 
-// peers returns the services of each control machine by itself.
+// peers returns the services of each control machine separately.
 func (s *session) peers() ([]peer, error) {
 	machines, err := s.connection.machines()
 	if err != nil {
 		return nil, err
 	}
-	carrier, err := s.connection.httpClient()
+	httpClient, err := s.connection.httpClient()
 	if err != nil {
 		return nil, err
 	}
@@ -164,10 +164,10 @@
 		base := s.connection.baseURL(machine.GetAddress())
 		peers = append(peers, peer{
 			address: machine.GetAddress(),
-			replica: rockwindpb.NewReplicaServiceProtobufClient(base, carrier),
-			fleet:   rockwindpb.NewFleetServiceProtobufClient(base, carrier),
+			replica: rockwindpb.NewReplicaServiceProtobufClient(base, httpClient),
+			fleet:   rockwindpb.NewFleetServiceProtobufClient(base, httpClient),
 
-			segments: rockwindpb.NewSegmentServiceProtobufClient(base, carrier),
+			segments: rockwindpb.NewSegmentServiceProtobufClient(base, httpClient),
 		})
 	}
 	return peers, nil
@@ -178,9 +178,9 @@
 	if err := checkAddress(address); err != nil {
 		return nil, err
 	}
-	carrier, err := s.connection.httpClient()
+	httpClient, err := s.connection.httpClient()
 	if err != nil {
 		return nil, err
 	}
-	return rockwindpb.NewAdminServiceProtobufClient(s.connection.baseURL(address), carrier), nil
+	return rockwindpb.NewAdminServiceProtobufClient(s.connection.baseURL(address), httpClient), nil
 }
--- a/internal/command/daemons.go
+++ b/internal/command/daemons.go
@@ -17,7 +17,7 @@
 	"rockwind.example/rockwind/internal/settings"
 )
 
-// daemonFlags are common to the daemons.
+// daemonFlags are the flags common to all daemons.
 type daemonFlags struct {
 	Settings string   `type:"path" env:"ROCKWIND_SETTINGS" placeholder:"FILE" help:"Settings file. Without it the environment and --set must give all settings."`
 	Set      []string `placeholder:"FIELD=VALUE" sep:"none" help:"Replace a field of the settings; may be repeated."`
@@ -73,7 +73,7 @@
 	if err != nil {
 		return err
 	}
-	return s.withRing(func(ring *logring.Ring) error {
+	return s.runWithLogRing(func(ring *logring.Ring) error {
 		options := []control.Option{control.WithLogs(ring)}
 		if c.AllowFaultInjection {
 			options = append(options, control.WithLinkFaults(&linkfault.Links{}))
@@ -82,9 +82,9 @@
 	})
 }
 
-// withRing runs a daemon whose log is a ring in memory, which is written out at
-// SIGUSR1 and where the daemon fails.
-func (s *session) withRing(run func(*logring.Ring) error) error {
+// runWithLogRing runs a daemon that logs to a ring buffer in memory. The buffer is
+// written out on SIGUSR1 and if the daemon fails.
+func (s *session) runWithLogRing(run func(*logring.Ring) error) error {
 	signal.Ignore(syscall.SIGHUP)
 	ring := logring.New(logring.DefaultCapacity, s.stderr)
 	log.SetHandler(ring)
@@ -93,7 +93,7 @@
 	return dumpOnFailure(run(ring), ring, s.stderr)
 }
 
-// dumpOnFailure writes the ring out where a daemon failed while it ran.
+// dumpOnFailure writes out the ring if a daemon failed, except by invalid settings.
 func dumpOnFailure(err error, ring *logring.Ring, output io.Writer) error {
 	if err != nil && !fault.Is(err, fault.InvalidArgument) {
 		_ = ring.Dump(output)
@@ -101,8 +101,8 @@
 	return err
 }
 
-// dumpOnSignal writes the ring to the output at SIGUSR1 until the context
-// ends or the returned function is called.
+// dumpOnSignal writes the ring to the output on SIGUSR1, until the context ends or the
+// returned function is called.
 func dumpOnSignal(ctx context.Context, ring *logring.Ring, output io.Writer) func() {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGUSR1)
@@ -113,7 +113,7 @@
 				return
 			case <-signals:
 				if err := ring.Dump(output); err != nil {
-					log.WithError(err).Warn("could not write the log ring")
+					log.WithError(err).Warn("failed to write the log ring")
 				}
 			}
 		}
--- a/internal/command/daemons_test.go
+++ b/internal/command/daemons_test.go
@@ -11,8 +11,8 @@
 	"rockwind.example/rockwind/internal/logring"
 )
 
-// TestFailedDaemonWritesItsLog ends a daemon well, by wrong settings and by a
-// failure: only the last is a reason to write the log out.
+// TestFailedDaemonWritesItsLog checks that the log is written out after a failure, but
+// not after success or invalid settings.
 func TestFailedDaemonWritesItsLog(t *testing.T) {
 	for _, ended := range []struct {
 		err     error
--- a/internal/command/diff.go
+++ b/internal/command/diff.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	before, _, err := s.inForce()
+	before, _, err := s.configurationInForce()
 	if err != nil {
 		return err
 	}
@@ -37,26 +37,26 @@
 }
 
 func differenceTable(differences []configuration.Difference) *table {
-	people := &table{header: []string{"DIFFERENCE", "OBJECT", "NAME", "FIELD"}}
+	listing := &table{header: []string{"DIFFERENCE", "OBJECT", "NAME", "FIELD"}}
 	for _, difference := range differences {
 		kind := string(difference.Kind)
 		if len(difference.Fields) == 0 {
-			people.add(kind, difference.Object, difference.Name, "")
+			listing.add(kind, difference.Object, difference.Name, "")
 		}
 		for _, changed := range difference.Fields {
-			people.add(kind, difference.Object, difference.Name, changed.String())
+			listing.add(kind, difference.Object, difference.Name, changed.String())
 		}
 	}
-	return people
+	return listing
 }
 
-// inForce returns the configuration in force and its acceptance.
-func (s *session) inForce() (*configuration.Index, *rockwindpb.Acceptance, error) {
+// configurationInForce returns the configuration in force and its acceptance.
+func (s *session) configurationInForce() (*configuration.Index, *rockwindpb.Acceptance, error) {
 	client, err := s.client()
 	if err != nil {
 		return nil, nil, err
 	}
-	ctx, cancel := s.bounded()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
 	response, err := client.Configuration().Get(ctx, &rockwindpb.GetConfigurationRequest{})
 	if err != nil {
--- a/internal/command/documentation_test.go
+++ b/internal/command/documentation_test.go
@@ -15,7 +15,7 @@
 	"rockwind.example/rockwind/internal/gateway"
 )
 
-// page reads a page of the documentation.
+// page returns the content of a documentation page.
 func page(t *testing.T, name string) string {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join("..", "..", "docs", name))
@@ -26,14 +26,14 @@
 }
 
 var (
-	// codeCell finds the names in code quotes in a cell of a table.
+	// codeCell matches the code spans in a table cell.
 	codeCell = regexp.MustCompile("`([^`]+)`")
-	// descriptionParts finds the name and the labels in the text of a description.
+	// descriptionParts matches the name and labels in the text of a metric description.
 	descriptionParts = regexp.MustCompile(`fqName: "([^"]+)".*variableLabels: \{([^}]*)\}`)
 )
 
-// tableRows returns the cells of all table rows of a page whose first cell holds
-// code, by that code.
+// tableRows returns the remaining cells of all table rows that start with a code span,
+// by the text of that span.
 func tableRows(content string) map[string][]string {
 	rows := make(map[string][]string)
 	for _, line := range strings.Split(content, "\n") {
@@ -55,7 +55,7 @@
 	return found
 }
 
-// described are the labels of all metrics of the daemons, by name.
+// described returns the labels of all metrics of the daemons by metric name.
 func described() map[string][]string {
 	descriptions := make(chan *prometheus.Desc)
 	go func() {
@@ -95,11 +95,11 @@
 	}
 }
 
-// link finds the targets of links in a page.
+// link matches the targets of links in a page.
 var link = regexp.MustCompile(`\]\(([^)#\s]+)(#[^)]*)?\)`)
 
-// TestLinksOfTheDocumentation checks that pages link to files that exist, and
-// that docs/OPERATIONS.md lists every page about operations.
+// TestLinksOfTheDocumentation checks that links point to existing files, and that
+// docs/OPERATIONS.md links to every page in operations/.
 func TestLinksOfTheDocumentation(t *testing.T) {
 	root := filepath.Join("..", "..")
 	var pages []string
@@ -120,7 +120,7 @@
 				continue
 			}
 			if _, err := os.Stat(filepath.Join(filepath.Dir(name), match[1])); err != nil {
-				t.Errorf("%s links to %s, which is not there", name, match[1])
+				t.Errorf("%s links to %s, which does not exist", name, match[1])
 			}
 		}
 		if folder, file := filepath.Split(name); strings.HasSuffix(folder, "operations/") && !strings.Contains(page(t, "OPERATIONS.md"), "(operations/"+file+")") {
--- a/internal/command/drain.go
+++ b/internal/command/drain.go
@@ -22,7 +22,7 @@
 draining. SIGTERM to the process does the same.`
 }
 
-// Run starts the drain.
+// Run drains the daemon and waits for the end of the drain.
 func (d *drainCommand) Run(s *session) error {
 	admin, err := s.admin(d.Address)
 	if err != nil {
@@ -45,7 +45,7 @@
 // maximumDrainWait bounds how long a command waits for a drain.
 const maximumDrainWait = 24 * time.Hour
 
-// watchDrain reports the requests in progress until the context ends.
+// watchDrain prints the number of requests in progress until the context ends.
 func (s *session) watchDrain(ctx context.Context, admin rockwindpb.AdminService) {
 	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
--- a/internal/command/exitcode_test.go
+++ b/internal/command/exitcode_test.go
@@ -8,7 +8,7 @@
 	"rockwind.example/rockwind/internal/command"
 )
 
-// numberRow finds rows of a table that begin with a number.
+// numberRow matches table rows whose first cell is a number.
 var numberRow = regexp.MustCompile(`(?m)^\| (\d+) \|`)
 
 func TestOperationsPageListsTheExitCodes(t *testing.T) {
--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -30,22 +30,23 @@
 as the name of the process, is kept. Lines that are no JSON are passed over.`
 }
 
-// maximumLine bounds one line of a log.
+// maximumLine bounds the length of a log line in bytes.
 const maximumLine = 1 << 20
 
-// logLine is one structured line.
+// logLine is one structured log entry.
 type logLine struct {
-	// Origin is what stands before the object, for example the process.
+	// Origin is the text before the JSON object, for example the process name.
 	Origin    string         `json:"origin,omitempty"`
 	Timestamp time.Time      `json:"timestamp"`
 	Message   string         `json:"message"`
 	Fields    map[string]any `json:"fields"`
 }
 
-// around are the messages that are shown when they are close to the identifier's.
-var around = []string{"dependency lost", "dependency regained", "configuration in force", "leadership changed", "router serves", "router leaves", "store serves", "coordinator serves"}
+// contextMessages are the messages that are also shown if the same process logged them
+// shortly before or after a line with the identifier.
+var contextMessages = []string{"dependency lost", "dependency regained", "configuration in force", "leadership changed", "router serves", "router leaves", "store serves", "coordinator serves"}
 
-// Run shows the lines.
+// Run prints the log lines related to the identifier.
 func (c *explainCommand) Run(s *session) error {
 	var lines []logLine
 	if len(c.Files) == 0 {
@@ -91,7 +92,7 @@
 	return lines
 }
 
-// process is the origin without a leading time, which differs from line to line.
+// process returns the last word of the origin, without a time that may precede it.
 func (l logLine) process() string {
 	words := strings.Fields(l.Origin)
 	if len(words) == 0 {
@@ -100,7 +101,7 @@
 	return words[len(words)-1]
 }
 
-func (l logLine) names(identifier string) bool {
+func (l logLine) mentions(identifier string) bool {
 	for _, value := range l.Fields {
 		if text, isText := value.(string); isText && text == identifier {
 			return true
@@ -109,7 +110,7 @@
 	return false
 }
 
-// text is the line for people.
+// text formats the line as text.
 func (l logLine) text() string {
 	var built strings.Builder
 	fmt.Fprintf(&built, "%s %s %s", l.Timestamp.Format("15:04:05.000"), l.Origin, l.Message)
@@ -119,23 +120,23 @@
 	return built.String()
 }
 
-// explain chooses the lines that tell of an identifier, in order of time.
+// explain returns the lines related to an identifier, sorted by time.
 func explain(lines []logLine, identifier string, margin time.Duration) []logLine {
 	chosen := make(map[int]bool)
 	servers := make(map[string]bool)
-	var own []logLine
+	var matching []logLine
 	for position, line := range lines {
-		if !line.names(identifier) {
+		if !line.mentions(identifier) {
 			continue
 		}
 		chosen[position] = true
-		own = append(own, line)
+		matching = append(matching, line)
 		if server, isText := line.Fields["server"].(string); isText && server != "" {
 			servers[server] = true
 		}
 	}
 	for position, line := range lines {
-		chosen[position] = chosen[position] || tellsOfServer(line, servers) || isAround(line, own, margin)
+		chosen[position] = chosen[position] || isServerEvent(line, servers) || isNearby(line, matching, margin)
 	}
 	var found []logLine
 	for position, line := range lines {
@@ -147,9 +148,9 @@
 	return found
 }
 
-// tellsOfServer tells whether a line says that a server reported, left or fell
-// silent.
-func tellsOfServer(line logLine, servers map[string]bool) bool {
+// isServerEvent reports whether a line logs that one of the servers reported, left or
+// became silent.
+func isServerEvent(line logLine, servers map[string]bool) bool {
 	switch line.Message {
 	case "server reported", "server left":
 		server, _ := line.Fields["server"].(string)
@@ -164,11 +165,11 @@
 	return false
 }
 
-func isAround(line logLine, own []logLine, margin time.Duration) bool {
-	if !slices.Contains(around, line.Message) {
+func isNearby(line logLine, matching []logLine, margin time.Duration) bool {
+	if !slices.Contains(contextMessages, line.Message) {
 		return false
 	}
-	return slices.ContainsFunc(own, func(each logLine) bool {
+	return slices.ContainsFunc(matching, func(each logLine) bool {
 		return each.process() == line.process() && line.Timestamp.Sub(each.Timestamp).Abs() <= margin
 	})
 }
--- a/internal/command/explain_test.go
+++ b/internal/command/explain_test.go
@@ -18,14 +18,14 @@
   1.2 front-1 {"fields":{"id":"r2"},"level":"info","timestamp":"2026-01-01T10:00:01.2Z","message":"request refused"}
 `
 
-func TestExplainTellsTheStoryInOrder(t *testing.T) {
+func TestExplainShowsRelatedLinesInOrder(t *testing.T) {
 	found := explain(readLog(strings.NewReader(explained)), "r1", 2*time.Second)
-	var story []string
+	var shown []string
 	for _, line := range found {
-		story = append(story, line.process()+" "+line.Message)
+		shown = append(shown, line.process()+" "+line.Message)
 	}
 	want := "core-1 server reported, front-1 request tried again, front-1 request refused, front-1 dependency lost, core-1 servers are silent"
-	if got := strings.Join(story, ", "); got != want {
+	if got := strings.Join(shown, ", "); got != want {
 		t.Errorf("got  %s\nwant %s", got, want)
 	}
 	if text := found[1].text(); !strings.Contains(text, "reason=reset") || !strings.Contains(text, "server=s1") {
--- a/internal/command/get.go
+++ b/internal/command/get.go
@@ -30,7 +30,7 @@
 
 // Run prints the configuration.
 func (g *getConfiguration) Run(s *session) error {
-	index, _, err := s.inForce()
+	index, _, err := s.configurationInForce()
 	if err != nil {
 		return err
 	}
@@ -49,18 +49,18 @@
 	return err
 }
 
-// printObjects prints the objects of one kind in force, a row each.
+// printObjects prints the objects of one kind, one row each.
 func printObjects[T proto.Message](s *session, list func(*configuration.Index) []T, header []string, row func(T) []string) error {
-	index, _, err := s.inForce()
+	index, _, err := s.configurationInForce()
 	if err != nil {
 		return err
 	}
 	objects := list(index)
-	people := &table{header: header}
+	listing := &table{header: header}
 	for _, object := range objects {
-		people.add(row(object)...)
+		listing.add(row(object)...)
 	}
-	return s.printer.print(messagesJSON(objects), people)
+	return s.printer.print(messagesJSON(objects), listing)
 }
 
 type getGroups struct{}
--- a/internal/command/jobs.go
+++ b/internal/command/jobs.go
@@ -19,15 +19,15 @@
 	Cancel  jobsCancel  `cmd:"" help:"Cancel a job."`
 }
 
-// jobSource holds the flags that tell where jobs are looked at: through a
-// gateway as a tenant with an API key, or at the control machines.
+// jobSource holds the flags that select how jobs are accessed: through a gateway as a
+// tenant with an API key, or directly at the control machines.
 type jobSource struct {
 	Gateway string `env:"ROCKWIND_GATEWAY" placeholder:"URL" help:"Gateway to ask, for example http://10.0.0.1:8080, with an API key. Without it the control machines are asked."`
 	APIKey  string `name:"api-key" env:"ROCKWIND_API_KEY" placeholder:"KEY" help:"API key of the tenant, for a gateway; better set in the environment than on the command line."`
 	Tenant  string `placeholder:"NAME" help:"Only the jobs of this tenant, when the control machines are asked."`
 }
 
-// job is what people and programs are shown of a batch job.
+// job is the printed form of a batch job.
 type job struct {
 	ID         string `json:"id"`
 	Tenant     string `json:"tenant,omitempty"`
@@ -44,13 +44,12 @@
 	InputFile  string `json:"input_file,omitempty"`
 }
 
-// jobAccess looks at jobs and cancels them.
+// jobAccess reads and cancels jobs.
 type jobAccess interface {
 	list(ctx context.Context, after string, limit int) ([]job, error)
 	show(ctx context.Context, id string) (job, error)
 	cancel(ctx context.Context, id string) (job, error)
-	// results writes the results to output, an item a line in order, and reports
-	// progress.
+	// results writes the results to output, one item per line, and reports progress.
 	results(ctx context.Context, id string, output io.Writer, progress *progress) error
 }
 
@@ -61,8 +60,8 @@
 	return newControlJobs(s, j.Tenant)
 }
 
-// maximumListed is how many jobs a list may have.
-const maximumListed = 100
+// maximumListLimit bounds the jobs of one list.
+const maximumListLimit = 100
 
 // jobsList is 'rockwind jobs list' and 'rockwind get jobs'.
 type jobsList struct {
@@ -77,23 +76,23 @@
 	if err != nil {
 		return err
 	}
-	if l.Limit < 1 || l.Limit > maximumListed {
-		return fault.Newf(fault.InvalidArgument, fmt.Sprintf("write a number from 1 to %d, and list further with --after", maximumListed),
+	if l.Limit < 1 || l.Limit > maximumListLimit {
+		return fault.Newf(fault.InvalidArgument, fmt.Sprintf("write a number from 1 to %d, and list further with --after", maximumListLimit),
 			"--limit is %d", l.Limit)
 	}
-	ctx, cancel := s.bounded()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
 	jobs, err := access.list(ctx, l.After, l.Limit)
 	if err != nil {
 		return err
 	}
-	people := &table{header: []string{"JOB", "TENANT", "CLASS", "MODEL", "STATE", "ITEMS", "DONE", "FAILED", "ACCEPTED", "EXPECTED END", "DEADLINE"}}
+	listing := &table{header: []string{"JOB", "TENANT", "CLASS", "MODEL", "STATE", "ITEMS", "DONE", "FAILED", "ACCEPTED", "EXPECTED END", "DEADLINE"}}
 	for _, each := range jobs {
-		people.add(each.ID, orDash(each.Tenant), orDash(each.Class), orDash(each.Model), each.State, number(each.Items),
+		listing.add(each.ID, orDash(each.Tenant), orDash(each.Class), orDash(each.Model), each.State, number(each.Items),
 			number(each.Completed), number(each.Failed), timeText(each.AcceptedMs),
 			timeText(each.ExpectedMs), timeText(each.DeadlineMs))
 	}
-	return s.printer.print(jobs, people)
+	return s.printer.print(jobs, listing)
 }
 
 // jobsShow is 'rockwind jobs show'.
@@ -108,7 +107,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := s.bounded()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
 	found, err := access.show(ctx, j.ID)
 	if err != nil {
@@ -118,18 +117,18 @@
 }
 
 func jobTable(shown job) *table {
-	people := &table{header: []string{"FIELD", "VALUE"}}
-	people.add("job", shown.ID)
-	people.add("tenant", orDash(shown.Tenant))
-	people.add("batch class", orDash(shown.Class))
-	people.add("model", orDash(shown.Model))
-	people.add("state", shown.State)
-	people.add("items", fmt.Sprintf("%d, of which %d completed and %d failed", shown.Items, shown.Completed, shown.Failed))
-	people.add("accepted", timeText(shown.AcceptedMs))
-	people.add("deadline", timeText(shown.DeadlineMs))
-	people.add("expected end", timeText(shown.ExpectedMs))
-	people.add("ended", timeText(shown.EndedMs))
-	return people
+	listing := &table{header: []string{"FIELD", "VALUE"}}
+	listing.add("job", shown.ID)
+	listing.add("tenant", orDash(shown.Tenant))
+	listing.add("batch class", orDash(shown.Class))
+	listing.add("model", orDash(shown.Model))
+	listing.add("state", shown.State)
+	listing.add("items", fmt.Sprintf("%d, of which %d completed and %d failed", shown.Items, shown.Completed, shown.Failed))
+	listing.add("accepted", timeText(shown.AcceptedMs))
+	listing.add("deadline", timeText(shown.DeadlineMs))
+	listing.add("expected end", timeText(shown.ExpectedMs))
+	listing.add("ended", timeText(shown.EndedMs))
+	return listing
 }
 
 // jobsCancel is 'rockwind jobs cancel'.
@@ -138,13 +137,13 @@
 	ID string `arg:"" help:"Identifier of the job."`
 }
 
-// Run cancels the job. A job that had completed stays completed.
+// Run cancels the job. A completed job stays completed.
 func (j *jobsCancel) Run(s *session) error {
 	access, err := j.access(s)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := s.bounded()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
 	after, err := access.cancel(ctx, j.ID)
 	if err != nil {
@@ -166,8 +165,7 @@
 many items have no result is said at the end on the error output, which shows the progress of long outputs.`
 }
 
-// Run prints the results. Pages are bounded by the timeout each, not all of
-// them together.
+// Run prints the results. The timeout applies to each page, not to the whole command.
 func (j *jobsResults) Run(s *session) error {
 	access, err := j.access(s)
 	if err != nil {
@@ -176,8 +174,7 @@
 	return access.results(s.context, j.ID, s.printer.output, newProgress(s.stderr))
 }
 
-// progress reports on the error output how far a long command is, at most once a
-// second.
+// progress reports the progress of a long command on standard error.
 type progress struct {
 	output io.Writer
 	last   time.Time
@@ -189,7 +186,7 @@
 	return &progress{output: output, last: time.Now()}
 }
 
-// report writes a line, unless one was written within the last second.
+// report writes a line, at most once per progressInterval.
 func (p *progress) report(format string, arguments ...any) {
 	if time.Since(p.last) < progressInterval {
 		return
@@ -228,10 +225,10 @@
 	if err != nil {
 		return err
 	}
-	if len(data) > longUpload {
+	if len(data) > largeUpload {
 		newProgress(s.stderr).note("uploading %d MiB", len(data)>>20)
 	}
-	ctx, cancel := s.bounded()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
 	submitted, err := jobs.submit(ctx, j, data)
 	if err != nil {
@@ -240,15 +237,15 @@
 	return s.printer.line(submitted, "job %s accepted with %d items (%s)", submitted.ID, submitted.Items, submitted.State)
 }
 
-// longUpload is the size in bytes from which an upload is announced.
-const longUpload = 4 << 20
+// largeUpload is the size in bytes above which an upload is announced.
+const largeUpload = 4 << 20
 
-// stateName turns a state of the schema into a word.
+// stateName returns the printed name of a job state.
 func stateName(state fmt.Stringer) string {
 	return strings.ToLower(strings.TrimPrefix(state.String(), "JOB_STATE_"))
 }
 
-func needKey(apiKey string) error {
+func requireAPIKey(apiKey string) error {
 	if apiKey == "" {
 		return fault.New(fault.InvalidArgument, "a gateway needs an API key", "set ROCKWIND_API_KEY or use --api-key")
 	}
--- a/internal/command/jobs_control.go
+++ b/internal/command/jobs_control.go
@@ -11,10 +11,10 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// resultPage is how many results are read at a time.
-const resultPage = 1000
+// resultPageSize bounds the results of one page.
+const resultPageSize = 1000
 
-// controlJobs looks at jobs at the control machines, as an operator.
+// controlJobs implements jobAccess through the control machines.
 type controlJobs struct {
 	session *session
 	client  *controlclient.Client
@@ -36,7 +36,7 @@
 	}
 	jobs := make([]job, 0, len(response.GetJobs()))
 	for _, each := range response.GetJobs() {
-		jobs = append(jobs, fromLedger(each))
+		jobs = append(jobs, jobFromLedger(each))
 	}
 	return jobs, nil
 }
@@ -46,7 +46,7 @@
 	if err != nil {
 		return job{}, err
 	}
-	shown := fromLedger(response.GetJob())
+	shown := jobFromLedger(response.GetJob())
 	shown.ExpectedMs = response.GetEstimatedEndUnixMs()
 	return shown, nil
 }
@@ -56,10 +56,10 @@
 	if err != nil {
 		return job{}, err
 	}
-	return fromLedger(response.GetJob()), nil
+	return jobFromLedger(response.GetJob()), nil
 }
 
-func fromLedger(known *rockwindpb.Job) job {
+func jobFromLedger(known *rockwindpb.Job) job {
 	return job{
 		ID:         known.GetId(),
 		Tenant:     known.GetTenant(),
@@ -76,7 +76,7 @@
 	}
 }
 
-// results reads page after page, so that any number of items fits in memory.
+// results reads the results page by page, to bound the memory use.
 func (c *controlJobs) results(ctx context.Context, id string, output io.Writer, progress *progress) error {
 	shown, err := c.showBounded(ctx, id)
 	if err != nil {
@@ -115,7 +115,7 @@
 	ctx, cancel := context.WithTimeout(ctx, c.session.connection.Timeout)
 	defer cancel()
 	return c.client.Jobs().ListResults(ctx, &rockwindpb.ListResultsRequest{
-		JobId: id, Tenant: c.tenant, FromItem: from, Limit: resultPage,
+		JobId: id, Tenant: c.tenant, FromItem: from, Limit: resultPageSize,
 	})
 }
 
@@ -127,13 +127,13 @@
 	Result  json.RawMessage `json:"result,omitempty"`
 }
 
-// Bounds of one read of bodies.
+// Limits for one read of bodies.
 const (
-	readItems = 256
-	readBytes = 2 << 20
+	maximumReadItems = 256
+	maximumReadBytes = 2 << 20
 )
 
-// writePage writes the lines of a page, reading the bodies in groups.
+// writePage writes the lines of a page and reads their bodies in groups.
 func (c *controlJobs) writePage(ctx context.Context, page *rockwindpb.ListResultsResponse, output io.Writer) error {
 	rest := page.GetResults()
 	for len(rest) > 0 {
@@ -146,12 +146,12 @@
 	return nil
 }
 
-// groupLength is how many results are read together: at least one.
+// groupLength returns how many results to read together, at least one.
 func groupLength(results []*rockwindpb.ItemResult) int {
 	size := 0
 	for i, result := range results {
 		size += int(result.GetResult().GetLength())
-		if i > 0 && (size > readBytes || i >= readItems) {
+		if i > 0 && (size > maximumReadBytes || i >= maximumReadItems) {
 			return i
 		}
 	}
@@ -177,7 +177,7 @@
 	return nil
 }
 
-// bodies reads the bodies of those results that have one, in order.
+// bodies reads the bodies of the results that have one, in order.
 func (c *controlJobs) bodies(ctx context.Context, results []*rockwindpb.ItemResult) ([][]byte, error) {
 	request := &rockwindpb.ReadBodiesRequest{}
 	for _, result := range results {
@@ -195,7 +195,7 @@
 		return nil, err
 	}
 	if len(response.GetBodies()) != len(request.References) {
-		return nil, missingBodies(len(response.GetBodies()), len(request.References))
+		return nil, missingBodiesFault(len(response.GetBodies()), len(request.References))
 	}
 	return response.GetBodies(), nil
 }
@@ -204,7 +204,7 @@
 	return strings.ToLower(strings.TrimPrefix(outcome.String(), "ITEM_OUTCOME_"))
 }
 
-// asJSON keeps a body that is JSON as it is, and quotes any other.
+// asJSON returns a JSON body unchanged, and any other body as a JSON string.
 func asJSON(body []byte) json.RawMessage {
 	trimmed := bytes.TrimSpace(body)
 	if json.Valid(trimmed) {
--- a/internal/command/jobs_gateway.go
+++ b/internal/command/jobs_gateway.go
@@ -22,39 +22,38 @@
 	"rockwind.example/rockwind/internal/fault"
 )
 
-// Names that the gateway's batch interface understands besides the published
-// ones.
+// Names that the gateway's batch API accepts in addition to the public ones.
 const (
 	idempotencyHeader = "Idempotency-Key"
 	classMetadata     = "batch_class"
 )
 
-// maximumRequestBytes bounds the size of a file of requests.
+// maximumRequestBytes bounds the size of a request file.
 const maximumRequestBytes = 512 << 20
 
-// gatewayJobs looks at jobs through a gateway, as a tenant.
+// gatewayJobs implements jobAccess through a gateway, and submits jobs.
 type gatewayJobs struct {
 	client openai.Client
 }
 
 func newGatewayJobs(s *session, gateway, apiKey string) (*gatewayJobs, error) {
-	if err := needKey(apiKey); err != nil {
+	if err := requireAPIKey(apiKey); err != nil {
 		return nil, err
 	}
 	parsed, err := url.Parse(gateway)
 	if err != nil || (parsed.Scheme != "http" && parsed.Scheme != "https") || parsed.Host == "" {
 		return nil, fault.Newf(fault.InvalidArgument, "write a URL, for example http://10.0.0.1:8080", "--gateway is %q", gateway)
 	}
-	carrier, err := s.connection.httpClient()
+	httpClient, err := s.connection.httpClient()
 	if err != nil {
 		return nil, err
 	}
 	base := strings.TrimSuffix(gateway, "/") + "/v1/"
-	client := openai.NewClient(option.WithBaseURL(base), option.WithAPIKey(apiKey), option.WithHTTPClient(carrier))
+	client := openai.NewClient(option.WithBaseURL(base), option.WithAPIKey(apiKey), option.WithHTTPClient(httpClient))
 	return &gatewayJobs{client: client}, nil
 }
 
-// readRequests reads the file of a job.
+// readRequests reads a request file.
 func (s *session) readRequests(name string) ([]byte, error) {
 	data, err := s.readFile(name, maximumRequestBytes)
 	if err != nil {
@@ -66,15 +65,15 @@
 	return data, nil
 }
 
-// submit uploads the file and starts the job under a key, so that a repeated
-// submission gives the same job.
+// submit uploads the file and creates the job with an idempotency key, so that a
+// repeated submission returns the same job.
 func (g *gatewayJobs) submit(ctx context.Context, wanted *jobsSubmit, data []byte) (job, error) {
 	file, err := g.client.Files.New(ctx, openai.FileNewParams{
 		File:    openai.File(bytes.NewReader(data), "requests.jsonl", "application/jsonl"),
 		Purpose: openai.FilePurposeBatch,
 	})
 	if err != nil {
-		return job{}, fromGateway(err)
+		return job{}, faultFromGateway(err)
 	}
 	metadata := make(map[string]string, len(wanted.Metadata)+1)
 	for name, value := range wanted.Metadata {
@@ -90,12 +89,12 @@
 		Metadata:         metadata,
 	}, option.WithHeader(idempotencyHeader, wanted.clientKey(data)))
 	if err != nil {
-		return job{}, fromGateway(err)
+		return job{}, faultFromGateway(err)
 	}
-	return fromBatch(batch), nil
+	return jobFromBatch(batch), nil
 }
 
-// clientKey is the key that the caller gave, or one that names the content.
+// clientKey returns the idempotency key: the given one, or a hash of the content.
 func (j *jobsSubmit) clientKey(data []byte) string {
 	if j.Key != "" {
 		return j.Key
@@ -119,11 +118,11 @@
 	}
 	page, err := g.client.Batches.List(ctx, parameters)
 	if err != nil {
-		return nil, fromGateway(err)
+		return nil, faultFromGateway(err)
 	}
 	jobs := make([]job, 0, len(page.Data))
 	for i := range page.Data {
-		jobs = append(jobs, fromBatch(&page.Data[i]))
+		jobs = append(jobs, jobFromBatch(&page.Data[i]))
 	}
 	return jobs, nil
 }
@@ -131,26 +130,26 @@
 func (g *gatewayJobs) show(ctx context.Context, id string) (job, error) {
 	batch, err := g.client.Batches.Get(ctx, id)
 	if err != nil {
-		return job{}, fromGateway(err)
+		return job{}, faultFromGateway(err)
 	}
-	return fromBatch(batch), nil
+	return jobFromBatch(batch), nil
 }
 
 func (g *gatewayJobs) cancel(ctx context.Context, id string) (job, error) {
 	batch, err := g.client.Batches.Cancel(ctx, id)
 	if err != nil {
-		return job{}, fromGateway(err)
+		return job{}, faultFromGateway(err)
 	}
-	return fromBatch(batch), nil
+	return jobFromBatch(batch), nil
 }
 
-// results copies the output file of the job, and then the file of failed items.
+// results copies the output file of the job, followed by its error file.
 func (g *gatewayJobs) results(ctx context.Context, id string, output io.Writer, progress *progress) error {
 	batch, err := g.client.Batches.Get(ctx, id)
 	if err != nil {
-		return fromGateway(err)
+		return faultFromGateway(err)
 	}
-	shown := fromBatch(batch)
+	shown := jobFromBatch(batch)
 	if batch.OutputFileID == "" {
 		progress.note("the job is %s; its results can be read when it has ended (%d of %d items are done)", shown.State, shown.Completed, shown.Items)
 		return nil
@@ -173,7 +172,7 @@
 	}
 	response, err := g.client.Files.Content(ctx, file)
 	if err != nil {
-		return fromGateway(err)
+		return faultFromGateway(err)
 	}
 	defer response.Body.Close()
 	if _, err := io.Copy(output, response.Body); err != nil {
@@ -182,7 +181,7 @@
 	return nil
 }
 
-// lineCounter passes text on and reports progress by its lines.
+// lineCounter is a writer that counts lines and reports them as progress.
 type lineCounter struct {
 	output   io.Writer
 	progress *progress
@@ -197,7 +196,7 @@
 	return l.output.Write(data)
 }
 
-func fromBatch(batch *openai.Batch) job {
+func jobFromBatch(batch *openai.Batch) job {
 	return job{
 		ID:         batch.ID,
 		Class:      batch.Metadata[classMetadata],
@@ -217,14 +216,14 @@
 	return unixSeconds * time.Second.Milliseconds()
 }
 
-// gatewayError is what a gateway adds to the published form of an error.
+// gatewayError holds the fields that a gateway adds to a public API error.
 type gatewayError struct {
 	Code   fault.Kind `json:"code"`
 	Remedy string     `json:"remedy"`
 }
 
-// fromGateway restores the fault of a gateway's refusal.
-func fromGateway(err error) error {
+// faultFromGateway converts an error response of a gateway to a fault.
+func faultFromGateway(err error) error {
 	var refused *openai.Error
 	if !errors.As(err, &refused) {
 		return fault.Newf(fault.Unavailable, "check --gateway and that the gateway runs, then repeat the command", "the gateway did not answer: %v", err)
@@ -255,6 +254,6 @@
 	}
 }
 
-func missingBodies(got, wanted int) error {
+func missingBodiesFault(got, wanted int) error {
 	return fault.Newf(fault.Corrupt, "repeat the command; if it repeats, look at the control machines' logs", "control returned %d of %d results", got, wanted)
 }
--- a/internal/command/logs.go
+++ b/internal/command/logs.go
@@ -12,13 +12,13 @@
 	Limit   uint32 `default:"200" help:"How many entries to show; 0 shows all that the daemon keeps."`
 }
 
-// Run prints the entries, oldest first, one JSON object a line.
+// Run prints the entries, oldest first, one JSON object per line.
 func (l *logsCommand) Run(s *session) error {
 	admin, err := s.admin(l.Address)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := s.bounded()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
 	response, err := admin.Logs(ctx, &rockwindpb.LogsRequest{Limit: l.Limit})
 	if err != nil {
--- a/internal/command/output.go
+++ b/internal/command/output.go
@@ -15,13 +15,13 @@
 	"rockwind.example/rockwind/internal/fault"
 )
 
-// printer writes the results of a command, for people or for programs.
+// printer writes the output of a command as text or JSON.
 type printer struct {
 	output io.Writer
 	json   bool
 }
 
-// table is a list for people.
+// table is a list printed as text.
 type table struct {
 	header []string
 	rows   [][]string
@@ -43,12 +43,12 @@
 	return writer.Flush()
 }
 
-// print writes the value as JSON, or the table.
-func (p *printer) print(value any, people *table) error {
+// print writes the value as JSON, or the table as text.
+func (p *printer) print(value any, listing *table) error {
 	if p.json {
 		return p.encode(value)
 	}
-	return people.write(p.output)
+	return listing.write(p.output)
 }
 
 // line writes the value as JSON, or one line of text.
@@ -69,7 +69,7 @@
 	return encoder.Encode(value)
 }
 
-// messageJSON encodes a message of the schema under its own field names.
+// messageJSON encodes a protobuf message with its proto field names.
 type messageJSON struct {
 	message proto.Message
 }
@@ -87,7 +87,7 @@
 	return compact.Bytes(), nil
 }
 
-// messagesJSON makes a list of messages printable.
+// messagesJSON wraps messages for JSON encoding.
 func messagesJSON[T proto.Message](messages []T) []messageJSON {
 	list := make([]messageJSON, 0, len(messages))
 	for _, message := range messages {
@@ -103,7 +103,7 @@
 	return time.UnixMilli(unixMilliseconds).UTC().Format(time.RFC3339)
 }
 
-// ageText is how long ago something was, to the tenth of a second.
+// ageText formats the time since a timestamp, to a tenth of a second.
 func ageText(unixMilliseconds int64, now time.Time) string {
 	if unixMilliseconds == 0 {
 		return "never"
--- a/internal/command/quarantine.go
+++ b/internal/command/quarantine.go
@@ -26,29 +26,29 @@
 path and body. The same content stands in the lines of routers and stores ('request held', 'item held').`
 }
 
-// Run prints one row for each content.
+// Run prints one row for each request content.
 func (*quarantineList) Run(s *session) error {
-	ctx, cancel := s.bounded()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
 	var listed *rockwindpb.ListQuarantineResponse
-	err := s.atCoordinators(ctx, func(base string, carrier rockwindpb.HTTPClient) (err error) {
-		listed, err = rockwindpb.NewQuarantineServiceProtobufClient(base, carrier).List(ctx, &rockwindpb.ListQuarantineRequest{})
+	err := s.callCoordinators(ctx, func(base string, httpClient rockwindpb.HTTPClient) (err error) {
+		listed, err = rockwindpb.NewQuarantineServiceProtobufClient(base, httpClient).List(ctx, &rockwindpb.ListQuarantineRequest{})
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	people := &table{header: []string{"CONTENT", "ROUTE", "TENANT", "ENDED SERVERS", "LAST END", "HELD FOR"}}
+	listing := &table{header: []string{"CONTENT", "ROUTE", "TENANT", "ENDED SERVERS", "LAST END", "HELD FOR"}}
 	for _, suspect := range listed.GetSuspects() {
-		people.add(hex.EncodeToString(suspect.GetContent()), suspect.GetRoute(), orDash(suspect.GetTenant()),
+		listing.add(hex.EncodeToString(suspect.GetContent()), suspect.GetRoute(), orDash(suspect.GetTenant()),
 			number(len(suspect.GetServers()))+": "+strings.Join(suspect.GetServers(), " "),
-			timeText(suspect.GetLastUnixMs()), heldFor(suspect))
+			timeText(suspect.GetLastUnixMs()), remainingHold(suspect))
 	}
-	return s.printer.print(listed, people)
+	return s.printer.print(listed, listing)
 }
 
-// heldFor is for how much longer a content is held, for people.
-func heldFor(suspect *rockwindpb.Suspect) string {
+// remainingHold formats how much longer a request content is held.
+func remainingHold(suspect *rockwindpb.Suspect) string {
 	if suspect.GetHeldMs() == 0 {
 		return orDash("")
 	}
@@ -72,11 +72,11 @@
 	if _, ok := fingerprint.FromBytes(decoded); err != nil || !ok {
 		return fault.Newf(fault.InvalidArgument, "copy it from 'rockwind quarantine list'", "%q is not a content", r.Content)
 	}
-	ctx, cancel := s.bounded()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
 	var released *rockwindpb.ReleaseContentResponse
-	err = s.atCoordinators(ctx, func(base string, carrier rockwindpb.HTTPClient) (err error) {
-		released, err = rockwindpb.NewQuarantineServiceProtobufClient(base, carrier).Release(ctx, &rockwindpb.ReleaseContentRequest{Content: decoded})
+	err = s.callCoordinators(ctx, func(base string, httpClient rockwindpb.HTTPClient) (err error) {
+		released, err = rockwindpb.NewQuarantineServiceProtobufClient(base, httpClient).Release(ctx, &rockwindpb.ReleaseContentRequest{Content: decoded})
 		return err
 	})
 	if err != nil {
@@ -88,18 +88,18 @@
 	return s.printer.line(released, "%s may run again", r.Content)
 }
 
-// atCoordinators makes a call at one coordinator after the other, until one answers it.
-func (s *session) atCoordinators(ctx context.Context, call func(base string, carrier rockwindpb.HTTPClient) error) error {
+// callCoordinators calls one coordinator after the other until one is available.
+func (s *session) callCoordinators(ctx context.Context, call func(base string, httpClient rockwindpb.HTTPClient) error) error {
 	machines, err := s.connection.machines()
 	if err != nil {
 		return err
 	}
-	carrier, err := s.connection.httpClient()
+	httpClient, err := s.connection.httpClient()
 	if err != nil {
 		return err
 	}
 	for _, machine := range machines {
-		err = call(s.connection.baseURL(machine.GetAddress()), carrier)
+		err = call(s.connection.baseURL(machine.GetAddress()), httpClient)
 		if err == nil || !fault.Is(err, fault.Unavailable) || ctx.Err() != nil {
 			return err
 		}
--- a/internal/command/quarantine_test.go
+++ b/internal/command/quarantine_test.go
@@ -13,7 +13,7 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// fakeQuarantine is a coordinator that knows one content, or that does not hear its leader.
+// fakeQuarantine is a coordinator that holds one content, or fails with a given error.
 type fakeQuarantine struct {
 	content fingerprint.Fingerprint
 	failure error
@@ -42,7 +42,7 @@
 	return &rockwindpb.ReleaseContentResponse{Known: bytes.Equal(request.GetContent(), f.content.Bytes())}, nil
 }
 
-// addressOf serves a coordinator and returns its address.
+// addressOf starts a server for a coordinator and returns its address.
 func addressOf(t *testing.T, coordinator fakeQuarantine) string {
 	t.Helper()
 	server := httptest.NewServer(rockwindpb.NewQuarantineServiceServer(coordinator))
@@ -53,8 +53,8 @@
 func TestQuarantineIsListedAndReleased(t *testing.T) {
 	content := fingerprint.Of(fingerprint.Content{Body: []byte("held")})
 	other := fingerprint.Of(fingerprint.Content{Body: []byte("other")})
-	deaf := addressOf(t, fakeQuarantine{failure: fault.New(fault.Unavailable, "this coordinator does not hear the leader", "ask another one")})
-	control := deaf + "," + addressOf(t, fakeQuarantine{content: content})
+	leaderless := addressOf(t, fakeQuarantine{failure: fault.New(fault.Unavailable, "this coordinator does not hear the leader", "ask another one")})
+	control := leaderless + "," + addressOf(t, fakeQuarantine{content: content})
 	for _, each := range []struct {
 		arguments []string
 		code      int
@@ -78,7 +78,7 @@
 		}
 	}
 	var output bytes.Buffer
-	if code := command.Run(t.Context(), []string{"quarantine", "list", "--control", deaf}, nil, &output, &output); code != command.ExitUnavailable {
+	if code := command.Run(t.Context(), []string{"quarantine", "list", "--control", leaderless}, nil, &output, &output); code != command.ExitUnavailable {
 		t.Errorf("a coordinator without a leader gives %d: %s", code, output.String())
 	}
 }
--- a/internal/command/refusal_test.go
+++ b/internal/command/refusal_test.go
@@ -26,7 +26,7 @@
 	noiseBytes  = 10 << 20
 )
 
-// accepted is a configuration that the cases below break in one line.
+// accepted is a valid configuration; the test cases change one line of it.
 const accepted = `number: 2
 groups:
   - name: alpha
@@ -54,7 +54,7 @@
 	folder  string
 }
 
-// startOperator starts a control daemon, founds its cluster and applies the first
+// startOperator starts a control daemon, initializes its cluster and applies the first
 // configuration.
 func startOperator(t *testing.T) *operator {
 	t.Helper()
@@ -109,12 +109,12 @@
 	return path
 }
 
-// broken is the accepted file with one line replaced.
+// broken returns the accepted file with one line replaced.
 func broken(line, with string) []byte {
 	return []byte(strings.Replace(accepted, line+"\n", with+"\n", 1))
 }
 
-// noise is bytes that are no configuration, drawn from first on.
+// noise returns pseudorandom bytes from the count values that start at first.
 func noise(first, count int) []byte {
 	random := rand.New(rand.NewPCG(1, 2))
 	content := make([]byte, noiseBytes)
@@ -124,15 +124,15 @@
 	return content
 }
 
-// TestBadFileIsRefusedWhole applies bad files by the operator's command to a
-// control daemon, and looks at what is in force after each.
-func TestBadFileIsRefusedWhole(t *testing.T) {
+// TestBadFileChangesNothing applies invalid and conflicting files, and checks the error
+// and that the configuration in force stays the same.
+func TestBadFileChangesNothing(t *testing.T) {
 	o := startOperator(t)
 	inForce := o.must("get", "configuration")
 	for name, refused := range map[string]struct {
 		content []byte
 		code    int
-		// want is the position, a part of the message, and a part of the remedy.
+		// want lists parts of the output: position, message and remedy.
 		want []string
 	}{
 		"unknown field": {broken("    share: 1", "    share: 1\n    shrae: 2"), command.ExitRefused,
@@ -178,9 +178,9 @@
 	}
 }
 
-// TestControlTrustsNoClient sends configurations that the command would have
-// refused straight to the control daemon.
-func TestControlTrustsNoClient(t *testing.T) {
+// TestControlValidatesConfigurations sends invalid configurations to the control daemon
+// without the validation by the command.
+func TestControlValidatesConfigurations(t *testing.T) {
 	o := startOperator(t)
 	inForce := o.must("get", "configuration")
 	client := controlclient.New(controlclient.Options{Machines: []*rockwindpb.ControlMachine{{Machine: "machine", Address: o.address}}})
--- a/internal/command/site.go
+++ b/internal/command/site.go
@@ -23,13 +23,13 @@
 DirectoryService there; clients read and end batch jobs at any router. SIGUSR1 writes the last log entries to standard error.`
 }
 
-// Run runs the daemon.
+// Run runs the process in the role that its settings name.
 func (c *siteCommand) Run(s *session) error {
 	loaded, err := settings.LoadSite(c.Settings, c.Set)
 	if err != nil {
 		return err
 	}
-	return s.withRing(func(*logring.Ring) error { return runSite(s, loaded) })
+	return s.runWithLogRing(func(*logring.Ring) error { return runSite(s, loaded) })
 }
 
 func runSite(s *session, loaded *rockwindpb.SiteSettings) error {
--- a/internal/command/status.go
+++ b/internal/command/status.go
@@ -23,8 +23,8 @@
 last; a gateway that stands still or is cut off shows an old time.`
 }
 
-// fleetState is the state of the fleet, joined from all control machines that
-// answered.
+// fleetState is the state of the fleet, merged from the responses of all control
+// machines.
 type fleetState struct {
 	latest   uint64
 	daemons  []*rockwindpb.DaemonStatus
@@ -32,7 +32,7 @@
 	machines []machineState
 }
 
-// machineState is what one control machine answered.
+// machineState is the response of one control machine.
 type machineState struct {
 	address  string
 	identity *rockwindpb.IdentityResponse
@@ -40,12 +40,12 @@
 	err      error
 }
 
-// machineTimeout bounds the calls to one control machine, so that one that
-// stands still does not hide the others.
+// machineTimeout bounds the calls to one control machine, so that an unresponsive
+// machine does not hide the others.
 const machineTimeout = 3 * time.Second
 
-// askMachines asks all control machines at once.
-func (s *session) askMachines() ([]machineState, error) {
+// queryMachines queries all control machines concurrently.
+func (s *session) queryMachines() ([]machineState, error) {
 	peers, err := s.peers()
 	if err != nil {
 		return nil, err
@@ -54,33 +54,33 @@
 	var group errgroup.Group
 	for i, each := range peers {
 		group.Go(func() error {
-			states[i] = s.askMachine(each)
+			states[i] = s.queryMachine(each)
 			return nil
 		})
 	}
 	return states, group.Wait()
 }
 
-func (s *session) askMachine(asked peer) machineState {
+func (s *session) queryMachine(target peer) machineState {
 	ctx, cancel := context.WithTimeout(s.context, min(machineTimeout, s.connection.Timeout))
 	defer cancel()
-	state := machineState{address: asked.address}
-	state.identity, state.err = asked.replica.Identity(ctx, &rockwindpb.IdentityRequest{})
+	state := machineState{address: target.address}
+	state.identity, state.err = target.replica.Identity(ctx, &rockwindpb.IdentityRequest{})
 	if state.err != nil {
 		return state
 	}
-	state.fleet, state.err = asked.fleet.Status(ctx, &rockwindpb.FleetStatusRequest{})
+	state.fleet, state.err = target.fleet.Status(ctx, &rockwindpb.FleetStatusRequest{})
 	return state
 }
 
-// fleetState asks all control machines and joins what they know. It fails with
-// fault.Unavailable where none answers.
+// fleetState queries all control machines and merges their responses. It fails with
+// fault.Unavailable if none responds.
 func (s *session) fleetState() (*fleetState, error) {
-	machines, err := s.askMachines()
+	machines, err := s.queryMachines()
 	if err != nil {
 		return nil, err
 	}
-	joined := &fleetState{machines: machines}
+	merged := &fleetState{machines: machines}
 	daemons := make(map[string]*rockwindpb.DaemonStatus)
 	servers := make(map[string]*rockwindpb.ServerDigest)
 	answered := false
@@ -90,20 +90,20 @@
 			continue
 		}
 		answered = true
-		joined.latest = max(joined.latest, machine.fleet.GetLatestConfiguration())
-		joinDaemons(daemons, machine.fleet.GetDaemons())
-		joinServers(servers, machine.fleet.GetServers())
+		merged.latest = max(merged.latest, machine.fleet.GetLatestConfiguration())
+		mergeDaemons(daemons, machine.fleet.GetDaemons())
+		mergeServers(servers, machine.fleet.GetServers())
 	}
 	if !answered {
 		return nil, fault.Newf(fault.Unavailable, "check the addresses given with --control and that the machines run", "no control machine answered: %v", fault.From(err).Message)
 	}
-	joined.daemons = sortedByName(daemons)
-	joined.servers = sortedByName(servers)
-	return joined, nil
+	merged.daemons = sortedByName(daemons)
+	merged.servers = sortedByName(servers)
+	return merged, nil
 }
 
-// joinDaemons keeps the news of each daemon that was heard last.
-func joinDaemons(known map[string]*rockwindpb.DaemonStatus, heard []*rockwindpb.DaemonStatus) {
+// mergeDaemons keeps the most recently heard status of each daemon.
+func mergeDaemons(known map[string]*rockwindpb.DaemonStatus, heard []*rockwindpb.DaemonStatus) {
 	for _, daemon := range heard {
 		before := known[daemon.GetName()]
 		if before == nil || daemon.GetLastHeardUnixMs() > before.GetLastHeardUnixMs() {
@@ -112,8 +112,8 @@
 	}
 }
 
-// joinServers keeps the youngest digest of each back end.
-func joinServers(known map[string]*rockwindpb.ServerDigest, heard []*rockwindpb.ServerDigest) {
+// mergeServers keeps the most recent digest of each back end.
+func mergeServers(known map[string]*rockwindpb.ServerDigest, heard []*rockwindpb.ServerDigest) {
 	for _, server := range heard {
 		before := known[server.GetName()]
 		if before == nil || server.GetAgeMs() < before.GetAgeMs() {
@@ -131,7 +131,7 @@
 	return list
 }
 
-// statusJSON is the output for programs.
+// statusJSON is the JSON output.
 type statusJSON struct {
 	LatestConfiguration uint64        `json:"latest_configuration"`
 	ControlMachines     []machineJSON `json:"control_machines"`
@@ -145,7 +145,7 @@
 	Identity *messageJSON `json:"identity,omitempty"`
 }
 
-// Run prints the state.
+// Run prints the state of the fleet.
 func (*statusCommand) Run(s *session) error {
 	state, err := s.fleetState()
 	if err != nil {
@@ -156,8 +156,8 @@
 	}
 	now := time.Now()
 	fmt.Fprintf(s.printer.output, "configuration %d is the newest; in force at %d of %d gateways\n\n", state.latest, state.upToDate(), len(state.daemons))
-	for _, people := range []*table{machineTable(state.machines), daemonTable(state.daemons, now), serverTable(state.servers)} {
-		if err := people.write(s.printer.output); err != nil {
+	for _, listing := range []*table{machineTable(state.machines), daemonTable(state.daemons, now), serverTable(state.servers)} {
+		if err := listing.write(s.printer.output); err != nil {
 			return err
 		}
 		fmt.Fprintln(s.printer.output)
@@ -201,20 +201,20 @@
 }
 
 func machineTable(machines []machineState) *table {
-	people := &table{header: []string{"CONTROL MACHINE", "ADDRESS", "STATE", "CLUSTER", "LEADS", "CONFIGURATION"}}
+	listing := &table{header: []string{"CONTROL MACHINE", "ADDRESS", "STATE", "CLUSTER", "LEADS", "CONFIGURATION"}}
 	for _, machine := range machines {
 		if machine.identity == nil {
-			people.add("-", machine.address, "no answer: "+fault.From(machine.err).Message, "-", "-", "-")
+			listing.add("-", machine.address, "no answer: "+fault.From(machine.err).Message, "-", "-", "-")
 			continue
 		}
-		people.add(machine.identity.GetMachine(), machine.address, "up", orDash(machine.identity.GetClusterId()),
+		listing.add(machine.identity.GetMachine(), machine.address, "up", orDash(machine.identity.GetClusterId()),
 			ledGroups(machine.identity), number(machine.fleet.GetLatestConfiguration()))
 	}
-	return people
+	return listing
 }
 
-// ledGroups lists the groups that a machine leads; its disk is its identity as a
-// member.
+// ledGroups lists the groups that a machine leads. Group members are identified by
+// their disk.
 func ledGroups(identity *rockwindpb.IdentityResponse) string {
 	var led []string
 	for _, group := range identity.GetGroups() {
@@ -233,22 +233,22 @@
 }
 
 func daemonTable(daemons []*rockwindpb.DaemonStatus, now time.Time) *table {
-	people := &table{header: []string{"GATEWAY", "ZONE", "ADDRESS", "CONFIGURATION", "DRAINING", "HEARD"}}
+	listing := &table{header: []string{"GATEWAY", "ZONE", "ADDRESS", "CONFIGURATION", "DRAINING", "HEARD"}}
 	for _, daemon := range daemons {
-		people.add(daemon.GetName(), daemon.GetZone(), daemon.GetAddress(), number(daemon.GetConfigurationNumber()),
+		listing.add(daemon.GetName(), daemon.GetZone(), daemon.GetAddress(), number(daemon.GetConfigurationNumber()),
 			yesNo(daemon.GetDraining()), ageText(daemon.GetLastHeardUnixMs(), now))
 	}
-	return people
+	return listing
 }
 
 func serverTable(servers []*rockwindpb.ServerDigest) *table {
-	people := &table{header: []string{"BACK END", "HEALTH", "ONLINE", "BATCH", "WAITING", "KV", "LEAVING", "AGE"}}
+	listing := &table{header: []string{"BACK END", "HEALTH", "ONLINE", "BATCH", "WAITING", "KV", "LEAVING", "AGE"}}
 	for _, server := range servers {
 		health := strings.ToLower(strings.TrimPrefix(server.GetHealth().String(), "HEALTH_STATE_"))
 		const permille = 10
-		people.add(server.GetName(), health, number(server.GetRunningOnline()), number(server.GetRunningBatch()),
+		listing.add(server.GetName(), health, number(server.GetRunningOnline()), number(server.GetRunningBatch()),
 			number(server.GetWaiting()), fmt.Sprintf("%d%%", server.GetKvUsedPermille()/permille),
 			yesNo(server.GetLeaving()), (time.Duration(server.GetAgeMs()) * time.Millisecond).String())
 	}
-	return people
+	return listing
 }
--- a/internal/command/zones.go
+++ b/internal/command/zones.go
@@ -16,21 +16,21 @@
 // zonesList is 'rockwind zones list'.
 type zonesList struct{}
 
-// Run prints one row for each zone that is drained.
+// Run prints one row for each drained zone.
 func (*zonesList) Run(s *session) error {
 	var listed *rockwindpb.ListZoneDrainsResponse
-	err := s.atZoneDrains(func(ctx context.Context, service rockwindpb.ZoneDrainService) (err error) {
+	err := s.callZoneDrains(func(ctx context.Context, service rockwindpb.ZoneDrainService) (err error) {
 		listed, err = service.List(ctx, &rockwindpb.ListZoneDrainsRequest{})
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	people := &table{header: []string{"ZONE", "DRAINED SINCE"}}
+	listing := &table{header: []string{"ZONE", "DRAINED SINCE"}}
 	for _, drain := range listed.GetDrains() {
-		people.add(drain.GetZone(), timeText(drain.GetSinceUnixMs()))
+		listing.add(drain.GetZone(), timeText(drain.GetSinceUnixMs()))
 	}
-	return s.printer.print(listed, people)
+	return s.printer.print(listed, listing)
 }
 
 // zonesDrain is 'rockwind zones drain'.
@@ -48,7 +48,7 @@
 
 // Run drains the zone.
 func (d *zonesDrain) Run(s *session) error {
-	err := s.atZoneDrains(func(ctx context.Context, service rockwindpb.ZoneDrainService) error {
+	err := s.callZoneDrains(func(ctx context.Context, service rockwindpb.ZoneDrainService) error {
 		_, err := service.Start(ctx, &rockwindpb.StartZoneDrainRequest{Zone: d.Zone})
 		return err
 	})
@@ -65,7 +65,7 @@
 
 // Run ends the drain.
 func (z *zonesServe) Run(s *session) error {
-	err := s.atZoneDrains(func(ctx context.Context, service rockwindpb.ZoneDrainService) error {
+	err := s.callZoneDrains(func(ctx context.Context, service rockwindpb.ZoneDrainService) error {
 		_, err := service.End(ctx, &rockwindpb.EndZoneDrainRequest{Zone: z.Zone})
 		return err
 	})
@@ -75,12 +75,12 @@
 	return s.printer.line(&rockwindpb.EndZoneDrainResponse{}, "%s serves", z.Zone)
 }
 
-// atZoneDrains makes a call about zone drains at one coordinator after the other, until one
-// answers it.
-func (s *session) atZoneDrains(call func(ctx context.Context, service rockwindpb.ZoneDrainService) error) error {
-	ctx, cancel := s.bounded()
+// callZoneDrains calls the ZoneDrainService of one coordinator after the other until one
+// is available.
+func (s *session) callZoneDrains(call func(ctx context.Context, service rockwindpb.ZoneDrainService) error) error {
+	ctx, cancel := s.withTimeout()
 	defer cancel()
-	return s.atCoordinators(ctx, func(base string, carrier rockwindpb.HTTPClient) error {
-		return call(ctx, rockwindpb.NewZoneDrainServiceProtobufClient(base, carrier))
+	return s.callCoordinators(ctx, func(base string, httpClient rockwindpb.HTTPClient) error {
+		return call(ctx, rockwindpb.NewZoneDrainServiceProtobufClient(base, httpClient))
 	})
 }
