--- a/internal/router/queue.go
+++ b/internal/router/queue.go
@@ -7,9 +7,9 @@
 	"rockwind.example/rockwind/internal/balance"
 	"rockwind.example/rockwind/internal/fairshare"
 	"rockwind.example/rockwind/internal/fault"
-	"rockwind.example/rockwind/internal/gate"
-	"rockwind.example/rockwind/internal/returning"
-	"rockwind.example/rockwind/internal/waiting"
+	"rockwind.example/rockwind/internal/featuregate"
+	"rockwind.example/rockwind/internal/retryafter"
+	"rockwind.example/rockwind/internal/waitqueue"
 )
 
 const (
@@ -35,8 +35,8 @@
 type AcquireRequest struct {
 	Service  string
 	Demand   balance.Demand
-	Priority waiting.Priority
-	Tenant   waiting.Tenant
+	Priority waitqueue.Priority
+	Tenant   waitqueue.Tenant
 	// FirstAsked is when the client first sent the request, including earlier refusals; zero is
 	// unknown.
 	FirstAsked time.Time
@@ -54,28 +54,28 @@
 }
 
 // sortKey returns the key that orders the request in the queue.
-func (a AcquireRequest) sortKey(arrival uint64, now time.Time) waiting.SortKey {
-	return waiting.NewSortKey(a.Priority, arrival, a.StartBy, now.Add(a.MaxWait)).WithTenant(a.Tenant).WithFirstAttempt(a.FirstAsked)
+func (a AcquireRequest) sortKey(arrival uint64, now time.Time) waitqueue.SortKey {
+	return waitqueue.NewSortKey(a.Priority, arrival, a.StartBy, now.Add(a.MaxWait)).WithTenant(a.Tenant).WithFirstAttempt(a.FirstAsked)
 }
 
 // servicePool is the pool of one service with its queue.
 type servicePool struct {
 	name    string
-	gates   gate.Set
+	gates   featuregate.Set
 	pool    *balance.Pool
 	shares  *balance.SharedLoads
-	waiting waiting.Queue[*waiter]
+	waiting waitqueue.Queue[*waiter]
 	// rechecking is set while a recheck of the queue is scheduled.
 	rechecking bool
 	// classes are the priority classes, within which tenants share capacity.
-	classes map[waiting.Priority]*priorityClass
+	classes map[waitqueue.Priority]*priorityClass
 	// overloaded is set if capacity is short, so that tenants share it. overloadedSince is when
 	// that began, and overloadCheckedAt when it was last checked.
 	overloaded        bool
 	overloadedSince   time.Duration
 	overloadCheckedAt time.Duration
 	// pendingRetries are the times at which refused clients were told to retry.
-	pendingRetries returning.PendingRetries
+	pendingRetries retryafter.PendingRetries
 	// holdTime is the moving average of slot hold times, and holdTimeSamples the number of
 	// samples in it.
 	holdTime        time.Duration
@@ -99,7 +99,7 @@
 // waiter is a waiting request.
 type waiter struct {
 	request      AcquireRequest
-	key          waiting.SortKey
+	key          waitqueue.SortKey
 	waitingSince time.Time
 	granted      chan grant
 }
@@ -116,19 +116,19 @@
 }
 
 // aheadElsewhere estimates how many requests at other processes are ahead of the given key.
-func (p *servicePool) aheadElsewhere(key waiting.SortKey, elapsed time.Duration) int {
+func (p *servicePool) aheadElsewhere(key waitqueue.SortKey, elapsed time.Duration) int {
 	count := p.shares.At(balance.QueueHash(p.name)).Inflight
-	if p.gates.On(gate.Returns) {
+	if p.gates.On(featuregate.Returns) {
 		count -= p.lowerElsewhere(key.Priority())
 	}
-	if p.overloaded && p.gates.On(gate.FairShare) {
+	if p.overloaded && p.gates.On(featuregate.FairShare) {
 		count -= p.class(key.Priority()).waitingBehind(key.Tenant(), elapsed)
 	}
 	return max(0, count)
 }
 
 // lowerElsewhere returns how many requests of known lower priorities wait at other processes.
-func (p *servicePool) lowerElsewhere(priority waiting.Priority) int {
+func (p *servicePool) lowerElsewhere(priority waitqueue.Priority) int {
 	count := 0
 	for other, class := range p.classes {
 		if priority.Before(other) {
@@ -139,14 +139,14 @@
 }
 
 // slotRate is the rate at which slots become free.
-func (p *servicePool) slotRate() returning.Rate { return returning.NewRate(p.pool.Slots(), p.holdTime) }
+func (p *servicePool) slotRate() retryafter.Rate { return retryafter.NewRate(p.pool.Slots(), p.holdTime) }
 
 // expectedWait estimates the wait of a request behind the given number of others. If capacity has
 // been short for long enough to know the shares of the tenants, it also considers the other
 // requests of its tenant.
 func (p *servicePool) expectedWait(request AcquireRequest, ahead int, elapsed time.Duration) time.Duration {
 	expected := p.slotRate().EstimateWait(ahead)
-	if p.gates.On(gate.Returns) && p.overloaded && elapsed-p.overloadedSince >= fairshare.DecayTime {
+	if p.gates.On(featuregate.Returns) && p.overloaded && elapsed-p.overloadedSince >= fairshare.DecayTime {
 		expected = max(expected, p.expectedShareWait(request, elapsed))
 	}
 	return expected
@@ -186,7 +186,7 @@
 // queueFullFault returns the refusal of a request whose expected wait is too long.
 func (p *servicePool) queueFullFault(request AcquireRequest, ahead int, now time.Time, elapsed time.Duration) error {
 	retryAfter := max(minRetryAfter, p.slotRate().EstimateWait(ahead)-request.MaxWait)
-	if p.gates.On(gate.Returns) {
+	if p.gates.On(featuregate.Returns) {
 		retryAfter = p.retryAfter(request, ahead, now, elapsed)
 	}
 	return fault.Newf(fault.Overloaded, "retry after the given time",
@@ -197,7 +197,7 @@
 // busyFault returns the refusal of a request that found no capacity in time.
 func (p *servicePool) busyFault(request AcquireRequest, ahead int, now time.Time, elapsed time.Duration) error {
 	retryAfter := max(minRetryAfter, p.holdTime/2)
-	if p.gates.On(gate.Returns) {
+	if p.gates.On(featuregate.Returns) {
 		retryAfter = p.retryAfter(request, ahead, now, elapsed)
 	}
 	return fault.Newf(fault.Overloaded, "retry after the given time", "all servers of service %s are busy", p.name).
