--- a/internal/batch/lease_test.go
+++ b/internal/batch/lease_test.go
@@ -93,7 +93,7 @@
 	})
 }
 
-// endOne ends the running item with the lowest number, and requeues it if asked.
+// endOne ends the running item with the lowest number, and optionally requeues it.
 func (e *Executor) endOne(held *lease, giveBack bool) {
 	var lowest *run
 	for current := range e.running {
@@ -125,13 +125,13 @@
 	lost := time.Unix(100, 0)
 	e := &Executor{lostAt: map[string]time.Time{}}
 	e.recordLoss("a", lost)
-	for _, asked := range []struct {
+	for _, check := range []struct {
 		item  uint32
 		after time.Duration
 		avoid bool
 	}{{0, 0, false}, {1, 0, false}, {2, 0, true}, {2, lossPause - 1, true}, {2, lossPause, false}} {
-		if excluded := e.excludedServers(held, asked.item, lost.Add(asked.after)); (len(excluded) > 0) != asked.avoid {
-			t.Errorf("item %d avoids %v %v after a loss", asked.item, excluded, asked.after)
+		if excluded := e.excludedServers(held, check.item, lost.Add(check.after)); (len(excluded) > 0) != check.avoid {
+			t.Errorf("item %d avoids %v %v after a loss", check.item, excluded, check.after)
 		}
 	}
 }
--- a/internal/batch/yield.go
+++ b/internal/batch/yield.go
@@ -36,16 +36,16 @@
 	return sharing.Latency
 }
 
-// pauseNewest pauses the newest items of a server, as many as asked for.
-func (e *Executor) pauseNewest(ctx context.Context, asked serverview.BatchYield) {
+// pauseNewest pauses the newest items of a server, as many as requested.
+func (e *Executor) pauseNewest(ctx context.Context, requested serverview.BatchYield) {
 	var candidates []*run
 	for current := range e.running {
-		if current.target.Name == asked.Target.Name && !current.paused && !current.abandoned {
+		if current.target.Name == requested.Target.Name && !current.paused && !current.abandoned {
 			candidates = append(candidates, current)
 		}
 	}
 	slices.SortFunc(candidates, func(left, right *run) int { return right.started.Compare(left.started) })
-	for _, current := range candidates[:min(asked.Count, len(candidates))] {
+	for _, current := range candidates[:min(requested.Count, len(candidates))] {
 		e.pause(ctx, current)
 	}
 }
--- a/internal/command/cluster_test.go
+++ b/internal/command/cluster_test.go
@@ -292,7 +292,7 @@
 	input := s.requests("clue", 40, 3)
 	submitted := expectJSON[job](s, "jobs", "submit", "-f", input, "--class", "nightly")
 	if again := expectJSON[job](s, "jobs", "submit", "-f", input, "--class", "nightly"); again.ID != submitted.ID {
-		s.t.Errorf("a resubmission made job %s beside %s", again.ID, submitted.ID)
+		s.t.Errorf("a resubmission created job %s, want the existing job %s", again.ID, submitted.ID)
 	}
 	s.eventually("the end of the job", func() bool { return expectJSON[job](s, "jobs", "show", submitted.ID).State == "completed" })
 	results := s.expect(ExitOK, "clue-39", "jobs", "results", submitted.ID)
@@ -346,7 +346,7 @@
 	s.expect(ExitOK, "configuration in force", "logs", s.gateway.address)
 	s.expect(ExitOK, "control machine serves", "logs", s.control.address)
 	if strings.Contains(s.gateway.stderr.String(), "configuration in force") {
-		s.t.Error("the gateway wrote its log without a reason")
+		s.t.Error("the gateway wrote its log before SIGUSR1")
 	}
 	if err := syscall.Kill(os.Getpid(), syscall.SIGUSR1); err != nil {
 		s.t.Fatal(err)
