--- a/internal/bench/experiment/calibration/simulated.go
+++ b/internal/bench/experiment/calibration/simulated.go
@@ -23,12 +23,12 @@
 // each zone, so that gateway N of the fleet is gateway N of the simulator.
 func (o *Options) scenario(replay *simulator.Replay, between hops) simulator.Scenario {
 	config := engine.DefaultConfig()
-	config.MilestonesOnly = true
+	config.OmitIntermediateTokens = true
 	// Gateways follow the tokens of online answers.
-	config.OnlineTokens = true
+	config.KeepOnlineTokens = true
 	return simulator.Scenario{
 		Name: "calibration", Zones: o.Zones, GatewaysPerZone: 1, EnginesPerZone: o.EnginesPerZone,
-		ZoneDelay: between.median, LocalDelay: between.median, ClientDelay: between.median, HopNoise: between.noise,
+		ZoneDelay: between.median, LocalDelay: between.median, ClientDelay: between.median, HopJitter: between.noise,
 		Engine: config, Objective: sharing.Throughput,
 		PollInterval: pollInterval, ExchangeInterval: exchangeInterval,
 		Batch:  []simulator.BatchLoad{{Group: fleet.GroupScheduling, Share: 1, Deadline: jobDeadline}},
--- a/internal/bench/experiment/failures/scenarios.go
+++ b/internal/bench/experiment/failures/scenarios.go
@@ -49,7 +49,7 @@
 	{"wedged", "a tenth of the engines stop, and go on to answer polls and probes", engineFault(fewPart, engine.FaultHang, 0, false)},
 	{"flap", "a tenth of the engines die for 2 s in every 5 s", flap},
 	{"grey", "the steps of a tenth of the engines take 8 times as long", engineFault(fewPart, engine.FaultSlow, slowFactor, false)},
-	{"lie", "a tenth of the engines report that they are idle", engineFault(fewPart, engine.FaultLie, 0, false)},
+	{"lie", "a tenth of the engines report that they are idle", engineFault(fewPart, engine.FaultReportIdle, 0, false)},
 	{"zone", "all servers of one zone are cut off for 15 s", cutZone},
 	{"storm", "half of the engines die for 15 s while callers resend", engineFault(halfPart, engine.FaultDie, 0, false)},
 	{"drain", "a tenth of the engines drain; the platform's list lags by 10 s", drain(false)},
--- a/internal/bench/experiment/shares/experiment.go
+++ b/internal/bench/experiment/shares/experiment.go
@@ -44,7 +44,7 @@
 	// waits.
 	Idle float64 `json:"idle_while_work_waits"`
 
-	samples []simulator.ServedSample
+	samples []simulator.ServiceSample
 }
 
 // Result holds the figures of all seeds.
--- a/internal/bench/experiment/shares/judge.go
+++ b/internal/bench/experiment/shares/judge.go
@@ -10,7 +10,7 @@
 // judge computes figures from the samples of one run.
 type judge struct {
 	scenario *simulator.Scenario
-	samples  []simulator.ServedSample
+	samples  []simulator.ServiceSample
 }
 
 // window sums the samples from first to before last.
@@ -31,7 +31,7 @@
 		for group := range groups {
 			summed.received[group] += sample.Cost[group]
 			summed.total += sample.Cost[group]
-			summed.wanting[group] = summed.wanting[group] && sample.Wanted[group]
+			summed.wanting[group] = summed.wanting[group] && sample.Backlogged[group]
 		}
 	}
 	return summed
@@ -111,12 +111,12 @@
 	places, free := 0, 0
 	for _, sample := range j.samples[j.periods(j.scenario.Warmup):j.periods(j.scenario.End())] {
 		waits := false
-		for _, wanted := range sample.Wanted {
+		for _, wanted := range sample.Backlogged {
 			waits = waits || wanted
 		}
 		if waits {
-			places += sample.Places
-			free += sample.Free
+			places += sample.Slots
+			free += sample.FreeSlots
 		}
 	}
 	return float64(free) / float64(max(1, places))
--- a/internal/bench/experiment/sharing/experiment.go
+++ b/internal/bench/experiment/sharing/experiment.go
@@ -161,7 +161,7 @@
 	run.empty = simulator.Run(scenario, simulator.BatchAlone(&scenario), seed)
 	run.oracle = oracle(told, &run.alone, seed)
 	run.shared = append(run.shared, simulator.Run(scenario, simulator.Rockwind(&scenario), seed))
-	run.shared = append(run.shared, simulator.Run(told, simulator.Told(&told), seed))
+	run.shared = append(run.shared, simulator.Run(told, simulator.RockwindWithTarget(&told), seed))
 	for _, baseline := range simulator.Baselines(&scenario) {
 		run.shared = append(run.shared, simulator.Run(scenario, baseline, seed))
 	}
@@ -211,7 +211,7 @@
 	r.AimsMet = r.WorstHarm <= aimHarm && r.LeastThroughput >= aimThroughput
 	for index := range r.Policies[1:] {
 		other := &r.Policies[index+1]
-		if other.Name == simulator.OracleName || other.Name == simulator.ToldName {
+		if other.Name == simulator.OracleName || other.Name == simulator.RockwindWithTargetName {
 			continue
 		}
 		lessHarm := other.Harm() <= own.Harm()
--- a/internal/bench/routingfleet/scenario.go
+++ b/internal/bench/routingfleet/scenario.go
@@ -97,7 +97,7 @@
 func Sized(servers int) Scenario {
 	config := engine.DefaultConfig()
 	config.StepJitter = 0.05
-	config.MilestonesOnly = true
+	config.OmitIntermediateTokens = true
 	config.Retention = 0
 	scenario := Scenario{
 		Servers: servers, Gateways: 6, Zones: 3,
--- a/internal/bench/simulate/fault.go
+++ b/internal/bench/simulate/fault.go
@@ -16,7 +16,7 @@
 // faultKinds are the kinds that can be scheduled.
 var faultKinds = map[string]engine.FaultKind{
 	"die": engine.FaultDie, "hang": engine.FaultHang, "slow": engine.FaultSlow,
-	"lie": engine.FaultLie, "refuse": engine.FaultRefuse,
+	"lie": engine.FaultReportIdle, "refuse": engine.FaultRefuse,
 }
 
 // parseFault reads kind@time:engine or kind@time:engine:duration.
--- a/internal/control/placement_test.go
+++ b/internal/control/placement_test.go
@@ -145,7 +145,7 @@
 		p.t.Fatal(err)
 	}
 	defer response.Body.Close()
-	var answer standin.FenceAnswer
+	var answer standin.FenceResponse
 	if err := json.NewDecoder(response.Body).Decode(&answer); err != nil {
 		p.t.Fatal(err)
 	}
--- a/internal/engine/config.go
+++ b/internal/engine/config.go
@@ -79,11 +79,11 @@
 	// Role is the role at the start.
 	Role Role
 
-	// MilestonesOnly leaves out the token events between the first token and
+	// OmitIntermediateTokens leaves out the token events between the first token and
 	// the end, for simulations that do not look at them.
-	MilestonesOnly bool
-	// OnlineTokens keeps the token events of online requests all the same.
-	OnlineTokens bool
+	OmitIntermediateTokens bool
+	// KeepOnlineTokens keeps the token events of online requests all the same.
+	KeepOnlineTokens bool
 }
 
 // DefaultConfig returns the parameters of a mid-range accelerator.
@@ -158,5 +158,5 @@
 
 // reportsTokens tells whether a sequence gets an event for each of its tokens.
 func (c *Config) reportsTokens(entry *sequence) bool {
-	return !c.MilestonesOnly || (c.OnlineTokens && !entry.batch())
+	return !c.OmitIntermediateTokens || (c.KeepOnlineTokens && !entry.batch())
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -141,7 +141,7 @@
 
 func BenchmarkStep(b *testing.B) {
 	config := DefaultConfig()
-	config.MilestonesOnly = true
+	config.OmitIntermediateTokens = true
 	engine := New(config, rand.New(rand.NewSource(1)))
 	var events []Event
 	number := 0
--- a/internal/engine/faults.go
+++ b/internal/engine/faults.go
@@ -26,12 +26,12 @@
 	// FaultTruncate cuts the streams of the next Count requests to start after
 	// Tokens tokens.
 	FaultTruncate FaultKind = "truncate"
-	// FaultLate delivers the ends of the next Count answers late by Duration.
-	FaultLate FaultKind = "late"
+	// FaultDelayFinish delivers the ends of the next Count answers late by Duration.
+	FaultDelayFinish FaultKind = "late"
 	// FaultRefuse refuses the next Count requests, or for Duration.
 	FaultRefuse FaultKind = "refuse"
-	// FaultLie reports an idle engine, for Duration when it is set.
-	FaultLie FaultKind = "lie"
+	// FaultReportIdle reports an idle engine, for Duration when it is set.
+	FaultReportIdle FaultKind = "lie"
 )
 
 // Fault is an order to fail.
@@ -95,14 +95,14 @@
 	case FaultTruncate:
 		e.faults.truncateCount = max(fault.Count, 1)
 		e.faults.truncateTokens = max(fault.Tokens, 1)
-	case FaultLate:
+	case FaultDelayFinish:
 		e.faults.late = lateFault{count: max(fault.Count, 1), duration: fault.Duration}
 	case FaultRefuse:
 		e.faults.refuseCount = fault.Count
 		if fault.Count == 0 {
 			e.faults.refuseUntil = until(now, fault.Duration)
 		}
-	case FaultLie:
+	case FaultReportIdle:
 		e.faults.lieUntil = until(now, fault.Duration)
 	}
 	e.begin(now)
--- a/internal/engine/oracle_test.go
+++ b/internal/engine/oracle_test.go
@@ -106,13 +106,13 @@
 	case EventTruncated:
 		o.detached[event.ID] = true
 	}
-	if event.Kind.Ends() {
+	if event.Kind.IsTerminal() {
 		o.ended[event.ID] = event.Kind
 	}
 }
 
 func (o *oracle) inject(t *rapid.T) {
-	kinds := []FaultKind{FaultNone, FaultDie, FaultHang, FaultStall, FaultSlow, FaultTruncate, FaultLate, FaultRefuse, FaultLie}
+	kinds := []FaultKind{FaultNone, FaultDie, FaultHang, FaultStall, FaultSlow, FaultTruncate, FaultDelayFinish, FaultRefuse, FaultReportIdle}
 	o.engine.Inject(o.now, Fault{
 		Kind:     rapid.SampledFrom(kinds).Draw(t, "fault"),
 		Duration: time.Duration(rapid.IntRange(1, 500).Draw(t, "ms")) * time.Millisecond,
--- a/internal/engine/reports_test.go
+++ b/internal/engine/reports_test.go
@@ -29,7 +29,7 @@
 			t.Fatalf("at %v the report of %v says %d running", now, report.At, report.RunningOnline)
 		}
 	}
-	engine.Inject(start+time.Second, Fault{Kind: FaultLie})
+	engine.Inject(start+time.Second, Fault{Kind: FaultReportIdle})
 	if report := engine.Load(start + time.Second); report.RunningOnline != 0 {
 		t.Fatal("a lying engine tells the truth")
 	}
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -79,8 +79,8 @@
 	EventLoaded
 )
 
-// Ends tells whether a request is over after an event of this kind.
-func (k EventKind) Ends() bool {
+// IsTerminal tells whether a request is over after an event of this kind.
+func (k EventKind) IsTerminal() bool {
 	switch k {
 	case EventFinished, EventCancelled, EventExpired, EventLost:
 		return true
--- a/internal/engine/resume.go
+++ b/internal/engine/resume.go
@@ -17,8 +17,8 @@
 	ResumeBadOffset
 )
 
-// Resumed is what a new reader gets at once.
-type Resumed struct {
+// ResumeResult is what a new reader gets at once.
+type ResumeResult struct {
 	Tag     uint64
 	Payload any
 	// First and Last are the sequence numbers of the tokens that the reader
@@ -51,21 +51,21 @@
 
 // Resume makes the caller the reader of a request after the token with sequence
 // number offset.
-func (e *Engine) Resume(now time.Duration, id string, offset int) (Resumed, ResumeStatus) {
+func (e *Engine) Resume(now time.Duration, id string, offset int) (ResumeResult, ResumeStatus) {
 	entry := e.known[id]
 	if entry == nil {
-		return Resumed{}, ResumeUnknown
+		return ResumeResult{}, ResumeUnknown
 	}
 	finished := entry.state == stateFinished && entry.lateTokens == 0
 	if entry.attached && !finished {
-		return Resumed{}, ResumeHasReader
+		return ResumeResult{}, ResumeHasReader
 	}
 	delivered := entry.produced - entry.lateTokens
 	if offset < 0 || offset > delivered {
-		return Resumed{}, ResumeBadOffset
+		return ResumeResult{}, ResumeBadOffset
 	}
 	entry.attached = true
-	resumed := Resumed{
+	resumed := ResumeResult{
 		Tag:       entry.request.Tag,
 		Payload:   entry.request.Payload,
 		First:     offset + 1,
--- a/internal/gateway/hedge_test.go
+++ b/internal/gateway/hedge_test.go
@@ -15,7 +15,7 @@
 func TestStreamsAreAnsweredWhileAnEngineHangs(t *testing.T) {
 	f := startFixture(t, 2, slowConfig())
 	client := f.client()
-	f.engines[0].Inject(standin.FaultOrder{Kind: engine.FaultHang})
+	f.engines[0].Inject(standin.FaultRequest{Kind: engine.FaultHang})
 	ctx, cancel := context.WithTimeout(context.Background(), streamFirstByteTimeout/2)
 	defer cancel()
 	var streams sync.WaitGroup
@@ -35,6 +35,6 @@
 		})
 	}
 	streams.Wait()
-	f.engines[0].Inject(standin.FaultOrder{Kind: engine.FaultNone})
+	f.engines[0].Inject(standin.FaultRequest{Kind: engine.FaultNone})
 	f.await("the end of every attempt", func() bool { return f.gateway.view.InFlight() == 0 })
 }
--- a/internal/gateway/poison_test.go
+++ b/internal/gateway/poison_test.go
@@ -28,7 +28,7 @@
 		}
 		request.Body = io.NopCloser(bytes.NewReader(body))
 		if bytes.Contains(body, []byte(poison)) {
-			standIn.Inject(standin.FaultOrder{Kind: engine.FaultDie, DurationMs: 1})
+			standIn.Inject(standin.FaultRequest{Kind: engine.FaultDie, DurationMs: 1})
 			panic(http.ErrAbortHandler)
 		}
 		standIn.Handler().ServeHTTP(writer, request)
--- a/internal/serverview/caches_test.go
+++ b/internal/serverview/caches_test.go
@@ -126,8 +126,8 @@
 	if found := f.hintedTokens(testPrompt(2)); found != 0 {
 		t.Fatal("a second snapshot was read within snapshotInterval")
 	}
-	f.engine.Inject(standin.FaultOrder{Kind: engine.FaultDie})
-	f.engine.Inject(standin.FaultOrder{Kind: engine.FaultNone})
+	f.engine.Inject(standin.FaultRequest{Kind: engine.FaultDie})
+	f.engine.Inject(standin.FaultRequest{Kind: engine.FaultNone})
 	f.poll()
 	if found := f.hintedTokens(testPrompt(1)); found != 0 {
 		t.Fatalf("%d tokens hinted after the cache was emptied", found)
--- a/internal/simulator/executor.go
+++ b/internal/simulator/executor.go
@@ -44,7 +44,7 @@
 
 // state describes an owned server for its budget.
 func (g *gateway) state(server int) sharing.ServerState {
-	if g.fleet.policy.Fresh {
+	if g.fleet.policy.ZeroLag {
 		g.refreshOne(server)
 	}
 	entry := &g.view.Servers[server]
--- a/internal/simulator/fleet.go
+++ b/internal/simulator/fleet.go
@@ -64,7 +64,7 @@
 
 func newFleet(scenario *Scenario, policy Policy, seed uint64) *fleet {
 	run := &fleet{scenario: scenario, policy: policy, hops: newHopNoise(scenario, seed)}
-	if policy.Fresh {
+	if policy.ZeroLag {
 		scenario.Engine.ReportLag = 0
 	}
 	random := newRandom(seed, streamEngines)
--- a/internal/simulator/gateway.go
+++ b/internal/simulator/gateway.go
@@ -116,7 +116,7 @@
 func (g *gateway) arrive(index int) {
 	record := &g.fleet.online[index]
 	now := g.fleet.clock.Now()
-	if g.fleet.policy.Fresh {
+	if g.fleet.policy.ZeroLag {
 		g.refresh()
 	}
 	request := routing.Request{
--- a/internal/simulator/hops.go
+++ b/internal/simulator/hops.go
@@ -16,7 +16,7 @@
 }
 
 func newHopNoise(scenario *Scenario, seed uint64) hopNoise {
-	return hopNoise{samples: scenario.HopNoise, random: newRandom(seed, streamHops)}
+	return hopNoise{samples: scenario.HopJitter, random: newRandom(seed, streamHops)}
 }
 
 func (h *hopNoise) draw() time.Duration {
--- a/internal/simulator/pace.go
+++ b/internal/simulator/pace.go
@@ -20,7 +20,7 @@
 // server, beside this one; nil where nobody does.
 func (g *gateway) observer(server int) *gateway {
 	owner := g.fleet.nodes[server].owner
-	if owner == g || !g.fleet.policy.Notices || (owner.zone != g.zone && !g.fleet.policy.Fresh) {
+	if owner == g || !g.fleet.policy.NotifyOwners || (owner.zone != g.zone && !g.fleet.policy.ZeroLag) {
 		return nil
 	}
 	return owner
@@ -32,7 +32,7 @@
 	if observer == nil {
 		return
 	}
-	if g.fleet.policy.Fresh {
+	if g.fleet.policy.ZeroLag {
 		tell(observer)
 		return
 	}
@@ -64,7 +64,7 @@
 	g.paces[server].RecordFirstToken(uint64(record.index), true, g.fleet.clock.Now())
 	g.tail.RecordFirstToken(g.fleet.clock.Now() - record.arrival.at - g.fleet.scenario.ClientDelay)
 	g.notify(server, func(observer *gateway) {
-		observer.paces[server].RecordFirstToken(uint64(record.index), g.fleet.policy.Fresh, observer.fleet.clock.Now())
+		observer.paces[server].RecordFirstToken(uint64(record.index), g.fleet.policy.ZeroLag, observer.fleet.clock.Now())
 		observer.balance(server)
 	})
 	g.balance(server)
@@ -74,7 +74,7 @@
 	id := uint64(record.index)
 	now := g.fleet.clock.Now()
 	g.paces[server].RecordTokens(id, tokens, g.target().PerToken, g.batchPart(server), now)
-	if g.fleet.policy.Fresh {
+	if g.fleet.policy.ZeroLag {
 		g.notify(server, func(observer *gateway) {
 			if !observer.paces[server].IsSampled(id) {
 				return
--- a/internal/simulator/policy.go
+++ b/internal/simulator/policy.go
@@ -27,11 +27,11 @@
 	// reserves none.
 	OnlineOnly func(place, count int) bool
 	BatchOnly  func(place, count int) bool
-	// Fresh gives every gateway reports of age zero at each decision.
-	Fresh bool
-	// Notices tells the owner of an engine at once of requests that other
+	// ZeroLag gives every gateway reports of age zero at each decision.
+	ZeroLag bool
+	// NotifyOwners tells the owner of an engine at once of requests that other
 	// gateways of the zone send there.
-	Notices bool
+	NotifyOwners bool
 	// OwnedMargin is the margin of routing.OwnedFirst.
 	OwnedMargin time.Duration
 }
@@ -66,14 +66,14 @@
 	}
 }
 
-// ToldName is the name of the policy Told.
-const ToldName = "rockwind_told"
+// RockwindWithTargetName is the name of the policy Told.
+const RockwindWithTargetName = "rockwind_told"
 
-// Told is rockwind that need not estimate the tail of online alone: the scenario
+// RockwindWithTarget is rockwind that need not estimate the tail of online alone: the scenario
 // tells it.
-func Told(scenario *Scenario) Policy {
+func RockwindWithTarget(scenario *Scenario) Policy {
 	policy := Rockwind(scenario)
-	policy.Name = ToldName
+	policy.Name = RockwindWithTargetName
 	budget := budgetPolicy(scenario)
 	budget.PerTokenFraction = 1
 	policy.Budget = budgetOf(budget)
@@ -143,8 +143,8 @@
 func Oracle(scenario *Scenario, tighten float64) Policy {
 	policy := Rockwind(scenario)
 	policy.Name = OracleName
-	policy.Fresh = true
-	policy.Notices = true
+	policy.ZeroLag = true
+	policy.NotifyOwners = true
 	budget := budgetPolicy(scenario)
 	budget.PerTokenFraction = tighten
 	policy.Budget = budgetOf(budget)
--- a/internal/simulator/result.go
+++ b/internal/simulator/result.go
@@ -72,7 +72,7 @@
 	// Engines sums what all engines did, warm-up included.
 	Engines engine.Totals
 	// Served lists the batch service over time, for the shares experiment.
-	Served []ServedSample
+	Served []ServiceSample
 }
 
 func (f *fleet) result() Result {
--- a/internal/simulator/scenario.go
+++ b/internal/simulator/scenario.go
@@ -35,10 +35,10 @@
 	ExchangeInterval time.Duration
 	Online           OnlineLoad
 	Batch            []BatchLoad
-	// HopNoise holds what single hops of online requests and their answers, between
+	// HopJitter holds what single hops of online requests and their answers, between
 	// processes, took longer than the delays, one to be drawn for each; empty for
 	// none.
-	HopNoise []time.Duration
+	HopJitter []time.Duration
 	// Replay, where it is not nil, takes the place of the draws by Online and
 	// Batch; Batch still names the groups.
 	Replay *Replay
@@ -78,8 +78,8 @@
 
 // RequestClass is a kind of request.
 type RequestClass struct {
-	// Part is the relative part of the requests.
-	Part float64
+	// Weight is the relative part of the requests.
+	Weight float64
 	// Prompt and Output bound uniform draws of lengths in tokens.
 	Prompt [2]int
 	Output [2]int
@@ -121,8 +121,8 @@
 func engineConfig() engine.Config {
 	config := engine.DefaultConfig()
 	config.StepJitter = 0.05
-	config.MilestonesOnly = true
-	config.OnlineTokens = true
+	config.OmitIntermediateTokens = true
+	config.KeepOnlineTokens = true
 	config.Retention = 0
 	return config
 }
@@ -138,13 +138,13 @@
 		Online: OnlineLoad{
 			Rate: 2, BurstFactor: 6, BurstMean: 1500 * time.Millisecond, BurstEvery: 8 * time.Second,
 			Classes: []RequestClass{
-				{Part: 0.85, Prompt: [2]int{150, 600}, Output: [2]int{60, 200}, SharedPrefix: 128, Prefixes: 40},
-				{Part: 0.15, Prompt: [2]int{1500, 4000}, Output: [2]int{120, 300}},
+				{Weight: 0.85, Prompt: [2]int{150, 600}, Output: [2]int{60, 200}, SharedPrefix: 128, Prefixes: 40},
+				{Weight: 0.15, Prompt: [2]int{1500, 4000}, Output: [2]int{120, 300}},
 			},
 		},
 		Batch: []BatchLoad{{
 			Group: "rebuilds", Share: 1, JobEvery: 10 * time.Second, JobItems: 2600, Deadline: time.Hour,
-			Class: RequestClass{Part: 1, Prompt: [2]int{250, 500}, Output: [2]int{80, 200}, SharedPrefix: 128, Prefixes: 20},
+			Class: RequestClass{Weight: 1, Prompt: [2]int{250, 500}, Output: [2]int{80, 200}, SharedPrefix: 128, Prefixes: 20},
 		}},
 		Warmup: 10 * time.Second, Measured: 120 * time.Second,
 	}
@@ -163,13 +163,13 @@
 			Rate: 2, BurstFactor: 4, BurstMean: time.Second, BurstEvery: 6 * time.Second,
 			ClumpSize: 30, ClumpSpread: 2 * time.Second, ClumpEvery: 5 * time.Second,
 			Classes: []RequestClass{
-				{Part: 0.8, Prompt: [2]int{80, 250}, Output: [2]int{40, 120}},
-				{Part: 0.2, Prompt: [2]int{3000, 6000}, Output: [2]int{100, 300}, SharedPrefix: 2816, Prefixes: 30},
+				{Weight: 0.8, Prompt: [2]int{80, 250}, Output: [2]int{40, 120}},
+				{Weight: 0.2, Prompt: [2]int{3000, 6000}, Output: [2]int{100, 300}, SharedPrefix: 2816, Prefixes: 30},
 			},
 		},
 		Batch: []BatchLoad{{
 			Group: "clues", Share: 1, JobEvery: 10 * time.Second, JobItems: 5200, Deadline: time.Hour,
-			Class: RequestClass{Part: 1, Prompt: [2]int{200, 400}, Output: [2]int{60, 180}, SharedPrefix: 128, Prefixes: 20},
+			Class: RequestClass{Weight: 1, Prompt: [2]int{200, 400}, Output: [2]int{60, 180}, SharedPrefix: 128, Prefixes: 20},
 		}},
 		Warmup: 10 * time.Second, Measured: 120 * time.Second,
 	}
--- a/internal/simulator/shares.go
+++ b/internal/simulator/shares.go
@@ -6,22 +6,22 @@
 	"rockwind.example/rockwind/internal/sharing"
 )
 
-// ServedSample is what happened in one sampling period.
-type ServedSample struct {
+// ServiceSample is what happened in one sampling period.
+type ServiceSample struct {
 	// At is the end of the period.
 	At time.Duration
 	// Cost is the batch service that each group received, in cost units.
 	Cost []float64
-	// Wanted tells which groups had items that waited at the end of the period.
-	Wanted []bool
-	// Places counts the batch items that budgets allowed, and Free those of them
+	// Backlogged tells which groups had items that waited at the end of the period.
+	Backlogged []bool
+	// Slots counts the batch items that budgets allowed, and FreeSlots those of them
 	// that were not taken, summed over the servers.
-	Places, Free int
+	Slots, FreeSlots int
 }
 
 // sampling follows the service that groups receive.
 type sampling struct {
-	samples []ServedSample
+	samples []ServiceSample
 	// running is the cost of the items in progress that was counted.
 	running map[*item]float64
 	current []float64
@@ -35,7 +35,7 @@
 
 // sample takes one sample.
 func (f *fleet) sample() {
-	taken := ServedSample{At: f.clock.Now(), Wanted: make([]bool, len(f.scenario.Batch))}
+	taken := ServiceSample{At: f.clock.Now(), Backlogged: make([]bool, len(f.scenario.Batch))}
 	for server := range f.nodes {
 		owner := f.nodes[server].owner
 		lane := &owner.lanes[server]
@@ -46,11 +46,11 @@
 			f.sampleItem(entry, server)
 		}
 		budget, _ := f.policy.Budget(owner.state(server), f.clock.Now())
-		taken.Places += budget.Items
-		taken.Free += max(0, budget.Items-len(lane.running))
+		taken.Slots += budget.Items
+		taken.FreeSlots += max(0, budget.Items-len(lane.running))
 	}
-	for load := range taken.Wanted {
-		taken.Wanted[load] = f.waits(load)
+	for load := range taken.Backlogged {
+		taken.Backlogged[load] = f.waits(load)
 	}
 	taken.Cost = f.sampling.current
 	f.sampling.current = make([]float64, len(f.scenario.Batch))
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -54,7 +54,7 @@
 			scenario.Batch[index].JobItems = 40
 			scenario.Batch[index].ActiveUntil = 5 * time.Second
 		}
-		kinds := []engine.FaultKind{engine.FaultDie, engine.FaultHang, engine.FaultSlow, engine.FaultLie}
+		kinds := []engine.FaultKind{engine.FaultDie, engine.FaultHang, engine.FaultSlow, engine.FaultReportIdle}
 		for range rapid.IntRange(0, 3).Draw(t, "faults") {
 			scenario.Faults = append(scenario.Faults, ScheduledFault{
 				At:     time.Duration(rapid.IntRange(0, 6000).Draw(t, "at")) * time.Millisecond,
@@ -92,8 +92,8 @@
 	result := Run(scenario, Rockwind(&scenario), 5)
 	places, free := 0, 0
 	for _, sample := range result.Served[len(result.Served)/3:] {
-		places += sample.Places
-		free += sample.Free
+		places += sample.Slots
+		free += sample.FreeSlots
 	}
 	if places == 0 || float64(free) > 0.02*float64(places) {
 		t.Fatalf("%d of %d places were free", free, places)
--- a/internal/simulator/workload.go
+++ b/internal/simulator/workload.go
@@ -166,11 +166,11 @@
 func drawShape(classes []RequestClass, random *rand.Rand) shape {
 	total := 0.0
 	for index := range classes {
-		total += classes[index].Part
+		total += classes[index].Weight
 	}
 	point := random.Float64() * total
 	for index := range classes {
-		point -= classes[index].Part
+		point -= classes[index].Weight
 		if point < 0 {
 			return classes[index].draw(random)
 		}
--- a/internal/standin/completions.go
+++ b/internal/standin/completions.go
@@ -136,7 +136,7 @@
 		ID:               answer.id,
 		Model:            body.Model,
 		Priority:         headerNumber(request, HeaderPriority),
-		BatchTokenBudget: headerNumber(request, HeaderBudget),
+		BatchTokenBudget: headerNumber(request, HeaderBatchTokenBudget),
 		PromptTokens:     answer.promptTokens,
 		MaxTokens:        answer.maxTokens,
 		Blocks:           engine.BlockHashes(prompt),
--- a/internal/standin/driver.go
+++ b/internal/standin/driver.go
@@ -158,7 +158,7 @@
 	case engine.EventLost, engine.EventTruncated:
 		reader.end(streamCut)
 	}
-	if event.Kind.Ends() || event.Kind == engine.EventTruncated {
+	if event.Kind.IsTerminal() || event.Kind == engine.EventTruncated {
 		delete(d.streams, event.ID)
 	}
 }
@@ -192,9 +192,9 @@
 }
 
 // resume makes the caller the reader of a request.
-func (d *driver) resume(id string, offset int) (*stream, engine.Resumed, engine.ResumeStatus) {
+func (d *driver) resume(id string, offset int) (*stream, engine.ResumeResult, engine.ResumeStatus) {
 	reader := newStream()
-	var resumed engine.Resumed
+	var resumed engine.ResumeResult
 	status := engine.ResumeUnknown
 	d.do(func(model *engine.Engine, now time.Duration) {
 		resumed, status = model.Resume(now, id, offset)
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -82,7 +82,7 @@
 }
 
 // Inject makes the engine fail as the order says.
-func (e *Engine) Inject(order FaultOrder) {
+func (e *Engine) Inject(order FaultRequest) {
 	if order.Kind == engine.FaultDie && order.DurationMs == 0 && e.options.Exit != nil {
 		e.options.Exit(deathExitCode)
 	}
@@ -123,14 +123,14 @@
 	writeJSON(writer, http.StatusOK, order)
 }
 
-// HealthAnswer is the body of GET /healthz.
-type HealthAnswer struct {
+// HealthResponse is the body of GET /healthz.
+type HealthResponse struct {
 	Name string `json:"name"`
 	Zone string `json:"zone"`
 }
 
 func (e *Engine) serveHealth(writer http.ResponseWriter, _ *http.Request) {
-	writeJSON(writer, http.StatusOK, HealthAnswer{Name: e.options.Name, Zone: e.options.Zone})
+	writeJSON(writer, http.StatusOK, HealthResponse{Name: e.options.Name, Zone: e.options.Zone})
 }
 
 func (e *Engine) serveReady(writer http.ResponseWriter, _ *http.Request) {
@@ -140,12 +140,12 @@
 		writeError(writer, http.StatusServiceUnavailable, "draining", "the engine takes no new requests")
 		return
 	}
-	writeJSON(writer, http.StatusOK, HealthAnswer{Name: e.options.Name, Zone: e.options.Zone})
+	writeJSON(writer, http.StatusOK, HealthResponse{Name: e.options.Name, Zone: e.options.Zone})
 }
 
 // EngineCommand is `rockwind-bench engine`.
 type EngineCommand struct {
-	Process
+	ServerFlags
 	Name            string        `help:"Name of the engine." default:"engine"`
 	Zone            string        `help:"Zone of the engine."`
 	Load            []string      `help:"What is loaded at the start, model@version or model:adapter; none accepts every model."`
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -26,9 +26,9 @@
 
 // serveFault answers POST /fault: it acknowledges the order and then injects it,
 // since the fault may end the process.
-func serveFault(inject func(FaultOrder)) http.HandlerFunc {
+func serveFault(inject func(FaultRequest)) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
-		var order FaultOrder
+		var order FaultRequest
 		if !readJSON(writer, request, &order) {
 			return
 		}
--- a/internal/standin/messages.go
+++ b/internal/standin/messages.go
@@ -11,12 +11,12 @@
 
 // Headers of the engine protocol.
 const (
-	HeaderRequestID      = "X-Request-Id"
-	HeaderPriority       = "X-Priority"
-	HeaderBudget         = "X-Batch-Token-Budget"
-	HeaderNotRun         = "X-Not-Run"
-	HeaderBlock          = "X-Block"
-	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderRequestID        = "X-Request-Id"
+	HeaderPriority         = "X-Priority"
+	HeaderBatchTokenBudget = "X-Batch-Token-Budget"
+	HeaderNotRun           = "X-Not-Run"
+	HeaderBlock            = "X-Block"
+	HeaderIdempotencyKey   = "Idempotency-Key"
 )
 
 // LoadReport is the body of GET /load.
@@ -55,8 +55,8 @@
 	Blocks []string `json:"blocks"`
 }
 
-// FaultOrder is the body of POST /fault; durations are in milliseconds.
-type FaultOrder struct {
+// FaultRequest is the body of POST /fault; durations are in milliseconds.
+type FaultRequest struct {
 	Kind       engine.FaultKind `json:"kind"`
 	DurationMs int64            `json:"duration_ms,omitempty"`
 	Factor     float64          `json:"factor,omitempty"`
@@ -65,7 +65,7 @@
 }
 
 // Fault returns the order as the model takes it.
-func (o FaultOrder) Fault() engine.Fault {
+func (o FaultRequest) Fault() engine.Fault {
 	return engine.Fault{
 		Kind:     o.Kind,
 		Duration: time.Duration(o.DurationMs) * time.Millisecond,
@@ -80,13 +80,13 @@
 	Offset int `json:"offset"`
 }
 
-// CancelAnswer is the body of DELETE /v1/requests/{id}.
-type CancelAnswer struct {
+// CancelResponse is the body of DELETE /v1/requests/{id}.
+type CancelResponse struct {
 	Cancelled bool `json:"cancelled"`
 }
 
-// FenceAnswer is the body of an answer to an order.
-type FenceAnswer struct {
+// FenceResponse is the body of an answer to an order.
+type FenceResponse struct {
 	Fence uint64 `json:"fence"`
 }
 
@@ -95,8 +95,8 @@
 	Draining bool `json:"draining"`
 }
 
-// ErrorAnswer is the body of a failed request.
-type ErrorAnswer struct {
+// ErrorResponse is the body of a failed request.
+type ErrorResponse struct {
 	Error ErrorDetail `json:"error"`
 }
 
@@ -128,7 +128,7 @@
 }
 
 func writeError(writer http.ResponseWriter, status int, kind, message string) {
-	writeJSON(writer, status, ErrorAnswer{Error: ErrorDetail{Message: message, Type: kind}})
+	writeJSON(writer, status, ErrorResponse{Error: ErrorDetail{Message: message, Type: kind}})
 }
 
 // writeNotRun refuses a request that did not run.
--- a/internal/standin/operations.go
+++ b/internal/standin/operations.go
@@ -66,7 +66,7 @@
 		writeError(writer, http.StatusNotFound, "unknown_request", "no such request in progress")
 		return
 	}
-	writeJSON(writer, http.StatusOK, CancelAnswer{Cancelled: true})
+	writeJSON(writer, http.StatusOK, CancelResponse{Cancelled: true})
 }
 
 func (e *Engine) serveLoad(writer http.ResponseWriter, _ *http.Request) {
@@ -160,8 +160,8 @@
 	_, _ = writer.Write(data)
 }
 
-// ImportAnswer is the body of an answer to POST /kv/import.
-type ImportAnswer struct {
+// ImportResponse is the body of an answer to POST /kv/import.
+type ImportResponse struct {
 	// Blocks is how many blocks of the chain are cached now.
 	Blocks int `json:"blocks"`
 }
@@ -183,7 +183,7 @@
 		writeError(writer, http.StatusBadRequest, "bad_body", "the KV is not that of the block")
 		return
 	}
-	writeJSON(writer, http.StatusOK, ImportAnswer{Blocks: stored})
+	writeJSON(writer, http.StatusOK, ImportResponse{Blocks: stored})
 }
 
 func (e *Engine) serveOrder(writer http.ResponseWriter, request *http.Request) {
@@ -199,14 +199,14 @@
 	case engine.OrderInvalid:
 		writeError(writer, http.StatusBadRequest, "bad_order", "the order's action or names are wrong")
 	case engine.OrderStale:
-		writeJSON(writer, http.StatusConflict, FenceAnswer{Fence: fence})
+		writeJSON(writer, http.StatusConflict, FenceResponse{Fence: fence})
 	case engine.OrderLoading:
 		if order.External {
 			go e.download(order)
 		}
-		writeJSON(writer, http.StatusAccepted, FenceAnswer{Fence: fence})
+		writeJSON(writer, http.StatusAccepted, FenceResponse{Fence: fence})
 	default:
-		writeJSON(writer, http.StatusOK, FenceAnswer{Fence: fence})
+		writeJSON(writer, http.StatusOK, FenceResponse{Fence: fence})
 	}
 }
 
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -96,7 +96,7 @@
 
 // PlatformCommand is `rockwind-bench platform`.
 type PlatformCommand struct {
-	Process
+	ServerFlags
 	Lag  time.Duration `help:"How late the list shows a change." default:"2s"`
 	Live []string      `help:"Machines that are live at the start, ip:port."`
 }
--- a/internal/standin/process.go
+++ b/internal/standin/process.go
@@ -23,14 +23,14 @@
 // is asked to stop.
 const shutdownGrace = 5 * time.Second
 
-// Process holds the flags that every stand-in has.
-type Process struct {
+// ServerFlags holds the flags that every stand-in has.
+type ServerFlags struct {
 	Listen      string `help:"Address to listen on, ip:port; port 0 picks a free one." default:"127.0.0.1:0"`
 	AddressFile string `help:"File to write the address to once it is listening." type:"path"`
 }
 
 // serve listens, announces the address and serves until a signal ends it.
-func (p Process) serve(handler http.Handler) error {
+func (p ServerFlags) serve(handler http.Handler) error {
 	listener, err := net.Listen("tcp", p.Listen)
 	if err != nil {
 		return errors.Wrap(err, "listen")
@@ -57,9 +57,9 @@
 }
 
 // injectAll injects the faults that flags give, each as the JSON of POST /fault.
-func injectAll(faults []string, inject func(FaultOrder)) error {
+func injectAll(faults []string, inject func(FaultRequest)) error {
 	for _, text := range faults {
-		var order FaultOrder
+		var order FaultRequest
 		if err := json.Unmarshal([]byte(text), &order); err != nil {
 			return errors.Wrapf(err, "fault %q", text)
 		}
@@ -70,7 +70,7 @@
 
 // announce prints the address as the first line and writes the address file in
 // one rename, so that a reader never sees half of it.
-func (p Process) announce(address string) error {
+func (p ServerFlags) announce(address string) error {
 	fmt.Printf("listening %s\n", address)
 	if p.AddressFile == "" {
 		return nil
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -28,8 +28,8 @@
 	Exit        func(code int)
 }
 
-// ServiceAnswer is the body of a service's answer: it proves whose it is.
-type ServiceAnswer struct {
+// ServiceResponse is the body of a service's answer: it proves whose it is.
+type ServiceResponse struct {
 	Service string `json:"service"`
 	Path    string `json:"path"`
 	ID      string `json:"id"`
@@ -100,7 +100,7 @@
 
 // Inject makes the service fail as the order says: die, hang, refuse and late
 // (each answer by the duration, for Count answers when it is set) are known.
-func (s *Service) Inject(order FaultOrder) {
+func (s *Service) Inject(order FaultRequest) {
 	if order.Kind == engine.FaultDie && order.DurationMs == 0 && s.options.Exit != nil {
 		s.options.Exit(deathExitCode)
 	}
@@ -108,7 +108,7 @@
 	defer s.lock.Unlock()
 	s.fault = order.Fault()
 	s.until = time.Now().Add(s.fault.Duration)
-	if s.fault.Duration == 0 || s.fault.Kind == engine.FaultLate {
+	if s.fault.Duration == 0 || s.fault.Kind == engine.FaultDelayFinish {
 		s.until = time.Now().Add(24 * time.Hour)
 	}
 }
@@ -148,7 +148,7 @@
 }
 
 func (s *Service) serveHealth(writer http.ResponseWriter, _ *http.Request) {
-	writeJSON(writer, http.StatusOK, HealthAnswer{Name: s.options.Name, Zone: s.options.Zone})
+	writeJSON(writer, http.StatusOK, HealthResponse{Name: s.options.Name, Zone: s.options.Zone})
 }
 
 func (s *Service) serveReady(writer http.ResponseWriter, request *http.Request) {
@@ -205,7 +205,7 @@
 	load := s.reports[0]
 	s.lock.Unlock()
 	load.AtMs = max(load.AtMs, now.Add(-s.options.ReportLag).UnixMilli())
-	if s.failure(false).Kind == engine.FaultLie {
+	if s.failure(false).Kind == engine.FaultReportIdle {
 		load.RunningOnline, load.Waiting = 0, 0
 	}
 	writeJSON(writer, http.StatusOK, load)
@@ -242,7 +242,7 @@
 	s.journal.add(JournalEntry{ID: id, Key: request.Header.Get(HeaderIdempotencyKey), Path: request.URL.Path})
 	duration := s.options.Latency
 	switch failure.Kind {
-	case engine.FaultLate:
+	case engine.FaultDelayFinish:
 		duration += failure.Duration
 	case engine.FaultSlow:
 		duration = time.Duration(float64(duration) * max(failure.Factor, 1))
@@ -251,7 +251,7 @@
 	if failure.Kind == engine.FaultTruncate {
 		panic(http.ErrAbortHandler)
 	}
-	writeJSON(writer, http.StatusOK, ServiceAnswer{
+	writeJSON(writer, http.StatusOK, ServiceResponse{
 		Service:  s.options.Name,
 		Path:     request.URL.Path,
 		ID:       id,
@@ -261,7 +261,7 @@
 
 // ServiceCommand is `rockwind-bench service`.
 type ServiceCommand struct {
-	Process
+	ServerFlags
 	Name        string        `help:"Name of the service instance." default:"service"`
 	Zone        string        `help:"Zone of the instance."`
 	Latency     time.Duration `help:"Time that a request takes." default:"5ms"`
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -109,7 +109,7 @@
 func TestTruncatedStreamIsResumedWithTheMissingTokens(t *testing.T) {
 	server, address := startEngine(t, standin.EngineOptions{Config: fastConfig(), EventPerToken: true})
 	prompt := engine.UserPrompt("a riddle")
-	server.Inject(standin.FaultOrder{Kind: engine.FaultTruncate, Count: 1, Tokens: 7})
+	server.Inject(standin.FaultRequest{Kind: engine.FaultTruncate, Count: 1, Tokens: 7})
 	request, _ := http.NewRequest(http.MethodPost, "http://"+address+"/v1/chat/completions", strings.NewReader(truncatedBody))
 	request.Header.Set(standin.HeaderRequestID, "cut")
 	response, err := http.DefaultClient.Do(request)
@@ -149,7 +149,7 @@
 	config.Loaded = []string{"m@v1"}
 	server, address := startEngine(t, standin.EngineOptions{Config: config})
 	other := exchange(t, http.MethodPost, address+"/v1/completions", `{"model":"other","prompt":"p"}`, nil)
-	server.Inject(standin.FaultOrder{Kind: engine.FaultRefuse, Count: 1})
+	server.Inject(standin.FaultRequest{Kind: engine.FaultRefuse, Count: 1})
 	fault := exchange(t, http.MethodPost, address+"/v1/completions", `{"model":"m","prompt":"p"}`, nil)
 	for _, response := range []*http.Response{other, fault} {
 		if response.StatusCode != http.StatusServiceUnavailable || response.Header.Get(standin.HeaderNotRun) != "true" {
@@ -182,7 +182,7 @@
 		exchange(t, http.MethodGet, address+"/journal", "", &page)
 		entries = len(page.Entries)
 	}
-	server.Inject(standin.FaultOrder{Kind: engine.FaultDie, DurationMs: 3_600_000})
+	server.Inject(standin.FaultRequest{Kind: engine.FaultDie, DurationMs: 3_600_000})
 	if measured := <-done; measured.Outcome != load.OutcomeConnection {
 		t.Fatalf("%+v", measured)
 	}
@@ -193,13 +193,13 @@
 
 // TestOrdersLoadFromTheStore loads a version over HTTP; a stale fence is refused.
 func TestOrdersLoadFromTheStore(t *testing.T) {
-	store := httptest.NewServer(standin.NewWeights(200_000, 1e9).Handler())
+	store := httptest.NewServer(standin.NewWeightStore(200_000, 1e9).Handler())
 	defer store.Close()
 	config := fastConfig()
 	config.Loaded = []string{"m@v1"}
 	_, address := startEngine(t, standin.EngineOptions{Config: config, WeightsURL: store.URL})
 	order := `{"fence":5,"action":"load_model","model":"m","version":"v2","weights_id":"w2"}`
-	var fence standin.FenceAnswer
+	var fence standin.FenceResponse
 	if response := exchange(t, http.MethodPost, address+"/orders", order, &fence); response.StatusCode != http.StatusAccepted || fence.Fence != 5 {
 		t.Fatalf("%d %+v", response.StatusCode, fence)
 	}
@@ -260,7 +260,7 @@
 		})
 	}
 	calls.Wait()
-	service.Inject(standin.FaultOrder{Kind: engine.FaultRefuse, Count: 1})
+	service.Inject(standin.FaultRequest{Kind: engine.FaultRefuse, Count: 1})
 	if measured := client.Do(context.Background(), load.Call{Target: address, Path: "/slots"}, time.Now()); measured.Outcome != load.OutcomeNotRun {
 		t.Fatalf("%+v", measured)
 	}
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -36,43 +36,43 @@
 
 // WeightsCommand is `rockwind-bench weights`: the weight store.
 type WeightsCommand struct {
-	Process
+	ServerFlags
 	Rate  float64 `help:"Rate in bytes a second, over all readers." default:"100e6"`
 	Bytes int64   `help:"Size of every set of weights in bytes." default:"200000000"`
 }
 
-// Weights is a weight store with a rate limit over all its readers.
-type Weights struct {
+// WeightStore is a weight store with a rate limit over all its readers.
+type WeightStore struct {
 	size     int64
 	limiter  *rate.Limiter
 	reading  atomic.Int64
 	finished atomic.Int64
 }
 
-// WeightsStatus is the body of GET /status of the weight store.
-type WeightsStatus struct {
+// WeightStoreStatus is the body of GET /status of the weight store.
+type WeightStoreStatus struct {
 	Reading  int64 `json:"reading"`
 	Finished int64 `json:"finished"`
 }
 
-// NewWeights returns a store that gives size bytes for every identity, at
+// NewWeightStore returns a store that gives size bytes for every identity, at
 // bytesPerSecond over all readers.
-func NewWeights(size int64, bytesPerSecond float64) *Weights {
-	return &Weights{size: size, limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), weightsChunk)}
+func NewWeightStore(size int64, bytesPerSecond float64) *WeightStore {
+	return &WeightStore{size: size, limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), weightsChunk)}
 }
 
 // Handler returns the HTTP interface of the store.
-func (w *Weights) Handler() http.Handler {
+func (w *WeightStore) Handler() http.Handler {
 	router := chi.NewRouter()
 	router.Get("/healthz", func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusOK) })
 	router.Get("/status", func(writer http.ResponseWriter, _ *http.Request) {
-		writeJSON(writer, http.StatusOK, WeightsStatus{Reading: w.reading.Load(), Finished: w.finished.Load()})
+		writeJSON(writer, http.StatusOK, WeightStoreStatus{Reading: w.reading.Load(), Finished: w.finished.Load()})
 	})
 	router.Get("/weights/{id}", w.serve)
 	return router
 }
 
-func (w *Weights) serve(writer http.ResponseWriter, request *http.Request) {
+func (w *WeightStore) serve(writer http.ResponseWriter, request *http.Request) {
 	w.reading.Add(1)
 	defer w.reading.Add(-1)
 	writer.Header().Set("Content-Type", "application/octet-stream")
@@ -93,5 +93,5 @@
 
 // Run serves the weight store until a signal ends it.
 func (c *WeightsCommand) Run() error {
-	return c.serve(NewWeights(c.Bytes, c.Rate).Handler())
+	return c.serve(NewWeightStore(c.Bytes, c.Rate).Handler())
 }
