--- a/internal/router/queue_test.go
+++ b/internal/router/queue_test.go
@@ -10,17 +10,17 @@
 
 	"rockwind.example/rockwind/internal/balance"
 	"rockwind.example/rockwind/internal/fault"
-	"rockwind.example/rockwind/internal/gate"
+	"rockwind.example/rockwind/internal/featuregate"
 	"rockwind.example/rockwind/internal/health"
 	"rockwind.example/rockwind/internal/loadshare"
 	"rockwind.example/rockwind/internal/router"
-	"rockwind.example/rockwind/internal/waiting"
+	"rockwind.example/rockwind/internal/waitqueue"
 )
 
 // requestOf returns a request of a tenant with the given maximum wait.
 func requestOf(tenant string, maxWait time.Duration) router.AcquireRequest {
 	return router.AcquireRequest{
-		Service: "app", Tenant: waiting.Tenant{Name: tenant}, StartBy: time.Now().Add(time.Second), MaxWait: maxWait,
+		Service: "app", Tenant: waitqueue.Tenant{Name: tenant}, StartBy: time.Now().Add(time.Second), MaxWait: maxWait,
 	}
 }
 
@@ -35,7 +35,7 @@
 }
 
 func newQueueTest(t *testing.T, slots int, off ...string) *queueTest {
-	c := &queueTest{t: t, dispatcher: newDispatcher(uint32(slots), gate.NewSet(off))}
+	c := &queueTest{t: t, dispatcher: newDispatcher(uint32(slots), featuregate.NewSet(off))}
 	for range slots {
 		lease, err := c.dispatcher.Acquire(t.Context(), requestOf("flood", time.Minute))
 		if err != nil {
@@ -164,7 +164,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		here, there := newQueueTest(t, 2), newQueueTest(t, 2)
 		lower := requestOf("", time.Minute)
-		lower.Priority = waiting.Priority{Route: 1}
+		lower.Priority = waitqueue.Priority{Route: 1}
 		for range 6 {
 			here.addWaiter(lower)
 			there.addWaiter(lower)
@@ -184,7 +184,7 @@
 
 func lowPriorityRequest(maxWait time.Duration) router.AcquireRequest {
 	request := requestOf("", maxWait)
-	request.Priority = waiting.Priority{Route: 1}
+	request.Priority = waitqueue.Priority{Route: 1}
 	return request
 }
 
@@ -232,7 +232,7 @@
 // of the time.
 func TestRetryAfterFollowsTenantShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		dispatcher := newDispatcher(1, gate.Set{})
+		dispatcher := newDispatcher(1, featuregate.Set{})
 		serve := func(ask router.AcquireRequest) {
 			lease, err := dispatcher.Acquire(t.Context(), ask)
 			if err != nil {
