--- a/internal/engine/config.go
+++ b/internal/engine/config.go
@@ -5,88 +5,88 @@
 	"time"
 )
 
-// Sizes that the engine protocol fixes.
+// Sizes defined by the engine protocol.
 const (
-	// BlockBytes is the length of a block of the prefix cache in bytes of prompt.
+	// BlockBytes is the size of a prefix cache block in bytes of the prompt.
 	BlockBytes = 256
-	// BytesPerToken is the number of bytes of prompt that count as one token.
+	// BytesPerToken is the number of prompt bytes counted as one token.
 	BytesPerToken = 4
-	// TokensPerBlock is the length of a block in tokens.
+	// TokensPerBlock is the size of a prefix cache block in tokens.
 	TokensPerBlock = BlockBytes / BytesPerToken
 )
 
-// Priorities that rockwind uses. Lower runs first.
+// Priorities used by rockwind. Lower values run first.
 const (
 	// PriorityOnline is the priority of online requests.
 	PriorityOnline = 0
-	// PriorityBatch is the priority of batch items. Every request with this
-	// priority or a higher number counts as batch.
+	// PriorityBatch is the priority of batch items. Requests with this or a
+	// higher value are treated as batch.
 	PriorityBatch = 10
 )
 
-// Never is the time of an event that will not come.
+// Never is the time of an event that is not scheduled.
 const Never = time.Duration(math.MaxInt64)
 
-// Config holds the parameters of one engine. DefaultConfig gives values that
-// are plausible for an 8-billion-parameter model on a mid-range accelerator.
+// Config holds the parameters of one engine. The defaults in DefaultConfig
+// approximate an 8-billion-parameter model on a mid-range accelerator.
 type Config struct {
-	// BaseStep is the time of a step that does nothing: reading the weights.
+	// BaseStep is the fixed duration of a step: reading the weights.
 	BaseStep time.Duration
-	// PerSequence is the time that each decoding sequence adds to a step.
+	// PerSequence is the step time added per decoding sequence.
 	PerSequence time.Duration
-	// PerPrefillToken is the time that each prefilled token adds to a step.
+	// PerPrefillToken is the step time added per prefilled token.
 	PerPrefillToken time.Duration
-	// PerAttendedToken is the time that each token of KV read adds to a step.
+	// PerAttendedToken is the step time added per token of KV that is read.
 	PerAttendedToken time.Duration
-	// StepJitter is the largest fraction by which a step is longer than its cost.
+	// StepJitter is the maximum random increase of the step time, as a fraction.
 	StepJitter float64
 
-	// MaxSequences is the number of places in a step.
+	// MaxSequences is the maximum number of sequences in a step.
 	MaxSequences int
-	// MaxWaiting is the number of requests that may wait for a place; more are
-	// refused.
+	// MaxWaiting is the maximum length of the waiting queue; requests beyond it
+	// are refused.
 	MaxWaiting int
-	// KVCapacity is the memory for KV in tokens, prefix cache included.
+	// KVCapacity is the size of the KV memory in tokens, including the prefix cache.
 	KVCapacity int
-	// PrefillChunk is the number of prompt tokens that a step may prefill.
+	// PrefillChunk is the maximum number of prompt tokens prefilled in a step.
 	PrefillChunk int
-	// TokensPerStep is the number of tokens that a step gives to a decoding
-	// sequence; above one it stands for multi-step or speculative decoding.
+	// TokensPerStep is the number of tokens that a decoding sequence produces in
+	// a step; values above one model multi-step or speculative decoding.
 	TokensPerStep int
-	// PrefixBlocks bounds the prefix cache in blocks; zero turns it off.
+	// PrefixBlocks is the capacity of the prefix cache in blocks; zero disables it.
 	PrefixBlocks int
 
-	// Retention is how long a request without a reader, or a finished one, stays
-	// known for a resume. Zero forgets a finished request at once.
+	// Retention is how long a finished request, or one without a reader, can be
+	// resumed. Zero removes a finished request immediately.
 	Retention time.Duration
-	// ReportLag is the age of a load report.
+	// ReportLag is the delay after which a load report becomes visible.
 	ReportLag time.Duration
-	// CacheEventLag is the age at which a cache event is published.
+	// CacheEventLag is the delay after which a cache event is published.
 	CacheEventLag time.Duration
-	// CacheEventLoss is the probability that the log of cache events is cut at
-	// an event, so that readers find a gap.
+	// CacheEventLoss is the probability that an event is lost together with the
+	// log before it, which readers see as a gap.
 	CacheEventLoss float64
-	// CacheEventLog bounds the cache events kept for readers.
+	// CacheEventLog is the number of cache events kept for readers.
 	CacheEventLog int
 
-	// Loaded names what is loaded at the start, as "model@version",
-	// "model:adapter" or "model". Empty accepts every model.
+	// Loaded lists the models and adapters loaded at startup, as "model@version",
+	// "model:adapter" or "model". If empty, the engine accepts every model.
 	Loaded []string
-	// WeightsRate is the rate of loading in bytes a second.
+	// WeightsRate is the loading rate in bytes per second.
 	WeightsRate float64
-	// WeightsBytes is the size of weights whose order names no size.
+	// WeightsBytes is the weight size assumed when an order does not specify one.
 	WeightsBytes int64
-	// Role is the role at the start.
+	// Role is the initial role.
 	Role Role
 
-	// OmitIntermediateTokens leaves out the token events between the first token and
-	// the end, for simulations that do not look at them.
+	// OmitIntermediateTokens suppresses the token events between the first and the
+	// last one, for simulations that do not need them.
 	OmitIntermediateTokens bool
-	// KeepOnlineTokens keeps the token events of online requests all the same.
+	// KeepOnlineTokens exempts online requests from OmitIntermediateTokens.
 	KeepOnlineTokens bool
 }
 
-// DefaultConfig returns the parameters of a mid-range accelerator.
+// DefaultConfig returns parameters that approximate a mid-range accelerator.
 func DefaultConfig() Config {
 	return Config{
 		BaseStep:         12 * time.Millisecond,
@@ -110,8 +110,8 @@
 	}
 }
 
-// FastConfig returns the parameters of an engine that costs little to run and
-// produces tokens quickly, for measurements of what stands before it.
+// FastConfig returns the parameters of a fast engine with low overhead, for
+// benchmarks of the components in front of it.
 func FastConfig() Config {
 	config := DefaultConfig()
 	config.BaseStep = 5 * time.Millisecond
@@ -128,8 +128,8 @@
 	return config
 }
 
-// Scale returns the configuration with every duration multiplied by factor;
-// below one the engine runs faster than its parameters say.
+// Scale returns the configuration with the step and loading times multiplied by
+// factor; a factor below one makes the engine faster.
 func (c Config) Scale(factor float64) Config {
 	scale := func(value time.Duration) time.Duration {
 		return time.Duration(float64(value) * factor)
@@ -142,7 +142,7 @@
 	return c
 }
 
-// normalized replaces values that would stop the engine.
+// normalized replaces values with which the engine could make no progress.
 func (c Config) normalized() Config {
 	c.MaxSequences = max(c.MaxSequences, 1)
 	c.KVCapacity = max(c.KVCapacity, 1)
@@ -156,7 +156,7 @@
 	return c
 }
 
-// reportsTokens tells whether a sequence gets an event for each of its tokens.
-func (c *Config) reportsTokens(entry *sequence) bool {
-	return !c.OmitIntermediateTokens || (c.KeepOnlineTokens && !entry.batch())
+// reportsTokens reports whether token events are emitted in every step of a sequence.
+func (c *Config) reportsTokens(seq *sequence) bool {
+	return !c.OmitIntermediateTokens || (c.KeepOnlineTokens && !seq.batch())
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,13 +1,12 @@
-// Package engine models a model engine that batches continuously: requests wait
-// by priority for a place, steps mix decoding with chunked prefill, KV memory
-// is bounded, and prompt prefixes are cached. The model is pure: time and
-// randomness are arguments, so that the same code serves behind HTTP in real
-// time and by the thousand in a simulation in virtual time.
+// Package engine models an inference engine with continuous batching: requests
+// wait in a priority queue, steps mix decoding with chunked prefill, KV memory is
+// bounded, and prompt prefixes are cached. Time and randomness are supplied by
+// the caller, so the same code runs behind HTTP in real time and in simulations
+// in virtual time.
 //
-// All times are durations since an origin that the caller chooses; they must
-// not go backwards, and a caller brings the engine to the present with Advance
-// before it calls another method. An Engine has one owner: its methods are not safe for
-// concurrent use.
+// All times are durations since an origin chosen by the caller and must not
+// decrease. Call Advance with the current time before calling other methods. An
+// Engine is not safe for concurrent use.
 package engine
 
 import (
@@ -20,25 +19,25 @@
 	config Config
 	random *rand.Rand
 
-	// known holds every request that is not forgotten, by identity.
-	known   map[string]*sequence
-	waiting waitingQueue
-	// running holds the sequences that have a place, best first.
+	// sequences holds all requests that have not been removed yet, by request ID.
+	sequences map[string]*sequence
+	waiting   waitingQueue
+	// running holds the sequences in the batch, in scheduling order.
 	running []*sequence
-	// kept holds sequences without a place whose KV is still in memory.
-	kept  []*sequence
-	cache *prefixCache
-	// kvTokens is the KV held by sequences, cached blocks not included.
+	// evictable holds sequences outside the batch whose KV is still in memory.
+	evictable []*sequence
+	cache     *prefixCache
+	// kvTokens is the KV held by sequences in tokens, without cached blocks.
 	kvTokens int
 	arrivals uint64
 	rotation int
-	// order is reused by every step.
-	order []*sequence
+	// stepOrder is a buffer reused by every step.
+	stepOrder []*sequence
 
-	stepping  bool
-	stepEnd   time.Duration
-	stepBegin time.Duration
-	lastStep  time.Duration
+	stepInProgress bool
+	stepEnd        time.Duration
+	stepBegin      time.Duration
+	lastStep       time.Duration
 
 	timers  timerQueue
 	pending []Event
@@ -48,39 +47,39 @@
 	totals  Totals
 }
 
-// Totals counts what an engine did since it began.
+// Totals holds counters accumulated since the engine was created.
 type Totals struct {
 	Submitted, Refused                   uint64
 	Finished, Cancelled, Expired, Lost   uint64
 	Preempted, TokensOnline, TokensBatch uint64
-	// PrefillTokens were computed, PrefixTokens were taken from the cache.
+	// PrefillTokens were computed; PrefixTokens were served from the prefix cache.
 	PrefillTokens, PrefixTokens uint64
 	// Busy is the time spent in steps.
 	Busy time.Duration
 }
 
-// New returns an idle engine. The random source belongs to the engine.
+// New returns an idle engine, which takes ownership of the random source.
 func New(config Config, random *rand.Rand) *Engine {
 	config = config.normalized()
 	engine := &Engine{
-		config: config,
-		random: random,
-		known:  map[string]*sequence{},
-		cache:  newPrefixCache(config, random.Float64),
+		config:    config,
+		random:    random,
+		sequences: map[string]*sequence{},
+		cache:     newPrefixCache(config, random.Float64),
 	}
 	engine.orders = newOrderState(config)
 	engine.reports = newReportHistory(config.ReportLag)
-	engine.record(0)
+	engine.recordReport(0)
 	return engine
 }
 
-// Totals returns what the engine did since it began.
+// Totals returns the counters accumulated since the engine was created.
 func (e *Engine) Totals() Totals {
 	return e.totals
 }
 
-// Submit hands a request to the engine. A request that is refused did not run
-// and gets no event.
+// Submit adds a request to the engine. A refused request does not run and
+// produces no events.
 func (e *Engine) Submit(now time.Duration, request Request) (Refusal, bool) {
 	if refusal := e.refusal(now, request); refusal != RefusalNone {
 		e.totals.Refused++
@@ -88,12 +87,12 @@
 	}
 	request.PromptTokens = max(request.PromptTokens, 1)
 	e.arrivals++
-	entry := &sequence{request: request, arrival: e.arrivals, place: notWaiting, attached: true}
-	e.known[request.ID] = entry
+	seq := &sequence{request: request, arrival: e.arrivals, queueIndex: notQueued, hasReader: true}
+	e.sequences[request.ID] = seq
 	e.totals.Submitted++
-	e.waiting.push(entry)
-	e.begin(now)
-	e.record(now)
+	e.waiting.push(seq)
+	e.startStep(now)
+	e.recordReport(now)
 	return RefusalNone, true
 }
 
@@ -105,7 +104,7 @@
 		return RefusalFault
 	case request.ID == "" || request.MaxTokens < 1:
 		return RefusalInvalid
-	case e.known[request.ID] != nil:
+	case e.sequences[request.ID] != nil:
 		return RefusalDuplicate
 	case request.PromptTokens+request.MaxTokens > e.config.KVCapacity:
 		return RefusalTooLong
@@ -122,103 +121,103 @@
 	}
 }
 
-// NextEvent returns when Advance has something to do next, and false when
-// nothing will happen without another call.
+// NextEvent returns the time at which Advance has work to do next, or false if
+// nothing is scheduled.
 func (e *Engine) NextEvent() (time.Duration, bool) {
 	if len(e.pending) > 0 {
 		return e.pending[0].At, true
 	}
 	next := e.timers.next()
-	if e.stepping && !e.faults.hung {
+	if e.stepInProgress && !e.faults.hung {
 		next = min(next, e.stepEnd)
 	}
 	return next, next != Never
 }
 
-// Advance moves the engine to the time now, appends what happened to events and
-// returns them. The caller owns the buffer.
+// Advance processes everything scheduled up to now and returns events with the
+// resulting events appended. The caller owns the buffer.
 func (e *Engine) Advance(now time.Duration, events []Event) []Event {
 	for {
 		if len(e.pending) > 0 {
 			events = append(events, e.pending...)
 			e.pending = e.pending[:0]
 		}
-		at, some := e.NextEvent()
-		if !some || at > now {
+		at, ok := e.NextEvent()
+		if !ok || at > now {
 			return events
 		}
-		if e.stepping && !e.faults.hung && e.stepEnd == at {
+		if e.stepInProgress && !e.faults.hung && e.stepEnd == at {
 			e.finishStep(at)
 		} else {
-			e.fire(at)
+			e.runTimer(at)
 		}
-		e.begin(at)
-		e.record(at)
+		e.startStep(at)
+		e.recordReport(at)
 	}
 }
 
-// Cancel stops a request. It tells whether this call stopped it; the event
-// follows with the next Advance.
+// Cancel stops a request and reports whether it was still in progress. The event
+// is returned by the next Advance.
 func (e *Engine) Cancel(now time.Duration, id string) bool {
-	entry := e.known[id]
-	if entry == nil || entry.state == stateFinished {
+	seq := e.sequences[id]
+	if seq == nil || seq.state == stateFinished {
 		return false
 	}
-	e.end(now, entry, EventCancelled)
-	e.begin(now)
-	e.record(now)
+	e.abort(now, seq, EventCancelled)
+	e.startStep(now)
+	e.recordReport(now)
 	return true
 }
 
-// Pause takes a request out of the steps. Its KV stays while memory lasts. It
-// tells whether the request was running or waiting.
+// Pause suspends a request; its KV stays in memory until the memory is needed. It
+// reports whether the request was running or waiting.
 func (e *Engine) Pause(now time.Duration, id string) bool {
-	entry := e.known[id]
-	if entry == nil || (entry.state != stateRunning && entry.state != stateWaiting) {
+	seq := e.sequences[id]
+	if seq == nil || (seq.state != stateRunning && seq.state != stateWaiting) {
 		return false
 	}
-	e.leavePlace(entry)
-	entry.state = statePaused
-	e.begin(now)
-	e.record(now)
+	e.deschedule(seq)
+	seq.state = statePaused
+	e.startStep(now)
+	e.recordReport(now)
 	return true
 }
 
-// Unpause lets a paused request wait for a place again. It tells whether the
+// Unpause returns a paused request to the waiting queue. It reports whether the
 // request was paused.
 func (e *Engine) Unpause(now time.Duration, id string) bool {
-	entry := e.known[id]
-	if entry == nil || entry.state != statePaused {
+	seq := e.sequences[id]
+	if seq == nil || seq.state != statePaused {
 		return false
 	}
-	entry.state = stateWaiting
-	e.waiting.push(entry)
-	e.begin(now)
-	e.record(now)
+	seq.state = stateWaiting
+	e.waiting.push(seq)
+	e.startStep(now)
+	e.recordReport(now)
 	return true
 }
 
-// Progress returns how many prompt and answer tokens of a request are done, and
-// whether the request is known and not over.
-func (e *Engine) Progress(id string) (prompt, answer int, some bool) {
-	entry := e.known[id]
-	if entry == nil || entry.state == stateFinished {
+// Progress returns the number of prompt tokens processed and output tokens
+// produced for a request, and whether the request is in progress.
+func (e *Engine) Progress(id string) (prompt, output int, ok bool) {
+	seq := e.sequences[id]
+	if seq == nil || seq.state == stateFinished {
 		return 0, 0, false
 	}
-	return min(entry.computed, entry.request.PromptTokens), entry.produced, true
+	return min(seq.computed, seq.request.PromptTokens), seq.produced, true
 }
 
-// Running returns the number of requests that have a place.
+// Running returns the number of requests in the batch.
 func (e *Engine) Running() int {
 	return len(e.running)
 }
 
-// Waiting returns the number of requests that wait for a place.
+// Waiting returns the length of the waiting queue.
 func (e *Engine) Waiting() int {
 	return e.waiting.length()
 }
 
-// KVTokens returns the memory in use in tokens, prefix cache included.
+// KVTokens returns the KV memory in use in tokens, including the prefix cache.
 func (e *Engine) KVTokens() int {
 	return e.kvTokens + len(e.cache.blocks)*TokensPerBlock
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -26,19 +26,19 @@
 	}
 	first, second := run(), run()
 	if !slices.Equal(first, second) {
-		t.Fatal("two runs with one seed differ")
+		t.Fatal("two runs with the same seed differ")
 	}
 	if len(first) < 300*20 {
-		t.Fatalf("only %d events", len(first))
+		t.Fatalf("got %d events, want at least 6000", len(first))
 	}
 }
 
-// drain advances the engine until nothing is left to do, or to the limit.
+// drain advances the engine until nothing is scheduled before the limit.
 func drain(engine *Engine, limit time.Duration) []Event {
 	var events []Event
 	for {
-		at, some := engine.NextEvent()
-		if !some || at > limit {
+		at, ok := engine.NextEvent()
+		if !ok || at > limit {
 			return events
 		}
 		events = engine.Advance(at, events)
@@ -53,10 +53,8 @@
 	return events[index], true
 }
 
-// TestOnlineTimesDoNotDependOnWaitingBatch submits the same online requests to
-// an engine alone and to one whose places and memory are full of batch. Places
-// and prefill go to online first, so that it starts at the first step that
-// begins after its arrival.
+// An online request must start with the next step and get its first token within
+// one step, even if batch requests occupy the whole batch and the memory.
 func TestOnlineTimesDoNotDependOnWaitingBatch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := DefaultConfig()
@@ -73,20 +71,20 @@
 		events = append(events, drain(engine, arrival+time.Second)...)
 		started, found := find(events, EventStarted, "o")
 		if !found || started.At > max(stepEnd, arrival) {
-			t.Fatalf("online started at %v; the step in progress ended at %v", started.At, stepEnd)
+			t.Fatalf("online request started at %v, want at most %v, the end of the step in progress", started.At, stepEnd)
 		}
 		first, _ := find(events, EventTokens, "o")
-		// One step prefills the whole prompt; batch gets the rest of the chunk and
-		// decodes.
+		// One step prefills the whole prompt; batch sequences get the rest of the
+		// chunk and decode.
 		longest := config.BaseStep + time.Duration(config.PrefillChunk)*config.PerPrefillToken +
 			time.Duration(config.MaxSequences)*config.PerSequence + time.Duration(config.KVCapacity)*config.PerAttendedToken
 		if first.At-started.At > longest {
-			t.Fatalf("the first token took %v from the start, a step at most %v", first.At-started.At, longest)
+			t.Fatalf("first token %v after the start, want at most %v", first.At-started.At, longest)
 		}
 	})
 }
 
-// TestCachedPrefixSkipsPrefill asks the same prompt twice.
+// A repeated prompt must reuse the cached blocks instead of computing them again.
 func TestCachedPrefixSkipsPrefill(t *testing.T) {
 	engine := New(DefaultConfig(), rand.New(rand.NewSource(1)))
 	chain := []uint64{11, 12, 13, 14}
@@ -99,18 +97,17 @@
 	drain(engine, 2*time.Second)
 	after := engine.Totals()
 	if computed := after.PrefillTokens - before.PrefillTokens; computed != 10 {
-		t.Fatalf("the second prompt computed %d tokens", computed)
+		t.Fatalf("second request prefilled %d tokens, want 10", computed)
 	}
 	if engine.CachedBlocks(chain) != 4 {
-		t.Fatalf("%d blocks are cached", engine.CachedBlocks(chain))
+		t.Fatalf("%d blocks are cached, want 4", engine.CachedBlocks(chain))
 	}
 }
 
-// TestKeptKVIsNotComputedAgain pauses a request in the middle: with memory left
-// it goes on decoding; when another request needed the memory, its prompt and
-// what it had produced are computed again.
-func TestKeptKVIsNotComputedAgain(t *testing.T) {
-	for _, crowded := range []bool{false, true} {
+// A paused request keeps its KV and is not prefilled again, unless another request
+// needed the memory in the meantime.
+func TestKVOfPausedRequestIsNotRecomputed(t *testing.T) {
+	for _, memoryFull := range []bool{false, true} {
 		config := DefaultConfig()
 		config.KVCapacity = 1000
 		engine := New(config, rand.New(rand.NewSource(1)))
@@ -118,7 +115,7 @@
 		events := engine.Advance(500*time.Millisecond, nil)
 		produced := events[len(events)-1].Sequence
 		engine.Pause(500*time.Millisecond, "paused")
-		if crowded {
+		if memoryFull {
 			engine.Submit(500*time.Millisecond, Request{ID: "other", PromptTokens: 800, MaxTokens: 2})
 			drain(engine, 2*time.Second)
 		}
@@ -127,14 +124,14 @@
 		events = drain(engine, time.Minute)
 		computed := int(engine.Totals().PrefillTokens - before)
 		wanted := 0
-		if crowded {
+		if memoryFull {
 			wanted = 500 + produced
 		}
 		if computed != wanted {
-			t.Fatalf("crowded %t: %d tokens were computed after the pause, not %d", crowded, computed, wanted)
+			t.Fatalf("memory full %t: prefilled %d tokens after the pause, want %d", memoryFull, computed, wanted)
 		}
 		if finished, found := find(events, EventFinished, "paused"); !found || finished.Sequence != 100 {
-			t.Fatalf("crowded %t: finished %t with %d tokens", crowded, found, finished.Sequence)
+			t.Fatalf("memory full %t: finished %t with %d tokens, want 100", memoryFull, found, finished.Sequence)
 		}
 	}
 }
--- a/internal/engine/faults.go
+++ b/internal/engine/faults.go
@@ -7,34 +7,33 @@
 	"time"
 )
 
-// FaultKind is a way in which an engine fails.
+// FaultKind is the type of an injected fault.
 type FaultKind string
 
-// The kinds of fault.
 const (
-	// FaultNone ends every fault.
+	// FaultNone clears all faults.
 	FaultNone FaultKind = "none"
-	// FaultDie loses every request and the cache. After Duration, when it is
-	// set, the engine comes back empty.
+	// FaultDie drops all requests and the cache. If Duration is set, the engine
+	// restarts empty after it.
 	FaultDie FaultKind = "die"
-	// FaultHang stops all steps, for Duration when it is set.
+	// FaultHang stops all steps, for Duration if it is set.
 	FaultHang FaultKind = "hang"
-	// FaultStall delays the step in progress or the next one by Duration.
+	// FaultStall delays the end of the step in progress, or the next step, by Duration.
 	FaultStall FaultKind = "stall"
-	// FaultSlow makes steps longer by Factor.
+	// FaultSlow multiplies step times by Factor, for Duration if it is set.
 	FaultSlow FaultKind = "slow"
-	// FaultTruncate cuts the streams of the next Count requests to start after
-	// Tokens tokens.
+	// FaultTruncate breaks the streams of the next Count requests that start,
+	// after Tokens tokens.
 	FaultTruncate FaultKind = "truncate"
-	// FaultDelayFinish delivers the ends of the next Count answers late by Duration.
+	// FaultDelayFinish delays the last events of the next Count requests by Duration.
 	FaultDelayFinish FaultKind = "late"
-	// FaultRefuse refuses the next Count requests, or for Duration.
+	// FaultRefuse refuses the next Count requests, or all requests for Duration.
 	FaultRefuse FaultKind = "refuse"
-	// FaultReportIdle reports an idle engine, for Duration when it is set.
+	// FaultReportIdle reports zero load, for Duration if it is set.
 	FaultReportIdle FaultKind = "lie"
 )
 
-// Fault is an order to fail.
+// Fault describes a fault to inject. Which fields apply depends on Kind.
 type Fault struct {
 	Kind     FaultKind     `json:"kind"`
 	Duration time.Duration `json:"duration,omitempty"`
@@ -43,36 +42,36 @@
 	Tokens   int           `json:"tokens,omitempty"`
 }
 
-// faultState is what faults do at present.
+// faultState holds the faults in effect.
 type faultState struct {
-	dead, hung   bool
-	stalledUntil time.Duration
-	slowFactor   float64
-	slowUntil    time.Duration
-	lieUntil     time.Duration
-	refuseUntil  time.Duration
-	refuseCount  int
+	dead, hung      bool
+	stalledUntil    time.Duration
+	slowFactor      float64
+	slowUntil       time.Duration
+	reportIdleUntil time.Duration
+	refuseUntil     time.Duration
+	refuseCount     int
 
 	truncateCount, truncateTokens int
-	late                          lateFault
-	// recovery names the timer that ends a hang or a death.
+	finishDelay                   finishDelay
+	// recovery is the timer that ends FaultDie or FaultHang.
 	recovery timerID
 }
 
-type lateFault struct {
+type finishDelay struct {
 	count    int
 	duration time.Duration
 }
 
-// until returns the end of a fault: without a duration it does not end.
-func until(now, duration time.Duration) time.Duration {
+// faultEnd returns the end of a fault; without a duration, it does not end.
+func faultEnd(now, duration time.Duration) time.Duration {
 	if duration <= 0 {
 		return Never
 	}
 	return now + duration
 }
 
-// Inject makes the engine fail as the fault says, from now on.
+// Inject applies a fault from now on.
 func (e *Engine) Inject(now time.Duration, fault Fault) {
 	switch fault.Kind {
 	case FaultNone:
@@ -86,35 +85,35 @@
 		e.scheduleRecovery(now, fault)
 	case FaultStall:
 		e.faults.stalledUntil = now + fault.Duration
-		if e.stepping {
+		if e.stepInProgress {
 			e.stepEnd += fault.Duration
 		}
 	case FaultSlow:
 		e.faults.slowFactor = max(fault.Factor, 1)
-		e.faults.slowUntil = until(now, fault.Duration)
+		e.faults.slowUntil = faultEnd(now, fault.Duration)
 	case FaultTruncate:
 		e.faults.truncateCount = max(fault.Count, 1)
 		e.faults.truncateTokens = max(fault.Tokens, 1)
 	case FaultDelayFinish:
-		e.faults.late = lateFault{count: max(fault.Count, 1), duration: fault.Duration}
+		e.faults.finishDelay = finishDelay{count: max(fault.Count, 1), duration: fault.Duration}
 	case FaultRefuse:
 		e.faults.refuseCount = fault.Count
 		if fault.Count == 0 {
-			e.faults.refuseUntil = until(now, fault.Duration)
+			e.faults.refuseUntil = faultEnd(now, fault.Duration)
 		}
 	case FaultReportIdle:
-		e.faults.lieUntil = until(now, fault.Duration)
+		e.faults.reportIdleUntil = faultEnd(now, fault.Duration)
 	}
-	e.begin(now)
-	e.record(now)
+	e.startStep(now)
+	e.recordReport(now)
 }
 
-// Dead tells whether the engine is dead.
+// Dead reports whether the engine is down after FaultDie.
 func (e *Engine) Dead() bool {
 	return e.faults.dead
 }
 
-// Hung tells whether a fault has stopped the steps.
+// Hung reports whether steps are stopped by FaultHang.
 func (e *Engine) Hung() bool {
 	return e.faults.hung
 }
@@ -126,40 +125,40 @@
 	}
 }
 
-// recover ends a hang or a death.
+// recover ends FaultDie and FaultHang.
 func (e *Engine) recover(now time.Duration) {
 	e.faults.dead = false
 	e.faults.hung = false
 	e.faults.recovery = 0
-	if e.stepping {
+	if e.stepInProgress {
 		e.stepEnd = max(e.stepEnd, now)
 	}
 }
 
-// die loses everything in memory.
+// die drops all requests and the cache and resets all orders except the fence.
 func (e *Engine) die(now time.Duration) {
 	e.faults.dead = true
 	e.faults.hung = false
-	for _, entry := range e.byArrival() {
-		if entry.state != stateFinished || entry.lateTokens > 0 {
-			e.end(now, entry, EventLost)
+	for _, seq := range e.byArrival() {
+		if seq.state != stateFinished || seq.delayedTokens > 0 {
+			e.abort(now, seq, EventLost)
 		}
 	}
-	clear(e.known)
-	e.stepping = false
+	clear(e.sequences)
+	e.stepInProgress = false
 	e.timers.items = nil
 	e.cache.clear()
 	e.orders = newOrderState(e.config).withFence(e.orders.fence)
 }
 
-// byArrival returns the known sequences in a fixed order.
+// byArrival returns all sequences in order of arrival, for deterministic iteration.
 func (e *Engine) byArrival() []*sequence {
-	entries := slices.Collect(maps.Values(e.known))
+	entries := slices.Collect(maps.Values(e.sequences))
 	slices.SortFunc(entries, func(a, b *sequence) int { return cmp.Compare(a.arrival, b.arrival) })
 	return entries
 }
 
-// refuses tells whether a fault refuses the request at hand.
+// refuses reports whether a fault refuses the current request, and counts it.
 func (f *faultState) refuses(now time.Duration) bool {
 	if f.refuseCount > 0 {
 		f.refuseCount--
@@ -168,7 +167,7 @@
 	return now < f.refuseUntil
 }
 
-// slowed returns the cost of a step under the fault in force.
+// slowed returns the step time under FaultSlow.
 func (f *faultState) slowed(cost, now time.Duration) time.Duration {
 	if f.slowFactor > 1 && now < f.slowUntil {
 		return time.Duration(float64(cost) * f.slowFactor)
@@ -176,19 +175,19 @@
 	return cost
 }
 
-// mark chooses the streams to cut as their requests start.
-func (f *faultState) mark(entry *sequence) {
+// markTruncated applies FaultTruncate to a sequence that starts.
+func (f *faultState) markTruncated(seq *sequence) {
 	if f.truncateCount > 0 {
 		f.truncateCount--
-		entry.truncateAt = f.truncateTokens
+		seq.truncateAt = f.truncateTokens
 	}
 }
 
-// takeLate tells whether the end at hand is to be held back.
-func (f *faultState) takeLate() bool {
-	if f.late.count == 0 {
+// takeFinishDelay reports whether the current finish is delayed, and counts it.
+func (f *faultState) takeFinishDelay() bool {
+	if f.finishDelay.count == 0 {
 		return false
 	}
-	f.late.count--
+	f.finishDelay.count--
 	return true
 }
--- a/internal/engine/lifecycle.go
+++ b/internal/engine/lifecycle.go
@@ -5,62 +5,62 @@
 	"time"
 )
 
-func (e *Engine) emit(now time.Duration, entry *sequence, kind EventKind, count int) {
+func (e *Engine) emit(now time.Duration, seq *sequence, kind EventKind, count int) {
 	e.pending = append(e.pending, Event{
 		Kind:     kind,
-		ID:       entry.request.ID,
-		Tag:      entry.request.Tag,
+		ID:       seq.request.ID,
+		Tag:      seq.request.Tag,
 		At:       now,
-		Sequence: entry.produced,
+		Sequence: seq.produced,
 		Count:    count,
 	})
 }
 
-// insertRunning keeps the running sequences in order.
-func (e *Engine) insertRunning(entry *sequence) {
+// insertRunning adds a sequence to the batch at its position in scheduling order.
+func (e *Engine) insertRunning(seq *sequence) {
 	index := len(e.running)
-	for index > 0 && entry.before(e.running[index-1]) {
+	for index > 0 && seq.before(e.running[index-1]) {
 		index--
 	}
-	e.running = slices.Insert(e.running, index, entry)
+	e.running = slices.Insert(e.running, index, seq)
 }
 
-// leavePlace takes a sequence out of the step or the queue. Its KV is kept.
-func (e *Engine) leavePlace(entry *sequence) {
-	e.waiting.remove(entry)
-	if entry.state != stateRunning {
+// deschedule removes a sequence from the batch or the waiting queue but keeps its KV.
+func (e *Engine) deschedule(seq *sequence) {
+	e.waiting.remove(seq)
+	if seq.state != stateRunning {
 		return
 	}
-	e.kvTokens -= entry.plannedPrefill + entry.plannedDecode
-	entry.plannedPrefill, entry.plannedDecode = 0, 0
-	if index := slices.Index(e.running, entry); index >= 0 {
+	e.kvTokens -= seq.plannedPrefill + seq.plannedDecode
+	seq.plannedPrefill, seq.plannedDecode = 0, 0
+	if index := slices.Index(e.running, seq); index >= 0 {
 		e.running = slices.Delete(e.running, index, index+1)
 	}
-	if entry.computed > 0 {
-		e.kept = append(e.kept, entry)
+	if seq.computed > 0 {
+		e.evictable = append(e.evictable, seq)
 	}
 }
 
-// unkeep takes a sequence off the list of those whose KV may be dropped.
-func (e *Engine) unkeep(entry *sequence) {
-	if index := slices.Index(e.kept, entry); index >= 0 {
-		e.kept = slices.Delete(e.kept, index, index+1)
+// removeEvictable removes a sequence from the evictable list.
+func (e *Engine) removeEvictable(seq *sequence) {
+	if index := slices.Index(e.evictable, seq); index >= 0 {
+		e.evictable = slices.Delete(e.evictable, index, index+1)
 	}
 }
 
-// release gives the KV of a sequence back.
-func (e *Engine) release(entry *sequence) {
-	e.unkeep(entry)
-	e.kvTokens -= entry.computed + entry.plannedPrefill + entry.plannedDecode
-	entry.computed, entry.plannedPrefill, entry.plannedDecode = 0, 0, 0
+// release frees the KV of a sequence.
+func (e *Engine) release(seq *sequence) {
+	e.removeEvictable(seq)
+	e.kvTokens -= seq.computed + seq.plannedPrefill + seq.plannedDecode
+	seq.computed, seq.plannedPrefill, seq.plannedDecode = 0, 0, 0
 }
 
-// end stops a sequence that is not finished.
-func (e *Engine) end(now time.Duration, entry *sequence, kind EventKind) {
-	e.leavePlace(entry)
-	e.release(entry)
-	entry.state = stateFinished
-	delete(e.known, entry.request.ID)
+// abort ends a sequence before it has finished.
+func (e *Engine) abort(now time.Duration, seq *sequence, kind EventKind) {
+	e.deschedule(seq)
+	e.release(seq)
+	seq.state = stateFinished
+	delete(e.sequences, seq.request.ID)
 	switch kind {
 	case EventCancelled:
 		e.totals.Cancelled++
@@ -69,84 +69,84 @@
 	default:
 		e.totals.Lost++
 	}
-	e.emit(now, entry, kind, 0)
+	e.emit(now, seq, kind, 0)
 }
 
-// finish ends a sequence that has all its tokens. finishStep takes it off the
-// running sequences.
-func (e *Engine) finish(now time.Duration, entry *sequence) {
-	e.release(entry)
-	entry.state = stateFinished
+// finish ends a sequence that has produced all its tokens. finishStep removes it
+// from the batch.
+func (e *Engine) finish(now time.Duration, seq *sequence) {
+	e.release(seq)
+	seq.state = stateFinished
 	e.totals.Finished++
-	e.emit(now, entry, EventFinished, 0)
-	e.retain(now, entry)
+	e.emit(now, seq, EventFinished, 0)
+	e.retain(now, seq)
 }
 
-// retain keeps a finished sequence known for a resume.
-func (e *Engine) retain(now time.Duration, entry *sequence) {
+// retain keeps a finished sequence for the retention time, so that it can be resumed.
+func (e *Engine) retain(now time.Duration, seq *sequence) {
 	if e.config.Retention <= 0 {
-		delete(e.known, entry.request.ID)
+		delete(e.sequences, seq.request.ID)
 		return
 	}
-	entry.deadline = e.timers.add(timer{at: now + e.config.Retention, kind: timerForget, subject: entry})
+	seq.expiry = e.timers.add(timer{at: now + e.config.Retention, kind: timerForget, seq: seq})
 }
 
-// finishLate holds the end of an answer back.
-func (e *Engine) finishLate(now time.Duration, entry *sequence, decoded int) {
-	e.release(entry)
-	entry.state = stateFinished
-	entry.lateTokens = decoded
-	e.timers.add(timer{at: now + e.faults.late.duration, kind: timerLate, subject: entry})
+// finishDelayed finishes a sequence but delays its last events.
+func (e *Engine) finishDelayed(now time.Duration, seq *sequence, decoded int) {
+	e.release(seq)
+	seq.state = stateFinished
+	seq.delayedTokens = decoded
+	e.timers.add(timer{at: now + e.faults.finishDelay.duration, kind: timerDelayedFinish, seq: seq})
 }
 
-// emitLate delivers an end that was held back.
-func (e *Engine) emitLate(now time.Duration, entry *sequence) {
-	if e.known[entry.request.ID] != entry || entry.lateTokens == 0 {
+// emitDelayedFinish emits the delayed last events of a sequence.
+func (e *Engine) emitDelayedFinish(now time.Duration, seq *sequence) {
+	if e.sequences[seq.request.ID] != seq || seq.delayedTokens == 0 {
 		return
 	}
-	e.emit(now, entry, EventTokens, entry.lateTokens)
-	entry.lateTokens = 0
+	e.emit(now, seq, EventTokens, seq.delayedTokens)
+	seq.delayedTokens = 0
 	e.totals.Finished++
-	e.emit(now, entry, EventFinished, 0)
-	e.retain(now, entry)
+	e.emit(now, seq, EventFinished, 0)
+	e.retain(now, seq)
 }
 
-// makeRoom frees memory for tokens of a sequence, or leaves things as they are
-// at the point where only better sequences hold memory, and tells whether there
-// is room.
-func (e *Engine) makeRoom(now time.Duration, entry *sequence, tokens int) bool {
+// ensureMemory frees memory for tokens of a sequence and reports whether there is
+// enough. It evicts cached blocks first, then the KV of sequences outside the
+// batch, then preempts running sequences that rank after the given one.
+func (e *Engine) ensureMemory(now time.Duration, seq *sequence, tokens int) bool {
 	for e.KVTokens()+tokens > e.config.KVCapacity {
 		switch {
 		case e.cache.evict(now):
-		case e.dropKept(entry):
+		case e.evictSequence(seq):
 		default:
-			worst := e.worstRunning(entry)
-			if worst == nil {
+			lowest := e.lowestRunningAfter(seq)
+			if lowest == nil {
 				return false
 			}
-			e.preempt(now, worst)
+			e.preempt(now, lowest)
 		}
 	}
 	return true
 }
 
-// dropKept drops the KV of the worst sequence without a place.
-func (e *Engine) dropKept(other *sequence) bool {
-	var worst *sequence
-	for _, entry := range e.kept {
-		if entry != other && (worst == nil || worst.before(entry)) {
-			worst = entry
+// evictSequence frees the KV of the lowest-ranked evictable sequence.
+func (e *Engine) evictSequence(other *sequence) bool {
+	var lowest *sequence
+	for _, seq := range e.evictable {
+		if seq != other && (lowest == nil || lowest.before(seq)) {
+			lowest = seq
 		}
 	}
-	if worst == nil {
+	if lowest == nil {
 		return false
 	}
-	e.release(worst)
+	e.release(lowest)
 	return true
 }
 
-// storePrefix puts the blocks of a prompt into the cache as far as there is
-// memory for them.
+// storePrefix caches the blocks of a prompt as far as memory allows and returns
+// the number of leading blocks that are cached.
 func (e *Engine) storePrefix(now time.Duration, chain []uint64) int {
 	chain = chain[:min(len(chain), e.config.PrefixBlocks)]
 	stored := e.cache.match(chain)
--- a/internal/engine/orders.go
+++ b/internal/engine/orders.go
@@ -6,10 +6,9 @@
 	"time"
 )
 
-// Role says which requests an engine takes.
+// Role determines which requests an engine accepts.
 type Role string
 
-// The roles.
 const (
 	RoleMixed  Role = "mixed"
 	RoleOnline Role = "online"
@@ -27,10 +26,9 @@
 	}
 }
 
-// Action is what an order asks for.
+// Action is the type of an order.
 type Action string
 
-// The actions.
 const (
 	ActionLoadModel     Action = "load_model"
 	ActionUnloadModel   Action = "unload_model"
@@ -39,8 +37,8 @@
 	ActionSetRole       Action = "set_role"
 )
 
-// Order changes what an engine has loaded, or its role. Orders carry a rising
-// fence; one that is not above the last is refused.
+// Order is a command that loads or unloads a model or adapter, or sets the role.
+// Its fencing token must be higher than that of the last accepted order.
 type Order struct {
 	Fence     uint64 `json:"fence"`
 	Action    Action `json:"action"`
@@ -49,62 +47,61 @@
 	Adapter   string `json:"adapter,omitempty"`
 	WeightsID string `json:"weights_id,omitempty"`
 	Role      Role   `json:"role,omitempty"`
-	// WeightsBytes is the size of the weights; zero takes the engine's default.
+	// WeightsBytes is the size of the weights; zero means the engine's default.
 	WeightsBytes int64 `json:"weights_bytes,omitempty"`
-	// External leaves the loading to the caller, who ends it with CompleteLoad.
+	// External means that the caller loads the weights and calls CompleteLoad.
 	External bool `json:"-"`
 }
 
-// OrderStatus tells what became of an order.
+// OrderStatus is the result of an order.
 type OrderStatus uint8
 
-// The outcomes of an order.
 const (
-	// OrderDone: the order is in force.
+	// OrderDone: the order has been applied.
 	OrderDone OrderStatus = iota
-	// OrderLoading: accepted; it is in force when loading is done.
+	// OrderLoading: the order was accepted and takes effect when loading completes.
 	OrderLoading
-	// OrderStale: the fence was not above the last accepted one.
+	// OrderStale: the fence is not higher than the last accepted one.
 	OrderStale
-	// OrderInvalid: the action or its names are wrong.
+	// OrderInvalid: the action is unknown or its arguments are invalid.
 	OrderInvalid
 )
 
-// loadingOrder is a load in progress.
-type loadingOrder struct {
+// pendingLoad is a load in progress.
+type pendingLoad struct {
 	fence uint64
 	name  string
 }
 
-// orderState is what is loaded and which role is in force.
+// orderState holds the loaded models and adapters, the role and the last fence.
 type orderState struct {
-	fence    uint64
-	any      bool
-	loaded   []string
-	loading  []loadingOrder
-	role     Role
-	draining bool
+	fence      uint64
+	acceptsAll bool
+	loaded     []string
+	loading    []pendingLoad
+	role       Role
+	draining   bool
 }
 
 func newOrderState(config Config) orderState {
 	return orderState{
-		any:    len(config.Loaded) == 0,
-		loaded: slices.Clone(config.Loaded),
-		role:   config.Role,
+		acceptsAll: len(config.Loaded) == 0,
+		loaded:     slices.Clone(config.Loaded),
+		role:       config.Role,
 	}
 }
 
-// withFence returns the state with the fence of an earlier one: an engine keeps
-// it over a restart.
+// withFence returns the state with the given fence, which an engine keeps across
+// restarts.
 func (s orderState) withFence(fence uint64) orderState {
 	s.fence = fence
 	return s
 }
 
-// serves tells whether a model, "model@version" or "model:adapter" is loaded.
-// A plain name is served by every version of the model.
+// serves reports whether a model, "model@version" or "model:adapter" is loaded.
+// Every version of a model serves its unversioned name.
 func (s *orderState) serves(model string) bool {
-	if s.any || slices.Contains(s.loaded, model) {
+	if s.acceptsAll || slices.Contains(s.loaded, model) {
 		return true
 	}
 	return slices.ContainsFunc(s.loaded, func(name string) bool {
@@ -112,8 +109,8 @@
 	})
 }
 
-// name returns what an order loads or unloads, empty for none.
-func (o Order) name() string {
+// weightsName returns the name of what an order loads or unloads, or "" if it is invalid.
+func (o Order) weightsName() string {
 	switch o.Action {
 	case ActionLoadModel, ActionUnloadModel:
 		if o.Model == "" || o.Version == "" {
@@ -134,10 +131,10 @@
 	if o.Action == ActionSetRole {
 		return o.Role == RoleMixed || o.Role == RoleOnline || o.Role == RoleBatch
 	}
-	return o.name() != ""
+	return o.weightsName() != ""
 }
 
-// Order executes an order and returns the last accepted fence.
+// Order executes an order and returns the last accepted fence and the result.
 func (e *Engine) Order(now time.Duration, order Order) (uint64, OrderStatus) {
 	if !order.valid() {
 		return e.orders.fence, OrderInvalid
@@ -147,12 +144,12 @@
 	}
 	e.orders.fence = order.Fence
 	status := e.execute(now, order)
-	e.record(now)
+	e.recordReport(now)
 	return order.Fence, status
 }
 
 func (e *Engine) execute(now time.Duration, order Order) OrderStatus {
-	name := order.name()
+	name := order.weightsName()
 	switch order.Action {
 	case ActionSetRole:
 		e.orders.role = order.Role
@@ -164,7 +161,7 @@
 	if slices.Contains(e.orders.loaded, name) {
 		return OrderDone
 	}
-	loading := loadingOrder{fence: order.Fence, name: name}
+	loading := pendingLoad{fence: order.Fence, name: name}
 	e.orders.loading = append(e.orders.loading, loading)
 	if !order.External {
 		e.timers.add(timer{at: now + e.loadTime(order), kind: timerLoaded, loading: loading})
@@ -183,9 +180,9 @@
 	return time.Duration(float64(size) / e.config.WeightsRate * float64(time.Second))
 }
 
-// CompleteLoad ends an external load: the weights arrived, or could not be had.
+// CompleteLoad ends an external load; arrived reports whether it succeeded.
 func (e *Engine) CompleteLoad(now time.Duration, fence uint64, arrived bool) {
-	index := slices.IndexFunc(e.orders.loading, func(other loadingOrder) bool { return other.fence == fence })
+	index := slices.IndexFunc(e.orders.loading, func(other pendingLoad) bool { return other.fence == fence })
 	if index < 0 {
 		return
 	}
@@ -194,11 +191,11 @@
 	} else {
 		e.orders.loading = slices.Delete(e.orders.loading, index, index+1)
 	}
-	e.record(now)
+	e.recordReport(now)
 }
 
-// finishLoading puts a load in force unless an unload came between.
-func (e *Engine) finishLoading(now time.Duration, loading loadingOrder) {
+// finishLoading marks weights as loaded, unless an unload cancelled the load.
+func (e *Engine) finishLoading(now time.Duration, loading pendingLoad) {
 	index := slices.Index(e.orders.loading, loading)
 	if index < 0 {
 		return
@@ -210,26 +207,26 @@
 	e.pending = append(e.pending, Event{Kind: EventLoaded, ID: loading.name, At: now})
 }
 
-// unload takes a name off what is loaded; the lists are shared with reports and
-// are replaced rather than changed.
+// unload removes a name and cancels its loads in progress. Load reports share the
+// loaded list, so it is replaced and not modified.
 func (s *orderState) unload(name string) {
-	s.any = false
+	s.acceptsAll = false
 	s.loaded = slices.DeleteFunc(slices.Clone(s.loaded), func(other string) bool { return other == name })
-	s.loading = slices.DeleteFunc(s.loading, func(other loadingOrder) bool { return other.name == name })
+	s.loading = slices.DeleteFunc(s.loading, func(other pendingLoad) bool { return other.name == name })
 }
 
-// SetDraining makes the engine refuse new requests, or take them again.
+// SetDraining makes the engine refuse new requests, or accept them again.
 func (e *Engine) SetDraining(now time.Duration, draining bool) {
 	e.orders.draining = draining
-	e.record(now)
+	e.recordReport(now)
 }
 
-// Draining tells whether the engine refuses new requests.
+// Draining reports whether the engine refuses new requests.
 func (e *Engine) Draining() bool {
 	return e.orders.draining
 }
 
-// Loaded returns the names of what is loaded; empty accepts every model.
+// Loaded returns the names of the loaded models and adapters.
 func (e *Engine) Loaded() []string {
 	return slices.Clone(e.orders.loaded)
 }
--- a/internal/engine/prefix.go
+++ b/internal/engine/prefix.go
@@ -8,36 +8,35 @@
 // CacheEventKind is the type of a cache event.
 type CacheEventKind string
 
-// The kinds of cache event.
 const (
-	// CacheStored: a block came into the cache.
+	// CacheStored: a block was added to the cache.
 	CacheStored CacheEventKind = "stored"
-	// CacheEvicted: a block left the cache.
+	// CacheEvicted: a block was removed from the cache.
 	CacheEvicted CacheEventKind = "evicted"
 )
 
-// CacheEvent is a change of the prefix cache.
+// CacheEvent is a change to the prefix cache.
 type CacheEvent struct {
 	Sequence uint64
 	Kind     CacheEventKind
 	Block    uint64
-	// At is when the change happened; it is published CacheEventLag later.
+	// At is the time of the change; it is published CacheEventLag later.
 	At time.Duration
 }
 
-// CachePage is an answer to a reader of cache events.
+// CachePage is one page of the cache event log.
 type CachePage struct {
-	// Epoch changes when the cache was emptied.
+	// Epoch changes whenever the cache is cleared.
 	Epoch uint64
-	// First is the oldest sequence number that is still kept. Above the number
-	// asked for it means that events are missing.
+	// First is the oldest sequence number in the log. If it is higher than the
+	// requested number, the reader has missed events.
 	First uint64
-	// Next is the sequence number to ask for next.
+	// Next is the sequence number to request next.
 	Next   uint64
 	Events []CacheEvent
 }
 
-// CacheSnapshot is the whole content of the prefix cache.
+// CacheSnapshot is the full content of the prefix cache.
 type CacheSnapshot struct {
 	Epoch uint64
 	// Next is the sequence number of the first event after the snapshot.
@@ -49,77 +48,77 @@
 type cachedBlock struct {
 	hash   uint64
 	parent uint64
-	// element is the block's place in the order of use.
+	// element is the block's entry in the LRU list.
 	element *list.Element
 }
 
-// prefixCache keeps blocks in least recently used order and logs its changes.
+// prefixCache is an LRU cache of prompt blocks with a log of its changes.
 type prefixCache struct {
 	limit  int
 	blocks map[uint64]*cachedBlock
-	// order has the most recently used block in front.
-	order *list.List
-
-	epoch     uint64
-	log       []CacheEvent
-	logLimit  int
-	first     uint64
-	next      uint64
-	loss      float64
-	drawFloat func() float64
+	// lru has the most recently used block at the front.
+	lru *list.List
+
+	epoch       uint64
+	log         []CacheEvent
+	logLimit    int
+	first       uint64
+	next        uint64
+	loss        float64
+	randomFloat func() float64
 }
 
 func newPrefixCache(config Config, draw func() float64) *prefixCache {
 	return &prefixCache{
-		limit:     config.PrefixBlocks,
-		blocks:    map[uint64]*cachedBlock{},
-		order:     list.New(),
-		epoch:     1,
-		first:     1,
-		next:      1,
-		logLimit:  config.CacheEventLog,
-		loss:      config.CacheEventLoss,
-		drawFloat: draw,
+		limit:       config.PrefixBlocks,
+		blocks:      map[uint64]*cachedBlock{},
+		lru:         list.New(),
+		epoch:       1,
+		first:       1,
+		next:        1,
+		logLimit:    config.CacheEventLog,
+		loss:        config.CacheEventLoss,
+		randomFloat: draw,
 	}
 }
 
-// match returns how many leading blocks of a chain are cached and marks them
-// used, the root last, so that leaves are evicted before their roots.
+// match returns the number of leading blocks of a chain that are cached and marks
+// them as used, the root last, so that children are evicted before their parents.
 func (c *prefixCache) match(chain []uint64) int {
 	count := 0
 	for count < len(chain) && c.blocks[chain[count]] != nil {
 		count++
 	}
 	for index := count - 1; index >= 0; index-- {
-		c.order.MoveToFront(c.blocks[chain[index]].element)
+		c.lru.MoveToFront(c.blocks[chain[index]].element)
 	}
 	return count
 }
 
-// insert stores a block; the caller has made room.
+// insert stores a block. The caller ensures that there is space.
 func (c *prefixCache) insert(now time.Duration, hash, parent uint64) {
 	block := &cachedBlock{hash: hash, parent: parent}
-	block.element = c.order.PushFront(block)
+	block.element = c.lru.PushFront(block)
 	c.blocks[hash] = block
 	c.record(CacheEvent{Kind: CacheStored, Block: hash, At: now})
 }
 
-// evict drops the least recently used block and tells whether there was one.
+// evict removes the least recently used block and reports whether there was one.
 func (c *prefixCache) evict(now time.Duration) bool {
-	last := c.order.Back()
+	last := c.lru.Back()
 	if last == nil {
 		return false
 	}
-	block := c.order.Remove(last).(*cachedBlock)
+	block := c.lru.Remove(last).(*cachedBlock)
 	delete(c.blocks, block.hash)
 	c.record(CacheEvent{Kind: CacheEvicted, Block: block.hash, At: now})
 	return true
 }
 
-// clear empties the cache and begins a new epoch.
+// clear empties the cache and starts a new epoch.
 func (c *prefixCache) clear() {
 	clear(c.blocks)
-	c.order.Init()
+	c.lru.Init()
 	c.log = c.log[:0]
 	c.epoch++
 	c.first = 1
@@ -129,7 +128,7 @@
 func (c *prefixCache) record(event CacheEvent) {
 	event.Sequence = c.next
 	c.next++
-	if c.loss > 0 && c.drawFloat() < c.loss {
+	if c.loss > 0 && c.randomFloat() < c.loss {
 		c.log = c.log[:0]
 		c.first = c.next
 		return
@@ -142,7 +141,7 @@
 	}
 }
 
-// page returns the events from a sequence number that happened by a time.
+// page returns the events from sequence number since that occurred no later than until.
 func (c *prefixCache) page(since uint64, until time.Duration) CachePage {
 	page := CachePage{Epoch: c.epoch, First: c.first, Next: max(since, c.first)}
 	for _, event := range c.log {
@@ -160,14 +159,14 @@
 
 func (c *prefixCache) snapshot() CacheSnapshot {
 	snapshot := CacheSnapshot{Epoch: c.epoch, Next: c.next, Blocks: make([]uint64, 0, len(c.blocks))}
-	for element := c.order.Front(); element != nil; element = element.Next() {
+	for element := c.lru.Front(); element != nil; element = element.Next() {
 		snapshot.Blocks = append(snapshot.Blocks, element.Value.(*cachedBlock).hash)
 	}
 	return snapshot
 }
 
-// chain returns the cached blocks from the root to the given one, or nil when
-// one of them is not cached.
+// chain returns the blocks from the root to the given one, or nil if any of them
+// is not cached.
 func (c *prefixCache) chain(hash uint64) []uint64 {
 	var reversed []uint64
 	for hash != 0 {
--- a/internal/engine/report.go
+++ b/internal/engine/report.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// reportSlots is the number of reports kept for the lag.
-const reportSlots = 16
+// maxReports bounds the reports kept until they become visible.
+const maxReports = 16
 
 // Report is a load report.
 type Report struct {
-	// Sequence rises with every report.
+	// Sequence increases with every report.
 	Sequence uint64
-	// At is when the report was taken.
+	// At is the time when the report was taken.
 	At            time.Duration
 	RunningOnline int
 	RunningBatch  int
 	Waiting       int
-	// WaitingOnline is the part of Waiting that is online.
+	// WaitingOnline is the number of online requests in Waiting.
 	WaitingOnline  int
 	KVUsedPermille int
 	Step           time.Duration
@@ -23,35 +23,35 @@
 	Draining       bool
 }
 
-// reportHistory keeps reports until they are old enough to be seen.
+// reportHistory keeps recent reports so that they can be returned after a delay.
 type reportHistory struct {
 	lag      time.Duration
 	sequence uint64
-	slots    []Report
+	recent   []Report
 }
 
 func newReportHistory(lag time.Duration) reportHistory {
 	return reportHistory{lag: lag}
 }
 
-// record takes a report. Reports closer together than the lag divided by the
-// number of slots replace each other.
-func (e *Engine) record(now time.Duration) {
+// recordReport appends the current load to the history. Reports in short succession
+// replace each other, so that the history spans the lag.
+func (e *Engine) recordReport(now time.Duration) {
 	history := &e.reports
 	history.sequence++
 	report := e.report(now)
-	count := len(history.slots)
-	spacing := history.lag / (reportSlots / 2)
-	if count >= 2 && now-history.slots[count-2].At < spacing {
-		history.slots[count-1] = report
+	count := len(history.recent)
+	spacing := history.lag / (maxReports / 2)
+	if count >= 2 && now-history.recent[count-2].At < spacing {
+		history.recent[count-1] = report
 		return
 	}
-	if count == reportSlots {
-		copy(history.slots, history.slots[1:])
+	if count == maxReports {
+		copy(history.recent, history.recent[1:])
 		count--
-		history.slots = history.slots[:count]
+		history.recent = history.recent[:count]
 	}
-	history.slots = append(history.slots, report)
+	history.recent = append(history.recent, report)
 }
 
 func (e *Engine) report(now time.Duration) Report {
@@ -74,27 +74,27 @@
 	}
 }
 
-// Load returns the newest report that is at least ReportLag old. The caller
-// must not change the report's list.
+// Load returns the newest report that is at least ReportLag old. The caller must
+// not modify its Loaded list.
 func (e *Engine) Load(now time.Duration) Report {
 	horizon := now - e.reports.lag
-	slots := e.reports.slots
-	found := slots[0]
-	for index := len(slots) - 1; index >= 0; index-- {
-		if slots[index].At <= horizon {
-			found = slots[index]
+	recent := e.reports.recent
+	found := recent[0]
+	for index := len(recent) - 1; index >= 0; index-- {
+		if recent[index].At <= horizon {
+			found = recent[index]
 			break
 		}
 	}
-	// Nothing changed between two reports: the older one still held then.
+	// Nothing changed between two reports, so this one was still valid at the horizon.
 	found.At = max(found.At, horizon)
-	if now < e.faults.lieUntil {
+	if now < e.faults.reportIdleUntil {
 		return found.idle()
 	}
 	return found
 }
 
-// idle is what an engine reports that lies about its load.
+// idle returns the report with zero load, for FaultReportIdle.
 func (r Report) idle() Report {
 	r.RunningOnline, r.RunningBatch, r.Waiting, r.WaitingOnline, r.KVUsedPermille = 0, 0, 0, 0, 0
 	return r
--- a/internal/engine/reports_test.go
+++ b/internal/engine/reports_test.go
@@ -10,8 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestReportsLag compares reports with what was true when they say they were
-// taken.
+// Load reports must be at least ReportLag old and reflect the state at their time.
 func TestReportsLag(t *testing.T) {
 	config := DefaultConfig()
 	engine := New(config, rand.New(rand.NewSource(1)))
@@ -23,21 +22,21 @@
 		engine.Advance(now, nil)
 		report := engine.Load(now)
 		if now-report.At < config.ReportLag {
-			t.Fatalf("at %v a report of %v", now, report.At)
+			t.Fatalf("at %v: report taken at %v is too new", now, report.At)
 		}
 		if busy := report.RunningOnline == 1; busy != (report.At >= start) {
-			t.Fatalf("at %v the report of %v says %d running", now, report.At, report.RunningOnline)
+			t.Fatalf("at %v: report taken at %v has %d running requests", now, report.At, report.RunningOnline)
 		}
 	}
 	engine.Inject(start+time.Second, Fault{Kind: FaultReportIdle})
 	if report := engine.Load(start + time.Second); report.RunningOnline != 0 {
-		t.Fatal("a lying engine tells the truth")
+		t.Fatal("report shows load despite FaultReportIdle")
 	}
 }
 
-// TestCacheReadersNeverMissAnEventUnseen follows the events with gaps and
-// resynchronises where a gap shows; the mirror must then equal the cache.
-func TestCacheReadersNeverMissAnEventUnseen(t *testing.T) {
+// A reader that loads a snapshot after each gap in the event log must always have
+// the same blocks as the cache, so no event may be lost without a visible gap.
+func TestCacheEventGapsAreDetectable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := DefaultConfig()
 		config.PrefixBlocks = rapid.IntRange(1, 12).Draw(t, "blocks")
@@ -45,7 +44,7 @@
 		config.CacheEventLog = rapid.IntRange(1, 10).Draw(t, "log")
 		config.CacheEventLag = 0
 		engine := New(config, rand.New(rand.NewSource(rapid.Int64().Draw(t, "seed"))))
-		mirror := map[uint64]bool{}
+		replica := map[uint64]bool{}
 		next := uint64(1)
 		now := time.Duration(0)
 		for number := range rapid.IntRange(1, 60).Draw(t, "requests") {
@@ -61,39 +60,38 @@
 			page := engine.CacheEvents(now, next)
 			if page.First > next {
 				snapshot := engine.Snapshot()
-				clear(mirror)
+				clear(replica)
 				for _, block := range snapshot.Blocks {
-					mirror[block] = true
+					replica[block] = true
 				}
 				next = snapshot.Next
 				continue
 			}
 			for _, event := range page.Events {
 				if event.Sequence != next {
-					t.Fatalf("event %d after %d without a gap in First", event.Sequence, next-1)
+					t.Fatalf("event %d follows %d, but First shows no gap", event.Sequence, next-1)
 				}
 				next++
 				if event.Kind == CacheStored {
-					mirror[event.Block] = true
+					replica[event.Block] = true
 				} else {
-					delete(mirror, event.Block)
+					delete(replica, event.Block)
 				}
 			}
 			for _, block := range engine.Snapshot().Blocks {
-				if !mirror[block] {
-					t.Fatalf("block %d is cached and not in the mirror", block)
+				if !replica[block] {
+					t.Fatalf("cached block %d is missing in the replica", block)
 				}
 			}
-			if len(mirror) != len(engine.cache.blocks) {
-				t.Fatalf("the mirror has %d blocks, the cache %d", len(mirror), len(engine.cache.blocks))
+			if len(replica) != len(engine.cache.blocks) {
+				t.Fatalf("replica has %d blocks, cache has %d", len(replica), len(engine.cache.blocks))
 			}
 		}
 	})
 }
 
-// TestFencesOrderOrders sends orders in any order of fences: only rising ones
-// count.
-func TestFencesOrderOrders(t *testing.T) {
+// An order must be applied only if its fence is higher than all earlier ones.
+func TestStaleOrdersAreRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := DefaultConfig()
 		config.Loaded = []string{"m@v1"}
@@ -104,30 +102,30 @@
 			wanted := rapid.SampledFrom([]Role{RoleMixed, RoleOnline, RoleBatch}).Draw(t, "role")
 			last, status := engine.Order(0, Order{Fence: fence, Action: ActionSetRole, Role: wanted})
 			if accepted := status == OrderDone; accepted != (fence > highest) {
-				t.Fatalf("fence %d after %d: status %d", fence, highest, status)
+				t.Fatalf("order with fence %d after fence %d: status %d", fence, highest, status)
 			}
 			if fence > highest {
 				highest, role = fence, wanted
 			}
 			if last != highest || engine.orders.role != role {
-				t.Fatalf("fence %d and role %s; not %d and %s", last, engine.orders.role, highest, role)
+				t.Fatalf("fence %d and role %s, want %d and %s", last, engine.orders.role, highest, role)
 			}
 		}
 	})
 }
 
-// TestAnUnloadBeatsTheLoadInProgress unloads a version that is still loading.
-func TestAnUnloadBeatsTheLoadInProgress(t *testing.T) {
+// Unloading a version that is still loading must cancel the load.
+func TestUnloadCancelsLoadInProgress(t *testing.T) {
 	config := DefaultConfig()
 	config.Loaded = []string{"m@v1"}
 	engine := New(config, rand.New(rand.NewSource(1)))
 	load := Order{Fence: 1, Action: ActionLoadModel, Model: "m", Version: "v2"}
 	if _, status := engine.Order(0, load); status != OrderLoading {
-		t.Fatalf("status %d", status)
+		t.Fatalf("order to load: status %d", status)
 	}
 	engine.Order(time.Second, Order{Fence: 2, Action: ActionUnloadModel, Model: "m", Version: "v2"})
 	drain(engine, time.Hour)
 	if loaded := engine.Loaded(); !slices.Equal(loaded, []string{"m@v1"}) {
-		t.Fatalf("loaded %v", loaded)
+		t.Fatalf("loaded %v, want only m@v1", loaded)
 	}
 }
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -2,84 +2,83 @@
 
 import "time"
 
-// Request is one request for tokens.
+// Request is one inference request.
 type Request struct {
-	// ID is the identity of the request; resume and cancel name it.
+	// ID identifies the request in calls such as Resume and Cancel.
 	ID string
-	// Tag is handed back in events and not looked at.
+	// Tag is an opaque value that is returned in events.
 	Tag uint64
-	// Payload is handed back by Resume and not looked at.
+	// Payload is an opaque value that is returned by Resume.
 	Payload any
 	// Model is "model", "model@version" or "model:adapter".
 	Model string
-	// Priority decides who runs first; lower first.
+	// Priority determines the scheduling order; lower values run first.
 	Priority int
-	// BatchTokenBudget bounds the batch tokens of a step while online requests
-	// are present; zero means no bound. It is looked at for batch requests only.
+	// BatchTokenBudget limits the batch tokens of a step while online requests
+	// are running; zero means no limit. It is ignored on online requests.
 	BatchTokenBudget int
 	// PromptTokens is the length of the prompt in tokens, at least one.
 	PromptTokens int
-	// MaxTokens is the number of tokens to produce, at least one.
+	// MaxTokens is the exact number of output tokens, at least one.
 	MaxTokens int
-	// Blocks are the chain hashes of the prompt's whole blocks.
+	// Blocks are the chain hashes of the prompt's complete blocks.
 	Blocks []uint64
 }
 
-// Refusal tells why a request was not accepted. A refused request did not run.
+// Refusal is the reason why a request was not accepted. A refused request does not run.
 type Refusal string
 
-// The refusals.
 const (
-	// RefusalNone is the refusal of an accepted request.
+	// RefusalNone: the request was accepted.
 	RefusalNone Refusal = ""
-	// RefusalInvalid: the request has no identity or no tokens to produce.
+	// RefusalInvalid: the request has no ID, or MaxTokens is below one.
 	RefusalInvalid Refusal = "invalid"
-	// RefusalDuplicate: a request with the same identity is still known.
+	// RefusalDuplicate: a request with the same ID exists.
 	RefusalDuplicate Refusal = "duplicate_id"
-	// RefusalTooLong: prompt and answer do not fit the memory.
+	// RefusalTooLong: prompt and output exceed the KV memory.
 	RefusalTooLong Refusal = "too_long"
-	// RefusalQueueFull: too many requests wait.
+	// RefusalQueueFull: the batch and the waiting queue are full.
 	RefusalQueueFull Refusal = "queue_full"
 	// RefusalNotLoaded: the model, version or adapter is not loaded.
 	RefusalNotLoaded Refusal = "not_loaded"
-	// RefusalRole: the engine's role excludes the request's kind.
+	// RefusalRole: the engine's role excludes the request's priority.
 	RefusalRole Refusal = "role"
-	// RefusalDraining: the engine takes no new requests.
+	// RefusalDraining: the engine is draining.
 	RefusalDraining Refusal = "draining"
-	// RefusalFault: a fault makes the engine refuse.
+	// RefusalFault: an injected FaultRefuse.
 	RefusalFault Refusal = "fault"
-	// RefusalDead: the engine is dead; in a process nobody would answer.
+	// RefusalDead: the engine is down; over HTTP the connection is closed instead.
 	RefusalDead Refusal = "dead"
 )
 
 // EventKind is the type of an event.
 type EventKind uint8
 
-// The kinds of event. Each accepted request gets exactly one of EventFinished,
-// EventCancelled, EventExpired and EventLost.
+// Each accepted request ends with exactly one of EventFinished, EventCancelled,
+// EventExpired and EventLost.
 const (
-	// EventStarted: the request got a place for the first time.
+	// EventStarted: the request entered the batch for the first time.
 	EventStarted EventKind = iota + 1
-	// EventTokens: Count tokens were produced, the last one is number Sequence.
+	// EventTokens: Count tokens were produced; Sequence is the number of the last one.
 	EventTokens
-	// EventFinished: all tokens were produced; Sequence is their number.
+	// EventFinished: all tokens were produced; Sequence is their total.
 	EventFinished
-	// EventPreempted: the request lost its place and waits again.
+	// EventPreempted: the request was preempted and returned to the waiting queue.
 	EventPreempted
 	// EventCancelled: the request was cancelled by Cancel.
 	EventCancelled
-	// EventExpired: the request had no reader for the retention time.
+	// EventExpired: the request was without a reader for the retention time.
 	EventExpired
-	// EventLost: the engine died with the request.
+	// EventLost: the request was lost when the engine went down.
 	EventLost
-	// EventTruncated: a fault cut the stream; the request goes on without a
-	// reader and may be resumed.
+	// EventTruncated: a fault broke the stream; the request continues without a
+	// reader and can be resumed.
 	EventTruncated
-	// EventLoaded: a loading order is done; ID names what was loaded.
+	// EventLoaded: a load completed; ID is the name of the model or adapter.
 	EventLoaded
 )
 
-// IsTerminal tells whether a request is over after an event of this kind.
+// IsTerminal reports whether an event of this kind ends its request.
 func (k EventKind) IsTerminal() bool {
 	switch k {
 	case EventFinished, EventCancelled, EventExpired, EventLost:
@@ -92,13 +91,13 @@
 // Event is something that happened in the engine.
 type Event struct {
 	Kind EventKind
-	// ID and Tag are those of the request.
+	// ID and Tag are copied from the request.
 	ID  string
 	Tag uint64
-	// At is when it happened.
+	// At is the time of the event.
 	At time.Duration
-	// Sequence is the number of the last token produced, from 1.
+	// Sequence is the number of the last token produced, starting at 1.
 	Sequence int
-	// Count is the number of tokens that this event brings.
+	// Count is the number of new tokens in this event.
 	Count int
 }
--- a/internal/engine/resume.go
+++ b/internal/engine/resume.go
@@ -2,86 +2,85 @@
 
 import "time"
 
-// ResumeStatus tells what became of a resume.
+// ResumeStatus is the result of a call to Resume.
 type ResumeStatus uint8
 
-// The outcomes of a resume.
 const (
 	// ResumeAccepted: the caller is now the request's reader.
 	ResumeAccepted ResumeStatus = iota
-	// ResumeUnknown: the engine does not know the request.
+	// ResumeUnknown: there is no such request.
 	ResumeUnknown
 	// ResumeHasReader: the request still has a reader.
 	ResumeHasReader
-	// ResumeBadOffset: the offset lies beyond what was produced.
+	// ResumeBadOffset: the offset is negative or beyond the tokens produced.
 	ResumeBadOffset
 )
 
-// ResumeResult is what a new reader gets at once.
+// ResumeResult describes a resumed request to its new reader.
 type ResumeResult struct {
 	Tag     uint64
 	Payload any
-	// First and Last are the sequence numbers of the tokens that the reader
-	// misses; Last is below First when it misses none yet.
+	// First and Last are the sequence numbers of the tokens already produced
+	// after the offset; Last is below First if there are none.
 	First, Last int
-	// Finished tells that no more tokens will come.
+	// Finished is set if no more tokens will follow.
 	Finished bool
-	// MaxTokens is the length of the whole answer.
+	// MaxTokens is the length of the complete output.
 	MaxTokens int
 }
 
-// Detach notes that a request lost its reader. Without a resume it expires after
-// the retention time. It tells whether the request had a reader.
+// Detach removes the reader of a request, which expires after the retention time
+// unless it is resumed. It reports whether the request had a reader.
 func (e *Engine) Detach(now time.Duration, id string) bool {
-	entry := e.known[id]
-	if entry == nil || !entry.attached {
+	seq := e.sequences[id]
+	if seq == nil || !seq.hasReader {
 		return false
 	}
-	e.detach(now, entry)
+	e.detach(now, seq)
 	return true
 }
 
-func (e *Engine) detach(now time.Duration, entry *sequence) {
-	entry.attached = false
-	if entry.state == stateFinished {
+func (e *Engine) detach(now time.Duration, seq *sequence) {
+	seq.hasReader = false
+	if seq.state == stateFinished {
 		return
 	}
-	entry.deadline = e.timers.add(timer{at: now + e.config.Retention, kind: timerExpire, subject: entry})
+	seq.expiry = e.timers.add(timer{at: now + e.config.Retention, kind: timerExpire, seq: seq})
 }
 
-// Resume makes the caller the reader of a request after the token with sequence
-// number offset.
+// Resume makes the caller the reader of a request, starting after the token with
+// sequence number offset.
 func (e *Engine) Resume(now time.Duration, id string, offset int) (ResumeResult, ResumeStatus) {
-	entry := e.known[id]
-	if entry == nil {
+	seq := e.sequences[id]
+	if seq == nil {
 		return ResumeResult{}, ResumeUnknown
 	}
-	finished := entry.state == stateFinished && entry.lateTokens == 0
-	if entry.attached && !finished {
+	finished := seq.state == stateFinished && seq.delayedTokens == 0
+	if seq.hasReader && !finished {
 		return ResumeResult{}, ResumeHasReader
 	}
-	delivered := entry.produced - entry.lateTokens
+	delivered := seq.produced - seq.delayedTokens
 	if offset < 0 || offset > delivered {
 		return ResumeResult{}, ResumeBadOffset
 	}
-	entry.attached = true
+	seq.hasReader = true
 	resumed := ResumeResult{
-		Tag:       entry.request.Tag,
-		Payload:   entry.request.Payload,
+		Tag:       seq.request.Tag,
+		Payload:   seq.request.Payload,
 		First:     offset + 1,
 		Last:      delivered,
 		Finished:  finished,
-		MaxTokens: entry.request.MaxTokens,
+		MaxTokens: seq.request.MaxTokens,
 	}
 	return resumed, ResumeAccepted
 }
 
-// truncate cuts the stream of a sequence that a fault has marked.
-func (e *Engine) truncate(now time.Duration, entry *sequence) {
-	if entry.truncateAt == 0 || entry.produced < entry.truncateAt || !entry.attached {
+// truncate breaks the stream of a sequence that FaultTruncate applies to.
+func (e *Engine) truncate(now time.Duration, seq *sequence) {
+	if seq.truncateAt == 0 || seq.produced < seq.truncateAt || !seq.hasReader {
 		return
 	}
-	entry.truncateAt = 0
-	e.emit(now, entry, EventTruncated, 0)
-	e.detach(now, entry)
+	seq.truncateAt = 0
+	e.emit(now, seq, EventTruncated, 0)
+	e.detach(now, seq)
 }
--- a/internal/engine/sequence.go
+++ b/internal/engine/sequence.go
@@ -2,57 +2,57 @@
 
 import "container/heap"
 
-// sequenceState is where a request is in its life.
+// sequenceState is the lifecycle state of a sequence.
 type sequenceState uint8
 
 const (
 	stateWaiting sequenceState = iota
 	stateRunning
 	statePaused
-	// stateFinished: over, and known for a resume only.
+	// stateFinished: ended, and kept only to be resumed.
 	stateFinished
 )
 
-// notWaiting is the place of a sequence that is not in the waiting queue.
-const notWaiting = -1
+// notQueued is the queue index of a sequence that is not in the waiting queue.
+const notQueued = -1
 
-// sequence is a request inside the engine.
+// sequence is the engine's state of one request.
 type sequence struct {
 	request Request
 	arrival uint64
 	state   sequenceState
-	// place is the index in the waiting queue.
-	place int
-	// computed is the number of tokens whose KV is in memory.
+	// queueIndex is the index in the waiting queue.
+	queueIndex int
+	// computed is the number of tokens with KV in memory.
 	computed int
-	// produced is the number of answer tokens produced.
-	produced int
-	started  bool
-	attached bool
-	// truncateAt is the token after which a fault cuts the stream.
+	// produced is the number of output tokens produced.
+	produced  int
+	started   bool
+	hasReader bool
+	// truncateAt is the token after which a fault breaks the stream; zero for none.
 	truncateAt int
-	// lateTokens are tokens of a finished answer that a fault holds back.
-	lateTokens int
-	// deadline is when a request without a reader expires.
-	deadline timerID
+	// delayedTokens is the number of last tokens that a fault delays.
+	delayedTokens int
+	// expiry is the timer that expires or removes the sequence.
+	expiry timerID
 
-	// plannedPrefill and plannedDecode are the tokens of the current step.
+	// plannedPrefill and plannedDecode are the tokens planned for the current step.
 	plannedPrefill int
 	plannedDecode  int
 }
 
-// batch tells whether the sequence counts as batch.
+// batch reports whether the sequence has batch priority.
 func (s *sequence) batch() bool {
 	return s.request.Priority >= PriorityBatch
 }
 
-// remainingPrefill is the number of tokens whose KV must be computed before the
-// sequence decodes.
+// remainingPrefill returns the number of tokens whose KV must be computed before
+// the sequence can decode.
 func (s *sequence) remainingPrefill() int {
 	return s.request.PromptTokens + s.produced - s.computed
 }
 
-// before tells whether the sequence goes before another.
+// before reports whether the sequence is scheduled before another.
 func (s *sequence) before(other *sequence) bool {
 	if s.request.Priority != other.request.Priority {
 		return s.request.Priority < other.request.Priority
@@ -60,7 +60,7 @@
 	return s.arrival < other.arrival
 }
 
-// waitingQueue orders waiting sequences by priority and arrival.
+// waitingQueue is a queue of sequences ordered by priority and arrival.
 type waitingQueue struct {
 	items  waitingHeap
 	online int
@@ -70,11 +70,11 @@
 	return len(q.items)
 }
 
-func (q *waitingQueue) push(entry *sequence) {
-	if !entry.batch() {
+func (q *waitingQueue) push(seq *sequence) {
+	if !seq.batch() {
 		q.online++
 	}
-	heap.Push(&q.items, entry)
+	heap.Push(&q.items, seq)
 }
 
 func (q *waitingQueue) first() *sequence {
@@ -84,14 +84,14 @@
 	return q.items[0]
 }
 
-func (q *waitingQueue) remove(entry *sequence) {
-	if entry.place == notWaiting {
+func (q *waitingQueue) remove(seq *sequence) {
+	if seq.queueIndex == notQueued {
 		return
 	}
-	if !entry.batch() {
+	if !seq.batch() {
 		q.online--
 	}
-	heap.Remove(&q.items, entry.place)
+	heap.Remove(&q.items, seq.queueIndex)
 }
 
 type waitingHeap []*sequence
@@ -100,21 +100,21 @@
 func (h waitingHeap) Less(i, j int) bool { return h[i].before(h[j]) }
 func (h waitingHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place = i
-	h[j].place = j
+	h[i].queueIndex = i
+	h[j].queueIndex = j
 }
 
 func (h *waitingHeap) Push(item any) {
-	entry := item.(*sequence)
-	entry.place = len(*h)
-	*h = append(*h, entry)
+	seq := item.(*sequence)
+	seq.queueIndex = len(*h)
+	*h = append(*h, seq)
 }
 
 func (h *waitingHeap) Pop() any {
 	last := len(*h) - 1
-	entry := (*h)[last]
+	seq := (*h)[last]
 	(*h)[last] = nil
 	*h = (*h)[:last]
-	entry.place = notWaiting
-	return entry
+	seq.queueIndex = notQueued
+	return seq
 }
--- a/internal/engine/step.go
+++ b/internal/engine/step.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// begin plans and starts a step when none is in progress and there is work.
-func (e *Engine) begin(now time.Duration) {
-	if e.stepping || e.faults.dead || e.faults.hung {
+// startStep plans and starts a step if none is in progress and there is work.
+func (e *Engine) startStep(now time.Duration) {
+	if e.stepInProgress || e.faults.dead || e.faults.hung {
 		return
 	}
 	e.admit(now)
@@ -18,12 +18,12 @@
 	if cost == 0 {
 		return
 	}
-	e.stepping = true
+	e.stepInProgress = true
 	e.stepBegin = now
 	e.stepEnd = max(now, e.faults.stalledUntil) + e.faults.slowed(cost, now)
 }
 
-// admit gives places to waiting sequences, best first.
+// admit moves waiting sequences into the batch, in scheduling order.
 func (e *Engine) admit(now time.Duration) {
 	for {
 		candidate := e.waiting.first()
@@ -37,124 +37,124 @@
 			return
 		}
 		e.waiting.remove(candidate)
-		e.start(now, candidate)
+		e.startSequence(now, candidate)
 	}
 }
 
-// fits tells whether the prompts of the sequences that go before the candidate
-// leave room for its own.
+// fits reports whether there is enough memory for the candidate next to the
+// running sequences of the same or a higher priority.
 func (e *Engine) fits(candidate *sequence) bool {
 	needed := candidate.request.PromptTokens + candidate.produced + e.config.TokensPerStep
-	// A block of room for each sequence to grow into keeps them from taking each
-	// other's memory at every step.
+	// Reserves a block per sequence for growth, which prevents sequences from
+	// preempting each other at every step.
 	needed += len(e.running) * TokensPerBlock
-	for _, entry := range e.running {
-		if entry.before(candidate) || entry.request.Priority == candidate.request.Priority {
-			needed += max(entry.request.PromptTokens+entry.produced, entry.computed)
+	for _, seq := range e.running {
+		if seq.before(candidate) || seq.request.Priority == candidate.request.Priority {
+			needed += max(seq.request.PromptTokens+seq.produced, seq.computed)
 		}
 	}
 	return needed <= e.config.KVCapacity || len(e.running) == 0
 }
 
-func (e *Engine) start(now time.Duration, entry *sequence) {
-	entry.state = stateRunning
-	e.insertRunning(entry)
-	e.unkeep(entry)
-	if entry.computed == 0 {
-		e.usePrefix(now, entry)
+func (e *Engine) startSequence(now time.Duration, seq *sequence) {
+	seq.state = stateRunning
+	e.insertRunning(seq)
+	e.removeEvictable(seq)
+	if seq.computed == 0 {
+		e.reuseCachedPrefix(now, seq)
 	}
-	if !entry.started {
-		entry.started = true
-		e.faults.mark(entry)
-		e.emit(now, entry, EventStarted, 0)
+	if !seq.started {
+		seq.started = true
+		e.faults.markTruncated(seq)
+		e.emit(now, seq, EventStarted, 0)
 	}
 }
 
-// usePrefix takes the cached prefix of a prompt over into the sequence. The last
-// token of the prompt is always computed.
-func (e *Engine) usePrefix(now time.Duration, entry *sequence) {
-	blocks := e.cache.match(entry.request.Blocks)
-	tokens := min(blocks*TokensPerBlock, entry.request.PromptTokens-1)
-	if tokens <= 0 || !e.makeRoom(now, entry, tokens) {
+// reuseCachedPrefix takes the KV of the cached prefix of a prompt over into the
+// sequence. The last token of the prompt is always computed.
+func (e *Engine) reuseCachedPrefix(now time.Duration, seq *sequence) {
+	blocks := e.cache.match(seq.request.Blocks)
+	tokens := min(blocks*TokensPerBlock, seq.request.PromptTokens-1)
+	if tokens <= 0 || !e.ensureMemory(now, seq, tokens) {
 		return
 	}
-	entry.computed = tokens
+	seq.computed = tokens
 	e.kvTokens += tokens
 	e.totals.PrefixTokens += uint64(tokens)
 }
 
-// preemptFor takes the place of the worst batch sequence that the candidate goes
-// before by priority, and tells whether there was one.
+// preemptFor preempts the lowest-ranked running sequence if it is a batch sequence
+// with a lower priority than the candidate, and reports whether it did.
 func (e *Engine) preemptFor(now time.Duration, candidate *sequence) bool {
-	worst := e.worstRunning(candidate)
-	if worst == nil || !worst.batch() || worst.request.Priority <= candidate.request.Priority {
+	lowest := e.lowestRunningAfter(candidate)
+	if lowest == nil || !lowest.batch() || lowest.request.Priority <= candidate.request.Priority {
 		return false
 	}
-	e.preempt(now, worst)
+	e.preempt(now, lowest)
 	return true
 }
 
-// worstRunning returns the last running sequence that goes after another.
-func (e *Engine) worstRunning(other *sequence) *sequence {
-	var worst *sequence
-	for _, entry := range e.running {
-		if entry != other && other.before(entry) && (worst == nil || worst.before(entry)) {
-			worst = entry
+// lowestRunningAfter returns the lowest-ranked running sequence after another, or nil.
+func (e *Engine) lowestRunningAfter(other *sequence) *sequence {
+	var lowest *sequence
+	for _, seq := range e.running {
+		if seq != other && other.before(seq) && (lowest == nil || lowest.before(seq)) {
+			lowest = seq
 		}
 	}
-	return worst
+	return lowest
 }
 
-// preempt takes a sequence out of the step; its KV stays while memory lasts.
-func (e *Engine) preempt(now time.Duration, entry *sequence) {
-	e.leavePlace(entry)
-	entry.state = stateWaiting
-	e.waiting.push(entry)
+// preempt returns a running sequence to the waiting queue; its KV becomes evictable.
+func (e *Engine) preempt(now time.Duration, seq *sequence) {
+	e.deschedule(seq)
+	seq.state = stateWaiting
+	e.waiting.push(seq)
 	e.totals.Preempted++
-	e.emit(now, entry, EventPreempted, 0)
+	e.emit(now, seq, EventPreempted, 0)
 }
 
-// plan shares the step among the running sequences and returns its cost, zero
-// when no sequence can do anything.
+// plan assigns the tokens of a step to the running sequences and returns the
+// duration of the step, or zero if no sequence can make progress.
 func (e *Engine) plan(now time.Duration) time.Duration {
 	budget := e.batchBudget()
 	prefill := e.config.PrefillChunk
-	for _, entry := range e.planOrder() {
-		if entry.state == stateRunning {
-			e.planSequence(now, entry, &prefill, &budget)
+	for _, seq := range e.planOrder() {
+		if seq.state == stateRunning {
+			e.planSequence(now, seq, &prefill, &budget)
 		}
 	}
 	return e.cost()
 }
 
-// planOrder returns the running sequences, best first. Batch sequences take
-// turns at the front of their part, so that a small budget starves none.
+// planOrder returns the running sequences in planning order. While online sequences
+// are running, batch sequences are rotated so that a small budget starves none.
 func (e *Engine) planOrder() []*sequence {
-	e.order = append(e.order[:0], e.running...)
+	e.stepOrder = append(e.stepOrder[:0], e.running...)
 	online := 0
 	for online < len(e.running) && !e.running[online].batch() {
 		online++
 	}
 	batch := e.running[online:]
 	if online == 0 || len(batch) < 2 {
-		return e.order
+		return e.stepOrder
 	}
 	e.rotation++
 	turn := e.rotation % len(batch)
-	copy(e.order[online:], batch[turn:])
-	copy(e.order[len(e.order)-turn:], batch[:turn])
-	return e.order
+	copy(e.stepOrder[online:], batch[turn:])
+	copy(e.stepOrder[len(e.stepOrder)-turn:], batch[:turn])
+	return e.stepOrder
 }
 
-// batchBudget returns how many batch tokens the step may hold.
+// batchBudget returns the maximum number of batch tokens in the step.
 func (e *Engine) batchBudget() int {
 	budget := math.MaxInt
 	online := false
-	for _, entry := range e.running {
-		if !entry.batch() {
+	for _, seq := range e.running {
+		if !seq.batch() {
 			online = true
-		} else if entry.request.BatchTokenBudget > 0 {
-			budget = min(budget, entry.request.BatchTokenBudget)
+		} else if seq.request.BatchTokenBudget > 0 {
+			budget = min(budget, seq.request.BatchTokenBudget)
 		}
 	}
 	if !online {
@@ -163,12 +163,12 @@
 	return budget
 }
 
-// planSequence gives a sequence its tokens of the step and reserves their KV.
-func (e *Engine) planSequence(now time.Duration, entry *sequence, prefill, budget *int) {
-	decode := min(e.config.TokensPerStep, entry.request.MaxTokens-entry.produced)
-	chunk := entry.remainingPrefill()
+// planSequence assigns a sequence its tokens of the step and reserves their KV.
+func (e *Engine) planSequence(now time.Duration, seq *sequence, prefill, budget *int) {
+	decode := min(e.config.TokensPerStep, seq.request.MaxTokens-seq.produced)
+	chunk := seq.remainingPrefill()
 	limit := *prefill
-	if entry.batch() {
+	if seq.batch() {
 		limit = min(limit, *budget)
 		decode = min(decode, *budget)
 	}
@@ -176,17 +176,17 @@
 		chunk = limit
 		decode = 0
 	} else if chunk > 0 {
-		// The step that completes the prefill also yields the first tokens.
-		decode = min(e.config.TokensPerStep, entry.request.MaxTokens-entry.produced)
+		// The step that completes the prefill also produces the first tokens.
+		decode = min(e.config.TokensPerStep, seq.request.MaxTokens-seq.produced)
 	}
-	if chunk+decode == 0 || !e.makeRoom(now, entry, chunk+decode) {
+	if chunk+decode == 0 || !e.ensureMemory(now, seq, chunk+decode) {
 		return
 	}
-	entry.plannedPrefill = chunk
-	entry.plannedDecode = decode
+	seq.plannedPrefill = chunk
+	seq.plannedDecode = decode
 	e.kvTokens += chunk + decode
 	*prefill -= chunk
-	if !entry.batch() {
+	if !seq.batch() {
 		return
 	}
 	if chunk > 0 {
@@ -199,13 +199,13 @@
 // cost returns the duration of the planned step.
 func (e *Engine) cost() time.Duration {
 	decoding, prefilled, attended := 0, 0, 0
-	for _, entry := range e.running {
-		if entry.plannedPrefill+entry.plannedDecode == 0 {
+	for _, seq := range e.running {
+		if seq.plannedPrefill+seq.plannedDecode == 0 {
 			continue
 		}
-		attended += entry.computed
-		prefilled += entry.plannedPrefill
-		if entry.plannedPrefill == 0 {
+		attended += seq.computed
+		prefilled += seq.plannedPrefill
+		if seq.plannedPrefill == 0 {
 			decoding++
 		}
 	}
@@ -222,51 +222,51 @@
 	return cost
 }
 
-// finishStep applies the planned tokens of the step that ends now.
+// finishStep applies the planned tokens of the step that ends at now.
 func (e *Engine) finishStep(now time.Duration) {
-	e.stepping = false
+	e.stepInProgress = false
 	e.lastStep = now - e.stepBegin
 	e.totals.Busy += e.lastStep
 	remaining := e.running[:0]
-	for _, entry := range e.running {
-		e.applyTokens(now, entry)
-		if entry.state == stateRunning {
-			remaining = append(remaining, entry)
+	for _, seq := range e.running {
+		e.applyTokens(now, seq)
+		if seq.state == stateRunning {
+			remaining = append(remaining, seq)
 		}
 	}
 	clear(e.running[len(remaining):])
 	e.running = remaining
 }
 
-// applyTokens gives a sequence the tokens planned for it.
-func (e *Engine) applyTokens(now time.Duration, entry *sequence) {
-	prefilled, decoded := entry.plannedPrefill, entry.plannedDecode
-	entry.plannedPrefill, entry.plannedDecode = 0, 0
-	entry.computed += prefilled + decoded
+// applyTokens applies the planned tokens of a sequence.
+func (e *Engine) applyTokens(now time.Duration, seq *sequence) {
+	prefilled, decoded := seq.plannedPrefill, seq.plannedDecode
+	seq.plannedPrefill, seq.plannedDecode = 0, 0
+	seq.computed += prefilled + decoded
 	e.totals.PrefillTokens += uint64(prefilled)
 	if decoded == 0 {
 		return
 	}
-	if entry.produced == 0 {
-		e.storePrefix(now, entry.request.Blocks)
+	if seq.produced == 0 {
+		e.storePrefix(now, seq.request.Blocks)
 	}
-	entry.produced += decoded
-	if entry.batch() {
+	seq.produced += decoded
+	if seq.batch() {
 		e.totals.TokensBatch += uint64(decoded)
 	} else {
 		e.totals.TokensOnline += uint64(decoded)
 	}
-	done := entry.produced == entry.request.MaxTokens
-	if done && e.faults.takeLate() {
-		e.finishLate(now, entry, decoded)
+	done := seq.produced == seq.request.MaxTokens
+	if done && e.faults.takeFinishDelay() {
+		e.finishDelayed(now, seq, decoded)
 		return
 	}
-	first := entry.produced == decoded
-	if first || done || e.config.reportsTokens(entry) {
-		e.emit(now, entry, EventTokens, decoded)
+	first := seq.produced == decoded
+	if first || done || e.config.reportsTokens(seq) {
+		e.emit(now, seq, EventTokens, decoded)
 	}
-	e.truncate(now, entry)
+	e.truncate(now, seq)
 	if done {
-		e.finish(now, entry)
+		e.finish(now, seq)
 	}
 }
--- a/internal/engine/text.go
+++ b/internal/engine/text.go
@@ -7,16 +7,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// wordCount is the number of different words that answers consist of.
-const wordCount = 1024
+// vocabularySize is the number of distinct tokens in generated text.
+const vocabularySize = 1024
 
-// words are the tokens of answers; each ends with a space.
-var words = makeWords()
+// vocabulary holds the tokens of generated text; each ends with a space.
+var vocabulary = makeVocabulary()
 
-func makeWords() [wordCount]string {
+func makeVocabulary() [vocabularySize]string {
 	const consonants = "bdfghklmnprstvwz"
 	const vowels = "ae"
-	var result [wordCount]string
+	var result [vocabularySize]string
 	syllable := func(number int) string {
 		return string([]byte{consonants[number/len(vowels)], vowels[number%len(vowels)]})
 	}
@@ -26,35 +26,35 @@
 	return result
 }
 
-// PromptHash identifies a prompt; answers are derived from it.
+// PromptHash returns the hash of a prompt, from which the output is derived.
 func PromptHash(prompt string) uint64 {
 	return xxhash.Sum64String(prompt)
 }
 
-// ExpectedToken returns the token with the given sequence number, from 1, of
-// the answer to the prompt with the given hash.
+// ExpectedToken returns the output token with the given sequence number, starting
+// at 1, for the prompt with the given hash.
 func ExpectedToken(promptHash uint64, sequence int) string {
 	mixed := promptHash + uint64(sequence)*0x9e3779b97f4a7c15
 	mixed = (mixed ^ (mixed >> 30)) * 0xbf58476d1ce4e5b9
 	mixed = (mixed ^ (mixed >> 27)) * 0x94d049bb133111eb
 	mixed ^= mixed >> 31
-	return words[mixed%wordCount]
+	return vocabulary[mixed%vocabularySize]
 }
 
-// ExpectedText returns the whole answer to a prompt: maxTokens tokens. Any
-// reader can compare an answer with it to see that the answer is whole and its
-// own. The prompt of a chat is what ChatPrompt returns.
+// ExpectedText returns the complete output for a prompt. Clients compare responses
+// with it to detect incomplete or misrouted ones. For chats, the prompt is the
+// result of ChatPrompt.
 func ExpectedText(prompt string, maxTokens int) string {
 	return ExpectedRange(PromptHash(prompt), 1, maxTokens)
 }
 
-// ExpectedRange returns the text of the tokens first to last of an answer.
+// ExpectedRange returns the output tokens from first to last.
 func ExpectedRange(promptHash uint64, first, last int) string {
 	if last < first {
 		return ""
 	}
 	var text strings.Builder
-	text.Grow((last - first + 1) * len(words[0]))
+	text.Grow((last - first + 1) * len(vocabulary[0]))
 	for sequence := first; sequence <= last; sequence++ {
 		text.WriteString(ExpectedToken(promptHash, sequence))
 	}
@@ -67,7 +67,7 @@
 	Content string `json:"content"`
 }
 
-// ChatPrompt returns the prompt that an engine makes of the messages of a chat.
+// ChatPrompt returns the prompt that an engine builds from chat messages.
 func ChatPrompt(messages []Message) string {
 	var text strings.Builder
 	for _, message := range messages {
@@ -79,7 +79,7 @@
 	return text.String()
 }
 
-// UserPrompt returns the prompt of a chat with a single message of the user.
+// UserPrompt returns the prompt of a chat with a single user message.
 func UserPrompt(content string) string {
 	return ChatPrompt([]Message{{Role: "user", Content: content}})
 }
@@ -89,9 +89,9 @@
 	return max((len(prompt)+BytesPerToken-1)/BytesPerToken, 1)
 }
 
-// BlockHashes returns the chain hashes of the prompt's whole blocks: the hash of
-// a block is xxhash64 over the hash of the block before it, eight bytes big
-// endian and zero for the first, and the bytes of the block.
+// BlockHashes returns the chain hashes of the prompt's complete blocks. The hash
+// of a block is the xxhash64 of the previous block's hash (eight bytes, big endian,
+// zero for the first block) followed by the bytes of the block.
 func BlockHashes(prompt string) []uint64 {
 	count := len(prompt) / BlockBytes
 	if count == 0 {
--- a/internal/engine/timer.go
+++ b/internal/engine/timer.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// timerID names a timer; zero names none.
+// timerID identifies a timer; zero means none.
 type timerID uint64
 
-// timerKind is what a timer is for.
+// timerKind is the action of a timer.
 type timerKind uint8
 
 const (
-	// timerExpire ends a request without a reader.
+	// timerExpire expires a request without a reader.
 	timerExpire timerKind = iota
-	// timerForget drops a finished request.
+	// timerForget removes a finished request after the retention time.
 	timerForget
-	// timerLate delivers a finish that a fault held back.
-	timerLate
-	// timerLoaded ends a loading order.
+	// timerDelayedFinish emits a finish delayed by a fault.
+	timerDelayedFinish
+	// timerLoaded completes a load.
 	timerLoaded
-	// timerFault ends a fault.
+	// timerFault ends FaultDie or FaultHang.
 	timerFault
 )
 
@@ -28,12 +28,12 @@
 	id      timerID
 	at      time.Duration
 	kind    timerKind
-	subject *sequence
-	loading loadingOrder
+	seq     *sequence
+	loading pendingLoad
 }
 
-// timerQueue holds timers by time. A sequence's timer is void once the
-// sequence names another one.
+// timerQueue is a queue of timers ordered by time. Timers are not removed from it:
+// a timer has no effect once its sequence refers to another one.
 type timerQueue struct {
 	items timerHeap
 	last  timerID
@@ -79,21 +79,21 @@
 	return entry
 }
 
-// fire runs the first timer.
-func (e *Engine) fire(at time.Duration) {
+// runTimer removes the first timer and runs its action.
+func (e *Engine) runTimer(at time.Duration) {
 	entry := e.timers.pop()
-	subject := entry.subject
+	seq := entry.seq
 	switch entry.kind {
 	case timerExpire:
-		if subject.deadline == entry.id && !subject.attached && subject.state != stateFinished {
-			e.end(at, subject, EventExpired)
+		if seq.expiry == entry.id && !seq.hasReader && seq.state != stateFinished {
+			e.abort(at, seq, EventExpired)
 		}
 	case timerForget:
-		if subject.deadline == entry.id {
-			delete(e.known, subject.request.ID)
+		if seq.expiry == entry.id {
+			delete(e.sequences, seq.request.ID)
 		}
-	case timerLate:
-		e.emitLate(at, subject)
+	case timerDelayedFinish:
+		e.emitDelayedFinish(at, seq)
 	case timerLoaded:
 		e.finishLoading(at, entry.loading)
 	case timerFault:
--- a/internal/engine/transfer.go
+++ b/internal/engine/transfer.go
@@ -5,22 +5,21 @@
 	"time"
 )
 
-// hashBytes is the length of a block hash on the wire.
+// hashBytes is the encoded size of a block hash.
 const hashBytes = 8
 
-// CacheEvents returns the cache events from sequence number since that are old
-// enough to be published.
+// CacheEvents returns the published cache events from sequence number since.
 func (e *Engine) CacheEvents(now time.Duration, since uint64) CachePage {
 	return e.cache.page(since, now-e.config.CacheEventLag)
 }
 
-// Snapshot returns the whole content of the prefix cache.
+// Snapshot returns the full content of the prefix cache.
 func (e *Engine) Snapshot() CacheSnapshot {
 	return e.cache.snapshot()
 }
 
-// CachedBlocks returns how many leading blocks of a chain are cached, without
-// marking them used.
+// CachedBlocks returns the number of leading blocks of a chain that are cached,
+// without marking them as used.
 func (e *Engine) CachedBlocks(chain []uint64) int {
 	count := 0
 	for count < len(chain) && e.cache.blocks[chain[count]] != nil {
@@ -30,8 +29,8 @@
 }
 
 // ExportKV returns the KV of the prefix chain that ends with the given block: a
-// header with the chain and bytesPerToken bytes for each token. It tells whether
-// the whole chain is cached.
+// header with the chain, followed by bytesPerToken bytes per token. It returns
+// false if any block of the chain is not cached.
 func (e *Engine) ExportKV(block uint64, bytesPerToken int) ([]byte, bool) {
 	chain := e.cache.chain(block)
 	if len(chain) == 0 {
@@ -46,9 +45,9 @@
 	return data, true
 }
 
-// ImportKV stores the KV of a prefix chain that another engine exported. It
-// tells whether the data ends with the given block and is whole, and how many
-// blocks of the chain are cached now.
+// ImportKV stores the KV of a prefix chain exported by another engine and returns
+// the number of leading blocks that are cached afterwards. It returns false if the
+// header is malformed or its chain does not end with the given block.
 func (e *Engine) ImportKV(now time.Duration, block uint64, data []byte) (int, bool) {
 	if len(data) < 2*hashBytes {
 		return 0, false
@@ -65,6 +64,6 @@
 		return 0, false
 	}
 	stored := e.storePrefix(now, chain)
-	e.record(now)
+	e.recordReport(now)
 	return stored, true
 }
