--- a/internal/bench/soak/backend/backend.go
+++ b/internal/bench/soak/backend/backend.go
@@ -35,11 +35,11 @@
 const PathHealth = "/health"
 
 // HeaderJob names the job of an item, HeaderPoison marks one that can never be done, and
-// HeaderEnds names the content of a request that ends the back end.
+// HeaderCrash names the content of a request that ends the back end.
 const (
 	HeaderJob    = "X-Soak-Job"
 	HeaderPoison = "X-Soak-Poison"
-	HeaderEnds   = "X-Soak-Ends"
+	HeaderCrash   = "X-Soak-Ends"
 )
 
 const (
@@ -62,25 +62,25 @@
 // Answer is the body of a plain answer to a request.
 func Answer(id string) string { return "answer to " + id }
 
-// Large is the body of a large answer to a request.
-func Large(id string) string {
+// LargeAnswer is the body of a large answer to a request.
+func LargeAnswer(id string) string {
 	line := Answer(id) + "\n"
 	return strings.Repeat(line, LargeBytes/len(line))
 }
 
-// Data is the data of one event of the stream that answers a request.
-func Data(id string, event int) string {
+// EventData is the data of one event of the stream that answers a request.
+func EventData(id string, event int) string {
 	if event == Events {
 		return id + " " + LastData
 	}
 	return fmt.Sprintf("%s %d", id, event)
 }
 
-// Text is all data of a stream in order, as a batch result shows it.
-func Text(id string) string {
+// StreamText is all data of a stream in order, as a batch result shows it.
+func StreamText(id string) string {
 	lines := make([]string, 0, Events)
 	for event := 1; event <= Events; event++ {
-		lines = append(lines, Data(id, event))
+		lines = append(lines, EventData(id, event))
 	}
 	return strings.Join(lines, "\n")
 }
@@ -125,8 +125,8 @@
 // Kill ends the server and breaks off what it has in hand.
 func (s *Server) Kill() { _ = s.server.Close() }
 
-// Forbid makes each new request a breach from now on.
-func (s *Server) Forbid() {
+// ForbidRequests makes each new request a breach from now on.
+func (s *Server) ForbidRequests() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.forbidden = s.since()
@@ -156,7 +156,7 @@
 	since := s.forbidden
 	s.mutex.Unlock()
 	if since > 0 {
-		s.witness.Report(witness.LeavingServerUsed, id, "server "+s.id+" got it "+(s.since()-since).String()+" after its time", s.since())
+		s.witness.Report(witness.DrainedServerUsed, id, "server "+s.id+" got it "+(s.since()-since).String()+" after its time", s.since())
 	}
 }
 
@@ -186,7 +186,7 @@
 	} else {
 		s.witness.Ran(id, s.id, s.since())
 	}
-	if content := request.Header.Get(HeaderEnds); content != "" {
+	if content := request.Header.Get(HeaderCrash); content != "" {
 		s.end(content)
 		panic(http.ErrAbortHandler)
 	}
@@ -195,7 +195,7 @@
 		return
 	}
 	if strings.HasPrefix(request.URL.Path, PathLarge) {
-		body := Large(id)
+		body := LargeAnswer(id)
 		writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 		_, _ = writer.Write([]byte(body))
 		return
@@ -211,7 +211,7 @@
 // ranForTenant tells the witness for whom a request runs. The client's key is none of a back
 // end's business.
 func (s *Server) ranForTenant(id string, header http.Header) {
-	s.witness.RanFor(header.Get(router.HeaderTenant), id, s.id, s.since())
+	s.witness.RanForTenant(header.Get(router.HeaderTenant), id, s.id, s.since())
 	if header.Get("Authorization") != "" {
 		s.witness.Report(witness.WrongTenant, id, "server "+s.id+" was told a key", s.since())
 	}
@@ -241,7 +241,7 @@
 	writer.Header().Set("Content-Type", "text/event-stream")
 	controller := http.NewResponseController(writer)
 	for event := after + 1; event <= Events; event++ {
-		piece := fmt.Sprintf("id: %d\ndata: %s\n\n", event, Data(id, event))
+		piece := fmt.Sprintf("id: %d\ndata: %s\n\n", event, EventData(id, event))
 		if cut && event == after+Events/2 {
 			_, _ = writer.Write([]byte(piece[:len(piece)/2]))
 			_ = controller.Flush()
--- a/internal/bench/soak/backends.go
+++ b/internal/bench/soak/backends.go
@@ -85,7 +85,7 @@
 // endBy ends an incarnation by a request, and has the next one come.
 func (p *place) endBy(run *run, id, content string) {
 	now := run.since()
-	run.witness.EndedBackEnd(content, id, now, run.calm.since(now))
+	run.witness.BackendCrashed(content, id, now, run.calm.since(now))
 	go func() {
 		p.busy.Lock()
 		defer p.busy.Unlock()
@@ -193,7 +193,7 @@
 	retry.Pause(ctx, leaveNotice)
 	if run.calm.since(acknowledged) {
 		run.witness.Count("leaves judged")
-		leaving.Forbid()
+		leaving.ForbidRequests()
 	}
 	retry.Pause(ctx, leaveStay)
 	p.kill()
--- a/internal/bench/soak/enders.go
+++ b/internal/bench/soak/enders.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return
 	}
-	request.Header.Set(backend.HeaderEnds, content)
+	request.Header.Set(backend.HeaderCrash, content)
 	response, err := client.Do(request)
 	if err != nil {
 		r.witness.Count("requests that end back ends: no answer")
--- a/internal/bench/soak/faultproxy/proxy.go
+++ b/internal/bench/soak/faultproxy/proxy.go
@@ -13,27 +13,27 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Harm is what a proxy does to all that passes.
-type Harm struct {
+// Impairment is what a proxy does to all that passes.
+type Impairment struct {
 	delay       time.Duration
 	dropToward  bool
 	dropAnswers bool
 }
 
 // None lets everything pass.
-func None() Harm { return Harm{} }
+func None() Impairment { return Impairment{} }
 
-// Delayed holds each piece of data for a while, in both directions.
-func Delayed(by time.Duration) Harm { return Harm{delay: by} }
+// Delay holds each piece of data for a while, in both directions.
+func Delay(by time.Duration) Impairment { return Impairment{delay: by} }
 
-// Toward drops what is sent to the process; what it sends still passes.
-func Toward() Harm { return Harm{dropToward: true} }
+// DropInbound drops what is sent to the process; what it sends still passes.
+func DropInbound() Impairment { return Impairment{dropToward: true} }
 
-// Answers drops what the process sends; what is sent to it still passes.
-func Answers() Harm { return Harm{dropAnswers: true} }
+// DropOutbound drops what the process sends; what is sent to it still passes.
+func DropOutbound() Impairment { return Impairment{dropAnswers: true} }
 
-// Silence drops everything, as a machine without power does.
-func Silence() Harm { return Harm{dropToward: true, dropAnswers: true} }
+// DropAll drops everything, as a machine without power does.
+func DropAll() Impairment { return Impairment{dropToward: true, dropAnswers: true} }
 
 // copySize is the size of one read, maximumDatagram that of the largest datagram.
 const (
@@ -51,7 +51,7 @@
 	packets  net.PacketConn
 
 	mutex sync.Mutex
-	harm  Harm
+	harm  Impairment
 	pairs map[*pair]struct{}
 }
 
@@ -74,7 +74,7 @@
 
 // Set replaces the harm. Data that a silent direction swallowed stays lost; its
 // connections are reset when the harm ends, as their ends are out of step then.
-func (p *Proxy) Set(harm Harm) {
+func (p *Proxy) Set(harm Impairment) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.harm = harm
@@ -97,7 +97,7 @@
 	}
 }
 
-func (p *Proxy) current() Harm {
+func (p *Proxy) current() Impairment {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.harm
@@ -161,8 +161,8 @@
 	p.pairs[made] = struct{}{}
 	p.mutex.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { p.copy(made, far, near, func(h Harm) bool { return h.dropToward }) })
-	both.Go(func() { p.copy(made, near, far, func(h Harm) bool { return h.dropAnswers }) })
+	both.Go(func() { p.copy(made, far, near, func(h Impairment) bool { return h.dropToward }) })
+	both.Go(func() { p.copy(made, near, far, func(h Impairment) bool { return h.dropAnswers }) })
 	both.Wait()
 	p.mutex.Lock()
 	delete(p.pairs, made)
@@ -173,7 +173,7 @@
 
 // copy carries one direction. An end that closes is told to the other end unless
 // the direction is silent.
-func (p *Proxy) copy(made *pair, to, from net.Conn, drops func(Harm) bool) {
+func (p *Proxy) copy(made *pair, to, from net.Conn, drops func(Impairment) bool) {
 	buffer := make([]byte, copySize)
 	for {
 		n, err := from.Read(buffer)
--- a/internal/bench/soak/faultproxy/proxy_test.go
+++ b/internal/bench/soak/faultproxy/proxy_test.go
@@ -75,7 +75,7 @@
 	if got, err := exchange(conn, late); err != nil || got != "hello\n" {
 		t.Fatalf("%q, %v", got, err)
 	}
-	proxy.Set(faultproxy.Delayed(50 * time.Millisecond))
+	proxy.Set(faultproxy.Delay(50 * time.Millisecond))
 	began := time.Now()
 	if _, err := exchange(conn, late); err != nil || time.Since(began) < 100*time.Millisecond {
 		t.Fatalf("after %v: %v", time.Since(began), err)
@@ -83,8 +83,8 @@
 }
 
 func TestSilentDirectionsSwallowDataAndTheirConnectionsEndWithTheHarm(t *testing.T) {
-	for name, harm := range map[string]faultproxy.Harm{
-		"toward": faultproxy.Toward(), "answers": faultproxy.Answers(), "silence": faultproxy.Silence(),
+	for name, harm := range map[string]faultproxy.Impairment{
+		"toward": faultproxy.DropInbound(), "answers": faultproxy.DropOutbound(), "silence": faultproxy.DropAll(),
 	} {
 		proxy := open(t)
 		conn := dial(t, proxy)
@@ -143,7 +143,7 @@
 	if err := receive(late); err != nil {
 		t.Fatal(err)
 	}
-	proxy.Set(faultproxy.Silence())
+	proxy.Set(faultproxy.DropAll())
 	if err := receive(soon); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatalf("a datagram over a silent link: %v", err)
 	}
--- a/internal/bench/soak/inject.go
+++ b/internal/bench/soak/inject.go
@@ -45,7 +45,7 @@
 // strike brings one fault about.
 func (r *run) strike(ctx context.Context, fault Fault) {
 	switch fault.kind {
-	case KindServerKill, KindServerReborn, KindServerLeave, KindServerDelay, KindServerReset, KindServerSilence:
+	case KindServerKill, KindServerLateReports, KindServerDrain, KindServerDelay, KindServerReset, KindServerDropAll:
 		r.strikeServer(ctx, fault, r.places[fault.target%len(r.places)])
 		return
 	case KindKillAll:
@@ -53,7 +53,7 @@
 		return
 	}
 	targets := r.site.members
-	if fault.kind == KindTear || fault.kind == KindWipe {
+	if fault.kind == KindTornWrite || fault.kind == KindWipeDisk {
 		targets = slices.DeleteFunc(slices.Clone(targets), func(m *member) bool { return !m.keepsDisk() })
 	}
 	target := targets[fault.target%len(targets)]
@@ -75,7 +75,7 @@
 
 func (r *run) strikeMember(ctx context.Context, fault Fault, target *member) {
 	hold := func() { retry.Pause(ctx, fault.length) }
-	harm := func(harm faultproxy.Harm) {
+	harm := func(harm faultproxy.Impairment) {
 		target.proxy.Set(harm)
 		hold()
 		target.proxy.Set(faultproxy.None())
@@ -94,15 +94,15 @@
 		}
 		r.restart(target)
 	case KindDelay:
-		harm(faultproxy.Delayed(linkDelay))
+		harm(faultproxy.Delay(linkDelay))
 	case KindReset:
 		target.proxy.Reset()
-	case KindToward:
-		harm(faultproxy.Toward())
-	case KindAnswers:
-		harm(faultproxy.Answers())
-	case KindSilence:
-		harm(faultproxy.Silence())
+	case KindDropInbound:
+		harm(faultproxy.DropInbound())
+	case KindDropOutbound:
+		harm(faultproxy.DropOutbound())
+	case KindDropAll:
+		harm(faultproxy.DropAll())
 	default:
 		target.Kill()
 		r.harmDisk(fault.kind, target)
@@ -115,9 +115,9 @@
 func (r *run) harmDisk(kind Kind, target *member) {
 	var err error
 	switch kind {
-	case KindWipe:
+	case KindWipeDisk:
 		err = os.RemoveAll(target.settings.GetDataFolder())
-	case KindTear:
+	case KindTornWrite:
 		err = tear(target.settings.GetDataFolder())
 	}
 	if err != nil {
@@ -190,18 +190,18 @@
 		if err := target.revive(r); err != nil {
 			log.WithError(err).Error("a back end was not started again")
 		}
-	case KindServerReborn:
+	case KindServerLateReports:
 		target.reborn(ctx, r, fault.length)
-	case KindServerLeave:
+	case KindServerDrain:
 		target.leave(ctx, r)
 	case KindServerDelay:
-		target.proxy.Set(faultproxy.Delayed(linkDelay))
+		target.proxy.Set(faultproxy.Delay(linkDelay))
 		retry.Pause(ctx, fault.length)
 		target.proxy.Set(faultproxy.None())
 	case KindServerReset:
 		target.proxy.Reset()
-	case KindServerSilence:
-		target.proxy.Set(faultproxy.Silence())
+	case KindServerDropAll:
+		target.proxy.Set(faultproxy.DropAll())
 		retry.Pause(ctx, fault.length)
 		target.proxy.Set(faultproxy.None())
 	}
--- a/internal/bench/soak/jobs.go
+++ b/internal/bench/soak/jobs.go
@@ -94,7 +94,7 @@
 	for number := range 1 + c.random.IntN(mostItems) {
 		name := fmt.Sprintf("%s-i%d", id, number)
 		headers := []*rockwindpb.StoredHeader{{Name: backend.HeaderJob, Value: id}}
-		texts[name] = backend.Text(name)
+		texts[name] = backend.StreamText(name)
 		if c.random.Float64() < poisonPart {
 			headers = append(headers, &rockwindpb.StoredHeader{Name: backend.HeaderPoison, Value: "true"})
 			texts[name] = ""
@@ -116,7 +116,7 @@
 		case err == nil && (status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests):
 			c.run.witness.Count("submissions refused")
 		case err != nil || status >= http.StatusInternalServerError:
-			c.run.witness.InDoubt(id)
+			c.run.witness.SubmissionUncertain(id)
 		default:
 			c.run.witness.Report(witness.Denied, id, fmt.Sprintf("submission: status %d %s", status, body), c.run.since())
 			return false
@@ -154,7 +154,7 @@
 	}
 	if status == http.StatusNotFound {
 		if sent > accepted+settle {
-			c.run.witness.Lost(id, at.Name+" answers: "+string(body), c.run.since())
+			c.run.witness.JobNotFound(id, at.Name+" answers: "+string(body), c.run.since())
 		}
 		return -1
 	}
--- a/internal/bench/soak/online.go
+++ b/internal/bench/soak/online.go
@@ -132,7 +132,7 @@
 	want := backend.Answer(id)
 	found := got.body
 	if path == backend.PathStream || path == backend.PathResumable {
-		want, found = backend.Text(id), dataOf(got.body)
+		want, found = backend.StreamText(id), dataOf(got.body)
 	}
 	if found != want || got.id != id {
 		w.Report(witness.WrongAnswer, id, fmt.Sprintf("answer of %q: %q, want %q", got.id, found, want), now)
--- a/internal/bench/soak/plan.go
+++ b/internal/bench/soak/plan.go
@@ -13,11 +13,11 @@
 const (
 	// KindKill kills a process without warning and starts it again.
 	KindKill Kind = "kill"
-	// KindTear kills a process with a disk and leaves a torn write at the end of its
+	// KindTornWrite kills a process with a disk and leaves a torn write at the end of its
 	// log.
-	KindTear Kind = "tear"
-	// KindWipe kills a process with a disk and empties it.
-	KindWipe Kind = "wipe"
+	KindTornWrite Kind = "tear"
+	// KindWipeDisk kills a process with a disk and empties it.
+	KindWipeDisk Kind = "wipe"
 	// KindPause stops a process for a while without its noticing.
 	KindPause Kind = "pause"
 	// KindStop stops a process as planned and starts it again.
@@ -28,29 +28,29 @@
 	KindDelay Kind = "delay"
 	// KindReset breaks the connections to a process off.
 	KindReset Kind = "reset"
-	// KindToward drops what a process is sent, KindAnswers what it answers, and
+	// KindDropInbound drops what a process is sent, KindAnswers what it answers, and
 	// KindSilence both.
-	KindToward  Kind = "cut toward"
-	KindAnswers Kind = "cut answers"
-	KindSilence Kind = "silence"
+	KindDropInbound  Kind = "cut toward"
+	KindDropOutbound Kind = "cut answers"
+	KindDropAll Kind = "silence"
 	// KindServerKill kills a back end; another incarnation takes its address.
 	KindServerKill Kind = "server kill"
-	// KindServerReborn kills a back end twice; the reports of the incarnation between come
+	// KindServerLateReports kills a back end twice; the reports of the incarnation between come
 	// late, when the next one is known already.
-	KindServerReborn Kind = "server reborn"
-	// KindServerLeave drains a back end.
-	KindServerLeave Kind = "server leave"
+	KindServerLateReports Kind = "server reborn"
+	// KindServerDrain drains a back end.
+	KindServerDrain Kind = "server leave"
 	// KindServerDelay, KindServerReset and KindServerSilence harm a back end's link.
 	KindServerDelay   Kind = "server delay"
 	KindServerReset   Kind = "server reset"
-	KindServerSilence Kind = "server silence"
+	KindServerDropAll Kind = "server silence"
 )
 
 // Kinds lists all kinds.
 func Kinds() []Kind {
 	return []Kind{
-		KindKill, KindTear, KindWipe, KindPause, KindStop, KindKillAll, KindDelay, KindReset, KindToward, KindAnswers, KindSilence,
-		KindServerKill, KindServerReborn, KindServerLeave, KindServerDelay, KindServerReset, KindServerSilence,
+		KindKill, KindTornWrite, KindWipeDisk, KindPause, KindStop, KindKillAll, KindDelay, KindReset, KindDropInbound, KindDropOutbound, KindDropAll,
+		KindServerKill, KindServerLateReports, KindServerDrain, KindServerDelay, KindServerReset, KindServerDropAll,
 	}
 }
 
@@ -88,7 +88,7 @@
 
 // onDisk are the kinds that make a process with a disk count as lost, if they strike
 // one.
-var onDisk = []Kind{KindKill, KindTear, KindWipe, KindPause, KindStop, KindDelay, KindReset, KindToward, KindAnswers, KindSilence}
+var onDisk = []Kind{KindKill, KindTornWrite, KindWipeDisk, KindPause, KindStop, KindDelay, KindReset, KindDropInbound, KindDropOutbound, KindDropAll}
 
 // NewPlan draws the faults of a soak that lasts so long. Faults on processes with a
 // disk do not overlap, and leave each other time to settle; others may come at any
--- a/internal/bench/soak/plan_test.go
+++ b/internal/bench/soak/plan_test.go
@@ -13,8 +13,8 @@
 // TestPlanLosesOneDiskAtATime: what the promises rest on holds in every plan.
 func TestPlanLosesOneDiskAtATime(t *testing.T) {
 	server := map[soak.Kind]bool{
-		soak.KindServerKill: true, soak.KindServerReborn: true, soak.KindServerLeave: true, soak.KindServerDelay: true,
-		soak.KindServerReset: true, soak.KindServerSilence: true,
+		soak.KindServerKill: true, soak.KindServerLateReports: true, soak.KindServerDrain: true, soak.KindServerDelay: true,
+		soak.KindServerReset: true, soak.KindServerDropAll: true,
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
--- a/internal/bench/soak/reborn.go
+++ b/internal/bench/soak/reborn.go
@@ -75,6 +75,6 @@
 	defer at.busy.Unlock()
 	r.witness.Count("back ends judged by their use")
 	if last := server.LastRequest(); now-last > usedWithin {
-		r.witness.Report(witness.LiveServerForgotten, server.ID(), "its last request came at "+last.String(), now)
+		r.witness.Report(witness.LiveServerUnused, server.ID(), "its last request came at "+last.String(), now)
 	}
 }
--- a/internal/bench/soak/slowreaders.go
+++ b/internal/bench/soak/slowreaders.go
@@ -110,8 +110,8 @@
 		w.Refused(id, now)
 	case response.StatusCode != http.StatusOK:
 		w.Count("large answers: failed")
-	case body != backend.Large(id):
-		w.Report(witness.WrongAnswer, id, fmt.Sprintf("a large answer of %d bytes, want %d", len(body), len(backend.Large(id))), now)
+	case body != backend.LargeAnswer(id):
+		w.Report(witness.WrongAnswer, id, fmt.Sprintf("a large answer of %d bytes, want %d", len(body), len(backend.LargeAnswer(id))), now)
 	default:
 		w.Count("large answers: whole")
 	}
--- a/internal/bench/soak/tenants.go
+++ b/internal/bench/soak/tenants.go
@@ -59,7 +59,7 @@
 // tenantCallers are those of the flood, of the modest tenant and of a stranger.
 func (r *run) tenantCallers() []*tenantCaller {
 	for _, tenant := range tenants() {
-		r.witness.Limited(tenant.GetName(), witness.NewRate(tenantRate, tenantBurst))
+		r.witness.SetRateLimit(tenant.GetName(), witness.NewRate(tenantRate, tenantBurst))
 	}
 	first := callers + slowReaders
 	all := []*tenantCaller{
@@ -90,7 +90,7 @@
 	}
 	request.Header.Set("Authorization", "Bearer "+fleet.APIKey(c.tenant))
 	sent := c.run.since()
-	c.run.witness.SentBy(c.tenant, id, sent)
+	c.run.witness.SentForTenant(c.tenant, id, sent)
 	response, err := c.client.Do(request)
 	if err != nil {
 		return
--- a/internal/bench/soak/witness/tenants.go
+++ b/internal/bench/soak/witness/tenants.go
@@ -50,15 +50,15 @@
 	runs []tenantRun
 }
 
-// Limited tells of a tenant with a limit.
-func (w *Witness) Limited(name string, rate Rate) {
+// SetRateLimit tells of a tenant with a limit.
+func (w *Witness) SetRateLimit(name string, rate Rate) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.tenants[name] = &tenant{rate: rate, sent: make(map[string]time.Duration)}
 }
 
-// SentBy notes that a tenant sends a request.
-func (w *Witness) SentBy(name, id string, at time.Duration) {
+// SentForTenant notes that a tenant sends a request.
+func (w *Witness) SentForTenant(name, id string, at time.Duration) {
 	w.Sent(id, false)
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -67,8 +67,8 @@
 	}
 }
 
-// RanFor notes that a back end began to work on a request that it was told to be a tenant's.
-func (w *Witness) RanFor(name, id, server string, at time.Duration) {
+// RanForTenant notes that a back end began to work on a request that it was told to be a tenant's.
+func (w *Witness) RanForTenant(name, id, server string, at time.Duration) {
 	w.Ran(id, server, at)
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/internal/bench/soak/witness/witness.go
+++ b/internal/bench/soak/witness/witness.go
@@ -32,8 +32,8 @@
 	ResultChanged Rule = "result changed"
 	// ResultWrong: a result is not what the item's back end made.
 	ResultWrong Rule = "result wrong"
-	// ItemTwice: an item has two positions.
-	ItemTwice Rule = "item twice"
+	// ItemDuplicated: an item has two positions.
+	ItemDuplicated Rule = "item twice"
 	// RanAfterEnd: an item was begun long after the end of its job was acknowledged.
 	RanAfterEnd Rule = "ran after end"
 	// RefusedJobRan: an item ran although its job was refused each time.
@@ -44,14 +44,14 @@
 	ConfigurationReverted Rule = "configuration reverted"
 	// ConfigurationLate: a configuration is not in force in calm times.
 	ConfigurationLate Rule = "configuration late"
-	// LeavingServerUsed: a server that has left got a new request in calm times.
-	LeavingServerUsed Rule = "leaving server used"
-	// LiveServerForgotten: a server that runs and reports gets no requests in calm times.
-	LiveServerForgotten Rule = "live server forgotten"
+	// DrainedServerUsed: a server that has left got a new request in calm times.
+	DrainedServerUsed Rule = "leaving server used"
+	// LiveServerUnused: a server that runs and reports gets no requests in calm times.
+	LiveServerUnused Rule = "live server forgotten"
 	// MemoryExceeded: a process keeps more than the memory that its settings give it.
 	MemoryExceeded Rule = "memory exceeded"
-	// HeldButRan: a request under which three back ends have ended runs on and on.
-	HeldButRan Rule = "held, but ran"
+	// QuarantinedButRan: a request under which three back ends have ended runs on and on.
+	QuarantinedButRan Rule = "held, but ran"
 	// NoRecovery: requests are not served once everything runs again.
 	NoRecovery Rule = "no recovery"
 )
@@ -196,9 +196,9 @@
 	}
 }
 
-// EndedBackEnd notes that a content has ended a back end. Calm tells that nothing has
+// BackendCrashed notes that a content has ended a back end. Calm tells that nothing has
 // disturbed the processes lately.
-func (w *Witness) EndedBackEnd(content, server string, at time.Duration, calm bool) {
+func (w *Witness) BackendCrashed(content, server string, at time.Duration, calm bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.counts["back ends ended by requests"]++
@@ -216,7 +216,7 @@
 	}
 	seen.late++
 	if seen.late == lateRuns+1 {
-		w.report(HeldButRan, content, fmt.Sprintf("%d back ends ended, the third at %v, the last one is %s", seen.ends, seen.convictedAt, server), at)
+		w.report(QuarantinedButRan, content, fmt.Sprintf("%d back ends ended, the third at %v, the last one is %s", seen.ends, seen.convictedAt, server), at)
 	}
 }
 
@@ -250,8 +250,8 @@
 	w.jobs[id].accepted = true
 }
 
-// InDoubt notes that an attempt to submit a job had no clear answer.
-func (w *Witness) InDoubt(id string) {
+// SubmissionUncertain notes that an attempt to submit a job had no clear answer.
+func (w *Witness) SubmissionUncertain(id string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.jobs[id].doubt = true
@@ -287,8 +287,8 @@
 	}
 }
 
-// Lost notes that a reader was told that an accepted job does not exist.
-func (w *Witness) Lost(id, detail string, at time.Duration) {
+// JobNotFound notes that a reader was told that an accepted job does not exist.
+func (w *Witness) JobNotFound(id, detail string, at time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.jobs[id].accepted {
@@ -323,7 +323,7 @@
 		return
 	}
 	if expected.placed {
-		w.report(ItemTwice, id, "it lists item "+result.item+" again", at)
+		w.report(ItemDuplicated, id, "it lists item "+result.item+" again", at)
 	}
 	expected.placed = true
 	switch {
--- a/internal/bench/soak/witness/witness_test.go
+++ b/internal/bench/soak/witness/witness_test.go
@@ -52,20 +52,20 @@
 	w.Sent("refused", true)
 	w.Refused("refused", 0)
 	for range 20 {
-		w.EndedBackEnd("at once", "a", 0, true)
-		w.EndedBackEnd("while others are harmed", "a", time.Hour, false)
+		w.BackendCrashed("at once", "a", 0, true)
+		w.BackendCrashed("while others are harmed", "a", time.Hour, false)
 	}
 	for end := range 6 {
-		w.EndedBackEnd("three more", "a", time.Duration(end)*4*time.Second, true)
+		w.BackendCrashed("three more", "a", time.Duration(end)*4*time.Second, true)
 	}
-	w.Limited("tenant", witness.NewRate(10, 5))
+	w.SetRateLimit("tenant", witness.NewRate(10, 5))
 	for i := range 80 {
 		// What was sent before the span, or runs again, is not of the span.
 		for _, sent := range []time.Duration{0, time.Minute} {
 			id := fmt.Sprint("r-", i, "-", sent)
-			w.SentBy("tenant", id, sent)
-			w.RanFor("tenant", id, "a", time.Minute)
-			w.RanFor("tenant", id, "b", time.Minute)
+			w.SentForTenant("tenant", id, sent)
+			w.RanForTenant("tenant", id, "a", time.Minute)
+			w.RanForTenant("tenant", id, "b", time.Minute)
 		}
 	}
 	w.Accepted("job")
@@ -94,7 +94,7 @@
 		witness.JobLost: func(w *witness.Witness) {
 			w.Accepted("job")
 			w.Results("job", 0, []witness.Result{good, poison}, now)
-			w.Lost("job", "unknown", now)
+			w.JobNotFound("job", "unknown", now)
 		},
 		witness.ItemLost: func(w *witness.Witness) {
 			w.Accepted("job")
@@ -109,7 +109,7 @@
 			w.Accepted("job")
 			w.Results("job", 0, []witness.Result{witness.NewResult("good", true, "tex"), poison}, now)
 		},
-		witness.ItemTwice: func(w *witness.Witness) {
+		witness.ItemDuplicated: func(w *witness.Witness) {
 			w.Accepted("job")
 			w.Results("job", 0, []witness.Result{good, good}, now)
 		},
@@ -120,24 +120,24 @@
 			w.ItemRan("job", "good", "a", now+time.Second)
 			w.ItemRan("job", "good", "a", now+time.Minute)
 		},
-		witness.HeldButRan: func(w *witness.Witness) {
+		witness.QuarantinedButRan: func(w *witness.Witness) {
 			for end := range 7 {
-				w.EndedBackEnd("content", "a", time.Duration(end)*4*time.Second, true)
+				w.BackendCrashed("content", "a", time.Duration(end)*4*time.Second, true)
 			}
 		},
 		witness.RateExceeded: func(w *witness.Witness) {
-			w.Limited("tenant", witness.NewRate(10, 5))
+			w.SetRateLimit("tenant", witness.NewRate(10, 5))
 			for i := range 81 {
 				id := fmt.Sprint("r-", i)
-				w.SentBy("tenant", id, now)
-				w.RanFor("tenant", id, "a", now+time.Second)
+				w.SentForTenant("tenant", id, now)
+				w.RanForTenant("tenant", id, "a", now+time.Second)
 			}
 		},
 		witness.WrongTenant: func(w *witness.Witness) {
-			w.Limited("tenant", witness.NewRate(10, 5))
-			w.Limited("other", witness.NewRate(10, 5))
-			w.SentBy("tenant", "r", now)
-			w.RanFor("other", "r", "a", now)
+			w.SetRateLimit("tenant", witness.NewRate(10, 5))
+			w.SetRateLimit("other", witness.NewRate(10, 5))
+			w.SentForTenant("tenant", "r", now)
+			w.RanForTenant("other", "r", "a", now)
 		},
 		witness.RefusedJobRan: func(w *witness.Witness) { w.ItemRan("job", "good", "a", now) },
 		witness.WrongAnswer:   func(w *witness.Witness) { w.ItemRan("job", "other", "a", now) },
@@ -169,7 +169,7 @@
 
 func TestJobInDoubtMayRun(t *testing.T) {
 	w := submitted()
-	w.InDoubt("job")
+	w.SubmissionUncertain("job")
 	w.ItemRan("job", "good", "a", 0)
 	w.Finish(0)
 	expect(t, w)
