--- a/internal/standin/completions.go
+++ b/internal/standin/completions.go
@@ -11,10 +11,10 @@
 	"rockwind.example/rockwind/internal/engine"
 )
 
-// defaultMaxTokens is the length of an answer whose request names none.
+// defaultMaxTokens is the output length if the request does not set one.
 const defaultMaxTokens = 16
 
-// endpoint is the kind of completion.
+// endpoint is the type of completion endpoint.
 type endpoint uint8
 
 const (
@@ -22,10 +22,10 @@
 	endpointCompletion
 )
 
-// chatContent is the content of a message: a string or a list of parts.
+// chatContent is the content of a message, encoded as a string or a list of parts.
 type chatContent string
 
-// UnmarshalJSON joins the text parts of a list.
+// UnmarshalJSON decodes a string, or a list of parts whose texts are concatenated.
 func (c *chatContent) UnmarshalJSON(data []byte) error {
 	if len(data) > 0 && data[0] != '[' {
 		return json.Unmarshal(data, (*string)(c))
@@ -53,7 +53,7 @@
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// completionBody is the body of both kinds of completion.
+// completionBody is the request body of both endpoints.
 type completionBody struct {
 	Model               string        `json:"model"`
 	Messages            []chatMessage `json:"messages"`
@@ -65,7 +65,7 @@
 	N                   int           `json:"n"`
 }
 
-// prompt returns the text that the answer derives from.
+// prompt returns the prompt from which the output is derived.
 func (b *completionBody) prompt(kind endpoint) string {
 	if kind == endpointCompletion {
 		return b.Prompt
@@ -88,7 +88,7 @@
 	}
 }
 
-// completion is a request with what its answer needs.
+// completion holds the parameters of a request that are needed for its response.
 type completion struct {
 	kind         endpoint
 	id           string
@@ -101,14 +101,14 @@
 }
 
 func (e *Engine) serveChat(writer http.ResponseWriter, request *http.Request) {
-	e.serveKind(writer, request, endpointChat)
+	e.serveEndpoint(writer, request, endpointChat)
 }
 
 func (e *Engine) serveCompletion(writer http.ResponseWriter, request *http.Request) {
-	e.serveKind(writer, request, endpointCompletion)
+	e.serveEndpoint(writer, request, endpointCompletion)
 }
 
-func (e *Engine) serveKind(writer http.ResponseWriter, request *http.Request, kind endpoint) {
+func (e *Engine) serveEndpoint(writer http.ResponseWriter, request *http.Request, kind endpoint) {
 	request.Body = http.MaxBytesReader(writer, request.Body, maxBody)
 	var body completionBody
 	if !readJSON(writer, request, &body) {
@@ -119,7 +119,7 @@
 		return
 	}
 	prompt := body.prompt(kind)
-	answer := &completion{
+	call := &completion{
 		kind:         kind,
 		id:           request.Header.Get(HeaderRequestID),
 		model:        body.Model,
@@ -129,35 +129,35 @@
 		stream:       body.Stream,
 		usage:        body.StreamOptions.IncludeUsage,
 	}
-	if answer.id == "" {
-		answer.id = uuid.NewString()
+	if call.id == "" {
+		call.id = uuid.NewString()
 	}
 	submission := engine.Request{
-		ID:               answer.id,
+		ID:               call.id,
 		Model:            body.Model,
-		Priority:         headerNumber(request, HeaderPriority),
-		BatchTokenBudget: headerNumber(request, HeaderBatchTokenBudget),
-		PromptTokens:     answer.promptTokens,
-		MaxTokens:        answer.maxTokens,
+		Priority:         headerInt(request, HeaderPriority),
+		BatchTokenBudget: headerInt(request, HeaderBatchTokenBudget),
+		PromptTokens:     call.promptTokens,
+		MaxTokens:        call.maxTokens,
 		Blocks:           engine.BlockHashes(prompt),
-		Payload:          answer,
+		Payload:          call,
 	}
 	reader, refusal := e.driver.submit(submission)
 	if refusal != engine.RefusalNone {
-		refuse(writer, refusal)
+		writeRefusal(writer, refusal)
 		return
 	}
 	e.journal.add(JournalEntry{
-		ID:       answer.id,
+		ID:       call.id,
 		Key:      request.Header.Get(HeaderIdempotencyKey),
 		Path:     request.URL.Path,
 		Model:    body.Model,
 		Priority: submission.Priority,
 	})
-	e.answer(writer, request, answer, reader, 0)
+	e.respond(writer, request, call, reader, 0)
 }
 
-func headerNumber(request *http.Request, name string) int {
+func headerInt(request *http.Request, name string) int {
 	number, err := strconv.Atoi(request.Header.Get(name))
 	if err != nil {
 		return 0
@@ -165,8 +165,8 @@
 	return number
 }
 
-// refuse answers a request that the model did not accept.
-func refuse(writer http.ResponseWriter, refusal engine.Refusal) {
+// writeRefusal writes the response to a request that the engine model refused.
+func writeRefusal(writer http.ResponseWriter, refusal engine.Refusal) {
 	message := "the engine refused the request before it ran: " + string(refusal)
 	switch refusal {
 	case engine.RefusalDead:
@@ -174,7 +174,7 @@
 	case engine.RefusalInvalid, engine.RefusalTooLong:
 		writeNotRun(writer, http.StatusBadRequest, string(refusal), message)
 	case engine.RefusalDuplicate:
-		// The request of that identity runs or ran: this is no refusal of it.
+		// The request with this ID runs or ran, so the response must not be marked as not run.
 		writeError(writer, http.StatusConflict, string(refusal), "a request with this identity is known already")
 	case engine.RefusalQueueFull:
 		writeNotRun(writer, http.StatusTooManyRequests, string(refusal), message)
@@ -183,27 +183,27 @@
 	}
 }
 
-// answer writes the answer after the token with sequence number offset.
-func (e *Engine) answer(writer http.ResponseWriter, request *http.Request, answer *completion, reader *stream, offset int) {
-	if answer.stream {
-		e.stream(writer, request, answer, reader, offset)
+// respond writes the response, starting after the token with sequence number offset.
+func (e *Engine) respond(writer http.ResponseWriter, request *http.Request, call *completion, reader *stream, offset int) {
+	if call.stream {
+		e.stream(writer, request, call, reader, offset)
 		return
 	}
 	for {
 		switch streamState(reader.state.Load()) {
 		case streamFinished:
-			writeJSON(writer, http.StatusOK, answer.whole())
+			writeJSON(writer, http.StatusOK, call.response())
 			return
 		case streamCancelled:
 			writeError(writer, statusClientClosed, "cancelled", "the request was cancelled")
 			return
-		case streamCut:
+		case streamAborted:
 			panic(http.ErrAbortHandler)
 		}
 		select {
 		case <-reader.changed:
 		case <-request.Context().Done():
-			e.driver.detach(answer.id, reader)
+			e.driver.detach(call.id, reader)
 			panic(http.ErrAbortHandler)
 		}
 	}
--- a/internal/standin/driver.go
+++ b/internal/standin/driver.go
@@ -8,7 +8,7 @@
 	"rockwind.example/rockwind/internal/engine"
 )
 
-// streamState is how far a stream has come; zero while it goes on.
+// streamState is the final state of a stream; zero while it is in progress.
 type streamState int32
 
 const (
@@ -16,16 +16,16 @@
 	streamFinished streamState = iota + 1
 	// streamCancelled: the request was cancelled or has expired.
 	streamCancelled
-	// streamCut: the connection is to be broken without an end.
-	streamCut
+	// streamAborted: the connection must be closed without completing the response.
+	streamAborted
 )
 
-// stream is what the driver tells the reader of a request. The driver writes
-// it, one HTTP handler reads it.
+// stream passes the progress of a request from the driver to the HTTP handler that
+// reads it.
 type stream struct {
 	produced atomic.Int64
 	state    atomic.Int32
-	// changed has a token whenever something was written since the last look.
+	// changed signals that the stream was updated since the last receive.
 	changed chan struct{}
 }
 
@@ -45,18 +45,18 @@
 	s.notify()
 }
 
-// command runs on the driver's goroutine.
+// command is a function that runs on the driver's goroutine.
 type command func(model *engine.Engine, now time.Duration)
 
-// driver runs one engine in real time. Its goroutine owns the model and the
-// streams by request; handlers send it commands.
+// driver runs an engine model in real time. Its goroutine owns the model and the
+// streams; handlers access them through commands.
 type driver struct {
-	model    *engine.Engine
-	begin    time.Time
-	commands chan command
-	streams  map[string]*stream
-	events   []engine.Event
-	// dead and hung mirror the model for handlers.
+	model     *engine.Engine
+	startedAt time.Time
+	commands  chan command
+	streams   map[string]*stream
+	events    []engine.Event
+	// dead and hung are copies of the model's state for handlers.
 	dead, hung atomic.Bool
 	stop       chan struct{}
 	stopped    chan struct{}
@@ -64,19 +64,19 @@
 
 func newDriver(config engine.Config, seed int64) *driver {
 	result := &driver{
-		model:    engine.New(config, rand.New(rand.NewSource(seed))),
-		begin:    time.Now(),
-		commands: make(chan command, 256),
-		streams:  map[string]*stream{},
-		stop:     make(chan struct{}),
-		stopped:  make(chan struct{}),
+		model:     engine.New(config, rand.New(rand.NewSource(seed))),
+		startedAt: time.Now(),
+		commands:  make(chan command, 256),
+		streams:   map[string]*stream{},
+		stop:      make(chan struct{}),
+		stopped:   make(chan struct{}),
 	}
 	go result.run()
 	return result
 }
 
-// do runs a command on the driver's goroutine and waits for it. It tells
-// whether the driver is still running.
+// do runs a command on the driver's goroutine and waits for it. It returns false
+// if the driver has stopped.
 func (d *driver) do(run command) bool {
 	done := make(chan struct{})
 	wrapped := func(model *engine.Engine, now time.Duration) {
@@ -96,7 +96,7 @@
 	}
 }
 
-// close stops the driver.
+// close stops the driver and waits until it has stopped.
 func (d *driver) close() {
 	close(d.stop)
 	<-d.stopped
@@ -112,9 +112,9 @@
 		case <-d.stop:
 			return
 		case <-timer.C:
-			d.advance(time.Since(d.begin))
+			d.advance(time.Since(d.startedAt))
 		case run := <-d.commands:
-			now := time.Since(d.begin)
+			now := time.Since(d.startedAt)
 			d.advance(now)
 			run(d.model, now)
 			d.advance(now)
@@ -122,14 +122,14 @@
 	}
 }
 
-// schedule sets the timer to the model's next event.
+// schedule sets the timer to the time of the model's next event.
 func (d *driver) schedule(timer *time.Timer) {
-	at, some := d.model.NextEvent()
-	if !some {
+	at, ok := d.model.NextEvent()
+	if !ok {
 		timer.Reset(time.Hour)
 		return
 	}
-	timer.Reset(max(at-time.Since(d.begin), 0))
+	timer.Reset(max(at-time.Since(d.startedAt), 0))
 }
 
 func (d *driver) advance(now time.Duration) {
@@ -156,20 +156,20 @@
 	case engine.EventCancelled, engine.EventExpired:
 		reader.end(streamCancelled)
 	case engine.EventLost, engine.EventTruncated:
-		reader.end(streamCut)
+		reader.end(streamAborted)
 	}
 	if event.Kind.IsTerminal() || event.Kind == engine.EventTruncated {
 		delete(d.streams, event.ID)
 	}
 }
 
-// submit hands a request to the model; the reader is nil when it was refused.
+// submit submits a request to the model; the stream is nil if it was refused.
 func (d *driver) submit(request engine.Request) (*stream, engine.Refusal) {
 	reader := newStream()
 	refusal := engine.RefusalDead
 	d.do(func(model *engine.Engine, now time.Duration) {
-		// The stream is known before the model is asked: a request on an idle
-		// engine may produce its first events at once.
+		// Registers the stream first, because an idle engine may produce the first
+		// events immediately.
 		previous := d.streams[request.ID]
 		d.streams[request.ID] = reader
 		var accepted bool
@@ -191,7 +191,7 @@
 	d.streams[id] = previous
 }
 
-// resume makes the caller the reader of a request.
+// resume makes the caller the reader of a request and returns its stream.
 func (d *driver) resume(id string, offset int) (*stream, engine.ResumeResult, engine.ResumeStatus) {
 	reader := newStream()
 	var resumed engine.ResumeResult
@@ -212,7 +212,7 @@
 	return reader, resumed, status
 }
 
-// detach notes that the given reader left; a later reader is not disturbed.
+// detach removes a reader of a request, unless another one has replaced it.
 func (d *driver) detach(id string, reader *stream) {
 	d.do(func(model *engine.Engine, now time.Duration) {
 		if d.streams[id] != reader {
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -11,69 +11,69 @@
 	"rockwind.example/rockwind/internal/engine"
 )
 
-// maxBody bounds the body of a request in bytes.
+// maxBody is the maximum size of a request body in bytes.
 const maxBody = 64 << 20
 
-// deathExitCode is the exit status of a process that a fault made die.
+// deathExitCode is the exit status of a process terminated by FaultDie.
 const deathExitCode = 3
 
-// EngineOptions say what an engine stand-in is like.
+// EngineOptions configures an engine stand-in.
 type EngineOptions struct {
 	Name, Zone string
 	Config     engine.Config
 	Seed       int64
-	// EventPerToken writes an event for every token, also where a step or a
-	// slow reader leaves several to write at once.
+	// EventPerToken writes one event per token, even if several tokens are
+	// available at once.
 	EventPerToken bool
-	// WeightsURL is the weight store, "http://ip:port"; empty loads at the
-	// model's rate.
+	// WeightsURL is the URL of the weight store, "http://ip:port". If empty,
+	// loading is simulated at the model's rate.
 	WeightsURL string
-	// JournalFile keeps the journal; empty keeps it in memory only.
+	// JournalFile is the path of the journal; if empty, it is kept in memory only.
 	JournalFile string
-	// KVBytesPerToken is the size of exported KV.
+	// KVBytesPerToken is the size of exported KV per token.
 	KVBytesPerToken int
-	// Exit ends the process for a fault that kills it; nil breaks all
-	// connections instead.
+	// Exit terminates the process for FaultDie. If nil, all connections are
+	// closed instead.
 	Exit func(code int)
 }
 
-// Engine is a model engine behind HTTP.
+// Engine serves an engine model over HTTP.
 type Engine struct {
 	options EngineOptions
 	driver  *driver
 	journal *journal
 	handler http.Handler
 	client  *http.Client
-	// loads is cancelled by Close and ends downloads of weights.
-	loads     context.Context
-	stopLoads context.CancelFunc
+	// loadContext is cancelled by Close and ends downloads of weights.
+	loadContext context.Context
+	cancelLoads context.CancelFunc
 }
 
-// NewEngine starts an engine stand-in; serve its Handler and Close it at the end.
+// NewEngine starts an engine stand-in. The caller serves its Handler and closes it.
 func NewEngine(options EngineOptions) (*Engine, error) {
-	notes, err := newJournal(options.JournalFile)
+	requestJournal, err := newJournal(options.JournalFile)
 	if err != nil {
 		return nil, err
 	}
 	result := &Engine{
 		options: options,
 		driver:  newDriver(options.Config, options.Seed),
-		journal: notes,
+		journal: requestJournal,
 		client:  &http.Client{},
 	}
-	result.loads, result.stopLoads = context.WithCancel(context.Background())
+	result.loadContext, result.cancelLoads = context.WithCancel(context.Background())
 	result.handler = result.routes()
 	return result, nil
 }
 
-// Handler returns the HTTP interface of the engine.
+// Handler returns the HTTP handler of the engine.
 func (e *Engine) Handler() http.Handler {
 	return e.handler
 }
 
-// Close stops the engine.
+// Close stops the engine and closes its journal.
 func (e *Engine) Close() error {
-	e.stopLoads()
+	e.cancelLoads()
 	e.driver.close()
 	if e.journal.file == nil {
 		return nil
@@ -81,12 +81,12 @@
 	return errors.Wrap(e.journal.file.Close(), "close the journal file")
 }
 
-// Inject makes the engine fail as the order says.
-func (e *Engine) Inject(order FaultRequest) {
-	if order.Kind == engine.FaultDie && order.DurationMs == 0 && e.options.Exit != nil {
+// Inject applies a fault to the engine.
+func (e *Engine) Inject(body FaultRequest) {
+	if body.Kind == engine.FaultDie && body.DurationMs == 0 && e.options.Exit != nil {
 		e.options.Exit(deathExitCode)
 	}
-	e.driver.do(func(model *engine.Engine, now time.Duration) { model.Inject(now, order.Fault()) })
+	e.driver.do(func(model *engine.Engine, now time.Duration) { model.Inject(now, body.Fault()) })
 }
 
 func (e *Engine) routes() http.Handler {
@@ -115,12 +115,12 @@
 }
 
 func (e *Engine) serveDrain(writer http.ResponseWriter, request *http.Request) {
-	var order DrainRequest
-	if !readJSON(writer, request, &order) {
+	var body DrainRequest
+	if !readJSON(writer, request, &body) {
 		return
 	}
-	e.driver.do(func(model *engine.Engine, now time.Duration) { model.SetDraining(now, order.Draining) })
-	writeJSON(writer, http.StatusOK, order)
+	e.driver.do(func(model *engine.Engine, now time.Duration) { model.SetDraining(now, body.Draining) })
+	writeJSON(writer, http.StatusOK, body)
 }
 
 // HealthResponse is the body of GET /healthz.
@@ -143,7 +143,7 @@
 	writeJSON(writer, http.StatusOK, HealthResponse{Name: e.options.Name, Zone: e.options.Zone})
 }
 
-// EngineCommand is `rockwind-bench engine`.
+// EngineCommand implements `rockwind-bench engine`.
 type EngineCommand struct {
 	ServerFlags
 	Name            string        `help:"Name of the engine." default:"engine"`
@@ -171,7 +171,7 @@
 	Fault           []string      `help:"Fault from the start, as the JSON of POST /fault." sep:"none"`
 }
 
-// config returns the parameters that the flags ask for.
+// config returns the engine parameters set by the flags.
 func (c *EngineCommand) config() engine.Config {
 	config := engine.DefaultConfig()
 	if c.Fast {
@@ -197,14 +197,14 @@
 	return config.Scale(c.TimeScale)
 }
 
-// override replaces a value when the flag is at least the least sensible one.
+// override sets a value from a flag, unless the flag is below its minimum and so unset.
 func override(value *int, flag, least int) {
 	if flag >= least {
 		*value = flag
 	}
 }
 
-// Run serves the engine until a signal ends it.
+// Run serves the engine until the process receives a signal.
 func (c *EngineCommand) Run() error {
 	server, err := NewEngine(EngineOptions{
 		Name:            c.Name,
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -6,8 +6,8 @@
 	"rockwind.example/rockwind/internal/retry"
 )
 
-// failing gives requests to a dead stand-in a broken connection and lets those
-// to a hung one wait until it no longer hangs or the caller leaves.
+// failing returns middleware that closes the connections of a dead stand-in and
+// blocks requests to a hung one until it recovers or the client disconnects.
 func failing(hung, dead func() bool) func(http.Handler) http.Handler {
 	return func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
@@ -24,16 +24,16 @@
 	}
 }
 
-// serveFault answers POST /fault: it acknowledges the order and then injects it,
-// since the fault may end the process.
+// serveFault handles POST /fault. It responds before it injects the fault, which
+// may terminate the process.
 func serveFault(inject func(FaultRequest)) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
-		var order FaultRequest
-		if !readJSON(writer, request, &order) {
+		var body FaultRequest
+		if !readJSON(writer, request, &body) {
 			return
 		}
-		writeJSON(writer, http.StatusOK, order)
+		writeJSON(writer, http.StatusOK, body)
 		_ = http.NewResponseController(writer).Flush()
-		inject(order)
+		inject(body)
 	}
 }
--- a/internal/standin/faults_test.go
+++ b/internal/standin/faults_test.go
@@ -11,21 +11,20 @@
 	"rockwind.example/rockwind/internal/standin"
 )
 
-// handle serves one request and tells whether its connection was broken.
-func handle(ctx context.Context, handler http.Handler, method, path, body string) (status int, broken bool) {
+// handle serves one request and reports whether its connection was aborted.
+func handle(ctx context.Context, handler http.Handler, method, path, body string) (status int, aborted bool) {
 	defer func() {
-		problem, some := recover().(error)
-		broken = some && errors.Is(problem, http.ErrAbortHandler)
+		problem, ok := recover().(error)
+		aborted = ok && errors.Is(problem, http.ErrAbortHandler)
 	}()
 	recorder := httptest.NewRecorder()
 	handler.ServeHTTP(recorder, httptest.NewRequestWithContext(ctx, method, path, strings.NewReader(body)))
 	return recorder.Code, false
 }
 
-// TestStandInsFailAsOrdered orders faults over HTTP: a dead stand-in breaks the
-// connection, a hung one answers nothing before its caller leaves, both take
-// further orders and recover.
-func TestStandInsFailAsOrdered(t *testing.T) {
+// After FaultDie, connections must be aborted; after FaultHang, requests must block
+// until the client disconnects. /fault and /drain must keep working in both.
+func TestInjectedFaultsTakeEffect(t *testing.T) {
 	model, _ := startEngine(t, standin.EngineOptions{Config: fastConfig()})
 	service, err := standin.NewService(standin.ServiceOptions{Name: "s", Concurrency: 1})
 	if err != nil {
@@ -34,9 +33,9 @@
 	left, leave := context.WithCancel(t.Context())
 	leave()
 	cases := []struct {
-		order  string
-		caller context.Context
-		broken bool
+		fault   string
+		caller  context.Context
+		aborted bool
 	}{
 		{`{"kind":"none"}`, left, false},
 		{`{"kind":"hang","duration_ms":3600000}`, left, true},
@@ -45,20 +44,20 @@
 	}
 	for name, handler := range map[string]http.Handler{"engine": model.Handler(), "service": service.Handler()} {
 		for _, step := range cases {
-			if status, broken := handle(t.Context(), handler, http.MethodPost, "/fault", step.order); broken || status != http.StatusOK {
-				t.Fatalf("%s: the order %s got status %d, broken %v", name, step.order, status, broken)
+			if status, aborted := handle(t.Context(), handler, http.MethodPost, "/fault", step.fault); aborted || status != http.StatusOK {
+				t.Fatalf("%s: POST /fault with %s: status %d, aborted %v", name, step.fault, status, aborted)
 			}
-			// The engine's answer to the next order tells that the fault is in force.
-			if status, broken := handle(t.Context(), handler, http.MethodPost, "/drain", `{"draining":false}`); broken || status != http.StatusOK {
-				t.Fatalf("%s: an order after %s got status %d, broken %v", name, step.order, status, broken)
+			// The response to the next command implies that the fault is in effect.
+			if status, aborted := handle(t.Context(), handler, http.MethodPost, "/drain", `{"draining":false}`); aborted || status != http.StatusOK {
+				t.Fatalf("%s: POST /drain after %s: status %d, aborted %v", name, step.fault, status, aborted)
 			}
-			status, broken := handle(step.caller, handler, http.MethodGet, "/healthz", "")
-			if broken != step.broken || !broken && status != http.StatusOK {
-				t.Fatalf("%s after %s: status %d, broken %v", name, step.order, status, broken)
+			status, aborted := handle(step.caller, handler, http.MethodGet, "/healthz", "")
+			if aborted != step.aborted || !aborted && status != http.StatusOK {
+				t.Fatalf("%s: GET /healthz after %s: status %d, aborted %v", name, step.fault, status, aborted)
 			}
 		}
 		if status, _ := handle(t.Context(), handler, http.MethodPost, "/fault", "{"); status != http.StatusBadRequest {
-			t.Fatalf("%s: a broken order got status %d", name, status)
+			t.Fatalf("%s: invalid fault: status %d, want 400", name, status)
 		}
 	}
 }
--- a/internal/standin/journal.go
+++ b/internal/standin/journal.go
@@ -11,13 +11,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// journalLimit bounds the entries of a journal in memory.
+// journalLimit is the maximum number of journal entries in memory.
 const journalLimit = 2_000_000
 
-// JournalEntry notes a request that a stand-in let run.
+// JournalEntry records a request that a stand-in accepted.
 type JournalEntry struct {
 	Sequence uint64 `json:"sequence"`
-	// ID is the identity of the request, Key its idempotency key.
+	// ID is the request ID, Key the idempotency key.
 	ID       string `json:"id"`
 	Key      string `json:"key,omitempty"`
 	Path     string `json:"path,omitempty"`
@@ -32,8 +32,8 @@
 	Entries []JournalEntry `json:"entries"`
 }
 
-// journal lists the requests that ran, for experiments that count them. With a
-// file it survives the end of the process, though not of the machine.
+// journal records accepted requests for experiments that count executions. With a
+// file, it survives a crash of the process, but not of the machine.
 type journal struct {
 	lock    sync.Mutex
 	entries []JournalEntry
@@ -54,7 +54,7 @@
 	return result, nil
 }
 
-// add notes a request before it runs.
+// add appends an entry, before its request is answered.
 func (j *journal) add(entry JournalEntry) {
 	entry.AtMs = time.Now().UnixMilli()
 	j.lock.Lock()
@@ -79,7 +79,7 @@
 	return JournalPage{Next: j.next, Entries: j.entries[first:len(j.entries):len(j.entries)]}
 }
 
-// serve answers GET /journal?since=N with the entries from number N.
+// serve handles GET /journal?since=N and returns the entries from number N.
 func (j *journal) serve(writer http.ResponseWriter, request *http.Request) {
 	since, _ := strconv.ParseUint(request.URL.Query().Get("since"), 10, 64)
 	writeJSON(writer, http.StatusOK, j.page(since))
--- a/internal/standin/messages.go
+++ b/internal/standin/messages.go
@@ -64,14 +64,14 @@
 	Tokens     int              `json:"tokens,omitempty"`
 }
 
-// Fault returns the order as the model takes it.
-func (o FaultRequest) Fault() engine.Fault {
+// Fault returns the fault for the engine model.
+func (r FaultRequest) Fault() engine.Fault {
 	return engine.Fault{
-		Kind:     o.Kind,
-		Duration: time.Duration(o.DurationMs) * time.Millisecond,
-		Factor:   o.Factor,
-		Count:    o.Count,
-		Tokens:   o.Tokens,
+		Kind:     r.Kind,
+		Duration: time.Duration(r.DurationMs) * time.Millisecond,
+		Factor:   r.Factor,
+		Count:    r.Count,
+		Tokens:   r.Tokens,
 	}
 }
 
@@ -80,12 +80,12 @@
 	Offset int `json:"offset"`
 }
 
-// CancelResponse is the body of DELETE /v1/requests/{id}.
+// CancelResponse is the response body of DELETE /v1/requests/{id}, pause and unpause.
 type CancelResponse struct {
 	Cancelled bool `json:"cancelled"`
 }
 
-// FenceResponse is the body of an answer to an order.
+// FenceResponse is the response body of POST /orders.
 type FenceResponse struct {
 	Fence uint64 `json:"fence"`
 }
@@ -95,18 +95,18 @@
 	Draining bool `json:"draining"`
 }
 
-// ErrorResponse is the body of a failed request.
+// ErrorResponse is the response body of a failed request.
 type ErrorResponse struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail says what failed.
+// ErrorDetail describes an error.
 type ErrorDetail struct {
 	Message string `json:"message"`
 	Type    string `json:"type"`
 }
 
-// formatBlock writes a block hash as the protocol does.
+// formatBlock encodes a block hash as hexadecimal, as the protocol requires.
 func formatBlock(hash uint64) string {
 	return strconv.FormatUint(hash, 16)
 }
@@ -131,14 +131,14 @@
 	writeJSON(writer, status, ErrorResponse{Error: ErrorDetail{Message: message, Type: kind}})
 }
 
-// writeNotRun refuses a request that did not run.
+// writeNotRun writes an error and marks the request as not run.
 func writeNotRun(writer http.ResponseWriter, status int, kind, message string) {
 	writer.Header().Set(HeaderNotRun, "true")
 	writer.Header().Set("Retry-After", "1")
 	writeError(writer, status, kind, message)
 }
 
-// readJSON decodes a body and answers 400 when it cannot.
+// readJSON decodes a request body, or responds with status 400 and returns false.
 func readJSON(writer http.ResponseWriter, request *http.Request, into any) bool {
 	if err := json.NewDecoder(request.Body).Decode(into); err != nil {
 		writeError(writer, http.StatusBadRequest, "invalid_request_error", "the body is not valid JSON: "+err.Error())
--- a/internal/standin/operations.go
+++ b/internal/standin/operations.go
@@ -13,10 +13,10 @@
 	"rockwind.example/rockwind/internal/retry"
 )
 
-// pollInterval is how often a waiting handler looks again.
+// pollInterval is the interval at which waiting handlers check their condition.
 const pollInterval = 20 * time.Millisecond
 
-// exitProcess ends the process without any tidying, as a crash does.
+// exitProcess terminates the process without cleanup, like a crash.
 func exitProcess(code int) {
 	os.Exit(code)
 }
@@ -36,7 +36,7 @@
 	case engine.ResumeBadOffset:
 		writeError(writer, http.StatusBadRequest, "bad_offset", "the offset lies beyond what was produced")
 	default:
-		e.answer(writer, request, resumed.Payload.(*completion), reader, resumed.First-1)
+		e.respond(writer, request, resumed.Payload.(*completion), reader, resumed.First-1)
 	}
 }
 
@@ -44,24 +44,24 @@
 	id := chi.URLParam(request, "id")
 	cancelled := false
 	e.driver.do(func(model *engine.Engine, now time.Duration) { cancelled = model.Cancel(now, id) })
-	answerFound(writer, cancelled)
+	writeFound(writer, cancelled)
 }
 
 func (e *Engine) servePause(writer http.ResponseWriter, request *http.Request) {
 	id := chi.URLParam(request, "id")
 	paused := false
 	e.driver.do(func(model *engine.Engine, now time.Duration) { paused = model.Pause(now, id) })
-	answerFound(writer, paused)
+	writeFound(writer, paused)
 }
 
 func (e *Engine) serveUnpause(writer http.ResponseWriter, request *http.Request) {
 	id := chi.URLParam(request, "id")
 	unpaused := false
 	e.driver.do(func(model *engine.Engine, now time.Duration) { unpaused = model.Unpause(now, id) })
-	answerFound(writer, unpaused)
+	writeFound(writer, unpaused)
 }
 
-func answerFound(writer http.ResponseWriter, found bool) {
+func writeFound(writer http.ResponseWriter, found bool) {
 	if !found {
 		writeError(writer, http.StatusNotFound, "unknown_request", "no such request in progress")
 		return
@@ -87,7 +87,7 @@
 	})
 }
 
-// maxCacheWait bounds how long a reader of cache events may be held.
+// maxCacheWait is the maximum duration of a long poll for cache events.
 const maxCacheWait = 30 * time.Second
 
 func (e *Engine) serveCacheEvents(writer http.ResponseWriter, request *http.Request) {
@@ -160,9 +160,9 @@
 	_, _ = writer.Write(data)
 }
 
-// ImportResponse is the body of an answer to POST /kv/import.
+// ImportResponse is the response body of POST /kv/import.
 type ImportResponse struct {
-	// Blocks is how many blocks of the chain are cached now.
+	// Blocks is the number of leading blocks of the chain that are cached.
 	Blocks int `json:"blocks"`
 }
 
@@ -210,8 +210,8 @@
 	}
 }
 
-// download fetches weights from the store and ends the loading.
+// download fetches weights from the weight store and completes the load.
 func (e *Engine) download(order engine.Order) {
-	arrived := e.fetchWeights(e.loads, order.WeightsID) == nil
+	arrived := e.fetchWeights(e.loadContext, order.WeightsID) == nil
 	e.driver.do(func(model *engine.Engine, now time.Duration) { model.CompleteLoad(now, order.Fence, arrived) })
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -9,17 +9,17 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// MachineState is the state of a machine in the platform's list.
+// MachineState is the state of a machine in the platform's machine list.
 type MachineState string
 
-// The states of a machine. A machine that is gone is not listed.
+// A machine in the state MachineGone is not listed.
 const (
 	MachineLive    MachineState = "live"
 	MachineLeaving MachineState = "leaving"
 	MachineGone    MachineState = "gone"
 )
 
-// Machine is one line of the platform's list.
+// Machine is one entry of the platform's machine list.
 type Machine struct {
 	Address string       `json:"address"`
 	State   MachineState `json:"state"`
@@ -30,13 +30,13 @@
 	Machines []Machine `json:"machines"`
 }
 
-// machineChange becomes visible at a time.
+// machineChange is a state change that becomes visible at a given time.
 type machineChange struct {
 	machine Machine
 	visible time.Time
 }
 
-// Platform keeps a list of machines that lags.
+// Platform is a machine list that shows changes with a delay.
 type Platform struct {
 	lag     time.Duration
 	lock    sync.Mutex
@@ -44,19 +44,19 @@
 	changes []machineChange
 }
 
-// NewPlatform returns a platform whose list shows changes after lag.
+// NewPlatform returns a platform whose machine list shows changes after lag.
 func NewPlatform(lag time.Duration) *Platform {
 	return &Platform{lag: lag}
 }
 
-// Change notes the new state of a machine.
+// Change records a new state of a machine.
 func (p *Platform) Change(machine Machine) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.changes = append(p.changes, machineChange{machine: machine, visible: time.Now().Add(p.lag)})
 }
 
-// Machines returns the list as it is visible now.
+// Machines returns the machine list as currently visible.
 func (p *Platform) Machines() MachineList {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -75,7 +75,7 @@
 	}
 }
 
-// Handler returns the HTTP interface of the platform. POST /machines takes one
+// Handler returns the HTTP handler of the platform. POST /machines changes one
 // machine.
 func (p *Platform) Handler() http.Handler {
 	router := chi.NewRouter()
@@ -94,14 +94,14 @@
 	return router
 }
 
-// PlatformCommand is `rockwind-bench platform`.
+// PlatformCommand implements `rockwind-bench platform`.
 type PlatformCommand struct {
 	ServerFlags
 	Lag  time.Duration `help:"How late the list shows a change." default:"2s"`
 	Live []string      `help:"Machines that are live at the start, ip:port."`
 }
 
-// Run serves the platform until a signal ends it.
+// Run serves the platform until the process receives a signal.
 func (c *PlatformCommand) Run() error {
 	platform := NewPlatform(c.Lag)
 	for _, address := range c.Live {
--- a/internal/standin/process.go
+++ b/internal/standin/process.go
@@ -1,7 +1,7 @@
-// Package standin holds HTTP stand-ins for what surrounds rockwind: model
-// engines over the model of package engine, plain services, the platform's list
-// of machines, and the weight store. docs/ENGINE_PROTOCOL.md describes what they
-// speak. They are for measurements and tests only.
+// Package standin implements HTTP stand-ins for the systems around rockwind:
+// inference engines based on package engine, plain services, the platform's
+// machine list, and the weight store. Their protocol is described in
+// docs/ENGINE_PROTOCOL.md. They are for benchmarks and tests only.
 package standin
 
 import (
@@ -19,17 +19,16 @@
 	"github.com/cockroachdb/errors"
 )
 
-// shutdownGrace is how long a stand-in waits for requests in progress when it
-// is asked to stop.
-const shutdownGrace = 5 * time.Second
+// shutdownTimeout is how long a stopping stand-in waits for requests in progress.
+const shutdownTimeout = 5 * time.Second
 
-// ServerFlags holds the flags that every stand-in has.
+// ServerFlags holds the flags common to all stand-ins.
 type ServerFlags struct {
 	Listen      string `help:"Address to listen on, ip:port; port 0 picks a free one." default:"127.0.0.1:0"`
 	AddressFile string `help:"File to write the address to once it is listening." type:"path"`
 }
 
-// serve listens, announces the address and serves until a signal ends it.
+// serve announces its address and serves until the process receives a signal.
 func (p ServerFlags) serve(handler http.Handler) error {
 	listener, err := net.Listen("tcp", p.Listen)
 	if err != nil {
@@ -48,28 +47,28 @@
 		return errors.Wrap(err, "serve")
 	case <-stop.Done():
 	}
-	grace, cancel := context.WithTimeout(context.Background(), shutdownGrace)
+	shutdown, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	if err := server.Shutdown(grace); err != nil {
+	if err := server.Shutdown(shutdown); err != nil {
 		return errors.Wrap(server.Close(), "close")
 	}
 	return nil
 }
 
-// injectAll injects the faults that flags give, each as the JSON of POST /fault.
+// injectAll injects faults given as flags, each in the JSON format of POST /fault.
 func injectAll(faults []string, inject func(FaultRequest)) error {
 	for _, text := range faults {
-		var order FaultRequest
-		if err := json.Unmarshal([]byte(text), &order); err != nil {
+		var fault FaultRequest
+		if err := json.Unmarshal([]byte(text), &fault); err != nil {
 			return errors.Wrapf(err, "fault %q", text)
 		}
-		inject(order)
+		inject(fault)
 	}
 	return nil
 }
 
-// announce prints the address as the first line and writes the address file in
-// one rename, so that a reader never sees half of it.
+// announce prints the address as the first line and writes the address file
+// atomically.
 func (p ServerFlags) announce(address string) error {
 	fmt.Printf("listening %s\n", address)
 	if p.AddressFile == "" {
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -15,36 +15,36 @@
 	"rockwind.example/rockwind/internal/retry"
 )
 
-// ServiceOptions say what a service stand-in is like.
+// ServiceOptions configures a service stand-in.
 type ServiceOptions struct {
 	Name, Zone string
-	// Latency is the time that a request takes.
+	// Latency is the processing time of a request.
 	Latency time.Duration
-	// Concurrency is how many requests run at once; MaxWaiting how many wait.
+	// Concurrency and MaxWaiting limit the running and the waiting requests.
 	Concurrency, MaxWaiting int
-	// ReportLag is the age of load reports.
+	// ReportLag is the delay after which a load report becomes visible.
 	ReportLag   time.Duration
 	JournalFile string
 	Exit        func(code int)
 }
 
-// ServiceResponse is the body of a service's answer: it proves whose it is.
+// ServiceResponse is the response body of a service. It identifies the service and the request.
 type ServiceResponse struct {
 	Service string `json:"service"`
 	Path    string `json:"path"`
 	ID      string `json:"id"`
-	// BodyHash is the xxhash64 of the request's body in hexadecimal.
+	// BodyHash is the xxhash64 of the request body in hexadecimal.
 	BodyHash string `json:"body_hash"`
 }
 
-// ServiceBodyHash returns the hash that the answer to a body carries.
+// ServiceBodyHash returns the BodyHash of the response to a request body.
 func ServiceBodyHash(body []byte) string {
 	digest := xxhash.New()
 	_, _ = digest.Write(body)
 	return hex.EncodeToString(digest.Sum(nil))
 }
 
-// ServiceLoad is the body of a service's GET /load.
+// ServiceLoad is the response body of GET /load of a service.
 type ServiceLoad struct {
 	Sequence      uint64 `json:"sequence"`
 	AtMs          int64  `json:"at_ms"`
@@ -53,76 +53,78 @@
 	Draining      bool   `json:"draining"`
 }
 
-// Service is a plain HTTP service.
+// Service is a stand-in for a plain HTTP service.
 type Service struct {
 	options ServiceOptions
 	journal *journal
-	places  chan struct{}
+	slots   chan struct{}
 
-	lock     sync.Mutex
-	waiting  int
-	running  int
-	sequence uint64
-	draining bool
-	fault    engine.Fault
-	until    time.Time
-	reports  []ServiceLoad
+	lock       sync.Mutex
+	waiting    int
+	running    int
+	sequence   uint64
+	draining   bool
+	fault      engine.Fault
+	faultUntil time.Time
+	reports    []ServiceLoad
 }
 
 // NewService returns a service stand-in.
 func NewService(options ServiceOptions) (*Service, error) {
-	notes, err := newJournal(options.JournalFile)
+	requestJournal, err := newJournal(options.JournalFile)
 	if err != nil {
 		return nil, err
 	}
 	return &Service{
 		options: options,
-		journal: notes,
-		places:  make(chan struct{}, max(options.Concurrency, 1)),
+		journal: requestJournal,
+		slots:   make(chan struct{}, max(options.Concurrency, 1)),
 	}, nil
 }
 
-// Handler returns the HTTP interface of the service.
+// Handler returns the HTTP handler of the service.
 func (s *Service) Handler() http.Handler {
 	router := chi.NewRouter()
 	router.Post("/fault", serveFault(s.Inject))
 	router.Post("/drain", s.serveDrain)
 	router.Get("/journal", s.journal.serve)
 	router.Group(func(router chi.Router) {
-		router.Use(failing(s.failsBy(engine.FaultHang), s.failsBy(engine.FaultDie)))
+		router.Use(failing(s.hasFault(engine.FaultHang), s.hasFault(engine.FaultDie)))
 		router.Get("/healthz", s.serveHealth)
 		router.Get("/readyz", s.serveReady)
 		router.Get("/load", s.serveLoad)
-		router.HandleFunc("/*", s.serveAny)
+		router.HandleFunc("/*", s.serveRequest)
 	})
 	return router
 }
 
-// Inject makes the service fail as the order says: die, hang, refuse and late
-// (each answer by the duration, for Count answers when it is set) are known.
-func (s *Service) Inject(order FaultRequest) {
-	if order.Kind == engine.FaultDie && order.DurationMs == 0 && s.options.Exit != nil {
+// Inject applies a fault to the service and replaces the one in effect. It supports
+// every kind but FaultStall. FaultDelayFinish delays each response, FaultTruncate
+// closes connections without a response. If Count is set, a fault ends after
+// that many requests.
+func (s *Service) Inject(body FaultRequest) {
+	if body.Kind == engine.FaultDie && body.DurationMs == 0 && s.options.Exit != nil {
 		s.options.Exit(deathExitCode)
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.fault = order.Fault()
-	s.until = time.Now().Add(s.fault.Duration)
+	s.fault = body.Fault()
+	s.faultUntil = time.Now().Add(s.fault.Duration)
 	if s.fault.Duration == 0 || s.fault.Kind == engine.FaultDelayFinish {
-		s.until = time.Now().Add(24 * time.Hour)
+		s.faultUntil = time.Now().Add(24 * time.Hour)
 	}
 }
 
-// failure returns the fault in force; counted faults are used up by real
-// requests only.
-func (s *Service) failure(use bool) engine.Fault {
+// currentFault returns the fault in effect. If consume is set, the call counts
+// towards a fault that is limited to a number of requests.
+func (s *Service) currentFault(consume bool) engine.Fault {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if time.Now().After(s.until) {
+	if time.Now().After(s.faultUntil) {
 		s.fault = engine.Fault{Kind: engine.FaultNone}
 	}
 	current := s.fault
-	if use && current.Count > 0 {
+	if consume && current.Count > 0 {
 		s.fault.Count--
 		if s.fault.Count == 0 {
 			s.fault = engine.Fault{Kind: engine.FaultNone}
@@ -131,20 +133,20 @@
 	return current
 }
 
-// failsBy tells whether the fault in force is of a kind.
-func (s *Service) failsBy(kind engine.FaultKind) func() bool {
-	return func() bool { return s.failure(false).Kind == kind }
+// hasFault returns a function that reports whether a fault of the kind is in effect.
+func (s *Service) hasFault(kind engine.FaultKind) func() bool {
+	return func() bool { return s.currentFault(false).Kind == kind }
 }
 
 func (s *Service) serveDrain(writer http.ResponseWriter, request *http.Request) {
-	var order DrainRequest
-	if !readJSON(writer, request, &order) {
+	var body DrainRequest
+	if !readJSON(writer, request, &body) {
 		return
 	}
 	s.lock.Lock()
-	s.draining = order.Draining
+	s.draining = body.Draining
 	s.lock.Unlock()
-	writeJSON(writer, http.StatusOK, order)
+	writeJSON(writer, http.StatusOK, body)
 }
 
 func (s *Service) serveHealth(writer http.ResponseWriter, _ *http.Request) {
@@ -162,19 +164,19 @@
 	s.serveHealth(writer, request)
 }
 
-// enter takes a request in and tells whether it may run.
-func (s *Service) enter() bool {
+// enqueue counts a request as waiting, or returns false if it must be refused.
+func (s *Service) enqueue() bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if s.draining || s.waiting >= s.options.MaxWaiting+cap(s.places) {
+	if s.draining || s.waiting >= s.options.MaxWaiting+cap(s.slots) {
 		return false
 	}
 	s.waiting++
 	return true
 }
 
-// move changes the counts of waiting and running requests and reports them.
-func (s *Service) move(waiting, running int) {
+// adjustLoad changes the counts of waiting and running requests and records a report.
+func (s *Service) adjustLoad(waiting, running int) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.waiting += waiting
@@ -182,7 +184,7 @@
 	s.report(time.Now())
 }
 
-// report notes the load for readers of GET /load. The caller holds the lock.
+// report records the current load for GET /load. The caller must hold the lock.
 func (s *Service) report(now time.Time) {
 	s.sequence++
 	s.reports = append(s.reports, ServiceLoad{
@@ -205,50 +207,50 @@
 	load := s.reports[0]
 	s.lock.Unlock()
 	load.AtMs = max(load.AtMs, now.Add(-s.options.ReportLag).UnixMilli())
-	if s.failure(false).Kind == engine.FaultReportIdle {
+	if s.currentFault(false).Kind == engine.FaultReportIdle {
 		load.RunningOnline, load.Waiting = 0, 0
 	}
 	writeJSON(writer, http.StatusOK, load)
 }
 
-func (s *Service) serveAny(writer http.ResponseWriter, request *http.Request) {
-	failure := s.failure(true)
-	if failure.Kind == engine.FaultRefuse || !s.enter() {
+func (s *Service) serveRequest(writer http.ResponseWriter, request *http.Request) {
+	fault := s.currentFault(true)
+	if fault.Kind == engine.FaultRefuse || !s.enqueue() {
 		writeNotRun(writer, http.StatusServiceUnavailable, "overloaded", "the service refused the request before it ran")
 		return
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maxBody))
 	if err != nil {
-		s.move(-1, 0)
+		s.adjustLoad(-1, 0)
 		panic(http.ErrAbortHandler)
 	}
 	select {
-	case s.places <- struct{}{}:
+	case s.slots <- struct{}{}:
 	case <-request.Context().Done():
-		s.move(-1, 0)
+		s.adjustLoad(-1, 0)
 		panic(http.ErrAbortHandler)
 	}
-	s.move(-1, 1)
+	s.adjustLoad(-1, 1)
 	defer func() {
-		<-s.places
-		s.move(0, -1)
+		<-s.slots
+		s.adjustLoad(0, -1)
 	}()
-	s.run(writer, request, body, failure)
+	s.run(writer, request, body, fault)
 }
 
-// run does the work of a request. The work goes on when the caller leaves.
-func (s *Service) run(writer http.ResponseWriter, request *http.Request, body []byte, failure engine.Fault) {
+// run processes a request, and continues if the client disconnects.
+func (s *Service) run(writer http.ResponseWriter, request *http.Request, body []byte, fault engine.Fault) {
 	id := request.Header.Get(HeaderRequestID)
 	s.journal.add(JournalEntry{ID: id, Key: request.Header.Get(HeaderIdempotencyKey), Path: request.URL.Path})
 	duration := s.options.Latency
-	switch failure.Kind {
+	switch fault.Kind {
 	case engine.FaultDelayFinish:
-		duration += failure.Duration
+		duration += fault.Duration
 	case engine.FaultSlow:
-		duration = time.Duration(float64(duration) * max(failure.Factor, 1))
+		duration = time.Duration(float64(duration) * max(fault.Factor, 1))
 	}
 	retry.Pause(context.WithoutCancel(request.Context()), duration)
-	if failure.Kind == engine.FaultTruncate {
+	if fault.Kind == engine.FaultTruncate {
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(writer, http.StatusOK, ServiceResponse{
@@ -259,7 +261,7 @@
 	})
 }
 
-// ServiceCommand is `rockwind-bench service`.
+// ServiceCommand implements `rockwind-bench service`.
 type ServiceCommand struct {
 	ServerFlags
 	Name        string        `help:"Name of the service instance." default:"service"`
@@ -272,7 +274,7 @@
 	Fault       []string      `help:"Fault from the start, as the JSON of POST /fault." sep:"none"`
 }
 
-// Run serves the service until a signal ends it.
+// Run serves the service until the process receives a signal.
 func (c *ServiceCommand) Run() error {
 	service, err := NewService(ServiceOptions{
 		Name:        c.Name,
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -18,7 +18,7 @@
 	"rockwind.example/rockwind/internal/standin"
 )
 
-// fastConfig makes steps short, so that tests wait for little.
+// fastConfig returns a configuration with short steps and no delays.
 func fastConfig() engine.Config {
 	config := engine.DefaultConfig().Scale(0.02)
 	config.CacheEventLag = 0
@@ -44,7 +44,8 @@
 	return server, listener.Listener.Addr().String()
 }
 
-// exchange sends a request and returns status, header and body.
+// exchange sends a request, decodes the response body if into is set, and returns
+// the response.
 func exchange(t *testing.T, method, url, body string, into any) *http.Response {
 	t.Helper()
 	request, err := http.NewRequest(method, "http://"+url, strings.NewReader(body))
@@ -68,7 +69,7 @@
 	return response
 }
 
-// TestAnswersAreWholeAndOwn sends many requests of all kinds at once.
+// Concurrent requests must get complete responses that match their own prompts.
 func TestAnswersAreWholeAndOwn(t *testing.T) {
 	config := fastConfig()
 	config.MaxSequences = 16
@@ -104,8 +105,8 @@
 
 const truncatedBody = `{"model":"m","messages":[{"role":"user","content":"a riddle"}],"max_tokens":40,"stream":true}`
 
-// TestTruncatedStreamIsResumedWithTheMissingTokens cuts a stream and resumes it
-// after any token that was delivered.
+// A broken stream must be resumable after the last delivered token, without running
+// the request again.
 func TestTruncatedStreamIsResumedWithTheMissingTokens(t *testing.T) {
 	server, address := startEngine(t, standin.EngineOptions{Config: fastConfig(), EventPerToken: true})
 	prompt := engine.UserPrompt("a riddle")
@@ -139,11 +140,11 @@
 	var page standin.JournalPage
 	exchange(t, http.MethodGet, address+"/journal", "", &page)
 	if len(page.Entries) != 1 {
-		t.Fatalf("a resumed request ran %d times", len(page.Entries))
+		t.Fatalf("resumed request has %d journal entries, want 1", len(page.Entries))
 	}
 }
 
-// TestRefusalsDidNotRun checks that what is refused is marked and not journaled.
+// Refused requests must be marked as not run and must not be journaled.
 func TestRefusalsDidNotRun(t *testing.T) {
 	config := fastConfig()
 	config.Loaded = []string{"m@v1"}
@@ -157,7 +158,7 @@
 		}
 	}
 	if response := exchange(t, http.MethodPost, address+"/v1/completions", `{"model":"m","prompt":"p"}`, nil); response.StatusCode != http.StatusOK {
-		t.Fatalf("status %d after the refusals", response.StatusCode)
+		t.Fatalf("request after the refusals: status %d", response.StatusCode)
 	}
 	var page standin.JournalPage
 	exchange(t, http.MethodGet, address+"/journal", "", &page)
@@ -166,7 +167,7 @@
 	}
 }
 
-// TestDeadEngineBreaksItsConnections loses a request in progress.
+// FaultDie must abort requests in progress and refuse new connections.
 func TestDeadEngineBreaksItsConnections(t *testing.T) {
 	config := fastConfig()
 	config.BaseStep = time.Hour
@@ -187,11 +188,11 @@
 		t.Fatalf("%+v", measured)
 	}
 	if _, err := http.Get("http://" + address + "/healthz"); err == nil {
-		t.Fatal("a dead engine answers")
+		t.Fatal("dead engine responds to GET /healthz")
 	}
 }
 
-// TestOrdersLoadFromTheStore loads a version over HTTP; a stale fence is refused.
+// An order must load weights from the weight store; a stale fence must be refused.
 func TestOrdersLoadFromTheStore(t *testing.T) {
 	store := httptest.NewServer(standin.NewWeightStore(200_000, 1e9).Handler())
 	defer store.Close()
@@ -236,11 +237,11 @@
 	var snapshot standin.CacheSnapshot
 	exchange(t, http.MethodGet, to+"/cache_snapshot", "", &snapshot)
 	if len(snapshot.Blocks) != len(blocks) {
-		t.Fatalf("%d of %d blocks arrived", len(snapshot.Blocks), len(blocks))
+		t.Fatalf("imported %d of %d blocks", len(snapshot.Blocks), len(blocks))
 	}
 }
 
-func TestServiceAnswersItsOwnAndJournals(t *testing.T) {
+func TestServiceRespondsAndJournals(t *testing.T) {
 	service, err := standin.NewService(standin.ServiceOptions{Name: "s", Concurrency: 2, MaxWaiting: 100})
 	if err != nil {
 		t.Fatal(err)
@@ -281,7 +282,7 @@
 			t.Fatalf("%+v", machines)
 		}
 		if lag > 0 && len(machines) != 0 {
-			t.Fatalf("a change shows before its time: %+v", machines)
+			t.Fatalf("change visible before the lag: %+v", machines)
 		}
 	}
 }
--- a/internal/standin/stream.go
+++ b/internal/standin/stream.go
@@ -8,20 +8,20 @@
 	"rockwind.example/rockwind/internal/engine"
 )
 
-// statusClientClosed is the status of a request that was cancelled.
+// statusClientClosed is the HTTP status of a cancelled request.
 const statusClientClosed = 499
 
-// finishReason is the reason of every end: answers have the asked length.
+// finishReason is the finish reason of all responses: they have the requested length.
 const finishReason = "length"
 
-// Usage is the usage object of an answer.
+// Usage is the usage object of a response.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// Choice is one choice of an unstreamed answer.
+// Choice is one choice of a non-streaming response.
 type Choice struct {
 	Index        int             `json:"index"`
 	Message      *engine.Message `json:"message,omitempty"`
@@ -29,7 +29,7 @@
 	FinishReason string          `json:"finish_reason"`
 }
 
-// Completion is an unstreamed answer.
+// Completion is a non-streaming response.
 type Completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -39,7 +39,7 @@
 	Usage   Usage    `json:"usage"`
 }
 
-func (c *completion) usageOf() Usage {
+func (c *completion) usageObject() Usage {
 	return Usage{
 		PromptTokens:     c.promptTokens,
 		CompletionTokens: c.maxTokens,
@@ -47,10 +47,10 @@
 	}
 }
 
-// whole returns the unstreamed answer.
-func (c *completion) whole() Completion {
+// response returns the non-streaming response.
+func (c *completion) response() Completion {
 	text := engine.ExpectedRange(c.promptHash, 1, c.maxTokens)
-	result := Completion{ID: c.id, Object: "text_completion", Created: time.Now().Unix(), Model: c.model, Usage: c.usageOf()}
+	result := Completion{ID: c.id, Object: "text_completion", Created: time.Now().Unix(), Model: c.model, Usage: c.usageObject()}
 	choice := Choice{FinishReason: finishReason}
 	if c.kind == endpointChat {
 		result.Object = "chat.completion"
@@ -62,39 +62,39 @@
 	return result
 }
 
-// chunkWriter writes the events of one stream. The parts of a chunk that do not
-// change are made once.
+// chunkWriter encodes the events of one stream. The constant part of the chunks is
+// encoded only once.
 type chunkWriter struct {
-	answer *completion
-	head   []byte
-	buffer []byte
+	call        *completion
+	chunkPrefix []byte
+	buffer      []byte
 	// written is the sequence number of the last token written.
 	written int
 }
 
-func newChunkWriter(answer *completion, offset int) *chunkWriter {
+func newChunkWriter(call *completion, offset int) *chunkWriter {
 	object := "text_completion"
-	if answer.kind == endpointChat {
+	if call.kind == endpointChat {
 		object = "chat.completion.chunk"
 	}
-	head := []byte(`data: {"id":`)
-	head = strconv.AppendQuote(head, answer.id)
-	head = append(head, `,"object":"`+object+`","created":`...)
-	head = strconv.AppendInt(head, time.Now().Unix(), 10)
-	head = append(head, `,"model":`...)
-	head = strconv.AppendQuote(head, answer.model)
-	return &chunkWriter{answer: answer, head: head, written: offset}
+	chunkPrefix := []byte(`data: {"id":`)
+	chunkPrefix = strconv.AppendQuote(chunkPrefix, call.id)
+	chunkPrefix = append(chunkPrefix, `,"object":"`+object+`","created":`...)
+	chunkPrefix = strconv.AppendInt(chunkPrefix, time.Now().Unix(), 10)
+	chunkPrefix = append(chunkPrefix, `,"model":`...)
+	chunkPrefix = strconv.AppendQuote(chunkPrefix, call.model)
+	return &chunkWriter{call: call, chunkPrefix: chunkPrefix, written: offset}
 }
 
-// tokens appends an event with the tokens up to last.
-func (w *chunkWriter) tokens(last int) {
+// appendEvent appends an event with the tokens up to last.
+func (w *chunkWriter) appendEvent(last int) {
 	first := w.written + 1
 	w.buffer = append(w.buffer, "id: "...)
 	w.buffer = strconv.AppendInt(w.buffer, int64(last), 10)
 	w.buffer = append(w.buffer, '\n')
-	w.buffer = append(w.buffer, w.head...)
+	w.buffer = append(w.buffer, w.chunkPrefix...)
 	switch {
-	case w.answer.kind == endpointCompletion:
+	case w.call.kind == endpointCompletion:
 		w.buffer = append(w.buffer, `,"choices":[{"index":0,"text":"`...)
 	case first == 1:
 		w.buffer = append(w.buffer, `,"choices":[{"index":0,"delta":{"role":"assistant","content":"`...)
@@ -102,13 +102,13 @@
 		w.buffer = append(w.buffer, `,"choices":[{"index":0,"delta":{"content":"`...)
 	}
 	for sequence := first; sequence <= last; sequence++ {
-		w.buffer = append(w.buffer, engine.ExpectedToken(w.answer.promptHash, sequence)...)
+		w.buffer = append(w.buffer, engine.ExpectedToken(w.call.promptHash, sequence)...)
 	}
 	w.buffer = append(w.buffer, '"')
-	if w.answer.kind == endpointChat {
+	if w.call.kind == endpointChat {
 		w.buffer = append(w.buffer, '}')
 	}
-	if last == w.answer.maxTokens {
+	if last == w.call.maxTokens {
 		w.buffer = append(w.buffer, `,"finish_reason":"`+finishReason+`"}]}`...)
 	} else {
 		w.buffer = append(w.buffer, `,"finish_reason":null}]}`...)
@@ -117,11 +117,11 @@
 	w.written = last
 }
 
-// end appends what follows the last token.
-func (w *chunkWriter) end() {
-	if w.answer.usage {
-		usage := w.answer.usageOf()
-		w.buffer = append(w.buffer, w.head...)
+// appendEnd appends the usage, if requested, and the end marker.
+func (w *chunkWriter) appendEnd() {
+	if w.call.usage {
+		usage := w.call.usageObject()
+		w.buffer = append(w.buffer, w.chunkPrefix...)
 		w.buffer = append(w.buffer, `,"choices":[],"usage":{"prompt_tokens":`...)
 		w.buffer = strconv.AppendInt(w.buffer, int64(usage.PromptTokens), 10)
 		w.buffer = append(w.buffer, `,"completion_tokens":`...)
@@ -133,21 +133,21 @@
 	w.buffer = append(w.buffer, "data: [DONE]\n\n"...)
 }
 
-// stream writes server-sent events as the model produces tokens.
-func (e *Engine) stream(writer http.ResponseWriter, request *http.Request, answer *completion, reader *stream, offset int) {
+// stream writes server-sent events while the model produces tokens.
+func (e *Engine) stream(writer http.ResponseWriter, request *http.Request, call *completion, reader *stream, offset int) {
 	header := writer.Header()
 	header.Set("Content-Type", "text/event-stream")
 	header.Set("Cache-Control", "no-cache")
-	header.Set(HeaderRequestID, answer.id)
+	header.Set(HeaderRequestID, call.id)
 	writer.WriteHeader(http.StatusOK)
 	flusher := http.NewResponseController(writer)
-	chunks := newChunkWriter(answer, offset)
+	chunks := newChunkWriter(call, offset)
 	for {
-		// The state is read before the count: tokens come before the end.
+		// Loads the state first: all tokens are counted before the state is set.
 		state := streamState(reader.state.Load())
 		e.appendTokens(chunks, int(reader.produced.Load()))
 		if state == streamFinished {
-			chunks.end()
+			chunks.appendEnd()
 		}
 		if len(chunks.buffer) > 0 {
 			_, writeError := writer.Write(chunks.buffer)
@@ -156,20 +156,20 @@
 			}
 			chunks.buffer = chunks.buffer[:0]
 			if writeError != nil {
-				e.driver.detach(answer.id, reader)
+				e.driver.detach(call.id, reader)
 				panic(http.ErrAbortHandler)
 			}
 		}
 		switch state {
 		case streamFinished:
 			return
-		case streamCancelled, streamCut:
+		case streamCancelled, streamAborted:
 			panic(http.ErrAbortHandler)
 		}
 		select {
 		case <-reader.changed:
 		case <-request.Context().Done():
-			e.driver.detach(answer.id, reader)
+			e.driver.detach(call.id, reader)
 			panic(http.ErrAbortHandler)
 		}
 	}
@@ -179,11 +179,11 @@
 func (e *Engine) appendTokens(chunks *chunkWriter, last int) {
 	if !e.options.EventPerToken {
 		if last > chunks.written {
-			chunks.tokens(last)
+			chunks.appendEvent(last)
 		}
 		return
 	}
 	for chunks.written < last {
-		chunks.tokens(chunks.written + 1)
+		chunks.appendEvent(chunks.written + 1)
 	}
 }
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -13,10 +13,10 @@
 	"golang.org/x/time/rate"
 )
 
-// weightsChunk is the size of one write of weights in bytes.
+// weightsChunk is the size of a single write in bytes.
 const weightsChunk = 64 << 10
 
-// fetchWeights reads weights from the store and drops them.
+// fetchWeights downloads weights from the weight store and discards them.
 func (e *Engine) fetchWeights(ctx context.Context, id string) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, e.options.WeightsURL+"/weights/"+url.PathEscape(id), nil)
 	if err != nil {
@@ -34,14 +34,14 @@
 	return errors.Wrap(err, "weights")
 }
 
-// WeightsCommand is `rockwind-bench weights`: the weight store.
+// WeightsCommand implements `rockwind-bench weights`.
 type WeightsCommand struct {
 	ServerFlags
 	Rate  float64 `help:"Rate in bytes a second, over all readers." default:"100e6"`
 	Bytes int64   `help:"Size of every set of weights in bytes." default:"200000000"`
 }
 
-// WeightStore is a weight store with a rate limit over all its readers.
+// WeightStore is a stand-in for a weight store, with a rate limit shared by all downloads.
 type WeightStore struct {
 	size     int64
 	limiter  *rate.Limiter
@@ -49,19 +49,19 @@
 	finished atomic.Int64
 }
 
-// WeightStoreStatus is the body of GET /status of the weight store.
+// WeightStoreStatus is the response body of GET /status.
 type WeightStoreStatus struct {
 	Reading  int64 `json:"reading"`
 	Finished int64 `json:"finished"`
 }
 
-// NewWeightStore returns a store that gives size bytes for every identity, at
-// bytesPerSecond over all readers.
+// NewWeightStore returns a weight store that serves size bytes for every ID and
+// bytesPerSecond over all downloads.
 func NewWeightStore(size int64, bytesPerSecond float64) *WeightStore {
 	return &WeightStore{size: size, limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), weightsChunk)}
 }
 
-// Handler returns the HTTP interface of the store.
+// Handler returns the HTTP handler of the weight store.
 func (w *WeightStore) Handler() http.Handler {
 	router := chi.NewRouter()
 	router.Get("/healthz", func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusOK) })
@@ -91,7 +91,7 @@
 	w.finished.Add(1)
 }
 
-// Run serves the weight store until a signal ends it.
+// Run serves the weight store until the process receives a signal.
 func (c *WeightsCommand) Run() error {
 	return c.serve(NewWeightStore(c.Bytes, c.Rate).Handler())
 }
