--- a/internal/simulator/fleet.go
+++ b/internal/simulator/fleet.go
@@ -9,19 +9,19 @@
 	"rockwind.example/rockwind/internal/virtualtime"
 )
 
-// drainTime is how long a run goes on after its end for online answers.
+// drainTime is how long a run continues after its end to complete online requests.
 const drainTime = 20 * time.Second
 
-// node is one engine in its place.
+// node is one engine of the fleet.
 type node struct {
 	engine *engine.Engine
 	zone   int
-	// alarm is set for the engine's next event.
-	alarm virtualtime.Timer
+	// timer is set to the engine's next event.
+	timer virtualtime.Timer
 	owner *gateway
 }
 
-// fleet is one run in progress.
+// fleet is the state of one simulation run.
 type fleet struct {
 	clock    virtualtime.Queue
 	scenario *Scenario
@@ -33,25 +33,25 @@
 	items    []*item
 	events   []engine.Event
 	totals   batchTotals
-	hops     hopNoise
+	hops     hopJitter
 	sampling *sampling
-	// onCompleted is told of every completed item; it may be nil.
+	// onCompleted is called for every completed item; it may be nil.
 	onCompleted func(entry *item)
 }
 
-// Run simulates a policy on a scenario and returns what was measured.
+// Run simulates a scenario under a policy and returns the measurements.
 func Run(scenario Scenario, policy Policy, seed uint64) Result {
 	run := newFleet(&scenario, policy, seed)
 	run.start(seed)
-	run.drive()
+	run.processEvents()
 	return run.result()
 }
 
-// drive handles the events up to the end of the run.
-func (f *fleet) drive() {
+// processEvents processes events until the end of the run.
+func (f *fleet) processEvents() {
 	for {
-		entry, some := f.clock.Next(f.scenario.End() + drainTime)
-		if !some {
+		entry, ok := f.clock.Next(f.scenario.End() + drainTime)
+		if !ok {
 			return
 		}
 		if entry.Run != nil {
@@ -63,7 +63,7 @@
 }
 
 func newFleet(scenario *Scenario, policy Policy, seed uint64) *fleet {
-	run := &fleet{scenario: scenario, policy: policy, hops: newHopNoise(scenario, seed)}
+	run := &fleet{scenario: scenario, policy: policy, hops: newHopJitter(scenario, seed)}
 	if policy.ZeroLag {
 		scenario.Engine.ReportLag = 0
 	}
@@ -88,18 +88,18 @@
 	return run
 }
 
-// assignOwners gives each engine to a gateway of its zone, evenly.
+// assignOwners distributes the engines of each zone evenly over its gateways.
 func (f *fleet) assignOwners() {
 	for index := range f.nodes {
-		place := index % f.scenario.EnginesPerZone
+		zoneIndex := index % f.scenario.EnginesPerZone
 		zone := f.nodes[index].zone
-		owner := f.gateways[zone*f.scenario.GatewaysPerZone+place%f.scenario.GatewaysPerZone]
+		owner := f.gateways[zone*f.scenario.GatewaysPerZone+zoneIndex%f.scenario.GatewaysPerZone]
 		f.nodes[index].owner = owner
-		owner.own(index)
+		owner.addOwned(index)
 	}
 }
 
-// start schedules the whole load and the gateways' periodic work.
+// start schedules the workload, the faults and the periodic tasks.
 func (f *fleet) start(seed uint64) {
 	if f.policy.Online {
 		f.startOnline(seed)
@@ -127,7 +127,7 @@
 	for index := range arrivals {
 		f.online[index] = onlineRecord{index: index, arrival: arrivals[index], server: -1}
 		gateway := f.gateways[arrivals[index].gateway]
-		f.clock.At(arrivals[index].at+f.scenario.ClientDelay+f.hops.draw(), func() { gateway.arrive(index) })
+		f.clock.At(arrivals[index].at+f.scenario.ClientDelay+f.hops.draw(), func() { gateway.routeOnline(index) })
 	}
 }
 
@@ -137,7 +137,7 @@
 	}
 }
 
-// delay is the one-way time between a gateway and an engine.
+// delay returns the one-way network delay between a gateway and an engine.
 func (f *fleet) delay(gateway *gateway, server int) time.Duration {
 	if f.nodes[server].zone == gateway.zone {
 		return f.scenario.LocalDelay
@@ -145,19 +145,19 @@
 	return f.scenario.ZoneDelay
 }
 
-// schedule makes sure that an engine is advanced at its next event.
+// schedule sets an engine's timer to its next event.
 func (f *fleet) schedule(server int) {
 	node := &f.nodes[server]
-	next, some := node.engine.NextEvent()
-	if !some {
+	next, ok := node.engine.NextEvent()
+	if !ok {
 		return
 	}
-	node.alarm.Set(&f.clock, next, server)
+	node.timer.Set(&f.clock, next, server)
 }
 
 func (f *fleet) advance(server int) {
 	node := &f.nodes[server]
-	if !node.alarm.Fire(f.clock.Now()) {
+	if !node.timer.Fire(f.clock.Now()) {
 		return
 	}
 	f.events = node.engine.Advance(f.clock.Now(), f.events[:0])
@@ -171,7 +171,7 @@
 	f.schedule(server)
 }
 
-// tagBatch marks the tags of batch items; the rest of a tag is an index.
+// tagBatch is set in the tags of batch items; the other bits are an index.
 const tagBatch = 1 << 63
 
 func onlineID(index, attempt int) string {
@@ -185,22 +185,22 @@
 	switch event.Kind {
 	case engine.EventTokens:
 		if event.Sequence != event.Count || record.firstAt > 0 {
-			f.clock.At(arrives, func() { gateway.noteTokens(record, server, event.Count) })
+			f.clock.At(arrives, func() { gateway.trackTokens(record, server, event.Count) })
 			return
 		}
 		record.firstAt = arrives + f.scenario.ClientDelay + f.hops.draw() + f.hops.draw()
 		f.clock.At(arrives, func() { gateway.firstToken(record, server) })
 	case engine.EventFinished:
 		record.doneAt = max(record.firstAt, arrives+f.scenario.ClientDelay+f.hops.draw()+f.hops.draw())
-		f.clock.At(arrives, func() { gateway.ended(record, server) })
+		f.clock.At(arrives, func() { gateway.requestEnded(record, server) })
 	case engine.EventLost:
-		f.clock.At(arrives, func() { gateway.lost(int(event.Tag), server) })
+		f.clock.At(arrives, func() { gateway.requestFailed(int(event.Tag), server) })
 	}
 }
 
 func (f *fleet) deliverBatch(server int, event engine.Event) {
 	item := f.items[event.Tag&^uint64(tagBatch)]
-	gateway := item.holder
+	gateway := item.leasedBy
 	arrives := event.At + f.delay(gateway, server)
 	switch event.Kind {
 	case engine.EventTokens:
@@ -208,8 +208,8 @@
 			f.clock.At(arrives, func() { gateway.view.RecordFirstToken(server, item.shape.prompt) })
 		}
 	case engine.EventFinished:
-		f.clock.At(arrives, func() { gateway.itemDone(item, server) })
+		f.clock.At(arrives, func() { gateway.itemCompleted(item, server) })
 	case engine.EventLost:
-		f.clock.At(arrives, func() { gateway.itemLost(item, server) })
+		f.clock.At(arrives, func() { gateway.itemFailed(item, server) })
 	}
 }
--- a/internal/simulator/gateway.go
+++ b/internal/simulator/gateway.go
@@ -10,33 +10,33 @@
 	"rockwind.example/rockwind/internal/sharing"
 )
 
-// modelName is the single model of the simulated fleet.
+// modelName is the only model of the simulated fleet.
 const modelName routing.NameID = 0
 
-// serverKeySpread makes keys of the numbers of servers.
-const serverKeySpread = 0x9e3779b97f4a7c15
+// serverKeyMultiplier derives hash keys from server numbers.
+const serverKeyMultiplier = 0x9e3779b97f4a7c15
 
-// gateway is one gateway with a lagging view of its own.
+// gateway is one gateway with its own delayed view of the servers.
 type gateway struct {
-	fleet    *fleet
-	index    int
-	zone     int
-	view     routing.View
-	recent   []routing.RequestHistory
-	random   *rand.Rand
-	routing  routing.Policy
-	health   *health.Tracker
-	owned    []int
-	lanes    []lane
-	paces    []sharing.OnlineTracker
-	tail     sharing.TailEstimator
-	prefixes map[int][2]int
-	queues   []itemQueue
-	asked    bool
-	picker   *sharing.Picker
-	versions []routing.WeightedVersion
-	hints    []routing.Hint
-	// used counts the service of each group since the last exchange.
+	fleet          *fleet
+	index          int
+	zone           int
+	view           routing.View
+	recent         []routing.RequestHistory
+	random         *rand.Rand
+	routing        routing.Policy
+	health         *health.Tracker
+	owned          []int
+	batches        []serverBatch
+	onlineTrackers []sharing.OnlineTracker
+	tail           sharing.TailEstimator
+	prefixes       map[int][2]int
+	queues         []itemQueue
+	leaseRequested bool
+	picker         *sharing.Picker
+	versions       []routing.WeightedVersion
+	hints          []routing.Hint
+	// used is the batch service of each group since the last report to control.
 	used []sharing.GroupUse
 }
 
@@ -44,19 +44,19 @@
 	scenario := run.scenario
 	servers := scenario.Engines()
 	created := &gateway{
-		fleet:    run,
-		index:    index,
-		zone:     index / scenario.GatewaysPerZone,
-		random:   newRandom(seed, streamGateways+uint64(index)),
-		health:   health.NewTracker(health.DefaultPolicy, servers),
-		recent:   make([]routing.RequestHistory, servers),
-		lanes:    make([]lane, servers),
-		paces:    make([]sharing.OnlineTracker, servers),
-		prefixes: make(map[int][2]int),
-		queues:   make([]itemQueue, len(scenario.Batch)),
-		picker:   sharing.NewPicker(),
-		versions: []routing.WeightedVersion{{Name: modelName, Weight: 1}},
-		used:     make([]sharing.GroupUse, len(scenario.Batch)),
+		fleet:          run,
+		index:          index,
+		zone:           index / scenario.GatewaysPerZone,
+		random:         newRandom(seed, streamGateways+uint64(index)),
+		health:         health.NewTracker(health.DefaultPolicy, servers),
+		recent:         make([]routing.RequestHistory, servers),
+		batches:        make([]serverBatch, servers),
+		onlineTrackers: make([]sharing.OnlineTracker, servers),
+		prefixes:       make(map[int][2]int),
+		queues:         make([]itemQueue, len(scenario.Batch)),
+		picker:         sharing.NewPicker(),
+		versions:       []routing.WeightedVersion{{Name: modelName, Weight: 1}},
+		used:           make([]sharing.GroupUse, len(scenario.Batch)),
 	}
 	if run.policy.Routing != nil {
 		created.routing = run.policy.Routing()
@@ -65,7 +65,7 @@
 	return created
 }
 
-// fillView puts the own zone first, as routing wants it.
+// fillView initializes the view. The routing package requires the own zone first.
 func (g *gateway) fillView() {
 	scenario := g.fleet.scenario
 	g.view.Cost = routing.CostModel{
@@ -83,37 +83,37 @@
 		}
 		first := zone * scenario.EnginesPerZone
 		g.view.Zones = append(g.view.Zones, routing.Zone{First: int32(first), Count: int32(scenario.EnginesPerZone), ExtraRTT: cost})
-		for place := range scenario.EnginesPerZone {
-			server := &g.view.Servers[first+place]
+		for zoneIndex := range scenario.EnginesPerZone {
+			server := &g.view.Servers[first+zoneIndex]
 			server.Zone = uint16(offset)
-			server.Key = uint64(first+place+1) * serverKeySpread
-			if g.fleet.policy.BatchOnly == nil || !g.fleet.policy.BatchOnly(place, scenario.EnginesPerZone) {
+			server.Key = uint64(first+zoneIndex+1) * serverKeyMultiplier
+			if g.fleet.policy.BatchOnly == nil || !g.fleet.policy.BatchOnly(zoneIndex, scenario.EnginesPerZone) {
 				server.Loaded.Add(modelName)
 			}
 		}
 	}
 }
 
-func (g *gateway) own(server int) {
+func (g *gateway) addOwned(server int) {
 	g.owned = append(g.owned, server)
 }
 
-// start schedules the periodic work, out of step with the other gateways.
+// start schedules the periodic tasks, at a random offset per gateway.
 func (g *gateway) start() {
 	scenario := g.fleet.scenario
-	g.every(scenario.PollInterval, g.poll)
-	g.every(scenario.ExchangeInterval, g.exchange)
-	g.every(balanceInterval, g.balanceAll)
+	g.runEvery(scenario.PollInterval, g.poll)
+	g.runEvery(scenario.ExchangeInterval, g.exchange)
+	g.runEvery(budgetInterval, g.applyBudgets)
 }
 
-// every runs periodic work, first at a random part of the interval.
-func (g *gateway) every(interval time.Duration, run func()) {
+// runEvery runs a task periodically, starting at a random time within the interval.
+func (g *gateway) runEvery(interval time.Duration, run func()) {
 	first := time.Duration(g.random.Float64() * float64(interval))
 	g.fleet.clock.Every(first, interval, run)
 }
 
-// arrive routes an online request.
-func (g *gateway) arrive(index int) {
+// routeOnline routes an online request.
+func (g *gateway) routeOnline(index int) {
 	record := &g.fleet.online[index]
 	now := g.fleet.clock.Now()
 	if g.fleet.policy.ZeroLag {
@@ -134,12 +134,13 @@
 	g.dispatch(index, decision.Server)
 }
 
-// affinityKey names the shared text of a prompt that is long enough to matter.
+// affinityKey returns the key by which requests with the same prefix are routed
+// together.
 func affinityKey(drawn *shape) uint64 {
 	return routing.AffinityKeyOf(drawn.blocks)
 }
 
-// hintsFor lists the servers that this gateway last sent the prefix to.
+// hintsFor returns the servers to which this gateway last sent the prefix.
 func (g *gateway) hintsFor(shape shape) []routing.Hint {
 	g.hints = g.hints[:0]
 	servers, known := g.prefixes[shape.prefix]
@@ -165,8 +166,8 @@
 	}
 	g.view.RecordSent(server, shape.prompt, false)
 	g.recent[server].RecordSent(run.clock.Now())
-	g.noteSent(index, server)
-	g.balance(server)
+	g.trackSent(index, server)
+	g.applyBudget(server)
 	run.clock.After(run.delay(g, server)+run.hops.draw(), func() {
 		_, accepted := run.nodes[server].engine.Submit(run.clock.Now(), engine.Request{
 			ID:           onlineID(index, attempt),
@@ -178,7 +179,7 @@
 		})
 		run.schedule(server)
 		if !accepted {
-			run.clock.After(run.delay(g, server), func() { g.lost(index, server) })
+			run.clock.After(run.delay(g, server), func() { g.requestFailed(index, server) })
 		}
 	})
 }
@@ -186,23 +187,23 @@
 func (g *gateway) firstToken(record *onlineRecord, server int) {
 	g.view.RecordFirstToken(server, record.arrival.shape.prompt)
 	g.health.Record(server, health.Success, 0, g.fleet.clock.Now(), g.random)
-	g.noteFirstToken(record, server)
+	g.trackFirstToken(record, server)
 }
 
-func (g *gateway) ended(record *onlineRecord, server int) {
-	g.noteEnded(record, server)
+func (g *gateway) requestEnded(record *onlineRecord, server int) {
+	g.trackEnd(record, server)
 	g.view.RecordEnd(server, false)
 	g.recent[server].RecordEnd(g.fleet.clock.Now())
-	g.balance(server)
+	g.applyBudget(server)
 }
 
-// maxAttempts bounds how often a request that was lost or refused is sent.
+// maxAttempts is the maximum number of times an online request is sent.
 const maxAttempts = 3
 
-// lost handles a request whose server died or refused it.
-func (g *gateway) lost(index, server int) {
+// requestFailed retries a request that its server lost or refused.
+func (g *gateway) requestFailed(index, server int) {
 	record := &g.fleet.online[index]
-	g.noteEnded(record, server)
+	g.trackEnd(record, server)
 	g.view.RecordEnd(server, false)
 	g.view.RecordFirstToken(server, record.arrival.shape.prompt)
 	g.recent[server].RecordEnd(g.fleet.clock.Now())
@@ -212,7 +213,7 @@
 		record.refused = true
 		return
 	}
-	g.arrive(index)
+	g.routeOnline(index)
 }
 
 func (g *gateway) publishHealth(server int) {
--- a/internal/simulator/hops.go
+++ b/internal/simulator/hops.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// streamHops is the stream of the noise of hops. The gateways' streams count
-// upwards from the others and stay below it.
+// streamHops is the random stream of the hop jitter. It is higher than the streams
+// of all gateways, which are numbered from streamGateways.
 const streamHops = 1 << 32
 
-// hopNoise draws how much longer a hop takes than its delay.
-type hopNoise struct {
+// hopJitter draws the time that a hop takes in addition to its delay.
+type hopJitter struct {
 	samples []time.Duration
 	random  *rand.Rand
 }
 
-func newHopNoise(scenario *Scenario, seed uint64) hopNoise {
-	return hopNoise{samples: scenario.HopJitter, random: newRandom(seed, streamHops)}
+func newHopJitter(scenario *Scenario, seed uint64) hopJitter {
+	return hopJitter{samples: scenario.HopJitter, random: newRandom(seed, streamHops)}
 }
 
-func (h *hopNoise) draw() time.Duration {
+func (h *hopJitter) draw() time.Duration {
 	if len(h.samples) == 0 {
 		return 0
 	}
--- a/internal/simulator/ledger.go
+++ b/internal/simulator/ledger.go
@@ -6,32 +6,32 @@
 	"rockwind.example/rockwind/internal/sharing"
 )
 
-// controlDelay is the time of one call to control: the way and a synced write.
+// controlDelay is the duration of a call to control, including a synced write.
 const controlDelay = 8 * time.Millisecond
 
-// leaseLow and leaseSize are the items queued in a gateway, per owned server,
-// below which it asks for more, and how many it asks for.
+// A gateway with fewer than leaseLow queued items of a group per owned server
+// requests leaseSize more per owned server.
 const (
 	leaseLow  = 6
 	leaseSize = 12
 )
 
-// job is one submission in the ledger.
+// job is a batch job in the ledger.
 type job struct {
-	load     int
+	group    int
 	deadline time.Duration
 	waiting  []*item
 	left     int
 }
 
-// ledger stands for the control replicas: the jobs and the groups' account.
+// ledger models the control replicas: the jobs and the accounting of the groups.
 type ledger struct {
-	fleet   *fleet
-	jobs    [][]*job
-	account *sharing.Account
-	uses    []sharing.GroupUse
-	settled time.Duration
-	parts   []sharing.GroupAllowance
+	fleet      *fleet
+	jobs       [][]*job
+	account    *sharing.Account
+	uses       []sharing.GroupUse
+	lastUpdate time.Duration
+	allowances []sharing.GroupAllowance
 }
 
 func newLedger(run *fleet) *ledger {
@@ -46,24 +46,24 @@
 	return created
 }
 
-// accept takes a submission in as a job.
+// accept adds a submitted job.
 func (l *ledger) accept(submission jobSubmission) {
-	created := &job{load: submission.load, deadline: submission.deadline, left: len(submission.items)}
+	created := &job{group: submission.group, deadline: submission.deadline, left: len(submission.items)}
 	for _, shape := range submission.items {
-		entry := &item{index: len(l.fleet.items), load: submission.load, job: created, shape: shape}
+		entry := &item{index: len(l.fleet.items), group: submission.group, job: created, shape: shape}
 		l.fleet.items = append(l.fleet.items, entry)
 		created.waiting = append(created.waiting, entry)
 	}
-	l.jobs[submission.load] = append(l.jobs[submission.load], created)
+	l.jobs[submission.group] = append(l.jobs[submission.group], created)
 	for _, gateway := range l.fleet.gateways {
-		l.fleet.clock.After(controlDelay, gateway.refill)
+		l.fleet.clock.After(controlDelay, gateway.requestLeases)
 	}
 }
 
-// lease takes up to count waiting items of a group, earliest deadline first.
-func (l *ledger) lease(load, count int) []*item {
+// lease removes and returns up to count waiting items of a group, oldest jobs first.
+func (l *ledger) lease(group, count int) []*item {
 	var leased []*item
-	for _, job := range l.jobs[load] {
+	for _, job := range l.jobs[group] {
 		taken := min(count-len(leased), len(job.waiting))
 		leased = append(leased, job.waiting[:taken]...)
 		job.waiting = job.waiting[taken:]
@@ -71,21 +71,21 @@
 			break
 		}
 	}
-	for len(l.jobs[load]) > 0 && l.jobs[load][0].left == 0 {
-		l.jobs[load] = l.jobs[load][1:]
+	for len(l.jobs[group]) > 0 && l.jobs[group][0].left == 0 {
+		l.jobs[group] = l.jobs[group][1:]
 	}
 	return leased
 }
 
-func (l *ledger) giveBack(entry *item) {
-	entry.holder = nil
+func (l *ledger) requeue(entry *item) {
+	entry.leasedBy = nil
 	entry.job.waiting = append(entry.job.waiting, entry)
 }
 
-// waitingCost is the cost of a group's work in the ledger.
-func (l *ledger) waitingCost(load int) float64 {
+// waitingCost returns the cost of a group's waiting items in the ledger.
+func (l *ledger) waitingCost(group int) float64 {
 	cost := 0.0
-	for _, job := range l.jobs[load] {
+	for _, job := range l.jobs[group] {
 		for _, entry := range job.waiting {
 			cost += entry.cost()
 		}
@@ -97,79 +97,80 @@
 	return sharing.Cost(i.shape.prompt, 0, i.shape.output)
 }
 
-// refill asks control for items when the gateway runs low.
-func (g *gateway) refill() {
-	if g.asked {
+// requestLeases leases more items from control if the gateway has too few queued.
+func (g *gateway) requestLeases() {
+	if g.leaseRequested {
 		return
 	}
 	wanted := make([]int, len(g.queues))
-	some := false
-	for load := range g.queues {
-		if len(g.queues[load].items) < leaseLow*len(g.owned) {
-			wanted[load] = leaseSize * len(g.owned)
-			some = true
+	needed := false
+	for group := range g.queues {
+		if len(g.queues[group].items) < leaseLow*len(g.owned) {
+			wanted[group] = leaseSize * len(g.owned)
+			needed = true
 		}
 	}
-	if !some {
+	if !needed {
 		return
 	}
-	g.asked = true
+	g.leaseRequested = true
 	run := g.fleet
 	run.clock.After(controlDelay/2, func() {
 		leased := make([][]*item, len(wanted))
-		for load, count := range wanted {
-			leased[load] = run.ledger.lease(load, count)
+		for group, count := range wanted {
+			leased[group] = run.ledger.lease(group, count)
 		}
-		run.clock.After(controlDelay/2, func() { g.leased(leased) })
+		run.clock.After(controlDelay/2, func() { g.receiveLeases(leased) })
 	})
 }
 
-func (g *gateway) leased(items [][]*item) {
-	g.asked = false
-	some := false
-	for load := range items {
-		for _, entry := range items[load] {
-			entry.holder = g
+func (g *gateway) receiveLeases(items [][]*item) {
+	g.leaseRequested = false
+	received := false
+	for group := range items {
+		for _, entry := range items[group] {
+			entry.leasedBy = g
 		}
-		g.queues[load].items = append(g.queues[load].items, items[load]...)
-		some = some || len(items[load]) > 0
+		g.queues[group].items = append(g.queues[group].items, items[group]...)
+		received = received || len(items[group]) > 0
 	}
-	if some {
-		g.balanceAll()
+	if received {
+		g.applyBudgets()
 	}
 }
 
-// candidates lists the groups with an item that may run on a server.
+// candidates returns the groups with an item that can run on a server, and their
+// indices.
 func (g *gateway) candidates(server int) ([]sharing.Candidate, []int) {
 	candidates := make([]sharing.Candidate, 0, len(g.queues))
-	loads := make([]int, 0, len(g.queues))
-	for load := range g.queues {
+	groups := make([]int, 0, len(g.queues))
+	for group := range g.queues {
 		var first *item
-		if last := g.lanes[server].lastPaused(load); last >= 0 {
-			first = g.lanes[server].paused[last]
-		} else if len(g.queues[load].items) > 0 {
-			first = g.queues[load].items[0]
+		if last := g.batches[server].lastPaused(group); last >= 0 {
+			first = g.batches[server].paused[last]
+		} else if len(g.queues[group].items) > 0 {
+			first = g.queues[group].items[0]
 		} else {
 			continue
 		}
 		candidates = append(candidates, sharing.Candidate{
-			Group:     g.fleet.scenario.Batch[load].Group,
+			Group:     g.fleet.scenario.Batch[group].Group,
 			Deadline:  first.job.deadline,
 			Remaining: first.job.left,
 		})
-		loads = append(loads, load)
+		groups = append(groups, group)
 	}
-	return candidates, loads
+	return candidates, groups
 }
 
-// take takes the next item of a group from its queue and charges it.
-func (g *gateway) take(load int, candidate *sharing.Candidate) *item {
-	queue := &g.queues[load]
+// take removes the next item of a group from its queue and charges the group for it.
+func (g *gateway) take(group int, candidate *sharing.Candidate) *item {
+	queue := &g.queues[group]
 	next := queue.items[0]
 	queue.items = queue.items[1:]
 	g.picker.Charge(candidate, next.cost())
 	if len(queue.items) < leaseLow*len(g.owned) {
-		g.refill()
+		g.requestLeases()
 	}
 	return next
 }
--- a/internal/simulator/policy.go
+++ b/internal/simulator/policy.go
@@ -8,38 +8,39 @@
 	"rockwind.example/rockwind/internal/sharing"
 )
 
-// Policy is a way to share engines between online and batch.
+// Policy determines how online and batch requests share the engines.
 type Policy struct {
 	Name string
-	// Online and Batch say which load takes part.
+	// Online and Batch enable the online and the batch load.
 	Online bool
 	Batch  bool
-	// Routing makes the routing policy of one gateway; nil takes
-	// routing.OwnedFirst, as gateways do.
+	// Routing creates the routing policy of one gateway; nil means
+	// routing.OwnedFirst, as in production.
 	Routing func() routing.Policy
-	// Budget decides what batch may use of a server.
+	// Budget determines the batch budget of a server.
 	Budget BudgetFunction
-	// PerItem is what one batch item adds to a step.
+	// PerItem is the step time added per batch item.
 	PerItem time.Duration
 	// BatchPriority is the engine priority of batch items.
 	BatchPriority int
-	// OnlineOnly and BatchOnly reserve engines, by their place in the zone; nil
+	// OnlineOnly and BatchOnly reserve engines by their index within the zone; nil
 	// reserves none.
-	OnlineOnly func(place, count int) bool
-	BatchOnly  func(place, count int) bool
-	// ZeroLag gives every gateway reports of age zero at each decision.
+	OnlineOnly func(zoneIndex, count int) bool
+	BatchOnly  func(zoneIndex, count int) bool
+	// ZeroLag gives gateways the current load of every engine at each decision.
 	ZeroLag bool
-	// NotifyOwners tells the owner of an engine at once of requests that other
-	// gateways of the zone send there.
+	// NotifyOwners notifies the owner of an engine of online requests that other
+	// gateways of the zone send to it.
 	NotifyOwners bool
 	// OwnedMargin is the margin of routing.OwnedFirst.
 	OwnedMargin time.Duration
 }
 
-// BudgetFunction returns the budget of a server and how many items must yield.
+// BudgetFunction returns the batch budget of a server and the number of items to
+// pause.
 type BudgetFunction func(state sharing.ServerState, now time.Duration) (sharing.Budget, int)
 
-// Rockwind is the policy that the gateways run.
+// Rockwind is the policy of the production gateways.
 func Rockwind(scenario *Scenario) Policy {
 	return Policy{
 		Name: "rockwind", Online: true, Batch: true,
@@ -50,8 +51,8 @@
 	}
 }
 
-// budgetPolicy is the policy of the scenario's objective with the step model of
-// its engines.
+// budgetPolicy returns the default budget policy for the scenario's objective, with
+// the step times of its engines.
 func budgetPolicy(scenario *Scenario) sharing.BudgetPolicy {
 	policy := sharing.DefaultBudgetPolicy(scenario.Objective)
 	policy.StepBase = scenario.Engine.BaseStep
@@ -66,11 +67,11 @@
 	}
 }
 
-// RockwindWithTargetName is the name of the policy Told.
+// RockwindWithTargetName is the name of the policy RockwindWithTarget.
 const RockwindWithTargetName = "rockwind_told"
 
-// RockwindWithTarget is rockwind that need not estimate the tail of online alone: the scenario
-// tells it.
+// RockwindWithTarget is Rockwind for scenarios that set Target, so that gateways do not
+// estimate the online tail latency.
 func RockwindWithTarget(scenario *Scenario) Policy {
 	policy := Rockwind(scenario)
 	policy.Name = RockwindWithTargetName
@@ -80,14 +81,14 @@
 	return policy
 }
 
-// unbounded fills a server without regard to online.
+// unbounded fills a server with batch items regardless of online requests.
 func unbounded(scenario *Scenario) BudgetFunction {
 	return func(sharing.ServerState, time.Duration) (sharing.Budget, int) {
 		return sharing.Budget{Items: scenario.Engine.MaxSequences}, 0
 	}
 }
 
-// OnlineAlone is the online load without any batch, routed as rockwind does.
+// OnlineAlone is Rockwind without the batch load.
 func OnlineAlone(scenario *Scenario) Policy {
 	policy := Rockwind(scenario)
 	policy.Name = "online_alone"
@@ -95,7 +96,7 @@
 	return policy
 }
 
-// BatchAlone is the batch load without any online request.
+// BatchAlone is the batch load without the online load.
 func BatchAlone(scenario *Scenario) Policy {
 	policy := Rockwind(scenario)
 	policy.Name = "batch_alone"
@@ -104,7 +105,8 @@
 	return policy
 }
 
-// RoundRobinFirstCome spreads online in turn and lets batch queue with it.
+// RoundRobinFirstCome routes online requests round robin and gives batch items the
+// same engine priority.
 func RoundRobinFirstCome(scenario *Scenario) Policy {
 	policy := Rockwind(scenario)
 	policy.Name = "round_robin_first_come"
@@ -114,7 +116,7 @@
 	return policy
 }
 
-// PriorityOnly relies on the engine's priorities without headroom or budget.
+// PriorityOnly relies on engine priorities and has no batch budget.
 func PriorityOnly(scenario *Scenario) Policy {
 	policy := Rockwind(scenario)
 	policy.Name = "priority_only"
@@ -122,24 +124,24 @@
 	return policy
 }
 
-// StaticSplit reserves a part of each zone's engines for batch and the rest for
+// StaticSplit reserves a fraction of each zone's engines for batch and the rest for
 // online.
-func StaticSplit(scenario *Scenario, part float64, name string) Policy {
+func StaticSplit(scenario *Scenario, fraction float64, name string) Policy {
 	policy := Rockwind(scenario)
 	policy.Name = name
 	policy.Budget = unbounded(scenario)
-	forBatch := func(place, count int) bool { return float64(place) < part*float64(count) }
+	forBatch := func(zoneIndex, count int) bool { return float64(zoneIndex) < fraction*float64(count) }
 	policy.BatchOnly = forBatch
-	policy.OnlineOnly = func(place, count int) bool { return !forBatch(place, count) }
+	policy.OnlineOnly = func(zoneIndex, count int) bool { return !forBatch(zoneIndex, count) }
 	return policy
 }
 
-// OracleName is the name of the oracle.
+// OracleName is the name of the policy Oracle.
 const OracleName = "oracle"
 
-// Oracle is rockwind without any lag: every gateway knows the state of every
-// engine and every request at each moment. Tighten scales the tail that batch
-// may fill, so that a search finds the most work within a bound on harm.
+// Oracle is Rockwind without delays: every gateway knows the current state of all
+// engines and requests. Tighten scales the latency target that batch may use, so
+// that callers can search for the highest throughput within a latency bound.
 func Oracle(scenario *Scenario, tighten float64) Policy {
 	policy := Rockwind(scenario)
 	policy.Name = OracleName
@@ -151,7 +153,7 @@
 	return policy
 }
 
-// Baselines lists the policies that rockwind is compared with.
+// Baselines returns the policies that Rockwind is compared with.
 func Baselines(scenario *Scenario) []Policy {
 	return []Policy{
 		RoundRobinFirstCome(scenario),
@@ -161,7 +163,7 @@
 	}
 }
 
-// policies lists every policy by name.
+// policies returns the policies that can be selected by name.
 func policies(scenario *Scenario) []Policy {
 	listed := []Policy{Rockwind(scenario), OnlineAlone(scenario), BatchAlone(scenario), Oracle(scenario, 1)}
 	return append(listed, Baselines(scenario)...)
@@ -177,7 +179,7 @@
 	return Policy{}, false
 }
 
-// PolicyNames lists the names of all policies.
+// PolicyNames returns the names accepted by PolicyNamed.
 func PolicyNames(scenario *Scenario) []string {
 	var names []string
 	for _, policy := range policies(scenario) {
--- a/internal/simulator/reclaim.go
+++ b/internal/simulator/reclaim.go
@@ -2,10 +2,11 @@
 
 import "rockwind.example/rockwind/internal/sharing"
 
-// reclaimLimit bounds the items that change places on a server at a time.
+// reclaimLimit is the maximum number of items replaced on a server at a time.
 const reclaimLimit = 16
 
-// reclaim gives groups that come back their part of the running items.
+// reclaim replaces running items of groups above their share with items of groups
+// below it.
 func (g *gateway) reclaim(server int, budget sharing.Budget) {
 	if len(g.queues) < 2 {
 		return
@@ -16,38 +17,38 @@
 		if !found {
 			return
 		}
-		g.pauseOf(server, from)
-		candidates, loads := g.candidates(server)
-		for index, load := range loads {
-			if load == to {
-				g.startOf(server, load, &candidates[index], budget)
+		g.pauseNewestOf(server, from)
+		candidates, indices := g.candidates(server)
+		for index, group := range indices {
+			if group == to {
+				g.startOrResume(server, group, &candidates[index], budget)
 			}
 		}
 	}
 }
 
-// groupsOn counts what each group has on a server.
+// groupsOn returns the running and waiting items of each group on a server.
 func (g *gateway) groupsOn(server int) []sharing.GroupRunning {
 	groups := make([]sharing.GroupRunning, len(g.queues))
-	for load := range groups {
-		groups[load].Group = g.fleet.scenario.Batch[load].Group
-		groups[load].Waiting = len(g.queues[load].items)
+	for group := range groups {
+		groups[group].Group = g.fleet.scenario.Batch[group].Group
+		groups[group].Waiting = len(g.queues[group].items)
 	}
-	for _, entry := range g.lanes[server].running {
+	for _, entry := range g.batches[server].running {
 		age := g.fleet.clock.Now() - entry.startedAt
-		groups[entry.load].Running += sharing.EquivalentItems(entry.shape.prompt, age)
+		groups[entry.group].Running += sharing.EquivalentItems(entry.shape.prompt, age)
 	}
-	for _, entry := range g.lanes[server].paused {
-		groups[entry.load].Waiting++
+	for _, entry := range g.batches[server].paused {
+		groups[entry.group].Waiting++
 	}
 	return groups
 }
 
-// pauseOf pauses the newest item of a group.
-func (g *gateway) pauseOf(server, load int) {
-	running := g.lanes[server].running
+// pauseNewestOf pauses the most recently started item of a group.
+func (g *gateway) pauseNewestOf(server, group int) {
+	running := g.batches[server].running
 	for index := len(running) - 1; index >= 0; index-- {
-		if running[index].load == load {
+		if running[index].group == group {
 			g.pause(server, index)
 			return
 		}
--- a/internal/simulator/replay.go
+++ b/internal/simulator/replay.go
@@ -6,36 +6,35 @@
 	"rockwind.example/rockwind/internal/engine"
 )
 
-// Replay is a recorded load that takes the place of the drawn one.
+// Replay is a recorded workload that replaces the generated one.
 type Replay struct {
-	// Online lists the online requests in the order of their starts.
+	// Online holds the online requests, ordered by time.
 	Online []ReplayedRequest
-	// Jobs lists the batch jobs in the order of their arrivals.
+	// Jobs holds the batch jobs, ordered by arrival.
 	Jobs []ReplayedJob
 }
 
 // ReplayedRequest is one online request or one batch item.
 type ReplayedRequest struct {
-	// At is the client's intended start; jobs have it in place of their items.
+	// At is the intended start time at the client; unused in items of jobs.
 	At time.Duration
 	// Gateway is the index of the gateway that the client calls.
-	Gateway int
-	// PromptTokens and OutputTokens are the lengths.
+	Gateway      int
 	PromptTokens int
 	OutputTokens int
-	// SharedPrefix names the text that the prompt begins with; zero for none.
+	// SharedPrefix identifies the shared prefix of the prompt; zero means none.
 	SharedPrefix int
-	// SharedTokens is the length of that text.
+	// SharedTokens is the length of the shared prefix in tokens.
 	SharedTokens int
 }
 
 // ReplayedJob is one batch job.
 type ReplayedJob struct {
-	// At is when control accepts the job.
+	// At is the time at which control accepts the job.
 	At time.Duration
 	// Load is the index of the job's group in Scenario.Batch.
 	Load int
-	// Items are the job's requests; their times and gateways are not looked at.
+	// Items are the job's requests; their At and Gateway are ignored.
 	Items []ReplayedRequest
 }
 
@@ -47,7 +46,7 @@
 	return replayed
 }
 
-// prefixChain makes the chain hashes of the whole blocks of a shared text.
+// prefixChain generates the chain hashes of the complete blocks of a shared prefix.
 func prefixChain(prefix uint64, tokens int) []uint64 {
 	const blocksPerPrefix = 1 << 16
 	chain := make([]uint64, tokens/engine.TokensPerBlock)
@@ -70,7 +69,7 @@
 	submissions := make([]jobSubmission, len(r.Jobs))
 	for index := range r.Jobs {
 		job := &r.Jobs[index]
-		submissions[index] = jobSubmission{at: job.At, load: job.Load, deadline: job.At + scenario.Batch[job.Load].Deadline}
+		submissions[index] = jobSubmission{at: job.At, group: job.Load, deadline: job.At + scenario.Batch[job.Load].Deadline}
 		for item := range job.Items {
 			submissions[index].items = append(submissions[index].items, job.Items[item].shape())
 		}
--- a/internal/simulator/reports.go
+++ b/internal/simulator/reports.go
@@ -7,7 +7,7 @@
 	"rockwind.example/rockwind/internal/routing"
 )
 
-// poll asks the owned engines for their load.
+// poll requests load reports from the owned engines and updates server health.
 func (g *gateway) poll() {
 	run := g.fleet
 	for _, server := range g.owned {
@@ -17,20 +17,20 @@
 			dead := run.nodes[server].engine.Dead()
 			run.clock.After(delay, func() {
 				if !dead {
-					g.reported(server, load)
+					g.applyReport(server, load)
 				}
 			})
 		})
 	}
 	g.health.Evaluate(run.clock.Now(), g.random)
 	for server := range g.view.Servers {
-		g.trial(server)
+		g.sendTrial(server)
 		g.publishHealth(server)
 	}
 }
 
-// trial stands for a trial request to an ejected server.
-func (g *gateway) trial(server int) {
+// sendTrial models a trial request to an ejected server.
+func (g *gateway) sendTrial(server int) {
 	run := g.fleet
 	if !g.health.StartTrial(server, run.clock.Now()) {
 		return
@@ -41,13 +41,13 @@
 	})
 }
 
-func (g *gateway) reported(server int, load engine.Report) {
+func (g *gateway) applyReport(server int, load engine.Report) {
 	sent, ended := g.recent[server].CountSince(load.At)
-	g.view.ApplyReport(server, reportOf(load), sent, ended)
-	g.balance(server)
+	g.view.ApplyReport(server, toRoutingReport(load), sent, ended)
+	g.applyBudget(server)
 }
 
-func reportOf(load engine.Report) routing.Report {
+func toRoutingReport(load engine.Report) routing.Report {
 	return routing.Report{
 		TakenAt:       load.At,
 		RunningOnline: float32(load.RunningOnline),
@@ -58,11 +58,11 @@
 	}
 }
 
-// exchangeDelay is the extra time that a digest spends in control.
+// exchangeDelay is the processing time of a load digest in control.
 const exchangeDelay = 5 * time.Millisecond
 
-// exchange tells the other gateways what this one knows of the servers that it
-// owns: single servers within the zone, the mean of the zone elsewhere.
+// exchange sends a digest of the owned servers' load to the other gateways, which
+// use individual reports within the zone and the mean in other zones.
 func (g *gateway) exchange() {
 	run := g.fleet
 	reports := make([]routing.Report, len(g.owned))
@@ -74,9 +74,9 @@
 		if other == g {
 			continue
 		}
-		run.clock.After(2*run.scenario.ZoneDelay+exchangeDelay, func() { other.learn(g, reports, mean) })
+		run.clock.After(2*run.scenario.ZoneDelay+exchangeDelay, func() { other.applyDigest(g, reports, mean) })
 	}
-	g.shareUse()
+	g.reportUse()
 }
 
 func meanReport(reports []routing.Report) routing.Report {
@@ -93,8 +93,8 @@
 	return mean
 }
 
-// learn takes a digest from another gateway.
-func (g *gateway) learn(from *gateway, reports []routing.Report, mean routing.Report) {
+// applyDigest applies a load digest from another gateway.
+func (g *gateway) applyDigest(from *gateway, reports []routing.Report, mean routing.Report) {
 	for index, server := range from.owned {
 		report := mean
 		if from.zone == g.zone {
@@ -105,7 +105,7 @@
 	}
 }
 
-// refresh gives the view reports of age zero, for the oracle.
+// refresh updates the view with the current load of all servers, for Policy.ZeroLag.
 func (g *gateway) refresh() {
 	for server := range g.fleet.nodes {
 		g.refreshOne(server)
@@ -114,5 +114,5 @@
 
 func (g *gateway) refreshOne(server int) {
 	load := g.fleet.nodes[server].engine.Load(g.fleet.clock.Now())
-	g.view.ApplyReport(server, reportOf(load), 0, 0)
+	g.view.ApplyReport(server, toRoutingReport(load), 0, 0)
 }
--- a/internal/simulator/result.go
+++ b/internal/simulator/result.go
@@ -7,7 +7,7 @@
 	"rockwind.example/rockwind/internal/engine"
 )
 
-// onlineRecord follows one online request. Times are the client's.
+// onlineRecord tracks one online request. Times are measured at the client.
 type onlineRecord struct {
 	index    int
 	arrival  arrival
@@ -18,19 +18,19 @@
 	refused  bool
 }
 
-// batchTotals counts batch work.
+// batchTotals holds counters of the batch work.
 type batchTotals struct {
 	items  int
 	cost   float64
 	pauses int
-	// series is the cost completed in each second of the run.
+	// series is the completed cost in each second of the run.
 	series []float64
 }
 
-// completed books an item that is done.
-func (f *fleet) completed(entry *item) {
+// recordCompleted records a completed item.
+func (f *fleet) recordCompleted(entry *item) {
 	entry.job.left--
-	f.sampleDone(entry)
+	f.sampleCompleted(entry)
 	if f.onCompleted != nil {
 		f.onCompleted(entry)
 	}
@@ -47,31 +47,31 @@
 	f.totals.cost += entry.cost()
 }
 
-// Result is what one run measured between warm-up and end.
+// Result holds the measurements of one run, without the warm-up unless noted.
 type Result struct {
 	Policy string
-	// Seconds is the time measured.
+	// Seconds is the length of the measured period.
 	Seconds float64
-	// Requests counts online requests, Refused those refused or lost, and
-	// Unfinished those without a whole answer at the end.
+	// Requests is the number of online requests, Refused those that were refused
+	// or lost, and Unfinished those incomplete at the end of the run.
 	Requests   int
 	Refused    int
 	Unfinished int
-	// TTFT and TPOT hold the sorted times to the first token, and per token
-	// after it, of the online requests that finished.
+	// TTFT and TPOT are the sorted times to first token and times per output token
+	// of the completed online requests.
 	TTFT []time.Duration
 	TPOT []time.Duration
-	// BatchItems and BatchCost count the batch work completed.
+	// BatchItems and BatchCost are the number and the cost of completed batch items.
 	BatchItems int
 	BatchCost  float64
-	// BatchPerSecond is the cost of the batch work completed in each second,
-	// warm-up included.
+	// BatchPerSecond is the completed batch cost in each second, including the
+	// warm-up.
 	BatchPerSecond []float64
-	// Pauses counts items paused.
+	// Pauses is the number of times an item was paused, including the warm-up.
 	Pauses int
-	// Engines sums what all engines did, warm-up included.
+	// Engines is the sum of some counters of all engines, including the warm-up.
 	Engines engine.Totals
-	// Served lists the batch service over time, for the shares experiment.
+	// Served holds samples of the batch service, if Scenario.SampleEvery is set.
 	Served []ServiceSample
 }
 
@@ -118,7 +118,7 @@
 	}
 }
 
-// Quantile returns the quantile of a sorted list by the nearest rank.
+// Quantile returns a quantile of a sorted list without interpolation.
 func Quantile(sorted []time.Duration, quantile float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/simulator/scenario.go
+++ b/internal/simulator/scenario.go
@@ -1,7 +1,7 @@
-// Package simulator runs the decision packages over the engine model in virtual
-// time: gateways with lagging views of their own, zones with delays, bursts of
-// batch work, bursts of online requests and faults. One seed gives one run, to
-// the last event.
+// Package simulator runs the routing, health and sharing packages on simulated
+// engines in virtual time. It models gateways with delayed views, network delays
+// between zones, bursts of batch and online load, and faults. Runs with the same
+// seed are identical.
 package simulator
 
 import (
@@ -11,98 +11,99 @@
 	"rockwind.example/rockwind/internal/sharing"
 )
 
-// Scenario is a fleet and the load on it.
+// Scenario describes a fleet and its workload.
 type Scenario struct {
 	Name string
-	// Zones, GatewaysPerZone and EnginesPerZone give the size of the fleet.
+	// Zones, GatewaysPerZone and EnginesPerZone are the size of the fleet.
 	Zones           int
 	GatewaysPerZone int
 	EnginesPerZone  int
-	// ZoneDelay is the one-way delay between zones, LocalDelay within one, and
-	// ClientDelay between clients and gateways.
+	// ZoneDelay is the one-way network delay between zones, LocalDelay within a
+	// zone, and ClientDelay between clients and gateways.
 	ZoneDelay   time.Duration
 	LocalDelay  time.Duration
 	ClientDelay time.Duration
 	// Engine holds the parameters of every engine.
 	Engine engine.Config
-	// Objective is what the group weighs more heavily.
+	// Objective selects between online latency and batch throughput.
 	Objective sharing.Objective
-	// Target is the tail of online latency that batch may not lengthen.
+	// Target is the online tail latency that batch may not exceed; if zero, gateways
+	// estimate it.
 	Target sharing.Target
-	// PollInterval is how often a gateway asks the engines that it owns for
-	// their load, ExchangeInterval how often gateways hear of the others.
+	// PollInterval is the interval of load reports from owned engines,
+	// ExchangeInterval that of load digests between gateways.
 	PollInterval     time.Duration
 	ExchangeInterval time.Duration
 	Online           OnlineLoad
 	Batch            []BatchLoad
-	// HopJitter holds what single hops of online requests and their answers, between
-	// processes, took longer than the delays, one to be drawn for each; empty for
-	// none.
+	// HopJitter holds samples of the time that a hop of an online request or its
+	// response takes in addition to the delay. One is drawn per hop; if empty,
+	// there is no jitter.
 	HopJitter []time.Duration
-	// Replay, where it is not nil, takes the place of the draws by Online and
-	// Batch; Batch still names the groups.
+	// Replay, if not nil, replaces the workload generated from Online and Batch;
+	// Batch still defines the groups.
 	Replay *Replay
-	// Warmup is left out of the measures; Measured is the time measured.
+	// Warmup precedes the measured period, which lasts Measured.
 	Warmup   time.Duration
 	Measured time.Duration
 	Faults   []ScheduledFault
-	// SampleEvery is the time between samples of the service that groups
-	// receive; zero takes none.
+	// SampleEvery is the sampling interval of the batch service of the groups;
+	// zero disables sampling.
 	SampleEvery time.Duration
 }
 
-// ScheduledFault makes an engine fail at a time.
+// ScheduledFault is a fault injected into an engine at a given time.
 type ScheduledFault struct {
 	At     time.Duration
 	Engine int
 	Fault  engine.Fault
 }
 
-// OnlineLoad is a Poisson stream of requests with bursts in which the rate is
-// multiplied, plus clumps of requests that arrive together.
+// OnlineLoad is a Poisson process with bursts of a higher rate, plus clumps of
+// requests that arrive nearly simultaneously.
 type OnlineLoad struct {
-	// Rate is the requests per second and engine outside bursts.
+	// Rate is the request rate per second and engine outside bursts.
 	Rate float64
-	// BurstFactor multiplies the rate in bursts, which last BurstMean on average
-	// and come BurstEvery apart on average, both exponential.
+	// BurstFactor multiplies the rate during bursts. Their lengths and the gaps
+	// between them are exponential with means BurstMean and BurstEvery.
 	BurstFactor float64
 	BurstMean   time.Duration
 	BurstEvery  time.Duration
-	// ClumpSize requests arrive at one zone's gateways within ClumpSpread, every
-	// ClumpEvery on average; zero ClumpSize means none.
+	// ClumpSize is the number of requests that arrive at the gateways of one zone
+	// within ClumpSpread, every ClumpEvery on average; zero disables clumps.
 	ClumpSize   int
 	ClumpSpread time.Duration
 	ClumpEvery  time.Duration
 	Classes     []RequestClass
 }
 
-// RequestClass is a kind of request.
+// RequestClass describes the lengths of a class of requests.
 type RequestClass struct {
-	// Weight is the relative part of the requests.
+	// Weight is the relative frequency of the class.
 	Weight float64
-	// Prompt and Output bound uniform draws of lengths in tokens.
+	// Prompt and Output are the bounds of the uniformly distributed lengths in tokens.
 	Prompt [2]int
 	Output [2]int
-	// SharedPrefix is the leading part of the prompt, in tokens, that is one of
-	// Prefixes texts; zero Prefixes means that nothing is shared.
+	// SharedPrefix is the length in tokens of the prompt prefix, which is one of
+	// Prefixes shared texts; zero Prefixes means that no prefix is shared.
 	SharedPrefix int
 	Prefixes     int
 }
 
-// BatchLoad is the batch work of one group: bursts of items in jobs.
+// BatchLoad is the batch load of one group: jobs at regular intervals.
 type BatchLoad struct {
 	Group string
 	Share float64
-	// JobEvery is the time between bursts, JobItems the items of a burst.
+	// JobEvery is the time between jobs, JobItems the number of items in a job.
 	JobEvery time.Duration
 	JobItems int
-	// ActiveFrom and ActiveUntil bound when bursts arrive; a zero ActiveUntil
-	// means to the end. PausedFrom and PausedUntil cut a hole into that.
+	// ActiveFrom and ActiveUntil limit when jobs arrive; a zero ActiveUntil means
+	// the end of the run. No jobs arrive between PausedFrom and PausedUntil.
 	ActiveFrom  time.Duration
 	ActiveUntil time.Duration
 	PausedFrom  time.Duration
 	PausedUntil time.Duration
-	// Deadline is the time from a burst's arrival to when it must be complete.
+	// Deadline is the time from a job's arrival to its deadline.
 	Deadline time.Duration
 	Class    RequestClass
 }
@@ -116,8 +117,8 @@
 // End returns when the run ends.
 func (s *Scenario) End() time.Duration { return s.Warmup + s.Measured }
 
-// engineConfig is the engine of all scenarios: the model's defaults with the
-// noise of real steps and without what the simulation does not read.
+// engineConfig returns the engine parameters of all scenarios: the defaults with
+// step jitter and without the events and retention that the simulator does not use.
 func engineConfig() engine.Config {
 	config := engine.DefaultConfig()
 	config.StepJitter = 0.05
@@ -127,8 +128,8 @@
 	return config
 }
 
-// Magnolia is a booking assistant: short drafts, some long client histories,
-// and weekly rebuilds in bursts. It weighs batch throughput more heavily.
+// Magnolia models a booking assistant: mostly short prompts, some long ones, and
+// bursts of batch rebuilds. Its objective is batch throughput.
 func Magnolia() Scenario {
 	return Scenario{
 		Name: "magnolia", Zones: 3, GatewaysPerZone: 2, EnginesPerZone: 4,
@@ -150,9 +151,9 @@
 	}
 }
 
-// Kvistborg is a puzzle companion: short hint questions, rulebooks as long
-// prompts with shared prefixes, classes of pupils that ask together, and batches
-// of clues. It weighs the online tail more heavily.
+// Kvistborg models a puzzle assistant: short prompts, long ones with shared
+// prefixes, clumps of simultaneous requests, and large batch jobs. Its objective
+// is online latency.
 func Kvistborg() Scenario {
 	return Scenario{
 		Name: "kvistborg", Zones: 3, GatewaysPerZone: 2, EnginesPerZone: 6,
@@ -177,18 +178,19 @@
 
 // Sizes of scaled fleets.
 const (
-	// fewZones is the number of zones up to fewServers, manyZones that above.
+	// fewZones is the number of zones for up to fewServers engines, manyZones for
+	// more.
 	fewZones   = 3
 	manyZones  = 32
 	fewServers = 120
-	// enginesPerGateway is the number of engines before a gateway.
+	// enginesPerGateway is the number of engines per gateway.
 	enginesPerGateway = 3.4
-	// fewestGateways is the least number of gateways of a zone.
-	fewestGateways = 2
+	// minGateways is the minimum number of gateways per zone.
+	minGateways = 2
 )
 
-// Scale sets the number of engines, rounded up to whole zones, with as many
-// gateways and as much batch work as belong to it.
+// Scale returns the scenario for the given number of engines, rounded up to equal
+// zones, with gateways and load in proportion.
 func (s Scenario) Scale(servers int) Scenario {
 	before := float64(s.Engines())
 	s.Zones = fewZones
@@ -196,7 +198,7 @@
 		s.Zones = manyZones
 	}
 	s.EnginesPerZone = (servers + s.Zones - 1) / s.Zones
-	s.GatewaysPerZone = max(fewestGateways, int(float64(s.EnginesPerZone)/enginesPerGateway+0.5))
+	s.GatewaysPerZone = max(minGateways, int(float64(s.EnginesPerZone)/enginesPerGateway+0.5))
 	factor := float64(s.Engines()) / before
 	s.Online.ClumpEvery = time.Duration(float64(s.Online.ClumpEvery) / factor)
 	loads := make([]BatchLoad, len(s.Batch))
@@ -222,22 +224,21 @@
 	}
 }
 
-// The three groups of the shares scenario, in the order of their loads.
+// Indices of the groups in the Batch field of the shares scenario.
 const (
 	GroupGreedy = iota
 	GroupBursty
 	GroupReturning
 )
 
-// When the returning group is idle in the shares scenario.
+// The period without jobs of GroupReturning in the shares scenario.
 const (
 	IdleFrom  = 50 * time.Second
 	IdleUntil = 100 * time.Second
 )
 
-// Shares is Magnolia's fleet and online load with the batch work of three
-// groups: one always has more than it can get, one brings more than its share
-// every quarter of a minute and then nothing, and one is idle for a while.
+// Shares is Magnolia with three batch groups: one is always backlogged, one submits
+// a job above its share every 15 seconds, and one is idle for a period.
 func Shares() Scenario {
 	scenario := Magnolia()
 	scenario.Name = "shares"
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -10,39 +10,39 @@
 	"rockwind.example/rockwind/internal/engine"
 )
 
-// small is a scenario that runs in a fraction of a second.
+// small shortens a scenario for tests.
 func small(scenario Scenario) Scenario {
 	scenario.Warmup = time.Second
 	scenario.Measured = 6 * time.Second
 	return scenario
 }
 
-func TestOneSeedGivesOneRun(t *testing.T) {
+func TestRunsAreReproducible(t *testing.T) {
 	for _, scenario := range []Scenario{small(Magnolia()), small(Kvistborg()), small(Shares())} {
 		first := Run(scenario, Rockwind(&scenario), 7)
 		again := Run(scenario, Rockwind(&scenario), 7)
 		if !reflect.DeepEqual(first, again) {
-			t.Fatalf("%s: two runs of one seed differ", scenario.Name)
+			t.Fatalf("%s: two runs with the same seed differ", scenario.Name)
 		}
 		other := Run(scenario, Rockwind(&scenario), 8)
 		if reflect.DeepEqual(first.TTFT, other.TTFT) {
-			t.Fatalf("%s: two seeds give the same run", scenario.Name)
+			t.Fatalf("%s: runs with different seeds are equal", scenario.Name)
 		}
 	}
 }
 
-func TestPoliciesOfASeedSeeTheSameArrivals(t *testing.T) {
+func TestOnlineArrivalsDoNotDependOnPolicy(t *testing.T) {
 	scenario := small(Kvistborg())
 	alone := Run(scenario, OnlineAlone(&scenario), 3)
 	for _, policy := range policies(&scenario) {
 		if result := Run(scenario, policy, 3); policy.Online && result.Requests != alone.Requests {
-			t.Fatalf("%s: %d requests instead of %d", policy.Name, result.Requests, alone.Requests)
+			t.Fatalf("%s: %d requests, want %d", policy.Name, result.Requests, alone.Requests)
 		}
 	}
 }
 
-// TestEveryItemCompletesOnceUnderFaults lets engines die, hang and refuse while
-// a bounded batch load runs; all of it must complete, each item once.
+// Every batch item must complete exactly once, even if engines crash, hang, slow
+// down or report no load.
 func TestEveryItemCompletesOnceUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		scenario := small(Shares())
@@ -67,7 +67,7 @@
 		completions := make(map[int]int)
 		run.onCompleted = func(entry *item) { completions[entry.index]++ }
 		run.start(1)
-		run.drive()
+		run.processEvents()
 		if len(run.items) == 0 || len(completions) != len(run.items) {
 			t.Fatalf("%d of %d items completed", len(completions), len(run.items))
 		}
@@ -78,42 +78,42 @@
 		}
 		for _, job := range run.ledger.jobs[0] {
 			if job.left < 0 {
-				t.Fatalf("a job has %d items left", job.left)
+				t.Fatalf("job has %d items left", job.left)
 			}
 		}
 	})
 }
 
-// TestBatchLeavesNoPlaceFreeWhileItemsWait checks work conservation: apart from
-// the moments that starting takes, allowed places are taken.
-func TestBatchLeavesNoPlaceFreeWhileItemsWait(t *testing.T) {
+// Scheduling must be work-conserving: while items wait, nearly all the slots that
+// budgets allow must be in use.
+func TestBatchUsesAllSlotsWhileItemsWait(t *testing.T) {
 	scenario := Shares()
 	scenario.Measured = 20 * time.Second
 	result := Run(scenario, Rockwind(&scenario), 5)
-	places, free := 0, 0
+	slots, free := 0, 0
 	for _, sample := range result.Served[len(result.Served)/3:] {
-		places += sample.Slots
+		slots += sample.Slots
 		free += sample.FreeSlots
 	}
-	if places == 0 || float64(free) > 0.02*float64(places) {
-		t.Fatalf("%d of %d places were free", free, places)
+	if slots == 0 || float64(free) > 0.02*float64(slots) {
+		t.Fatalf("%d of %d slots were free", free, slots)
 	}
 }
 
-// TestYieldingProtectsTheTail compares with engine priority alone on the same
-// arrivals: the order of the two must hold by a wide margin.
+// Pausing batch items must increase the online tail latency by at most half as much
+// as engine priorities alone.
 func TestYieldingProtectsTheTail(t *testing.T) {
 	scenario := Kvistborg()
 	scenario.Measured = 40 * time.Second
 	alone := Run(scenario, OnlineAlone(&scenario), 2)
 	scenario.Target.FirstToken = Quantile(alone.TTFT, 0.99)
 	scenario.Target.PerToken = Quantile(alone.TPOT, 0.99)
-	own := Run(scenario, Rockwind(&scenario), 2)
+	rockwind := Run(scenario, Rockwind(&scenario), 2)
 	priority := Run(scenario, PriorityOnly(&scenario), 2)
-	base := Quantile(alone.TPOT, 0.99)
-	harm := Quantile(own.TPOT, 0.99) - base
-	worse := Quantile(priority.TPOT, 0.99) - base
-	if harm*2 > worse || own.BatchItems == 0 {
-		t.Fatalf("batch adds %v to the tail, priority alone %v", harm, worse)
+	baseline := Quantile(alone.TPOT, 0.99)
+	increase := Quantile(rockwind.TPOT, 0.99) - baseline
+	priorityIncrease := Quantile(priority.TPOT, 0.99) - baseline
+	if increase*2 > priorityIncrease || rockwind.BatchItems == 0 {
+		t.Fatalf("batch adds %v to the tail latency, with priorities alone %v", increase, priorityIncrease)
 	}
 }
--- a/internal/simulator/workload.go
+++ b/internal/simulator/workload.go
@@ -9,31 +9,31 @@
 	"rockwind.example/rockwind/internal/engine"
 )
 
-// arrival is one online request as its client sends it.
+// arrival is one online request at its client.
 type arrival struct {
 	at      time.Duration
 	gateway int
 	shape   shape
 }
 
-// shape is the size of a request.
+// shape holds the lengths and the shared prefix of a request.
 type shape struct {
 	prompt int
 	output int
-	// prefix names the shared text, from 1; zero for none.
+	// prefix identifies the shared prefix, starting at 1; zero means none.
 	prefix int
 	blocks []uint64
 }
 
-// jobSubmission is a batch job that arrives.
+// jobSubmission is a batch job at its submission.
 type jobSubmission struct {
 	at       time.Duration
-	load     int
+	group    int
 	deadline time.Duration
 	items    []shape
 }
 
-// Streams of randomness; each use has its own, so that leaving batch out does
+// Random streams. Each purpose has its own, so that disabling the batch load does
 // not change the online arrivals.
 const (
 	streamOnline = iota + 1
@@ -46,7 +46,7 @@
 	return rand.New(rand.NewPCG(seed, stream))
 }
 
-// exponential draws a time with the given mean.
+// exponential draws an exponentially distributed duration with the given mean.
 func exponential(random *rand.Rand, mean time.Duration) time.Duration {
 	return time.Duration(random.ExpFloat64() * float64(mean))
 }
@@ -63,16 +63,15 @@
 	return drawn
 }
 
-// blockChain makes chain hashes: the shared blocks depend on the prefix only,
-// the rest are unique.
+// blockChain generates the chain hashes of the shared prefix of a request.
 func blockChain(drawn shape, class *RequestClass) []uint64 {
 	count := drawn.prompt / engine.TokensPerBlock
 	shared := 0
 	if drawn.prefix > 0 {
 		shared = min(count, class.SharedPrefix/engine.TokensPerBlock)
 	}
-	// Blocks past the shared ones are never found again; leaving them out keeps
-	// the cache small without changing what hits.
+	// Blocks after the shared prefix are unique and never hit; they are omitted to
+	// save memory.
 	chain := make([]uint64, shared)
 	base := uint64(class.Prompt[1])<<48 ^ uint64(class.Output[1])<<32 ^ uint64(drawn.prefix)<<16
 	for index := range chain {
@@ -81,7 +80,7 @@
 	return chain
 }
 
-// onlineArrivals draws the whole online load of a run.
+// onlineArrivals generates the online load of a run.
 func onlineArrivals(scenario *Scenario, seed uint64) []arrival {
 	if scenario.Replay != nil {
 		return scenario.Replay.arrivals()
@@ -95,7 +94,6 @@
 	return arrivals
 }
 
-// interval is a span of time.
 type interval struct {
 	from, until time.Duration
 }
@@ -114,7 +112,7 @@
 	return bursts
 }
 
-// drawStream draws the Poisson stream by thinning at the burst rate.
+// drawStream generates the Poisson process by thinning one with the burst rate.
 func drawStream(scenario *Scenario, bursts []interval, random *rand.Rand) []arrival {
 	load := &scenario.Online
 	rate := load.Rate * float64(scenario.Engines())
@@ -142,7 +140,7 @@
 	return arrivals
 }
 
-// drawClumps draws requests that arrive together at the gateways of one zone.
+// drawClumps generates clumps of requests at the gateways of one zone each.
 func drawClumps(scenario *Scenario, random *rand.Rand) []arrival {
 	load := &scenario.Online
 	if load.ClumpSize == 0 {
@@ -178,7 +176,7 @@
 	return classes[len(classes)-1].draw(random)
 }
 
-// batchSubmissions draws the whole batch load of a run.
+// batchSubmissions generates the batch load of a run.
 func batchSubmissions(scenario *Scenario, seed uint64) []jobSubmission {
 	if scenario.Replay != nil {
 		return scenario.Replay.submissions(scenario)
@@ -194,7 +192,7 @@
 			if at >= load.PausedFrom && at < load.PausedUntil {
 				continue
 			}
-			submission := jobSubmission{at: at, load: index, deadline: at + load.Deadline}
+			submission := jobSubmission{at: at, group: index, deadline: at + load.Deadline}
 			for range load.JobItems {
 				submission.items = append(submission.items, load.Class.draw(random))
 			}
