--- a/internal/simulator/replay.go
+++ b/internal/simulator/replay.go
@@ -32,8 +32,8 @@
 type ReplayedJob struct {
 	// At is the time at which control accepts the job.
 	At time.Duration
-	// Load is the index of the job's group in Scenario.Batch.
-	Load int
+	// Group is the index of the job's group in Scenario.Batch.
+	Group int
 	// Items are the job's requests; their At and Gateway are ignored.
 	Items []ReplayedRequest
 }
@@ -69,7 +69,7 @@
 	submissions := make([]jobSubmission, len(r.Jobs))
 	for index := range r.Jobs {
 		job := &r.Jobs[index]
-		submissions[index] = jobSubmission{at: job.At, group: job.Load, deadline: job.At + scenario.Batch[job.Load].Deadline}
+		submissions[index] = jobSubmission{at: job.At, group: job.Group, deadline: job.At + scenario.Batch[job.Group].Deadline}
 		for item := range job.Items {
 			submissions[index].items = append(submissions[index].items, job.Items[item].shape())
 		}
