--- a/internal/simulator/shares.go
+++ b/internal/simulator/shares.go
@@ -14,8 +14,8 @@
 	Cost []float64
 	// Backlogged reports which groups had waiting items at the end of the period.
 	Backlogged []bool
-	// Slots counts the batch items that budgets allowed, and FreeSlots those of them
-	// that were not taken, summed over the servers.
+	// Slots is the number of batch items that the budgets of all servers allowed at
+	// the end of the period, FreeSlots the number of them not in use.
 	Slots, FreeSlots int
 }
 
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -28,7 +28,8 @@
 	Exit        func(code int)
 }
 
-// ServiceResponse is the response body of a service. It identifies the service and the request.
+// ServiceResponse is the response body of a service. It identifies the service and
+// the request.
 type ServiceResponse struct {
 	Service string `json:"service"`
 	Path    string `json:"path"`
