--- a/internal/bench/soak/backend/backend.go
+++ b/internal/bench/soak/backend/backend.go
@@ -1,5 +1,5 @@
-// Package backend is the stand-in for the servers of a soak: it runs requests,
-// tells the witness of each, and misbehaves now and then as real servers do.
+// Package backend implements the backends of a soak: they run requests, record each in the
+// witness, and refuse requests or cut answers at random.
 package backend
 
 import (
@@ -19,7 +19,7 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// Paths of the routes. The last part of a path names the request.
+// Paths of the routes. The last path segment is the request ID.
 const (
 	PathSafe      = "/safe/"
 	PathOnce      = "/once/"
@@ -27,42 +27,42 @@
 	PathResumable = "/resumable/"
 	PathBatch     = "/batch/"
 	PathLarge     = "/large/"
-	// PathTenant is the one route that needs the key of a tenant.
+	// PathTenant is the only route that requires an API key.
 	PathTenant = "/tenant/"
 )
 
-// PathHealth is where a back end tells which incarnation it is.
+// PathHealth is the health check, which returns the ID of the incarnation.
 const PathHealth = "/health"
 
-// HeaderJob names the job of an item, HeaderPoison marks one that can never be done, and
-// HeaderCrash names the content of a request that ends the back end.
+// HeaderJob holds the job of an item, HeaderPoison marks an item that always fails, and
+// HeaderCrash holds the content of a request that crashes the backend.
 const (
 	HeaderJob    = "X-Soak-Job"
 	HeaderPoison = "X-Soak-Poison"
-	HeaderCrash   = "X-Soak-Ends"
+	HeaderCrash  = "X-Soak-Ends"
 )
 
 const (
-	// Events is how many events a stream has.
+	// Events is the number of events of a stream.
 	Events = 12
-	// LastData is the data of the last one.
+	// LastData marks the data of the last event.
 	LastData = "end"
-	// eventGap is the time between two.
-	eventGap = 8 * time.Millisecond
-	// workTime is how long a plain request takes.
-	workTime = 10 * time.Millisecond
-	// LargeBytes is the size of an answer on PathLarge: more than a caller's connection
-	// holds.
+	// eventInterval is the time between two events.
+	eventInterval = 8 * time.Millisecond
+	// serviceTime is the duration of a plain request.
+	serviceTime = 10 * time.Millisecond
+	// LargeBytes is the approximate size of an answer on PathLarge, which exceeds the
+	// connection buffers of a caller.
 	LargeBytes = 12 << 20
-	// Parts of the requests that are refused as not run, and whose answer is cut.
-	refusedPart = 0.02
-	cutPart     = 0.01
+	// Fractions of the requests that are refused as not run, and whose answers are cut.
+	refusedFraction = 0.02
+	cutFraction     = 0.01
 )
 
-// Answer is the body of a plain answer to a request.
+// Answer is the body of the plain answer to a request.
 func Answer(id string) string { return "answer to " + id }
 
-// LargeAnswer is the body of a large answer to a request.
+// LargeAnswer is the body of the large answer to a request.
 func LargeAnswer(id string) string {
 	line := Answer(id) + "\n"
 	return strings.Repeat(line, LargeBytes/len(line))
@@ -76,7 +76,7 @@
 	return fmt.Sprintf("%s %d", id, event)
 }
 
-// StreamText is all data of a stream in order, as a batch result shows it.
+// StreamText joins the data of all events of a stream, as a batch result shows it.
 func StreamText(id string) string {
 	lines := make([]string, 0, Events)
 	for event := 1; event <= Events; event++ {
@@ -85,54 +85,53 @@
 	return strings.Join(lines, "\n")
 }
 
-// Server is one incarnation of a back end.
+// Server is one incarnation of a backend.
 type Server struct {
 	id       string
 	witness  *witness.Witness
-	since    func() time.Duration
+	elapsed  func() time.Duration
 	listener net.Listener
 	server   *http.Server
 
 	mutex  sync.Mutex
 	random *rand.Rand
-	// forbidden is since when no new request may come; zero while any may.
-	forbidden time.Duration
-	// lastRequest is when a request last came.
-	lastRequest time.Duration
-	// end takes the content of a request that ends the back end.
-	end func(content string)
+	// forbiddenSince is when ForbidRequests was called; zero before.
+	forbiddenSince time.Duration
+	lastRequest    time.Duration
+	// crash is called with the content of a request that crashes the backend.
+	crash func(content string)
 }
 
-// Start starts an incarnation on an address. The function takes the content of a request that
-// ends it.
-func Start(id, address string, seen *witness.Witness, since func() time.Duration, seed uint64, end func(content string)) (*Server, error) {
+// Start starts an incarnation on an address. It calls crash with the content of a request
+// that crashes it.
+func Start(id, address string, seen *witness.Witness, elapsed func() time.Duration, seed uint64, crash func(content string)) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{id: id, witness: seen, since: since, listener: listener, random: rand.New(rand.NewPCG(seed, 0)), end: end}
+	s := &Server{id: id, witness: seen, elapsed: elapsed, listener: listener, random: rand.New(rand.NewPCG(seed, 0)), crash: crash}
 	s.server = &http.Server{Handler: s}
 	go func() { _ = s.server.Serve(listener) }()
 	return s, nil
 }
 
-// ID names the incarnation.
+// ID returns the ID of the incarnation.
 func (s *Server) ID() string { return s.id }
 
-// Address is where it listens.
+// Address returns the listen address.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Kill ends the server and breaks off what it has in hand.
+// Kill closes the listener and all connections without waiting for requests.
 func (s *Server) Kill() { _ = s.server.Close() }
 
-// ForbidRequests makes each new request a breach from now on.
+// ForbidRequests makes each request from now on a violation.
 func (s *Server) ForbidRequests() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.forbidden = s.since()
+	s.forbiddenSince = s.elapsed()
 }
 
-// LastRequest is when a request for this incarnation last came; zero before the first.
+// LastRequest returns when the last request arrived; zero before the first.
 func (s *Server) LastRequest() time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -142,21 +141,21 @@
 func (s *Server) noteRequest() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.lastRequest = s.since()
+	s.lastRequest = s.elapsed()
 }
 
-func (s *Server) chance(part float64) bool {
+func (s *Server) chance(probability float64) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.random.Float64() < part
+	return s.random.Float64() < probability
 }
 
 func (s *Server) checkForbidden(id string) {
 	s.mutex.Lock()
-	since := s.forbidden
+	forbidden := s.forbiddenSince
 	s.mutex.Unlock()
-	if since > 0 {
-		s.witness.Report(witness.DrainedServerUsed, id, "server "+s.id+" got it "+(s.since()-since).String()+" after its time", s.since())
+	if forbidden > 0 {
+		s.witness.Report(witness.DrainedServerUsed, id, "server "+s.id+" got it "+(s.elapsed()-forbidden).String()+" after its time", s.elapsed())
 	}
 }
 
@@ -174,20 +173,20 @@
 	}
 	s.noteRequest()
 	s.checkForbidden(id)
-	if s.chance(refusedPart) {
+	if s.chance(refusedFraction) {
 		writer.Header().Set(upstream.HeaderNotRun, "true")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	if job := request.Header.Get(HeaderJob); job != "" {
-		s.witness.ItemRan(job, id, s.id, s.since())
+		s.witness.ItemRan(job, id, s.id, s.elapsed())
 	} else if strings.HasPrefix(request.URL.Path, PathTenant) {
 		s.ranForTenant(id, request.Header)
 	} else {
-		s.witness.Ran(id, s.id, s.since())
+		s.witness.Ran(id, s.id, s.elapsed())
 	}
 	if content := request.Header.Get(HeaderCrash); content != "" {
-		s.end(content)
+		s.crash(content)
 		panic(http.ErrAbortHandler)
 	}
 	if request.Header.Get(HeaderPoison) != "" {
@@ -200,20 +199,20 @@
 		_, _ = writer.Write([]byte(body))
 		return
 	}
-	cut := s.chance(cutPart)
+	cut := s.chance(cutFraction)
 	if hasAnyPrefix(request.URL.Path, PathSafe, PathOnce, PathTenant) {
-		s.plain(request.Context(), writer, id, cut)
+		s.serveText(request.Context(), writer, id, cut)
 		return
 	}
-	s.stream(request, writer, id, cut)
+	s.serveStream(request, writer, id, cut)
 }
 
-// ranForTenant tells the witness for whom a request runs. The client's key is none of a back
-// end's business.
+// ranForTenant records the tenant that a request runs for. The API key of the client must
+// not reach a backend.
 func (s *Server) ranForTenant(id string, header http.Header) {
-	s.witness.RanForTenant(header.Get(router.HeaderTenant), id, s.id, s.since())
+	s.witness.RanForTenant(header.Get(router.HeaderTenant), id, s.id, s.elapsed())
 	if header.Get("Authorization") != "" {
-		s.witness.Report(witness.WrongTenant, id, "server "+s.id+" was told a key", s.since())
+		s.witness.Report(witness.WrongTenant, id, "server "+s.id+" was told a key", s.elapsed())
 	}
 }
 
@@ -221,10 +220,10 @@
 	return slices.ContainsFunc(prefixes, func(prefix string) bool { return strings.HasPrefix(path, prefix) })
 }
 
-func (s *Server) plain(ctx context.Context, writer http.ResponseWriter, id string, cut bool) {
+func (s *Server) serveText(ctx context.Context, writer http.ResponseWriter, id string, cut bool) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(workTime):
+	case <-time.After(serviceTime):
 	}
 	body := Answer(id)
 	writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
@@ -235,8 +234,8 @@
 	_, _ = writer.Write([]byte(body))
 }
 
-// stream sends the events after the one that the request names.
-func (s *Server) stream(request *http.Request, writer http.ResponseWriter, id string, cut bool) {
+// serveStream sends the events after the one in the Last-Event-ID header of the request.
+func (s *Server) serveStream(request *http.Request, writer http.ResponseWriter, id string, cut bool) {
 	after, _ := strconv.Atoi(request.Header.Get(router.HeaderLastEvent))
 	writer.Header().Set("Content-Type", "text/event-stream")
 	controller := http.NewResponseController(writer)
@@ -256,7 +255,7 @@
 		select {
 		case <-request.Context().Done():
 			return
-		case <-time.After(eventGap):
+		case <-time.After(eventInterval):
 		}
 	}
 }
--- a/internal/bench/soak/backends.go
+++ b/internal/bench/soak/backends.go
@@ -18,39 +18,39 @@
 )
 
 const (
-	// servers is how many back ends there are, slots how many requests each takes.
+	// servers is the number of backends, slots the concurrent requests that each accepts.
 	servers = 4
 	slots   = 8
-	// service is the one service of the routes.
+	// service is the service that all routes lead to.
 	service = "app"
-	// reportTimeout bounds one report at one coordinator.
+	// reportTimeout bounds one report to one coordinator.
 	reportTimeout = time.Second
-	// leaveNotice is how long after its acknowledged leave a back end must get no new
-	// request, and leaveStay how long it still serves after that.
-	leaveNotice = 2 * time.Second
-	leaveStay   = 2 * time.Second
-	// reviveAfter is how long a killed back end is down.
-	reviveAfter = 500 * time.Millisecond
+	// A drained backend must get no new request once drainNotice has passed since a
+	// coordinator acknowledged the drain; it keeps serving for drainLinger after that.
+	drainNotice = 2 * time.Second
+	drainLinger = 2 * time.Second
+	// restartDelay is the downtime of a backend between two incarnations.
+	restartDelay = 500 * time.Millisecond
 )
 
-// place is where one back end stands: an address that its incarnations share.
-type place struct {
+// endpoint is the address and fault proxy that successive incarnations of a backend share.
+type endpoint struct {
 	number  int
 	address string
 	proxy   *faultproxy.Proxy
 
-	mutex    sync.Mutex
-	server   *backend.Server
-	state    rockwindpb.ServerState
-	sequence uint64
-	lives    int
-	// restedSince is when the place was last harmed, or its back end last started.
-	restedSince time.Duration
-	// busy keeps two faults from handling the place at once.
-	busy sync.Mutex
+	mutex        sync.Mutex
+	server       *backend.Server
+	state        rockwindpb.ServerState
+	sequence     uint64
+	incarnations int
+	// stableSince is when the last fault here ended or the current incarnation started.
+	stableSince time.Duration
+	// faultMutex is held during a fault, so that faults don't overlap here.
+	faultMutex sync.Mutex
 }
 
-func newPlace(ctx context.Context, number int) (*place, error) {
+func newEndpoint(ctx context.Context, number int) (*endpoint, error) {
 	address, err := loopback.Next()
 	if err != nil {
 		return nil, err
@@ -64,98 +64,98 @@
 		return nil, err
 	}
 	go proxy.Run(ctx)
-	return &place{number: number, address: address, proxy: proxy}, nil
+	return &endpoint{number: number, address: address, proxy: proxy}, nil
 }
 
-// revive starts the next incarnation.
-func (p *place) revive(run *run) error {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	p.lives++
-	id := fmt.Sprintf("server-%d-%d", p.number, p.lives)
-	server, err := backend.Start(id, p.address, run.witness, run.since, run.seed+uint64(p.lives), func(content string) { p.endBy(run, id, content) })
+// start starts the next incarnation.
+func (e *endpoint) start(run *run) error {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	e.incarnations++
+	id := fmt.Sprintf("server-%d-%d", e.number, e.incarnations)
+	server, err := backend.Start(id, e.address, run.witness, run.elapsed, run.seed+uint64(e.incarnations), func(content string) { e.crash(run, id, content) })
 	if err != nil {
 		return err
 	}
-	p.server, p.state, p.sequence = server, rockwindpb.ServerState_SERVER_STATE_READY, 0
-	p.restedSince = run.since()
+	e.server, e.state, e.sequence = server, rockwindpb.ServerState_SERVER_STATE_READY, 0
+	e.stableSince = run.elapsed()
 	return nil
 }
 
-// endBy ends an incarnation by a request, and has the next one come.
-func (p *place) endBy(run *run, id, content string) {
-	now := run.since()
-	run.witness.BackendCrashed(content, id, now, run.calm.since(now))
+// crash records that a request crashed an incarnation and restarts the backend.
+func (e *endpoint) crash(run *run, id, content string) {
+	now := run.elapsed()
+	run.witness.BackendCrashed(content, id, now, run.faults.quietSince(now))
 	go func() {
-		p.busy.Lock()
-		defer p.busy.Unlock()
-		if current := p.current(); current == nil || current.ID() != id {
+		e.faultMutex.Lock()
+		defer e.faultMutex.Unlock()
+		if current := e.current(); current == nil || current.ID() != id {
 			return
 		}
-		p.kill()
-		time.Sleep(reviveAfter)
-		if err := p.revive(run); err != nil {
-			log.WithError(err).Error("a back end was not started again")
+		e.kill()
+		time.Sleep(restartDelay)
+		if err := e.start(run); err != nil {
+			log.WithError(err).Error("backend failed to restart")
 		}
 	}()
 }
 
-// kill ends the current incarnation.
-func (p *place) kill() {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	if p.server != nil {
-		p.server.Kill()
-		p.server = nil
+// kill stops the current incarnation abruptly.
+func (e *endpoint) kill() {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	if e.server != nil {
+		e.server.Kill()
+		e.server = nil
 	}
 }
 
-func (p *place) current() *backend.Server {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	return p.server
+func (e *endpoint) current() *backend.Server {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	return e.server
 }
 
-// description is the next report of the incarnation, nil while there is none.
-func (p *place) description() *rockwindpb.Server {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	if p.server == nil {
+// nextReport returns the next report of the current incarnation, or nil if none runs.
+func (e *endpoint) nextReport() *rockwindpb.Server {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	if e.server == nil {
 		return nil
 	}
-	p.sequence++
-	return p.reportOf(p.server.ID(), p.state, p.sequence)
+	e.sequence++
+	return e.serverReport(e.server.ID(), e.state, e.sequence)
 }
 
-// reportOf is a report of an incarnation at the place.
-func (p *place) reportOf(id string, state rockwindpb.ServerState, sequence uint64) *rockwindpb.Server {
+// serverReport builds a report of an incarnation at this endpoint.
+func (e *endpoint) serverReport(id string, state rockwindpb.ServerState, sequence uint64) *rockwindpb.Server {
 	return &rockwindpb.Server{
-		Id: id, Service: service, Address: p.proxy.Address(), Zone: fmt.Sprintf("zone-%d", p.number%replicas),
+		Id: id, Service: service, Address: e.proxy.Address(), Zone: fmt.Sprintf("zone-%d", e.number%replicas),
 		Version: "v1", Slots: slots, State: state, Sequence: sequence,
 	}
 }
 
-// harmed notes that a fault of the place is over.
-func (p *place) harmed(run *run) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	p.restedSince = run.since()
+// markStable records that a fault at the endpoint has ended.
+func (e *endpoint) markStable(run *run) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	e.stableSince = run.elapsed()
 }
 
-func (p *place) setState(state rockwindpb.ServerState) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	p.state = state
+func (e *endpoint) setState(state rockwindpb.ServerState) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	e.state = state
 }
 
-// report tells of the incarnation.
-func (p *place) report(ctx context.Context, run *run) bool {
-	described := p.description()
-	return described != nil && tell(ctx, run, described)
+// report sends the next report and returns whether a coordinator acknowledged it.
+func (e *endpoint) report(ctx context.Context, run *run) bool {
+	server := e.nextReport()
+	return server != nil && sendReport(ctx, run, server)
 }
 
-// tell hands a report to coordinators in turn until one acknowledges.
-func tell(ctx context.Context, run *run, described *rockwindpb.Server) bool {
+// sendReport tries the coordinators in turn until one acknowledges the report.
+func sendReport(ctx context.Context, run *run, server *rockwindpb.Server) bool {
 	client := newClient(reportTimeout)
 	all := run.site.coordinators()
 	first := rand.IntN(len(all))
@@ -163,7 +163,7 @@
 		at := all[(first+offset)%len(all)]
 		directory := rockwindpb.NewDirectoryServiceProtobufClient("http://"+at.settings.GetAdvertise(), twirphttp.Client{HTTPClient: client})
 		calling, cancel := context.WithTimeout(ctx, reportTimeout)
-		_, err := directory.Report(calling, &rockwindpb.ReportServerRequest{Server: described})
+		_, err := directory.Report(calling, &rockwindpb.ReportServerRequest{Server: server})
 		cancel()
 		if err == nil {
 			return true
@@ -172,33 +172,33 @@
 	return false
 }
 
-// beat reports until the context ends.
-func (p *place) beat(ctx context.Context, run *run) {
+// sendHeartbeats reports at every heartbeat until the context ends.
+func (e *endpoint) sendHeartbeats(ctx context.Context, run *run) {
 	for retry.Pause(ctx, heartbeat) {
-		p.report(ctx, run)
+		e.report(ctx, run)
 	}
 }
 
-// leave drains the back end and replaces it by another incarnation. Where all was
-// calm it must get no request after its notice.
-func (p *place) leave(ctx context.Context, run *run) {
-	leaving := p.current()
-	p.setState(rockwindpb.ServerState_SERVER_STATE_DRAINING)
-	for !p.report(ctx, run) {
+// drain drains the backend and replaces it by a new incarnation. If no fault interferes,
+// requests that arrive after drainNotice are violations.
+func (e *endpoint) drain(ctx context.Context, run *run) {
+	draining := e.current()
+	e.setState(rockwindpb.ServerState_SERVER_STATE_DRAINING)
+	for !e.report(ctx, run) {
 		if !retry.Pause(ctx, heartbeat) {
 			return
 		}
 	}
-	acknowledged := run.since()
-	retry.Pause(ctx, leaveNotice)
-	if run.calm.since(acknowledged) {
+	acknowledged := run.elapsed()
+	retry.Pause(ctx, drainNotice)
+	if run.faults.quietSince(acknowledged) {
 		run.witness.Count("leaves judged")
-		leaving.ForbidRequests()
+		draining.ForbidRequests()
 	}
-	retry.Pause(ctx, leaveStay)
-	p.kill()
-	retry.Pause(ctx, reviveAfter)
-	if err := p.revive(run); err != nil {
-		log.WithError(err).Error("a back end was not started again")
+	retry.Pause(ctx, drainLinger)
+	e.kill()
+	retry.Pause(ctx, restartDelay)
+	if err := e.start(run); err != nil {
+		log.WithError(err).Error("backend failed to restart")
 	}
 }
--- a/internal/bench/soak/command.go
+++ b/internal/bench/soak/command.go
@@ -1,7 +1,7 @@
-// Package soak runs a site of real processes on one machine, harms them from outside
-// for a while, and checks what must always hold from what callers and back ends see.
-// The faults and the load follow from a seed; the moments at which processes meet
-// them do not, so that a seed that failed is likely, not certain, to fail again.
+// Package soak runs a site of real processes on one machine, injects faults from outside,
+// and checks invariants on what clients and backends observe. Faults and load are derived
+// from a seed, but process timing is not, so a failing seed is likely, not certain, to fail
+// again.
 package soak
 
 import (
@@ -23,7 +23,7 @@
 	"rockwind.example/rockwind/internal/retry"
 )
 
-// Command is `rockwind-bench soak`.
+// Command implements `rockwind-bench soak`.
 type Command struct {
 	Seeds    []uint64      `help:"Seeds to run one after the other; none draws fresh ones." sep:","`
 	Count    int           `help:"How many fresh seeds to draw where none is given." default:"1"`
@@ -34,16 +34,16 @@
 	Program  string        `help:"The program rockwind; empty takes the one beside this program." type:"path"`
 }
 
-// Bounds of one run.
+// Time limits of one run.
 const (
-	firstTimeout = 30 * time.Second
-	// recoverWithin is how long after the last fault requests must be served, and
-	// finishWithin how long after that all items must have results.
+	startTimeout = 30 * time.Second
+	// Requests must be served within recoverWithin of the last fault, and all items must
+	// have results within finishWithin of that.
 	recoverWithin = 20 * time.Second
 	finishWithin  = 30 * time.Second
 )
 
-// Report is the outcome of one seed.
+// Report is the result of one seed.
 type Report struct {
 	Seed       uint64              `json:"seed"`
 	Duration   string              `json:"duration"`
@@ -55,7 +55,7 @@
 //go:embed cases.txt
 var cases string
 
-// Run runs the soak and fails where something was broken.
+// Run runs each seed and returns an error if any invariant was violated.
 func (c *Command) Run() error {
 	seeds, err := c.seeds()
 	if err != nil {
@@ -63,7 +63,7 @@
 	}
 	broken := 0
 	for _, seed := range seeds {
-		report, err := c.one(seed)
+		report, err := c.runSeed(seed)
 		if err != nil {
 			return err
 		}
@@ -98,8 +98,8 @@
 	return drawn, nil
 }
 
-// keptSeeds reads the seeds of the cases: the first word of each line that is no
-// comment.
+// keptSeeds parses cases.txt: the first word of each line is a seed; lines that start
+// with # are comments.
 func keptSeeds(text string) ([]uint64, error) {
 	var kept []uint64
 	for line := range strings.Lines(text) {
@@ -116,28 +116,28 @@
 	return kept, nil
 }
 
-// run is the soak of one seed.
+// run is the state of the soak of one seed.
 type run struct {
-	seed     uint64
-	began    time.Time
-	witness  *witness.Witness
-	calm     *calmness
-	site     *site
-	places   []*place
-	operator *operator
-	// faultsBegan is when the faults began.
+	seed      uint64
+	began     time.Time
+	witness   *witness.Witness
+	faults    *faultTracker
+	site      *site
+	endpoints []*endpoint
+	operator  *operator
+	// faultsBegan is when fault injection started.
 	faultsBegan time.Duration
-	// probes counts the looks whether the site serves, each by a caller of its own.
+	// probes counts the calls of waitUntilServing; each gets its own caller number.
 	probes int
-	// clients are the goroutines that follow jobs, submitting counts those that have
-	// not handed theirs in yet.
+	// clients tracks the goroutines that follow jobs, submitting those among them that are
+	// still submitting theirs.
 	clients    sync.WaitGroup
 	submitting sync.WaitGroup
 }
 
-func (r *run) since() time.Duration { return time.Since(r.began) }
+func (r *run) elapsed() time.Duration { return time.Since(r.began) }
 
-func (c *Command) one(seed uint64) (*Report, error) {
+func (c *Command) runSeed(seed uint64) (*Report, error) {
 	folder, err := c.folder(seed)
 	if err != nil {
 		return nil, err
@@ -153,14 +153,14 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	r := &run{seed: seed, began: time.Now(), witness: witness.New()}
-	r.calm = &calmness{now: r.since}
+	r.faults = &faultTracker{now: r.elapsed}
 	if err := r.start(ctx, folder, program); err != nil {
 		if r.site != nil {
-			r.site.end()
+			r.site.kill()
 		}
 		return nil, err
 	}
-	defer r.site.end()
+	defer r.site.kill()
 	r.soak(ctx, NewPlan(seed, c.Duration, c.kinds()))
 	return &Report{
 		Seed: seed, Duration: c.Duration.String(), Folder: folder, Counts: r.witness.Counts(), Violations: r.witness.Violations(),
@@ -181,7 +181,7 @@
 	return os.MkdirTemp("", fmt.Sprintf("rockwind-soak-%d-", seed))
 }
 
-// start brings the site up until it serves.
+// start starts the site and the backends and waits until requests are served.
 func (r *run) start(ctx context.Context, folder, program string) error {
 	made, err := newSite(ctx, folder, program)
 	if err != nil {
@@ -189,32 +189,32 @@
 	}
 	r.site = made
 	r.operator = newOperator(r)
-	if err := made.begin(); err != nil {
+	if err := made.start(); err != nil {
 		return err
 	}
 	for number := range servers {
-		added, err := newPlace(ctx, number)
+		added, err := newEndpoint(ctx, number)
 		if err != nil {
 			return err
 		}
-		r.places = append(r.places, added)
-		if err := added.revive(r); err != nil {
+		r.endpoints = append(r.endpoints, added)
+		if err := added.start(r); err != nil {
 			return err
 		}
-		go added.beat(ctx, r)
+		go added.sendHeartbeats(ctx, r)
 	}
-	first, cancel := context.WithTimeout(ctx, firstTimeout)
+	first, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	if err := r.operator.apply(first, 1); err != nil {
 		return err
 	}
-	if err := r.recovered(ctx, firstTimeout); err != nil {
+	if err := r.waitUntilServing(ctx, startTimeout); err != nil {
 		return err
 	}
-	return made.founded()
+	return made.clearBootstrap()
 }
 
-// soak runs load and faults, lets everything recover, and judges.
+// soak runs load and faults, waits for recovery, and checks the invariants.
 func (r *run) soak(ctx context.Context, plan []Fault) {
 	loading, stopLoad := context.WithCancel(ctx)
 	following, stopFollowing := context.WithCancel(ctx)
@@ -229,8 +229,8 @@
 	for _, each := range r.tenantCallers() {
 		load.Go(func() { each.call(loading) })
 	}
-	load.Go(func() { r.endBackEnds(loading) })
-	load.Go(func() { r.watchUse(loading) })
+	load.Go(func() { r.sendCrashingRequests(loading) })
+	load.Go(func() { r.watchUsage(loading) })
 	load.Go(func() { r.watchMemory(loading) })
 	load.Go(func() { r.submitAll(loading, following) })
 	load.Go(func() { r.operator.operate(loading) })
@@ -238,12 +238,12 @@
 	for _, at := range r.site.routers() {
 		load.Go(func() { r.operator.watchRouter(loading, at) })
 	}
-	r.faultsBegan = r.since()
+	r.faultsBegan = r.elapsed()
 	r.inject(ctx, plan)
-	if err := r.recovered(ctx, recoverWithin); err != nil {
-		r.witness.Report(witness.NoRecovery, "site", err.Error(), r.since())
+	if err := r.waitUntilServing(ctx, recoverWithin); err != nil {
+		r.witness.Report(witness.NoRecovery, "site", err.Error(), r.elapsed())
 	}
-	retry.Pause(ctx, touchTime+inForceWithin)
+	retry.Pause(ctx, quietPeriod+inForceWithin)
 	stopLoad()
 	load.Wait()
 	r.submitting.Wait()
@@ -252,6 +252,6 @@
 	r.settleJobs(finishing)
 	stopFollowing()
 	r.clients.Wait()
-	r.witness.Finish(r.since())
-	log.WithField("seed", r.seed).WithField("violations", len(r.witness.Violations())).Info("seed is done")
+	r.witness.Finish(r.elapsed())
+	log.WithField("seed", r.seed).WithField("violations", len(r.witness.Violations())).Info("soak of a seed finished")
 }
--- a/internal/bench/soak/faultproxy/proxy.go
+++ b/internal/bench/soak/faultproxy/proxy.go
@@ -1,6 +1,5 @@
-// Package faultproxy carries the connections and datagrams to one process over a
-// loopback address of its own, and harms them as it is told: it delays, resets,
-// cuts one direction or silences both.
+// Package faultproxy forwards TCP connections and UDP datagrams to one process and impairs
+// them on demand: it delays traffic, resets connections, or drops one or both directions.
 package faultproxy
 
 import (
@@ -13,49 +12,49 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Impairment is what a proxy does to all that passes.
+// Impairment is what a proxy does to the traffic.
 type Impairment struct {
 	delay       time.Duration
 	dropToward  bool
 	dropAnswers bool
 }
 
-// None lets everything pass.
+// None forwards traffic unchanged.
 func None() Impairment { return Impairment{} }
 
-// Delay holds each piece of data for a while, in both directions.
+// Delay delays each chunk of data in both directions.
 func Delay(by time.Duration) Impairment { return Impairment{delay: by} }
 
-// DropInbound drops what is sent to the process; what it sends still passes.
+// DropInbound drops traffic to the process.
 func DropInbound() Impairment { return Impairment{dropToward: true} }
 
-// DropOutbound drops what the process sends; what is sent to it still passes.
+// DropOutbound drops traffic from the process.
 func DropOutbound() Impairment { return Impairment{dropAnswers: true} }
 
-// DropAll drops everything, as a machine without power does.
+// DropAll drops traffic in both directions.
 func DropAll() Impairment { return Impairment{dropToward: true, dropAnswers: true} }
 
-// copySize is the size of one read, maximumDatagram that of the largest datagram.
+// copyBufferSize is the size of one read, maximumDatagram the largest datagram.
 const (
-	copySize        = 16 << 10
+	copyBufferSize  = 16 << 10
 	maximumDatagram = 64 << 10
 	dialTimeout     = time.Second
-	// healCheck is how often a held connection looks whether the harm is over.
-	healCheck = 10 * time.Millisecond
+	// pollInterval is how often a blocked connection checks whether the impairment is over.
+	pollInterval = 10 * time.Millisecond
 )
 
-// Proxy stands before one process.
+// Proxy forwards traffic to one process.
 type Proxy struct {
 	target   string
 	listener net.Listener
 	packets  net.PacketConn
 
-	mutex sync.Mutex
-	harm  Impairment
-	pairs map[*pair]struct{}
+	mutex       sync.Mutex
+	impairment  Impairment
+	connections map[*connectionPair]struct{}
 }
 
-// Open listens on an address and carries everything to the target, on TCP and UDP.
+// Open listens on TCP and UDP at an address; Run forwards from there to the target.
 func Open(address, target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -66,33 +65,33 @@
 		listener.Close()
 		return nil, errors.Wrap(err, "listen for datagrams")
 	}
-	return &Proxy{target: target, listener: listener, packets: packets, pairs: make(map[*pair]struct{})}, nil
+	return &Proxy{target: target, listener: listener, packets: packets, connections: make(map[*connectionPair]struct{})}, nil
 }
 
-// Address is where the proxy listens.
+// Address is the listen address.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set replaces the harm. Data that a silent direction swallowed stays lost; its
-// connections are reset when the harm ends, as their ends are out of step then.
-func (p *Proxy) Set(harm Impairment) {
+// Set replaces the impairment. Connections that lost data are reset once no direction is
+// dropped, as their byte streams have gaps.
+func (p *Proxy) Set(impairment Impairment) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.harm = harm
-	if harm.dropToward || harm.dropAnswers {
+	p.impairment = impairment
+	if impairment.dropToward || impairment.dropAnswers {
 		return
 	}
-	for each := range p.pairs {
-		if each.lost {
+	for each := range p.connections {
+		if each.dataLost {
 			each.reset()
 		}
 	}
 }
 
-// Reset breaks all open connections off.
+// Reset resets all open connections.
 func (p *Proxy) Reset() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for each := range p.pairs {
+	for each := range p.connections {
 		each.reset()
 	}
 }
@@ -100,10 +99,10 @@
 func (p *Proxy) current() Impairment {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.harm
+	return p.impairment
 }
 
-// Run carries until the context ends.
+// Run forwards traffic until the context ends.
 func (p *Proxy) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() {
 		p.listener.Close()
@@ -111,26 +110,26 @@
 		p.Reset()
 	})
 	defer stop()
-	go p.carryDatagrams()
+	go p.forwardDatagrams()
 	for {
-		near, err := p.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		go p.carry(ctx, near)
+		go p.forward(ctx, client)
 	}
 }
 
-// pair is one connection through the proxy.
-type pair struct {
-	near, far net.Conn
-	// lost tells that some of its data was dropped.
-	lost bool
+// connectionPair is a client connection and its connection to the target.
+type connectionPair struct {
+	client, server net.Conn
+	// dataLost is set once data of the connection was dropped.
+	dataLost bool
 }
 
-// reset ends both connections without a farewell.
-func (c *pair) reset() {
-	for _, each := range []net.Conn{c.near, c.far} {
+// reset closes both connections with a TCP reset.
+func (c *connectionPair) reset() {
+	for _, each := range []net.Conn{c.client, c.server} {
 		if tcp, ok := each.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
 		}
@@ -138,56 +137,56 @@
 	}
 }
 
-func (p *Proxy) carry(ctx context.Context, near net.Conn) {
-	// The packet that opens a connection is lost on a silent link.
+func (p *Proxy) forward(ctx context.Context, client net.Conn) {
+	// While inbound traffic is dropped, the handshake with the target can't start.
 	for p.current().dropToward {
 		select {
 		case <-ctx.Done():
-			near.Close()
+			client.Close()
 			return
-		case <-time.After(healCheck):
+		case <-time.After(pollInterval):
 		}
 	}
-	far, err := net.DialTimeout("tcp", p.target, dialTimeout)
+	server, err := net.DialTimeout("tcp", p.target, dialTimeout)
 	if err != nil {
-		if tcp, ok := near.(*net.TCPConn); ok {
+		if tcp, ok := client.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
 		}
-		near.Close()
+		client.Close()
 		return
 	}
-	made := &pair{near: near, far: far}
+	conns := &connectionPair{client: client, server: server}
 	p.mutex.Lock()
-	p.pairs[made] = struct{}{}
+	p.connections[conns] = struct{}{}
 	p.mutex.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { p.copy(made, far, near, func(h Impairment) bool { return h.dropToward }) })
-	both.Go(func() { p.copy(made, near, far, func(h Impairment) bool { return h.dropAnswers }) })
+	both.Go(func() { p.forwardDirection(conns, server, client, func(h Impairment) bool { return h.dropToward }) })
+	both.Go(func() { p.forwardDirection(conns, client, server, func(h Impairment) bool { return h.dropAnswers }) })
 	both.Wait()
 	p.mutex.Lock()
-	delete(p.pairs, made)
+	delete(p.connections, conns)
 	p.mutex.Unlock()
-	near.Close()
-	far.Close()
+	client.Close()
+	server.Close()
 }
 
-// copy carries one direction. An end that closes is told to the other end unless
-// the direction is silent.
-func (p *Proxy) copy(made *pair, to, from net.Conn, drops func(Impairment) bool) {
-	buffer := make([]byte, copySize)
+// forwardDirection copies one direction. It forwards the end of the stream unless the
+// direction is dropped.
+func (p *Proxy) forwardDirection(conns *connectionPair, to, from net.Conn, drops func(Impairment) bool) {
+	buffer := make([]byte, copyBufferSize)
 	for {
 		n, err := from.Read(buffer)
-		harm := p.current()
-		if drops(harm) {
+		impairment := p.current()
+		if drops(impairment) {
 			p.mutex.Lock()
-			made.lost = true
+			conns.dataLost = true
 			p.mutex.Unlock()
 			if err != nil {
 				return
 			}
 			continue
 		}
-		time.Sleep(harm.delay)
+		time.Sleep(impairment.delay)
 		if n > 0 {
 			if _, writeErr := to.Write(buffer[:n]); writeErr != nil {
 				return
@@ -201,28 +200,28 @@
 		}
 		if err != nil {
 			p.mutex.Lock()
-			made.reset()
+			conns.reset()
 			p.mutex.Unlock()
 			return
 		}
 	}
 }
 
-func (p *Proxy) carryDatagrams() {
-	onward, err := net.Dial("udp", p.target)
+func (p *Proxy) forwardDatagrams() {
+	targetConn, err := net.Dial("udp", p.target)
 	if err != nil {
 		return
 	}
-	defer onward.Close()
+	defer targetConn.Close()
 	buffer := make([]byte, maximumDatagram)
 	for {
 		n, _, err := p.packets.ReadFrom(buffer)
 		if err != nil {
 			return
 		}
-		if harm := p.current(); !harm.dropToward {
-			// A process that is down refuses; the datagram is lost.
-			_, _ = onward.Write(buffer[:n])
+		if impairment := p.current(); !impairment.dropToward {
+			// A write fails if the process is down; the datagram is lost.
+			_, _ = targetConn.Write(buffer[:n])
 		}
 	}
 }
--- a/internal/bench/soak/faultproxy/proxy_test.go
+++ b/internal/bench/soak/faultproxy/proxy_test.go
@@ -13,7 +13,7 @@
 	"rockwind.example/rockwind/internal/bench/soak/faultproxy"
 )
 
-// echo answers each line with itself, until the test ends.
+// echo starts a TCP server that returns what it receives, until the test ends.
 func echo(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -65,41 +65,41 @@
 }
 
 const (
-	soon = 200 * time.Millisecond
-	late = 5 * time.Second
+	shortTimeout = 200 * time.Millisecond
+	longTimeout  = 5 * time.Second
 )
 
 func TestDataPassesAndIsDelayed(t *testing.T) {
 	proxy := open(t)
 	conn := dial(t, proxy)
-	if got, err := exchange(conn, late); err != nil || got != "hello\n" {
+	if got, err := exchange(conn, longTimeout); err != nil || got != "hello\n" {
 		t.Fatalf("%q, %v", got, err)
 	}
 	proxy.Set(faultproxy.Delay(50 * time.Millisecond))
 	began := time.Now()
-	if _, err := exchange(conn, late); err != nil || time.Since(began) < 100*time.Millisecond {
+	if _, err := exchange(conn, longTimeout); err != nil || time.Since(began) < 100*time.Millisecond {
 		t.Fatalf("after %v: %v", time.Since(began), err)
 	}
 }
 
-func TestSilentDirectionsSwallowDataAndTheirConnectionsEndWithTheHarm(t *testing.T) {
-	for name, harm := range map[string]faultproxy.Impairment{
+func TestDroppedDirectionsLoseDataAndResetTheirConnections(t *testing.T) {
+	for name, impairment := range map[string]faultproxy.Impairment{
 		"toward": faultproxy.DropInbound(), "answers": faultproxy.DropOutbound(), "silence": faultproxy.DropAll(),
 	} {
 		proxy := open(t)
 		conn := dial(t, proxy)
-		if _, err := exchange(conn, late); err != nil {
+		if _, err := exchange(conn, longTimeout); err != nil {
 			t.Fatal(err)
 		}
-		proxy.Set(harm)
-		if _, err := exchange(conn, soon); !errors.Is(err, os.ErrDeadlineExceeded) {
+		proxy.Set(impairment)
+		if _, err := exchange(conn, shortTimeout); !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Fatalf("%s: the exchange ends with %v", name, err)
 		}
 		proxy.Set(faultproxy.None())
-		if _, err := exchange(conn, late); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		if _, err := exchange(conn, longTimeout); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Fatalf("%s: a connection that lost data goes on: %v", name, err)
 		}
-		if _, err := exchange(dial(t, proxy), late); err != nil {
+		if _, err := exchange(dial(t, proxy), longTimeout); err != nil {
 			t.Fatalf("%s: a new connection fails: %v", name, err)
 		}
 	}
@@ -108,16 +108,16 @@
 func TestResetBreaksOpenConnections(t *testing.T) {
 	proxy := open(t)
 	conn := dial(t, proxy)
-	if _, err := exchange(conn, late); err != nil {
+	if _, err := exchange(conn, longTimeout); err != nil {
 		t.Fatal(err)
 	}
 	proxy.Reset()
-	if _, err := exchange(conn, late); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+	if _, err := exchange(conn, longTimeout); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatalf("the connection goes on: %v", err)
 	}
 }
 
-func TestDatagramsPassUnlessSilenced(t *testing.T) {
+func TestDatagramsPassUnlessDropped(t *testing.T) {
 	target, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -140,11 +140,11 @@
 		_, _, err := target.ReadFrom(buffer)
 		return err
 	}
-	if err := receive(late); err != nil {
+	if err := receive(longTimeout); err != nil {
 		t.Fatal(err)
 	}
 	proxy.Set(faultproxy.DropAll())
-	if err := receive(soon); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("a datagram over a silent link: %v", err)
+	if err := receive(shortTimeout); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Fatalf("datagram while all traffic is dropped: %v", err)
 	}
 }
--- a/internal/bench/soak/inject.go
+++ b/internal/bench/soak/inject.go
@@ -18,35 +18,34 @@
 )
 
 const (
-	// linkDelay is how much a delayed link adds to each piece of data.
+	// linkDelay is the delay of each chunk of data on a delayed link.
 	linkDelay = 120 * time.Millisecond
-	// tornBytes is the most bytes of a torn write.
-	tornBytes = 200
-	// walPattern finds the segments of a log in a data folder.
+	// maximumTornBytes is the maximum size of a torn write.
+	maximumTornBytes = 200
+	// walPattern matches the segment files of a write-ahead log in a data folder.
 	walPattern = "*.log"
 )
 
-// inject brings the faults of a plan about, each at its time, and returns once all
-// are over.
+// inject injects the faults of a plan at their times and returns once all have ended.
 func (r *run) inject(ctx context.Context, plan []Fault) {
 	var active sync.WaitGroup
 	for _, fault := range plan {
 		if !retry.Pause(ctx, fault.at-r.faultTime()) {
 			break
 		}
-		active.Go(func() { r.strike(ctx, fault) })
+		active.Go(func() { r.injectFault(ctx, fault) })
 	}
 	active.Wait()
 }
 
-// faultTime is the time since the faults began.
-func (r *run) faultTime() time.Duration { return r.since() - r.faultsBegan }
+// faultTime returns the time since fault injection started.
+func (r *run) faultTime() time.Duration { return r.elapsed() - r.faultsBegan }
 
-// strike brings one fault about.
-func (r *run) strike(ctx context.Context, fault Fault) {
+// injectFault injects one fault. It skips a target that another fault still affects.
+func (r *run) injectFault(ctx context.Context, fault Fault) {
 	switch fault.kind {
 	case KindServerKill, KindServerLateReports, KindServerDrain, KindServerDelay, KindServerReset, KindServerDropAll:
-		r.strikeServer(ctx, fault, r.places[fault.target%len(r.places)])
+		r.injectServerFault(ctx, fault, r.endpoints[fault.target%len(r.endpoints)])
 		return
 	case KindKillAll:
 		r.killAll(ctx, fault)
@@ -57,33 +56,33 @@
 		targets = slices.DeleteFunc(slices.Clone(targets), func(m *member) bool { return !m.keepsDisk() })
 	}
 	target := targets[fault.target%len(targets)]
-	if !target.busy.TryLock() {
+	if !target.faultMutex.TryLock() {
 		return
 	}
-	defer target.busy.Unlock()
-	r.note(fault, target.Name)
-	defer r.calm.begin()()
-	r.strikeMember(ctx, fault, target)
+	defer target.faultMutex.Unlock()
+	r.logFault(fault, target.Name)
+	defer r.faults.begin()()
+	r.injectMemberFault(ctx, fault, target)
 }
 
-// note writes what strikes whom.
-func (r *run) note(fault Fault, target string) {
-	log.WithField("at", r.since().Round(time.Millisecond).String()).WithField("for", fault.length.Round(time.Millisecond).String()).
+// logFault logs and counts a fault.
+func (r *run) logFault(fault Fault, target string) {
+	log.WithField("at", r.elapsed().Round(time.Millisecond).String()).WithField("for", fault.duration.Round(time.Millisecond).String()).
 		WithField("target", target).Info(string(fault.kind))
 	r.witness.Count("fault: " + string(fault.kind))
 }
 
-func (r *run) strikeMember(ctx context.Context, fault Fault, target *member) {
-	hold := func() { retry.Pause(ctx, fault.length) }
-	harm := func(harm faultproxy.Impairment) {
-		target.proxy.Set(harm)
-		hold()
+func (r *run) injectMemberFault(ctx context.Context, fault Fault, target *member) {
+	wait := func() { retry.Pause(ctx, fault.duration) }
+	impair := func(impairment faultproxy.Impairment) {
+		target.proxy.Set(impairment)
+		wait()
 		target.proxy.Set(faultproxy.None())
 	}
 	switch fault.kind {
 	case KindPause:
 		target.Freeze()
-		hold()
+		wait()
 		target.Thaw()
 	case KindStop:
 		stopping, cancel := context.WithTimeout(context.WithoutCancel(ctx), (graceS+1)*time.Second)
@@ -94,39 +93,39 @@
 		}
 		r.restart(target)
 	case KindDelay:
-		harm(faultproxy.Delay(linkDelay))
+		impair(faultproxy.Delay(linkDelay))
 	case KindReset:
 		target.proxy.Reset()
 	case KindDropInbound:
-		harm(faultproxy.DropInbound())
+		impair(faultproxy.DropInbound())
 	case KindDropOutbound:
-		harm(faultproxy.DropOutbound())
+		impair(faultproxy.DropOutbound())
 	case KindDropAll:
-		harm(faultproxy.DropAll())
+		impair(faultproxy.DropAll())
 	default:
 		target.Kill()
-		r.harmDisk(fault.kind, target)
-		hold()
+		r.damageDisk(fault.kind, target)
+		wait()
 		r.restart(target)
 	}
 }
 
-// harmDisk does to the disk of a killed process what the kind of fault says.
-func (r *run) harmDisk(kind Kind, target *member) {
+// damageDisk damages the data folder of a killed process as the kind of fault requires.
+func (r *run) damageDisk(kind Kind, target *member) {
 	var err error
 	switch kind {
 	case KindWipeDisk:
 		err = os.RemoveAll(target.settings.GetDataFolder())
 	case KindTornWrite:
-		err = tear(target.settings.GetDataFolder())
+		err = appendTornWrite(target.settings.GetDataFolder())
 	}
 	if err != nil {
-		log.WithError(err).WithField("target", target.Name).Error("a disk was not harmed")
+		log.WithError(err).WithField("target", target.Name).Error("data folder could not be damaged")
 	}
 }
 
-// tear appends a torn write to the newest segment of the log in a data folder.
-func tear(folder string) error {
+// appendTornWrite appends random bytes to the newest log segment in a data folder.
+func appendTornWrite(folder string) error {
 	var newest string
 	err := filepath.WalkDir(folder, func(path string, _ os.DirEntry, err error) error {
 		if matched, _ := filepath.Match(walPattern, filepath.Base(path)); matched && strings.Compare(path, newest) > 0 {
@@ -142,67 +141,67 @@
 		return err
 	}
 	defer file.Close()
-	torn := make([]byte, tornBytes)
+	torn := make([]byte, maximumTornBytes)
 	_, _ = rand.Read(torn)
-	_, err = file.Write(torn[:1+int(torn[0])%(tornBytes-1)])
+	_, err = file.Write(torn[:1+int(torn[0])%(maximumTornBytes-1)])
 	return err
 }
 
 func (r *run) restart(target *member) {
 	if err := target.start(); err != nil {
-		log.WithError(err).WithField("target", target.Name).Error("a process was not started again")
+		log.WithError(err).WithField("target", target.Name).Error("process failed to restart")
 	}
 }
 
-// killAll kills all processes of a role, or all, and starts them again.
+// killAll kills and restarts all processes of one role, or of the whole site.
 func (r *run) killAll(ctx context.Context, fault Fault) {
 	targets, name := r.site.members, "all"
 	choices := append([]rockwindpb.SiteRole{rockwindpb.SiteRole_SITE_ROLE_UNSPECIFIED}, roles...)
 	if role := choices[fault.target%len(choices)]; role != rockwindpb.SiteRole_SITE_ROLE_UNSPECIFIED {
-		targets, name = r.site.of(role), roleNames[role]
+		targets, name = r.site.withRole(role), roleNames[role]
 	}
-	r.note(fault, name)
-	defer r.calm.begin()()
+	r.logFault(fault, name)
+	defer r.faults.begin()()
 	for _, each := range targets {
-		each.busy.Lock()
-		defer each.busy.Unlock()
+		each.faultMutex.Lock()
+		defer each.faultMutex.Unlock()
 	}
 	for _, each := range targets {
 		each.Kill()
 	}
-	retry.Pause(ctx, fault.length)
+	retry.Pause(ctx, fault.duration)
 	for _, each := range targets {
 		r.restart(each)
 	}
 }
 
-func (r *run) strikeServer(ctx context.Context, fault Fault, target *place) {
-	if !target.busy.TryLock() {
+func (r *run) injectServerFault(ctx context.Context, fault Fault, target *endpoint) {
+	if !target.faultMutex.TryLock() {
 		return
 	}
-	defer target.busy.Unlock()
-	r.note(fault, target.current().ID())
-	defer target.harmed(r)
+	defer target.faultMutex.Unlock()
+	r.logFault(fault, target.current().ID())
+	defer target.markStable(r)
 	switch fault.kind {
 	case KindServerKill:
 		target.kill()
-		retry.Pause(ctx, fault.length)
-		if err := target.revive(r); err != nil {
-			log.WithError(err).Error("a back end was not started again")
+		retry.Pause(ctx, fault.duration)
+		if err := target.start(r); err != nil {
+			log.WithError(err).Error("backend failed to restart")
 		}
 	case KindServerLateReports:
-		target.reborn(ctx, r, fault.length)
+		target.restartWithLateReports(ctx, r, fault.duration)
 	case KindServerDrain:
-		target.leave(ctx, r)
+		target.drain(ctx, r)
 	case KindServerDelay:
 		target.proxy.Set(faultproxy.Delay(linkDelay))
-		retry.Pause(ctx, fault.length)
+		retry.Pause(ctx, fault.duration)
 		target.proxy.Set(faultproxy.None())
 	case KindServerReset:
 		target.proxy.Reset()
 	case KindServerDropAll:
 		target.proxy.Set(faultproxy.DropAll())
-		retry.Pause(ctx, fault.length)
+		retry.Pause(ctx, fault.duration)
 		target.proxy.Set(faultproxy.None())
 	}
 }
--- a/internal/bench/soak/jobs.go
+++ b/internal/bench/soak/jobs.go
@@ -20,25 +20,25 @@
 )
 
 const (
-	// jobGap is the mean time between two jobs, mostItems the most items of one.
-	jobGap    = 700 * time.Millisecond
-	mostItems = 12
-	// mostWaiting is how many items may wait: few enough that submissions are refused
-	// while a store is lost. itemTokens is what each of them counts.
-	mostWaiting = 14
-	itemTokens  = 100
-	// poisonPart is the part of the items that can never be done, endPart the part of
-	// the jobs that are ended early, resendPart that of the jobs submitted again.
-	poisonPart = 0.05
-	endPart    = 0.2
-	resendPart = 0.3
-	// submitTries is how often a job is submitted at most.
+	// jobInterval is the mean time between two jobs, maximumItems the most items of one.
+	jobInterval  = 700 * time.Millisecond
+	maximumItems = 12
+	// maximumWaiting limits the items that may wait; it is low enough that submissions are
+	// refused while a store is down. itemTokens is the token count of each item.
+	maximumWaiting = 14
+	itemTokens     = 100
+	// poisonFraction is the fraction of items that always fail, endFraction that of jobs
+	// ended early, and resendFraction that of jobs submitted again once accepted.
+	poisonFraction = 0.05
+	endFraction    = 0.2
+	resendFraction = 0.3
+	// submitTries limits the attempts to submit a job.
 	submitTries = 30
-	// settle is how long after its acceptance a job may be unknown to a router.
-	settle = time.Second
-	// readGap is the time between two reads of a job.
-	readGap = 300 * time.Millisecond
-	// jobTimeout bounds one call about a job.
+	// visibleWithin is how long after its acceptance a router may not find a job yet.
+	visibleWithin = time.Second
+	// readInterval is the time between two reads of a job.
+	readInterval = 300 * time.Millisecond
+	// jobTimeout bounds one HTTP call about a job.
 	jobTimeout = 4 * time.Second
 )
 
@@ -54,34 +54,35 @@
 }
 
 func (c *jobClient) router() *member {
-	return c.run.site.someRouter(c.random)
+	return c.run.site.randomRouter(c.random)
 }
 
-// job submits one job and follows it until its end is read or the context ends.
-func (c *jobClient) job(ctx context.Context, id string) {
+// submitAndFollow submits a job and reads it until it is complete, it is ended early, or
+// the context ends.
+func (c *jobClient) submitAndFollow(ctx context.Context, id string) {
 	message, texts := c.newJob(id)
 	encoded, err := protojson.Marshal(message)
 	if err != nil {
 		c.run.submitting.Done()
-		c.run.witness.Report(witness.WrongAnswer, id, err.Error(), c.run.since())
+		c.run.witness.Report(witness.WrongAnswer, id, err.Error(), c.run.elapsed())
 		return
 	}
 	c.run.witness.Submitting(id, texts)
-	taken := c.submit(ctx, id, encoded)
+	submitted := c.submit(ctx, id, encoded)
 	c.run.submitting.Done()
-	if !taken {
+	if !submitted {
 		return
 	}
-	accepted := c.run.since()
-	if c.random.Float64() < resendPart {
+	accepted := c.run.elapsed()
+	if c.random.Float64() < resendFraction {
 		c.submit(ctx, id, encoded)
 	}
-	ends := c.random.Float64() < endPart
-	for retry.Pause(ctx, readGap) {
+	endsEarly := c.random.Float64() < endFraction
+	for retry.Pause(ctx, readInterval) {
 		if c.read(ctx, c.router(), id, accepted) == len(texts) {
 			return
 		}
-		if ends && c.random.Float64() < endPart {
+		if endsEarly && c.random.Float64() < endFraction {
 			c.end(ctx, id)
 			return
 		}
@@ -91,11 +92,11 @@
 func (c *jobClient) newJob(id string) (*rockwindpb.StoredJob, map[string]string) {
 	message := &rockwindpb.StoredJob{Id: id}
 	texts := make(map[string]string)
-	for number := range 1 + c.random.IntN(mostItems) {
+	for number := range 1 + c.random.IntN(maximumItems) {
 		name := fmt.Sprintf("%s-i%d", id, number)
 		headers := []*rockwindpb.StoredHeader{{Name: backend.HeaderJob, Value: id}}
 		texts[name] = backend.StreamText(name)
-		if c.random.Float64() < poisonPart {
+		if c.random.Float64() < poisonFraction {
 			headers = append(headers, &rockwindpb.StoredHeader{Name: backend.HeaderPoison, Value: "true"})
 			texts[name] = ""
 		}
@@ -104,7 +105,7 @@
 	return message, texts
 }
 
-// submit hands a job in until it is accepted, and tells whether it was.
+// submit retries the submission of a job and returns whether it was accepted.
 func (c *jobClient) submit(ctx context.Context, id string, encoded []byte) bool {
 	for range submitTries {
 		status, body, err := c.call(ctx, http.MethodPost, c.router(), backend.PathBatch+id, id, encoded)
@@ -118,10 +119,10 @@
 		case err != nil || status >= http.StatusInternalServerError:
 			c.run.witness.SubmissionUncertain(id)
 		default:
-			c.run.witness.Report(witness.Denied, id, fmt.Sprintf("submission: status %d %s", status, body), c.run.since())
+			c.run.witness.Report(witness.Denied, id, fmt.Sprintf("submission: status %d %s", status, body), c.run.elapsed())
 			return false
 		}
-		if !retry.Pause(ctx, readGap) {
+		if !retry.Pause(ctx, readInterval) {
 			return false
 		}
 	}
@@ -144,23 +145,22 @@
 	return response.StatusCode, content, err
 }
 
-// read reads a job from its first position and returns how many results it has; -1
-// where that is not known.
+// read reads all results of a job and returns their number, or -1 if the read fails.
 func (c *jobClient) read(ctx context.Context, at *member, id string, accepted time.Duration) int {
-	sent := c.run.since()
+	sent := c.run.elapsed()
 	status, body, err := c.call(ctx, http.MethodGet, at, router.PathJobs+id, id, nil)
 	if err != nil || status >= http.StatusInternalServerError {
 		return -1
 	}
 	if status == http.StatusNotFound {
-		if sent > accepted+settle {
-			c.run.witness.JobNotFound(id, at.Name+" answers: "+string(body), c.run.since())
+		if sent > accepted+visibleWithin {
+			c.run.witness.JobNotFound(id, at.Name+" answers: "+string(body), c.run.elapsed())
 		}
 		return -1
 	}
 	response := &rockwindpb.ReadStoredJobResponse{}
 	if err := protojson.Unmarshal(body, response); err != nil || status != http.StatusOK {
-		c.run.witness.Report(witness.WrongAnswer, id, fmt.Sprintf("read at %s: status %d, %v", at.Name, status, err), c.run.since())
+		c.run.witness.Report(witness.WrongAnswer, id, fmt.Sprintf("read at %s: status %d, %v", at.Name, status, err), c.run.elapsed())
 		return -1
 	}
 	var seen []witness.Result
@@ -168,45 +168,45 @@
 		done := each.GetOutcome() == rockwindpb.StoredOutcome_STORED_OUTCOME_DONE
 		seen = append(seen, witness.NewResult(each.GetId(), done, string(each.GetText())))
 	}
-	c.run.witness.Results(id, 0, seen, c.run.since())
+	c.run.witness.Results(id, 0, seen, c.run.elapsed())
 	return len(seen)
 }
 
-// end ends a job until that is acknowledged.
+// end retries ending a job until that is acknowledged.
 func (c *jobClient) end(ctx context.Context, id string) {
 	c.run.witness.Ending(id)
 	for {
 		status, _, err := c.call(ctx, http.MethodDelete, c.router(), router.PathJobs+id, id, nil)
 		if err == nil && status == http.StatusOK {
-			c.run.witness.Ended(id, c.run.since())
+			c.run.witness.Ended(id, c.run.elapsed())
 			c.run.witness.Count("jobs ended early")
 			return
 		}
-		if !retry.Pause(ctx, readGap) {
+		if !retry.Pause(ctx, readInterval) {
 			return
 		}
 	}
 }
 
-// submitAll submits jobs until the context ends; they are followed until follow ends.
+// submitAll submits jobs until ctx ends; they are followed until follow ends.
 func (r *run) submitAll(ctx, follow context.Context) {
 	random := rand.New(rand.NewPCG(r.seed, 999))
-	for number := uint64(0); retry.Pause(ctx, time.Duration(random.Int64N(2*int64(jobGap)))); number++ {
+	for number := uint64(0); retry.Pause(ctx, time.Duration(random.Int64N(2*int64(jobInterval)))); number++ {
 		client := newJobClient(r, number)
 		r.submitting.Add(1)
-		r.clients.Go(func() { client.job(follow, fmt.Sprintf("job-%d-%d", r.seed, number)) })
+		r.clients.Go(func() { client.submitAndFollow(follow, fmt.Sprintf("job-%d-%d", r.seed, number)) })
 	}
 }
 
-// settleJobs reads all accepted jobs at every router until none is open, or the
-// context ends.
+// settleJobs reads the accepted jobs until all are complete or the context ends, then
+// reads each once at every router.
 func (r *run) settleJobs(ctx context.Context) {
 	client := newJobClient(r, 0)
 	for {
 		for _, id := range r.witness.Open() {
 			client.read(ctx, client.router(), id, 0)
 		}
-		if len(r.witness.Open()) == 0 || !retry.Pause(ctx, readGap) {
+		if len(r.witness.Open()) == 0 || !retry.Pause(ctx, readInterval) {
 			break
 		}
 	}
--- a/internal/bench/soak/online.go
+++ b/internal/bench/soak/online.go
@@ -18,24 +18,25 @@
 )
 
 const (
-	// host is the host of all routes.
+	// host is the host name of all routes.
 	host = "soak.example"
-	// callers is how many callers send online requests, one at a time each.
+	// callers is the number of concurrent callers of online requests.
 	callers = 6
-	// callerPause is the longest pause between two requests of a caller.
+	// callerPause is the maximum time between two requests of a caller.
 	callerPause = 60 * time.Millisecond
-	// patience is how long a caller waits, and abandonPart the part of the requests
-	// that it leaves early.
-	patience    = 4 * time.Second
-	abandonPart = 0.03
-	// shortestStay is the shortest time after which a caller leaves.
-	shortestStay = 5 * time.Millisecond
+	// callerTimeout is the timeout of a request, and abandonFraction the fraction of requests
+	// that the caller cancels early.
+	callerTimeout   = 4 * time.Second
+	abandonFraction = 0.03
+	// minimumTimeout is the shortest time after which a request is canceled.
+	minimumTimeout = 5 * time.Millisecond
 )
 
-// onlinePaths are the routes of online requests; the second may run once only.
+// onlinePaths are the routes of online requests; those of PathOnce and PathStream may run
+// at most once.
 var onlinePaths = []string{backend.PathSafe, backend.PathOnce, backend.PathStream, backend.PathResumable}
 
-// caller sends online requests to routers.
+// caller sends online requests to random routers, one at a time.
 type caller struct {
 	run    *run
 	number int
@@ -63,18 +64,18 @@
 	c.sent++
 	path := onlinePaths[c.random.IntN(len(onlinePaths))]
 	id := fmt.Sprintf("r-%d-%d", c.number, c.sent)
-	at := c.run.site.someRouter(c.random)
-	stay := patience
-	if c.random.Float64() < abandonPart {
-		stay = shortestStay + time.Duration(c.random.Int64N(int64(patience/20)))
+	at := c.run.site.randomRouter(c.random)
+	timeout := callerTimeout
+	if c.random.Float64() < abandonFraction {
+		timeout = minimumTimeout + time.Duration(c.random.Int64N(int64(callerTimeout/20)))
 	}
 	c.run.witness.Sent(id, path == backend.PathOnce || path == backend.PathStream)
-	calling, cancel := context.WithTimeout(ctx, stay)
+	calling, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	c.judge(id, path, c.send(calling, at, path, id, stay))
+	c.check(id, path, c.send(calling, at, path, id, timeout))
 }
 
-// answer is what came back of a request.
+// answer is the response to a request, or the error.
 type answer struct {
 	status int
 	body   string
@@ -82,20 +83,20 @@
 	err    error
 }
 
-// newRequest returns a request to a router whose caller waits so long.
-func newRequest(ctx context.Context, at *member, path, id, body string, stay time.Duration) (*http.Request, error) {
+// newRequest returns a request to a router that states the timeout of its caller.
+func newRequest(ctx context.Context, at *member, path, id, body string, timeout time.Duration) (*http.Request, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+at.settings.GetListen()+path, strings.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
 	request.Host = host
 	request.Header.Set(upstream.HeaderRequestID, id)
-	request.Header.Set(router.HeaderTimeLeft, strconv.FormatInt(stay.Milliseconds(), 10))
+	request.Header.Set(router.HeaderTimeLeft, strconv.FormatInt(timeout.Milliseconds(), 10))
 	return request, nil
 }
 
-func (c *caller) send(ctx context.Context, at *member, path, id string, stay time.Duration) answer {
-	request, err := newRequest(ctx, at, path+id, id, "ask "+id, stay)
+func (c *caller) send(ctx context.Context, at *member, path, id string, timeout time.Duration) answer {
+	request, err := newRequest(ctx, at, path+id, id, "ask "+id, timeout)
 	if err != nil {
 		return answer{err: err}
 	}
@@ -108,15 +109,15 @@
 	return answer{status: response.StatusCode, body: string(body), id: response.Header.Get(upstream.HeaderRequestID), err: err}
 }
 
-// judge tells the witness what an answer shows.
-func (c *caller) judge(id, path string, got answer) {
-	w, now := c.run.witness, c.run.since()
+// check records in the witness what an answer shows.
+func (c *caller) check(id, path string, got answer) {
+	w, now := c.run.witness, c.run.elapsed()
 	w.Count("requests")
 	switch {
 	case got.err != nil:
 		w.Count("requests without a whole answer")
 	case got.status == http.StatusOK:
-		c.judgeWhole(id, path, got)
+		c.checkBody(id, path, got)
 	case got.status == http.StatusServiceUnavailable || got.status == http.StatusTooManyRequests:
 		w.Count("requests refused")
 		w.Refused(id, now)
@@ -127,12 +128,12 @@
 	}
 }
 
-func (c *caller) judgeWhole(id, path string, got answer) {
-	w, now := c.run.witness, c.run.since()
+func (c *caller) checkBody(id, path string, got answer) {
+	w, now := c.run.witness, c.run.elapsed()
 	want := backend.Answer(id)
 	found := got.body
 	if path == backend.PathStream || path == backend.PathResumable {
-		want, found = backend.StreamText(id), dataOf(got.body)
+		want, found = backend.StreamText(id), streamData(got.body)
 	}
 	if found != want || got.id != id {
 		w.Report(witness.WrongAnswer, id, fmt.Sprintf("answer of %q: %q, want %q", got.id, found, want), now)
@@ -141,8 +142,8 @@
 	w.Count("requests served")
 }
 
-// dataOf joins the data of all events of a stream.
-func dataOf(stream string) string {
+// streamData joins the data of all events of a stream.
+func streamData(stream string) string {
 	var lines []string
 	for line := range strings.Lines(stream) {
 		if data, found := strings.CutPrefix(strings.TrimSuffix(line, "\n"), "data: "); found {
@@ -152,15 +153,15 @@
 	return strings.Join(lines, "\n")
 }
 
-// recovered tells whether every router serves a request of each kind within a time.
-func (r *run) recovered(ctx context.Context, within time.Duration) error {
+// waitUntilServing waits until every router serves a request on each of onlinePaths.
+func (r *run) waitUntilServing(ctx context.Context, within time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	r.probes++
-	probing := newCaller(r, callers+r.probes)
+	prober := newCaller(r, callers+r.probes)
 	for _, at := range r.site.routers() {
 		for _, path := range onlinePaths {
-			if err := probing.until(ctx, at, path); err != nil {
+			if err := prober.requestUntilServed(ctx, at, path); err != nil {
 				return err
 			}
 		}
@@ -168,16 +169,16 @@
 	return nil
 }
 
-// until sends requests to one router until one is served.
-func (c *caller) until(ctx context.Context, at *member, path string) error {
+// requestUntilServed sends requests to one router until one is served.
+func (c *caller) requestUntilServed(ctx context.Context, at *member, path string) error {
 	for {
 		c.sent++
 		id := fmt.Sprintf("r-%d-%d", c.number, c.sent)
 		c.run.witness.Sent(id, path == backend.PathOnce || path == backend.PathStream)
-		calling, cancel := context.WithTimeout(ctx, patience)
-		got := c.send(calling, at, path, id, patience)
+		calling, cancel := context.WithTimeout(ctx, callerTimeout)
+		got := c.send(calling, at, path, id, callerTimeout)
 		cancel()
-		c.judge(id, path, got)
+		c.check(id, path, got)
 		if got.err == nil && got.status == http.StatusOK {
 			return nil
 		}
--- a/internal/bench/soak/operator.go
+++ b/internal/bench/soak/operator.go
@@ -19,35 +19,36 @@
 )
 
 const (
-	// applyGap is the mean time between two configurations.
-	applyGap = 1500 * time.Millisecond
-	// markers is how many of the last configurations each one names with a route.
-	markers = 40
+	// applyInterval is the mean time between two configurations.
+	applyInterval = 1500 * time.Millisecond
+	// markerCount is the number of recent configurations that each configuration has a
+	// marker route for.
+	markerCount = 40
 	// applyTimeout bounds one call to a coordinator.
 	applyTimeout = 2 * time.Second
-	// inForceWithin is how long after its acknowledgement a configuration must be in
-	// force in calm times.
+	// In fault-free periods a configuration must be in force within inForceWithin of its
+	// acknowledgment.
 	inForceWithin = 2 * time.Second
-	// probeGap is the time between two looks at what is in force at a router.
-	probeGap = 250 * time.Millisecond
-	// readBackGap is the time between two reads of the newest configuration.
-	readBackGap = 400 * time.Millisecond
+	// probeInterval is the time between two checks of the configuration in force at a router.
+	probeInterval = 250 * time.Millisecond
+	// readBackInterval is the time between two reads of the newest configuration.
+	readBackInterval = 400 * time.Millisecond
 )
 
-// acknowledged is a configuration that was acknowledged.
+// acknowledged is the number of an acknowledged configuration and when it was acknowledged.
 type acknowledged struct {
 	number uint64
 	at     time.Duration
 }
 
-// operator applies configurations and remembers the newest acknowledged one.
+// operator applies configurations and records the acknowledged ones.
 type operator struct {
 	run    *run
 	random *rand.Rand
 
 	mutex  sync.Mutex
 	newest acknowledged
-	// history holds the acknowledged ones in their order.
+	// history holds all acknowledged configurations in order.
 	history []acknowledged
 }
 
@@ -55,14 +56,15 @@
 	return &operator{run: run, random: rand.New(rand.NewPCG(run.seed, 777))}
 }
 
-// configuration has a route of each kind, and one for each of the last numbers.
+// configuration returns a configuration with a route of each kind and the marker routes of
+// the last markerCount numbers.
 func configuration(number uint64) *rockwindpb.Configuration {
 	made := &rockwindpb.Configuration{
 		Number: number, Services: []*rockwindpb.Service{{Name: service, HealthPath: backend.PathHealth}}, Tenants: tenants(),
 	}
 	add := func(name, prefix string, kind rockwindpb.RouteKind, change func(*rockwindpb.Route)) {
 		route := &rockwindpb.Route{
-			Name: name, Host: host, PathPrefix: prefix, Kind: kind, Attempts: 3, TimeoutMs: proto.Uint32(uint32(patience.Milliseconds())),
+			Name: name, Host: host, PathPrefix: prefix, Kind: kind, Attempts: 3, TimeoutMs: proto.Uint32(uint32(callerTimeout.Milliseconds())),
 			GoalMs: 400, PauseGoalMs: 500, Split: []*rockwindpb.ServiceShare{{Service: service, Weight: 1}},
 			Public: true,
 		}
@@ -79,15 +81,15 @@
 	add("large", backend.PathLarge, rockwindpb.RouteKind_ROUTE_KIND_SAFE, nil)
 	add("batch", backend.PathBatch, rockwindpb.RouteKind_ROUTE_KIND_BATCH, func(r *rockwindpb.Route) {
 		r.DueMs, r.MaximumWaitMs, r.Priority, r.Attempts = 20_000, 600_000, 2, 30
-		r.MaximumWaitingTokens = mostWaiting * itemTokens
+		r.MaximumWaitingTokens = maximumWaiting * itemTokens
 	})
-	for marked := number; marked > 0 && marked+markers > number; marked-- {
+	for marked := number; marked > 0 && marked+markerCount > number; marked-- {
 		add(fmt.Sprintf("marker-%d", marked), marker(marked), rockwindpb.RouteKind_ROUTE_KIND_SAFE, nil)
 	}
 	return made
 }
 
-// marker is the path prefix that exists from a configuration on.
+// marker is the path prefix of the route that shows that a configuration is in force.
 func marker(number uint64) string { return fmt.Sprintf("/marker-%d/", number) }
 
 func (o *operator) coordinator() *member {
@@ -99,7 +101,7 @@
 	return rockwindpb.NewConfigurationServiceProtobufClient("http://"+at.settings.GetAdvertise(), twirphttp.Client{HTTPClient: newClient(applyTimeout)})
 }
 
-// apply sends one configuration to coordinators in turn until it is acknowledged.
+// apply sends a configuration to random coordinators until one acknowledges it.
 func (o *operator) apply(ctx context.Context, number uint64) error {
 	var last error
 	for {
@@ -111,7 +113,7 @@
 			return nil
 		}
 		last = err
-		if !retry.Pause(ctx, probeGap) {
+		if !retry.Pause(ctx, probeInterval) {
 			return last
 		}
 	}
@@ -120,13 +122,13 @@
 func (o *operator) acknowledge(number uint64) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.newest = acknowledged{number: number, at: o.run.since()}
+	o.newest = acknowledged{number: number, at: o.run.elapsed()}
 	o.history = append(o.history, o.newest)
 	o.run.witness.Count("configurations acknowledged")
 }
 
-// before is the newest configuration that was acknowledged before a moment.
-func (o *operator) before(moment time.Duration) (found acknowledged) {
+// newestBefore returns the newest configuration acknowledged before a moment.
+func (o *operator) newestBefore(moment time.Duration) (found acknowledged) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	for _, each := range o.history {
@@ -137,23 +139,23 @@
 	return found
 }
 
-// operate applies configurations with rising numbers until the context ends.
+// operate applies configurations with increasing numbers until the context ends.
 func (o *operator) operate(ctx context.Context) {
 	number := o.newest.number
-	for retry.Pause(ctx, time.Duration(o.random.Int64N(2*int64(applyGap)))) {
+	for retry.Pause(ctx, time.Duration(o.random.Int64N(2*int64(applyInterval)))) {
 		number += 1 + o.random.Uint64N(3)
 		_ = o.apply(ctx, number)
 	}
 }
 
-// readBack reads the newest configuration at random coordinators: one that answers
-// must not show an older one than was acknowledged before.
+// readBack reads the newest configuration at random coordinators: none may return an older
+// one than was acknowledged before the read.
 func (o *operator) readBack(ctx context.Context) {
 	random := rand.New(rand.NewPCG(o.run.seed, 778))
 	all := o.run.site.coordinators()
-	for retry.Pause(ctx, readBackGap) {
+	for retry.Pause(ctx, readBackInterval) {
 		at := all[random.IntN(len(all))]
-		known := o.before(o.run.since())
+		known := o.newestBefore(o.run.elapsed())
 		calling, cancel := context.WithTimeout(ctx, applyTimeout)
 		response, err := o.service(at).Get(calling, &rockwindpb.GetConfigurationRequest{Newest: true})
 		cancel()
@@ -162,51 +164,51 @@
 		}
 		o.run.witness.Count("configurations read back")
 		if got := response.GetConfiguration().GetNumber(); got < known.number {
-			o.run.witness.Report(witness.ConfigurationOld, at.Name, fmt.Sprintf("it reads %d after %d was acknowledged", got, known.number), o.run.since())
+			o.run.witness.Report(witness.ConfigurationOld, at.Name, fmt.Sprintf("it reads %d after %d was acknowledged", got, known.number), o.run.elapsed())
 		}
 	}
 }
 
-// watchRouter looks which configuration is in force at one router: it must not go
-// back within one life of the process, and must follow in calm times.
+// watchRouter probes which configuration is in force at a router. It must not revert until
+// the process restarts, and must be up to date in fault-free periods.
 func (o *operator) watchRouter(ctx context.Context, at *member) {
 	client := newClient(applyTimeout)
-	var life int64
+	var starts int64
 	var seen uint64
-	for retry.Pause(ctx, probeGap) {
-		asked := o.run.since()
-		due := o.before(asked - inForceWithin)
-		newest := o.before(asked)
-		began := at.life.Load()
-		if began != life {
-			life, seen = began, 0
+	for retry.Pause(ctx, probeInterval) {
+		asked := o.run.elapsed()
+		due := o.newestBefore(asked - inForceWithin)
+		newest := o.newestBefore(asked)
+		current := at.starts.Load()
+		if current != starts {
+			starts, seen = current, 0
 		}
 		for _, number := range []uint64{seen, due.number, newest.number} {
-			known, clear := o.knows(ctx, client, at, number)
-			if !clear || at.life.Load() != life || number == 0 || number+markers <= newest.number {
+			inForce, conclusive := o.inForce(ctx, client, at, number)
+			if !conclusive || at.starts.Load() != starts || number == 0 || number+markerCount <= newest.number {
 				continue
 			}
 			switch {
-			case known:
+			case inForce:
 				seen = max(seen, number)
 			case number <= seen:
 				o.run.witness.Report(witness.ConfigurationReverted, at.Name, fmt.Sprintf("%d was in force and is not", number), asked)
-			case number <= due.number && o.run.calm.since(due.at):
+			case number <= due.number && o.run.faults.quietSince(due.at):
 				o.run.witness.Report(witness.ConfigurationLate, at.Name, fmt.Sprintf("%d is not in force %s after its acknowledgement", number, asked-due.at), asked)
 			}
 		}
 	}
 }
 
-// knows tells whether the configuration of a number, or a later one, is in force at a
-// router; clear is false where its answer does not say.
-func (o *operator) knows(ctx context.Context, client *http.Client, at *member, number uint64) (known, clear bool) {
+// inForce returns whether the given configuration or a later one is in force at a router;
+// conclusive is false if the response doesn't show it.
+func (o *operator) inForce(ctx context.Context, client *http.Client, at *member, number uint64) (inForce, conclusive bool) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+at.settings.GetListen()+marker(number), nil)
 	if err != nil {
 		return false, false
 	}
 	request.Host = host
-	request.Header.Set(upstream.HeaderRequestID, fmt.Sprintf("marker-%s-%d-%d", at.Name, number, o.run.since()))
+	request.Header.Set(upstream.HeaderRequestID, fmt.Sprintf("marker-%s-%d-%d", at.Name, number, o.run.elapsed()))
 	response, err := client.Do(request)
 	if err != nil {
 		return false, false
--- a/internal/bench/soak/plan.go
+++ b/internal/bench/soak/plan.go
@@ -6,47 +6,44 @@
 	"time"
 )
 
-// Kind is a kind of fault.
 type Kind string
 
-// The kinds of fault.
 const (
-	// KindKill kills a process without warning and starts it again.
+	// KindKill kills a process and restarts it.
 	KindKill Kind = "kill"
-	// KindTornWrite kills a process with a disk and leaves a torn write at the end of its
-	// log.
+	// KindTornWrite kills a process with a disk and appends a torn write to its log.
 	KindTornWrite Kind = "tear"
-	// KindWipeDisk kills a process with a disk and empties it.
+	// KindWipeDisk kills a process with a disk and deletes its data.
 	KindWipeDisk Kind = "wipe"
-	// KindPause stops a process for a while without its noticing.
+	// KindPause suspends a process for a while.
 	KindPause Kind = "pause"
-	// KindStop stops a process as planned and starts it again.
+	// KindStop stops a process gracefully and restarts it.
 	KindStop Kind = "stop"
-	// KindKillAll kills all processes of a role, or all of the site, at once.
+	// KindKillAll kills all processes of a role, or of the whole site, at once.
 	KindKillAll Kind = "kill all"
-	// KindDelay delays all that a process is sent and sends back.
+	// KindDelay delays the traffic of a process in both directions.
 	KindDelay Kind = "delay"
-	// KindReset breaks the connections to a process off.
+	// KindReset resets the connections to a process.
 	KindReset Kind = "reset"
-	// KindDropInbound drops what a process is sent, KindAnswers what it answers, and
-	// KindSilence both.
+	// KindDropInbound drops traffic to a process, KindDropOutbound its responses, and
+	// KindDropAll both.
 	KindDropInbound  Kind = "cut toward"
 	KindDropOutbound Kind = "cut answers"
-	KindDropAll Kind = "silence"
-	// KindServerKill kills a back end; another incarnation takes its address.
+	KindDropAll      Kind = "silence"
+	// KindServerKill kills a backend; a new incarnation starts at the same address.
 	KindServerKill Kind = "server kill"
-	// KindServerLateReports kills a back end twice; the reports of the incarnation between come
-	// late, when the next one is known already.
+	// KindServerLateReports restarts a backend; reports of an incarnation in between arrive
+	// after those of its successor.
 	KindServerLateReports Kind = "server reborn"
-	// KindServerDrain drains a back end.
+	// KindServerDrain drains a backend and replaces it.
 	KindServerDrain Kind = "server leave"
-	// KindServerDelay, KindServerReset and KindServerSilence harm a back end's link.
+	// KindServerDelay, KindServerReset and KindServerDropAll impair the link to a backend.
 	KindServerDelay   Kind = "server delay"
 	KindServerReset   Kind = "server reset"
 	KindServerDropAll Kind = "server silence"
 )
 
-// Kinds lists all kinds.
+// Kinds lists all kinds of fault.
 func Kinds() []Kind {
 	return []Kind{
 		KindKill, KindTornWrite, KindWipeDisk, KindPause, KindStop, KindKillAll, KindDelay, KindReset, KindDropInbound, KindDropOutbound, KindDropAll,
@@ -54,59 +51,55 @@
 	}
 }
 
-// Fault is one fault of a plan.
+// Fault is one planned fault.
 type Fault struct {
-	kind   Kind
-	at     time.Duration
-	length time.Duration
-	// target is a number to choose the process or back end with.
+	kind     Kind
+	at       time.Duration
+	duration time.Duration
+	// target selects the process or backend, modulo the number of candidates.
 	target int
 }
 
-// Kind is the fault's kind.
 func (f Fault) Kind() Kind { return f.kind }
 
-// At is when it strikes, and End when what it harms runs again.
+// At is when the fault starts.
 func (f Fault) At() time.Duration { return f.at }
 
-// End is when what the fault harms runs again.
-func (f Fault) End() time.Duration { return f.at + f.length }
+// End is when the fault ends.
+func (f Fault) End() time.Duration { return f.at + f.duration }
 
-// Target is a number to choose the process or back end with.
+// Target selects the process or backend, modulo the number of candidates.
 func (f Fault) Target() int { return f.target }
 
-// Bounds of a plan.
 const (
-	shortestGap = 150 * time.Millisecond
-	longestGap  = 1800 * time.Millisecond
-	shortest    = 200 * time.Millisecond
-	longest     = 3500 * time.Millisecond
-	// settling is how long a process that was harmed needs until the next one with a
-	// disk may be lost: a site bears one at a time.
-	settling = 5 * time.Second
+	minimumGap      = 150 * time.Millisecond
+	maximumGap      = 1800 * time.Millisecond
+	minimumDuration = 200 * time.Millisecond
+	maximumDuration = 3500 * time.Millisecond
+	// settleTime is the recovery time that a process with a disk needs before the next one
+	// may fail: the site tolerates the loss of one at a time.
+	settleTime = 5 * time.Second
 )
 
-// onDisk are the kinds that make a process with a disk count as lost, if they strike
-// one.
-var onDisk = []Kind{KindKill, KindTornWrite, KindWipeDisk, KindPause, KindStop, KindDelay, KindReset, KindDropInbound, KindDropOutbound, KindDropAll}
+// diskKinds are the kinds that may make a process with a disk unavailable.
+var diskKinds = []Kind{KindKill, KindTornWrite, KindWipeDisk, KindPause, KindStop, KindDelay, KindReset, KindDropInbound, KindDropOutbound, KindDropAll}
 
-// NewPlan draws the faults of a soak that lasts so long. Faults on processes with a
-// disk do not overlap, and leave each other time to settle; others may come at any
-// moment.
-func NewPlan(seed uint64, lasts time.Duration, kinds []Kind) []Fault {
+// NewPlan draws the faults of a soak of the given duration. Faults that may affect a process
+// with a disk don't overlap and are at least settleTime apart; others start at any time.
+func NewPlan(seed uint64, duration time.Duration, kinds []Kind) []Fault {
 	random := rand.New(rand.NewPCG(seed, uint64(len("faults"))))
 	var plan []Fault
 	var free time.Duration
-	for at := between(random, shortestGap, longestGap); at < lasts; at += between(random, shortestGap, longestGap) {
+	for at := between(random, minimumGap, maximumGap); at < duration; at += between(random, minimumGap, maximumGap) {
 		fault := Fault{
 			kind: kinds[random.IntN(len(kinds))], at: at,
-			length: between(random, shortest, longest), target: random.IntN(1 << 16),
+			duration: between(random, minimumDuration, maximumDuration), target: random.IntN(1 << 16),
 		}
-		if slices.Contains(onDisk, fault.kind) || fault.kind == KindKillAll {
+		if slices.Contains(diskKinds, fault.kind) || fault.kind == KindKillAll {
 			if at < free {
 				continue
 			}
-			free = fault.End() + settling
+			free = fault.End() + settleTime
 		}
 		plan = append(plan, fault)
 	}
--- a/internal/bench/soak/plan_test.go
+++ b/internal/bench/soak/plan_test.go
@@ -10,9 +10,10 @@
 	"rockwind.example/rockwind/internal/bench/soak"
 )
 
-// TestPlanLosesOneDiskAtATime: what the promises rest on holds in every plan.
-func TestPlanLosesOneDiskAtATime(t *testing.T) {
-	server := map[soak.Kind]bool{
+// TestPlanAffectsOneDiskAtATime guards against plans that make two processes with a disk
+// unavailable at once, which a site doesn't tolerate, and against plans that vary for a seed.
+func TestPlanAffectsOneDiskAtATime(t *testing.T) {
+	backendKinds := map[soak.Kind]bool{
 		soak.KindServerKill: true, soak.KindServerLateReports: true, soak.KindServerDrain: true, soak.KindServerDelay: true,
 		soak.KindServerReset: true, soak.KindServerDropAll: true,
 	}
@@ -20,15 +21,15 @@
 		seed := rapid.Uint64().Draw(t, "seed")
 		plan := soak.NewPlan(seed, time.Minute, soak.Kinds())
 		if !reflect.DeepEqual(plan, soak.NewPlan(seed, time.Minute, soak.Kinds())) {
-			t.Fatal("the same seed gives another plan")
+			t.Fatal("the same seed gives a different plan")
 		}
 		var free time.Duration
 		for _, fault := range plan {
-			if server[fault.Kind()] {
+			if backendKinds[fault.Kind()] {
 				continue
 			}
 			if fault.At() < free {
-				t.Fatalf("%v strikes before the last one has settled", fault)
+				t.Fatalf("%v starts before the site has recovered from the previous one", fault)
 			}
 			free = fault.End() + 4*time.Second
 		}
--- a/internal/bench/soak/site.go
+++ b/internal/bench/soak/site.go
@@ -16,59 +16,57 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Shape of the site.
 const (
-	// replicas is how many processes of each role there are, one in each zone.
+	// replicas is the number of processes of each role, one per zone.
 	replicas = 3
-	// memoryMb bounds each process.
+	// memoryMb is the memory limit of each process.
 	memoryMb = 256
-	// heartbeat is how often back ends report.
+	// heartbeat is the report interval of backends.
 	heartbeat = 400 * time.Millisecond
-	// graceS is how many seconds a planned stop may take.
+	// graceS is the grace period of a graceful stop in seconds.
 	graceS = 6
-	// retentionS is longer than any soak, in seconds.
+	// retentionS is the retention of results in seconds, longer than any soak.
 	retentionS = 3600
 )
 
-// roles lists the roles of a site's processes.
 var roles = []rockwindpb.SiteRole{
 	rockwindpb.SiteRole_SITE_ROLE_COORDINATOR,
 	rockwindpb.SiteRole_SITE_ROLE_STORE,
 	rockwindpb.SiteRole_SITE_ROLE_ROUTER,
 }
 
-// roleNames are the names that machines get.
+// roleNames are the prefixes of process names.
 var roleNames = map[rockwindpb.SiteRole]string{
 	rockwindpb.SiteRole_SITE_ROLE_COORDINATOR: "coordinator",
 	rockwindpb.SiteRole_SITE_ROLE_STORE:       "store",
 	rockwindpb.SiteRole_SITE_ROLE_ROUTER:      "router",
 }
 
-// member is one process of the site with the proxy before it.
+// member is one process of the site and the fault proxy in front of it.
 type member struct {
 	*fleet.Process
 	settings *rockwindpb.SiteSettings
 	proxy    *faultproxy.Proxy
-	// life counts its starts.
-	life atomic.Int64
-	// busy keeps two faults from handling the process at once.
-	busy sync.Mutex
+	// starts counts the starts of the process.
+	starts atomic.Int64
+	// faultMutex is held during a fault, so that faults of one process don't overlap.
+	faultMutex sync.Mutex
 }
 
-// keepsDisk tells whether the process has a disk.
+// keepsDisk returns whether the process has a data folder.
 func (m *member) keepsDisk() bool { return m.settings.GetDataFolder() != "" }
 
-// start runs the process.
+// start starts the process and counts the start.
 func (m *member) start() error {
-	m.life.Add(1)
+	m.starts.Add(1)
 	return m.Start()
 }
 
-// site is all processes of a soak.
+// site is the set of processes of a soak.
 type site struct{ members []*member }
 
-// of lists the members of a role.
-func (s *site) of(role rockwindpb.SiteRole) []*member {
+// withRole lists the members with a role.
+func (s *site) withRole(role rockwindpb.SiteRole) []*member {
 	var found []*member
 	for _, each := range s.members {
 		if each.settings.GetRole() == role {
@@ -79,18 +77,17 @@
 }
 
 func (s *site) coordinators() []*member {
-	return s.of(rockwindpb.SiteRole_SITE_ROLE_COORDINATOR)
+	return s.withRole(rockwindpb.SiteRole_SITE_ROLE_COORDINATOR)
 }
 
-func (s *site) routers() []*member { return s.of(rockwindpb.SiteRole_SITE_ROLE_ROUTER) }
+func (s *site) routers() []*member { return s.withRole(rockwindpb.SiteRole_SITE_ROLE_ROUTER) }
 
-// someRouter draws a router by lot.
-func (s *site) someRouter(random *rand.Rand) *member {
+func (s *site) randomRouter(random *rand.Rand) *member {
 	routers := s.routers()
 	return routers[random.IntN(len(routers))]
 }
 
-// newSite prepares the processes in a folder. Nothing runs yet but the proxies.
+// newSite writes the settings of all processes and starts their proxies only.
 func newSite(ctx context.Context, folder, program string) (*site, error) {
 	made := &site{}
 	var seeds []string
@@ -148,7 +145,7 @@
 	return &member{Process: process, settings: settings, proxy: proxy}, nil
 }
 
-// Names in a process's folder.
+// File names in the folder of a process.
 const (
 	dataFolder   = "data"
 	settingsFile = "settings.yaml"
@@ -159,8 +156,8 @@
 	return err
 }
 
-// begin starts all processes at once. Later starts are not the first of the site.
-func (s *site) begin() error {
+// start starts all processes at once, for the first time.
+func (s *site) start() error {
 	for _, each := range s.members {
 		if err := each.start(); err != nil {
 			return err
@@ -169,8 +166,8 @@
 	return nil
 }
 
-// founded notes in the settings that the site has started for the first time.
-func (s *site) founded() error {
+// clearBootstrap turns bootstrapping off in all settings, for later starts.
+func (s *site) clearBootstrap() error {
 	for _, each := range s.members {
 		each.settings.Bootstrap = false
 		if err := each.writeSettings(); err != nil {
@@ -180,15 +177,15 @@
 	return nil
 }
 
-// end kills what still runs.
-func (s *site) end() {
+// kill resumes suspended processes and kills all of them.
+func (s *site) kill() {
 	for _, each := range s.members {
 		each.Thaw()
 		each.Kill()
 	}
 }
 
-// newClient returns a client for calls that must not share connections with others.
+// newClient returns a client that opens a connection for each call.
 func newClient(timeout time.Duration) *http.Client {
 	return &http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true}}
 }
--- a/internal/bench/soak/slowreaders.go
+++ b/internal/bench/soak/slowreaders.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	// slowReaders is how many callers read large answers slowly. All of them together ask for
-	// less at a time than the back ends have slots.
+	// slowReaders is the number of callers that read large answers slowly. It is lower than
+	// the total number of backend slots.
 	slowReaders = 6
-	// slowPiece is how much such a caller reads at a time, and slowPause the time between:
-	// a large answer takes it longer than it waits.
-	slowPiece = 32 << 10
-	slowPause = 400 * time.Millisecond
-	// briskPart is the part of the large answers that are read as fast as they come.
-	briskPart = 0.3
-	// memoryInterval is the time between two looks at the memory of the processes.
-	memoryInterval = 500 * time.Millisecond
+	// Slow readers read slowReadSize bytes every slowReadPause: a large answer takes longer
+	// than the timeout of the request.
+	slowReadSize  = 32 << 10
+	slowReadPause = 400 * time.Millisecond
+	// fastFraction is the fraction of large answers that are read at full speed.
+	fastFraction = 0.3
+	// memoryCheckInterval is the time between two checks of the memory of all processes.
+	memoryCheckInterval = 500 * time.Millisecond
 )
 
 // slowReader is a caller that reads large answers slowly.
@@ -38,32 +38,32 @@
 
 func newSlowReader(run *run, number int) *slowReader {
 	made := newCaller(run, callers+number)
-	made.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: dialNarrow}}
+	made.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: dialSmallBuffer}}
 	return &slowReader{caller: made, random: rand.New(rand.NewPCG(run.seed, uint64(len("slow")+number)))}
 }
 
-// dialNarrow opens a connection that holds little of what its reader leaves unread.
-func dialNarrow(ctx context.Context, network, address string) (net.Conn, error) {
+// dialSmallBuffer opens a connection with a small receive buffer.
+func dialSmallBuffer(ctx context.Context, network, address string) (net.Conn, error) {
 	connection, err := (&net.Dialer{}).DialContext(ctx, network, address)
-	if narrow, ok := connection.(*net.TCPConn); ok {
-		err = narrow.SetReadBuffer(slowPiece)
+	if tcp, ok := connection.(*net.TCPConn); ok {
+		err = tcp.SetReadBuffer(slowReadSize)
 	}
 	return connection, err
 }
 
-// read asks for large answers until the context ends.
+// read requests large answers until the context ends.
 func (s *slowReader) read(ctx context.Context) {
 	for number := 0; retry.Pause(ctx, callerPause); number++ {
-		s.request(ctx, fmt.Sprintf("large-%d-%d", s.caller.number, number), s.random.Float64() < briskPart)
+		s.request(ctx, fmt.Sprintf("large-%d-%d", s.caller.number, number), s.random.Float64() < fastFraction)
 	}
 }
 
-func (s *slowReader) request(parent context.Context, id string, brisk bool) {
+func (s *slowReader) request(parent context.Context, id string, fast bool) {
 	run := s.caller.run
-	at := run.site.someRouter(s.random)
-	ctx, cancel := context.WithTimeout(parent, patience)
+	at := run.site.randomRouter(s.random)
+	ctx, cancel := context.WithTimeout(parent, callerTimeout)
 	defer cancel()
-	request, err := newRequest(ctx, at, backend.PathLarge+id, id, id, patience)
+	request, err := newRequest(ctx, at, backend.PathLarge+id, id, id, callerTimeout)
 	if err != nil {
 		return
 	}
@@ -74,34 +74,34 @@
 		return
 	}
 	defer response.Body.Close()
-	body, err := s.body(ctx, response.Body, brisk)
-	s.judge(id, response, body, err)
+	body, err := s.body(ctx, response.Body, fast)
+	s.check(id, response, body, err)
 }
 
-// body reads an answer, slowly or as fast as it comes.
-func (s *slowReader) body(ctx context.Context, from io.Reader, brisk bool) (string, error) {
-	if brisk {
+// body reads an answer, slowly or at full speed.
+func (s *slowReader) body(ctx context.Context, from io.Reader, fast bool) (string, error) {
+	if fast {
 		whole, err := io.ReadAll(from)
 		return string(whole), err
 	}
 	read := strings.Builder{}
 	for {
-		n, err := io.CopyN(&read, from, slowPiece)
+		n, err := io.CopyN(&read, from, slowReadSize)
 		if err != nil {
-			if err == io.EOF && n < slowPiece {
+			if err == io.EOF && n < slowReadSize {
 				err = nil
 			}
 			return read.String(), err
 		}
-		if !retry.Pause(ctx, slowPause) {
+		if !retry.Pause(ctx, slowReadPause) {
 			return read.String(), ctx.Err()
 		}
 	}
 }
 
-// judge tells the witness what an answer shows. One that broke off shows nothing.
-func (s *slowReader) judge(id string, response *http.Response, body string, err error) {
-	w, now := s.caller.run.witness, s.caller.run.since()
+// check records in the witness what an answer shows. An incomplete one is only counted.
+func (s *slowReader) check(id string, response *http.Response, body string, err error) {
+	w, now := s.caller.run.witness, s.caller.run.elapsed()
 	switch {
 	case err != nil:
 		w.Count("large answers: broken off")
@@ -117,19 +117,18 @@
 	}
 }
 
-// watchMemory judges that no process keeps more than its settings give it, until the context
-// ends.
+// watchMemory checks until the context ends that no process exceeds its memory limit.
 func (r *run) watchMemory(ctx context.Context) {
 	reported := make(map[string]bool)
-	for retry.Pause(ctx, memoryInterval) {
+	for retry.Pause(ctx, memoryCheckInterval) {
 		for _, each := range r.site.members {
 			usage, err := fleet.ReadUsage(each.Pid())
 			if err != nil || usage.ResidentBytes <= memoryMb<<20 || reported[each.Name] {
-				// A process that is being started again has no usage to read.
+				// The usage of a process that is restarting can't be read.
 				continue
 			}
 			reported[each.Name] = true
-			r.witness.Report(witness.MemoryExceeded, each.Name, fmt.Sprintf("%d MB", usage.ResidentBytes>>20), r.since())
+			r.witness.Report(witness.MemoryExceeded, each.Name, fmt.Sprintf("%d MB", usage.ResidentBytes>>20), r.elapsed())
 		}
 	}
 }
--- a/internal/bench/soak/soak_test.go
+++ b/internal/bench/soak/soak_test.go
@@ -9,9 +9,9 @@
 	"rockwind.example/rockwind/internal/bench/soak"
 )
 
-// TestShortSoakBreaksNothing runs the real program: every kind of fault may strike
-// for a few seconds, and all that was promised holds.
-func TestShortSoakBreaksNothing(t *testing.T) {
+// TestShortSoakHasNoViolations guards against violated invariants while all kinds of fault
+// affect real processes.
+func TestShortSoakHasNoViolations(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs real processes for a minute and a half")
 	}
--- a/internal/bench/soak/tenants.go
+++ b/internal/bench/soak/tenants.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	// floodingTenant sends many times its rate, modestTenant a fifth of it, and strangerName
-	// stands for callers whose key no configuration holds.
+	// floodingTenant sends far more than its rate limit, modestTenant a fifth of it.
+	// unknownTenant stands for callers with an API key that no configuration holds.
 	floodingTenant = "flooding"
 	modestTenant   = "modest"
-	strangerName   = "stranger"
-	// tenantRate and tenantBurst limit each tenant, in requests a second.
+	unknownTenant  = "stranger"
+	// tenantRate and tenantBurst limit each tenant, in requests per second and requests.
 	tenantRate  = 30.0
 	tenantBurst = 20
-	// floodCallers send the flood, each one request after the other with at most floodPause
-	// between: some 150 a second together.
+	// floodCallers is the number of concurrent callers of floodingTenant, and floodPause the
+	// maximum time between two requests of one: about 150 requests per second in total.
 	floodCallers = 4
 	floodPause   = 20 * time.Millisecond
-	// modestPause is the longest time between two requests of the modest tenant, and
-	// strangerPause that between two of callers without a tenant.
-	modestPause   = 300 * time.Millisecond
-	strangerPause = time.Second
+	// modestPause is the maximum time between two requests of modestTenant, and
+	// unknownTenantPause that of unknownTenant.
+	modestPause        = 300 * time.Millisecond
+	unknownTenantPause = time.Second
 )
 
-// tenants are those of the configuration, each with one key.
+// tenants returns the tenants of the configuration, each with one API key.
 func tenants() []*rockwindpb.Tenant {
 	var all []*rockwindpb.Tenant
 	for _, name := range []string{floodingTenant, modestTenant} {
@@ -45,7 +45,7 @@
 	return all
 }
 
-// tenantCaller sends requests under the key of a tenant.
+// tenantCaller sends requests with the API key of a tenant.
 type tenantCaller struct {
 	*caller
 	tenant string
@@ -56,7 +56,7 @@
 	return &tenantCaller{caller: newCaller(run, number), tenant: tenant, pause: pause}
 }
 
-// tenantCallers are those of the flood, of the modest tenant and of a stranger.
+// tenantCallers sets the rate limits in the witness and returns the callers of all tenants.
 func (r *run) tenantCallers() []*tenantCaller {
 	for _, tenant := range tenants() {
 		r.witness.SetRateLimit(tenant.GetName(), witness.NewRate(tenantRate, tenantBurst))
@@ -64,7 +64,7 @@
 	first := callers + slowReaders
 	all := []*tenantCaller{
 		newTenantCaller(r, first, modestTenant, modestPause),
-		newTenantCaller(r, first+1, strangerName, strangerPause),
+		newTenantCaller(r, first+1, unknownTenant, unknownTenantPause),
 	}
 	for number := range floodCallers {
 		all = append(all, newTenantCaller(r, first+len(all)+number, floodingTenant, floodPause))
@@ -82,14 +82,14 @@
 func (c *tenantCaller) request(ctx context.Context) {
 	c.sent++
 	id := fmt.Sprintf("tenant-%s-%d-%d", c.tenant, c.number, c.sent)
-	calling, cancel := context.WithTimeout(ctx, patience)
+	calling, cancel := context.WithTimeout(ctx, callerTimeout)
 	defer cancel()
-	request, err := newRequest(calling, c.run.site.someRouter(c.random), backend.PathTenant+id, id, id, patience)
+	request, err := newRequest(calling, c.run.site.randomRouter(c.random), backend.PathTenant+id, id, id, callerTimeout)
 	if err != nil {
 		return
 	}
 	request.Header.Set("Authorization", "Bearer "+fleet.APIKey(c.tenant))
-	sent := c.run.since()
+	sent := c.run.elapsed()
 	c.run.witness.SentForTenant(c.tenant, id, sent)
 	response, err := c.client.Do(request)
 	if err != nil {
@@ -98,13 +98,13 @@
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
 	if err == nil {
-		c.judge(id, sent, answer{status: response.StatusCode, body: string(body)})
+		c.check(id, sent, answer{status: response.StatusCode, body: string(body)})
 	}
 }
 
-// judge tells the witness what an answer shows.
-func (c *tenantCaller) judge(id string, sent time.Duration, got answer) {
-	w, now := c.run.witness, c.run.since()
+// check records in the witness what an answer shows.
+func (c *tenantCaller) check(id string, sent time.Duration, got answer) {
+	w, now := c.run.witness, c.run.elapsed()
 	w.Count(fmt.Sprintf("requests of tenant %s: status %d", c.tenant, got.status))
 	switch got.status {
 	case http.StatusOK:
@@ -112,13 +112,13 @@
 			w.Report(witness.WrongAnswer, id, fmt.Sprintf("%q", got.body), now)
 		}
 	case http.StatusUnauthorized:
-		if c.tenant != strangerName {
+		if c.tenant != unknownTenant {
 			w.Report(witness.Denied, id, got.body, now)
 		}
 		w.Refused(id, now)
 	case http.StatusTooManyRequests:
 		w.Refused(id, now)
-		if c.tenant == modestTenant && c.run.calm.since(sent) {
+		if c.tenant == modestTenant && c.run.faults.quietSince(sent) {
 			w.Report(witness.RefusedWithinRate, id, got.body, now)
 		}
 	case http.StatusServiceUnavailable:
--- a/internal/bench/soak/witness/tenants.go
+++ b/internal/bench/soak/witness/tenants.go
@@ -8,56 +8,56 @@
 
 // Rules about tenants.
 const (
-	// RateExceeded: more requests of a tenant ran within a span than its rate allows.
+	// RateExceeded: more requests of a tenant ran within RateSpan than its rate limit allows.
 	RateExceeded Rule = "rate exceeded"
-	// RefusedWithinRate: a request of a tenant within its rate was refused for the rate in calm
-	// times.
+	// RefusedWithinRate: a request of a tenant within its rate limit was refused by the limit
+	// in a fault-free period.
 	RefusedWithinRate Rule = "refused within its rate"
-	// WrongTenant: a back end got a request under another tenant than its key's, or without a
-	// tenant; or one whose key no configuration holds; or it was told a key.
+	// WrongTenant: a backend got a request for no tenant, for another tenant than that of its
+	// API key, or with an unknown API key; or the API key itself was forwarded to it.
 	WrongTenant Rule = "wrong tenant"
 )
 
 const (
-	// RateSpan is the span over which a rate is judged, RateTolerance the part beyond it that
-	// owners of a count may grant as they change, and RateSlack the requests.
+	// Rates are checked over each RateSpan. RateTolerance is the fraction, and RateSlack the
+	// number of requests, by which they may be exceeded when the owner of a counter changes.
 	RateSpan      = 5 * time.Second
 	RateTolerance = 0.1
 	RateSlack     = 20
 )
 
-// Rate is the limit of a tenant's requests.
+// Rate is the rate limit of a tenant.
 type Rate struct {
 	perSecond float64
 	burst     float64
 }
 
-// NewRate describes a limit of so many requests a second with a burst.
+// NewRate returns a limit in requests per second with a burst.
 func NewRate(perSecond, burst float64) Rate { return Rate{perSecond: perSecond, burst: burst} }
 
-// most is how many requests may run within a span.
-func (r Rate) most(span time.Duration) int {
+// maximum returns how many requests may run within a span.
+func (r Rate) maximum(span time.Duration) int {
 	return int((r.perSecond*span.Seconds()+r.burst)*(1+RateTolerance)) + RateSlack
 }
 
-// tenantRun is a request of a tenant with when it was sent and when it first ran.
+// tenantRun records when a request of a tenant was sent and first ran.
 type tenantRun struct{ sent, ran time.Duration }
 
-// tenant is what was seen of a tenant's requests.
+// tenant is what was recorded of the requests of a tenant.
 type tenant struct {
 	rate Rate
 	sent map[string]time.Duration
 	runs []tenantRun
 }
 
-// SetRateLimit tells of a tenant with a limit.
+// SetRateLimit adds a tenant with a rate limit.
 func (w *Witness) SetRateLimit(name string, rate Rate) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.tenants[name] = &tenant{rate: rate, sent: make(map[string]time.Duration)}
 }
 
-// SentForTenant notes that a tenant sends a request.
+// SentForTenant records that a tenant sends a request.
 func (w *Witness) SentForTenant(name, id string, at time.Duration) {
 	w.Sent(id, false)
 	w.mutex.Lock()
@@ -67,7 +67,7 @@
 	}
 }
 
-// RanForTenant notes that a back end began to work on a request that it was told to be a tenant's.
+// RanForTenant records that a backend started a request that was forwarded for a tenant.
 func (w *Witness) RanForTenant(name, id, server string, at time.Duration) {
 	w.Ran(id, server, at)
 	w.mutex.Lock()
@@ -77,8 +77,8 @@
 		w.report(WrongTenant, id, fmt.Sprintf("it ran for %q", name), at)
 		return
 	}
-	sent, own := known.sent[id]
-	if !own {
+	sent, pending := known.sent[id]
+	if !pending {
 		if len(w.requests[id].runs) == 1 {
 			w.report(WrongTenant, id, fmt.Sprintf("it ran for %q, which did not send it", name), at)
 		}
@@ -89,27 +89,27 @@
 	known.runs = append(known.runs, tenantRun{sent: sent, ran: at})
 }
 
-// judgeRates looks at each span that ends with a run. A request counts that was sent and ran
-// within it: one that was granted may be long on its way. The mutex is held.
-func (w *Witness) judgeRates() {
+// checkRates checks each span that ends with a run. It counts only requests sent within the
+// span, as a request may run long after the limiter admitted it. w.mutex must be held.
+func (w *Witness) checkRates() {
 	for name, each := range w.tenants {
 		slices.SortFunc(each.runs, func(a, b tenantRun) int { return int(a.ran - b.ran) })
-		most := each.rate.most(RateSpan)
+		maximum := each.rate.maximum(RateSpan)
 		for last, run := range each.runs {
-			if count := each.within(last); count > most {
-				w.report(RateExceeded, name, fmt.Sprintf("%d requests ran within %v, %d are allowed", count, RateSpan, most), run.ran)
+			if count := each.countInSpan(last); count > maximum {
+				w.report(RateExceeded, name, fmt.Sprintf("%d requests ran within %v, %d are allowed", count, RateSpan, maximum), run.ran)
 				break
 			}
 		}
 	}
 }
 
-// within counts the requests that were sent and ran within the span that ends with a run.
-func (t *tenant) within(last int) int {
+// countInSpan counts the requests sent and run within the span that ends with run last.
+func (t *tenant) countInSpan(last int) int {
 	begin := t.runs[last].ran - RateSpan
 	count := 0
-	for place := last; place >= 0 && t.runs[place].ran >= begin; place-- {
-		if t.runs[place].sent >= begin {
+	for index := last; index >= 0 && t.runs[index].ran >= begin; index-- {
+		if t.runs[index].sent >= begin {
 			count++
 		}
 	}
--- a/internal/bench/soak/witness/witness.go
+++ b/internal/bench/soak/witness/witness.go
@@ -1,6 +1,6 @@
-// Package witness holds what the callers and the back ends of a soak saw, and
-// judges it by what must always hold. It knows nothing of the processes between
-// them. It is safe for concurrent use; times are arguments.
+// Package witness records what the callers and backends of a soak observe and checks it
+// against invariants. It knows nothing of the processes between them. It is safe for
+// concurrent use; times are arguments.
 package witness
 
 import (
@@ -11,52 +11,51 @@
 	"time"
 )
 
-// Rule names something that must always hold.
+// Rule names an invariant.
 type Rule string
 
-// The rules.
 const (
-	// RanTwice: a request that may run once ran more often.
+	// RanTwice: an at-most-once request ran more than once.
 	RanTwice Rule = "ran twice"
 	// RefusedButRan: a request that was refused as not run has run.
 	RefusedButRan Rule = "refused, but ran"
-	// WrongAnswer: a caller got an answer that is not the whole answer to its request.
+	// WrongAnswer: a caller got an incomplete answer or that of another request.
 	WrongAnswer Rule = "wrong answer"
-	// Denied: a proper request was refused as improper.
+	// Denied: a valid request was rejected as invalid.
 	Denied Rule = "denied"
-	// JobLost: a job that was accepted is not known.
+	// JobLost: an accepted job was not found.
 	JobLost Rule = "job lost"
-	// ItemLost: an item of an open job has no result at the end.
+	// ItemLost: an item of an open job has no result at the end of the soak.
 	ItemLost Rule = "item lost"
 	// ResultChanged: a position of a job shows another result than before.
 	ResultChanged Rule = "result changed"
-	// ResultWrong: a result is not what the item's back end made.
+	// ResultWrong: a result is not what the backend returned for the item.
 	ResultWrong Rule = "result wrong"
-	// ItemDuplicated: an item has two positions.
+	// ItemDuplicated: a job lists an item at two positions.
 	ItemDuplicated Rule = "item twice"
-	// RanAfterEnd: an item was begun long after the end of its job was acknowledged.
+	// RanAfterEnd: an item was started later than endGrace after the end of its job.
 	RanAfterEnd Rule = "ran after end"
-	// RefusedJobRan: an item ran although its job was refused each time.
+	// RefusedJobRan: an item ran although each submission of its job was refused.
 	RefusedJobRan Rule = "refused job ran"
-	// ConfigurationOld: a read shows an older configuration than was acknowledged.
+	// ConfigurationOld: a read returned an older configuration than was acknowledged.
 	ConfigurationOld Rule = "configuration old"
 	// ConfigurationReverted: a process went back to an older configuration.
 	ConfigurationReverted Rule = "configuration reverted"
-	// ConfigurationLate: a configuration is not in force in calm times.
+	// ConfigurationLate: a configuration was not in force in time in a fault-free period.
 	ConfigurationLate Rule = "configuration late"
-	// DrainedServerUsed: a server that has left got a new request in calm times.
+	// DrainedServerUsed: a drained server got a new request in a fault-free period.
 	DrainedServerUsed Rule = "leaving server used"
-	// LiveServerUnused: a server that runs and reports gets no requests in calm times.
+	// LiveServerUnused: a server that runs and reports got no requests in a fault-free period.
 	LiveServerUnused Rule = "live server forgotten"
-	// MemoryExceeded: a process keeps more than the memory that its settings give it.
+	// MemoryExceeded: a process exceeded its memory limit.
 	MemoryExceeded Rule = "memory exceeded"
-	// QuarantinedButRan: a request under which three back ends have ended runs on and on.
+	// QuarantinedButRan: requests that crashed three backends kept running.
 	QuarantinedButRan Rule = "held, but ran"
-	// NoRecovery: requests are not served once everything runs again.
+	// NoRecovery: requests were not served in time after the last fault.
 	NoRecovery Rule = "no recovery"
 )
 
-// Violation is one breach of a rule.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule    Rule          `json:"rule"`
 	Subject string        `json:"subject"`
@@ -64,67 +63,64 @@
 	At      time.Duration `json:"at"`
 }
 
-// maximumViolations bounds the violations that are kept.
+// maximumViolations limits the violations that are kept.
 const maximumViolations = 50
 
-// endGrace is how long after the acknowledged end of a job one of its items may
-// still be begun.
+// endGrace is how long after the acknowledged end of a job its items may still be started.
 const endGrace = 3 * time.Second
 
-// Witness gathers what was seen. Times are durations since the soak began.
+// Witness records observations. Times are durations since the start of the soak.
 type Witness struct {
-	mutex      sync.Mutex
-	requests   map[string]*request
-	jobs       map[string]*job
-	enders     map[string]*ender
-	tenants    map[string]*tenant
-	violations []Violation
-	counts     map[string]int
+	mutex            sync.Mutex
+	requests         map[string]*request
+	jobs             map[string]*job
+	crashingContents map[string]*crashingContent
+	tenants          map[string]*tenant
+	violations       []Violation
+	counts           map[string]int
 }
 
-// ender is a content that ends each back end that runs it.
-type ender struct {
-	ends int
-	// convictedAt is when the third back end ended.
-	convictedAt time.Duration
-	// late counts the runs in calm times that began later than all may be bound to know.
-	late int
+// crashingContent is a request content that crashes each backend that runs it.
+type crashingContent struct {
+	crashes int
+	// quarantinedAt is when it crashed the backend that makes it due for quarantine.
+	quarantinedAt time.Duration
+	// lateCrashes counts its crashes in fault-free periods once it had to be quarantined.
+	lateCrashes int
 }
 
 const (
-	// endsToHold is how many back ends have to end under a content before the site is bound
-	// to know, knownWithin how long that may take, and lateRuns how many more runs of it the
-	// site may try.
-	endsToHold  = 3
-	knownWithin = 4 * time.Second
-	lateRuns    = 3
+	// A content must be quarantined within quarantineWithin of its crash number
+	// crashesToQuarantine; maximumLateCrashes is how many more crashes are tolerated
+	// after that.
+	crashesToQuarantine = 3
+	quarantineWithin    = 4 * time.Second
+	maximumLateCrashes  = 3
 )
 
-// request is one online request.
 type request struct {
 	once    bool
 	runs    []string
 	refused bool
 }
 
-// job is one batch job with what was seen of it.
+// job is what was recorded of a batch job.
 type job struct {
 	items    map[string]*item
 	accepted bool
-	// doubt tells that an attempt to submit it had no clear answer.
-	doubt     bool
-	endSought bool
-	ended     bool
-	endedAt   time.Duration
-	positions []Result
+	// uncertain is set if the outcome of an attempt to submit it is unknown.
+	uncertain    bool
+	endRequested bool
+	ended        bool
+	endedAt      time.Duration
+	positions    []Result
 }
 
-// item is one item of a job.
 type item struct {
 	text   string
 	poison bool
 	runs   int
-	placed bool
+	listed bool
 }
 
 // Result is one result as a reader sees it.
@@ -134,20 +130,20 @@
 	text string
 }
 
-// NewResult describes a result: done with a text, or dead.
+// NewResult returns a result: done with a text, or failed for good.
 func NewResult(item string, done bool, text string) Result {
 	return Result{item: item, done: done, text: text}
 }
 
-// New returns a witness that has seen nothing.
+// New returns an empty witness.
 func New() *Witness {
 	return &Witness{
-		requests: make(map[string]*request), jobs: make(map[string]*job), enders: make(map[string]*ender),
+		requests: make(map[string]*request), jobs: make(map[string]*job), crashingContents: make(map[string]*crashingContent),
 		tenants: make(map[string]*tenant), counts: make(map[string]int),
 	}
 }
 
-// Report notes a breach that its observer judged itself.
+// Report records a violation that the caller detected.
 func (w *Witness) Report(rule Rule, subject, detail string, at time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -161,14 +157,14 @@
 	}
 }
 
-// Count adds to a figure of the report.
+// Count increments a counter of the report.
 func (w *Witness) Count(figure string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.counts[figure]++
 }
 
-// Sent notes that a caller sends a request under an identifier of its own.
+// Sent records that a caller sends a request with a unique ID; once means at most once.
 func (w *Witness) Sent(id string, once bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -182,7 +178,7 @@
 	return w.requests[id]
 }
 
-// Ran notes that a back end began to work on an online request.
+// Ran records that a backend started an online request.
 func (w *Witness) Ran(id, server string, at time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -196,31 +192,31 @@
 	}
 }
 
-// BackendCrashed notes that a content has ended a back end. Calm tells that nothing has
-// disturbed the processes lately.
-func (w *Witness) BackendCrashed(content, server string, at time.Duration, calm bool) {
+// BackendCrashed records that a request with a content crashed a backend; faultFree
+// tells whether no fault was active lately.
+func (w *Witness) BackendCrashed(content, server string, at time.Duration, faultFree bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.counts["back ends ended by requests"]++
-	seen := w.enders[content]
+	seen := w.crashingContents[content]
 	if seen == nil {
-		seen = &ender{}
-		w.enders[content] = seen
+		seen = &crashingContent{}
+		w.crashingContents[content] = seen
 	}
-	seen.ends++
-	if seen.ends == endsToHold {
-		seen.convictedAt = at
+	seen.crashes++
+	if seen.crashes == crashesToQuarantine {
+		seen.quarantinedAt = at
 	}
-	if seen.ends <= endsToHold || !calm || at-seen.convictedAt < knownWithin {
+	if seen.crashes <= crashesToQuarantine || !faultFree || at-seen.quarantinedAt < quarantineWithin {
 		return
 	}
-	seen.late++
-	if seen.late == lateRuns+1 {
-		w.report(QuarantinedButRan, content, fmt.Sprintf("%d back ends ended, the third at %v, the last one is %s", seen.ends, seen.convictedAt, server), at)
+	seen.lateCrashes++
+	if seen.lateCrashes == maximumLateCrashes+1 {
+		w.report(QuarantinedButRan, content, fmt.Sprintf("%d back ends ended, the third at %v, the last one is %s", seen.crashes, seen.quarantinedAt, server), at)
 	}
 }
 
-// Refused notes that a caller was told that its request has not run.
+// Refused records that a caller was told that its request has not run.
 func (w *Witness) Refused(id string, at time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -231,8 +227,8 @@
 	}
 }
 
-// Submitting notes a job that is about to be submitted: the expected text of each
-// item, empty for one that no back end can do.
+// Submitting records a job before its submission, with the expected text of each item,
+// which is empty for a poison item.
 func (w *Witness) Submitting(id string, texts map[string]string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -243,35 +239,34 @@
 	w.jobs[id] = made
 }
 
-// Accepted notes that a job was accepted.
 func (w *Witness) Accepted(id string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.jobs[id].accepted = true
 }
 
-// SubmissionUncertain notes that an attempt to submit a job had no clear answer.
+// SubmissionUncertain records that an attempt to submit a job had an unknown outcome.
 func (w *Witness) SubmissionUncertain(id string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.jobs[id].doubt = true
+	w.jobs[id].uncertain = true
 }
 
-// Ending notes that a caller begins to end a job: its items owe nothing more.
+// Ending records that a caller starts to end a job: its items need no results any more.
 func (w *Witness) Ending(id string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.jobs[id].endSought = true
+	w.jobs[id].endRequested = true
 }
 
-// Ended notes that the end of a job was acknowledged.
+// Ended records that the end of a job was acknowledged.
 func (w *Witness) Ended(id string, at time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.jobs[id].ended, w.jobs[id].endedAt = true, at
 }
 
-// ItemRan notes that a back end began to work on an item.
+// ItemRan records that a backend started an item.
 func (w *Witness) ItemRan(jobID, itemID, server string, at time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -287,7 +282,7 @@
 	}
 }
 
-// JobNotFound notes that a reader was told that an accepted job does not exist.
+// JobNotFound records that a reader was told that a job doesn't exist.
 func (w *Witness) JobNotFound(id, detail string, at time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -296,7 +291,7 @@
 	}
 }
 
-// Results notes the results of a job that a reader saw from a position on.
+// Results records the results of a job that a reader saw, starting at a position.
 func (w *Witness) Results(id string, from int, seen []Result, at time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -310,26 +305,26 @@
 			}
 		case position == len(found.positions):
 			found.positions = append(found.positions, result)
-			w.place(id, found, result, at)
+			w.recordResult(id, found, result, at)
 		}
 	}
 }
 
-// place judges a result that is seen for the first time.
-func (w *Witness) place(id string, found *job, result Result, at time.Duration) {
+// recordResult checks a result that is seen for the first time.
+func (w *Witness) recordResult(id string, found *job, result Result, at time.Duration) {
 	expected := found.items[result.item]
 	if expected == nil {
 		w.report(ResultWrong, id, "it lists item "+result.item+", which is not its own", at)
 		return
 	}
-	if expected.placed {
+	if expected.listed {
 		w.report(ItemDuplicated, id, "it lists item "+result.item+" again", at)
 	}
-	expected.placed = true
+	expected.listed = true
 	switch {
 	case result.done && (expected.poison || result.text != expected.text):
 		w.report(ResultWrong, id, fmt.Sprintf("item %s is done with %q, want %q", result.item, result.text, expected.text), at)
-	case !result.done && !expected.poison && !found.endSought:
+	case !result.done && !expected.poison && !found.endRequested:
 		w.report(ResultWrong, id, "item "+result.item+" is dead", at)
 	}
 	w.counts["results"]++
@@ -341,7 +336,7 @@
 	defer w.mutex.Unlock()
 	var open []string
 	for id, each := range w.jobs {
-		if each.accepted && !each.endSought && len(each.positions) < len(each.items) {
+		if each.accepted && !each.endRequested && len(each.positions) < len(each.items) {
 			open = append(open, id)
 		}
 	}
@@ -363,7 +358,7 @@
 	return accepted
 }
 
-// Finish judges what can be judged at the end only.
+// Finish makes the checks that are possible only at the end of the soak.
 func (w *Witness) Finish(at time.Duration) {
 	for _, id := range w.Open() {
 		w.mutex.Lock()
@@ -373,24 +368,24 @@
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.judgeRates()
+	w.checkRates()
 	for id, each := range w.jobs {
 		for name, one := range each.items {
-			if one.runs > 0 && !each.accepted && !each.doubt {
+			if one.runs > 0 && !each.accepted && !each.uncertain {
 				w.report(RefusedJobRan, id, "item "+name+" ran", at)
 			}
 		}
 	}
 }
 
-// Violations are the breaches seen, the first ones only where there are many.
+// Violations returns the first maximumViolations violations.
 func (w *Witness) Violations() []Violation {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return slices.Clone(w.violations)
 }
 
-// Counts are the figures of the report.
+// Counts returns the counters of the report.
 func (w *Witness) Counts() map[string]int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/internal/bench/soak/witness/witness_test.go
+++ b/internal/bench/soak/witness/witness_test.go
@@ -8,29 +8,29 @@
 	"rockwind.example/rockwind/internal/bench/soak/witness"
 )
 
-// rules lists the rules that a witness saw broken.
+// rules counts the violations of each rule.
 func rules(w *witness.Witness) map[witness.Rule]int {
-	seen := map[witness.Rule]int{}
+	counts := map[witness.Rule]int{}
 	for _, violation := range w.Violations() {
-		seen[violation.Rule]++
+		counts[violation.Rule]++
 	}
-	return seen
+	return counts
 }
 
 func expect(t *testing.T, w *witness.Witness, want ...witness.Rule) {
 	t.Helper()
 	seen := rules(w)
 	if len(seen) != len(want) {
-		t.Fatalf("broken: %v, want %v", w.Violations(), want)
+		t.Fatalf("violations: %v, want %v", w.Violations(), want)
 	}
 	for _, rule := range want {
 		if seen[rule] == 0 {
-			t.Fatalf("broken: %v, want %v", w.Violations(), want)
+			t.Fatalf("violations: %v, want %v", w.Violations(), want)
 		}
 	}
 }
 
-// submitted returns a witness of one job with a good item and a poisoned one.
+// submitted returns a witness of one job with a good item and a poison item.
 func submitted() *witness.Witness {
 	w := witness.New()
 	w.Submitting("job", map[string]string{"good": "text", "poison": ""})
@@ -42,7 +42,7 @@
 	poison = witness.NewResult("poison", false, "")
 )
 
-func TestWhatIsRightBreaksNothing(t *testing.T) {
+func TestCorrectRunHasNoViolations(t *testing.T) {
 	w := submitted()
 	w.Sent("once", true)
 	w.Ran("once", "a", 0)
@@ -60,7 +60,7 @@
 	}
 	w.SetRateLimit("tenant", witness.NewRate(10, 5))
 	for i := range 80 {
-		// What was sent before the span, or runs again, is not of the span.
+		// Requests sent before the span, and repeated runs, don't count.
 		for _, sent := range []time.Duration{0, time.Minute} {
 			id := fmt.Sprint("r-", i, "-", sent)
 			w.SentForTenant("tenant", id, sent)
@@ -77,10 +77,10 @@
 	expect(t, w)
 }
 
-// TestEachBreachIsSeen brings each breach about that the witness judges itself.
-func TestEachBreachIsSeen(t *testing.T) {
+// TestEachViolationIsDetected guards against violations that the witness fails to detect.
+func TestEachViolationIsDetected(t *testing.T) {
 	const now = 10 * time.Second
-	for rule, breach := range map[witness.Rule]func(*witness.Witness){
+	for rule, violate := range map[witness.Rule]func(*witness.Witness){
 		witness.RanTwice: func(w *witness.Witness) {
 			w.Sent("r", true)
 			w.Ran("r", "a", now)
@@ -143,15 +143,15 @@
 		witness.WrongAnswer:   func(w *witness.Witness) { w.ItemRan("job", "other", "a", now) },
 	} {
 		w := submitted()
-		breach(w)
+		violate(w)
 		w.Finish(now)
 		if rules(w)[rule] == 0 {
-			t.Errorf("%s was not seen; broken: %v", rule, w.Violations())
+			t.Errorf("%s was not detected; violations: %v", rule, w.Violations())
 		}
 	}
 }
 
-func TestItemThatDiesWithoutReasonIsWrongUnlessItsJobIsEnded(t *testing.T) {
+func TestFailedItemIsViolationUnlessPoisonOrItsJobEnded(t *testing.T) {
 	dead := witness.NewResult("good", false, "")
 	w := submitted()
 	w.Accepted("job")
@@ -167,7 +167,7 @@
 	expect(t, w)
 }
 
-func TestJobInDoubtMayRun(t *testing.T) {
+func TestItemOfUncertainSubmissionMayRun(t *testing.T) {
 	w := submitted()
 	w.SubmissionUncertain("job")
 	w.ItemRan("job", "good", "a", 0)
