--- a/internal/bench/experiment/calibration/simulated.go
+++ b/internal/bench/experiment/calibration/simulated.go
@@ -23,12 +23,12 @@
 // gateway N of the fleet is gateway N of the simulator.
 func (o *Options) scenario(replay *simulator.Replay, hops hopTimes) simulator.Scenario {
 	config := engine.DefaultConfig()
-	config.MilestonesOnly = true
+	config.OmitIntermediateTokens = true
 	// Gateways track online answers token by token.
-	config.OnlineTokens = true
+	config.KeepOnlineTokens = true
 	return simulator.Scenario{
 		Name: "calibration", Zones: o.Zones, GatewaysPerZone: 1, EnginesPerZone: o.EnginesPerZone,
-		ZoneDelay: hops.median, LocalDelay: hops.median, ClientDelay: hops.median, HopNoise: hops.noise,
+		ZoneDelay: hops.median, LocalDelay: hops.median, ClientDelay: hops.median, HopJitter: hops.noise,
 		Engine: config, Objective: sharing.Throughput,
 		PollInterval: pollInterval, ExchangeInterval: exchangeInterval,
 		Batch:  []simulator.BatchLoad{{Group: fleet.GroupScheduling, Share: 1, Deadline: jobDeadline}},
--- a/internal/bench/experiment/shares/judge.go
+++ b/internal/bench/experiment/shares/judge.go
@@ -10,7 +10,7 @@
 // evaluator computes metrics from the samples of one run.
 type evaluator struct {
 	scenario *simulator.Scenario
-	samples  []simulator.ServedSample
+	samples  []simulator.ServiceSample
 }
 
 // window holds sums over consecutive samples.
@@ -31,7 +31,7 @@
 		for group := range groups {
 			sums.received[group] += sample.Cost[group]
 			sums.total += sample.Cost[group]
-			sums.backlogged[group] = sums.backlogged[group] && sample.Wanted[group]
+			sums.backlogged[group] = sums.backlogged[group] && sample.Backlogged[group]
 		}
 	}
 	return sums
@@ -110,12 +110,12 @@
 	places, free := 0, 0
 	for _, sample := range e.samples[e.samplesIn(e.scenario.Warmup):e.samplesIn(e.scenario.End())] {
 		waiting := false
-		for _, wanted := range sample.Wanted {
+		for _, wanted := range sample.Backlogged {
 			waiting = waiting || wanted
 		}
 		if waiting {
-			places += sample.Places
-			free += sample.Free
+			places += sample.Slots
+			free += sample.FreeSlots
 		}
 	}
 	return float64(free) / float64(max(1, places))
--- a/internal/bench/experiment/sharing/experiment.go
+++ b/internal/bench/experiment/sharing/experiment.go
@@ -160,7 +160,7 @@
 	run.batchOnly = simulator.Run(scenario, simulator.BatchAlone(&scenario), seed)
 	run.oracle = oracle(withTarget, &run.onlineOnly, seed)
 	run.shared = append(run.shared, simulator.Run(scenario, simulator.Rockwind(&scenario), seed))
-	run.shared = append(run.shared, simulator.Run(withTarget, simulator.Told(&withTarget), seed))
+	run.shared = append(run.shared, simulator.Run(withTarget, simulator.RockwindWithTarget(&withTarget), seed))
 	for _, baseline := range simulator.Baselines(&scenario) {
 		run.shared = append(run.shared, simulator.Run(scenario, baseline, seed))
 	}
@@ -210,7 +210,7 @@
 	r.AimsMet = r.WorstHarm <= maxHarm && r.LeastThroughput >= minThroughput
 	for index := range r.Policies[1:] {
 		baseline := &r.Policies[index+1]
-		if baseline.Name == simulator.OracleName || baseline.Name == simulator.ToldName {
+		if baseline.Name == simulator.OracleName || baseline.Name == simulator.RockwindWithTargetName {
 			continue
 		}
 		lessHarm := baseline.Harm() <= rockwind.Harm()
--- a/internal/catalog/mutant_test.go
+++ b/internal/catalog/mutant_test.go
@@ -10,6 +10,6 @@
 
 func TestOracleNoticesAMissingCompare(t *testing.T) {
 	if !mutant.Noticed(t, func(t *rapid.T) { run(t, hooks{skipCompare: true}) }) {
-		t.Error("a machine that does not compare numbers and checksums passes")
+		t.Error("the oracle accepts a machine that does not compare numbers and checksums")
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -14,12 +14,12 @@
 	"rockwind.example/rockwind/internal/configuration"
 	"rockwind.example/rockwind/internal/controlclient"
 	"rockwind.example/rockwind/internal/follower"
-	"rockwind.example/rockwind/internal/tenantlimits"
 	"rockwind.example/rockwind/internal/linkfault"
 	"rockwind.example/rockwind/internal/logring"
 	"rockwind.example/rockwind/internal/retry"
 	"rockwind.example/rockwind/internal/rockwindpb"
 	"rockwind.example/rockwind/internal/serverview"
+	"rockwind.example/rockwind/internal/tenantlimits"
 	"rockwind.example/rockwind/internal/upstream"
 )
 
@@ -151,7 +151,7 @@
 		Holder: settings.GetName() + "/" + strconv.FormatInt(g.started.UnixMilli(), 10),
 		Jobs:   client.Jobs(), Bodies: client.Bodies(), Relay: g.relay, View: g.view,
 		Current: follower.Current, Concurrency: int(settings.GetBatchConcurrency()),
-		Served: g.addBatchUsage, Ended: g.metrics.itemEnded, Log: logger,
+		OnServed: g.addBatchUsage, OnItemEnd: g.metrics.itemEnded, Log: logger,
 	})
 	return g
 }
