--- a/internal/bench/experiment/faults/command.go
+++ b/internal/bench/experiment/faults/command.go
@@ -79,7 +79,8 @@
 	clientIdleConns = 64
 )
 
-// Run implements the command.
+// Run starts the fleet, runs the experiment and prints the report. It fails if a count of
+// violations is above zero.
 func (c *Command) Run() error {
 	folder := c.Folder
 	if folder == "" {
--- a/internal/bench/experiment/faults/schedule.go
+++ b/internal/bench/experiment/faults/schedule.go
@@ -36,7 +36,7 @@
 	// FreezeGateway suspends the process of a gateway for up to twice the longest
 	// fault, so that its leases can expire.
 	FreezeGateway Kind = "freeze-gateway"
-	// CutGateway drops the traffic between a gateway and all control machines, for as
+	// CutGateway drops the traffic from a gateway to all control machines, for as
 	// long as FreezeGateway.
 	CutGateway Kind = "cut-gateway"
 	// MissChanges keeps a gateway down while hundreds of configurations are applied.
