--- a/internal/bench/demo/demo.go
+++ b/internal/bench/demo/demo.go
@@ -142,7 +142,7 @@
 	}
 	trace := load.Generate(mixes, c.Duration, rand.New(rand.NewSource(c.Seed)))
 	next := 0
-	schedule := func() (load.Planned, bool) {
+	schedule := func() (load.ScheduledCall, bool) {
 		for next < len(trace) {
 			number := next
 			next++
@@ -152,9 +152,9 @@
 			}
 			call.Target = running.Gateways[number%len(running.Gateways)].Address
 			call.APIKey = fleet.APIKey(trace[number].Tenant)
-			return load.Planned{At: trace[number].At(), Call: call, Class: class(trace[number])}, true
+			return load.ScheduledCall{At: trace[number].At(), Call: call, Class: class(trace[number])}, true
 		}
-		return load.Planned{}, false
+		return load.ScheduledCall{}, false
 	}
 	return load.Run(ctx, schedule, load.Options{})
 }
--- a/internal/bench/experiment/calibration/processes.go
+++ b/internal/bench/experiment/calibration/processes.go
@@ -51,7 +51,7 @@
 	gathered measured
 }
 
-func (c *collector) observe(planned load.Planned, answer load.Measured) {
+func (c *collector) observe(planned load.ScheduledCall, answer load.Measurement) {
 	if planned.At < c.from {
 		return
 	}
--- a/internal/bench/experiment/calibration/trace.go
+++ b/internal/bench/experiment/calibration/trace.go
@@ -29,11 +29,11 @@
 			{Weight: 5, Kind: load.KindOnline, Model: fleet.ModelName, PromptTokens: 300, AnswerTokens: 80, Spread: 0.5, Prefixes: 4, PrefixTokens: 192, Stream: true},
 			{Weight: 1, Kind: load.KindOnline, Model: fleet.ModelName, PromptTokens: 2500, AnswerTokens: 150, Spread: 0.4, Stream: true},
 		},
-		JobsPerHeap: 1, ItemsPerJob: items,
+		JobsPerBurst: 1, ItemsPerJob: items,
 		Item: load.RequestShape{Kind: load.KindJob, Model: fleet.ModelName, PromptTokens: 300, AnswerTokens: 100, Spread: 0.2, Prefixes: 4, PrefixTokens: 128},
 	}
 	if items > 0 {
-		mix.JobEvery = heapEvery
+		mix.JobBurstInterval = heapEvery
 	}
 	return load.Generate([]load.Mix{mix}, duration, rand.New(rand.NewSource(seed)))
 }
--- a/internal/bench/experiment/faults/command.go
+++ b/internal/bench/experiment/faults/command.go
@@ -150,7 +150,7 @@
 	for number, name := range []string{"operator-a", "operator-b", "operator-in-a-hurry"} {
 		made.operators = append(made.operators, &operator{
 			name: name, fleet: running, record: seen, history: history, client: number,
-			number:  running.Number(),
+			number:  running.ConfigurationNumber(),
 			service: controlclient.New(controlclient.Options{Machines: running.ControlMachines()}).Configuration(),
 		})
 	}
@@ -183,7 +183,7 @@
 func (c *Command) experiment(ctx context.Context, running *fleet.Fleet) (*Report, error) {
 	seen := &record{}
 	history := newApplyHistory()
-	first := running.Number()
+	first := running.ConfigurationNumber()
 	made := c.parts(running, seen, history)
 	report := &Report{Seed: c.Seed, DurationSeconds: c.Duration.Seconds(), Faults: map[Kind]int{}}
 	if err := c.storm(ctx, made, report); err != nil {
--- a/internal/bench/experiment/faults/injector.go
+++ b/internal/bench/experiment/faults/injector.go
@@ -123,9 +123,9 @@
 }
 
 func freeze(ctx context.Context, victim *fleet.Process, length time.Duration) error {
-	victim.Freeze()
+	victim.Suspend()
 	wait(ctx, length)
-	victim.Thaw()
+	victim.Resume()
 	return nil
 }
 
--- a/internal/bench/experiment/faults/repair.go
+++ b/internal/bench/experiment/faults/repair.go
@@ -47,7 +47,7 @@
 
 func (i *injector) clusterView(ctx context.Context) (clusterView, error) {
 	seen := clusterView{}
-	output, err := i.fleet.OperateOutput(ctx, "cluster", "status", "--output", "json")
+	output, err := i.fleet.RunCommandOutput(ctx, "cluster", "status", "--output", "json")
 	if err != nil {
 		return seen, err
 	}
--- a/internal/bench/experiment/overhead/overhead.go
+++ b/internal/bench/experiment/overhead/overhead.go
@@ -162,7 +162,7 @@
 func alternate(schedule load.Schedule, environment Environment, random *rand.Rand) load.Schedule {
 	number := 0
 	directFirst := false
-	return func() (load.Planned, bool) {
+	return func() (load.ScheduledCall, bool) {
 		planned, more := schedule()
 		if number%2 == 0 {
 			directFirst = random.Intn(2) == 0
--- a/internal/bench/experiment/overhead/overhead_test.go
+++ b/internal/bench/experiment/overhead/overhead_test.go
@@ -54,10 +54,10 @@
 	result.Elapsed = 2 * time.Second
 	for range 10 {
 		result.Started(classRelayed, 0)
-		result.Add(classRelayed, load.Measured{Outcome: load.OutcomeOK, Tokens: 5, Latency: time.Millisecond})
+		result.Add(classRelayed, load.Measurement{Outcome: load.OutcomeOK, Tokens: 5, Latency: time.Millisecond})
 	}
 	result.Started(classRelayed, 0)
-	result.Add(classRelayed, load.Measured{Outcome: load.OutcomeNotRun})
+	result.Add(classRelayed, load.Measurement{Outcome: load.OutcomeNotRun})
 	cost := relaying(result.Report().Classes[0], result, 500*time.Millisecond)
 	if cost.RequestsPerCoreSecond != 20 || cost.TokensPerCoreSecond != 100 || cost.Cores != 0.25 || cost.RequestsPerSecond != 5 {
 		t.Fatalf("%+v", cost)
--- a/internal/bench/experiment/propagation/experiment.go
+++ b/internal/bench/experiment/propagation/experiment.go
@@ -105,12 +105,12 @@
 		return err
 	}
 	e.current = e.fleet.Configuration()
-	e.current.Number = e.fleet.Number()
+	e.current.Number = e.fleet.ConfigurationNumber()
 	if err := e.settle(ctx, []*host{e.away}, e.current.GetNumber()); err != nil {
 		return err
 	}
 	for _, name := range e.away.names {
-		if err := e.away.command(ctx, hollow.StopPage, name); err != nil {
+		if err := e.away.command(ctx, hollow.StopPath, name); err != nil {
 			return err
 		}
 	}
@@ -223,7 +223,7 @@
 	}
 	began := time.Now()
 	for _, name := range e.away.names {
-		if err := e.away.command(ctx, hollow.StartPage, name); err != nil {
+		if err := e.away.command(ctx, hollow.StartPath, name); err != nil {
 			return err
 		}
 	}
@@ -244,7 +244,7 @@
 func (r *Return) add(before, after []hollow.FollowerReport) {
 	total := int64(0)
 	for index := range after {
-		r.Fulls += after[index].Fulls - before[index].Fulls
+		r.Fulls += after[index].FullConfigurations - before[index].FullConfigurations
 		total += after[index].Control.Minus(before[index].Control).Total()
 	}
 	r.BytesPerDaemon = float64(total) / float64(max(1, len(after)))
--- a/internal/bench/experiment/propagation/hosts.go
+++ b/internal/bench/experiment/propagation/hosts.go
@@ -36,7 +36,7 @@
 	for _, machine := range control {
 		arguments = append(arguments, "--control", hollow.ControlFlag(machine))
 	}
-	return &host{names: names, process: fleet.NewProcess(fleet.Standalone{
+	return &host{names: names, process: fleet.NewProcess(fleet.ProcessOptions{
 		Name: name, Role: "followers", Folder: filepath.Join(folder, name),
 		Program: filepath.Join(programs, benchProgram), Arguments: arguments,
 	})}
@@ -44,7 +44,7 @@
 
 // start starts the process and waits until it serves its pages.
 func (h *host) start(ctx context.Context) error {
-	h.process = h.process.Again()
+	h.process = h.process.Clone()
 	if err := h.process.Start(); err != nil {
 		return err
 	}
@@ -67,13 +67,13 @@
 // reports reads what the followers of the process say.
 func (h *host) reports(ctx context.Context) ([]hollow.FollowerReport, error) {
 	var reports []hollow.FollowerReport
-	err := hollow.ReadPage(ctx, http.DefaultClient, h.page+hollow.ReportPage, &reports)
+	err := hollow.GetJSON(ctx, http.DefaultClient, h.page+hollow.ReportPath, &reports)
 	return reports, err
 }
 
 // command does something with one follower of the process.
 func (h *host) command(ctx context.Context, page, name string) error {
-	return hollow.ReadPage(ctx, http.DefaultClient, h.page+page+"?name="+url.QueryEscape(name), nil)
+	return hollow.GetJSON(ctx, http.DefaultClient, h.page+page+"?name="+url.QueryEscape(name), nil)
 }
 
 // reportsOf reads the reports of several processes.
--- a/internal/bench/experiment/propagation/spread.go
+++ b/internal/bench/experiment/propagation/spread.go
@@ -49,7 +49,7 @@
 		}
 		chosen := e.hosts[random.IntN(len(e.hosts))]
 		name := chosen.names[random.IntN(len(chosen.names))]
-		if err := chosen.command(ctx, hollow.RestartPage, name); err != nil && ctx.Err() == nil {
+		if err := chosen.command(ctx, hollow.RestartPath, name); err != nil && ctx.Err() == nil {
 			return restarts, err
 		}
 		restarts++
--- a/internal/bench/fleet/controls.go
+++ b/internal/bench/fleet/controls.go
@@ -68,5 +68,5 @@
 }
 
 func (f *Fleet) found(ctx context.Context) error {
-	return f.Operate(ctx, "cluster", "init", "--shards", fmt.Sprint(f.Plan.Shards))
+	return f.RunCommand(ctx, "cluster", "init", "--shards", fmt.Sprint(f.Plan.Shards))
 }
--- a/internal/bench/fleet/fleet.go
+++ b/internal/bench/fleet/fleet.go
@@ -244,8 +244,8 @@
 	return f.Apply(ctx, f.Configuration())
 }
 
-// Number is the number of the last configuration that Apply applied.
-func (f *Fleet) Number() uint64 { return f.number }
+// ConfigurationNumber is the number of the last configuration that Apply applied.
+func (f *Fleet) ConfigurationNumber() uint64 { return f.number }
 
 // Apply applies a configuration through the operator's command.
 func (f *Fleet) Apply(ctx context.Context, configuration *rockwindpb.Configuration) error {
@@ -253,7 +253,7 @@
 	if err := writeYAML(file, configuration); err != nil {
 		return err
 	}
-	if err := f.Operate(ctx, "apply", "-f", file); err != nil {
+	if err := f.RunCommand(ctx, "apply", "-f", file); err != nil {
 		return err
 	}
 	f.number = configuration.GetNumber()
@@ -344,7 +344,7 @@
 // Kill ends all processes without warning.
 func (f *Fleet) Kill() {
 	for _, process := range f.Processes() {
-		process.Thaw()
+		process.Resume()
 		process.Kill()
 	}
 }
--- a/internal/bench/fleet/operate.go
+++ b/internal/bench/fleet/operate.go
@@ -9,15 +9,15 @@
 	"rockwind.example/rockwind/internal/fault"
 )
 
-// Operate runs an operator's command against the fleet and fails with its
+// RunCommand runs an operator's command against the fleet and fails with its
 // output where the command fails.
-func (f *Fleet) Operate(ctx context.Context, arguments ...string) error {
-	_, err := f.OperateOutput(ctx, arguments...)
+func (f *Fleet) RunCommand(ctx context.Context, arguments ...string) error {
+	_, err := f.RunCommandOutput(ctx, arguments...)
 	return err
 }
 
-// OperateOutput runs an operator's command and returns what it printed.
-func (f *Fleet) OperateOutput(ctx context.Context, arguments ...string) (string, error) {
+// RunCommandOutput runs an operator's command and returns what it printed.
+func (f *Fleet) RunCommandOutput(ctx context.Context, arguments ...string) (string, error) {
 	arguments = append(arguments, "--control", joinAddresses(f.ControlAddresses()))
 	command := exec.CommandContext(ctx, filepath.Join(f.programs, serverProgram), arguments...)
 	output, err := command.CombinedOutput()
--- a/internal/bench/fleet/process.go
+++ b/internal/bench/fleet/process.go
@@ -164,11 +164,11 @@
 	}
 }
 
-// Freeze stops the process from running without its noticing.
-func (p *Process) Freeze() { p.signal(syscall.SIGSTOP) }
+// Suspend stops the process from running without its noticing.
+func (p *Process) Suspend() { p.signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process run on.
-func (p *Process) Thaw() { p.signal(syscall.SIGCONT) }
+// Resume lets a frozen process run on.
+func (p *Process) Resume() { p.signal(syscall.SIGCONT) }
 
 // WipeDisk removes the process's data folder. The process must not be running.
 func (p *Process) WipeDisk() error {
--- a/internal/bench/fleet/standalone.go
+++ b/internal/bench/fleet/standalone.go
@@ -4,8 +4,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Standalone describes a process that belongs to no planned fleet.
-type Standalone struct {
+// ProcessOptions describes a process that belongs to no planned fleet.
+type ProcessOptions struct {
 	// Name is unique; Role and Zone are as in Process.
 	Name, Role, Zone string
 	// Address and InternalAddress are where it will serve, if they are known.
@@ -21,7 +21,7 @@
 }
 
 // NewProcess prepares a process; Start runs it.
-func NewProcess(described Standalone) *Process {
+func NewProcess(described ProcessOptions) *Process {
 	return &Process{
 		Name: described.Name, Role: described.Role, Zone: described.Zone,
 		Address: described.Address, InternalAddress: described.InternalAddress,
@@ -36,9 +36,9 @@
 	return writeSettings(folder, settings)
 }
 
-// Again prepares a process like this one, with the same folder and without the
+// Clone prepares a process like this one, with the same folder and without the
 // output of this one.
-func (p *Process) Again() *Process {
+func (p *Process) Clone() *Process {
 	return &Process{
 		Name: p.Name, Role: p.Role, Zone: p.Zone, Address: p.Address, InternalAddress: p.InternalAddress,
 		Folder: p.Folder, program: p.program, arguments: p.arguments, logFile: p.logFile,
--- a/internal/bench/hollow/follower.go
+++ b/internal/bench/hollow/follower.go
@@ -23,8 +23,8 @@
 	Reverts int `json:"reverts"`
 	// Changes and Fulls count the changes and the whole configurations that
 	// control sent.
-	Changes int `json:"changes"`
-	Fulls   int `json:"fulls"`
+	Changes            int `json:"changes"`
+	FullConfigurations int `json:"fulls"`
 	// Control is the traffic with the control machines on the wire.
 	Control wire.Traffic `json:"control"`
 }
@@ -175,7 +175,7 @@
 	switch {
 	case change == nil:
 	case change.GetFull():
-		c.follower.report.Fulls++
+		c.follower.report.FullConfigurations++
 	default:
 		c.follower.report.Changes++
 	}
--- a/internal/bench/hollow/followers.go
+++ b/internal/bench/hollow/followers.go
@@ -34,9 +34,9 @@
 		}
 	}
 	return serveReport(c.Report, host.report, map[string]http.HandlerFunc{
-		RestartPage: host.each((*hollowFollower).restart),
-		StopPage:    host.each((*hollowFollower).stop),
-		StartPage:   host.each((*hollowFollower).start),
+		RestartPath: host.each((*hollowFollower).restart),
+		StopPath:    host.each((*hollowFollower).stop),
+		StartPath:   host.each((*hollowFollower).start),
 	})
 }
 
--- a/internal/bench/hollow/read.go
+++ b/internal/bench/hollow/read.go
@@ -8,9 +8,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ReadPage reads a page of a process and decodes its JSON, where there is
+// GetJSON reads a page of a process and decodes its JSON, where there is
 // something to decode into. Any status but 200 is an error.
-func ReadPage(ctx context.Context, client *http.Client, address string, into any) error {
+func GetJSON(ctx context.Context, client *http.Client, address string, into any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
 		return errors.Wrap(err, "make a request")
--- a/internal/bench/hollow/report.go
+++ b/internal/bench/hollow/report.go
@@ -20,15 +20,15 @@
 
 // Pages of a process of followers.
 const (
-	// ReportPage answers the process's report as JSON.
-	ReportPage = "/report"
-	// RestartPage restarts a follower, StopPage stops it and StartPage starts it again; the
+	// ReportPath answers the process's report as JSON.
+	ReportPath = "/report"
+	// RestartPath restarts a follower, StopPage stops it and StartPage starts it again; the
 	// query names it.
-	RestartPage = "/restart"
-	StopPage    = "/stop"
-	StartPage   = "/start"
-	// ProfilePage answers a profile of the process's CPU time.
-	ProfilePage = "/profile"
+	RestartPath = "/restart"
+	StopPath    = "/stop"
+	StartPath   = "/start"
+	// ProfilePath answers a profile of the process's CPU time.
+	ProfilePath = "/profile"
 )
 
 // ListeningPrefix begins the line that tells the address of the report page.
@@ -42,12 +42,12 @@
 		return errors.Wrap(err, "listen for the report page")
 	}
 	handler := http.NewServeMux()
-	handler.HandleFunc(ReportPage, func(writer http.ResponseWriter, _ *http.Request) {
+	handler.HandleFunc(ReportPath, func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set("Content-Type", "application/json")
 		// A caller that went away is no fault of this process.
 		_ = json.NewEncoder(writer).Encode(report())
 	})
-	handler.HandleFunc(ProfilePage, pprof.Profile)
+	handler.HandleFunc(ProfilePath, pprof.Profile)
 	for page, serve := range pages {
 		handler.HandleFunc(page, serve)
 	}
--- a/internal/bench/load/client.go
+++ b/internal/bench/load/client.go
@@ -61,8 +61,8 @@
 	Priority       int
 }
 
-// Measured is what a call gave. Times count from the intended start.
-type Measured struct {
+// Measurement is what a call gave. Times count from the intended start.
+type Measurement struct {
 	Outcome Outcome
 	Status  int
 	// Detail is the error's text.
@@ -152,16 +152,16 @@
 }
 
 // Do sends a call and reads its answer to the end. Times count from intended.
-func (c *Client) Do(ctx context.Context, call Call, intended time.Time) Measured {
+func (c *Client) Do(ctx context.Context, call Call, intended time.Time) Measurement {
 	measured := c.exchange(ctx, call, intended)
 	measured.Latency = time.Since(intended)
 	return measured
 }
 
-func (c *Client) exchange(ctx context.Context, call Call, intended time.Time) Measured {
+func (c *Client) exchange(ctx context.Context, call Call, intended time.Time) Measurement {
 	request, err := call.request(ctx)
 	if err != nil {
-		return Measured{Outcome: OutcomeClientError, Detail: err.Error()}
+		return Measurement{Outcome: OutcomeClientError, Detail: err.Error()}
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
@@ -171,14 +171,14 @@
 	if response.StatusCode != http.StatusOK {
 		return refused(response)
 	}
-	measured := Measured{Status: response.StatusCode}
+	measured := Measurement{Status: response.StatusCode}
 	switch {
 	case call.Path != "":
 		err = readService(response.Body, call)
 	case call.Stream:
 		err = measured.readStream(response.Body, call, intended)
 	default:
-		measured.Tokens, err = ReadWhole(response.Body, engine.UserPrompt(call.Content), call.MaxTokens)
+		measured.Tokens, err = ReadAnswer(response.Body, engine.UserPrompt(call.Content), call.MaxTokens)
 	}
 	if err != nil {
 		failure := failed(err, OutcomeTruncated)
@@ -191,7 +191,7 @@
 	return measured
 }
 
-func (m *Measured) readStream(body io.Reader, call Call, intended time.Time) error {
+func (m *Measurement) readStream(body io.Reader, call Call, intended time.Time) error {
 	var last time.Time
 	tokens, err := ReadStream(body, engine.UserPrompt(call.Content), call.MaxTokens, func(int) {
 		now := time.Now()
@@ -206,7 +206,7 @@
 	return err
 }
 
-func failed(err error, otherwise Outcome) Measured {
+func failed(err error, otherwise Outcome) Measurement {
 	outcome := otherwise
 	var network net.Error
 	switch {
@@ -216,7 +216,7 @@
 		strings.Contains(err.Error(), "Client.Timeout"):
 		outcome = OutcomeTimeout
 	}
-	return Measured{Outcome: outcome, Detail: err.Error()}
+	return Measurement{Outcome: outcome, Detail: err.Error()}
 }
 
 // refusal is the error object of an answer.
@@ -229,12 +229,12 @@
 }
 
 // refused classifies an answer that is not 200.
-func refused(response *http.Response) Measured {
+func refused(response *http.Response) Measurement {
 	const errorLimit = 64 << 10
 	data, _ := io.ReadAll(io.LimitReader(response.Body, errorLimit))
 	var body refusal
 	_ = json.Unmarshal(data, &body)
-	measured := Measured{
+	measured := Measurement{
 		Status: response.StatusCode,
 		Detail: fmt.Sprintf("%d %s: %s", response.StatusCode, body.Error.Type, body.Error.Message),
 	}
--- a/internal/bench/load/load_test.go
+++ b/internal/bench/load/load_test.go
@@ -108,13 +108,13 @@
 	defer server.Close()
 	const calls, places = 10, 3
 	number := 0
-	schedule := func() (load.Planned, bool) {
+	schedule := func() (load.ScheduledCall, bool) {
 		if number == calls {
 			close(release)
-			return load.Planned{}, false
+			return load.ScheduledCall{}, false
 		}
 		number++
-		return load.Planned{Call: load.Call{Target: server.Listener.Addr().String()}, Class: "c"}, true
+		return load.ScheduledCall{Call: load.Call{Target: server.Listener.Addr().String()}, Class: "c"}, true
 	}
 	result := load.Run(context.Background(), schedule, load.Options{MaxInFlight: places})
 	class := result.Class("c")
@@ -141,13 +141,13 @@
 	answer := func(text string) []byte {
 		return fmt.Appendf(nil, `{"choices":[{"message":{"content":%q},"finish_reason":"length"}]}`, text)
 	}
-	if count, err := load.CheckWhole(answer(text), "p", 3); err != nil || count != 3 {
+	if count, err := load.CheckAnswer(answer(text), "p", 3); err != nil || count != 3 {
 		t.Fatal(count, err)
 	}
-	if _, err := load.CheckWhole(answer(text), "p", 4); !errors.Is(err, load.ErrTruncated) {
+	if _, err := load.CheckAnswer(answer(text), "p", 4); !errors.Is(err, load.ErrTruncated) {
 		t.Fatal(err)
 	}
-	if _, err := load.CheckWhole(answer(text), "q", 3); !errors.Is(err, load.ErrWrong) {
+	if _, err := load.CheckAnswer(answer(text), "q", 3); !errors.Is(err, load.ErrWrong) {
 		t.Fatal(err)
 	}
 }
--- a/internal/bench/load/mix.go
+++ b/internal/bench/load/mix.go
@@ -24,11 +24,11 @@
 	BurstLength   time.Duration
 	// Requests are the kinds of online request, with weights.
 	Requests []RequestShape
-	// JobEvery is the time between bursts of batch jobs.
-	JobEvery time.Duration
-	// JobsPerHeap and ItemsPerJob are means.
-	JobsPerHeap int
-	ItemsPerJob int
+	// JobBurstInterval is the time between bursts of batch jobs.
+	JobBurstInterval time.Duration
+	// JobsPerBurst and ItemsPerJob are means.
+	JobsPerBurst int
+	ItemsPerJob  int
 	// Item is the shape of a batch item.
 	Item RequestShape
 }
@@ -66,7 +66,7 @@
 			{Weight: 1, Kind: KindOnline, Model: model, PromptTokens: 2500, AnswerTokens: 200, Spread: 0.6, Prefixes: 20, PrefixTokens: 1024, Stream: true},
 			{Weight: 6, Kind: KindService, Model: service},
 		},
-		JobEvery: 10 * time.Second, JobsPerHeap: 2, ItemsPerJob: 200,
+		JobBurstInterval: 10 * time.Second, JobsPerBurst: 2, ItemsPerJob: 200,
 		Item: RequestShape{Kind: KindJob, Model: model, PromptTokens: 500, AnswerTokens: 120, Spread: 0.4, Prefixes: 4, PrefixTokens: 192},
 	}
 }
@@ -82,7 +82,7 @@
 			{Weight: 1, Kind: KindOnline, Model: model, PromptTokens: 4000, AnswerTokens: 250, Spread: 0.5, Prefixes: 30, PrefixTokens: 3072, Stream: true},
 			{Weight: 2, Kind: KindService, Model: service},
 		},
-		JobEvery: 10 * time.Second, JobsPerHeap: 4, ItemsPerJob: 30,
+		JobBurstInterval: 10 * time.Second, JobsPerBurst: 4, ItemsPerJob: 30,
 		Item: RequestShape{Kind: KindJob, Model: model, PromptTokens: 400, AnswerTokens: 60, Spread: 0.4, Prefixes: 12, PrefixTokens: 128},
 	}
 }
@@ -133,11 +133,11 @@
 // jobs draws bursts of jobs at a fixed interval.
 func (m Mix) jobs(duration time.Duration, random *rand.Rand, number int) []Record {
 	var records []Record
-	if m.JobEvery <= 0 {
+	if m.JobBurstInterval <= 0 {
 		return nil
 	}
-	for at := m.JobEvery / 2; at < duration; at += m.JobEvery {
-		for range m.JobsPerHeap {
+	for at := m.JobBurstInterval / 2; at < duration; at += m.JobBurstInterval {
+		for range m.JobsPerBurst {
 			record := m.record(m.Item, at, random, number)
 			record.Items = max(1, int(float64(m.ItemsPerJob)*(0.5+random.Float64())))
 			records = append(records, record)
--- a/internal/bench/load/result.go
+++ b/internal/bench/load/result.go
@@ -166,7 +166,7 @@
 }
 
 // Add counts a call that ended.
-func (r *Result) Add(class string, measured Measured) {
+func (r *Result) Add(class string, measured Measurement) {
 	entry := r.Class(class)
 	if measured.Outcome == OutcomeOK {
 		entry.Latency.Record(measured.Latency)
--- a/internal/bench/load/run.go
+++ b/internal/bench/load/run.go
@@ -9,8 +9,8 @@
 	"rockwind.example/rockwind/internal/retry"
 )
 
-// Planned is a call with its intended start since the begin of the run.
-type Planned struct {
+// ScheduledCall is a call with its intended start since the begin of the run.
+type ScheduledCall struct {
 	At   time.Duration
 	Call Call
 	// Class separates figures, for example by kind of request.
@@ -19,7 +19,7 @@
 
 // Schedule gives the planned calls in the order of their starts, and false at
 // the end. It is called from one goroutine.
-type Schedule func() (Planned, bool)
+type Schedule func() (ScheduledCall, bool)
 
 // Options say how a schedule is run.
 type Options struct {
@@ -29,7 +29,7 @@
 	// Timeout bounds one call.
 	Timeout time.Duration
 	// Observe is called with every call that ended, from many goroutines.
-	Observe func(Planned, Measured)
+	Observe func(ScheduledCall, Measurement)
 }
 
 // Defaults of Options.
@@ -90,13 +90,13 @@
 func Poisson(rate float64, duration time.Duration, random *rand.Rand, class string, call func(number int) Call) Schedule {
 	var at time.Duration
 	number := 0
-	return func() (Planned, bool) {
+	return func() (ScheduledCall, bool) {
 		at += time.Duration(random.ExpFloat64() / rate * float64(time.Second))
 		if at >= duration {
-			return Planned{}, false
+			return ScheduledCall{}, false
 		}
 		number++
-		return Planned{At: at, Call: call(number - 1), Class: class}, true
+		return ScheduledCall{At: at, Call: call(number - 1), Class: class}, true
 	}
 }
 
@@ -104,14 +104,14 @@
 // a call and tells whether to send it.
 func Replay(records []Record, call func(record Record, number int) (Call, bool)) Schedule {
 	number := 0
-	return func() (Planned, bool) {
+	return func() (ScheduledCall, bool) {
 		for number < len(records) {
 			record := records[number]
 			number++
 			if made, send := call(record, number-1); send {
-				return Planned{At: record.At(), Call: made, Class: string(record.Kind)}, true
+				return ScheduledCall{At: record.At(), Call: made, Class: string(record.Kind)}, true
 			}
 		}
-		return Planned{}, false
+		return ScheduledCall{}, false
 	}
 }
--- a/internal/bench/load/sse.go
+++ b/internal/bench/load/sse.go
@@ -137,18 +137,18 @@
 	} `json:"choices"`
 }
 
-// ReadWhole reads an unstreamed answer and checks that it is the whole answer to
+// ReadAnswer reads an unstreamed answer and checks that it is the whole answer to
 // the prompt. It returns the number of tokens.
-func ReadWhole(reader io.Reader, prompt string, maxTokens int) (int, error) {
+func ReadAnswer(reader io.Reader, prompt string, maxTokens int) (int, error) {
 	data, err := io.ReadAll(reader)
 	if err != nil {
 		return 0, errors.Wrapf(ErrTruncated, "%v", err)
 	}
-	return CheckWhole(data, prompt, maxTokens)
+	return CheckAnswer(data, prompt, maxTokens)
 }
 
-// CheckWhole checks the bytes of an unstreamed answer like ReadWhole.
-func CheckWhole(data []byte, prompt string, maxTokens int) (int, error) {
+// CheckAnswer checks the bytes of an unstreamed answer like ReadWhole.
+func CheckAnswer(data []byte, prompt string, maxTokens int) (int, error) {
 	var answer wholeAnswer
 	if err := json.Unmarshal(data, &answer); err != nil {
 		return 0, errors.Wrapf(ErrTruncated, "%v", err)
--- a/internal/bench/soak/inject.go
+++ b/internal/bench/soak/inject.go
@@ -81,9 +81,9 @@
 	}
 	switch fault.kind {
 	case KindPause:
-		target.Freeze()
+		target.Suspend()
 		wait()
-		target.Thaw()
+		target.Resume()
 	case KindStop:
 		stopping, cancel := context.WithTimeout(context.WithoutCancel(ctx), (graceS+1)*time.Second)
 		defer cancel()
--- a/internal/bench/soak/site.go
+++ b/internal/bench/soak/site.go
@@ -138,7 +138,7 @@
 	} else {
 		settings.DataFolder = filepath.Join(own, dataFolder)
 	}
-	process := fleet.NewProcess(fleet.Standalone{
+	process := fleet.NewProcess(fleet.ProcessOptions{
 		Name: name, Role: roleNames[role], Zone: settings.GetZone(), Address: given[0], Folder: own, Program: program,
 		Arguments: []string{"site", "--settings", filepath.Join(own, settingsFile)}, LogFile: filepath.Join(folder, name+".log"),
 	})
@@ -180,7 +180,7 @@
 // kill resumes suspended processes and kills all of them.
 func (s *site) kill() {
 	for _, each := range s.members {
-		each.Thaw()
+		each.Resume()
 		each.Kill()
 	}
 }
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -173,7 +173,7 @@
 	server, address := startEngine(t, standin.EngineOptions{Config: config})
 	client := load.NewClient(1, time.Minute)
 	defer client.Close()
-	done := make(chan load.Measured, 1)
+	done := make(chan load.Measurement, 1)
 	go func() {
 		done <- client.Do(context.Background(), load.Call{Target: address, Model: "m", Content: "x", MaxTokens: 5}, time.Now())
 	}()
