--- a/internal/bench/experiment/propagation/command.go
+++ b/internal/bench/experiment/propagation/command.go
@@ -1,8 +1,8 @@
-// Package propagation measures how fast and at what cost an accepted configuration
-// is in force everywhere. The control machines are real processes; the daemons are
-// the followers that gateways run, with sockets and folders of their own, many to a
-// process. Daemons restart, are killed and stay away meanwhile, and none may ever
-// move to a lower number.
+// Package propagation measures the delay and the traffic until an accepted
+// configuration is in force on all daemons. The control machines are real processes.
+// The daemons are the configuration followers that gateways run, each with its own
+// connections and folder, many in one process. Some daemons are restarted, killed or
+// stopped during the run, and none may revert to a lower configuration number.
 package propagation
 
 import (
@@ -36,14 +36,14 @@
 	JSON       bool          `help:"Print the figures as JSON." name:"json"`
 }
 
-// Run measures and prints the figures. It fails where a daemon moved to a lower
-// number, or where one did not get the last configuration.
+// Run measures and prints the results. It fails if a daemon reverted to a lower
+// number or missed the last configuration.
 func (c *Command) Run() error {
 	ctx, release := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer release()
 	folder, err := os.MkdirTemp(c.Folder, "rockwind-config-")
 	if err != nil {
-		return errors.Wrap(err, "make a folder")
+		return errors.Wrap(err, "create a temporary folder")
 	}
 	defer os.RemoveAll(folder)
 	plan := fleet.DefaultPlan()
@@ -84,13 +84,13 @@
 	r.Restarting.print("daemons restarting")
 	fmt.Printf("idle: %.0f bytes a daemon and second\n", r.IdleBytesPerDaemonSecond)
 	fmt.Printf("away for %d changes: in force %.0f ms after the start, %d whole transfers, %.0f bytes a daemon\n",
-		r.Away.Missed, r.Away.InForceMs, r.Away.Fulls, r.Away.BytesPerDaemon)
+		r.Away.Missed, r.Away.InForceMs, r.Away.FullTransfers, r.Away.BytesPerDaemon)
 	fmt.Printf("%d daemons killed: in force %.0f ms after the start of their process, %d whole transfers\n",
-		r.Killed.Daemons, r.Killed.InForceMs, r.Killed.Fulls)
+		r.Killed.Daemons, r.Killed.InForceMs, r.Killed.FullTransfers)
 	fmt.Printf("reverts: %d, daemons without the last configuration: %d\n", r.Reverts, r.Missing)
 }
 
-func (s Spread) print(name string) {
+func (s PhaseStats) print(name string) {
 	fmt.Printf("%s: %d changes; everywhere after p50 %.0f ms, max %.0f ms; a daemon after p50 %.0f ms, p99 %.0f ms; %.0f bytes a change and daemon (p50), %.0f (max); %d restarts\n",
 		name, s.Changes, s.EverywhereP50Ms, s.EverywhereMaxMs, s.DaemonP50Ms, s.DaemonP99Ms, s.BytesP50, s.BytesMax, s.Restarts)
 }
