--- a/internal/bench/fleet/operate.go
+++ b/internal/bench/fleet/command.go
@@ -9,14 +9,14 @@
 	"rockwind.example/rockwind/internal/fault"
 )
 
-// RunCommand runs an operator's command against the fleet and fails with its
-// output where the command fails.
+// RunCommand runs a rockwind command against the fleet. The error of a failed command
+// includes its output.
 func (f *Fleet) RunCommand(ctx context.Context, arguments ...string) error {
 	_, err := f.RunCommandOutput(ctx, arguments...)
 	return err
 }
 
-// RunCommandOutput runs an operator's command and returns what it printed.
+// RunCommandOutput runs a rockwind command against the fleet and returns its output.
 func (f *Fleet) RunCommandOutput(ctx context.Context, arguments ...string) (string, error) {
 	arguments = append(arguments, "--control", joinAddresses(f.ControlAddresses()))
 	command := exec.CommandContext(ctx, filepath.Join(f.programs, serverProgram), arguments...)
--- a/internal/bench/fleet/controls.go
+++ b/internal/bench/fleet/controls.go
@@ -47,7 +47,7 @@
 	return process.Start()
 }
 
-// ControlMachines lists the control daemons as settings name them.
+// ControlMachines lists the control daemons in the form that settings use.
 func (f *Fleet) ControlMachines() []*rockwindpb.ControlMachine {
 	var machines []*rockwindpb.ControlMachine
 	for _, process := range f.Controls {
@@ -58,7 +58,7 @@
 	return machines
 }
 
-// ControlAddresses lists the control daemons' addresses.
+// ControlAddresses lists the addresses of the control daemons.
 func (f *Fleet) ControlAddresses() []string {
 	var addresses []string
 	for _, process := range f.Controls {
@@ -67,6 +67,6 @@
 	return addresses
 }
 
-func (f *Fleet) found(ctx context.Context) error {
+func (f *Fleet) initializeCluster(ctx context.Context) error {
 	return f.RunCommand(ctx, "cluster", "init", "--shards", fmt.Sprint(f.Plan.Shards))
 }
--- a/internal/bench/fleet/fleet.go
+++ b/internal/bench/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet starts a whole rockwind on loopback for demonstrations and
-// experiments: control daemons, gateways and the stand-ins for everything
-// outside, each a process of its own, and stops them again.
+// Package fleet starts and stops a complete rockwind deployment on loopback for
+// demonstrations and experiments: control daemons, gateways and stand-ins for external
+// systems, each in a process of its own.
 package fleet
 
 import (
@@ -22,7 +22,7 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Names of files and folders of a fleet.
+// File, folder and program names.
 const (
 	dataFolderName    = "data"
 	settingsFileName  = "settings.yaml"
@@ -31,41 +31,38 @@
 	benchProgram      = "rockwind-bench"
 )
 
-// Timing of a fleet.
 const (
 	startTimeout     = 30 * time.Second
 	stopTimeout      = 20 * time.Second
-	probeGap         = 20 * time.Millisecond
+	probeInterval    = 20 * time.Millisecond
 	exchangeInterval = 500 * time.Millisecond
 	controlTick      = 20 * time.Millisecond
 	batchConcurrency = 256
 )
 
-// Fleet is a running fleet.
+// Fleet is a running deployment.
 type Fleet struct {
-	// Plan is what the fleet was made from.
+	// Plan is the plan that the fleet was started from.
 	Plan Plan
 	// Folder holds all files of the fleet.
-	Folder string
-	// The processes by role.
+	Folder                                string
 	Controls, Gateways, Engines, Services []*Process
-	// Platform is nil where the plan has none.
+	// Platform is nil if the plan has no platform stand-in.
 	Platform *Process
 
-	programs string
-	client   *http.Client
-	number   uint64
+	programs            string
+	client              *http.Client
+	configurationNumber uint64
 }
 
-// Start starts the processes of the plan under folder, which must not hold the
-// files of an earlier fleet, founds the control
-// group and applies a configuration. The programs are looked for in the folder
-// of the running executable, or in programs when it is not empty.
+// Start starts the processes of the plan, initializes the control group and applies the
+// first configuration. The folder must not hold the files of an earlier fleet. Start looks
+// for the executables in programs or, if it is empty, beside the running executable.
 func Start(ctx context.Context, plan Plan, folder, programs string) (*Fleet, error) {
 	if programs == "" {
 		executable, err := os.Executable()
 		if err != nil {
-			return nil, errors.Wrap(err, "find the programs")
+			return nil, errors.Wrap(err, "locate executables")
 		}
 		programs = filepath.Dir(executable)
 	}
@@ -79,7 +76,7 @@
 
 func (f *Fleet) start(ctx context.Context) error {
 	steps := []func(context.Context) error{
-		f.startStandIns, f.startControls, f.found, f.startGateways, f.applyFirst, f.awaitReady,
+		f.startStandIns, f.startControls, f.initializeCluster, f.startGateways, f.applyFirstConfiguration, f.awaitReady,
 	}
 	for _, step := range steps {
 		if err := step(ctx); err != nil {
@@ -93,7 +90,7 @@
 	return f.Plan.Zones[number%len(f.Plan.Zones)]
 }
 
-// newProcess prepares a process with an address of its own.
+// newProcess prepares a process with an address and a folder of its own.
 func (f *Fleet) newProcess(role string, number int, program string) (*Process, error) {
 	address, err := loopback.Next()
 	if err != nil {
@@ -155,8 +152,8 @@
 	return process.Start()
 }
 
-// AddEngine starts one more engine stand-in. It is not in the configuration
-// until the next Apply.
+// AddEngine starts another engine stand-in. It gets no traffic until a configuration that
+// includes it is applied.
 func (f *Fleet) AddEngine(number int) (*Process, error) {
 	process, err := f.newProcess("engine", number, benchProgram)
 	if err != nil {
@@ -215,39 +212,39 @@
 	return process.Start()
 }
 
-// Configuration is the next configuration of the fleet as it stands, ready to
-// be changed and applied.
+// Configuration returns the next configuration for the current processes. The caller may
+// change it before Apply.
 func (f *Fleet) Configuration() *rockwindpb.Configuration {
-	return f.Plan.configuration(f.number+1, f.backEnds())
+	return f.Plan.configuration(f.configurationNumber+1, f.backends())
 }
 
-func (f *Fleet) backEnds() []*rockwindpb.BackEnd {
-	var backEnds []*rockwindpb.BackEnd
+func (f *Fleet) backends() []*rockwindpb.BackEnd {
+	var backends []*rockwindpb.BackEnd
 	for _, process := range f.Engines {
-		backEnds = append(backEnds, &rockwindpb.BackEnd{
+		backends = append(backends, &rockwindpb.BackEnd{
 			Name: process.Name, Kind: rockwindpb.BackEndKind_BACK_END_KIND_ENGINE,
 			Address: process.Address, Zone: process.Zone,
-			Serves: []string{ModelName}, Accelerators: planEngineBoards,
+			Serves: []string{ModelName}, Accelerators: planAccelerators,
 		})
 	}
 	for _, process := range f.Services {
-		backEnds = append(backEnds, &rockwindpb.BackEnd{
+		backends = append(backends, &rockwindpb.BackEnd{
 			Name: process.Name, Kind: rockwindpb.BackEndKind_BACK_END_KIND_SERVICE,
 			Address: process.Address, Zone: process.Zone,
 			Serves: []string{ServiceName}, Version: ServiceVersion,
 		})
 	}
-	return backEnds
+	return backends
 }
 
-func (f *Fleet) applyFirst(ctx context.Context) error {
+func (f *Fleet) applyFirstConfiguration(ctx context.Context) error {
 	return f.Apply(ctx, f.Configuration())
 }
 
-// ConfigurationNumber is the number of the last configuration that Apply applied.
-func (f *Fleet) ConfigurationNumber() uint64 { return f.number }
+// ConfigurationNumber returns the number of the configuration applied last.
+func (f *Fleet) ConfigurationNumber() uint64 { return f.configurationNumber }
 
-// Apply applies a configuration through the operator's command.
+// Apply applies a configuration with the `rockwind apply` command.
 func (f *Fleet) Apply(ctx context.Context, configuration *rockwindpb.Configuration) error {
 	file := filepath.Join(f.Folder, configurationFile)
 	if err := writeYAML(file, configuration); err != nil {
@@ -256,7 +253,7 @@
 	if err := f.RunCommand(ctx, "apply", "-f", file); err != nil {
 		return err
 	}
-	f.number = configuration.GetNumber()
+	f.configurationNumber = configuration.GetNumber()
 	return nil
 }
 
@@ -269,7 +266,7 @@
 	return nil
 }
 
-// AwaitReady waits until a process answers its readiness check.
+// AwaitReady waits until the readiness check of a process succeeds.
 func (f *Fleet) AwaitReady(ctx context.Context, process *Process) error {
 	address := process.InternalAddress
 	if address == "" {
@@ -278,7 +275,7 @@
 	return f.await(ctx, process, address, "/readyz")
 }
 
-// await polls a health page until it answers 200.
+// await polls a health check until it returns 200 or the process exits.
 func (f *Fleet) await(ctx context.Context, process *Process, address, page string) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -287,13 +284,13 @@
 			return nil
 		}
 		if !process.Running() {
-			return fault.Newf(fault.Unavailable, "read its output", "%s ended at start:\n%s", process.Name, process.Output())
+			return fault.Newf(fault.Unavailable, "read its output", "%s exited during startup:\n%s", process.Name, process.Output())
 		}
 		select {
 		case <-ctx.Done():
 			return fault.Newf(fault.Unavailable, "read its output",
 				"%s did not answer %s in time:\n%s", process.Name, page, process.Output())
-		case <-time.After(probeGap):
+		case <-time.After(probeInterval):
 		}
 	}
 }
@@ -327,7 +324,7 @@
 	return append(processes, f.standIns()...)
 }
 
-// Stop stops the fleet: gateways drain first, then control, then the rest.
+// Stop stops the fleet gracefully: gateways first, then control daemons and stand-ins.
 func (f *Fleet) Stop(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
@@ -341,7 +338,7 @@
 	return failed
 }
 
-// Kill ends all processes without warning.
+// Kill kills all processes.
 func (f *Fleet) Kill() {
 	for _, process := range f.Processes() {
 		process.Resume()
@@ -349,7 +346,6 @@
 	}
 }
 
-// writeSettings writes the settings file of a process.
 func writeSettings(folder string, settings proto.Message) (string, error) {
 	file := filepath.Join(folder, settingsFileName)
 	return file, writeYAML(file, settings)
@@ -366,5 +362,4 @@
 	return os.WriteFile(file, encoded, 0o644)
 }
 
-// joinAddresses writes addresses as one flag value.
 func joinAddresses(addresses []string) string { return strings.Join(addresses, ",") }
--- a/internal/bench/fleet/fleet_test.go
+++ b/internal/bench/fleet/fleet_test.go
@@ -11,8 +11,8 @@
 	"rockwind.example/rockwind/internal/fault"
 )
 
-// TestFolderOfAnEarlierFleetIsRefused checks that nothing is started over the data
-// of a fleet that ran before: its cluster would refuse the first configuration.
+// TestFolderOfAnEarlierFleetIsRefused guards against a start over the data of an earlier
+// fleet, whose cluster would refuse the first configuration.
 func TestFolderOfAnEarlierFleetIsRefused(t *testing.T) {
 	folder := t.TempDir()
 	if err := os.MkdirAll(filepath.Join(folder, "control-2"), 0o755); err != nil {
@@ -20,6 +20,6 @@
 	}
 	_, err := fleet.Start(context.Background(), fleet.Plan{Controls: 2, Zones: []string{"zone-a"}}, folder, t.TempDir())
 	if !fault.Is(err, fault.Conflict) || !strings.Contains(err.Error(), folder) {
-		t.Fatalf("the start gives %v", err)
+		t.Fatalf("Start returned %v", err)
 	}
 }
--- a/internal/bench/fleet/plan.go
+++ b/internal/bench/fleet/plan.go
@@ -11,13 +11,13 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// Plan says what a fleet is made of.
+// Plan describes the processes and settings of a fleet.
 type Plan struct {
-	// Controls, Gateways, Engines and Services count the processes.
+	// Controls, Gateways, Engines and Services are the numbers of processes.
 	Controls, Gateways, Engines, Services int
-	// Shards counts the replica groups that own jobs.
+	// Shards is the number of replica groups that own jobs.
 	Shards int
-	// Zones are given to processes in turn.
+	// Zones are assigned to processes round robin.
 	Zones []string
 	// EngineArguments are passed to every engine stand-in.
 	EngineArguments []string
@@ -25,15 +25,15 @@
 	ControlArguments []string
 	// GatewayArguments are passed to every gateway.
 	GatewayArguments []string
-	// Tenants is how many tenants each group has.
+	// Tenants is the number of tenants of each group.
 	Tenants int
-	// WithPlatform starts the platform stand-in and points gateways at it.
+	// WithPlatform starts the platform stand-in and configures gateways to use it.
 	WithPlatform bool
 	// Detached lets the processes outlive the program that starts them.
 	Detached bool
 }
 
-// The groups, models and services of a planned fleet.
+// Names in the configuration of a fleet.
 const (
 	GroupScheduling = "scheduling"
 	GroupPuzzles    = "puzzles"
@@ -45,7 +45,7 @@
 	BatchClass      = "overnight"
 )
 
-// DefaultPlan is the demonstration fleet.
+// DefaultPlan returns the plan of the demonstration fleet.
 func DefaultPlan() Plan {
 	return Plan{
 		Controls: 3, Gateways: 3, Engines: 4, Services: 2, Shards: 2, Tenants: 2,
@@ -53,25 +53,25 @@
 	}
 }
 
-// Groups lists the groups of a planned fleet.
+// Groups lists the groups of a fleet.
 func Groups() []string { return []string{GroupScheduling, GroupPuzzles} }
 
-// TenantName names the tenant of the given number in a group.
+// TenantName returns the name of a tenant of a group.
 func TenantName(group string, number int) string {
 	return fmt.Sprintf("%s-tenant-%d", group, number)
 }
 
-// APIKey is the key of a tenant in a planned fleet. It is derived from the name
-// so that tools find it; real keys are random.
+// APIKey returns the API key of a tenant. It is derived from the name, so that tools can
+// compute it; real keys are random.
 func APIKey(tenant string) string { return "demo-key-" + tenant }
 
-// KeyHash is the form of an API key that a configuration holds.
+// KeyHash returns the hash of an API key that configurations hold.
 func KeyHash(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// defaults of the planned configuration.
+// Values of the configuration.
 const (
 	planTries            = 5
 	planDeadline         = 12 * time.Hour
@@ -81,7 +81,7 @@
 	planQueueTimeout     = 2 * time.Second
 	planContextTokens    = 8192
 	planServiceTimeout   = 5 * time.Second
-	planEngineBoards     = 4
+	planAccelerators     = 4
 	schedulingShare      = 2
 	puzzlesShare         = 3
 	versionWeight        = 100
@@ -89,8 +89,8 @@
 	idempotencyRetention = 24 * time.Hour
 )
 
-// configuration builds the configuration numbered number over the back ends.
-func (p Plan) configuration(number uint64, backEnds []*rockwindpb.BackEnd) *rockwindpb.Configuration {
+// configuration builds the configuration with the given number and backends.
+func (p Plan) configuration(number uint64, backends []*rockwindpb.BackEnd) *rockwindpb.Configuration {
 	configuration := &rockwindpb.Configuration{
 		Number: number,
 		Groups: []*rockwindpb.Group{
@@ -110,7 +110,7 @@
 		BatchClasses: []*rockwindpb.BatchClass{{
 			Name: BatchClass, Tries: planTries, Deadline: durationpb.New(planDeadline), Weight: batchClassWeight,
 		}},
-		BackEnds: backEnds,
+		BackEnds: backends,
 		Policy: &rockwindpb.Policy{
 			ResultRetention:      durationpb.New(planRetention),
 			RetryRatio:           planRetryRatio,
--- a/internal/bench/fleet/process.go
+++ b/internal/bench/fleet/process.go
@@ -16,7 +16,7 @@
 	"rockwind.example/rockwind/internal/fault"
 )
 
-// outputTail is how many bytes of a process's output are kept for reports.
+// outputTail is how many bytes of the end of a process's output are kept.
 const outputTail = 64 << 10
 
 // Process is one child process of a fleet.
@@ -25,15 +25,13 @@
 	Name string
 	// Role is "control", "gateway", "engine", "service", "platform" or "weights".
 	Role string
-	// Zone is where the process stands.
 	Zone string
-	// Address is where it serves callers, or its only address.
+	// Address serves clients; it may be the only address.
 	Address string
-	// InternalAddress serves administration and metrics; empty where there is
-	// only one address.
+	// InternalAddress serves administration and metrics; it is empty if there is only one
+	// address.
 	InternalAddress string
-	// Folder is the process's own folder.
-	Folder string
+	Folder          string
 
 	program   string
 	arguments []string
@@ -47,14 +45,14 @@
 	output  *tailBuffer
 }
 
-// journalName is the file in which a stand-in notes the requests that ran.
+// journalName is the name of the file in which a stand-in records the requests that ran.
 const journalName = "journal.jsonl"
 
-// JournalFile is where a stand-in notes the requests that ran. It survives the
-// end of the process.
+// JournalFile returns the path of the file in which a stand-in records the requests that
+// ran. The file outlives the process.
 func (p *Process) JournalFile() string { return filepath.Join(p.Folder, journalName) }
 
-// Start runs the process.
+// Start starts the process.
 func (p *Process) Start() error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -78,7 +76,7 @@
 	}
 	err = command.Start()
 	if file, isFile := output.(*os.File); isFile {
-		// The process has its own descriptor now.
+		// The child has inherited its own descriptor.
 		_ = file.Close()
 	}
 	if err != nil {
@@ -90,8 +88,8 @@
 	return nil
 }
 
-// openOutput is where the process prints to: a file for a detached process,
-// memory otherwise.
+// openOutput returns the destination of the output: the log file if one is set, a file in
+// the folder for a detached process, and memory otherwise.
 func (p *Process) openOutput() (io.Writer, error) {
 	if p.logFile != "" {
 		file, err := os.OpenFile(p.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -105,12 +103,12 @@
 }
 
 func waitFor(command *exec.Cmd, exited chan<- struct{}) {
-	// The exit status is read from ProcessState; a kill is no error here.
+	// The error is ignored: ProcessState has the exit status, and kills are expected.
 	_ = command.Wait()
 	close(exited)
 }
 
-// Pid is the identity of the running process, or zero.
+// Pid returns the ID of the last started process, or zero.
 func (p *Process) Pid() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -120,7 +118,7 @@
 	return p.command.Process.Pid
 }
 
-// Running tells whether the process has not ended.
+// Running returns whether the process has started and not exited.
 func (p *Process) Running() bool {
 	exited := p.exitedChannel()
 	if exited == nil {
@@ -140,7 +138,7 @@
 	return p.exited
 }
 
-// Kill ends the process without warning and waits until it is gone.
+// Kill kills the process and waits until it has exited.
 func (p *Process) Kill() {
 	p.signal(syscall.SIGKILL)
 	if exited := p.exitedChannel(); exited != nil {
@@ -148,8 +146,7 @@
 	}
 }
 
-// Terminate asks for a planned stop and waits for the end until the context is
-// over.
+// Terminate requests a graceful stop and waits until the process exits or the context ends.
 func (p *Process) Terminate(ctx context.Context) error {
 	p.signal(syscall.SIGTERM)
 	exited := p.exitedChannel()
@@ -164,22 +161,22 @@
 	}
 }
 
-// Suspend stops the process from running without its noticing.
+// Suspend stops the process with SIGSTOP.
 func (p *Process) Suspend() { p.signal(syscall.SIGSTOP) }
 
-// Resume lets a frozen process run on.
+// Resume continues a suspended process.
 func (p *Process) Resume() { p.signal(syscall.SIGCONT) }
 
-// WipeDisk removes the process's data folder. The process must not be running.
+// WipeDisk deletes the contents of the process's data folder. The process must not be running.
 func (p *Process) WipeDisk() error {
 	data := filepath.Join(p.Folder, dataFolderName)
 	if err := os.RemoveAll(data); err != nil {
-		return errors.Wrapf(err, "wipe disk of %s", p.Name)
+		return errors.Wrapf(err, "delete data folder of %s", p.Name)
 	}
 	return os.MkdirAll(data, 0o755)
 }
 
-// Output is the tail of what the process printed.
+// Output returns the end of the output that is kept in memory.
 func (p *Process) Output() string {
 	if p.output == nil {
 		return ""
@@ -193,11 +190,11 @@
 	if p.command == nil || p.command.Process == nil {
 		return
 	}
-	// A process that has already ended cannot be signalled; that is no fault.
+	// Signaling a process that has already exited fails, which is expected.
 	_ = p.command.Process.Signal(signal)
 }
 
-// CPUTime is the processor time that an ended process used.
+// CPUTime returns the user and system time of a process that has exited.
 func (p *Process) CPUTime() time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/bench/fleet/usage.go
+++ b/internal/bench/fleet/usage.go
@@ -10,12 +10,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// clockTicksPerSecond is the unit of processor time in /proc, fixed on Linux.
+// clockTicksPerSecond is the unit of CPU time in /proc, which is fixed on Linux.
 const clockTicksPerSecond = 100
 
-// Usage is what a running process has used so far.
+// Usage is the resource usage of a running process.
 type Usage struct {
-	// CPU is user and system time.
+	// CPU is the user and system time.
 	CPU time.Duration
 	// ResidentBytes is the resident set size.
 	ResidentBytes uint64
@@ -27,7 +27,7 @@
 	if err != nil {
 		return Usage{}, errors.Wrap(err, "read processor time")
 	}
-	// The command name may hold spaces; fields are counted after its bracket.
+	// The command name may contain spaces, so fields are counted from its closing bracket.
 	text := string(stat)
 	fields := strings.Fields(text[strings.LastIndexByte(text, ')')+1:])
 	const userField, systemField, residentField = 11, 12, 21
--- a/internal/bench/hollow/controlflag.go
+++ b/internal/bench/hollow/controlflag.go
@@ -8,7 +8,7 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// ControlFlag writes a control machine as the commands of this package read it.
+// ControlFlag formats a control machine as the commands of this package parse it.
 func ControlFlag(machine *rockwindpb.ControlMachine) string {
 	return machine.GetMachine() + "=" + machine.GetAddress() + "@" + machine.GetZone()
 }
@@ -19,7 +19,7 @@
 		name, rest, named := strings.Cut(text, "=")
 		address, zone, zoned := strings.Cut(rest, "@")
 		if _, _, err := net.SplitHostPort(address); err != nil || !named || !zoned {
-			return nil, fault.Newf(fault.InvalidArgument, "write machine=ip:port@zone", "%q is no control machine", text)
+			return nil, fault.Newf(fault.InvalidArgument, "write machine=ip:port@zone", "%q is not a control machine", text)
 		}
 		machines = append(machines, &rockwindpb.ControlMachine{Machine: name, Address: address, Zone: zone})
 	}
--- a/internal/bench/hollow/export_test.go
+++ b/internal/bench/hollow/export_test.go
@@ -1,4 +1,4 @@
 package hollow
 
-// Its function that the tests use.
+// ParseControl exports parseControl to tests.
 var ParseControl = parseControl
--- a/internal/bench/hollow/follower.go
+++ b/internal/bench/hollow/follower.go
@@ -12,80 +12,80 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// FollowerReport is what one follower says.
+// FollowerReport is the report of one follower.
 type FollowerReport struct {
 	Name    string `json:"name"`
 	Running bool   `json:"running"`
-	// InForce lists the configurations that were put in force since the process
-	// started, in that order.
+	// InForce lists the configurations in the order in which they took effect since the
+	// process started.
 	InForce []InForce `json:"in_force"`
-	// Reverts counts moves to a lower number, restarts included.
+	// Reverts counts changes to a lower number, including those by restarts.
 	Reverts int `json:"reverts"`
-	// Changes and Fulls count the changes and the whole configurations that
-	// control sent.
+	// Changes counts the incremental changes and FullConfigurations the full configurations
+	// received from control machines.
 	Changes            int `json:"changes"`
 	FullConfigurations int `json:"fulls"`
-	// Control is the traffic with the control machines on the wire.
+	// Control is the network traffic with the control machines.
 	Control wire.Traffic `json:"control"`
 }
 
-// InForce is a configuration that was put in force.
+// InForce is a configuration that took effect.
 type InForce struct {
 	Number uint64 `json:"number"`
 	UnixNs int64  `json:"unix_ns"`
-	// FromDisk marks the one that a start found on the disk.
+	// FromDisk marks a configuration that was loaded from disk at a start.
 	FromDisk bool `json:"from_disk,omitempty"`
 }
 
-// hollowFollower is one follower in this process. Its counter and its report
-// outlive restarts.
-type hollowFollower struct {
+// followerInstance is one of the followers of this process. Its traffic counter and report
+// are kept across restarts.
+type followerInstance struct {
 	name    string
 	folder  string
 	control []*rockwindpb.ControlMachine
 	counter wire.Counter
-	// carrier holds the connections of the present run.
-	carrier *http.Client
+	// httpClient holds the connections of the current run.
+	httpClient *http.Client
 
 	mutex  sync.Mutex
 	report FollowerReport
 
-	// lifecycle is held while the follower starts or stops.
+	// lifecycle is held during start and stop.
 	lifecycle sync.Mutex
 	cancel    context.CancelFunc
 	stopped   chan struct{}
 }
 
-func newHollowFollower(name, folder string, control []*rockwindpb.ControlMachine) *hollowFollower {
-	return &hollowFollower{name: name, folder: folder, control: control, report: FollowerReport{Name: name}}
+func newFollowerInstance(name, folder string, control []*rockwindpb.ControlMachine) *followerInstance {
+	return &followerInstance{name: name, folder: folder, control: control, report: FollowerReport{Name: name}}
 }
 
-// start loads what the disk holds and follows until stop.
-func (h *hollowFollower) start() error {
+// start loads the configuration on disk and follows changes until stop.
+func (h *followerInstance) start() error {
 	h.lifecycle.Lock()
 	defer h.lifecycle.Unlock()
 	if h.cancel != nil {
 		return nil
 	}
-	following, err := follower.New(follower.Options{Sources: h.sources(), Folder: h.folder})
+	configFollower, err := follower.New(follower.Options{Sources: h.sources(), Folder: h.folder})
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	h.cancel, h.stopped = cancel, make(chan struct{})
 	h.setRunning(true)
-	h.note(following.Current().Number(), true)
-	go h.observe(ctx, following)
+	h.recordInForce(configFollower.Current().Number(), true)
+	go h.observe(ctx, configFollower)
 	go func(stopped chan struct{}) {
 		defer close(stopped)
-		// It ends with the context only.
-		_ = following.Run(ctx)
+		// Run returns only when the context ends.
+		_ = configFollower.Run(ctx)
 	}(h.stopped)
 	return nil
 }
 
-// stop ends the follower as planned and waits for the end.
-func (h *hollowFollower) stop() error {
+// stop stops the follower and waits until it has stopped.
+func (h *followerInstance) stop() error {
 	h.lifecycle.Lock()
 	defer h.lifecycle.Unlock()
 	if h.cancel == nil {
@@ -94,23 +94,23 @@
 	h.cancel()
 	<-h.stopped
 	h.cancel = nil
-	h.carrier.CloseIdleConnections()
+	h.httpClient.CloseIdleConnections()
 	h.setRunning(false)
 	return nil
 }
 
-func (h *hollowFollower) restart() error {
+func (h *followerInstance) restart() error {
 	if err := h.stop(); err != nil {
 		return err
 	}
 	return h.start()
 }
 
-// observe notes each configuration that is put in force.
-func (h *hollowFollower) observe(ctx context.Context, following *follower.Follower) {
+// observe records each configuration that takes effect.
+func (h *followerInstance) observe(ctx context.Context, configFollower *follower.Follower) {
 	for ctx.Err() == nil {
-		changed := following.Changed()
-		h.note(following.Current().Number(), false)
+		changed := configFollower.Changed()
+		h.recordInForce(configFollower.Current().Number(), false)
 		select {
 		case <-changed:
 		case <-ctx.Done():
@@ -118,7 +118,7 @@
 	}
 }
 
-func (h *hollowFollower) note(number uint64, fromDisk bool) {
+func (h *followerInstance) recordInForce(number uint64, fromDisk bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	last := uint64(0)
@@ -133,13 +133,13 @@
 	}
 }
 
-func (h *hollowFollower) setRunning(running bool) {
+func (h *followerInstance) setRunning(running bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.report.Running = running
 }
 
-func (h *hollowFollower) snapshot() FollowerReport {
+func (h *followerInstance) snapshot() FollowerReport {
 	traffic := h.counter.Traffic()
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -149,10 +149,10 @@
 	return report
 }
 
-// sources are the control machines, as a gateway asks them, over new connections.
-func (h *hollowFollower) sources() []rockwindpb.ConfigurationService {
-	h.carrier = h.counter.Client(controlclient.NewTransport())
-	client := controlclient.New(controlclient.Options{Machines: h.control, HTTPClient: h.carrier})
+// sources returns clients for the control machines that count traffic, over new connections.
+func (h *followerInstance) sources() []rockwindpb.ConfigurationService {
+	h.httpClient = h.counter.Client(controlclient.NewTransport())
+	client := controlclient.New(controlclient.Options{Machines: h.control, HTTPClient: h.httpClient})
 	var sources []rockwindpb.ConfigurationService
 	for _, source := range client.ConfigurationSources() {
 		sources = append(sources, &countedSource{ConfigurationService: source, follower: h})
@@ -160,10 +160,10 @@
 	return sources
 }
 
-// countedSource counts the changes that a control machine sends.
+// countedSource counts the changes received from a control machine.
 type countedSource struct {
 	rockwindpb.ConfigurationService
-	follower *hollowFollower
+	follower *followerInstance
 }
 
 // Watch implements rockwindpb.ConfigurationService.
--- a/internal/bench/hollow/followers.go
+++ b/internal/bench/hollow/followers.go
@@ -8,9 +8,8 @@
 	"rockwind.example/rockwind/internal/fault"
 )
 
-// FollowersCommand is `rockwind-bench hollow followers`: the part of a daemon that
-// follows the configuration, many to a process, each with connections and a folder
-// of its own.
+// FollowersCommand implements `rockwind-bench hollow followers`. It runs many configuration
+// followers in one process, each with its own connections and folder.
 type FollowersCommand struct {
 	Names   []string `help:"Names of the followers of this process." required:""`
 	Control []string `help:"Control machines as machine=ip:port@zone." required:""`
@@ -18,7 +17,7 @@
 	Report  string   `help:"Address of the report page." default:"127.0.0.1:0"`
 }
 
-// Run implements the command. It ends with the process.
+// Run starts the followers and serves the report until the process ends.
 func (c *FollowersCommand) Run() error {
 	control, err := parseControl(c.Control)
 	if err != nil {
@@ -26,7 +25,7 @@
 	}
 	host := &followerHost{}
 	for _, name := range c.Names {
-		host.followers = append(host.followers, newHollowFollower(name, filepath.Join(c.Folder, name), control))
+		host.followers = append(host.followers, newFollowerInstance(name, filepath.Join(c.Folder, name), control))
 	}
 	for _, each := range host.followers {
 		if err := each.start(); err != nil {
@@ -34,15 +33,15 @@
 		}
 	}
 	return serveReport(c.Report, host.report, map[string]http.HandlerFunc{
-		RestartPath: host.each((*hollowFollower).restart),
-		StopPath:    host.each((*hollowFollower).stop),
-		StartPath:   host.each((*hollowFollower).start),
+		RestartPath: host.handler((*followerInstance).restart),
+		StopPath:    host.handler((*followerInstance).stop),
+		StartPath:   host.handler((*followerInstance).start),
 	})
 }
 
-// followerHost serves the pages of a process of followers.
+// followerHost serves the HTTP endpoints of the process.
 type followerHost struct {
-	followers []*hollowFollower
+	followers []*followerInstance
 }
 
 func (h *followerHost) report() any {
@@ -53,19 +52,19 @@
 	return reports
 }
 
-// each returns a page that does something with the follower that the query names.
-func (h *followerHost) each(act func(*hollowFollower) error) http.HandlerFunc {
+// handler returns a handler that applies an action to the follower named in the query.
+func (h *followerHost) handler(action func(*followerInstance) error) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		name := request.URL.Query().Get(nameParameter)
 		for _, candidate := range h.followers {
 			if candidate.name != name {
 				continue
 			}
-			if err := act(candidate); err != nil {
+			if err := action(candidate); err != nil {
 				http.Error(writer, fault.From(err).Error(), http.StatusInternalServerError)
 			}
 			return
 		}
-		http.Error(writer, fmt.Sprintf("no follower is named %q", name), http.StatusNotFound)
+		http.Error(writer, fmt.Sprintf("no follower has the name %q", name), http.StatusNotFound)
 	}
 }
--- a/internal/bench/hollow/read.go
+++ b/internal/bench/hollow/getjson.go
@@ -8,20 +8,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// GetJSON reads a page of a process and decodes its JSON, where there is
-// something to decode into. Any status but 200 is an error.
+// GetJSON sends a GET request and decodes the JSON response into a value, unless that is nil.
+// Any status other than 200 is an error.
 func GetJSON(ctx context.Context, client *http.Client, address string, into any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
-		return errors.Wrap(err, "make a request")
+		return errors.Wrap(err, "create request")
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		return errors.Wrap(err, "read a page")
+		return errors.Wrap(err, "send request")
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return errors.Newf("%s answers status %d", address, response.StatusCode)
+		return errors.Newf("%s returned status %d", address, response.StatusCode)
 	}
 	if into == nil {
 		return nil
--- a/internal/bench/hollow/hollow_test.go
+++ b/internal/bench/hollow/hollow_test.go
@@ -11,8 +11,9 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// A control machine is read as it was written, and other texts are refused.
-func TestControlFlagIsReadAsWritten(t *testing.T) {
+// Guards against control machines that don't survive formatting and parsing, and against
+// malformed ones that are accepted.
+func TestControlFlagRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machine := &rockwindpb.ControlMachine{
 			Machine: rapid.StringMatching(`[a-z0-9-]{1,12}`).Draw(t, "machine"),
@@ -21,12 +22,12 @@
 		}
 		read, err := hollow.ParseControl([]string{hollow.ControlFlag(machine)})
 		if err != nil || len(read) != 1 || !proto.Equal(read[0], machine) {
-			t.Fatalf("%v was read as %v, %v", machine, read, err)
+			t.Fatalf("%v was parsed as %v, %v", machine, read, err)
 		}
 	})
 	for _, wrong := range []string{"", "machine", "machine=127.0.0.1:1", "127.0.0.1:1@zone", "machine=127.0.0.1@zone"} {
 		if _, err := hollow.ParseControl([]string{wrong}); err == nil {
-			t.Errorf("%q was taken for a control machine", wrong)
+			t.Errorf("%q was accepted as a control machine", wrong)
 		}
 	}
 }
--- a/internal/bench/hollow/report.go
+++ b/internal/bench/hollow/report.go
@@ -1,6 +1,6 @@
-// Package hollow runs many followers of the configuration in one process: the part of a
-// daemon that follows it, with real sockets and folders but no traffic. All connections are
-// counted.
+// Package hollow runs many configuration followers in one process: the part of a daemon that
+// follows the configuration, with real sockets and folders but no requests. It counts the
+// traffic of all their connections.
 package hollow
 
 import (
@@ -13,38 +13,37 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Commands are `rockwind-bench hollow`.
+// Commands are the subcommands of `rockwind-bench hollow`.
 type Commands struct {
 	Followers FollowersCommand `cmd:"" help:"Run many followers of the configuration in one process."`
 }
 
-// Pages of a process of followers.
+// Paths of the HTTP endpoints.
 const (
-	// ReportPath answers the process's report as JSON.
+	// ReportPath returns the report of the process as JSON.
 	ReportPath = "/report"
-	// RestartPath restarts a follower, StopPage stops it and StartPage starts it again; the
-	// query names it.
+	// RestartPath, StopPath and StartPath act on the follower named in the query.
 	RestartPath = "/restart"
 	StopPath    = "/stop"
 	StartPath   = "/start"
-	// ProfilePath answers a profile of the process's CPU time.
+	// ProfilePath returns a CPU profile of the process.
 	ProfilePath = "/profile"
 )
 
-// ListeningPrefix begins the line that tells the address of the report page.
+// ListeningPrefix starts the output line with the address of the endpoints.
 const ListeningPrefix = "report page at "
 
-// serveReport prints the address of the report page and serves it for as long
-// as the process runs. More pages may be given.
+// serveReport prints its address and serves the report, profiles and the given handlers until
+// the process ends.
 func serveReport(address string, report func() any, pages map[string]http.HandlerFunc) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return errors.Wrap(err, "listen for the report page")
+		return errors.Wrap(err, "listen for report requests")
 	}
 	handler := http.NewServeMux()
 	handler.HandleFunc(ReportPath, func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set("Content-Type", "application/json")
-		// A caller that went away is no fault of this process.
+		// Errors are ignored: the client may have disconnected.
 		_ = json.NewEncoder(writer).Encode(report())
 	})
 	handler.HandleFunc(ProfilePath, pprof.Profile)
--- a/internal/bench/load/client.go
+++ b/internal/bench/load/client.go
@@ -17,36 +17,35 @@
 	"rockwind.example/rockwind/internal/engine"
 )
 
-// Outcome is how a call ended.
+// Outcome classifies the result of a call.
 type Outcome string
 
-// The outcomes of a call.
 const (
-	// OutcomeOK: the answer is whole and its own.
+	// OutcomeOK: the answer is complete and correct.
 	OutcomeOK Outcome = "ok"
-	// OutcomeNotRun: refused, and stated not to have run.
+	// OutcomeNotRun: the request was refused and marked as not run.
 	OutcomeNotRun Outcome = "not_run"
-	// OutcomeLimited: refused with 429 without a statement that it did not run.
+	// OutcomeLimited: the status is 429, and the request isn't marked as not run.
 	OutcomeLimited Outcome = "limited"
-	// OutcomeUnknown: the answer says that the request may have run.
+	// OutcomeUnknown: the response states that the request may have run.
 	OutcomeUnknown Outcome = "outcome_unknown"
-	// OutcomeTruncated: the answer ended early.
+	// OutcomeTruncated: the answer is incomplete.
 	OutcomeTruncated Outcome = "truncated"
-	// OutcomeWrong: the answer is not that of the request.
+	// OutcomeWrong: the answer doesn't match the request.
 	OutcomeWrong Outcome = "wrong_answer"
-	// OutcomeConnection: no answer, the connection failed.
+	// OutcomeConnection: the connection failed before a response.
 	OutcomeConnection Outcome = "connection"
-	// OutcomeTimeout: no whole answer in time.
+	// OutcomeTimeout: the answer wasn't complete in time.
 	OutcomeTimeout Outcome = "timeout"
 	// OutcomeClientError: any other status below 500.
 	OutcomeClientError Outcome = "client_error"
-	// OutcomeServerError: any other status from 500.
+	// OutcomeServerError: any other status from 500 on.
 	OutcomeServerError Outcome = "server_error"
 )
 
 // Call is one request to send.
 type Call struct {
-	// Target is the address, "ip:port".
+	// Target is the address as ip:port.
 	Target string
 	APIKey string
 	// Path is the path of a service; empty for a chat completion.
@@ -55,35 +54,35 @@
 	Content   string
 	MaxTokens int
 	Stream    bool
-	// ID is sent as X-Request-Id when it is set; IdempotencyKey likewise.
+	// ID is sent as X-Request-Id and IdempotencyKey as Idempotency-Key, if set.
 	ID             string
 	IdempotencyKey string
 	Priority       int
 }
 
-// Measurement is what a call gave. Times count from the intended start.
+// Measurement is the result of a call. Times count from the intended start.
 type Measurement struct {
 	Outcome Outcome
 	Status  int
-	// Detail is the error's text.
+	// Detail is the error message.
 	Detail string
 	Tokens int
-	// FirstToken is zero for an answer that is not streamed.
+	// FirstToken is the time to the first token; zero for an answer that isn't streamed.
 	FirstToken time.Duration
 	Latency    time.Duration
-	// Gaps are the times between events with tokens.
+	// Gaps are the times between successive events with tokens.
 	Gaps []time.Duration
-	// RetryAfter is the advice that came with a refusal.
+	// RetryAfter is the Retry-After delay of a refused request.
 	RetryAfter time.Duration
 }
 
-// Client sends calls.
+// Client sends calls over persistent connections.
 type Client struct {
 	client *http.Client
 }
 
-// NewClient returns a client that keeps up to the given number of connections
-// to each target.
+// NewClient returns a client that keeps up to the given number of idle connections to each
+// target.
 func NewClient(connections int, timeout time.Duration) *Client {
 	dialer := &net.Dialer{Timeout: 5 * time.Second}
 	transport := &http.Transport{
@@ -96,7 +95,7 @@
 	return &Client{client: &http.Client{Transport: transport, Timeout: timeout}}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() {
 	c.client.CloseIdleConnections()
 }
@@ -108,7 +107,7 @@
 	Stream    bool             `json:"stream,omitempty"`
 }
 
-// Body returns the body of the chat completion that the call sends.
+// Body returns the request body: Content for a service, else a chat completion request.
 func (c Call) Body() ([]byte, error) {
 	if c.Path != "" {
 		return []byte(c.Content), nil
@@ -119,7 +118,7 @@
 		MaxTokens: c.MaxTokens,
 		Stream:    c.Stream,
 	})
-	return body, errors.Wrap(err, "encode the request")
+	return body, errors.Wrap(err, "encode request")
 }
 
 func (c Call) request(ctx context.Context) (*http.Request, error) {
@@ -133,7 +132,7 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.Target+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, errors.Wrap(err, "make the request")
+		return nil, errors.Wrap(err, "create request")
 	}
 	request.Header.Set("Content-Type", "application/json")
 	if c.APIKey != "" {
@@ -151,7 +150,7 @@
 	return request, nil
 }
 
-// Do sends a call and reads its answer to the end. Times count from intended.
+// Do sends a call and reads the whole answer. Times count from the intended start.
 func (c *Client) Do(ctx context.Context, call Call, intended time.Time) Measurement {
 	measured := c.exchange(ctx, call, intended)
 	measured.Latency = time.Since(intended)
@@ -165,11 +164,11 @@
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
-		return failed(err, OutcomeConnection)
+		return classifyError(err, OutcomeConnection)
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return refused(response)
+		return classifyRefusal(response)
 	}
 	measured := Measurement{Status: response.StatusCode}
 	switch {
@@ -181,12 +180,12 @@
 		measured.Tokens, err = ReadAnswer(response.Body, engine.UserPrompt(call.Content), call.MaxTokens)
 	}
 	if err != nil {
-		failure := failed(err, OutcomeTruncated)
+		failure := classifyError(err, OutcomeTruncated)
 		measured.Outcome, measured.Detail = failure.Outcome, failure.Detail
 		return measured
 	}
 	measured.Outcome = OutcomeOK
-	// What follows the end lets the connection be used again.
+	// Reading to the end lets the connection be reused.
 	_, _ = io.Copy(io.Discard, response.Body)
 	return measured
 }
@@ -206,8 +205,8 @@
 	return err
 }
 
-func failed(err error, otherwise Outcome) Measurement {
-	outcome := otherwise
+func classifyError(err error, fallback Outcome) Measurement {
+	outcome := fallback
 	var network net.Error
 	switch {
 	case errors.Is(err, ErrWrong):
@@ -219,8 +218,8 @@
 	return Measurement{Outcome: outcome, Detail: err.Error()}
 }
 
-// refusal is the error object of an answer.
-type refusal struct {
+// errorBody is the body of an error response.
+type errorBody struct {
 	Error struct {
 		Message string `json:"message"`
 		Type    string `json:"type"`
@@ -228,11 +227,11 @@
 	} `json:"error"`
 }
 
-// refused classifies an answer that is not 200.
-func refused(response *http.Response) Measurement {
+// classifyRefusal classifies a response with a status other than 200.
+func classifyRefusal(response *http.Response) Measurement {
 	const errorLimit = 64 << 10
 	data, _ := io.ReadAll(io.LimitReader(response.Body, errorLimit))
-	var body refusal
+	var body errorBody
 	_ = json.Unmarshal(data, &body)
 	measured := Measurement{
 		Status: response.StatusCode,
--- a/internal/bench/load/command.go
+++ b/internal/bench/load/command.go
@@ -15,7 +15,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Command is `rockwind-bench load`.
+// Command implements `rockwind-bench load`.
 type Command struct {
 	Target       []string      `help:"Addresses to send to in turn, ip:port." required:""`
 	APIKey       string        `help:"API key of the caller." name:"api-key" env:"ROCKWIND_API_KEY"`
@@ -35,7 +35,7 @@
 	JSON         bool          `help:"Print the figures as JSON." name:"json"`
 }
 
-// Run sends the load and prints the figures.
+// Run sends the load and prints the report.
 func (c *Command) Run() error {
 	ctx, release := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer release()
@@ -80,8 +80,8 @@
 	}), nil
 }
 
-// Call returns the call of a record, without target and key, and false for a
-// job, which is not one call.
+// Call returns the call of a record, without target and API key. It returns false for a job,
+// which isn't a single call.
 func (r Record) Call(unique uint64) (Call, bool) {
 	switch r.Kind {
 	case KindService:
@@ -126,7 +126,7 @@
 		name, summary.P50Ms, summary.P90Ms, summary.P99Ms, summary.P999Ms, summary.MaxMs, summary.Count)
 }
 
-// TraceCommand is `rockwind-bench trace`.
+// TraceCommand implements `rockwind-bench trace`.
 type TraceCommand struct {
 	Output   string        `help:"File to write." required:"" type:"path"`
 	Model    string        `help:"Model of the requests." default:"assistant-7b"`
@@ -136,7 +136,7 @@
 	Seed     int64         `help:"Seed of the trace." default:"1"`
 }
 
-// Run writes the trace of the two deployments.
+// Run generates and writes a trace of both deployments.
 func (c *TraceCommand) Run() error {
 	mixes := []Mix{SchedulingMix(c.Model, c.Service), PuzzlesMix(c.Model, c.Service)}
 	for index := range mixes {
--- a/internal/bench/load/doc.go
+++ b/internal/bench/load/doc.go
@@ -1,8 +1,7 @@
-// Package load sends load to real processes in an open loop: requests start at
-// the times of a schedule, whether or not earlier ones have been answered, and
-// latency counts from the intended start, so that a server that stalls cannot
-// hide the requests that it kept waiting. Every answer is checked to be whole
-// and the sender's own.
+// Package load generates open-loop load on real processes. Requests start at scheduled
+// times, whether or not earlier ones have been answered, and latency counts from the intended
+// start, which avoids coordinated omission. Every answer is checked for completeness and
+// content.
 //
 // Traces are files of JSON lines; Generate makes those of the two deployments.
 package load
--- a/internal/bench/load/load_test.go
+++ b/internal/bench/load/load_test.go
@@ -19,7 +19,7 @@
 	"rockwind.example/rockwind/internal/engine"
 )
 
-// events writes a stream that carries the given pieces of text.
+// events returns a stream of events that carry the given pieces of text.
 func events(pieces []string, done bool) string {
 	var text strings.Builder
 	for number, piece := range pieces {
@@ -31,8 +31,8 @@
 	return text.String()
 }
 
-// TestReadStreamAcceptsTheWholeAnswerOnly changes a right answer in one way and
-// expects that only the unchanged one is accepted.
+// TestReadStreamAcceptsTheWholeAnswerOnly guards against accepting streams with missing,
+// repeated or foreign text, or without an end marker.
 func TestReadStreamAcceptsTheWholeAnswerOnly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		prompt := rapid.String().Draw(t, "prompt")
@@ -63,7 +63,7 @@
 	})
 }
 
-func TestTracesSurviveAFile(t *testing.T) {
+func TestTraceSurvivesWriteAndRead(t *testing.T) {
 	mixes := []load.Mix{load.SchedulingMix("m", "s"), load.PuzzlesMix("m", "s")}
 	records := load.Generate(mixes, time.Minute, rand.New(rand.NewSource(3)))
 	var file bytes.Buffer
@@ -84,20 +84,20 @@
 			online++
 		}
 	}
-	// 50 requests a second for a minute; 12 jobs of about 200 items and 24 of 30.
+	// Expected: 50 requests per second for a minute; 12 jobs of about 200 items and 24 of 30.
 	if online < 2400 || online > 3600 || items < 2500 || items > 3800 {
 		t.Fatalf("%d online requests and %d items", online, items)
 	}
 }
 
-func TestReadTraceRefusesDisorder(t *testing.T) {
+func TestReadTraceRefusesUnsortedRecords(t *testing.T) {
 	if _, err := load.ReadTrace(strings.NewReader("{\"at_ms\":5}\n{\"at_ms\":4}\n")); err == nil {
-		t.Fatal("a trace that goes back in time was accepted")
+		t.Fatal("an unsorted trace was accepted")
 	}
 }
 
-// TestRunCountsWhatItCouldNotSend holds all answers back until the schedule is
-// over: calls above the bound must be counted, not sent late.
+// TestRunCountsWhatItCouldNotSend guards against calls above the concurrency limit that are
+// sent late instead of counted. The server answers only once the schedule has ended.
 func TestRunCountsWhatItCouldNotSend(t *testing.T) {
 	release := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
@@ -106,7 +106,7 @@
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	}))
 	defer server.Close()
-	const calls, places = 10, 3
+	const calls, slots = 10, 3
 	number := 0
 	schedule := func() (load.ScheduledCall, bool) {
 		if number == calls {
@@ -116,10 +116,10 @@
 		number++
 		return load.ScheduledCall{Call: load.Call{Target: server.Listener.Addr().String()}, Class: "c"}, true
 	}
-	result := load.Run(context.Background(), schedule, load.Options{MaxInFlight: places})
+	result := load.Run(context.Background(), schedule, load.Options{MaxInFlight: slots})
 	class := result.Class("c")
 	report := result.Report().Classes[0]
-	if report.Sent != places || report.NotSent != calls-places || class.Count(load.OutcomeNotRun) != places {
+	if report.Sent != slots || report.NotSent != calls-slots || class.Count(load.OutcomeNotRun) != slots {
 		t.Fatalf("%+v", report)
 	}
 }
@@ -136,7 +136,7 @@
 	}
 }
 
-func TestCheckWholeNamesTheFailure(t *testing.T) {
+func TestCheckAnswerReturnsKindOfFailure(t *testing.T) {
 	text := engine.ExpectedText("p", 3)
 	answer := func(text string) []byte {
 		return fmt.Appendf(nil, `{"choices":[{"message":{"content":%q},"finish_reason":"length"}]}`, text)
--- a/internal/bench/load/mix.go
+++ b/internal/bench/load/mix.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// Mix is the load of one deployment.
+// Mix is the workload of one deployment.
 type Mix struct {
-	// Name names the deployment.
+	// Name is the name of the deployment.
 	Name string
-	// Tenants is how many tenants send the load, named Name-tenant-0 and on.
+	// Tenants is the number of tenants, which are named Name-tenant-0 and so on.
 	Tenants int
-	// Rate is the mean rate of online requests a second.
+	// Rate is the mean rate of online requests per second.
 	Rate float64
 	// BurstFactor multiplies the rate during bursts, which take BurstFraction of
 	// the time and last BurstLength each.
@@ -26,7 +26,7 @@
 	Requests []RequestShape
 	// JobBurstInterval is the time between bursts of batch jobs.
 	JobBurstInterval time.Duration
-	// JobsPerBurst and ItemsPerJob are means.
+	// JobsPerBurst is the number of jobs per burst, ItemsPerJob the mean number of items per job.
 	JobsPerBurst int
 	ItemsPerJob  int
 	// Item is the shape of a batch item.
@@ -43,20 +43,20 @@
 	AnswerTokens int
 	// Spread is the standard deviation of the logarithm of the lengths.
 	Spread float64
-	// Prefixes is the number of different shared prefixes of PrefixTokens.
+	// Prefixes is the number of distinct shared prefixes, each of PrefixTokens.
 	Prefixes     int
 	PrefixTokens int
 	Stream       bool
 }
 
-// Bounds of drawn lengths in tokens.
+// Limits of random lengths in tokens.
 const (
 	maxPromptTokens = 7000
 	maxAnswerTokens = 1000
 )
 
-// SchedulingMix is the load of the scheduling deployment: short drafts, long
-// summaries, lookups at a service, and rebuilds in large jobs.
+// SchedulingMix is the workload of the scheduling deployment: short drafts, long summaries,
+// service lookups, and large batch jobs.
 func SchedulingMix(model, service string) Mix {
 	return Mix{
 		Name: "scheduling", Tenants: 2, Rate: 20,
@@ -71,8 +71,8 @@
 	}
 }
 
-// PuzzlesMix is the load of the puzzles deployment: short hints, long texts to
-// explain, account calls at a service, and jobs of personal clues.
+// PuzzlesMix is the workload of the puzzles deployment: short hints, long explanations,
+// service calls for accounts, and small batch jobs.
 func PuzzlesMix(model, service string) Mix {
 	return Mix{
 		Name: "puzzles", Tenants: 2, Rate: 30,
@@ -87,7 +87,7 @@
 	}
 }
 
-// Generate makes the trace of the mixes over a duration, sorted by time.
+// Generate returns a random trace of the mixes, sorted by time.
 func Generate(mixes []Mix, duration time.Duration, random *rand.Rand) []Record {
 	var records []Record
 	for number, mix := range mixes {
@@ -98,14 +98,14 @@
 	return records
 }
 
-// online draws a Poisson process whose rate is higher in bursts.
+// online generates requests as a Poisson process with a higher rate during bursts.
 func (m Mix) online(duration time.Duration, random *rand.Rand, number int) []Record {
 	var records []Record
 	var at, burstEnd time.Duration
 	nextBurst := m.burstGap(random)
-	calm := m.Rate / (1 + m.BurstFraction*(m.BurstFactor-1))
+	baseRate := m.Rate / (1 + m.BurstFraction*(m.BurstFactor-1))
 	for {
-		rate := calm
+		rate := baseRate
 		if at < burstEnd {
 			rate *= m.BurstFactor
 		}
@@ -121,7 +121,7 @@
 	}
 }
 
-// burstGap draws the time between two bursts.
+// burstGap returns a random time until the next burst.
 func (m Mix) burstGap(random *rand.Rand) time.Duration {
 	if m.BurstFraction <= 0 {
 		return math.MaxInt64 / 2
@@ -130,7 +130,7 @@
 	return time.Duration(random.ExpFloat64() * mean)
 }
 
-// jobs draws bursts of jobs at a fixed interval.
+// jobs generates bursts of jobs at a fixed interval.
 func (m Mix) jobs(duration time.Duration, random *rand.Rand, number int) []Record {
 	var records []Record
 	if m.JobBurstInterval <= 0 {
--- a/internal/bench/load/prompt.go
+++ b/internal/bench/load/prompt.go
@@ -7,12 +7,12 @@
 	"rockwind.example/rockwind/internal/engine"
 )
 
-// prefixStream separates the texts of shared prefixes from answers.
+// prefixStream makes the text of a shared prefix differ from the answer with the same hash.
 const prefixStream = 0x5eed
 
-// Prompt returns the content of a message of about the given length in tokens.
-// It begins with the first prefixTokens tokens of the shared text prefix and
-// goes on with a text that no other unique number gives.
+// Prompt returns a prompt of about the given length in tokens. It starts with prefixTokens
+// tokens of the shared prefix, if prefix isn't zero, and continues with text that is
+// determined by unique.
 func Prompt(prefix uint64, prefixTokens, tokens int, unique uint64) string {
 	length := max(tokens*engine.BytesPerToken, 1)
 	var text strings.Builder
--- a/internal/bench/load/result.go
+++ b/internal/bench/load/result.go
@@ -18,22 +18,22 @@
 
 // Histogram records durations. It is safe for concurrent use.
 type Histogram struct {
-	lock    sync.Mutex
-	content *hdrhistogram.Histogram
+	lock      sync.Mutex
+	histogram *hdrhistogram.Histogram
 }
 
 // NewHistogram returns an empty histogram for durations from 1 µs to 1 h.
 func NewHistogram() *Histogram {
-	return &Histogram{content: hdrhistogram.New(lowestMicroseconds, highestMicroseconds, significantDigits)}
+	return &Histogram{histogram: hdrhistogram.New(lowestMicroseconds, highestMicroseconds, significantDigits)}
 }
 
-// Record adds durations; those out of range count at its border.
+// Record adds durations; those out of range count as the nearest bound.
 func (h *Histogram) Record(durations ...time.Duration) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	for _, duration := range durations {
 		value := min(max(duration.Microseconds(), lowestMicroseconds), highestMicroseconds)
-		_ = h.content.RecordValue(value)
+		_ = h.histogram.RecordValue(value)
 	}
 }
 
@@ -41,37 +41,37 @@
 func (h *Histogram) Quantile(quantile float64) float64 {
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	return milliseconds(h.content.ValueAtQuantile(quantile * 100))
+	return milliseconds(h.histogram.ValueAtQuantile(quantile * 100))
 }
 
-// Summary returns the usual quantiles.
+// Summary returns the mean, the maximum and the usual quantiles.
 func (h *Histogram) Summary() Summary {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	return Summary{
-		Count:  h.content.TotalCount(),
-		MeanMs: h.content.Mean() / 1000,
-		P50Ms:  milliseconds(h.content.ValueAtQuantile(50)),
-		P90Ms:  milliseconds(h.content.ValueAtQuantile(90)),
-		P99Ms:  milliseconds(h.content.ValueAtQuantile(99)),
-		P999Ms: milliseconds(h.content.ValueAtQuantile(99.9)),
-		MaxMs:  milliseconds(h.content.Max()),
+		Count:  h.histogram.TotalCount(),
+		MeanMs: h.histogram.Mean() / 1000,
+		P50Ms:  milliseconds(h.histogram.ValueAtQuantile(50)),
+		P90Ms:  milliseconds(h.histogram.ValueAtQuantile(90)),
+		P99Ms:  milliseconds(h.histogram.ValueAtQuantile(99)),
+		P999Ms: milliseconds(h.histogram.ValueAtQuantile(99.9)),
+		MaxMs:  milliseconds(h.histogram.Max()),
 	}
 }
 
-// CumulativePoint is a point of a distribution: Fraction of the durations are at
+// CumulativePoint is a point of a cumulative distribution: Fraction of the durations are at
 // most Milliseconds.
 type CumulativePoint struct {
 	Milliseconds float64 `json:"ms"`
 	Fraction     float64 `json:"fraction"`
 }
 
-// Cumulative returns the distribution for a plot.
+// Cumulative returns the cumulative distribution for a plot.
 func (h *Histogram) Cumulative() []CumulativePoint {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	var points []CumulativePoint
-	for _, bracket := range h.content.CumulativeDistribution() {
+	for _, bracket := range h.histogram.CumulativeDistribution() {
 		points = append(points, CumulativePoint{
 			Milliseconds: milliseconds(bracket.ValueAt),
 			Fraction:     bracket.Quantile / 100,
@@ -84,7 +84,7 @@
 	return float64(microseconds) / 1000
 }
 
-// Summary is a distribution in a few figures, in milliseconds.
+// Summary summarizes a distribution in milliseconds.
 type Summary struct {
 	Count  int64   `json:"count"`
 	MeanMs float64 `json:"mean_ms"`
@@ -95,20 +95,20 @@
 	MaxMs  float64 `json:"max_ms"`
 }
 
-// OutcomeCount is how many calls ended in one way.
+// OutcomeCount is the number of calls with an outcome.
 type OutcomeCount struct {
 	Outcome Outcome `json:"outcome"`
 	Count   int     `json:"count"`
-	// Example is the text of one of the errors.
+	// Example is the error message of the first such call.
 	Example string `json:"example,omitempty"`
 }
 
-// ClassResult holds the figures of one class of calls.
+// ClassResult holds the measurements of one class of calls.
 type ClassResult struct {
-	// Latency, FirstToken and Gaps are of answers that were whole; all count
-	// from the intended start or, for Gaps, from the event before.
+	// Latency, FirstToken and Gaps cover calls with OutcomeOK only. Latency and FirstToken
+	// count from the intended start.
 	Latency, FirstToken, Gaps *Histogram
-	// Lateness is how late the generator itself started calls.
+	// Lateness is how late the load generator itself started calls.
 	Lateness *Histogram
 
 	lock     sync.Mutex
@@ -118,7 +118,7 @@
 	outcomes []OutcomeCount
 }
 
-// Result holds the figures of a run. It is safe for concurrent use.
+// Result holds the measurements of a run. It is safe for concurrent use.
 type Result struct {
 	Elapsed time.Duration
 
@@ -131,7 +131,7 @@
 	return &Result{classes: map[string]*ClassResult{}}
 }
 
-// Class returns the figures of a class.
+// Class returns the measurements of a class, which it adds if needed.
 func (r *Result) Class(name string) *ClassResult {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -148,7 +148,7 @@
 	return class
 }
 
-// NotSent counts a call that found no place.
+// NotSent counts a call that wasn't sent because of MaxInFlight.
 func (r *Result) NotSent(class string) {
 	entry := r.Class(class)
 	entry.lock.Lock()
@@ -156,7 +156,7 @@
 	entry.lock.Unlock()
 }
 
-// Started counts a call that was sent late by the given time.
+// Started counts a call that was sent, with its delay after the intended start.
 func (r *Result) Started(class string, lateness time.Duration) {
 	entry := r.Class(class)
 	entry.Lateness.Record(lateness)
@@ -165,7 +165,7 @@
 	entry.lock.Unlock()
 }
 
-// Add counts a call that ended.
+// Add records a finished call.
 func (r *Result) Add(class string, measured Measurement) {
 	entry := r.Class(class)
 	if measured.Outcome == OutcomeOK {
@@ -187,7 +187,7 @@
 	entry.outcomes = append(entry.outcomes, OutcomeCount{Outcome: measured.Outcome, Count: 1, Example: measured.Detail})
 }
 
-// Count returns how many calls of the class ended in one way.
+// Count returns the number of calls of the class with an outcome.
 func (c *ClassResult) Count(outcome Outcome) int {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -199,15 +199,15 @@
 	return 0
 }
 
-// ClassReport is a class of calls in a report.
+// ClassReport is the report on one class of calls.
 type ClassReport struct {
 	Class string `json:"class"`
 	Sent  int    `json:"sent"`
-	// NotSent calls found too many calls in progress.
+	// NotSent counts the calls that weren't sent because of MaxInFlight.
 	NotSent  int            `json:"not_sent"`
 	Outcomes []OutcomeCount `json:"outcomes"`
 	Tokens   int64          `json:"tokens"`
-	// RequestsPerSecond and TokensPerSecond are of the whole run.
+	// RequestsPerSecond (OutcomeOK only) and TokensPerSecond are averages over the run.
 	RequestsPerSecond float64 `json:"requests_per_second"`
 	TokensPerSecond   float64 `json:"tokens_per_second"`
 	Latency           Summary `json:"latency"`
@@ -216,13 +216,13 @@
 	Lateness          Summary `json:"generator_lateness"`
 }
 
-// Report is the result of a run for printing.
+// Report is the report on a run.
 type Report struct {
 	ElapsedSeconds float64       `json:"elapsed_seconds"`
 	Classes        []ClassReport `json:"classes"`
 }
 
-// Report returns the figures by class, sorted by name.
+// Report returns the report, with the classes sorted by name.
 func (r *Result) Report() Report {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/internal/bench/load/run.go
+++ b/internal/bench/load/run.go
@@ -9,26 +9,26 @@
 	"rockwind.example/rockwind/internal/retry"
 )
 
-// ScheduledCall is a call with its intended start since the begin of the run.
+// ScheduledCall is a call with its intended start, relative to the start of the run.
 type ScheduledCall struct {
 	At   time.Duration
 	Call Call
-	// Class separates figures, for example by kind of request.
+	// Class is the name under which the call is reported, such as the kind of request.
 	Class string
 }
 
-// Schedule gives the planned calls in the order of their starts, and false at
-// the end. It is called from one goroutine.
+// Schedule returns the next call in the order of starts, and false at the end. It is called
+// from one goroutine.
 type Schedule func() (ScheduledCall, bool)
 
-// Options say how a schedule is run.
+// Options configure Run.
 type Options struct {
-	// MaxInFlight bounds the calls in progress. A call that finds no place is
-	// not sent and counts as such: the figures then say so instead of hiding it.
+	// MaxInFlight limits the concurrent calls. Calls above it aren't sent but counted, so
+	// that the report shows them.
 	MaxInFlight int
 	// Timeout bounds one call.
 	Timeout time.Duration
-	// Observe is called with every call that ended, from many goroutines.
+	// Observe, if set, is called for every finished call, concurrently.
 	Observe func(ScheduledCall, Measurement)
 }
 
@@ -38,8 +38,8 @@
 	defaultTimeout     = 2 * time.Minute
 )
 
-// Run sends the calls of a schedule at their times and waits for all answers.
-// It stops sending when the context ends.
+// Run sends the calls of a schedule at their times and waits for all answers. It stops
+// sending when the context ends.
 func Run(ctx context.Context, schedule Schedule, options Options) *Result {
 	if options.MaxInFlight <= 0 {
 		options.MaxInFlight = defaultMaxInFlight
@@ -50,7 +50,7 @@
 	client := NewClient(options.MaxInFlight, options.Timeout)
 	defer client.Close()
 	result := NewResult()
-	places := make(chan struct{}, options.MaxInFlight)
+	slots := make(chan struct{}, options.MaxInFlight)
 	var calls sync.WaitGroup
 	begin := time.Now()
 	for {
@@ -59,7 +59,7 @@
 			break
 		}
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
 			result.NotSent(planned.Class)
 			continue
@@ -68,7 +68,7 @@
 			intended := begin.Add(planned.At)
 			result.Started(planned.Class, time.Since(intended))
 			measured := client.Do(ctx, planned.Call, intended)
-			<-places
+			<-slots
 			result.Add(planned.Class, measured)
 			if options.Observe != nil {
 				options.Observe(planned, measured)
@@ -80,13 +80,13 @@
 	return result
 }
 
-// sleepUntil waits for a time and tells whether the context still lasts.
+// sleepUntil sleeps until a time and returns false if the context ends first.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	return retry.Pause(ctx, time.Until(at))
 }
 
-// Poisson returns a schedule of calls at random times with the given mean rate a
-// second, for the given duration.
+// Poisson returns a schedule with the starts of a Poisson process of the given mean rate per
+// second.
 func Poisson(rate float64, duration time.Duration, random *rand.Rand, class string, call func(number int) Call) Schedule {
 	var at time.Duration
 	number := 0
@@ -100,8 +100,8 @@
 	}
 }
 
-// Replay returns the schedule of a trace. The call function turns a record into
-// a call and tells whether to send it.
+// Replay returns the schedule of a trace. call converts a record to a call and returns
+// whether to send it.
 func Replay(records []Record, call func(record Record, number int) (Call, bool)) Schedule {
 	number := 0
 	return func() (ScheduledCall, bool) {
--- a/internal/bench/load/service.go
+++ b/internal/bench/load/service.go
@@ -9,14 +9,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// serviceAnswer is the part of a service stand-in's answer that proves whose it
-// is.
+// serviceAnswer is the part of a service stand-in's answer that identifies the request.
 type serviceAnswer struct {
 	BodyHash string `json:"body_hash"`
 }
 
-// readService reads the answer of a service stand-in and checks that it is that
-// to the call.
+// readService reads the answer of a service stand-in and checks that it matches the call.
 func readService(reader io.Reader, call Call) error {
 	data, err := io.ReadAll(reader)
 	if err != nil {
@@ -29,7 +27,7 @@
 	digest := xxhash.New()
 	_, _ = digest.WriteString(call.Content)
 	if answer.BodyHash != hex.EncodeToString(digest.Sum(nil)) {
-		return errors.Wrap(ErrWrong, "the answer names another body")
+		return errors.Wrap(ErrWrong, "the answer has the hash of another body")
 	}
 	return nil
 }
--- a/internal/bench/load/sse.go
+++ b/internal/bench/load/sse.go
@@ -12,14 +12,14 @@
 	"rockwind.example/rockwind/internal/engine"
 )
 
-// Failures of an answer.
+// Errors of an answer.
 var (
-	// ErrTruncated: the answer ended before its end marker.
-	ErrTruncated = errors.New("the answer is not whole")
-	// ErrWrong: the answer holds text that is not its own.
-	ErrWrong = errors.New("the answer is not its own")
-	// ErrInStream: the stream carried an error in place of its end.
-	ErrInStream = errors.New("the stream carried an error")
+	// ErrTruncated: the answer is incomplete.
+	ErrTruncated = errors.New("the answer is incomplete")
+	// ErrWrong: the answer doesn't match the request.
+	ErrWrong = errors.New("the answer does not match the request")
+	// ErrInStream: the stream contains an error event.
+	ErrInStream = errors.New("the stream contains an error")
 )
 
 var (
@@ -30,19 +30,19 @@
 	errorMarker   = []byte(`"error"`)
 )
 
-// checker compares an answer with the expected one, piece by piece.
+// checker compares an answer incrementally with the expected one.
 type checker struct {
 	promptHash uint64
-	// tokens is how many tokens have been seen.
+	// tokens is the number of tokens checked so far.
 	tokens int
 }
 
-// take checks the next piece of the answer and returns how many tokens it has.
-func (c *checker) take(text string) (int, error) {
+// next checks the next piece of the answer and returns its number of tokens.
+func (c *checker) next(text string) (int, error) {
 	before := c.tokens
 	for text != "" {
-		rest, own := strings.CutPrefix(text, engine.ExpectedToken(c.promptHash, c.tokens+1))
-		if !own {
+		rest, found := strings.CutPrefix(text, engine.ExpectedToken(c.promptHash, c.tokens+1))
+		if !found {
 			return 0, errors.Wrapf(ErrWrong, "after token %d", c.tokens)
 		}
 		text = rest
@@ -51,7 +51,7 @@
 	return c.tokens - before, nil
 }
 
-// streamChunk is a chunk of either kind of completion.
+// streamChunk is a chunk of a streamed chat or text completion.
 type streamChunk struct {
 	Choices []struct {
 		Delta struct {
@@ -62,9 +62,9 @@
 	Error json.RawMessage `json:"error"`
 }
 
-// ReadStream reads a stream of server-sent events to its end, checks that it is
-// the whole answer to the prompt, and calls each for every event with tokens.
-// It returns the number of tokens.
+// ReadStream reads a stream of server-sent events to its end and checks that it is the
+// complete answer to the prompt. It calls each for every event with tokens and returns the
+// number of tokens.
 func ReadStream(reader io.Reader, prompt string, maxTokens int, each func(tokens int)) (int, error) {
 	lines := bufio.NewReaderSize(reader, 16<<10)
 	check := checker{promptHash: engine.PromptHash(prompt)}
@@ -85,7 +85,7 @@
 		if err != nil {
 			return check.tokens, err
 		}
-		tokens, err := check.take(text)
+		tokens, err := check.next(text)
 		if err != nil {
 			return check.tokens, err
 		}
@@ -97,13 +97,13 @@
 
 func checkLength(tokens, maxTokens int) error {
 	if tokens != maxTokens {
-		return errors.Wrapf(ErrTruncated, "it ends after %d of %d tokens", tokens, maxTokens)
+		return errors.Wrapf(ErrTruncated, "the answer ends after %d of %d tokens", tokens, maxTokens)
 	}
 	return nil
 }
 
-// chunkText returns the text of a chunk. Plain text is cut out of the chunk;
-// anything unusual is decoded.
+// chunkText returns the text of a chunk. It extracts plain text without decoding the JSON and
+// decodes all other chunks.
 func chunkText(data []byte) (string, error) {
 	for _, marker := range [][]byte{contentMarker, textMarker} {
 		_, after, found := bytes.Cut(data, marker)
@@ -128,8 +128,8 @@
 	return chunk.Choices[0].Delta.Content + chunk.Choices[0].Text, nil
 }
 
-// wholeAnswer is an unstreamed answer of either kind of completion.
-type wholeAnswer struct {
+// completion is an unstreamed chat or text completion.
+type completion struct {
 	Choices []struct {
 		Message      engine.Message `json:"message"`
 		Text         string         `json:"text"`
@@ -137,8 +137,8 @@
 	} `json:"choices"`
 }
 
-// ReadAnswer reads an unstreamed answer and checks that it is the whole answer to
-// the prompt. It returns the number of tokens.
+// ReadAnswer reads an unstreamed answer and checks that it is the complete answer to the
+// prompt. It returns the number of tokens.
 func ReadAnswer(reader io.Reader, prompt string, maxTokens int) (int, error) {
 	data, err := io.ReadAll(reader)
 	if err != nil {
@@ -147,9 +147,9 @@
 	return CheckAnswer(data, prompt, maxTokens)
 }
 
-// CheckAnswer checks the bytes of an unstreamed answer like ReadWhole.
+// CheckAnswer is like ReadAnswer for an answer that has been read.
 func CheckAnswer(data []byte, prompt string, maxTokens int) (int, error) {
-	var answer wholeAnswer
+	var answer completion
 	if err := json.Unmarshal(data, &answer); err != nil {
 		return 0, errors.Wrapf(ErrTruncated, "%v", err)
 	}
@@ -157,7 +157,7 @@
 		return 0, errors.Wrap(ErrTruncated, "no choice with a finish reason")
 	}
 	check := checker{promptHash: engine.PromptHash(prompt)}
-	if _, err := check.take(answer.Choices[0].Message.Content + answer.Choices[0].Text); err != nil {
+	if _, err := check.next(answer.Choices[0].Message.Content + answer.Choices[0].Text); err != nil {
 		return check.tokens, err
 	}
 	return check.tokens, checkLength(check.tokens, maxTokens)
--- a/internal/bench/load/trace.go
+++ b/internal/bench/load/trace.go
@@ -9,12 +9,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Kind is what a record of a trace asks for.
+// Kind is the kind of request of a trace record.
 type Kind string
 
-// The kinds of record.
 const (
-	// KindOnline is an online request for tokens.
+	// KindOnline is an online completion request.
 	KindOnline Kind = "online"
 	// KindService is a call of a plain HTTP service.
 	KindService Kind = "service"
@@ -24,17 +23,17 @@
 
 // Record is one line of a trace.
 type Record struct {
-	// AtMs is the intended start in milliseconds since the begin of the trace.
+	// AtMs is the intended start in milliseconds, relative to the start of the trace.
 	AtMs int64 `json:"at_ms"`
-	// Tenant is who asks; Model is the model or, for KindService, the service.
+	// Model is the model or, for KindService, the service.
 	Tenant string `json:"tenant"`
 	Model  string `json:"model"`
 	Kind   Kind   `json:"kind"`
 	// PromptTokens is the length of the whole prompt.
 	PromptTokens int `json:"prompt_tokens,omitempty"`
-	// SharedPrefix names a text that prompts have in common; zero for none.
+	// SharedPrefix identifies a shared prefix; zero means none.
 	SharedPrefix uint64 `json:"shared_prefix,omitempty"`
-	// SharedPrefixTokens is the length of that text.
+	// SharedPrefixTokens is the length of the shared prefix.
 	SharedPrefixTokens int `json:"shared_prefix_tokens,omitempty"`
 	MaxTokens          int `json:"max_tokens,omitempty"`
 	// Stream asks for server-sent events.
@@ -43,7 +42,7 @@
 	Items int `json:"items,omitempty"`
 }
 
-// At returns the intended start since the begin of the trace.
+// At returns the intended start, relative to the start of the trace.
 func (r Record) At() time.Duration {
 	return time.Duration(r.AtMs) * time.Millisecond
 }
@@ -60,7 +59,7 @@
 	return errors.Wrap(buffered.Flush(), "write the trace")
 }
 
-// ReadTrace reads records from JSON lines. Their times must not go backwards.
+// ReadTrace reads records from JSON lines, which must be sorted by time.
 func ReadTrace(reader io.Reader) ([]Record, error) {
 	decoder := json.NewDecoder(bufio.NewReader(reader))
 	decoder.DisallowUnknownFields()
@@ -75,7 +74,7 @@
 			return nil, errors.Wrapf(err, "record %d of the trace", len(records)+1)
 		}
 		if count := len(records); count > 0 && record.AtMs < records[count-1].AtMs {
-			return nil, errors.Newf("record %d of the trace starts before the one above it; sort the file by at_ms", count+1)
+			return nil, errors.Newf("record %d of the trace starts before the previous one; sort the file by at_ms", count+1)
 		}
 		records = append(records, record)
 	}
