--- a/internal/bench/hollow/followers.go
+++ b/internal/bench/hollow/followers.go
@@ -65,6 +65,6 @@
 			}
 			return
 		}
-		http.Error(writer, fmt.Sprintf("no follower has the name %q", name), http.StatusNotFound)
+		http.Error(writer, fmt.Sprintf("no follower is named %q", name), http.StatusNotFound)
 	}
 }
--- a/internal/bench/hollow/getjson.go
+++ b/internal/bench/hollow/getjson.go
@@ -13,7 +13,7 @@
 func GetJSON(ctx context.Context, client *http.Client, address string, into any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
-		return errors.Wrap(err, "create request")
+		return errors.Wrap(err, "make a request")
 	}
 	response, err := client.Do(request)
 	if err != nil {
--- a/internal/bench/soak/backends.go
+++ b/internal/bench/soak/backends.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// servers is the number of backends, slots the concurrent requests that each accepts.
+	// servers is the number of backends, slots the number of slots that each reports.
 	servers = 4
 	slots   = 8
 	// service is the service that all routes lead to.
@@ -162,8 +162,8 @@
 	for offset := range all {
 		at := all[(first+offset)%len(all)]
 		directory := rockwindpb.NewDirectoryServiceProtobufClient("http://"+at.settings.GetAdvertise(), twirphttp.Client{HTTPClient: client})
-		calling, cancel := context.WithTimeout(ctx, reportTimeout)
-		_, err := directory.Report(calling, &rockwindpb.ReportServerRequest{Server: server})
+		callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
+		_, err := directory.Report(callCtx, &rockwindpb.ReportServerRequest{Server: server})
 		cancel()
 		if err == nil {
 			return true
--- a/internal/bench/soak/command.go
+++ b/internal/bench/soak/command.go
@@ -91,11 +91,11 @@
 	if len(c.Seeds) > 0 {
 		return c.Seeds, nil
 	}
-	var drawn []uint64
+	var seeds []uint64
 	for number := range c.Count {
-		drawn = append(drawn, uint64(time.Now().UnixMilli())+uint64(number))
+		seeds = append(seeds, uint64(time.Now().UnixMilli())+uint64(number))
 	}
-	return drawn, nil
+	return seeds, nil
 }
 
 // keptSeeds parses cases.txt: the first word of each line is a seed; lines that start
@@ -144,11 +144,11 @@
 	}
 	program := c.Program
 	if program == "" {
-		own, err := os.Executable()
+		executable, err := os.Executable()
 		if err != nil {
 			return nil, err
 		}
-		program = filepath.Join(filepath.Dir(own), "rockwind")
+		program = filepath.Join(filepath.Dir(executable), "rockwind")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -183,13 +183,13 @@
 
 // start starts the site and the backends and waits until requests are served.
 func (r *run) start(ctx context.Context, folder, program string) error {
-	made, err := newSite(ctx, folder, program)
+	site, err := newSite(ctx, folder, program)
 	if err != nil {
 		return err
 	}
-	r.site = made
+	r.site = site
 	r.operator = newOperator(r)
-	if err := made.start(); err != nil {
+	if err := site.start(); err != nil {
 		return err
 	}
 	for number := range servers {
@@ -203,40 +203,40 @@
 		}
 		go added.sendHeartbeats(ctx, r)
 	}
-	first, cancel := context.WithTimeout(ctx, startTimeout)
+	startCtx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	if err := r.operator.apply(first, 1); err != nil {
+	if err := r.operator.apply(startCtx, 1); err != nil {
 		return err
 	}
 	if err := r.waitUntilServing(ctx, startTimeout); err != nil {
 		return err
 	}
-	return made.clearBootstrap()
+	return site.clearBootstrap()
 }
 
 // soak runs load and faults, waits for recovery, and checks the invariants.
 func (r *run) soak(ctx context.Context, plan []Fault) {
-	loading, stopLoad := context.WithCancel(ctx)
-	following, stopFollowing := context.WithCancel(ctx)
+	loadCtx, stopLoad := context.WithCancel(ctx)
+	followCtx, stopFollowing := context.WithCancel(ctx)
 	defer stopFollowing()
 	var load sync.WaitGroup
 	for number := range callers {
-		load.Go(func() { newCaller(r, number).call(loading) })
+		load.Go(func() { newCaller(r, number).call(loadCtx) })
 	}
 	for number := range slowReaders {
-		load.Go(func() { newSlowReader(r, number).read(loading) })
+		load.Go(func() { newSlowReader(r, number).read(loadCtx) })
 	}
 	for _, each := range r.tenantCallers() {
-		load.Go(func() { each.call(loading) })
+		load.Go(func() { each.call(loadCtx) })
 	}
-	load.Go(func() { r.sendCrashingRequests(loading) })
-	load.Go(func() { r.watchUsage(loading) })
-	load.Go(func() { r.watchMemory(loading) })
-	load.Go(func() { r.submitAll(loading, following) })
-	load.Go(func() { r.operator.operate(loading) })
-	load.Go(func() { r.operator.readBack(loading) })
+	load.Go(func() { r.sendCrashingRequests(loadCtx) })
+	load.Go(func() { r.watchUsage(loadCtx) })
+	load.Go(func() { r.watchMemory(loadCtx) })
+	load.Go(func() { r.submitAll(loadCtx, followCtx) })
+	load.Go(func() { r.operator.operate(loadCtx) })
+	load.Go(func() { r.operator.readBack(loadCtx) })
 	for _, at := range r.site.routers() {
-		load.Go(func() { r.operator.watchRouter(loading, at) })
+		load.Go(func() { r.operator.watchRouter(loadCtx, at) })
 	}
 	r.faultsBegan = r.elapsed()
 	r.inject(ctx, plan)
@@ -247,9 +247,9 @@
 	stopLoad()
 	load.Wait()
 	r.submitting.Wait()
-	finishing, cancel := context.WithTimeout(ctx, finishWithin)
+	finishCtx, cancel := context.WithTimeout(ctx, finishWithin)
 	defer cancel()
-	r.settleJobs(finishing)
+	r.settleJobs(finishCtx)
 	stopFollowing()
 	r.clients.Wait()
 	r.witness.Finish(r.elapsed())
--- a/internal/bench/soak/crashingrequests.go
+++ b/internal/bench/soak/crashingrequests.go
@@ -43,9 +43,9 @@
 // sendCrashingRequest sends one request. The response isn't checked: the backends record
 // the crashes.
 func (r *run) sendCrashingRequest(ctx context.Context, client *http.Client, at *member, path, content, id string) {
-	calling, cancel := context.WithTimeout(ctx, callerTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, callerTimeout)
 	defer cancel()
-	request, err := newRequest(calling, at, path+content, id, content, callerTimeout)
+	request, err := newRequest(callCtx, at, path+content, id, content, callerTimeout)
 	if err != nil {
 		return
 	}
--- a/internal/bench/soak/faultproxy/proxy.go
+++ b/internal/bench/soak/faultproxy/proxy.go
@@ -14,25 +14,25 @@
 
 // Impairment is what a proxy does to the traffic.
 type Impairment struct {
-	delay       time.Duration
-	dropToward  bool
-	dropAnswers bool
+	delay        time.Duration
+	dropInbound  bool
+	dropOutbound bool
 }
 
 // None forwards traffic unchanged.
 func None() Impairment { return Impairment{} }
 
-// Delay delays each chunk of data in both directions.
+// Delay delays each chunk of TCP data in both directions.
 func Delay(by time.Duration) Impairment { return Impairment{delay: by} }
 
 // DropInbound drops traffic to the process.
-func DropInbound() Impairment { return Impairment{dropToward: true} }
+func DropInbound() Impairment { return Impairment{dropInbound: true} }
 
 // DropOutbound drops traffic from the process.
-func DropOutbound() Impairment { return Impairment{dropAnswers: true} }
+func DropOutbound() Impairment { return Impairment{dropOutbound: true} }
 
 // DropAll drops traffic in both directions.
-func DropAll() Impairment { return Impairment{dropToward: true, dropAnswers: true} }
+func DropAll() Impairment { return Impairment{dropInbound: true, dropOutbound: true} }
 
 // copyBufferSize is the size of one read, maximumDatagram the largest datagram.
 const (
@@ -77,7 +77,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.impairment = impairment
-	if impairment.dropToward || impairment.dropAnswers {
+	if impairment.dropInbound || impairment.dropOutbound {
 		return
 	}
 	for each := range p.connections {
@@ -138,8 +138,8 @@
 }
 
 func (p *Proxy) forward(ctx context.Context, client net.Conn) {
-	// While inbound traffic is dropped, the handshake with the target can't start.
-	for p.current().dropToward {
+	// While inbound traffic is dropped, no connection to the target is opened.
+	for p.current().dropInbound {
 		select {
 		case <-ctx.Done():
 			client.Close()
@@ -160,8 +160,8 @@
 	p.connections[conns] = struct{}{}
 	p.mutex.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { p.forwardDirection(conns, server, client, func(h Impairment) bool { return h.dropToward }) })
-	both.Go(func() { p.forwardDirection(conns, client, server, func(h Impairment) bool { return h.dropAnswers }) })
+	both.Go(func() { p.forwardDirection(conns, server, client, func(h Impairment) bool { return h.dropInbound }) })
+	both.Go(func() { p.forwardDirection(conns, client, server, func(h Impairment) bool { return h.dropOutbound }) })
 	both.Wait()
 	p.mutex.Lock()
 	delete(p.connections, conns)
@@ -219,7 +219,7 @@
 		if err != nil {
 			return
 		}
-		if impairment := p.current(); !impairment.dropToward {
+		if impairment := p.current(); !impairment.dropInbound {
 			// A write fails if the process is down; the datagram is lost.
 			_, _ = targetConn.Write(buffer[:n])
 		}
--- a/internal/bench/soak/inject.go
+++ b/internal/bench/soak/inject.go
@@ -85,9 +85,9 @@
 		wait()
 		target.Resume()
 	case KindStop:
-		stopping, cancel := context.WithTimeout(context.WithoutCancel(ctx), (graceS+1)*time.Second)
+		stopCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), (graceS+1)*time.Second)
 		defer cancel()
-		if err := target.Terminate(stopping); err != nil {
+		if err := target.Terminate(stopCtx); err != nil {
 			r.witness.Count("planned stops that took too long")
 			target.Kill()
 		}
--- a/internal/bench/soak/online.go
+++ b/internal/bench/soak/online.go
@@ -70,9 +70,9 @@
 		timeout = minimumTimeout + time.Duration(c.random.Int64N(int64(callerTimeout/20)))
 	}
 	c.run.witness.Sent(id, path == backend.PathOnce || path == backend.PathStream)
-	calling, cancel := context.WithTimeout(ctx, timeout)
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	c.check(id, path, c.send(calling, at, path, id, timeout))
+	c.check(id, path, c.send(callCtx, at, path, id, timeout))
 }
 
 // answer is the response to a request, or the error.
@@ -175,8 +175,8 @@
 		c.sent++
 		id := fmt.Sprintf("r-%d-%d", c.number, c.sent)
 		c.run.witness.Sent(id, path == backend.PathOnce || path == backend.PathStream)
-		calling, cancel := context.WithTimeout(ctx, callerTimeout)
-		got := c.send(calling, at, path, id, callerTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, callerTimeout)
+		got := c.send(callCtx, at, path, id, callerTimeout)
 		cancel()
 		c.check(id, path, got)
 		if got.err == nil && got.status == http.StatusOK {
--- a/internal/bench/soak/operator.go
+++ b/internal/bench/soak/operator.go
@@ -59,7 +59,7 @@
 // configuration returns a configuration with a route of each kind and the marker routes of
 // the last markerCount numbers.
 func configuration(number uint64) *rockwindpb.Configuration {
-	made := &rockwindpb.Configuration{
+	result := &rockwindpb.Configuration{
 		Number: number, Services: []*rockwindpb.Service{{Name: service, HealthPath: backend.PathHealth}}, Tenants: tenants(),
 	}
 	add := func(name, prefix string, kind rockwindpb.RouteKind, change func(*rockwindpb.Route)) {
@@ -71,7 +71,7 @@
 		if change != nil {
 			change(route)
 		}
-		made.Routes = append(made.Routes, route)
+		result.Routes = append(result.Routes, route)
 	}
 	add("safe", backend.PathSafe, rockwindpb.RouteKind_ROUTE_KIND_SAFE, nil)
 	add("once", backend.PathOnce, rockwindpb.RouteKind_ROUTE_KIND_AT_MOST_ONCE, nil)
@@ -86,7 +86,7 @@
 	for marked := number; marked > 0 && marked+markerCount > number; marked-- {
 		add(fmt.Sprintf("marker-%d", marked), marker(marked), rockwindpb.RouteKind_ROUTE_KIND_SAFE, nil)
 	}
-	return made
+	return result
 }
 
 // marker is the path prefix of the route that shows that a configuration is in force.
@@ -105,8 +105,8 @@
 func (o *operator) apply(ctx context.Context, number uint64) error {
 	var last error
 	for {
-		calling, cancel := context.WithTimeout(ctx, applyTimeout)
-		_, err := o.service(o.coordinator()).Apply(calling, &rockwindpb.ApplyConfigurationRequest{Configuration: configuration(number), Operator: "soak"})
+		callCtx, cancel := context.WithTimeout(ctx, applyTimeout)
+		_, err := o.service(o.coordinator()).Apply(callCtx, &rockwindpb.ApplyConfigurationRequest{Configuration: configuration(number), Operator: "soak"})
 		cancel()
 		if err == nil {
 			o.acknowledge(number)
@@ -156,8 +156,8 @@
 	for retry.Pause(ctx, readBackInterval) {
 		at := all[random.IntN(len(all))]
 		known := o.newestBefore(o.run.elapsed())
-		calling, cancel := context.WithTimeout(ctx, applyTimeout)
-		response, err := o.service(at).Get(calling, &rockwindpb.GetConfigurationRequest{Newest: true})
+		callCtx, cancel := context.WithTimeout(ctx, applyTimeout)
+		response, err := o.service(at).Get(callCtx, &rockwindpb.GetConfigurationRequest{Newest: true})
 		cancel()
 		if err != nil {
 			continue
--- a/internal/bench/soak/site.go
+++ b/internal/bench/soak/site.go
@@ -89,7 +89,7 @@
 
 // newSite writes the settings of all processes and starts their proxies only.
 func newSite(ctx context.Context, folder, program string) (*site, error) {
-	made := &site{}
+	s := &site{}
 	var seeds []string
 	for _, role := range roles {
 		for number := range replicas {
@@ -97,31 +97,31 @@
 			if err != nil {
 				return nil, err
 			}
-			made.members = append(made.members, added)
+			s.members = append(s.members, added)
 			if role == rockwindpb.SiteRole_SITE_ROLE_COORDINATOR {
 				seeds = append(seeds, added.settings.GetAdvertise())
 			}
 		}
 	}
-	for _, each := range made.members {
+	for _, each := range s.members {
 		each.settings.Seeds = seeds
 		if err := each.writeSettings(); err != nil {
 			return nil, err
 		}
 	}
-	return made, nil
+	return s, nil
 }
 
 func newMember(ctx context.Context, folder, program string, role rockwindpb.SiteRole, number int) (*member, error) {
-	given := make([]string, 4)
-	for i := range given {
+	addresses := make([]string, 4)
+	for i := range addresses {
 		address, err := loopback.Next()
 		if err != nil {
 			return nil, err
 		}
-		given[i] = address
+		addresses[i] = address
 	}
-	proxy, err := faultproxy.Open(given[1], given[0])
+	proxy, err := faultproxy.Open(addresses[1], addresses[0])
 	if err != nil {
 		return nil, err
 	}
@@ -129,18 +129,18 @@
 	name := fmt.Sprintf("%s-%d", roleNames[role], number)
 	settings := &rockwindpb.SiteSettings{
 		Name: name, Role: role, Zone: fmt.Sprintf("zone-%d", number),
-		InternalListen: given[0], Advertise: given[1], Bootstrap: true, MemoryMb: memoryMb, ToleratedLosses: 1,
+		InternalListen: addresses[0], Advertise: addresses[1], Bootstrap: true, MemoryMb: memoryMb, ToleratedLosses: 1,
 		HeartbeatMs: uint32(heartbeat.Milliseconds()), GraceS: graceS, ResultRetentionS: retentionS,
 	}
-	own := filepath.Join(folder, name)
+	processFolder := filepath.Join(folder, name)
 	if role == rockwindpb.SiteRole_SITE_ROLE_ROUTER {
-		settings.Listen, settings.ReadyListen = given[2], given[3]
+		settings.Listen, settings.ReadyListen = addresses[2], addresses[3]
 	} else {
-		settings.DataFolder = filepath.Join(own, dataFolder)
+		settings.DataFolder = filepath.Join(processFolder, dataFolder)
 	}
 	process := fleet.NewProcess(fleet.ProcessOptions{
-		Name: name, Role: roleNames[role], Zone: settings.GetZone(), Address: given[0], Folder: own, Program: program,
-		Arguments: []string{"site", "--settings", filepath.Join(own, settingsFile)}, LogFile: filepath.Join(folder, name+".log"),
+		Name: name, Role: roleNames[role], Zone: settings.GetZone(), Address: addresses[0], Folder: processFolder, Program: program,
+		Arguments: []string{"site", "--settings", filepath.Join(processFolder, settingsFile)}, LogFile: filepath.Join(folder, name+".log"),
 	})
 	return &member{Process: process, settings: settings, proxy: proxy}, nil
 }
--- a/internal/bench/soak/slowreaders.go
+++ b/internal/bench/soak/slowreaders.go
@@ -37,9 +37,9 @@
 }
 
 func newSlowReader(run *run, number int) *slowReader {
-	made := newCaller(run, callers+number)
-	made.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: dialSmallBuffer}}
-	return &slowReader{caller: made, random: rand.New(rand.NewPCG(run.seed, uint64(len("slow")+number)))}
+	caller := newCaller(run, callers+number)
+	caller.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: dialSmallBuffer}}
+	return &slowReader{caller: caller, random: rand.New(rand.NewPCG(run.seed, uint64(len("slow")+number)))}
 }
 
 // dialSmallBuffer opens a connection with a small receive buffer.
--- a/internal/bench/soak/tenants.go
+++ b/internal/bench/soak/tenants.go
@@ -82,9 +82,9 @@
 func (c *tenantCaller) request(ctx context.Context) {
 	c.sent++
 	id := fmt.Sprintf("tenant-%s-%d-%d", c.tenant, c.number, c.sent)
-	calling, cancel := context.WithTimeout(ctx, callerTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, callerTimeout)
 	defer cancel()
-	request, err := newRequest(calling, c.run.site.randomRouter(c.random), backend.PathTenant+id, id, id, callerTimeout)
+	request, err := newRequest(callCtx, c.run.site.randomRouter(c.random), backend.PathTenant+id, id, id, callerTimeout)
 	if err != nil {
 		return
 	}
--- a/internal/bench/soak/witness/witness.go
+++ b/internal/bench/soak/witness/witness.go
@@ -83,7 +83,7 @@
 // crashingContent is a request content that crashes each backend that runs it.
 type crashingContent struct {
 	crashes int
-	// quarantinedAt is when it crashed the backend that makes it due for quarantine.
+	// quarantinedAt is the time of crash number crashesToQuarantine.
 	quarantinedAt time.Duration
 	// lateCrashes counts its crashes in fault-free periods once it had to be quarantined.
 	lateCrashes int
@@ -232,11 +232,11 @@
 func (w *Witness) Submitting(id string, texts map[string]string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	made := &job{items: make(map[string]*item)}
+	newJob := &job{items: make(map[string]*item)}
 	for name, text := range texts {
-		made.items[name] = &item{text: text, poison: text == ""}
+		newJob.items[name] = &item{text: text, poison: text == ""}
 	}
-	w.jobs[id] = made
+	w.jobs[id] = newJob
 }
 
 func (w *Witness) Accepted(id string) {
