--- a/internal/bench/experiment/faults/command.go
+++ b/internal/bench/experiment/faults/command.go
@@ -153,7 +153,7 @@
 	for number, name := range []string{"operator-a", "operator-b", "operator-in-a-hurry"} {
 		all.operators = append(all.operators, &operator{
 			name: name, fleet: running, record: seen, history: history, client: number,
-			number:  running.Number(),
+			number:  running.ConfigurationNumber(),
 			service: controlclient.New(controlclient.Options{Machines: running.ControlMachines()}).Configuration(),
 		})
 	}
@@ -186,7 +186,7 @@
 func (c *Command) experiment(ctx context.Context, running *fleet.Fleet) (*Report, error) {
 	seen := &record{}
 	history := newApplyHistory()
-	first := running.Number()
+	first := running.ConfigurationNumber()
 	all := c.actors(running, seen, history)
 	report := &Report{Seed: c.Seed, DurationSeconds: c.Duration.Seconds(), Faults: map[Kind]int{}}
 	if err := c.runLoadAndFaults(ctx, all, report); err != nil {
--- a/internal/bench/experiment/faults/injector.go
+++ b/internal/bench/experiment/faults/injector.go
@@ -124,9 +124,9 @@
 }
 
 func freeze(ctx context.Context, victim *fleet.Process, length time.Duration) error {
-	victim.Freeze()
+	victim.Suspend()
 	sleep(ctx, length)
-	victim.Thaw()
+	victim.Resume()
 	return nil
 }
 
--- a/internal/bench/experiment/propagation/experiment.go
+++ b/internal/bench/experiment/propagation/experiment.go
@@ -107,12 +107,12 @@
 		return err
 	}
 	e.current = e.fleet.Configuration()
-	e.current.Number = e.fleet.Number()
+	e.current.Number = e.fleet.ConfigurationNumber()
 	if err := e.awaitConfiguration(ctx, []*host{e.away}, e.current.GetNumber()); err != nil {
 		return err
 	}
 	for _, name := range e.away.names {
-		if err := e.away.command(ctx, hollow.StopPage, name); err != nil {
+		if err := e.away.command(ctx, hollow.StopPath, name); err != nil {
 			return err
 		}
 	}
@@ -228,7 +228,7 @@
 	}
 	started := time.Now()
 	for _, name := range e.away.names {
-		if err := e.away.command(ctx, hollow.StartPage, name); err != nil {
+		if err := e.away.command(ctx, hollow.StartPath, name); err != nil {
 			return err
 		}
 	}
@@ -249,7 +249,7 @@
 func (r *Rejoin) add(before, after []hollow.FollowerReport) {
 	total := int64(0)
 	for index := range after {
-		r.FullTransfers += after[index].Fulls - before[index].Fulls
+		r.FullTransfers += after[index].FullConfigurations - before[index].FullConfigurations
 		total += after[index].Control.Minus(before[index].Control).Total()
 	}
 	r.BytesPerDaemon = float64(total) / float64(max(1, len(after)))
