--- a/internal/bench/experiment/failures/command.go
+++ b/internal/bench/experiment/failures/command.go
@@ -136,10 +136,10 @@
 func (c *Cell) overTime() report.Series {
 	series := report.Series{Name: c.Policy}
 	run := c.runs[0]
-	for second, sent := range run.SentAt {
+	for second, sent := range run.RequestsPerSecond {
 		if sent > 0 {
 			series.Points = append(series.Points, report.Point{
-				X: float64(second) - warmup.Seconds(), Y: float64(run.GoodAt[second]) / float64(sent),
+				X: float64(second) - warmup.Seconds(), Y: float64(run.GoodPerSecond[second]) / float64(sent),
 			})
 		}
 	}
--- a/internal/bench/experiment/failures/experiment.go
+++ b/internal/bench/experiment/failures/experiment.go
@@ -116,7 +116,7 @@
 			return float64(count(run)) / float64(max(1, run.Requests))
 		})
 	}
-	c.Goodput = part(func(run routingfleet.Result) int { return sum(run.GoodAt) })
+	c.Goodput = part(func(run routingfleet.Result) int { return sum(run.GoodPerSecond) })
 	c.Amplification = part(func(run routingfleet.Result) int { return run.MeasuredAttempts })
 	c.Refused = part(func(run routingfleet.Result) int { return run.Refused })
 	c.Lost = part(func(run routingfleet.Result) int { return run.Lost })
@@ -126,7 +126,7 @@
 		return float64(routingfleet.Quantile(run.TTFT, 0.99)) / float64(time.Millisecond)
 	})
 	for _, run := range c.runs {
-		c.TimeToLastNewOnLeavingS = max(c.TimeToLastNewOnLeavingS, run.LastOnLeaving.Seconds())
+		c.TimeToLastNewOnLeavingS = max(c.TimeToLastNewOnLeavingS, run.LastSentToLeaving.Seconds())
 	}
 }
 
@@ -144,8 +144,8 @@
 
 func recovery(run routingfleet.Result) float64 {
 	last := 0
-	for second, sent := range run.SentAt {
-		if sent > 0 && float64(run.GoodAt[second]) < recoveredPart*float64(sent) {
+	for second, sent := range run.RequestsPerSecond {
+		if sent > 0 && float64(run.GoodPerSecond[second]) < recoveredPart*float64(sent) {
 			last = second + 1
 		}
 	}
--- a/internal/bench/experiment/failures/scenarios.go
+++ b/internal/bench/experiment/failures/scenarios.go
@@ -69,7 +69,7 @@
 func engineFault(part float64, kind engine.FaultKind, factor float64, mute bool) func(*routingfleet.Scenario) []routingfleet.Fault {
 	return func(fleet *routingfleet.Scenario) []routingfleet.Fault {
 		return []routingfleet.Fault{{
-			At: warmup, Servers: spread(fleet, part), Mute: mute,
+			At: warmup, Servers: spread(fleet, part), Unresponsive: mute,
 			Engine: engine.Fault{Kind: kind, Duration: faultTime, Factor: factor},
 		}}
 	}
@@ -110,7 +110,7 @@
 		servers = append(servers, server)
 	}
 	return []routingfleet.Fault{
-		{At: warmup, Servers: servers, Cut: true},
+		{At: warmup, Servers: servers, Partition: true},
 		{At: warmup + faultTime, Servers: servers, Heal: true},
 	}
 }
@@ -125,12 +125,12 @@
 
 // build returns the fleet of a scenario.
 func (s scenario) build(servers int, lag time.Duration) routingfleet.Scenario {
-	fleet := routingfleet.Sized(servers)
+	fleet := routingfleet.DefaultScenario(servers)
 	fleet.Engine.ReportLag = lag
 	fleet.Warmup = warmup
 	fleet.Measured = window
-	fleet.Load.Resend = resends
-	fleet.Load.Patience = patience
+	fleet.Load.MaxResends = resends
+	fleet.Load.ClientTimeout = patience
 	fleet.Faults = s.faults(&fleet)
 	return fleet
 }
--- a/internal/bench/experiment/routingcomparison/experiment.go
+++ b/internal/bench/experiment/routingcomparison/experiment.go
@@ -89,7 +89,7 @@
 
 // cells lists what is measured at one size.
 func cells(servers int, options Options) []*Cell {
-	base := routingfleet.Sized(servers)
+	base := routingfleet.DefaultScenario(servers)
 	base.Load.Rate = options.Rate
 	var list []*Cell
 	for _, lag := range options.Lags {
@@ -134,7 +134,7 @@
 func (r *Result) compare() {
 	oracles := make(map[int]float64)
 	for _, cell := range r.Cells {
-		if cell.policy.Fresh {
+		if cell.policy.ExactView {
 			oracles[cell.Servers] = cell.TTFTp99Ms.Mean
 		}
 	}
--- a/internal/bench/routingfleet/attempts.go
+++ b/internal/bench/routingfleet/attempts.go
@@ -102,7 +102,7 @@
 // lose makes the caller of a request give up once its patience is at an end.
 func (g *gateway) lose(index, call int) {
 	run := g.fleet
-	patience := run.scenario.Load.Patience
+	patience := run.scenario.Load.ClientTimeout
 	if patience <= 0 {
 		return
 	}
@@ -118,7 +118,7 @@
 			}
 		}
 		entry.state = stateLost
-		if entry.calls <= run.scenario.Load.Resend {
+		if entry.calls <= run.scenario.Load.MaxResends {
 			run.call(index)
 		}
 	})
@@ -130,7 +130,7 @@
 	entry := &run.requests[index]
 	entry.state = stateRefused
 	run.totals.refusals++
-	if entry.calls <= run.scenario.Load.Resend {
+	if entry.calls <= run.scenario.Load.MaxResends {
 		entry.coming = true
 		run.queue.After(run.scenario.ClientDelay+retryAfter, func() { run.call(index) })
 	}
@@ -337,5 +337,5 @@
 }
 
 func (g *gateway) mayRetry() bool {
-	return g.fleet.policy.Unbudgeted || g.budget.Withdraw()
+	return g.fleet.policy.UnlimitedRetries || g.budget.Withdraw()
 }
--- a/internal/bench/routingfleet/caches.go
+++ b/internal/bench/routingfleet/caches.go
@@ -14,7 +14,7 @@
 // rememberPrefixes notes that a server will cache the prompt at hand, whose
 // prefixes were looked up last.
 func (g *gateway) rememberPrefixes(server int) {
-	if !g.fleet.policy.Hints || g.fleet.policy.Fresh {
+	if !g.fleet.policy.Hints || g.fleet.policy.ExactView {
 		return
 	}
 	for _, prefix := range g.wanted {
@@ -25,7 +25,7 @@
 // readCacheEvents reads the new cache events of an owned server.
 func (g *gateway) readCacheEvents(server int) {
 	run := g.fleet
-	if !run.policy.Events || !run.policy.Hints || run.policy.Fresh {
+	if !run.policy.CacheEvents || !run.policy.Hints || run.policy.ExactView {
 		return
 	}
 	if last, read := g.cacheRead[server]; read && run.queue.Now()-last < run.scenario.CacheInterval {
--- a/internal/bench/routingfleet/faults.go
+++ b/internal/bench/routingfleet/faults.go
@@ -13,12 +13,12 @@
 	Servers []int
 	// Engine is brought about in the engines, where it is not empty.
 	Engine engine.Fault
-	// Cut takes the servers off the network; Heal puts them back.
-	Cut  bool
-	Heal bool
-	// Mute makes the servers answer nothing while the engine's fault lasts; else
+	// Partition takes the servers off the network; Heal puts them back.
+	Partition bool
+	Heal      bool
+	// Unresponsive makes the servers answer nothing while the engine's fault lasts; else
 	// a hung engine goes on to answer polls and probes.
-	Mute bool
+	Unresponsive bool
 	// Drain is a planned stop: the engines take no new work, and the platform's
 	// list shows them as leaving after ListLag.
 	Drain bool
@@ -49,14 +49,14 @@
 	for _, server := range fault.Servers {
 		node := &f.nodes[server]
 		switch {
-		case fault.Cut:
+		case fault.Partition:
 			node.state.cut = true
 		case fault.Heal:
 			node.state.cut = false
 		case fault.Drain:
 			f.drain(server, fault)
 		default:
-			node.state.mute = fault.Mute
+			node.state.mute = fault.Unresponsive
 			node.engine.Inject(f.queue.Now(), fault.Engine)
 		}
 		f.schedule(server)
@@ -125,7 +125,7 @@
 // foundLeaving passes on at once that a server is leaving.
 func (g *gateway) foundLeaving(server int) {
 	run := g.fleet
-	if run.policy.KeepLeaving {
+	if run.policy.NoLeavingBroadcast {
 		return
 	}
 	run.queue.After(run.scenario.ZoneDelay, func() { run.board.leaving[server] = true })
--- a/internal/bench/routingfleet/fleet.go
+++ b/internal/bench/routingfleet/fleet.go
@@ -57,7 +57,7 @@
 }
 
 func newFleet(scenario *Scenario, policy *Policy, seed uint64) *fleet {
-	if policy.Fresh {
+	if policy.ExactView {
 		scenario.Engine.ReportLag = 0
 	}
 	run := &fleet{scenario: scenario, policy: policy, arrivals: drawLoad(scenario, seed)}
--- a/internal/bench/routingfleet/fleet_test.go
+++ b/internal/bench/routingfleet/fleet_test.go
@@ -10,7 +10,7 @@
 
 // short is a small fleet with a short load.
 func short() routingfleet.Scenario {
-	scenario := routingfleet.Sized(12)
+	scenario := routingfleet.DefaultScenario(12)
 	scenario.Warmup = 5 * time.Second
 	scenario.Measured = 10 * time.Second
 	scenario.Engine.CacheEventLoss = 0.05
--- a/internal/bench/routingfleet/gateway.go
+++ b/internal/bench/routingfleet/gateway.go
@@ -141,7 +141,7 @@
 		Adapter:      routing.NoName,
 		PromptTokens: int32(drawn.prompt),
 	}
-	if g.fleet.policy.Fresh {
+	if g.fleet.policy.ExactView {
 		g.refresh(drawn)
 		wanted.Hints = g.hints
 	} else if g.fleet.policy.Hints {
--- a/internal/bench/routingfleet/policy.go
+++ b/internal/bench/routingfleet/policy.go
@@ -13,24 +13,24 @@
 	Name string
 	// Routing makes the routing policy of one gateway.
 	Routing func() routing.Policy
-	// Fresh gives every gateway the true load and caches at each decision.
-	Fresh bool
+	// ExactView gives every gateway the true load and caches at each decision.
+	ExactView bool
 	// Hints tells whether prefix-cache hints are used, and Events whether they
 	// are also learned from the engines' cache events.
-	Hints  bool
-	Events bool
+	Hints       bool
+	CacheEvents bool
 	// Health holds the thresholds of passive health.
 	Health health.Policy
 	// Admission refuses requests early; nil admits all.
 	Admission *admission.Policy
 	// ProbesOnly judges health by polls and probes alone, not by real traffic.
 	ProbesOnly bool
-	// Unbudgeted lets gateways retry without a budget.
-	Unbudgeted bool
+	// UnlimitedRetries lets gateways retry without a budget.
+	UnlimitedRetries bool
 	// Hedge says when a second attempt starts beside a slow one; nil never.
 	Hedge *admission.HedgePolicy
-	// KeepLeaving leaves gateways to find out for themselves which servers leave.
-	KeepLeaving bool
+	// NoLeavingBroadcast leaves gateways to find out for themselves which servers leave.
+	NoLeavingBroadcast bool
 }
 
 // Bounds that the daemon's relay keeps.
@@ -52,11 +52,11 @@
 		Routing: func() routing.Policy {
 			return &routing.OwnedFirst{Margin: routing.OwnedMargin, Fallback: routing.Default}
 		},
-		Hints:     true,
-		Events:    true,
-		Health:    health.DefaultPolicy,
-		Admission: &admit,
-		Hedge:     &hedge,
+		Hints:       true,
+		CacheEvents: true,
+		Health:      health.DefaultPolicy,
+		Admission:   &admit,
+		Hedge:       &hedge,
 	}
 }
 
@@ -83,7 +83,7 @@
 func FreshOracle() Policy {
 	policy := Rockwind()
 	policy.Name = "fresh_oracle"
-	policy.Fresh = true
+	policy.ExactView = true
 	policy.Routing = func() routing.Policy { return routing.FreshOracle{} }
 	return policy
 }
@@ -94,9 +94,9 @@
 	policy := Rockwind()
 	policy.Name = "unprotected"
 	policy.Admission = nil
-	policy.Unbudgeted = true
+	policy.UnlimitedRetries = true
 	policy.Hedge = nil
-	policy.KeepLeaving = true
+	policy.NoLeavingBroadcast = true
 	policy.Health.SuspectAfter = neverReached
 	policy.Health.EjectAfter = neverReached
 	policy.Health.SlowFactor = neverReached
--- a/internal/bench/routingfleet/result.go
+++ b/internal/bench/routingfleet/result.go
@@ -20,9 +20,9 @@
 	lastToLeaving time.Duration
 }
 
-// GoodWithin is the time to the first token within which an answer is of use to
+// GoodputTTFT is the time to the first token within which an answer is of use to
 // its caller.
-const GoodWithin = 2 * time.Second
+const GoodputTTFT = 2 * time.Second
 
 // Result is what one run measured between warm-up and end.
 type Result struct {
@@ -55,14 +55,14 @@
 	Snapshots   int
 	// MeasuredAttempts counts the sendings of the requests measured.
 	MeasuredAttempts int
-	// GoodAt counts whole answers whose first token came within GoodWithin, by
+	// GoodPerSecond counts whole answers whose first token came within GoodWithin, by
 	// the second in which the request was sent, and SentAt the requests.
-	GoodAt []int
-	SentAt []int
-	// LastOnLeaving is the time from the begin of a drain to the last new
+	GoodPerSecond     []int
+	RequestsPerSecond []int
+	// LastSentToLeaving is the time from the begin of a drain to the last new
 	// request at a leaving server; zero when none was sent.
-	LastOnLeaving time.Duration
-	SentToLeaving int
+	LastSentToLeaving time.Duration
+	SentToLeaving     int
 }
 
 // HitRate is the part of prompt tokens that came from prefix caches.
@@ -81,10 +81,10 @@
 		Retries: f.totals.retries, Hedges: f.totals.hedges,
 		CacheEvents: f.totals.cacheEvents, Snapshots: f.totals.snapshots,
 		SentToLeaving: f.totals.sentToLeaving,
-		GoodAt:        make([]int, seconds), SentAt: make([]int, seconds),
+		GoodPerSecond: make([]int, seconds), RequestsPerSecond: make([]int, seconds),
 	}
 	if f.totals.lastToLeaving > 0 {
-		result.LastOnLeaving = f.totals.lastToLeaving - f.totals.drainedAt
+		result.LastSentToLeaving = f.totals.lastToLeaving - f.totals.drainedAt
 	}
 	for index := range f.requests {
 		f.measure(index, &result)
@@ -106,7 +106,7 @@
 	entry := &f.requests[index]
 	second := int(drawn.at / time.Second)
 	result.Requests++
-	result.SentAt[second]++
+	result.RequestsPerSecond[second]++
 	result.MeasuredAttempts += len(entry.attempts)
 	if entry.hinted {
 		result.Hinted++
@@ -115,8 +115,8 @@
 	case stateDone:
 		result.Answered++
 		result.TTFT = append(result.TTFT, entry.firstAt-drawn.at)
-		if entry.firstAt-drawn.at <= GoodWithin {
-			result.GoodAt[second]++
+		if entry.firstAt-drawn.at <= GoodputTTFT {
+			result.GoodPerSecond[second]++
 		}
 	case stateRefused:
 		result.Refused++
--- a/internal/bench/routingfleet/scenario.go
+++ b/internal/bench/routingfleet/scenario.go
@@ -53,19 +53,19 @@
 	Rate float64
 	// BurstFactor multiplies a zone's rate in bursts, which last BurstMean and
 	// come BurstEvery apart on average, both exponential.
-	BurstFactor float64
-	BurstMean   time.Duration
-	BurstEvery  time.Duration
+	BurstFactor       float64
+	MeanBurstDuration time.Duration
+	MeanBurstInterval time.Duration
 	// Documents is the number of long texts that prompts begin with, and
 	// Instructions the number of short ones. Popularity follows a Zipf law.
 	Documents    int
 	Instructions int
-	// Resend makes callers send a refused request again after the time that
+	// MaxResends makes callers send a refused request again after the time that
 	// the refusal names, and one that they gave up at once, up to so many times.
-	Resend int
-	// Patience is how long callers wait for a first token before they give up;
+	MaxResends int
+	// ClientTimeout is how long callers wait for a first token before they give up;
 	// zero means for ever.
-	Patience time.Duration
+	ClientTimeout time.Duration
 }
 
 // End returns when arrivals end.
@@ -91,10 +91,10 @@
 	serversLarge  = 1200
 )
 
-// Sized returns the scenario of a fleet with so many servers. The number of
+// DefaultScenario returns the scenario of a fleet with so many servers. The number of
 // gateways and zones follows the two deployments of today at 12 servers and the
 // target of 350 gateways and 32 zones at 1,200.
-func Sized(servers int) Scenario {
+func DefaultScenario(servers int) Scenario {
 	config := engine.DefaultConfig()
 	config.StepJitter = 0.05
 	config.OmitIntermediateTokens = true
@@ -107,7 +107,7 @@
 		CacheInterval:    serverview.CacheInterval,
 		ExchangeInterval: exchange.Period,
 		Load: Load{
-			Rate: 6, BurstFactor: 2.5, BurstMean: 1500 * time.Millisecond, BurstEvery: 8 * time.Second,
+			Rate: 6, BurstFactor: 2.5, MeanBurstDuration: 1500 * time.Millisecond, MeanBurstInterval: 8 * time.Second,
 			Documents: 24 + servers/4, Instructions: 40,
 		},
 		Warmup: 20 * time.Second, Measured: 40 * time.Second,
--- a/internal/bench/routingfleet/workload.go
+++ b/internal/bench/routingfleet/workload.go
@@ -92,7 +92,7 @@
 	rate := load.Rate * started * float64(g.scenario.Servers) / float64(g.scenario.Zones)
 	mean := time.Duration(float64(time.Second) / (rate * factor))
 	bursting := false
-	change := g.exponential(load.BurstEvery)
+	change := g.exponential(load.MeanBurstInterval)
 	for at := g.exponential(mean); at < g.scenario.End(); at += g.exponential(mean) {
 		for change <= at {
 			bursting = !bursting
@@ -106,9 +106,9 @@
 
 func (g *generator) phase(bursting bool) time.Duration {
 	if bursting {
-		return g.scenario.Load.BurstMean
+		return g.scenario.Load.MeanBurstDuration
 	}
-	return g.scenario.Load.BurstEvery
+	return g.scenario.Load.MeanBurstInterval
 }
 
 func (g *generator) exponential(mean time.Duration) time.Duration {
--- a/internal/bench/wire/wire.go
+++ b/internal/bench/wire/wire.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// Mend ends a Cut.
-func (c *Counter) Mend() {
+// Restore ends a Cut.
+func (c *Counter) Restore() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.cut = false
--- a/internal/bench/wire/wire_test.go
+++ b/internal/bench/wire/wire_test.go
@@ -101,7 +101,7 @@
 	if counter.Traffic().Sent == 0 {
 		t.Fatal("the count was lost with the connection")
 	}
-	counter.Mend()
+	counter.Restore()
 	if _, err := counter.Dial(context.Background(), listener.Addr().String()); err != nil {
 		t.Fatalf("a mended machine opens no connection: %v", err)
 	}
