--- a/internal/bench/routingfleet/attempts.go
+++ b/internal/bench/routingfleet/attempts.go
@@ -11,7 +11,7 @@
 	"rockwind.example/rockwind/internal/upstream"
 )
 
-// request follows one request. Times are the caller's.
+// request is the state of one request. Times are as observed by the client.
 type request struct {
 	sent     time.Duration
 	firstAt  time.Duration
@@ -21,11 +21,11 @@
 	attempts []attempt
 	state    requestState
 	hinted   bool
-	// coming tells that the caller's next sending is on its way.
-	coming bool
+	// inTransit reports whether a call is scheduled but has not reached its gateway.
+	inTransit bool
 }
 
-// requestState is where a request is.
+// requestState is the stage of a request.
 type requestState uint8
 
 const (
@@ -33,23 +33,23 @@
 	stateRunning
 	stateDone
 	stateRefused
-	// stateLost: it may have run, and no answer will come.
+	// stateLost means that the request may have run but will get no answer.
 	stateLost
 )
 
-// attempt is one sending of a request to a server.
+// attempt is one try of a request at a server.
 type attempt struct {
 	server int32
 	sentAt time.Duration
-	// tokens is the part of the prompt that was counted as sent.
+	// tokens is the number of uncached prompt tokens added to the server's load.
 	tokens int
 	open   bool
-	// prefilled tells that the first token arrived or that none will come.
-	prefilled bool
-	hedge     bool
+	// prefillDone is set when the first token arrived or can no longer arrive.
+	prefillDone bool
+	hedge       bool
 }
 
-// failure is how an attempt failed.
+// failure is the cause of a failed attempt.
 type failure uint8
 
 const (
@@ -59,29 +59,29 @@
 	failureTimeout
 )
 
-// attemptBits is the part of a tag that numbers the attempts of a request.
+// attemptBits is the number of low bits of an engine tag that hold the attempt number.
 const attemptBits = 8
 
-func tag(index, number int) uint64 { return uint64(index)<<attemptBits | uint64(number) }
+func attemptTag(index, number int) uint64 { return uint64(index)<<attemptBits | uint64(number) }
 
-func untag(tag uint64) (index, number int) {
+func parseAttemptTag(tag uint64) (index, number int) {
 	return int(tag >> attemptBits), int(tag & (1<<attemptBits - 1))
 }
 
-// attemptID is the request identity that the engine knows an attempt by.
-func attemptID(index, number int) string { return strconv.FormatUint(tag(index, number), 10) }
+// attemptID returns the request ID of an attempt at the engine.
+func attemptID(index, number int) string { return strconv.FormatUint(attemptTag(index, number), 10) }
 
-// arrive admits a request and sends it to a server.
-func (g *gateway) arrive(index int) {
+// admit routes a request that reaches the gateway, or refuses it.
+func (g *gateway) admit(index int) {
 	run := g.fleet
 	entry := &run.requests[index]
 	if entry.calls == 0 {
 		entry.sent = run.queue.Now() - run.scenario.ClientDelay
 	}
 	entry.calls++
-	entry.coming = false
+	entry.inTransit = false
 	entry.tried = entry.tried[:0]
-	g.lose(index, entry.calls)
+	g.startClientTimeout(index, entry.calls)
 	run.totals.calls++
 	decision, found := g.choose(index, nil)
 	if policy := run.policy.Admission; policy != nil {
@@ -96,11 +96,12 @@
 	}
 	g.budget.Deposit(upstream.DefaultRetryRatio)
 	entry.state = stateRunning
-	g.send(index, decision, false)
+	g.startAttempt(index, decision, false)
 }
 
-// lose makes the caller of a request give up once its patience is at an end.
-func (g *gateway) lose(index, call int) {
+// startClientTimeout cancels a call that has no first token when the client
+// timeout expires, and resends the request if resends are left.
+func (g *gateway) startClientTimeout(index, call int) {
 	run := g.fleet
 	patience := run.scenario.Load.ClientTimeout
 	if patience <= 0 {
@@ -113,102 +114,105 @@
 		}
 		for number := range entry.attempts {
 			if entry.attempts[number].open {
-				g.cancel(index, number)
-				g.close(index, number)
+				g.cancelAttempt(index, number)
+				g.endAttempt(index, number)
 			}
 		}
 		entry.state = stateLost
 		if entry.calls <= run.scenario.Load.MaxResends {
-			run.call(index)
+			run.sendToGateway(index)
 		}
 	})
 }
 
-// refuse answers a request as not run; the caller may send it again later.
+// refuse rejects a request that did not run. The client resends it after the
+// retry delay if resends are left.
 func (g *gateway) refuse(index int, retryAfter time.Duration) {
 	run := g.fleet
 	entry := &run.requests[index]
 	entry.state = stateRefused
 	run.totals.refusals++
 	if entry.calls <= run.scenario.Load.MaxResends {
-		entry.coming = true
-		run.queue.After(run.scenario.ClientDelay+retryAfter, func() { run.call(index) })
+		entry.inTransit = true
+		run.queue.After(run.scenario.ClientDelay+retryAfter, func() { run.sendToGateway(index) })
 	}
 }
 
-// send starts an attempt at the chosen server.
-func (g *gateway) send(index int, decision routing.Decision, hedge bool) {
+// startAttempt sends a request to the chosen server.
+func (g *gateway) startAttempt(index int, decision routing.Decision, hedge bool) {
 	run := g.fleet
 	entry := &run.requests[index]
-	drawn := &run.arrivals[index]
+	spec := &run.arrivals[index]
 	server := decision.Server
 	number := len(entry.attempts)
-	entry.attempts = append(entry.attempts, attempt{server: int32(server), sentAt: run.queue.Now(), tokens: drawn.prompt - int(decision.CachedTokens), open: true, hedge: hedge})
+	entry.attempts = append(entry.attempts, attempt{server: int32(server), sentAt: run.queue.Now(), tokens: spec.promptTokens - int(decision.CachedTokens), open: true, hedge: hedge})
 	entry.tried = append(entry.tried, int32(server))
 	entry.hinted = decision.Hinted
-	g.view.RecordSent(server, drawn.prompt-int(decision.CachedTokens), false)
+	g.view.RecordSent(server, spec.promptTokens-int(decision.CachedTokens), false)
 	g.health.RecordSent(server, decision.Wait, run.queue.Now())
 	g.recent[server].RecordSent(run.queue.Now())
 	g.rememberPrefixes(server)
-	run.sent(g, server)
+	run.recordSent(g, server)
 	run.queue.After(run.delay(g, server), func() { run.submit(g, index, number) })
-	g.watch(index, number, decision.Wait)
+	g.startAttemptTimers(index, number, decision.Wait)
 }
 
-// submit hands an attempt to its engine.
+// submit delivers an attempt to its engine.
 func (f *fleet) submit(g *gateway, index, number int) {
 	server := int(f.requests[index].attempts[number].server)
 	node := &f.nodes[server]
-	back := f.delay(g, server)
-	if node.state.cut {
-		f.queue.After(connectTimeout, func() { g.failed(index, number, failureUnreachable) })
+	responseDelay := f.delay(g, server)
+	if node.state.partitioned {
+		f.queue.After(connectTimeout, func() { g.attemptFailed(index, number, failureUnreachable) })
 		return
 	}
-	drawn := &f.arrivals[index]
+	spec := &f.arrivals[index]
 	refusal, accepted := node.engine.Submit(f.queue.Now(), engine.Request{
 		ID:           attemptID(index, number),
-		Tag:          tag(index, number),
+		Tag:          attemptTag(index, number),
 		Priority:     engine.PriorityOnline,
-		PromptTokens: drawn.prompt,
-		MaxTokens:    drawn.answer,
-		Blocks:       drawn.blocks,
+		PromptTokens: spec.promptTokens,
+		MaxTokens:    spec.answerTokens,
+		Blocks:       spec.blocks,
 	})
 	f.schedule(server)
 	switch {
 	case accepted:
 		f.totals.started++
 	case refusal == engine.RefusalDead:
-		f.queue.After(back, func() { g.failed(index, number, failureUnreachable) })
+		f.queue.After(responseDelay, func() { g.attemptFailed(index, number, failureUnreachable) })
 	default:
-		f.queue.After(back, func() { g.failed(index, number, failureRefused) })
+		f.queue.After(responseDelay, func() { g.attemptFailed(index, number, failureRefused) })
 	}
 }
 
-// watch bounds the time to the first token and hedges slow attempts.
-func (g *gateway) watch(index, number int, wait time.Duration) {
+// startAttemptTimers schedules the first-byte timeout of an attempt and, for the
+// first attempt of a request, its hedge.
+func (g *gateway) startAttemptTimers(index, number int, wait time.Duration) {
 	run := g.fleet
 	run.queue.After(firstByteTimeout, func() {
 		current := &run.requests[index].attempts[number]
-		if current.open && !current.prefilled {
-			g.cancel(index, number)
-			g.failed(index, number, failureTimeout)
+		if current.open && !current.prefillDone {
+			g.cancelAttempt(index, number)
+			g.attemptFailed(index, number, failureTimeout)
 		}
 	})
 	if run.policy.Hedge == nil || number > 0 {
 		return
 	}
-	after, some := admission.HedgeAfter(*run.policy.Hedge, true, wait)
-	if some {
-		run.queue.After(after, func() { g.hedge(index, number) })
+	after, ok := admission.HedgeAfter(*run.policy.Hedge, true, wait)
+	if ok {
+		run.queue.After(after, func() { g.startHedge(index, number) })
 	}
 }
 
-// hedge sends a second attempt beside one whose first token is overdue.
-func (g *gateway) hedge(index, number int) {
+// startHedge starts a second attempt if the first token of the given one is
+// overdue and the retry budget allows it.
+func (g *gateway) startHedge(index, number int) {
 	run := g.fleet
 	entry := &run.requests[index]
 	current := &entry.attempts[number]
-	if !current.open || current.prefilled || len(entry.attempts) > number+1 {
+	if !current.open || current.prefillDone || len(entry.attempts) > number+1 {
 		return
 	}
 	decision, found := g.choose(index, entry.tried)
@@ -216,10 +220,11 @@
 		return
 	}
 	run.totals.hedges++
-	g.send(index, decision, true)
+	g.startAttempt(index, decision, true)
 }
 
-// firstToken takes the first token of an attempt; the others are cancelled.
+// firstToken handles the first token of an attempt and cancels the other attempts
+// of the request.
 func (g *gateway) firstToken(index, number int) {
 	run := g.fleet
 	entry := &run.requests[index]
@@ -227,86 +232,87 @@
 	if !current.open {
 		return
 	}
-	g.prefilled(index, number, true)
+	g.endPrefill(index, number, true)
 	server := int(current.server)
-	g.observe(server, health.Success, run.queue.Now()-current.sentAt)
+	g.recordTraffic(server, health.Success, run.queue.Now()-current.sentAt)
 	if entry.firstAt == 0 {
 		entry.firstAt = run.queue.Now() + run.scenario.ClientDelay
 	}
 	for other := range entry.attempts {
 		if other != number && entry.attempts[other].open {
-			g.cancel(index, other)
-			g.close(index, other)
+			g.cancelAttempt(index, other)
+			g.endAttempt(index, other)
 		}
 	}
 }
 
-// prefilled notes that the first token of an attempt came, or that none will.
-func (g *gateway) prefilled(index, number int, came bool) {
+// endPrefill records that the first token of an attempt arrived or can no longer
+// arrive.
+func (g *gateway) endPrefill(index, number int, arrived bool) {
 	current := &g.fleet.requests[index].attempts[number]
-	if current.prefilled {
+	if current.prefillDone {
 		return
 	}
-	current.prefilled = true
+	current.prefillDone = true
 	g.view.RecordFirstToken(int(current.server), current.tokens)
-	g.health.RecordFirstToken(int(current.server), came, g.fleet.queue.Now())
+	g.health.RecordFirstToken(int(current.server), arrived, g.fleet.queue.Now())
 }
 
-// close counts an attempt down.
-func (g *gateway) close(index, number int) {
-	g.prefilled(index, number, false)
+// endAttempt marks an attempt as ended and removes it from the server's load.
+func (g *gateway) endAttempt(index, number int) {
+	g.endPrefill(index, number, false)
 	current := &g.fleet.requests[index].attempts[number]
 	current.open = false
 	g.view.RecordEnd(int(current.server), false)
 	g.recent[current.server].RecordEnd(g.fleet.queue.Now())
 }
 
-// cancel stops an attempt at its engine.
-func (g *gateway) cancel(index, number int) {
+// cancelAttempt cancels an attempt at its engine.
+func (g *gateway) cancelAttempt(index, number int) {
 	run := g.fleet
 	server := int(run.requests[index].attempts[number].server)
 	run.queue.After(run.delay(g, server), func() {
-		if !run.nodes[server].state.cut {
+		if !run.nodes[server].state.partitioned {
 			run.nodes[server].engine.Cancel(run.queue.Now(), attemptID(index, number))
 			run.schedule(server)
 		}
 	})
 }
 
-// finished takes the end of a whole answer.
-func (g *gateway) finished(index, number int) {
+// attemptFinished handles the end of a complete answer.
+func (g *gateway) attemptFinished(index, number int) {
 	entry := &g.fleet.requests[index]
 	if !entry.attempts[number].open {
 		return
 	}
-	g.close(index, number)
+	g.endAttempt(index, number)
 	entry.state = stateDone
 	entry.doneAt = g.fleet.queue.Now() + g.fleet.scenario.ClientDelay
 }
 
-// failed handles an attempt that brings no whole answer.
-func (g *gateway) failed(index, number int, how failure) {
+// attemptFailed handles an attempt that ended without a complete answer.
+func (g *gateway) attemptFailed(index, number int, cause failure) {
 	run := g.fleet
 	entry := &run.requests[index]
 	current := &entry.attempts[number]
 	if !current.open {
 		return
 	}
-	g.close(index, number)
-	g.observe(int(current.server), outcomeOf(how), 0)
-	if how == failureRefused {
-		g.askWhetherReady(int(current.server))
+	g.endAttempt(index, number)
+	g.recordTraffic(int(current.server), outcomeOf(cause), 0)
+	if cause == failureRefused {
+		g.checkDraining(int(current.server))
 	}
 	for other := range entry.attempts {
 		if entry.attempts[other].open {
 			return
 		}
 	}
-	g.again(index, how)
+	g.retry(index, cause)
 }
 
-func outcomeOf(how failure) health.Outcome {
-	switch how {
+func outcomeOf(cause failure) health.Outcome {
+	switch cause {
 	case failureRefused:
 		return health.Refused
 	case failureTimeout:
@@ -316,20 +322,20 @@
 	}
 }
 
-// again sends a failed request to another server, as far as the budget allows.
-// Requests may be repeated here, and the answers are deterministic, so that a
-// broken stream goes on elsewhere.
-func (g *gateway) again(index int, how failure) {
+// retry sends a failed request to another server if the retry budget allows it.
+// Simulated requests are idempotent with deterministic answers, so a broken
+// stream can also be retried.
+func (g *gateway) retry(index int, cause failure) {
 	run := g.fleet
 	entry := &run.requests[index]
 	if len(entry.tried) < maximumAttempts && g.mayRetry() {
 		if decision, found := g.choose(index, entry.tried); found {
 			run.totals.retries++
-			g.send(index, decision, false)
+			g.startAttempt(index, decision, false)
 			return
 		}
 	}
-	if how == failureRefused || how == failureUnreachable {
+	if cause == failureRefused || cause == failureUnreachable {
 		g.refuse(index, admission.DefaultPolicy.MinimumRetryAfter)
 		return
 	}
--- a/internal/bench/routingfleet/caches.go
+++ b/internal/bench/routingfleet/caches.go
@@ -7,22 +7,23 @@
 	"rockwind.example/rockwind/internal/routing"
 )
 
-// snapshotInterval is the least time between two snapshots of one server's
-// cache, as the daemon's.
+// snapshotInterval is the minimum time between two snapshots of one server's
+// cache, as in the daemon.
 const snapshotInterval = 5 * time.Second
 
-// rememberPrefixes notes that a server will cache the prompt at hand, whose
-// prefixes were looked up last.
+// rememberPrefixes adds the prompt prefixes of the last routing decision to the
+// index entries of the server, which will cache them.
 func (g *gateway) rememberPrefixes(server int) {
 	if !g.fleet.policy.Hints || g.fleet.policy.ExactView {
 		return
 	}
-	for _, prefix := range g.wanted {
+	for _, prefix := range g.promptPrefixes {
 		g.prefixes.Add(prefix.Block, int32(server))
 	}
 }
 
-// readCacheEvents reads the new cache events of an owned server.
+// readCacheEvents applies the new cache events of an owned server to the prefix
+// index.
 func (g *gateway) readCacheEvents(server int) {
 	run := g.fleet
 	if !run.policy.CacheEvents || !run.policy.Hints || run.policy.ExactView {
@@ -37,7 +38,7 @@
 	delay := run.delay(g, server)
 	run.queue.After(delay, func() {
 		if g.prefixes.Apply(int32(server), pageOf(page)) {
-			g.resynchronise(server)
+			g.fetchSnapshot(server)
 		}
 	})
 }
@@ -52,8 +53,9 @@
 	return result
 }
 
-// resynchronise fetches a snapshot of a server's cache after a gap.
-func (g *gateway) resynchronise(server int) {
+// fetchSnapshot replaces a server's entries in the prefix index by a snapshot of
+// its cache, after a gap in the cache events.
+func (g *gateway) fetchSnapshot(server int) {
 	run := g.fleet
 	last, asked := g.snapshotAt[server]
 	if asked && run.queue.Now()-last < snapshotInterval {
--- a/internal/bench/routingfleet/faults.go
+++ b/internal/bench/routingfleet/faults.go
@@ -6,57 +6,59 @@
 	"rockwind.example/rockwind/internal/engine"
 )
 
-// Fault is something that goes wrong, or a planned stop, at a time.
+// Fault is a failure or planned shutdown that is injected at a given time.
 type Fault struct {
 	At time.Duration
-	// Servers are affected by it.
+	// Servers lists the affected servers.
 	Servers []int
-	// Engine is brought about in the engines, where it is not empty.
+	// Engine is the fault to inject into the engines if none of Partition, Heal and
+	// Drain is set.
 	Engine engine.Fault
-	// Partition takes the servers off the network; Heal puts them back.
+	// Partition disconnects the servers from the network; Heal reconnects them.
 	Partition bool
 	Heal      bool
-	// Unresponsive makes the servers answer nothing while the engine's fault lasts; else
-	// a hung engine goes on to answer polls and probes.
+	// Unresponsive makes hung engines ignore polls and probes, which they answer
+	// otherwise.
 	Unresponsive bool
-	// Drain is a planned stop: the engines take no new work, and the platform's
-	// list shows them as leaving after ListLag.
+	// Drain is a planned shutdown: the engines accept no new requests, and the
+	// platform lists them as leaving after ListLag.
 	Drain bool
-	// Silent drains are announced by the list alone; the engines go on to accept.
+	// Silent makes Drain visible in the platform's list only; the engines still
+	// accept requests.
 	Silent  bool
 	ListLag time.Duration
 }
 
-// nodeState is what is wrong with a node besides its engine.
+// nodeState is the fault state of a node outside of its engine.
 type nodeState struct {
-	cut     bool
-	mute    bool
-	leaving bool
+	partitioned  bool
+	unresponsive bool
+	leaving      bool
 }
 
-// answers tells whether a small request gets an answer.
-func (n *node) answers() bool {
-	return !n.state.cut && !n.engine.Dead() && !(n.state.mute && n.engine.Hung())
+// responds reports whether the node answers polls and probes.
+func (n *node) responds() bool {
+	return !n.state.partitioned && !n.engine.Dead() && !(n.state.unresponsive && n.engine.Hung())
 }
 
-// platform is the platform's list of leaving machines, which lags.
+// platform holds the platform's list of leaving servers, which lags behind drains.
 type platform struct {
 	leaving map[int]bool
 }
 
-// inject brings a fault about.
+// inject applies a fault to its servers.
 func (f *fleet) inject(fault Fault) {
 	for _, server := range fault.Servers {
 		node := &f.nodes[server]
 		switch {
 		case fault.Partition:
-			node.state.cut = true
+			node.state.partitioned = true
 		case fault.Heal:
-			node.state.cut = false
+			node.state.partitioned = false
 		case fault.Drain:
 			f.drain(server, fault)
 		default:
-			node.state.mute = fault.Unresponsive
+			node.state.unresponsive = fault.Unresponsive
 			node.engine.Inject(f.queue.Now(), fault.Engine)
 		}
 		f.schedule(server)
@@ -80,8 +82,8 @@
 	})
 }
 
-// sent notes when new work last went to a leaving server.
-func (f *fleet) sent(_ *gateway, server int) {
+// recordSent counts an attempt, and separately one that goes to a leaving server.
+func (f *fleet) recordSent(_ *gateway, server int) {
 	f.totals.attempts++
 	if f.nodes[server].state.leaving {
 		f.totals.sentToLeaving++
@@ -89,25 +91,25 @@
 	}
 }
 
-// leavingState is a gateway's evidence that a server is leaving, and what the
-// server's owner said of its health.
+// leavingState holds, by source, whether a gateway knows that a server is
+// leaving, and whether the server's owner ejected it.
 type leavingState struct {
 	draining bool
 	digest   bool
 	platform bool
-	// ejectedByOwner is the word of the gateway that polls the server.
+	// ejectedByOwner is set if the gateway that polls the server ejected it.
 	ejectedByOwner bool
 }
 
-func (s *leavingState) out() bool { return s.draining || s.digest || s.platform }
+func (s *leavingState) isLeaving() bool { return s.draining || s.digest || s.platform }
 
 func (g *gateway) publishLeaving(server int) {
-	g.view.Servers[server].Leaving = g.leaving[server].out()
+	g.view.Servers[server].Leaving = g.leaving[server].isLeaving()
 }
 
-// askWhetherReady asks a server that refused a request whether it takes any, and
-// takes it out when it does not: unlike a load report, the answer does not lag.
-func (g *gateway) askWhetherReady(server int) {
+// checkDraining asks a server that refused a request whether it is draining, and
+// marks it as leaving if so. Unlike a load report, the answer does not lag.
+func (g *gateway) checkDraining(server int) {
 	run := g.fleet
 	delay := run.delay(g, server)
 	run.queue.After(delay, func() {
@@ -116,23 +118,23 @@
 			if draining && !g.leaving[server].draining {
 				g.leaving[server].draining = true
 				g.publishLeaving(server)
-				g.foundLeaving(server)
+				g.broadcastLeaving(server)
 			}
 		})
 	})
 }
 
-// foundLeaving passes on at once that a server is leaving.
-func (g *gateway) foundLeaving(server int) {
+// broadcastLeaving tells the control plane immediately that a server is leaving.
+func (g *gateway) broadcastLeaving(server int) {
 	run := g.fleet
 	if run.policy.NoLeavingBroadcast {
 		return
 	}
-	run.queue.After(run.scenario.ZoneDelay, func() { run.board.leaving[server] = true })
+	run.queue.After(run.scenario.ZoneDelay, func() { run.controlPlane.leaving[server] = true })
 }
 
-// readPlatform merges the platform's list.
-func (g *gateway) readPlatform() {
+// readPlatformList marks the servers in the platform's list as leaving.
+func (g *gateway) readPlatformList() {
 	for server := range g.fleet.platform.leaving {
 		g.leaving[server].platform = true
 		g.publishLeaving(server)
--- a/internal/bench/routingfleet/fleet.go
+++ b/internal/bench/routingfleet/fleet.go
@@ -8,44 +8,44 @@
 	"rockwind.example/rockwind/internal/virtualtime"
 )
 
-// drainTime is how long a run goes on after its last arrival.
-const drainTime = 30 * time.Second
+// maxCooldown limits how long a run continues after the end of arrivals.
+const maxCooldown = 30 * time.Second
 
-// node is one engine in its place.
+// node is one engine with its zone and owning gateway.
 type node struct {
 	engine *engine.Engine
 	zone   int
-	// alarm is set for the engine's next event.
-	alarm virtualtime.Timer
-	owner *gateway
-	state nodeState
+	// eventTimer fires at the engine's next event.
+	eventTimer virtualtime.Timer
+	owner      *gateway
+	state      nodeState
 }
 
-// fleet is one run in progress.
+// fleet is the state of one simulation run.
 type fleet struct {
-	queue    virtualtime.Queue
-	scenario *Scenario
-	policy   *Policy
-	nodes    []node
-	gateways []*gateway
-	arrivals []arrival
-	requests []request
-	board    *board
-	platform platform
-	events   []engine.Event
-	warm     engine.Totals
-	// over is set once no request is on its way after the last arrival.
-	over   bool
-	totals totals
+	queue        virtualtime.Queue
+	scenario     *Scenario
+	policy       *Policy
+	nodes        []node
+	gateways     []*gateway
+	arrivals     []arrival
+	requests     []request
+	controlPlane *controlPlane
+	platform     platform
+	events       []engine.Event
+	warmupTotals engine.Totals
+	// finished is set once no request is pending after the end of arrivals.
+	finished bool
+	totals   totals
 }
 
-// Run simulates a policy on a scenario and returns what was measured.
+// Run simulates a scenario under a policy and returns the measurements.
 func Run(scenario Scenario, policy Policy, seed uint64) Result {
 	run := newFleet(&scenario, &policy, seed)
 	run.start()
 	for {
-		next, some := run.queue.Next(scenario.End() + drainTime)
-		if !some || run.over {
+		next, ok := run.queue.Next(scenario.End() + maxCooldown)
+		if !ok || run.finished {
 			return run.result()
 		}
 		if next.Run != nil {
@@ -60,7 +60,7 @@
 	if policy.ExactView {
 		scenario.Engine.ReportLag = 0
 	}
-	run := &fleet{scenario: scenario, policy: policy, arrivals: drawLoad(scenario, seed)}
+	run := &fleet{scenario: scenario, policy: policy, arrivals: generateArrivals(scenario, seed)}
 	run.requests = make([]request, len(run.arrivals))
 	random := newRandom(seed, streamEngines)
 	for server := range scenario.Servers {
@@ -70,7 +70,7 @@
 			zone:   scenario.zoneOfServer(server),
 		})
 	}
-	run.board = newBoard(run)
+	run.controlPlane = newControlPlane(run)
 	for index := range scenario.Gateways {
 		run.gateways = append(run.gateways, newGateway(run, index, seed))
 	}
@@ -78,22 +78,22 @@
 	return run
 }
 
-// assignOwners gives each engine to a gateway of its zone, evenly.
+// assignOwners distributes the engines of each zone evenly over its gateways.
 func (f *fleet) assignOwners() {
 	for zone := range f.scenario.Zones {
-		var ofZone []*gateway
+		var zoneGateways []*gateway
 		for _, candidate := range f.gateways {
 			if candidate.zone == zone {
-				ofZone = append(ofZone, candidate)
+				zoneGateways = append(zoneGateways, candidate)
 			}
 		}
 		first, end := f.scenario.zoneServers(zone)
 		for server := first; server < end; server++ {
-			owner := ofZone[(server-first)%len(ofZone)]
+			owner := zoneGateways[(server-first)%len(zoneGateways)]
 			f.nodes[server].owner = owner
 			owner.owned = append(owner.owned, server)
-			for _, candidate := range ofZone {
-				candidate.prefer(server)
+			for _, candidate := range zoneGateways {
+				candidate.addToOwnedFirst(server)
 			}
 		}
 	}
@@ -106,44 +106,44 @@
 	for _, fault := range f.scenario.Faults {
 		f.queue.At(fault.At, func() { f.inject(fault) })
 	}
-	f.queue.At(f.scenario.Warmup, func() { f.warm = f.engineTotals() })
-	f.queue.At(f.scenario.End(), f.watchEnd)
+	f.queue.At(f.scenario.Warmup, func() { f.warmupTotals = f.engineTotals() })
+	f.queue.At(f.scenario.End(), f.checkFinished)
 	f.nextArrival(0)
 }
 
-// watchEvery is how often a run looks whether it is over.
-const watchEvery = 500 * time.Millisecond
+// finishCheckInterval is the interval of checkFinished.
+const finishCheckInterval = 500 * time.Millisecond
 
-// watchEnd ends the run once every request has met its end.
-func (f *fleet) watchEnd() {
-	f.queue.After(watchEvery, f.watchEnd)
+// checkFinished ends the run once no request is running or in transit.
+func (f *fleet) checkFinished() {
+	f.queue.After(finishCheckInterval, f.checkFinished)
 	for index := range f.requests {
-		if entry := &f.requests[index]; entry.coming || entry.state == stateRunning {
+		if entry := &f.requests[index]; entry.inTransit || entry.state == stateRunning {
 			return
 		}
 	}
-	f.over = true
+	f.finished = true
 }
 
-// nextArrival schedules the arrivals one after the other.
+// nextArrival schedules an arrival, which in turn schedules the one after it.
 func (f *fleet) nextArrival(index int) {
 	if index >= len(f.arrivals) {
 		return
 	}
 	f.queue.At(f.arrivals[index].at, func() {
-		f.call(index)
+		f.sendToGateway(index)
 		f.nextArrival(index + 1)
 	})
 }
 
-// call is a caller's sending of a request to its gateway.
-func (f *fleet) call(index int) {
+// sendToGateway sends a request from its client to its gateway.
+func (f *fleet) sendToGateway(index int) {
 	gateway := f.gateways[f.arrivals[index].gateway]
-	f.requests[index].coming = true
-	f.queue.After(f.scenario.ClientDelay, func() { gateway.arrive(index) })
+	f.requests[index].inTransit = true
+	f.queue.After(f.scenario.ClientDelay, func() { gateway.admit(index) })
 }
 
-// delay is the one-way time between a gateway and an engine.
+// delay returns the one-way delay between a gateway and an engine.
 func (f *fleet) delay(gateway *gateway, server int) time.Duration {
 	if f.nodes[server].zone == gateway.zone {
 		return f.scenario.LocalDelay
@@ -151,19 +151,19 @@
 	return f.scenario.ZoneDelay
 }
 
-// schedule makes sure that an engine is advanced at its next event.
+// schedule sets the timer of an engine to its next event.
 func (f *fleet) schedule(server int) {
 	node := &f.nodes[server]
-	next, some := node.engine.NextEvent()
-	if !some {
+	next, ok := node.engine.NextEvent()
+	if !ok {
 		return
 	}
-	node.alarm.Set(&f.queue, next, server)
+	node.eventTimer.Set(&f.queue, next, server)
 }
 
 func (f *fleet) advance(server int) {
 	node := &f.nodes[server]
-	if !node.alarm.Fire(f.queue.Now()) {
+	if !node.eventTimer.Fire(f.queue.Now()) {
 		return
 	}
 	f.events = node.engine.Advance(f.queue.Now(), f.events[:0])
@@ -173,12 +173,12 @@
 	f.schedule(server)
 }
 
-// deliver brings an engine's event to the gateway that sent the request.
+// deliver passes an engine event to the gateway that sent the request.
 func (f *fleet) deliver(server int, event engine.Event) {
-	if f.nodes[server].state.cut {
+	if f.nodes[server].state.partitioned {
 		return
 	}
-	index, number := untag(event.Tag)
+	index, number := parseAttemptTag(event.Tag)
 	gateway := f.gateways[f.arrivals[index].gateway]
 	arrives := event.At + f.delay(gateway, server)
 	switch event.Kind {
@@ -187,13 +187,13 @@
 			f.queue.At(arrives, func() { gateway.firstToken(index, number) })
 		}
 	case engine.EventFinished:
-		f.queue.At(arrives, func() { gateway.finished(index, number) })
+		f.queue.At(arrives, func() { gateway.attemptFinished(index, number) })
 	case engine.EventLost:
-		f.queue.At(arrives, func() { gateway.failed(index, number, failureBroken) })
+		f.queue.At(arrives, func() { gateway.attemptFailed(index, number, failureBroken) })
 	}
 }
 
-// engineTotals sums what all engines did.
+// engineTotals returns the sum of the totals of all engines.
 func (f *fleet) engineTotals() engine.Totals {
 	var sum engine.Totals
 	for index := range f.nodes {
--- a/internal/bench/routingfleet/fleet_test.go
+++ b/internal/bench/routingfleet/fleet_test.go
@@ -8,8 +8,8 @@
 	"rockwind.example/rockwind/internal/bench/routingfleet"
 )
 
-// short is a small fleet with a short load.
-func short() routingfleet.Scenario {
+// shortScenario returns a small fleet with a short run.
+func shortScenario() routingfleet.Scenario {
 	scenario := routingfleet.DefaultScenario(12)
 	scenario.Warmup = 5 * time.Second
 	scenario.Measured = 10 * time.Second
@@ -17,16 +17,16 @@
 	return scenario
 }
 
-func TestOneSeedGivesOneRun(t *testing.T) {
-	first, second := routingfleet.Run(short(), routingfleet.Rockwind(), 7), routingfleet.Run(short(), routingfleet.Rockwind(), 7)
+func TestRunIsDeterministic(t *testing.T) {
+	first, second := routingfleet.Run(shortScenario(), routingfleet.Rockwind(), 7), routingfleet.Run(shortScenario(), routingfleet.Rockwind(), 7)
 	if !reflect.DeepEqual(first, second) {
-		t.Fatal("two runs of one seed differ")
+		t.Fatal("two runs with the same seed differ")
 	}
 }
 
-func TestEveryRequestIsAnsweredWithoutFaults(t *testing.T) {
+func TestAllRequestsAnsweredWithoutFaults(t *testing.T) {
 	for _, policy := range []routingfleet.Policy{routingfleet.Rockwind(), routingfleet.RoundRobin(), routingfleet.LeastInFlight(), routingfleet.FreshOracle()} {
-		result := routingfleet.Run(short(), policy, 3)
+		result := routingfleet.Run(shortScenario(), policy, 3)
 		if result.Requests == 0 || result.Answered != result.Requests {
 			t.Errorf("%s answered %d of %d requests", policy.Name, result.Answered, result.Requests)
 		}
@@ -37,13 +37,13 @@
 	}
 }
 
-func TestRoutingBeatsRoundRobinAndNotTheOracle(t *testing.T) {
-	ours, turns, oracle := routingfleet.Run(short(), routingfleet.Rockwind(), 5), routingfleet.Run(short(), routingfleet.RoundRobin(), 5), routingfleet.Run(short(), routingfleet.FreshOracle(), 5)
-	if ours.HitRate() <= turns.HitRate() || ours.HitRate() >= oracle.HitRate() {
-		t.Fatalf("hit rates %v, %v of round robin, %v of the oracle", ours.HitRate(), turns.HitRate(), oracle.HitRate())
+func TestHitRateAndTTFTLieBetweenRoundRobinAndOracle(t *testing.T) {
+	rockwind, roundRobin, oracle := routingfleet.Run(shortScenario(), routingfleet.Rockwind(), 5), routingfleet.Run(shortScenario(), routingfleet.RoundRobin(), 5), routingfleet.Run(shortScenario(), routingfleet.FreshOracle(), 5)
+	if rockwind.HitRate() <= roundRobin.HitRate() || rockwind.HitRate() >= oracle.HitRate() {
+		t.Fatalf("hit rates %v, %v of round robin, %v of the oracle", rockwind.HitRate(), roundRobin.HitRate(), oracle.HitRate())
 	}
 	p99 := func(result routingfleet.Result) time.Duration { return routingfleet.Quantile(result.TTFT, 0.99) }
-	if p99(ours) >= p99(turns) || p99(ours) <= p99(oracle) {
-		t.Fatalf("p99 %v, %v of round robin, %v of the oracle", p99(ours), p99(turns), p99(oracle))
+	if p99(rockwind) >= p99(roundRobin) || p99(rockwind) <= p99(oracle) {
+		t.Fatalf("p99 %v, %v of round robin, %v of the oracle", p99(rockwind), p99(roundRobin), p99(oracle))
 	}
 }
--- a/internal/bench/routingfleet/gateway.go
+++ b/internal/bench/routingfleet/gateway.go
@@ -17,18 +17,18 @@
 // modelName is the single model of the simulated fleet.
 const modelName routing.NameID = 0
 
-// otherZoneCost is the extra time of a round trip to another zone that
-// gateways reckon with, as the daemon's.
-const otherZoneCost = 2 * time.Millisecond
+// crossZoneRTT is the extra round-trip time to another zone that gateways assume,
+// as in the daemon.
+const crossZoneRTT = 2 * time.Millisecond
 
-// meanPromptTokens is the prompt that gateways assume for waiting requests of
-// others, as the daemon's.
+// meanPromptTokens is the prompt length that gateways assume for waiting requests
+// of other gateways, as in the daemon.
 const meanPromptTokens = 256
 
-// evaluateEvery is how often health is evaluated, as the daemon's.
-const evaluateEvery = time.Second
+// evaluateInterval is the interval of health evaluations, as in the daemon.
+const evaluateInterval = time.Second
 
-// gateway is one gateway with a lagging view of its own.
+// gateway is one gateway with its own, outdated view of the fleet.
 type gateway struct {
 	fleet    *fleet
 	index    int
@@ -40,21 +40,21 @@
 	health   *health.Tracker
 	budget   *retry.Budget
 	prefixes *routing.PrefixIndex
-	// snapshotAt is when a snapshot of a server's cache was last asked for.
+	// snapshotAt is the time of the last snapshot request by server.
 	snapshotAt map[int]time.Duration
-	// cacheRead is when a server's cache events were last read.
-	cacheRead map[int]time.Duration
-	leaving   []leavingState
-	owned     []int
-	versions  []routing.WeightedVersion
-	hints     []routing.Hint
-	wanted    []routing.Prefix
-	turn      int
+	// cacheRead is the time of the last read of cache events by server.
+	cacheRead      map[int]time.Duration
+	leaving        []leavingState
+	owned          []int
+	versions       []routing.WeightedVersion
+	hints          []routing.Hint
+	promptPrefixes []routing.Prefix
+	exchanges      int
 }
 
-// prefer puts a server of the own zone into the lists of routing.OwnedFirst, as
-// the daemon does.
-func (g *gateway) prefer(server int) {
+// addToOwnedFirst adds a server of the gateway's zone to the lists of
+// routing.OwnedFirst, as the daemon does.
+func (g *gateway) addToOwnedFirst(server int) {
 	policy, preferred := g.routing.(*routing.OwnedFirst)
 	if !preferred {
 		return
@@ -91,7 +91,7 @@
 	return created
 }
 
-// fillView lays the servers out with the own zone first.
+// fillView initializes the view, with the gateway's own zone first.
 func (g *gateway) fillView() {
 	scenario := g.fleet.scenario
 	config := &scenario.Engine
@@ -105,7 +105,7 @@
 	for offset := range scenario.Zones {
 		zone := (g.zone + offset) % scenario.Zones
 		first, end := scenario.zoneServers(zone)
-		cost := otherZoneCost
+		cost := crossZoneRTT
 		if offset == 0 {
 			cost = 0
 		}
@@ -118,37 +118,38 @@
 	}
 }
 
-// start schedules the periodic work, out of step with the other gateways.
+// start schedules the periodic work with a random phase for each gateway.
 func (g *gateway) start() {
 	scenario := g.fleet.scenario
-	g.every(scenario.PollInterval, g.poll)
-	g.every(scenario.ExchangeInterval, g.exchange)
-	g.every(evaluateEvery, g.evaluate)
-	g.every(platformEvery, g.readPlatform)
+	g.schedulePeriodic(scenario.PollInterval, g.poll)
+	g.schedulePeriodic(scenario.ExchangeInterval, g.exchange)
+	g.schedulePeriodic(evaluateInterval, g.evaluate)
+	g.schedulePeriodic(platformListInterval, g.readPlatformList)
 }
 
-// every runs periodic work, first at a random part of the interval.
-func (g *gateway) every(interval time.Duration, run func()) {
+// schedulePeriodic runs a function periodically, first after a random part of the
+// interval.
+func (g *gateway) schedulePeriodic(interval time.Duration, run func()) {
 	first := time.Duration(g.random.Float64() * float64(interval))
 	g.fleet.queue.Every(first, interval, run)
 }
 
-// choose asks routing for a server that was not tried before.
+// choose picks a server for a request, excluding those already tried.
 func (g *gateway) choose(index int, tried []int32) (routing.Decision, bool) {
-	drawn := &g.fleet.arrivals[index]
-	wanted := routing.Request{
+	spec := &g.fleet.arrivals[index]
+	routed := routing.Request{
 		Versions:     g.versions,
 		Adapter:      routing.NoName,
-		PromptTokens: int32(drawn.prompt),
+		PromptTokens: int32(spec.promptTokens),
 	}
 	if g.fleet.policy.ExactView {
-		g.refresh(drawn)
-		wanted.Hints = g.hints
+		g.applyExactState(spec)
+		routed.Hints = g.hints
 	} else if g.fleet.policy.Hints {
-		g.wanted = routing.PrefixesOf(drawn.blocks, engine.TokensPerBlock, g.wanted[:0])
-		g.hints = g.prefixes.Hints(g.wanted, g.hints[:0])
-		wanted.Hints = g.hints
-		wanted.AffinityKey = routing.AffinityKeyOf(drawn.blocks)
+		g.promptPrefixes = routing.PrefixesOf(spec.blocks, engine.TokensPerBlock, g.promptPrefixes[:0])
+		g.hints = g.prefixes.Hints(g.promptPrefixes, g.hints[:0])
+		routed.Hints = g.hints
+		routed.AffinityKey = routing.AffinityKeyOf(spec.blocks)
 	}
 	var hidden [maximumAttempts]int32
 	count := 0
@@ -160,49 +161,50 @@
 			count++
 		}
 	}
-	decision, found := g.routing.Choose(&g.view, &wanted, g.fleet.queue.Now(), g.random)
+	decision, found := g.routing.Choose(&g.view, &routed, g.fleet.queue.Now(), g.random)
 	for _, server := range hidden[:count] {
 		g.view.Servers[server].Leaving = false
 	}
 	return decision, found
 }
 
-// observe hands the outcome of an attempt to passive health.
-func (g *gateway) observe(server int, outcome health.Outcome, latency time.Duration) {
+// recordTraffic passes the outcome of a client's attempt to passive health, unless
+// the policy uses probes only.
+func (g *gateway) recordTraffic(server int, outcome health.Outcome, latency time.Duration) {
 	if !g.fleet.policy.ProbesOnly {
-		g.record(server, outcome, latency)
+		g.recordHealth(server, outcome, latency)
 	}
 }
 
-// record hands the outcome of an attempt to passive health.
-func (g *gateway) record(server int, outcome health.Outcome, latency time.Duration) {
+// recordHealth passes an outcome to passive health and updates the view.
+func (g *gateway) recordHealth(server int, outcome health.Outcome, latency time.Duration) {
 	g.health.Record(server, outcome, latency, g.fleet.queue.Now(), g.random)
 	g.publishHealth(server)
 }
 
 // evaluate runs the part of passive health that depends on time and peers, and
-// starts the trials that are due.
+// probes ejected servers.
 func (g *gateway) evaluate() {
 	g.health.Evaluate(g.fleet.queue.Now(), g.random)
 	for server := range g.view.Servers {
 		g.publishHealth(server)
 		if g.view.Servers[server].Health == routing.Ejected {
-			g.trial(server)
+			g.probeEjected(server)
 		}
 	}
 }
 
-// trial probes an ejected server once its hold-down is over.
-func (g *gateway) trial(server int) {
+// probeEjected probes an ejected server after its hold-down.
+func (g *gateway) probeEjected(server int) {
 	run := g.fleet
 	if !g.health.StartTrial(server, run.queue.Now()) {
 		return
 	}
 	outcome := health.Success
-	if !run.nodes[server].answers() {
+	if !run.nodes[server].responds() {
 		outcome = health.Failure
 	}
-	run.queue.After(2*run.delay(g, server), func() { g.record(server, outcome, 0) })
+	run.queue.After(2*run.delay(g, server), func() { g.recordHealth(server, outcome, 0) })
 }
 
 func (g *gateway) publishHealth(server int) {
--- a/internal/bench/routingfleet/policy.go
+++ b/internal/bench/routingfleet/policy.go
@@ -8,42 +8,44 @@
 	"rockwind.example/rockwind/internal/routing"
 )
 
-// Policy is what the gateways of a run do.
+// Policy configures the gateways of a run.
 type Policy struct {
 	Name string
-	// Routing makes the routing policy of one gateway.
+	// Routing returns a new routing policy for one gateway.
 	Routing func() routing.Policy
-	// ExactView gives every gateway the true load and caches at each decision.
+	// ExactView gives every gateway the current load and caches of all engines at
+	// each decision.
 	ExactView bool
-	// Hints tells whether prefix-cache hints are used, and Events whether they
-	// are also learned from the engines' cache events.
+	// Hints enables prefix-cache hints, and CacheEvents also learns them from the
+	// engines' cache events.
 	Hints       bool
 	CacheEvents bool
 	// Health holds the thresholds of passive health.
 	Health health.Policy
-	// Admission refuses requests early; nil admits all.
+	// Admission configures early refusal; nil admits all requests.
 	Admission *admission.Policy
-	// ProbesOnly judges health by polls and probes alone, not by real traffic.
+	// ProbesOnly bases health on polls and probes only, not on client traffic.
 	ProbesOnly bool
-	// UnlimitedRetries lets gateways retry without a budget.
+	// UnlimitedRetries disables the retry budget.
 	UnlimitedRetries bool
-	// Hedge says when a second attempt starts beside a slow one; nil never.
+	// Hedge configures hedged requests; nil disables them.
 	Hedge *admission.HedgePolicy
-	// NoLeavingBroadcast leaves gateways to find out for themselves which servers leave.
+	// NoLeavingBroadcast disables the immediate notice to other gateways that a
+	// server is leaving.
 	NoLeavingBroadcast bool
 }
 
-// Bounds that the daemon's relay keeps.
+// Limits of the daemon's relay.
 const (
 	// maximumAttempts bounds the attempts of one request.
 	maximumAttempts = 4
-	// firstByteTimeout bounds the time to the head of a stream.
+	// firstByteTimeout bounds the time to the first token of an attempt.
 	firstByteTimeout = 60 * time.Second
 	// connectTimeout bounds a connection attempt.
 	connectTimeout = 300 * time.Millisecond
 )
 
-// Rockwind is what the gateways run.
+// Rockwind is the production policy of the gateways.
 func Rockwind() Policy {
 	admit := admission.DefaultPolicy
 	hedge := admission.DefaultHedgePolicy
@@ -60,7 +62,7 @@
 	}
 }
 
-// RoundRobin takes the servers in turn, each gateway from its own start.
+// RoundRobin cycles through the servers, with a random start for each gateway.
 func RoundRobin() Policy {
 	policy := Rockwind()
 	policy.Name = "round_robin"
@@ -69,7 +71,8 @@
 	return policy
 }
 
-// LeastInFlight takes the server with the fewest of the gateway's own requests.
+// LeastInFlight picks the server with the fewest requests of the same gateway in
+// flight.
 func LeastInFlight() Policy {
 	policy := Rockwind()
 	policy.Name = "least_in_flight"
@@ -78,8 +81,8 @@
 	return policy
 }
 
-// FreshOracle takes the least estimated wait with the true load and caches of
-// all engines.
+// FreshOracle picks the shortest estimated wait given the current load and caches
+// of all engines.
 func FreshOracle() Policy {
 	policy := Rockwind()
 	policy.Name = "fresh_oracle"
@@ -88,8 +91,8 @@
 	return policy
 }
 
-// Unprotected routes as the gateways do, and retries without a budget, with no
-// verdict of health, no early refusal and no hedge.
+// Unprotected is Rockwind without passive health, retry budget, early refusal,
+// hedging and the immediate notice of leaving servers.
 func Unprotected() Policy {
 	policy := Rockwind()
 	policy.Name = "unprotected"
@@ -104,8 +107,7 @@
 	return policy
 }
 
-// ProbesOnly is what the gateways run, but for health, which is judged by polls
-// and probes alone.
+// ProbesOnly is Rockwind with health based on polls and probes only.
 func ProbesOnly() Policy {
 	policy := Rockwind()
 	policy.Name = "probes_only"
@@ -114,8 +116,7 @@
 	return policy
 }
 
-// Undamped is what the gateways run without growing hold-downs and without a
-// slow start.
+// Undamped is Rockwind without increasing hold-downs and without slow start.
 func Undamped() Policy {
 	policy := Rockwind()
 	policy.Name = "undamped"
@@ -124,5 +125,5 @@
 	return policy
 }
 
-// neverReached is a threshold that no score reaches.
+// neverReached disables a threshold of passive health.
 const neverReached = 1e12
--- a/internal/bench/routingfleet/reports.go
+++ b/internal/bench/routingfleet/reports.go
@@ -9,59 +9,60 @@
 	"rockwind.example/rockwind/internal/routing"
 )
 
-// zoneTurns is in how many exchanges a gateway hears of every other zone once,
-// as the control machines pass sums on.
-const zoneTurns = 5
+// summaryInterval is the number of exchanges in which a gateway receives the
+// summary of every other zone once, as from the control plane.
+const summaryInterval = 5
 
-// permille is the unit of a report's part of memory.
+// permille is the scale of the KV cache use in an engine's report.
 const permille = 1000
 
-// board stands for the control machines: the newest digest of every server.
-type board struct {
+// controlPlane models the control plane, which holds the latest digest of every
+// server.
+type controlPlane struct {
 	fleet   *fleet
 	digests []digest
-	// leaving holds the servers that some gateway found leaving.
+	// leaving holds the servers that any gateway reported as leaving.
 	leaving map[int]bool
 }
 
-// digest is what a server's owner passed on last.
+// digest is the last state of a server that its owner published.
 type digest struct {
 	report  routing.Report
 	leaving bool
 	known   bool
-	// ejected tells that the owner ejected the server.
+	// ejected reports whether the owner ejected the server.
 	ejected bool
 }
 
-func newBoard(run *fleet) *board {
-	return &board{fleet: run, digests: make([]digest, run.scenario.Servers), leaving: make(map[int]bool)}
+func newControlPlane(run *fleet) *controlPlane {
+	return &controlPlane{fleet: run, digests: make([]digest, run.scenario.Servers), leaving: make(map[int]bool)}
 }
 
-// poll asks the owned engines for their load and cache events.
+// poll requests load and cache events from the owned engines.
 func (g *gateway) poll() {
 	run := g.fleet
 	for _, server := range g.owned {
 		delay := run.delay(g, server)
 		run.queue.After(delay, func() {
 			node := &run.nodes[server]
-			if !node.answers() {
+			if !node.responds() {
 				run.queue.After(connectTimeout, func() { g.pollFailed(server) })
 				return
 			}
 			load := node.engine.Load(run.queue.Now())
-			// The report lags; whether the server takes requests is asked apart.
+			// The load report lags; the draining state is current.
 			load.Draining = node.engine.Draining()
 			g.readCacheEvents(server)
-			run.queue.After(delay, func() { g.reported(server, load) })
+			run.queue.After(delay, func() { g.handleReport(server, load) })
 		})
 	}
 }
 
-func (g *gateway) reported(server int, load engine.Report) {
+func (g *gateway) handleReport(server int, load engine.Report) {
 	if load.Draining && !g.leaving[server].draining {
 		g.leaving[server].draining = true
 		g.publishLeaving(server)
-		g.foundLeaving(server)
+		g.broadcastLeaving(server)
 	}
 	sent, ended := g.recent[server].CountSince(load.At)
 	g.view.ApplyReport(server, reportOf(load), sent, ended)
@@ -78,67 +79,68 @@
 	}
 }
 
-// exchange passes the digests of the owned servers on, and takes those of the
-// zone's other servers and sums of other zones.
+// exchange publishes the digests of the owned servers and receives those of the
+// zone's other servers and summaries of other zones.
 func (g *gateway) exchange() {
 	run := g.fleet
 	digests := make([]digest, len(g.owned))
 	for index, server := range g.owned {
 		report := g.view.Servers[server].Report
-		digests[index] = digest{report: report, leaving: g.leaving[server].out(), known: report.TakenAt > 0}
+		digests[index] = digest{report: report, leaving: g.leaving[server].isLeaving(), known: report.TakenAt > 0}
 		digests[index].ejected = g.view.Servers[server].Health == routing.Ejected
 	}
 	run.queue.After(run.scenario.ZoneDelay, func() {
 		for index, server := range g.owned {
-			run.board.digests[server] = digests[index]
+			run.controlPlane.digests[server] = digests[index]
 		}
-		run.board.answer(g)
+		run.controlPlane.reply(g)
 	})
 }
 
-// answer sends a gateway what it is to know.
-func (b *board) answer(g *gateway) {
-	run := b.fleet
-	g.turn++
+// reply sends a gateway the digests of its zone, the summaries that are due and
+// the leaving servers.
+func (c *controlPlane) reply(g *gateway) {
+	run := c.fleet
+	g.exchanges++
 	first, end := run.scenario.zoneServers(g.zone)
-	known := append([]digest(nil), b.digests[first:end]...)
-	var sums []zoneSum
+	known := append([]digest(nil), c.digests[first:end]...)
+	var summaries []zoneSummary
 	for zone := range run.scenario.Zones {
-		if zone != g.zone && (zone%zoneTurns == g.turn%zoneTurns || g.turn == 1) {
-			sums = append(sums, b.sum(zone))
+		if zone != g.zone && (zone%summaryInterval == g.exchanges%summaryInterval || g.exchanges == 1) {
+			summaries = append(summaries, c.summarize(zone))
 		}
 	}
-	leaving := slices.Collect(maps.Keys(b.leaving))
+	leaving := slices.Collect(maps.Keys(c.leaving))
 	run.queue.After(run.scenario.ZoneDelay, func() {
 		for _, server := range leaving {
 			g.leaving[server].digest = true
 			g.publishLeaving(server)
 		}
-		g.learnZone(first, known)
-		for _, sum := range sums {
-			g.learnSum(sum)
+		g.applyZoneDigests(first, known)
+		for _, summary := range summaries {
+			g.applyZoneSummary(summary)
 		}
 	})
 }
 
-// zoneSum is the mean load of a zone's servers.
-type zoneSum struct {
+// zoneSummary is the mean load of a zone's servers.
+type zoneSummary struct {
 	zone   int
 	report routing.Report
 }
 
-func (b *board) sum(zone int) zoneSum {
-	first, end := b.fleet.scenario.zoneServers(zone)
-	result := zoneSum{zone: zone}
+func (c *controlPlane) summarize(zone int) zoneSummary {
+	first, end := c.fleet.scenario.zoneServers(zone)
+	result := zoneSummary{zone: zone}
 	count := float32(0)
 	for server := first; server < end; server++ {
-		held := &b.digests[server]
-		if !held.known || held.leaving {
+		stored := &c.digests[server]
+		if !stored.known || stored.leaving {
 			continue
 		}
 		count++
-		result.report.RunningOnline += held.report.RunningOnline
-		result.report.Waiting += held.report.Waiting
+		result.report.RunningOnline += stored.report.RunningOnline
+		result.report.Waiting += stored.report.Waiting
 	}
 	if count > 0 {
 		result.report.RunningOnline /= count
@@ -147,49 +149,49 @@
 	return result
 }
 
-func (g *gateway) learnZone(first int, known []digest) {
-	for offset, held := range known {
+func (g *gateway) applyZoneDigests(first int, known []digest) {
+	for offset, stored := range known {
 		server := first + offset
-		if !held.known || g.fleet.nodes[server].owner == g {
+		if !stored.known || g.fleet.nodes[server].owner == g {
 			continue
 		}
-		if held.leaving {
+		if stored.leaving {
 			g.leaving[server].digest = true
 			g.publishLeaving(server)
 		}
-		g.leaving[server].ejectedByOwner = held.ejected
-		sent, ended := g.recent[server].CountSince(held.report.TakenAt)
-		g.view.ApplyReport(server, held.report, sent, ended)
+		g.leaving[server].ejectedByOwner = stored.ejected
+		sent, ended := g.recent[server].CountSince(stored.report.TakenAt)
+		g.view.ApplyReport(server, stored.report, sent, ended)
 	}
 }
 
-func (g *gateway) learnSum(sum zoneSum) {
-	sum.report.TakenAt = g.fleet.queue.Now()
-	first, end := g.fleet.scenario.zoneServers(sum.zone)
+func (g *gateway) applyZoneSummary(summary zoneSummary) {
+	summary.report.TakenAt = g.fleet.queue.Now()
+	first, end := g.fleet.scenario.zoneServers(summary.zone)
 	for server := first; server < end; server++ {
-		g.view.ApplyReport(server, sum.report, 0, 0)
+		g.view.ApplyReport(server, summary.report, 0, 0)
 	}
 }
 
-// refresh gives the view the true load of all engines and hints of their true
-// caches, for the oracle.
-func (g *gateway) refresh(drawn *arrival) {
+// applyExactState updates the view with the current load of all engines and the
+// hints with their current caches, for the oracle.
+func (g *gateway) applyExactState(spec *arrival) {
 	g.hints = g.hints[:0]
 	now := g.fleet.queue.Now()
 	for server := range g.fleet.nodes {
 		node := &g.fleet.nodes[server]
 		g.view.ApplyReport(server, reportOf(node.engine.Load(now)), 0, 0)
-		if blocks := node.engine.CachedBlocks(drawn.blocks); blocks > 0 {
+		if blocks := node.engine.CachedBlocks(spec.blocks); blocks > 0 {
 			g.hints = append(g.hints, routing.Hint{Server: int32(server), CachedTokens: int32(blocks * engine.TokensPerBlock)})
 		}
 	}
 }
 
-// pollFailed counts a poll without an answer as evidence.
+// pollFailed records an unanswered poll as a failure.
 func (g *gateway) pollFailed(server int) {
-	g.record(server, outcomeOf(failureUnreachable), 0)
+	g.recordHealth(server, outcomeOf(failureUnreachable), 0)
 }
 
-// platformEvery is how often a gateway reads the platform's list, as the
-// daemon's.
-const platformEvery = time.Second
+// platformListInterval is how often a gateway reads the platform's list of leaving
+// servers, as in the daemon.
+const platformListInterval = time.Second
--- a/internal/bench/routingfleet/result.go
+++ b/internal/bench/routingfleet/result.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// totals counts over a whole run.
+// totals holds the counters of a whole run, including warm-up.
 type totals struct {
 	calls         int
 	refusals      int
@@ -20,52 +20,57 @@
 	lastToLeaving time.Duration
 }
 
-// GoodputTTFT is the time to the first token within which an answer is of use to
-// its caller.
+// GoodputTTFT is the maximum time to first token of an answer that counts as
+// goodput.
 const GoodputTTFT = 2 * time.Second
 
-// Result is what one run measured between warm-up and end.
+// Result holds the measurements of one run, taken after warm-up unless stated
+// otherwise.
 type Result struct {
 	Policy string
-	// Requests counts the distinct requests, Answered those that got a whole
-	// answer, Refused those that got "not run" as the last word, and Lost those
-	// whose outcome the caller does not know.
+	// Requests counts the distinct requests, Answered those with a complete answer,
+	// Refused those whose last call was refused, and Lost those whose outcome is
+	// unknown to the client.
 	Requests int
 	Answered int
 	Refused  int
 	Lost     int
-	// TTFT holds the sorted times from the first call to the first token.
+	// TTFT holds the sorted times from the first call to the first token of the
+	// answered requests.
 	TTFT []time.Duration
-	// Hinted counts the requests that went to a hinted server.
+	// Hinted counts the requests whose last attempt went to a server with a
+	// prefix-cache hint.
 	Hinted int
-	// PrefixTokens came from prefix caches, PrefillTokens were computed.
+	// PrefixTokens counts prompt tokens served from prefix caches, PrefillTokens
+	// those computed.
 	PrefixTokens  uint64
 	PrefillTokens uint64
-	// Busy is the part of the engines' time spent in steps.
+	// Busy is the fraction of time that the engines spent in steps.
 	Busy float64
-	// Calls, Attempts, Retries and Hedges count over the whole run: requests as
-	// gateways got them, sendings to engines, and those of them that were not
-	// the first.
+	// Calls counts the requests that reached a gateway, resends included, Attempts
+	// those sent to servers, and Retries and Hedges the additional attempts, all
+	// over the whole run.
 	Calls    int
 	Attempts int
 	Retries  int
 	Hedges   int
-	// CacheEvents and Snapshots count what gateways read.
+	// CacheEvents and Snapshots count what gateways read over the whole run.
 	CacheEvents int
 	Snapshots   int
-	// MeasuredAttempts counts the sendings of the requests measured.
+	// MeasuredAttempts counts the attempts of the requests in Requests.
 	MeasuredAttempts int
-	// GoodPerSecond counts whole answers whose first token came within GoodWithin, by
-	// the second in which the request was sent, and SentAt the requests.
+	// GoodPerSecond counts the complete answers with a first token within
+	// GoodputTTFT, and RequestsPerSecond the requests, by the second of sending.
 	GoodPerSecond     []int
 	RequestsPerSecond []int
-	// LastSentToLeaving is the time from the begin of a drain to the last new
-	// request at a leaving server; zero when none was sent.
+	// LastSentToLeaving is the time from the start of the first drain to the last
+	// attempt sent to a leaving server; zero if there was none. SentToLeaving counts
+	// these attempts. Both cover the whole run.
 	LastSentToLeaving time.Duration
 	SentToLeaving     int
 }
 
-// HitRate is the part of prompt tokens that came from prefix caches.
+// HitRate returns the fraction of prompt tokens served from prefix caches.
 func (r *Result) HitRate() float64 {
 	all := r.PrefixTokens + r.PrefillTokens
 	if all == 0 {
@@ -87,24 +92,24 @@
 		result.LastSentToLeaving = f.totals.lastToLeaving - f.totals.drainedAt
 	}
 	for index := range f.requests {
-		f.measure(index, &result)
+		f.addToResult(index, &result)
 	}
 	slices.Sort(result.TTFT)
 	end := f.engineTotals()
-	result.PrefixTokens = end.PrefixTokens - f.warm.PrefixTokens
-	result.PrefillTokens = end.PrefillTokens - f.warm.PrefillTokens
+	result.PrefixTokens = end.PrefixTokens - f.warmupTotals.PrefixTokens
+	result.PrefillTokens = end.PrefillTokens - f.warmupTotals.PrefillTokens
 	length := f.queue.Now() - f.scenario.Warmup
-	result.Busy = float64(end.Busy-f.warm.Busy) / float64(length) / float64(len(f.nodes))
+	result.Busy = float64(end.Busy-f.warmupTotals.Busy) / float64(length) / float64(len(f.nodes))
 	return result
 }
 
-func (f *fleet) measure(index int, result *Result) {
-	drawn := &f.arrivals[index]
-	if drawn.at < f.scenario.Warmup || drawn.at >= f.scenario.End() {
+func (f *fleet) addToResult(index int, result *Result) {
+	spec := &f.arrivals[index]
+	if spec.at < f.scenario.Warmup || spec.at >= f.scenario.End() {
 		return
 	}
 	entry := &f.requests[index]
-	second := int(drawn.at / time.Second)
+	second := int(spec.at / time.Second)
 	result.Requests++
 	result.RequestsPerSecond[second]++
 	result.MeasuredAttempts += len(entry.attempts)
@@ -114,8 +119,8 @@
 	switch entry.state {
 	case stateDone:
 		result.Answered++
-		result.TTFT = append(result.TTFT, entry.firstAt-drawn.at)
-		if entry.firstAt-drawn.at <= GoodputTTFT {
+		result.TTFT = append(result.TTFT, entry.firstAt-spec.at)
+		if entry.firstAt-spec.at <= GoodputTTFT {
 			result.GoodPerSecond[second]++
 		}
 	case stateRefused:
@@ -125,7 +130,7 @@
 	}
 }
 
-// Quantile returns the quantile of a sorted list by the nearest rank.
+// Quantile returns a quantile of a sorted slice without interpolation.
 func Quantile(sorted []time.Duration, quantile float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/bench/routingfleet/scenario.go
+++ b/internal/bench/routingfleet/scenario.go
@@ -1,9 +1,9 @@
-// Package routingfleet runs the routing, health, admission and retry decisions
-// of the gateways over the engine model in virtual time, with online requests
-// alone. Each gateway has a view of its own that lags as the daemon's does: it
-// polls the engines that it owns, learns of the others through periodic
-// exchanges, and reads late and gapped cache events. One seed gives one run, to
-// the last event.
+// Package routingfleet simulates the routing, health, admission and retry
+// decisions of the gateways in virtual time, on the engine model and with online
+// requests only. Each gateway has its own, outdated view of the fleet, as in the
+// daemon: it polls the engines that it owns, learns about the others through
+// periodic exchanges, and reads cache events that are delayed and may be lost.
+// Runs are deterministic for a seed.
 package routingfleet
 
 import (
@@ -14,7 +14,7 @@
 	"rockwind.example/rockwind/internal/serverview"
 )
 
-// Scenario is a fleet and the online load on it.
+// Scenario describes a fleet and its online load.
 type Scenario struct {
 	// Servers, Gateways and Zones give the size of the fleet; servers and
 	// gateways are spread evenly over the zones.
@@ -26,74 +26,67 @@
 	ZoneDelay   time.Duration
 	LocalDelay  time.Duration
 	ClientDelay time.Duration
-	// Engine holds the parameters of every engine, the lag of reports and the
-	// lag and loss of cache events among them.
+	// Engine configures every engine, including the lag of load reports and the lag
+	// and loss of cache events.
 	Engine engine.Config
-	// PollInterval is how often a gateway asks the engines that it owns for
-	// their load.
+	// PollInterval is how often a gateway polls the load of the engines that it owns.
 	PollInterval time.Duration
-	// CacheInterval is the least time between two reads of one engine's cache
+	// CacheInterval is the minimum time between two reads of one engine's cache
 	// events.
 	CacheInterval time.Duration
 	// ExchangeInterval is how often a gateway exchanges digests.
 	ExchangeInterval time.Duration
-	// Load is the online load.
-	Load Load
-	// Warmup is left out of the measures; Measured is the time measured.
+	Load             Load
+	// Warmup is the time before measurement starts; Measured is the time measured.
 	Warmup   time.Duration
 	Measured time.Duration
-	// Faults are brought about at their times.
-	Faults []Fault
+	Faults   []Fault
 }
 
-// Load is a Poisson stream of requests in every zone, with bursts in which the
-// rate of one zone is multiplied.
+// Load describes the requests of clients: a Poisson process in every zone, with
+// bursts in which the rate of a zone is multiplied.
 type Load struct {
-	// Rate is the requests per second and server outside bursts.
+	// Rate is the number of requests per second and server outside of bursts.
 	Rate float64
-	// BurstFactor multiplies a zone's rate in bursts, which last BurstMean and
-	// come BurstEvery apart on average, both exponential.
+	// BurstFactor multiplies a zone's rate during bursts. Their durations, and the
+	// times between them, are exponentially distributed with the given means.
 	BurstFactor       float64
 	MeanBurstDuration time.Duration
 	MeanBurstInterval time.Duration
-	// Documents is the number of long texts that prompts begin with, and
-	// Instructions the number of short ones. Popularity follows a Zipf law.
+	// Documents and Instructions are the numbers of long and short texts that are
+	// shared as prompt prefixes. Their popularity follows a Zipf distribution.
 	Documents    int
 	Instructions int
-	// MaxResends makes callers send a refused request again after the time that
-	// the refusal names, and one that they gave up at once, up to so many times.
+	// MaxResends is how often a client resends a request: a refused one after the
+	// retry delay in the refusal, one that timed out immediately.
 	MaxResends int
-	// ClientTimeout is how long callers wait for a first token before they give up;
-	// zero means for ever.
+	// ClientTimeout is how long clients wait for the first token; zero means no limit.
 	ClientTimeout time.Duration
 }
 
-// End returns when arrivals end.
+// End returns the time at which arrivals end.
 func (s *Scenario) End() time.Duration { return s.Warmup + s.Measured }
 
-// zoneOfServer returns the zone of a server.
 func (s *Scenario) zoneOfServer(server int) int {
 	return ((server+1)*s.Zones - 1) / s.Servers
 }
 
-// zoneServers returns the first server of a zone and the one after its last.
+// zoneServers returns the half-open range of the servers of a zone.
 func (s *Scenario) zoneServers(zone int) (first, end int) {
 	return s.Servers * zone / s.Zones, s.Servers * (zone + 1) / s.Zones
 }
 
-// zoneOfGateway returns the zone of a gateway.
 func (s *Scenario) zoneOfGateway(gateway int) int { return gateway % s.Zones }
 
-// Sizes of the fleets that the experiments measure.
+// Fleet sizes at which the numbers of gateways and zones change.
 const (
 	serversSmall  = 12
 	serversMedium = 120
 	serversLarge  = 1200
 )
 
-// DefaultScenario returns the scenario of a fleet with so many servers. The number of
-// gateways and zones follows the two deployments of today at 12 servers and the
-// target of 350 gateways and 32 zones at 1,200.
+// DefaultScenario returns a scenario with the given number of servers and with
+// numbers of gateways and zones that fit this size.
 func DefaultScenario(servers int) Scenario {
 	config := engine.DefaultConfig()
 	config.StepJitter = 0.05
@@ -115,7 +108,7 @@
 	switch {
 	case servers >= serversLarge:
 		scenario.Gateways, scenario.Zones = 350, 32
-		// A run of 1,200 servers costs seconds of time for each second of the run.
+		// Large fleets take several seconds of real time per simulated second.
 		scenario.Warmup, scenario.Measured = 10*time.Second, 5*time.Second
 	case servers >= serversMedium:
 		scenario.Gateways, scenario.Zones = 36, 6
--- a/internal/bench/routingfleet/workload.go
+++ b/internal/bench/routingfleet/workload.go
@@ -9,33 +9,33 @@
 	"rockwind.example/rockwind/internal/engine"
 )
 
-// Parts of the requests by kind; the rest are turns of sessions.
+// Shares of the kinds of interactions; the rest are sessions.
 const (
-	partQuestions = 0.55
-	partDocuments = 0.15
+	questionShare = 0.55
+	documentShare = 0.15
 )
 
-// Sizes of prompts and answers in tokens, and of what prompts share in blocks.
+// Sizes of prompts and answers in tokens, and of shared prompt prefixes in blocks.
 const (
-	questionMinimum   = 80
-	questionMaximum   = 600
-	instructionBlocks = 2
-	documentBlocks    = 44
-	documentRest      = 2000
-	turnMinimum       = 64
-	turnMaximum       = 256
-	answerMinimum     = 40
-	answerMaximum     = 200
-	// sessionTurns is the mean number of turns of a session, and thinkTime the
-	// mean time between two of them.
-	sessionTurns = 4
-	thinkTime    = 4 * time.Second
-	// zipfExponent shapes the popularity of shared texts.
+	questionMinimum       = 80
+	questionMaximum       = 600
+	instructionBlocks     = 2
+	documentBlocks        = 44
+	documentSuffixMaximum = 2000
+	turnMinimum           = 64
+	turnMaximum           = 256
+	answerMinimum         = 40
+	answerMaximum         = 200
+	// meanSessionTurns is the mean number of turns of a session, and meanThinkTime
+	// the mean time between two turns.
+	meanSessionTurns = 4
+	meanThinkTime    = 4 * time.Second
+	// zipfExponent is the exponent of the popularity distribution of shared texts.
 	zipfExponent = 0.9
 )
 
-// Streams of randomness; each use has its own, so that a policy that draws more
-// or less does not change the load.
+// Random streams. Each use has its own, so that the load does not depend on how
+// many numbers a policy draws.
 const (
 	streamLoad = iota + 1
 	streamEngines
@@ -47,29 +47,29 @@
 	return rand.New(rand.NewPCG(seed, stream))
 }
 
-// arrival is one request as its caller sends it.
+// arrival is one request as sent by its client.
 type arrival struct {
-	at      time.Duration
-	gateway int
-	prompt  int
-	answer  int
-	// blocks are the chain hashes of the prompt's whole blocks.
+	at           time.Duration
+	gateway      int
+	promptTokens int
+	answerTokens int
+	// blocks holds the chained hashes of the prompt's full blocks.
 	blocks []uint64
 }
 
-// generator draws the load of a run.
+// generator generates the load of a run.
 type generator struct {
 	scenario     *Scenario
 	random       *rand.Rand
 	documents    *zipf
 	instructions *zipf
-	// fresh numbers blocks that no other prompt holds.
-	fresh    uint64
-	arrivals []arrival
+	// uniqueBlocks counts the blocks created for a single prompt or session.
+	uniqueBlocks uint64
+	arrivals     []arrival
 }
 
-// drawLoad draws all arrivals of a run, in order of time.
-func drawLoad(scenario *Scenario, seed uint64) []arrival {
+// generateArrivals returns all arrivals of a run, ordered by time.
+func generateArrivals(scenario *Scenario, seed uint64) []arrival {
 	created := &generator{
 		scenario:     scenario,
 		random:       newRandom(seed, streamLoad),
@@ -77,34 +77,36 @@
 		instructions: newZipf(scenario.Load.Instructions),
 	}
 	for zone := range scenario.Zones {
-		created.zone(zone)
+		created.generateZone(zone)
 	}
 	slices.SortStableFunc(created.arrivals, func(left, right arrival) int { return int(left.at - right.at) })
 	return created.arrivals
 }
 
-// zone draws the stream of one zone by thinning at the rate of bursts.
-func (g *generator) zone(zone int) {
+// generateZone generates the arrivals of one zone by thinning a Poisson process
+// that has the rate of bursts.
+func (g *generator) generateZone(zone int) {
 	load := &g.scenario.Load
 	factor := math.Max(1, load.BurstFactor)
-	// A session brings several requests, so that fewer of them begin.
-	started := 1 / (partQuestions + partDocuments + (1-partQuestions-partDocuments)*sessionTurns)
-	rate := load.Rate * started * float64(g.scenario.Servers) / float64(g.scenario.Zones)
+	// Sessions have several requests each, so the rate of new interactions is lower
+	// than the rate of requests.
+	interactionsPerRequest := 1 / (questionShare + documentShare + (1-questionShare-documentShare)*meanSessionTurns)
+	rate := load.Rate * interactionsPerRequest * float64(g.scenario.Servers) / float64(g.scenario.Zones)
 	mean := time.Duration(float64(time.Second) / (rate * factor))
 	bursting := false
-	change := g.exponential(load.MeanBurstInterval)
+	nextChange := g.exponential(load.MeanBurstInterval)
 	for at := g.exponential(mean); at < g.scenario.End(); at += g.exponential(mean) {
-		for change <= at {
+		for nextChange <= at {
 			bursting = !bursting
-			change += g.exponential(g.phase(bursting))
+			nextChange += g.exponential(g.meanPhase(bursting))
 		}
 		if bursting || g.random.Float64()*factor < 1 {
-			g.begin(zone, at)
+			g.addInteraction(zone, at)
 		}
 	}
 }
 
-func (g *generator) phase(bursting bool) time.Duration {
+func (g *generator) meanPhase(bursting bool) time.Duration {
 	if bursting {
 		return g.scenario.Load.MeanBurstDuration
 	}
@@ -115,68 +117,68 @@
 	return time.Duration(g.random.ExpFloat64() * float64(mean))
 }
 
-func (g *generator) between(least, most int) int {
-	return least + g.random.IntN(most-least+1)
+func (g *generator) uniform(low, high int) int {
+	return low + g.random.IntN(high-low+1)
 }
 
-// begin draws a question, a question on a document, or a session.
-func (g *generator) begin(zone int, at time.Duration) {
+// addInteraction adds a question, a question about a document or a session.
+func (g *generator) addInteraction(zone int, at time.Duration) {
 	point := g.random.Float64()
 	switch {
-	case point < partQuestions:
+	case point < questionShare:
 		shared := sharedBlocks(kindInstruction, g.instructions.draw(g.random), instructionBlocks)
-		g.add(zone, at, g.between(questionMinimum, questionMaximum), shared)
-	case point < partQuestions+partDocuments:
+		g.addRequest(zone, at, g.uniform(questionMinimum, questionMaximum), shared)
+	case point < questionShare+documentShare:
 		shared := sharedBlocks(kindDocument, g.documents.draw(g.random), documentBlocks)
-		rest := g.between(turnMinimum, documentRest)
-		g.add(zone, at, documentBlocks*engine.TokensPerBlock+rest, shared)
+		suffix := g.uniform(turnMinimum, documentSuffixMaximum)
+		g.addRequest(zone, at, documentBlocks*engine.TokensPerBlock+suffix, shared)
 	default:
-		g.session(zone, at)
+		g.addSession(zone, at)
 	}
 }
 
-// session draws the turns of a conversation; each prompt begins with the whole
-// of the one before.
-func (g *generator) session(zone int, at time.Duration) {
+// addSession adds the turns of a conversation. Each prompt starts with the blocks
+// of the previous prompt.
+func (g *generator) addSession(zone int, at time.Duration) {
 	blocks := sharedBlocks(kindInstruction, g.instructions.draw(g.random), instructionBlocks)
 	prompt := len(blocks) * engine.TokensPerBlock
 	for {
-		prompt += g.between(turnMinimum, turnMaximum)
-		sent := g.add(zone, at, prompt, blocks)
+		prompt += g.uniform(turnMinimum, turnMaximum)
+		sent := g.addRequest(zone, at, prompt, blocks)
 		blocks = sent.blocks
-		prompt += sent.answer
-		at += g.exponential(thinkTime)
-		if at >= g.scenario.End() || g.random.Float64() < 1.0/sessionTurns {
+		prompt += sent.answerTokens
+		at += g.exponential(meanThinkTime)
+		if at >= g.scenario.End() || g.random.Float64() < 1.0/meanSessionTurns {
 			return
 		}
 	}
 }
 
-// add adds a request of which the leading blocks are given. Its gateway is any
-// of the zone, for callers do not stay with one.
-func (g *generator) add(zone int, at time.Duration, prompt int, leading []uint64) arrival {
+// addRequest adds a request whose prompt starts with the given blocks, at a random
+// gateway of the zone.
+func (g *generator) addRequest(zone int, at time.Duration, prompt int, leading []uint64) arrival {
 	blocks := slices.Clone(leading)
 	for len(blocks) < prompt/engine.TokensPerBlock {
-		g.fresh++
-		blocks = append(blocks, blockHash(kindFresh, g.fresh, 0))
+		g.uniqueBlocks++
+		blocks = append(blocks, blockHash(kindUnique, g.uniqueBlocks, 0))
 	}
 	blocks = blocks[:min(len(blocks), prompt/engine.TokensPerBlock)]
-	ofZone := (g.scenario.Gateways - zone + g.scenario.Zones - 1) / g.scenario.Zones
-	drawn := arrival{
-		at: at, gateway: zone + g.scenario.Zones*g.random.IntN(ofZone),
-		prompt: prompt, answer: g.between(answerMinimum, answerMaximum), blocks: blocks,
+	gatewayCount := (g.scenario.Gateways - zone + g.scenario.Zones - 1) / g.scenario.Zones
+	spec := arrival{
+		at: at, gateway: zone + g.scenario.Zones*g.random.IntN(gatewayCount),
+		promptTokens: prompt, answerTokens: g.uniform(answerMinimum, answerMaximum), blocks: blocks,
 	}
-	g.arrivals = append(g.arrivals, drawn)
-	return drawn
+	g.arrivals = append(g.arrivals, spec)
+	return spec
 }
 
-// blockKind tells texts apart whose blocks must not be equal.
+// blockKind separates the hashes of different kinds of text.
 type blockKind uint64
 
 const (
 	kindInstruction blockKind = iota + 1
 	kindDocument
-	kindFresh
+	kindUnique
 )
 
 // sharedBlocks returns the blocks of a shared text.
@@ -188,7 +190,7 @@
 	return blocks
 }
 
-// blockHash mixes what names a block into a hash.
+// blockHash returns the hash of a block, given its kind, text and index.
 func blockHash(kind blockKind, text, index uint64) uint64 {
 	const multiplier = 0x9e3779b97f4a7c15
 	mixed := (uint64(kind)<<56 ^ text<<16 ^ index) * multiplier
@@ -196,7 +198,7 @@
 	return mixed * multiplier
 }
 
-// zipf draws numbers from 0 with a popularity that falls with the number.
+// zipf draws numbers from 0 with a Zipf distribution.
 type zipf struct {
 	cumulative []float64
 }
