--- a/internal/bench/wire/export_test.go
+++ b/internal/bench/wire/export_test.go
@@ -1,6 +1,6 @@
 package wire
 
-// Its figures that the tests use.
+// Exported for tests.
 const (
 	PacketHeader = packetHeader
 	SegmentBytes = segmentBytes
--- a/internal/bench/wire/kernel.go
+++ b/internal/bench/wire/kernel.go
@@ -6,20 +6,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// kernelTraffic reads what the kernel counted for a TCP connection: payload and
-// segments, pure acknowledgements included. It is zero for a connection that is
-// closed or not TCP.
+// kernelTraffic returns the traffic of a TCP connection, headers and pure
+// acknowledgements included, from the counters of the kernel. It is zero for a
+// connection that is closed or not TCP.
 func kernelTraffic(connection net.Conn) Traffic {
-	plain, ok := connection.(*net.TCPConn)
+	tcp, ok := connection.(*net.TCPConn)
 	if !ok {
 		return Traffic{}
 	}
-	raw, err := plain.SyscallConn()
+	raw, err := tcp.SyscallConn()
 	if err != nil {
 		return Traffic{}
 	}
 	var traffic Traffic
-	// Control fails only where the connection is closed; it has no count then.
+	// Control fails only if the connection is closed, which has no counters.
 	_ = raw.Control(func(descriptor uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(descriptor), unix.IPPROTO_TCP, unix.TCP_INFO)
 		if err != nil {
--- a/internal/bench/wire/wire.go
+++ b/internal/bench/wire/wire.go
@@ -1,10 +1,9 @@
-// Package wire counts the bytes that connections put on and take off the wire,
-// with HTTP, TCP and IP headers, so that the cost of control traffic is measured
-// and not worked out from payload sizes.
+// Package wire measures the bytes that connections send and receive, including
+// HTTP, TCP and IP headers.
 //
-// Payload and segments are those that the kernel counts for each connection.
-// Segments on loopback are larger than on an Ethernet, so payload that would
-// need more segments there is charged their headers too.
+// Payload and segments are counted by the kernel for each connection. Segments on
+// loopback are larger than on Ethernet, so the headers of the additional segments
+// that Ethernet would need are added.
 package wire
 
 import (
@@ -22,15 +21,15 @@
 	// packetHeader is the size of the IPv4 and TCP headers of one segment, with
 	// the timestamp option, in bytes.
 	packetHeader = 52
-	// segmentBytes is the payload of a full segment on an Ethernet.
+	// segmentBytes is the payload of a full segment on Ethernet, in bytes.
 	segmentBytes = 1448
-	// closingSegments is the segments of an orderly end in each direction, which
-	// come after the kernel's last count: one that closes and one that
-	// acknowledges.
+	// closingSegments is the number of segments in each direction of a connection
+	// shutdown, a FIN and an ACK, which follow the last reading of the kernel's
+	// counters.
 	closingSegments = 2
 )
 
-// Traffic is a number of bytes in each direction.
+// Traffic is the number of bytes in each direction.
 type Traffic struct {
 	Sent     int64 `json:"sent"`
 	Received int64 `json:"received"`
@@ -41,26 +40,27 @@
 	return Traffic{Sent: t.Sent + other.Sent, Received: t.Received + other.Received}
 }
 
-// Minus returns what was added since an earlier count.
+// Minus returns the traffic since an earlier count.
 func (t Traffic) Minus(earlier Traffic) Traffic {
 	return Traffic{Sent: t.Sent - earlier.Sent, Received: t.Received - earlier.Received}
 }
 
-// Total is the bytes of both directions.
+// Total returns the bytes of both directions.
 func (t Traffic) Total() int64 { return t.Sent + t.Received }
 
-// Counter sums the traffic of one daemon. The zero value is ready for use, and
-// its methods may be called by any goroutine.
+// Counter sums the traffic of one daemon's connections and can simulate network
+// failures. The zero value is ready to use. Its methods are safe for concurrent
+// use.
 type Counter struct {
 	mutex sync.Mutex
 	open  map[*countedConnection]struct{}
 	ended Traffic
 	cut   bool
-	// blocked holds addresses that cannot be reached.
+	// blocked holds the addresses to which connections are refused.
 	blocked map[string]bool
 }
 
-// Traffic is what all connections carried so far.
+// Traffic returns the traffic of all connections so far.
 func (c *Counter) Traffic() Traffic {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -71,11 +71,11 @@
 	return sum
 }
 
-// errCut is the error of a connection attempt while the links are cut.
-var errCut = errors.New("the link is cut")
+// errDisconnected is returned for connection attempts during a Cut or to a blocked address.
+var errDisconnected = errors.New("connection blocked by simulated network failure")
 
-// Cut breaks all connections and refuses new ones until Mend, as if the machine
-// had been lost.
+// Cut closes all connections and refuses new ones until Restore is called, to
+// simulate the loss of the machine.
 func (c *Counter) Cut() {
 	c.mutex.Lock()
 	c.cut = true
@@ -85,20 +85,20 @@
 	}
 	c.mutex.Unlock()
 	for _, connection := range open {
-		// A connection that has just ended by itself is as good.
+		// The connection may already be closed.
 		_ = connection.Close()
 	}
 }
 
-// Restore ends a Cut.
+// Restore allows connections again after Cut.
 func (c *Counter) Restore() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.cut = false
 }
 
-// Block breaks the connections that were dialled to some addresses and refuses
-// new ones, until Block is called with other addresses or none.
+// Block closes the connections that were dialled to the given addresses and
+// refuses new ones. Each call replaces the addresses of the previous one.
 func (c *Counter) Block(addresses ...string) {
 	c.mutex.Lock()
 	c.blocked = make(map[string]bool, len(addresses))
@@ -113,7 +113,7 @@
 	}
 	c.mutex.Unlock()
 	for _, connection := range broken {
-		// A connection that has just ended by itself is as good.
+		// The connection may already be closed.
 		_ = connection.Close()
 	}
 }
@@ -124,14 +124,14 @@
 	return c.cut || c.blocked[address]
 }
 
-// add counts a new connection, or closes it where its link is cut. The address is
-// empty for a connection that was accepted.
+// add starts to count a new connection, or closes it if connections are cut or its
+// address is blocked. The address is empty for an accepted connection.
 func (c *Counter) add(plain net.Conn, dialled string) (net.Conn, error) {
 	connection := &countedConnection{Conn: plain, counter: c, dialled: dialled}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.cut || c.blocked[dialled] {
-		return nil, errors.CombineErrors(errCut, plain.Close())
+		return nil, errors.CombineErrors(errDisconnected, plain.Close())
 	}
 	if c.open == nil {
 		c.open = make(map[*countedConnection]struct{})
@@ -140,7 +140,7 @@
 	return connection, nil
 }
 
-// remove keeps the final count of a connection that ends.
+// remove adds the final count of a closing connection to the sum.
 func (c *Counter) remove(connection *countedConnection) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -158,7 +158,7 @@
 // Dial opens a counted TCP connection.
 func (c *Counter) Dial(ctx context.Context, address string) (net.Conn, error) {
 	if c.isBlocked(address) {
-		return nil, errCut
+		return nil, errDisconnected
 	}
 	dialer := net.Dialer{Timeout: dialTimeout}
 	connection, err := dialer.DialContext(ctx, "tcp", address)
@@ -168,8 +168,8 @@
 	return c.add(connection, address)
 }
 
-// Client returns an HTTP client with counted connections. The transport is
-// changed to dial them; its pools and timeouts stay.
+// Client returns an HTTP client with counted connections. It replaces the
+// DialContext function of the transport.
 func (c *Counter) Client(transport *http.Transport) *http.Client {
 	transport.DialContext = func(ctx context.Context, _, address string) (net.Conn, error) {
 		return c.Dial(ctx, address)
@@ -201,20 +201,20 @@
 	}
 }
 
-// countedConnection is one connection with the part of its count that the
-// kernel does not have.
+// countedConnection is a connection that also counts the headers of the additional
+// segments that Ethernet would need.
 type countedConnection struct {
 	net.Conn
 	counter *Counter
 	// dialled is the address that was dialled, empty for an accepted connection.
 	dialled string
-	// extraSent and extraReceived are headers of segments that an Ethernet would
-	// need on top of those on loopback.
+	// extraSent and extraReceived are the header bytes of the additional segments
+	// that Ethernet would need.
 	extraSent, extraReceived atomic.Int64
 }
 
-// extraHeaders is the headers of the segments that payload of one transfer
-// needs beyond the first.
+// extraHeaders returns the header bytes of the segments beyond the first that the
+// payload of one read or write needs on Ethernet.
 func extraHeaders(payload int) int64 {
 	if payload <= segmentBytes {
 		return 0
@@ -242,7 +242,7 @@
 	return c.Conn.Close()
 }
 
-// traffic is what the connection carried so far.
+// traffic returns the traffic of the connection so far.
 func (c *countedConnection) traffic() Traffic {
 	kernel := kernelTraffic(c.Conn)
 	return kernel.Plus(Traffic{Sent: c.extraSent.Load(), Received: c.extraReceived.Load()})
--- a/internal/bench/wire/wire_test.go
+++ b/internal/bench/wire/wire_test.go
@@ -11,9 +11,9 @@
 	"rockwind.example/rockwind/internal/bench/wire"
 )
 
-// exchanged sends the payloads in turn over one counted connection, each
-// answered by one byte, and returns the counts of both ends.
-func exchanged(t *rapid.T, payloads []int) (client, server wire.Traffic) {
+// sendPayloads sends the payloads over one counted connection, each answered by
+// one byte, and returns the traffic counted at both ends.
+func sendPayloads(t *rapid.T, payloads []int) (client, server wire.Traffic) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -36,7 +36,7 @@
 				return
 			}
 		}
-		// Wait for the other end, so that its last acknowledgement is counted.
+		// Wait for the client to close, so that its last acknowledgement is counted.
 		_, _ = connection.Read(make([]byte, 1))
 	}()
 	connection, err := clientCounter.Dial(context.Background(), listener.Addr().String())
@@ -56,31 +56,31 @@
 	return clientCounter.Traffic(), serverCounter.Traffic()
 }
 
-// The count holds all payload and at least the headers of its segments on an
-// Ethernet, and no more than a few segments for each transfer on top.
-func TestCountHoldsPayloadAndHeaders(t *testing.T) {
+// The traffic must include the payload and the headers of its Ethernet segments,
+// and at most a few more segments for each transfer.
+func TestTrafficIncludesPayloadAndHeaders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		payloads := rapid.SliceOfN(rapid.IntRange(1, 20_000), 1, 5).Draw(t, "payloads")
-		client, server := exchanged(t, payloads)
+		client, server := sendPayloads(t, payloads)
 		payload, segments := 0, 0
 		for _, each := range payloads {
 			payload += each
 			segments += (each + wire.SegmentBytes - 1) / wire.SegmentBytes
 		}
 		least := int64(payload + segments*wire.PacketHeader)
-		// The opening, the closing, and acknowledgements beside each transfer.
+		// Handshake, shutdown and acknowledgements.
 		most := least + int64(6+4*segments)*wire.PacketHeader
 		if client.Sent < least || client.Sent > most {
-			t.Fatalf("%d bytes in %d segments count as %d", payload, segments, client.Sent)
+			t.Fatalf("client sent %d bytes in %d segments, counted as %d", payload, segments, client.Sent)
 		}
 		if server.Received < int64(payload) || server.Received > most {
-			t.Fatalf("%d bytes in %d segments count as %d at the other end", payload, segments, server.Received)
+			t.Fatalf("client sent %d bytes in %d segments, counted as %d at the server", payload, segments, server.Received)
 		}
 	})
 }
 
-// A cut machine has no connections, and its count stays.
-func TestCutBreaksConnections(t *testing.T) {
+// Cut must close and refuse connections but keep their traffic.
+func TestCutClosesConnections(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -93,22 +93,22 @@
 	}
 	counter.Cut()
 	if _, err := connection.Write([]byte{1}); err == nil {
-		t.Fatal("a connection of a cut machine carries data")
+		t.Fatal("write succeeded after Cut")
 	}
 	if _, err := counter.Dial(context.Background(), listener.Addr().String()); err == nil {
-		t.Fatal("a cut machine opens a connection")
+		t.Fatal("dial succeeded after Cut")
 	}
 	if counter.Traffic().Sent == 0 {
-		t.Fatal("the count was lost with the connection")
+		t.Fatal("no sent traffic after Cut")
 	}
 	counter.Restore()
 	if _, err := counter.Dial(context.Background(), listener.Addr().String()); err != nil {
-		t.Fatalf("a mended machine opens no connection: %v", err)
+		t.Fatalf("dial after Restore: %v", err)
 	}
 }
 
-// A blocked address cannot be reached, and others can.
-func TestBlockCutsOneLink(t *testing.T) {
+// Block must close and refuse connections to the blocked address only.
+func TestBlockAffectsOnlyGivenAddresses(t *testing.T) {
 	var counter wire.Counter
 	var addresses []string
 	for range 2 {
@@ -125,16 +125,16 @@
 	}
 	counter.Block(addresses[0])
 	if _, err := connection.Write([]byte{1}); err == nil {
-		t.Fatal("a connection to a blocked address carries data")
+		t.Fatal("write to a blocked address succeeded")
 	}
 	if _, err := counter.Dial(context.Background(), addresses[0]); err == nil {
-		t.Fatal("a blocked address is reached")
+		t.Fatal("dial of a blocked address succeeded")
 	}
 	if _, err := counter.Dial(context.Background(), addresses[1]); err != nil {
-		t.Fatalf("another address is not reached: %v", err)
+		t.Fatalf("dial of an address that is not blocked: %v", err)
 	}
 	counter.Block()
 	if _, err := counter.Dial(context.Background(), addresses[0]); err != nil {
-		t.Fatalf("the address is not reached after the block: %v", err)
+		t.Fatalf("dial after unblocking: %v", err)
 	}
 }
