--- a/internal/bench/caller/chat.go
+++ b/internal/bench/caller/chat.go
@@ -33,9 +33,9 @@
 	}
 }
 
-// ErrCut is the error of a stream that ended without its terminal marker and
+// ErrIncompleteStream is the error of a stream that ended without its terminal marker and
 // without a typed error.
-var ErrCut = errors.New("the stream ended without its terminal marker")
+var ErrIncompleteStream = errors.New("the stream ended without its terminal marker")
 
 // chunk is the part of a streamed or whole answer that the bench reads.
 type chunk struct {
@@ -83,7 +83,7 @@
 		return "", err
 	}
 	if len(answer.Choices) == 0 || answer.Choices[0].FinishReason == "" {
-		return "", ErrCut
+		return "", ErrIncompleteStream
 	}
 	return answer.Choices[0].Message.Content, nil
 }
@@ -112,9 +112,9 @@
 		}
 	}
 	if err := scanner.Err(); err != nil {
-		return text.String(), errors.Wrap(errors.CombineErrors(ErrCut, err), "read stream")
+		return text.String(), errors.Wrap(errors.CombineErrors(ErrIncompleteStream, err), "read stream")
 	}
-	return text.String(), ErrCut
+	return text.String(), ErrIncompleteStream
 }
 
 func appendText(text *strings.Builder, event chunk) bool {
--- a/internal/bench/experiment/failures/experiment.go
+++ b/internal/bench/experiment/failures/experiment.go
@@ -113,7 +113,7 @@
 
 func (c *Cell) summarize() {
 	perRequest := func(count func(run routingfleet.Result) int) interval.Interval {
-		return interval.Map(c.runs, func(run routingfleet.Result) float64 {
+		return interval.OfFunc(c.runs, func(run routingfleet.Result) float64 {
 			return float64(count(run)) / float64(max(1, run.Requests))
 		})
 	}
@@ -122,8 +122,8 @@
 	c.Refused = perRequest(func(run routingfleet.Result) int { return run.Refused })
 	c.Lost = perRequest(func(run routingfleet.Result) int { return run.Lost })
 	c.Hedges = perRequest(func(run routingfleet.Result) int { return run.Hedges })
-	c.RecoveryS = interval.Map(c.runs, recoverySeconds)
-	c.TTFTp99Ms = interval.Map(c.runs, func(run routingfleet.Result) float64 {
+	c.RecoveryS = interval.OfFunc(c.runs, recoverySeconds)
+	c.TTFTp99Ms = interval.OfFunc(c.runs, func(run routingfleet.Result) float64 {
 		return float64(routingfleet.Quantile(run.TTFT, 0.99)) / float64(time.Millisecond)
 	})
 	for _, run := range c.runs {
--- a/internal/bench/experiment/faults/online.go
+++ b/internal/bench/experiment/faults/online.go
@@ -56,9 +56,9 @@
 		o.record.addChatNotRun(requestID)
 	case errors.As(err, &refusal):
 		o.record.count(func(c *counts) { c.OnlineCutTyped++ })
-	case errors.Is(err, caller.ErrCut) && !o.killLog.killedSince(gateway.Name, before):
+	case errors.Is(err, caller.ErrIncompleteStream) && !o.killLog.killedSince(gateway.Name, before):
 		o.record.count(func(c *counts) { c.CutStreamsPlannedStop++ })
-	case errors.Is(err, caller.ErrCut):
+	case errors.Is(err, caller.ErrIncompleteStream):
 		o.record.count(func(c *counts) { c.OnlineCutUntyped++ })
 	default:
 		o.record.count(func(c *counts) { c.OnlineUnknown++ })
--- a/internal/bench/experiment/placementshift/command.go
+++ b/internal/bench/experiment/placementshift/command.go
@@ -108,11 +108,11 @@
 func summed(name string, outcomes []Outcome) Variant {
 	return Variant{
 		Name:           name,
-		FollowSeconds:  interval.Map(outcomes, func(o Outcome) float64 { return o.FollowSeconds }),
-		MovesBefore:    interval.Map(outcomes, func(o Outcome) float64 { return o.MovesBefore }),
-		MovesAfter:     interval.Map(outcomes, func(o Outcome) float64 { return o.MovesAfter }),
-		UnservedBefore: interval.Map(outcomes, func(o Outcome) float64 { return o.UnservedBefore }),
-		UnservedAfter:  interval.Map(outcomes, func(o Outcome) float64 { return o.UnservedAfter }),
+		FollowSeconds:  interval.OfFunc(outcomes, func(o Outcome) float64 { return o.FollowSeconds }),
+		MovesBefore:    interval.OfFunc(outcomes, func(o Outcome) float64 { return o.MovesBefore }),
+		MovesAfter:     interval.OfFunc(outcomes, func(o Outcome) float64 { return o.MovesAfter }),
+		UnservedBefore: interval.OfFunc(outcomes, func(o Outcome) float64 { return o.UnservedBefore }),
+		UnservedAfter:  interval.OfFunc(outcomes, func(o Outcome) float64 { return o.UnservedAfter }),
 	}
 }
 
--- a/internal/bench/experiment/routingcomparison/experiment.go
+++ b/internal/bench/experiment/routingcomparison/experiment.go
@@ -115,10 +115,10 @@
 }
 
 func (c *Cell) sumUp() {
-	c.TTFTp50Ms = interval.Map(c.runs, func(run routingfleet.Result) float64 { return milliseconds(run, 0.5) })
-	c.TTFTp99Ms = interval.Map(c.runs, func(run routingfleet.Result) float64 { return milliseconds(run, 0.99) })
-	c.HitRate = interval.Map(c.runs, func(run routingfleet.Result) float64 { return run.HitRate() })
-	c.Refused = interval.Map(c.runs, func(run routingfleet.Result) float64 {
+	c.TTFTp50Ms = interval.OfFunc(c.runs, func(run routingfleet.Result) float64 { return milliseconds(run, 0.5) })
+	c.TTFTp99Ms = interval.OfFunc(c.runs, func(run routingfleet.Result) float64 { return milliseconds(run, 0.99) })
+	c.HitRate = interval.OfFunc(c.runs, func(run routingfleet.Result) float64 { return run.HitRate() })
+	c.Refused = interval.OfFunc(c.runs, func(run routingfleet.Result) float64 {
 		return float64(run.Refused+run.Lost) / float64(max(1, run.Requests))
 	})
 	for _, run := range c.runs {
--- a/internal/bench/experiment/shares/experiment.go
+++ b/internal/bench/experiment/shares/experiment.go
@@ -85,9 +85,9 @@
 	if err := workers.Wait(); err != nil {
 		return nil, err
 	}
-	result.Shortfall = interval.Map(result.Runs, func(run Run) float64 { return run.Shortfall })
-	result.Reclaim = interval.Map(result.Runs, func(run Run) float64 { return run.Reclaim })
-	result.Idle = interval.Map(result.Runs, func(run Run) float64 { return run.Idle })
+	result.Shortfall = interval.OfFunc(result.Runs, func(run Run) float64 { return run.Shortfall })
+	result.Reclaim = interval.OfFunc(result.Runs, func(run Run) float64 { return run.Reclaim })
+	result.Idle = interval.OfFunc(result.Runs, func(run Run) float64 { return run.Idle })
 	result.AimsMet = true
 	for _, run := range result.Runs {
 		result.AimsMet = result.AimsMet && run.Reclaim < aimReclaimSeconds && run.Idle < aimIdle
--- a/internal/bench/interval/interval.go
+++ b/internal/bench/interval/interval.go
@@ -40,8 +40,8 @@
 	return result
 }
 
-// Map sums up a figure of every run.
-func Map[T any](runs []T, figure func(T) float64) Interval {
+// OfFunc sums up a figure of every run.
+func OfFunc[T any](runs []T, figure func(T) float64) Interval {
 	figures := make([]float64, len(runs))
 	for index, run := range runs {
 		figures[index] = figure(run)
--- a/internal/bench/mutant/mutant.go
+++ b/internal/bench/mutant/mutant.go
@@ -14,9 +14,9 @@
 // is not made smaller.
 var settings = map[string]string{"rapid.nofailfile": "true", "rapid.shrinktime": "1ns"}
 
-// Noticed tells whether a property of a mutant fails. It changes flags of rapid meanwhile:
+// Killed tells whether a property of a mutant fails. It changes flags of rapid meanwhile:
 // tests that run beside it must not use rapid.
-func Noticed(t testing.TB, property func(*rapid.T)) bool {
+func Killed(t testing.TB, property func(*rapid.T)) bool {
 	t.Helper()
 	for name, value := range settings {
 		before := flag.Lookup(name).Value.String()
--- a/internal/bench/mutant/mutant_test.go
+++ b/internal/bench/mutant/mutant_test.go
@@ -23,7 +23,7 @@
 		"it panics":  {func(*rapid.T) { panic("on purpose") }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if noticed := mutant.Noticed(t, test.property); noticed != test.want {
+			if noticed := mutant.Killed(t, test.property); noticed != test.want {
 				t.Errorf("noticed: %v", noticed)
 			}
 		})
--- a/internal/catalog/mutant_test.go
+++ b/internal/catalog/mutant_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestOracleNoticesAMissingCompare(t *testing.T) {
-	if !mutant.Noticed(t, func(t *rapid.T) { run(t, hooks{skipCompare: true}) }) {
+	if !mutant.Killed(t, func(t *rapid.T) { run(t, hooks{skipCompare: true}) }) {
 		t.Error("the oracle accepts a machine that does not compare numbers and checksums")
 	}
 }
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -261,7 +261,7 @@
 		"publish before saving":         {publishFirst: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if !mutant.Noticed(t, func(t *rapid.T) { checkFollower(t, defects) }) {
+			if !mutant.Killed(t, func(t *rapid.T) { checkFollower(t, defects) }) {
 				t.Error("the property holds for a defective follower")
 			}
 		})
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -373,7 +373,7 @@
 		"blind retry":          {freeTimedOutKey: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			noticed := mutant.Noticed(t, func(t *rapid.T) {
+			noticed := mutant.Killed(t, func(t *rapid.T) {
 				t.Repeat(rapid.StateMachineActions(newHarness(injected)))
 			})
 			if !noticed {
