--- a/internal/bench/report/chart.go
+++ b/internal/bench/report/chart.go
@@ -1,5 +1,5 @@
-// Package report writes the figures of experiments as JSON, PNG charts and one
-// HTML page that holds both.
+// Package report writes the results of experiments as JSON, PNG charts and an HTML
+// page.
 package report
 
 import (
@@ -14,7 +14,7 @@
 	"rockwind.example/rockwind/internal/bench/load"
 )
 
-// Size of charts.
+// Dimensions of charts.
 const (
 	chartWidth  = 18 * vg.Centimeter
 	chartHeight = 11 * vg.Centimeter
@@ -22,31 +22,30 @@
 	glyphRadius = vg.Length(3)
 )
 
-// Point is a point of a series.
 type Point struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
 }
 
-// Series is one named line or cloud of points.
+// Series is a named list of points, seriesCount as a line or as a scatter plot.
 type Series struct {
 	Name   string  `json:"name"`
 	Points []Point `json:"points"`
 }
 
-// Chart describes a chart.
+// Chart is the content of a chart.
 type Chart struct {
 	Title  string
 	XLabel string
 	YLabel string
-	// LogX and LogY make an axis logarithmic; points at or below zero on such an
-	// axis are left out.
+	// LogX and LogY make an axis logarithmic; points that are not positive on such
+	// an axis are omitted.
 	LogX, LogY bool
 	Series     []Series
 }
 
-// Distribution returns the cumulative distribution of a histogram: milliseconds
-// against the fraction of durations that are no longer.
+// Distribution returns the cumulative distribution of a histogram, with X in
+// milliseconds and Y the fraction of durations up to X.
 func Distribution(name string, histogram *load.Histogram) Series {
 	series := Series{Name: name}
 	for _, point := range histogram.Cumulative() {
@@ -55,8 +54,7 @@
 	return series
 }
 
-// CDF writes a PNG of cumulative distributions; the axis of durations is
-// logarithmic.
+// CDF writes a PNG of cumulative distributions with a logarithmic X axis.
 func CDF(file, title string, series ...Series) error {
 	return Lines(file, Chart{
 		Title:  title,
@@ -67,8 +65,7 @@
 	})
 }
 
-// Lines writes a PNG with a line for each series, such as throughput over time
-// or shares over time.
+// Lines writes a PNG with a line for each series.
 func Lines(file string, chart Chart) error {
 	return save(file, chart, func(points plotter.XYs, index int) (plot.Plotter, plot.Thumbnailer, error) {
 		line, err := plotter.NewLine(points)
@@ -81,8 +78,7 @@
 	})
 }
 
-// Scatter writes a PNG with a cloud of points for each series, such as a
-// frontier of throughput against harm.
+// Scatter writes a PNG with a scatter plot of each series.
 func Scatter(file string, chart Chart) error {
 	return save(file, chart, func(points plotter.XYs, index int) (plot.Plotter, plot.Thumbnailer, error) {
 		scatter, err := plotter.NewScatter(points)
@@ -96,10 +92,10 @@
 	})
 }
 
-// drawing makes the plotter of a series.
-type drawing func(points plotter.XYs, index int) (plot.Plotter, plot.Thumbnailer, error)
+// newPlotter creates the plotter of a series.
+type newPlotter func(points plotter.XYs, index int) (plot.Plotter, plot.Thumbnailer, error)
 
-func save(file string, chart Chart, draw drawing) error {
+func save(file string, chart Chart, draw newPlotter) error {
 	canvas := plot.New()
 	canvas.Title.Text = chart.Title
 	canvas.X.Label.Text = chart.XLabel
@@ -113,7 +109,7 @@
 		canvas.Y.Scale = plot.LogScale{}
 		canvas.Y.Tick.Marker = plot.LogTicks{Prec: -1}
 	}
-	drawn := 0
+	seriesCount := 0
 	for index, series := range chart.Series {
 		points := chart.visible(series)
 		if len(points) == 0 {
@@ -125,9 +121,9 @@
 		}
 		canvas.Add(shape)
 		canvas.Legend.Add(series.Name, thumbnail)
-		drawn++
+		seriesCount++
 	}
-	if drawn == 0 {
+	if seriesCount == 0 {
 		return errors.Newf("chart %q has no points to draw", chart.Title)
 	}
 	widen(&canvas.X)
@@ -137,7 +133,7 @@
 	return errors.Wrapf(canvas.Save(chartWidth, chartHeight, file), "save chart %q", chart.Title)
 }
 
-// visible returns the points that the axes can show.
+// visible returns the points that are finite and can be shown on the axes.
 func (c Chart) visible(series Series) plotter.XYs {
 	var points plotter.XYs
 	for _, point := range series.Points {
@@ -149,7 +145,7 @@
 	return points
 }
 
-// widen gives an axis on which all points are equal some length.
+// widen extends the range of an axis on which all points have the same value.
 func widen(axis *plot.Axis) {
 	if axis.Max > axis.Min {
 		return
--- a/internal/bench/report/export_test.go
+++ b/internal/bench/report/export_test.go
@@ -1,4 +1,4 @@
 package report
 
-// Its figure that the tests use.
+// PageFile is exported for tests.
 const PageFile = pageFile
--- a/internal/bench/report/page.go
+++ b/internal/bench/report/page.go
@@ -10,30 +10,29 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Names of the files in a report's folder.
+// File names in the folder of a report.
 const (
 	pageFile    = "index.html"
 	figuresFile = "figures.json"
 )
 
-// Table is a table of a section.
 type Table struct {
 	Header []string
 	Rows   [][]string
 }
 
-// Section is one part of a page.
+// Section is a section of the HTML page.
 type Section struct {
 	Heading string
-	// Text is a list of paragraphs.
+	// Text holds the paragraphs.
 	Text []string
-	// Table may be empty.
+	// Table is omitted if it has no rows.
 	Table Table
-	// Charts are file names in the folder of the page.
+	// Charts holds the names of image files in the folder of the page.
 	Charts []string
 }
 
-// page is what the template shows.
+// page is the data of pageTemplate.
 type page struct {
 	Title    string
 	Sections []Section
@@ -69,27 +68,28 @@
 </html>
 `))
 
-// WriteHTML writes index.html with the sections into a folder, which it makes.
+// WriteHTML writes index.html with the sections to a folder, which it creates if
+// needed.
 func WriteHTML(folder, title string, sections []Section) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return errors.Wrap(err, "make the report's folder")
+		return errors.Wrap(err, "create report folder")
 	}
 	file, err := os.Create(filepath.Join(folder, pageFile))
 	if err != nil {
-		return errors.Wrap(err, "create the page")
+		return errors.Wrap(err, "create HTML page")
 	}
 	err = pageTemplate.Execute(file, page{Title: title, Sections: sections})
-	return errors.Wrap(errors.CombineErrors(err, file.Close()), "write the page")
+	return errors.Wrap(errors.CombineErrors(err, file.Close()), "write HTML page")
 }
 
-// WriteJSON writes figures.json into a folder, which it makes.
+// WriteJSON writes figures.json to a folder, which it creates if needed.
 func WriteJSON(folder string, figures any) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return errors.Wrap(err, "make the report's folder")
+		return errors.Wrap(err, "create report folder")
 	}
 	file, err := os.Create(filepath.Join(folder, figuresFile))
 	if err != nil {
-		return errors.Wrap(err, "create the figures")
+		return errors.Wrap(err, "create JSON file of figures")
 	}
 	return errors.CombineErrors(PrintJSON(file, figures), file.Close())
 }
@@ -98,5 +98,5 @@
 func PrintJSON(writer io.Writer, figures any) error {
 	encoder := json.NewEncoder(writer)
 	encoder.SetIndent("", "  ")
-	return errors.Wrap(encoder.Encode(figures), "write the figures")
+	return errors.Wrap(encoder.Encode(figures), "write figures as JSON")
 }
--- a/internal/bench/report/report_test.go
+++ b/internal/bench/report/report_test.go
@@ -12,7 +12,7 @@
 	"rockwind.example/rockwind/internal/bench/report"
 )
 
-func TestChartsAndPageAreWritten(t *testing.T) {
+func TestWriteChartsAndPage(t *testing.T) {
 	folder := t.TempDir()
 	histogram := load.NewHistogram()
 	for milliseconds := range 100 {
@@ -21,7 +21,7 @@
 	series := report.Distribution("latency", histogram)
 	last := series.Points[len(series.Points)-1]
 	if last.Y < 0.999 || last.X < 99 || last.X > 101 {
-		t.Fatalf("the distribution ends at %+v", last)
+		t.Fatalf("last point of the distribution is %+v", last)
 	}
 	constant := report.Series{Name: "constant", Points: []report.Point{{X: 1, Y: 5}, {X: 1, Y: 5}}}
 	for name, write := range map[string]func(string) error{
@@ -49,14 +49,14 @@
 	}
 	for _, wanted := range []string{"Overhead &lt;1&gt;", `<img src="cdf.png"`, "<td>1</td>"} {
 		if !strings.Contains(string(page), wanted) {
-			t.Fatalf("the page lacks %s", wanted)
+			t.Fatalf("page does not contain %s", wanted)
 		}
 	}
 }
 
-func TestEmptyChartIsAnError(t *testing.T) {
+func TestChartWithoutPointsFails(t *testing.T) {
 	if err := report.CDF(filepath.Join(t.TempDir(), "x.png"), "nothing"); err == nil {
-		t.Fatal("a chart without points was written")
+		t.Fatal("no error for a chart without points")
 	}
 }
 
