--- a/internal/bench/caller/batchinput.go
+++ b/internal/bench/caller/batchinput.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Item is one line of batch input.
+// Item is one line of a batch input file.
 type Item struct {
 	CustomID string      `json:"custom_id"`
 	Method   string      `json:"method"`
@@ -16,7 +16,7 @@
 	Body     ChatRequest `json:"body"`
 }
 
-// BatchInput writes items as the JSON lines of an input file.
+// BatchInput encodes items as a batch input file in JSON Lines format.
 func BatchInput(items []Item) ([]byte, error) {
 	var content bytes.Buffer
 	encoder := json.NewEncoder(&content)
@@ -28,7 +28,7 @@
 	return content.Bytes(), nil
 }
 
-// ChatItem is an item that asks for a chat with one message of the user.
+// ChatItem returns an item with a chat request of one user message.
 func ChatItem(number int, model, content string, maxTokens int) Item {
 	return Item{
 		CustomID: fmt.Sprintf("item-%d", number), Method: "POST", URL: "/v1/chat/completions",
@@ -36,16 +36,15 @@
 	}
 }
 
-// ItemOutput is one line of batch output.
+// ItemOutput is the result of one item.
 type ItemOutput struct {
 	CustomID string
-	// Text is the whole answer; empty for a failed item.
-	Text string
-	// Failed tells that the item ended as failed.
+	// Text is the complete answer; empty for a failed item.
+	Text   string
 	Failed bool
 }
 
-// ParseOutput reads the JSON lines of an output file.
+// ParseOutput decodes a batch output file in JSON Lines format.
 func ParseOutput(content []byte) ([]ItemOutput, error) {
 	var outputs []ItemOutput
 	for line := range bytes.Lines(content) {
--- a/internal/bench/caller/caller.go
+++ b/internal/bench/caller/caller.go
@@ -1,6 +1,6 @@
-// Package caller is the bench's client of the gateways' HTTP API. It does not
-// retry on its own and reports exactly what the gateway said, so that
-// experiments can judge each answer.
+// Package caller is the HTTP client of the gateway API for benchmarks. It does not
+// retry, and it returns errors as the gateway sent them, so that experiments can
+// evaluate each answer.
 package caller
 
 import (
@@ -15,32 +15,31 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Headers that callers set or read.
+// Request headers of the gateway API.
 const (
 	headerIdempotencyKey = "Idempotency-Key"
 	headerRequestID      = "X-Request-Id"
 	headerRepeatable     = "X-Repeatable"
 )
 
-// Caller calls gateways as one tenant.
+// Caller is a client of the gateway API for one tenant.
 type Caller struct {
-	// Client makes the calls.
 	Client *http.Client
 	// Key is the tenant's API key.
 	Key string
 }
 
-// Refusal is a typed error answer.
+// Refusal is an error response of the gateway API.
 type Refusal struct {
 	// Status is the HTTP status.
 	Status int `json:"-"`
-	// Kind, Message and Remedy are as the gateway gave them.
+	// Kind, Message and Remedy are the gateway's description of the error.
 	Kind    string `json:"type"`
 	Message string `json:"message"`
 	Remedy  string `json:"remedy"`
-	// Ran is "not_run", "outcome_unknown" or empty.
+	// Ran says whether the request ran: "not_run", "outcome_unknown" or empty.
 	Ran string `json:"ran"`
-	// RetryAfterMs is when to come back; zero means no advice.
+	// RetryAfterMs is the recommended delay of a retry; zero means none was given.
 	RetryAfterMs int64 `json:"retry_after_ms"`
 }
 
@@ -52,26 +51,26 @@
 // RanNotRun is the value of Refusal.Ran for a request that did not run.
 const RanNotRun = "not_run"
 
-// IsNotRun tells whether the error says that the request did not run.
+// IsNotRun reports whether the error is a refusal that says that the request did
+// not run.
 func IsNotRun(err error) bool {
 	var refusal *Refusal
 	return errors.As(err, &refusal) && refusal.Ran == RanNotRun
 }
 
-// Request is one call of a gateway.
+// Request is a call to a gateway.
 type Request struct {
-	// Method and URL of the call.
 	Method, URL string
 	// ContentType and Body may be empty.
 	ContentType string
 	Body        []byte
-	// IdempotencyKey, RequestID are sent where they are not empty.
+	// IdempotencyKey and RequestID are sent if not empty.
 	IdempotencyKey, RequestID string
 	// NotRepeatable marks a request that may run at most once.
 	NotRepeatable bool
 }
 
-// Do makes a call and returns the body of a successful answer.
+// Do makes a call and returns the body of a successful response.
 func (c *Caller) Do(ctx context.Context, call Request) ([]byte, error) {
 	response, err := c.open(ctx, call)
 	if err != nil {
@@ -80,21 +79,21 @@
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return nil, errors.Wrap(err, "read answer")
+		return nil, errors.Wrap(err, "read response")
 	}
 	return body, nil
 }
 
-// open sends a call and turns an error answer into a Refusal.
+// open sends a call and returns an error response as a Refusal.
 func (c *Caller) open(ctx context.Context, call Request) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, call.Method, call.URL, bytes.NewReader(call.Body))
 	if err != nil {
-		return nil, errors.Wrap(err, "make request")
+		return nil, errors.Wrap(err, "create request")
 	}
 	request.Header.Set("Authorization", "Bearer "+c.Key)
-	setWhere(request.Header, "Content-Type", call.ContentType)
-	setWhere(request.Header, headerIdempotencyKey, call.IdempotencyKey)
-	setWhere(request.Header, headerRequestID, call.RequestID)
+	setNonEmpty(request.Header, "Content-Type", call.ContentType)
+	setNonEmpty(request.Header, headerIdempotencyKey, call.IdempotencyKey)
+	setNonEmpty(request.Header, headerRequestID, call.RequestID)
 	if call.NotRepeatable {
 		request.Header.Set(headerRepeatable, "false")
 	}
@@ -109,25 +108,25 @@
 	return response, nil
 }
 
-func setWhere(header http.Header, name, value string) {
+func setNonEmpty(header http.Header, name, value string) {
 	if value != "" {
 		header.Set(name, value)
 	}
 }
 
-// maximumErrorBody bounds how much of an error answer is read.
+// maximumErrorBody bounds how many bytes of an error response are read.
 const maximumErrorBody = 64 << 10
 
 func decodeRefusal(response *http.Response) error {
 	body, err := io.ReadAll(io.LimitReader(response.Body, maximumErrorBody))
 	if err != nil {
-		return errors.Wrapf(err, "read error answer with status %d", response.StatusCode)
+		return errors.Wrapf(err, "read error response with status %d", response.StatusCode)
 	}
 	var envelope struct {
 		Error Refusal `json:"error"`
 	}
 	if err := json.Unmarshal(body, &envelope); err != nil {
-		return errors.Newf("status %d with an untyped error: %s", response.StatusCode, body)
+		return errors.Newf("status %d with an undecodable error response: %s", response.StatusCode, body)
 	}
 	envelope.Error.Status = response.StatusCode
 	return &envelope.Error
@@ -138,7 +137,7 @@
 	ID string `json:"id"`
 }
 
-// Upload stores a file of batch input.
+// Upload stores a batch input file.
 func (c *Caller) Upload(ctx context.Context, gateway, name string, content []byte) (File, error) {
 	var body bytes.Buffer
 	form := multipart.NewWriter(&body)
@@ -161,7 +160,7 @@
 	}))
 }
 
-// Batch is a batch job as the API shows it.
+// Batch is a batch job in the API.
 type Batch struct {
 	ID           string `json:"id"`
 	Status       string `json:"status"`
@@ -174,7 +173,7 @@
 	} `json:"request_counts"`
 }
 
-// Ended tells whether the batch will not change any more.
+// Ended reports whether the batch is in a final state.
 func (b Batch) Ended() bool {
 	switch b.Status {
 	case "completed", "failed", "cancelled", "expired":
@@ -184,8 +183,8 @@
 	}
 }
 
-// Submit creates a batch job under a client's key.
-func (c *Caller) Submit(ctx context.Context, gateway, fileID, clientKey string) (Batch, error) {
+// Submit creates a batch job with the given idempotency key.
+func (c *Caller) Submit(ctx context.Context, gateway, fileID, idempotencyKey string) (Batch, error) {
 	body, err := json.Marshal(struct {
 		InputFileID string `json:"input_file_id"`
 		Endpoint    string `json:"endpoint"`
@@ -196,21 +195,19 @@
 	}
 	return decode[Batch](c.Do(ctx, Request{
 		Method: http.MethodPost, URL: gateway + "/v1/batches",
-		ContentType: "application/json", Body: body, IdempotencyKey: clientKey,
+		ContentType: "application/json", Body: body, IdempotencyKey: idempotencyKey,
 	}))
 }
 
-// GetBatch reads a batch job.
 func (c *Caller) GetBatch(ctx context.Context, gateway, id string) (Batch, error) {
 	return decode[Batch](c.Do(ctx, Request{Method: http.MethodGet, URL: gateway + "/v1/batches/" + id}))
 }
 
-// CancelBatch cancels a batch job.
 func (c *Caller) CancelBatch(ctx context.Context, gateway, id string) (Batch, error) {
 	return decode[Batch](c.Do(ctx, Request{Method: http.MethodPost, URL: gateway + "/v1/batches/" + id + "/cancel"}))
 }
 
-// Content reads a file.
+// Content returns the content of a file.
 func (c *Caller) Content(ctx context.Context, gateway, fileID string) ([]byte, error) {
 	return c.Do(ctx, Request{Method: http.MethodGet, URL: gateway + "/v1/files/" + fileID + "/content"})
 }
@@ -221,7 +218,7 @@
 		return value, err
 	}
 	if err := json.Unmarshal(body, &value); err != nil {
-		return value, errors.Wrapf(err, "decode answer %q", body)
+		return value, errors.Wrapf(err, "decode response %q", body)
 	}
 	return value, nil
 }
--- a/internal/bench/caller/chat.go
+++ b/internal/bench/caller/chat.go
@@ -11,13 +11,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Message is one message of a chat.
 type Message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// ChatRequest is the body of a chat call.
+// ChatRequest is the body of a chat completion request.
 type ChatRequest struct {
 	Model     string    `json:"model"`
 	Messages  []Message `json:"messages"`
@@ -25,7 +24,7 @@
 	Stream    bool      `json:"stream,omitempty"`
 }
 
-// UserChat is a chat with one message of the user.
+// UserChat returns a chat request with one user message.
 func UserChat(model, content string, maxTokens int, stream bool) ChatRequest {
 	return ChatRequest{
 		Model: model, MaxTokens: maxTokens, Stream: stream,
@@ -33,11 +32,11 @@
 	}
 }
 
-// ErrIncompleteStream is the error of a stream that ended without its terminal marker and
-// without a typed error.
+// ErrIncompleteStream is returned for an answer that ended without its terminal
+// marker or finish reason and without an error from the gateway.
 var ErrIncompleteStream = errors.New("the stream ended without its terminal marker")
 
-// chunk is the part of a streamed or whole answer that the bench reads.
+// chunk holds the decoded fields of a streamed chunk or a complete answer.
 type chunk struct {
 	Choices []struct {
 		Delta        Message `json:"delta"`
@@ -47,16 +46,16 @@
 	Error *Refusal `json:"error"`
 }
 
-// Markers of server-sent events.
+// Format of server-sent events.
 const (
 	dataPrefix     = "data:"
 	terminalMarker = "[DONE]"
-	// maximumEvent bounds the length of one event's line.
+	// maximumEvent bounds the length of a line, in bytes.
 	maximumEvent = 1 << 20
 )
 
-// Chat makes a chat call and returns the whole text. For a stream, onToken is
-// called at each chunk that carries text; it may be nil.
+// Chat makes a chat call and returns the text of the answer. For a stream, it calls
+// onToken for each chunk with text; onToken may be nil.
 func (c *Caller) Chat(ctx context.Context, gateway, requestID string, body ChatRequest, onToken func()) (string, error) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
@@ -67,7 +66,7 @@
 		ContentType: "application/json", Body: encoded, RequestID: requestID,
 	}
 	if !body.Stream {
-		return wholeChat(c.Do(ctx, call))
+		return completeChat(c.Do(ctx, call))
 	}
 	response, err := c.open(ctx, call)
 	if err != nil {
@@ -77,7 +76,7 @@
 	return readStream(bufio.NewScanner(response.Body), onToken)
 }
 
-func wholeChat(body []byte, err error) (string, error) {
+func completeChat(body []byte, err error) (string, error) {
 	answer, err := decode[chunk](body, err)
 	if err != nil {
 		return "", err
