--- a/internal/bench/demo/demo.go
+++ b/internal/bench/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo runs the whole system for a minute and shows what it does: two
-// groups share one fleet, online requests and batch jobs at once.
+// Package demo starts a complete fleet on loopback, on which two groups run online
+// requests and batch jobs at the same time, and prints the results.
 package demo
 
 import (
@@ -32,13 +32,13 @@
 	Seed     int64         `help:"Seed of the load." default:"1"`
 }
 
-// Shape of the demonstration.
+// Parameters of the demo.
 const (
 	chatTokens    = 24
 	itemsPerGroup = 120
 	itemTokens    = 40
 	batchTimeout  = 60 * time.Second
-	pollGap       = 100 * time.Millisecond
+	pollInterval  = 100 * time.Millisecond
 )
 
 // Run implements the command.
@@ -57,12 +57,12 @@
 	if err != nil {
 		return err
 	}
-	if err := c.show(ctx, running); err != nil {
+	if err := c.runWorkload(ctx, running); err != nil {
 		running.Kill()
 		return err
 	}
 	if c.Keep {
-		printHowTo(os.Stdout, running)
+		printInstructions(os.Stdout, running)
 		return nil
 	}
 	fmt.Println("stopping: gateways drain, then control, then the rest")
@@ -79,7 +79,7 @@
 	return os.MkdirTemp("", "rockwind-demo-")
 }
 
-func (c *Command) show(ctx context.Context, running *fleet.Fleet) error {
+func (c *Command) runWorkload(ctx context.Context, running *fleet.Fleet) error {
 	if err := showChat(ctx, running); err != nil {
 		return err
 	}
@@ -87,7 +87,7 @@
 	finished := make([]jobSummary, len(fleet.Groups()))
 	group, groupContext := errgroup.WithContext(ctx)
 	group.Go(func() error {
-		results = c.online(groupContext, running)
+		results = c.runOnlineLoad(groupContext, running)
 		return nil
 	})
 	for number, name := range fleet.Groups() {
@@ -108,7 +108,7 @@
 	return &caller.Caller{Client: &http.Client{}, Key: fleet.APIKey(fleet.TenantName(group, 0))}
 }
 
-// showChat streams one answer and prints it as it comes.
+// showChat streams one answer, checks it and prints it with its latencies.
 func showChat(ctx context.Context, running *fleet.Fleet) error {
 	content := "Which seats are free on Tuesday morning?"
 	body := caller.UserChat(fleet.ModelName, content, chatTokens, true)
@@ -123,7 +123,7 @@
 		return errors.Wrap(err, "stream a chat answer")
 	}
 	if text != engine.ExpectedText(engine.UserPrompt(content), chatTokens) {
-		return fault.New(fault.Internal, "the streamed answer is not the whole answer to its question", "read the gateway's log")
+		return fault.New(fault.Internal, "streamed answer differs from the expected text", "read the gateway's log")
 	}
 	fmt.Printf("streamed answer (first token after %s, whole after %s): %s\n",
 		first.Round(time.Millisecond), time.Since(started).Round(time.Millisecond), strings.TrimSpace(text))
@@ -134,8 +134,9 @@
 	return "http://" + running.Gateways[number%len(running.Gateways)].Address
 }
 
-// online replays the online part of both groups' traces through the gateways.
-func (c *Command) online(ctx context.Context, running *fleet.Fleet) *load.Result {
+// runOnlineLoad replays the online requests of both groups' traces through the
+// gateways.
+func (c *Command) runOnlineLoad(ctx context.Context, running *fleet.Fleet) *load.Result {
 	mixes := []load.Mix{
 		load.SchedulingMix(fleet.ModelName, fleet.ServiceName),
 		load.PuzzlesMix(fleet.ModelName, fleet.ServiceName),
@@ -159,13 +160,13 @@
 	return load.Run(ctx, schedule, load.Options{})
 }
 
-// class names the group and kind of a record.
+// class returns the load class of a record: its group and kind.
 func class(record load.Record) string {
 	group, _, _ := strings.Cut(record.Tenant, "-tenant-")
 	return group + " " + string(record.Kind)
 }
 
-// jobSummary is what became of one job.
+// jobSummary is the result of one batch job.
 type jobSummary struct {
 	group     string
 	items     int
@@ -174,7 +175,7 @@
 	completed int
 }
 
-// runJob submits a batch job, waits for its end and checks every result.
+// runJob submits a batch job, waits until it ends and checks every result.
 func runJob(ctx context.Context, running *fleet.Fleet, number int, group string) (jobSummary, error) {
 	ctx, cancel := context.WithTimeout(ctx, batchTimeout)
 	defer cancel()
@@ -204,8 +205,8 @@
 		select {
 		case <-ctx.Done():
 			return jobSummary{}, fault.Newf(fault.Unavailable, "look at 'rockwind status'",
-				"job %s did not end in time: %+v", batch.ID, batch.Counts)
-		case <-time.After(pollGap):
+				"job %s did not end before the timeout: %+v", batch.ID, batch.Counts)
+		case <-time.After(pollInterval):
 		}
 	}
 	summary := jobSummary{group: group, items: len(items), elapsed: time.Since(started)}
@@ -216,7 +217,8 @@
 	return fmt.Sprintf("%s item %d: rebuild the plan for next week", group, index)
 }
 
-// check reads the results through another gateway and compares each.
+// check reads the results through the given gateway and compares each with the
+// expected text.
 func (s *jobSummary) check(ctx context.Context, client *caller.Caller, gateway string, batch caller.Batch) error {
 	content, err := client.Content(ctx, gateway, batch.OutputFileID)
 	if err != nil {
@@ -266,7 +268,7 @@
 	fmt.Fprintln(output)
 }
 
-func printHowTo(output io.Writer, running *fleet.Fleet) {
+func printInstructions(output io.Writer, running *fleet.Fleet) {
 	fmt.Fprintf(output, `
 The fleet is running; its files are in %[1]s.
 
@@ -291,7 +293,7 @@
 		fleet.ModelName, strings.Join(running.ControlAddresses(), ","), processIDs(running))
 }
 
-// processIDs lists the processes of a fleet for a shell.
+// processIDs returns the process IDs of a fleet, separated by spaces.
 func processIDs(running *fleet.Fleet) string {
 	var list []string
 	for _, process := range running.Processes() {
