--- a/internal/bench/authority/authority.go
+++ b/internal/bench/authority/authority.go
@@ -1,6 +1,5 @@
-// Package authority is a certificate authority for trials and tests of TLS. Its
-// keys lie unprotected on disk, and nothing can be revoked: it is not for
-// production.
+// Package authority is a certificate authority for tests of TLS. It is not for
+// production: keys are stored unencrypted, and certificates can't be revoked.
 package authority
 
 import (
@@ -19,9 +18,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Names and modes of files.
+// File names and modes.
 const (
-	// CertificateFile is the authority's certificate in a folder.
+	// CertificateFile is the file name of the authority's certificate.
 	CertificateFile = "ca.pem"
 	certificateMode = 0o644
 	keyMode         = 0o600
@@ -30,7 +29,7 @@
 
 const (
 	serialBits = 126
-	// clockSkew is how far machines' clocks may differ.
+	// clockSkew is the tolerated difference between the clocks of machines.
 	clockSkew = 5 * time.Minute
 )
 
@@ -42,12 +41,12 @@
 	lifetime    time.Duration
 }
 
-// New makes an authority whose certificate, and those that it signs, are valid
-// for the given time from now on.
+// New creates an authority. Its certificate is valid for the given lifetime from
+// now, and each certificate that it signs for the same lifetime from its issue.
 func New(name string, lifetime time.Duration) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, errors.Wrap(err, "make a key")
+		return nil, errors.Wrap(err, "generate key")
 	}
 	template, err := newTemplate(name, lifetime)
 	if err != nil {
@@ -58,11 +57,11 @@
 	template.KeyUsage = x509.KeyUsageCertSign
 	encoded, err := x509.CreateCertificate(rand.Reader, template, template, key.Public(), key)
 	if err != nil {
-		return nil, errors.Wrap(err, "sign the authority")
+		return nil, errors.Wrap(err, "sign CA certificate")
 	}
 	certificate, err := x509.ParseCertificate(encoded)
 	if err != nil {
-		return nil, errors.Wrap(err, "read the authority")
+		return nil, errors.Wrap(err, "parse CA certificate")
 	}
 	return &Authority{certificate: certificate, key: key, encoded: encodePEM("CERTIFICATE", encoded), lifetime: lifetime}, nil
 }
@@ -70,7 +69,7 @@
 func newTemplate(name string, lifetime time.Duration) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return nil, errors.Wrap(err, "draw a serial number")
+		return nil, errors.Wrap(err, "generate serial number")
 	}
 	now := time.Now()
 	return &x509.Certificate{
@@ -81,17 +80,17 @@
 	}, nil
 }
 
-// Certificate returns the authority's certificate in PEM form.
+// Certificate returns the authority's certificate in PEM format.
 func (a *Authority) Certificate() []byte {
 	return a.encoded
 }
 
-// Issue signs a certificate for a process at the given IP numbers, as server and
-// as client, and returns it and its key in PEM form.
+// Issue creates a server and client certificate for the given IP addresses and
+// returns it and its private key in PEM format.
 func (a *Authority) Issue(name string, addresses ...netip.Addr) (certificate, key []byte, err error) {
 	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "make a key")
+		return nil, nil, errors.Wrap(err, "generate key")
 	}
 	template, err := newTemplate(name, a.lifetime)
 	if err != nil {
@@ -104,24 +103,24 @@
 	}
 	signed, err := x509.CreateCertificate(rand.Reader, template, a.certificate, private.Public(), a.key)
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "sign a certificate")
+		return nil, nil, errors.Wrap(err, "sign certificate")
 	}
 	encodedKey, err := x509.MarshalPKCS8PrivateKey(private)
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "encode a key")
+		return nil, nil, errors.Wrap(err, "encode private key")
 	}
 	return encodePEM("CERTIFICATE", signed), encodePEM("PRIVATE KEY", encodedKey), nil
 }
 
-// Write issues a certificate and writes NAME.pem and NAME.key, and the
-// authority's certificate beside them.
+// Write issues a certificate and writes it to NAME.pem, its key to NAME.key and the
+// authority's certificate to CertificateFile.
 func (a *Authority) Write(folder, name string, addresses ...netip.Addr) error {
 	certificate, key, err := a.Issue(name, addresses...)
 	if err != nil {
 		return err
 	}
 	if err := os.MkdirAll(folder, folderMode); err != nil {
-		return errors.Wrap(err, "make the folder")
+		return errors.Wrap(err, "create folder")
 	}
 	for _, file := range []struct {
 		name    string
@@ -133,7 +132,7 @@
 		{name + ".key", key, keyMode},
 	} {
 		if err := os.WriteFile(filepath.Join(folder, file.name), file.content, file.mode); err != nil {
-			return errors.Wrap(err, "write a certificate")
+			return errors.Wrap(err, "write certificate files")
 		}
 	}
 	return nil
--- a/internal/bench/authority/command.go
+++ b/internal/bench/authority/command.go
@@ -20,14 +20,14 @@
 command again to make all of them anew.`
 }
 
-// Run writes the files.
+// Run creates an authority and writes the certificates.
 func (c *Command) Run() error {
-	made, err := New("rockwind trial authority", c.Lifetime)
+	issuer, err := New("rockwind trial authority", c.Lifetime)
 	if err != nil {
 		return err
 	}
 	for _, name := range c.Names {
-		if err := made.Write(c.Folder, name, c.Addresses...); err != nil {
+		if err := issuer.Write(c.Folder, name, c.Addresses...); err != nil {
 			return err
 		}
 	}
