--- a/internal/bench/simulate/command.go
+++ b/internal/bench/simulate/command.go
@@ -1,5 +1,5 @@
-// Package simulate is the command that runs one policy on one scenario in
-// virtual time and prints what online requests and batch work got.
+// Package simulate implements the command that simulates a scenario under a policy
+// in virtual time and prints the results of online requests and batch items.
 package simulate
 
 import (
@@ -17,7 +17,7 @@
 	"rockwind.example/rockwind/internal/simulator"
 )
 
-// Bounds of the fleet's size.
+// Limits of the number of engines.
 const (
 	minimumServers = 12
 	maximumServers = 1200
@@ -37,7 +37,7 @@
 	JSON       bool          `help:"Print the figures as JSON." name:"json"`
 }
 
-// Run simulates and prints the figures.
+// Run runs the simulation and prints the figures.
 func (c *Command) Run() error {
 	scenario, err := c.scenario()
 	if err != nil {
@@ -47,10 +47,10 @@
 	if !found {
 		return fault.Newf(fault.InvalidArgument, "give one of "+strings.Join(simulator.PolicyNames(&scenario), ", "), "there is no policy %q", c.Policy)
 	}
-	begun := time.Now()
+	started := time.Now()
 	result := simulator.Run(scenario, policy, c.Seed)
 	figures := summarize(&scenario, &result)
-	figures.WallSeconds = time.Since(begun).Seconds()
+	figures.WallSeconds = time.Since(started).Seconds()
 	if c.JSON {
 		return report.PrintJSON(os.Stdout, figures)
 	}
@@ -58,14 +58,14 @@
 	return nil
 }
 
-// scenario builds what is simulated.
+// scenario builds the scenario from the flags.
 func (c *Command) scenario() (simulator.Scenario, error) {
 	scenario, found := simulator.ScenarioNamed(c.Scenario)
 	if !found {
 		return scenario, fault.Newf(fault.InvalidArgument, "give magnolia, kvistborg or shares", "there is no scenario %q", c.Scenario)
 	}
 	if c.Measured < time.Second {
-		return scenario, fault.New(fault.InvalidArgument, "nothing would be measured", "give --measured of at least 1s")
+		return scenario, fault.New(fault.InvalidArgument, "the measured time is too short", "give --measured of at least 1s")
 	}
 	scenario.Measured = c.Measured
 	scenario.Target = sharing.Target{FirstToken: c.FirstToken, PerToken: c.PerToken}
@@ -120,7 +120,7 @@
 	return replay, nil
 }
 
-// Figures is what one run measured.
+// Figures holds the results of one run.
 type Figures struct {
 	Scenario        string  `json:"scenario"`
 	Policy          string  `json:"policy"`
@@ -142,8 +142,8 @@
 }
 
 func summarize(scenario *simulator.Scenario, result *simulator.Result) *Figures {
-	quantile := func(sorted []time.Duration, part float64) float64 {
-		return float64(simulator.Quantile(sorted, part)) / float64(time.Millisecond)
+	quantile := func(sorted []time.Duration, fraction float64) float64 {
+		return float64(simulator.Quantile(sorted, fraction)) / float64(time.Millisecond)
 	}
 	return &Figures{
 		Scenario: scenario.Name, Policy: result.Policy, Engines: scenario.Engines(), Gateways: scenario.Gateways(),
