--- a/internal/bench/interval/interval.go
+++ b/internal/bench/interval/interval.go
@@ -1,5 +1,4 @@
-// Package interval sums up figures of repeated runs as means with confidence
-// intervals.
+// Package interval computes means with confidence intervals over repeated runs.
 package interval
 
 import (
@@ -10,19 +9,19 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// confidence is the confidence of the intervals.
-const confidence = 0.95
+// confidenceLevel is the level of the intervals.
+const confidenceLevel = 0.95
 
-// Interval is the mean of a figure over runs with other seeds, and the half
-// width of its 95% confidence interval by Student's t distribution. With a
-// single run the half width is zero and says nothing.
+// Interval is the mean of a figure over runs with different seeds, and the half
+// width of its 95% confidence interval by Student's t-distribution. For a single
+// run the half width is unknown and set to zero.
 type Interval struct {
 	Mean      float64 `json:"mean"`
 	HalfWidth float64 `json:"half_width"`
 	Runs      int     `json:"runs"`
 }
 
-// Of sums up the figures of runs.
+// Of returns the interval of the figures of several runs, one figure per run.
 func Of(figures []float64) Interval {
 	result := Interval{Runs: len(figures)}
 	switch len(figures) {
@@ -36,11 +35,11 @@
 	runs := float64(len(figures))
 	student := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: runs - 1}
 	result.Mean = mean
-	result.HalfWidth = student.Quantile((1+confidence)/2) * deviation / math.Sqrt(runs)
+	result.HalfWidth = student.Quantile((1+confidenceLevel)/2) * deviation / math.Sqrt(runs)
 	return result
 }
 
-// OfFunc sums up a figure of every run.
+// OfFunc returns the interval of a figure that is computed from each run.
 func OfFunc[T any](runs []T, figure func(T) float64) Interval {
 	figures := make([]float64, len(runs))
 	for index, run := range runs {
@@ -49,7 +48,7 @@
 	return Of(figures)
 }
 
-// Format writes the mean, and the half width where several runs gave one.
+// Format formats the mean, followed by the half width if there are several runs.
 func (i Interval) Format(format string) string {
 	if i.Runs < 2 {
 		return fmt.Sprintf(format, i.Mean)
