--- a/internal/bench/loopback/loopback.go
+++ b/internal/bench/loopback/loopback.go
@@ -1,9 +1,9 @@
-// Package loopback hands out addresses on which processes of tests and benches listen.
+// Package loopback allocates listen addresses for tests and benchmarks.
 //
-// A port that was found free may be taken until its process listens on it: by another process, a
-// listener that takes any port, or an outgoing connection. So each address has an IP number of its
-// own, which nothing else uses: connections go out from 127.0.0.1, also those to other loopback
-// addresses.
+// A free port can be taken before the intended process listens on it: by another process, a
+// listener on port 0 or an outgoing connection. To prevent this, each address has its own loopback
+// IP address. Outgoing connections don't use these: their source address is 127.0.0.1, also for
+// other loopback destinations.
 package loopback
 
 import (
@@ -15,28 +15,28 @@
 )
 
 const (
-	// firstNetwork is the first of the networks 127.20.0.0/16 to 127.219.0.0/16, of which each
-	// process that asks for addresses has one, and networks is how many there are.
+	// firstNetwork is the first of the networks 127.20.0.0/16 to 127.219.0.0/16, and networks is
+	// their number. Each process that allocates addresses uses one of them.
 	firstNetwork = 127<<24 | 20<<16
 	networks     = 200
 )
 
-// FirstHost is the first IP number that the process with the given identifier hands out. Several
-// processes do not share any, unless their identifiers differ by a multiple of 200.
+// FirstHost returns the first IP address that the process with the given ID allocates. Processes
+// share addresses only if their IDs differ by a multiple of 200.
 func FirstHost(process int) uint32 {
 	return firstNetwork + uint32(process%networks)<<16 + 1
 }
 
-// used counts the IP numbers that this process has handed out.
+// used counts the IP addresses that this process has allocated.
 var used atomic.Uint32
 
-// host returns an IP number that this process has handed out to nobody else.
+// host allocates an IP address.
 func host() net.IP {
-	number := FirstHost(os.Getpid()) + used.Add(1) - 1
-	return net.IPv4(byte(number>>24), byte(number>>16), byte(number>>8), byte(number))
+	address := FirstHost(os.Getpid()) + used.Add(1) - 1
+	return net.IPv4(byte(address>>24), byte(address>>16), byte(address>>8), byte(address))
 }
 
-// Next returns an address, as "host:port", whose port is free for listeners and for datagrams.
+// Next returns an unused address, as "host:port", for TCP or UDP.
 func Next() (string, error) {
 	listener, err := Listen()
 	if err != nil {
@@ -46,13 +46,13 @@
 	return listener.Addr().String(), nil
 }
 
-// Test is what Address needs of a test.
+// Test is the part of testing.TB that Address needs.
 type Test interface {
 	Helper()
 	Fatal(values ...any)
 }
 
-// Address is Next for a test, which ends where there is none.
+// Address returns the result of Next, or fails the test on an error.
 func Address(t Test) string {
 	t.Helper()
 	address, err := Next()
@@ -62,7 +62,7 @@
 	return address
 }
 
-// Listen opens a listener on an address that nobody else has.
+// Listen opens a TCP listener on an unused address.
 func Listen() (net.Listener, error) {
 	ip := host().String()
 	listener, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
