--- a/internal/bench/mutant/mutant.go
+++ b/internal/bench/mutant/mutant.go
@@ -1,5 +1,5 @@
-// Package mutant tells, for tests, whether a property notices a system that was broken on
-// purpose. A property that holds for such a mutant proves nothing of the system itself.
+// Package mutant supports mutation tests of properties: a property must fail for a mutant, which is
+// a system with a deliberate fault, or it does not test for that fault.
 package mutant
 
 import (
@@ -10,49 +10,49 @@
 	"pgregory.net/rapid"
 )
 
-// settings of rapid while a mutant is tried: nothing is written to disk, and the failing case
-// is not made smaller.
-var settings = map[string]string{"rapid.nofailfile": "true", "rapid.shrinktime": "1ns"}
+// rapidFlags are the flags of rapid during a check of a mutant. They disable the files of failing
+// cases and, in effect, shrinking.
+var rapidFlags = map[string]string{"rapid.nofailfile": "true", "rapid.shrinktime": "1ns"}
 
-// Killed tells whether a property of a mutant fails. It changes flags of rapid meanwhile:
-// tests that run beside it must not use rapid.
+// Killed reports whether a property fails for a mutant. It changes flags of rapid during the check, so
+// tests that run in parallel must not use rapid.
 func Killed(t testing.TB, property func(*rapid.T)) bool {
 	t.Helper()
-	for name, value := range settings {
+	for name, value := range rapidFlags {
 		before := flag.Lookup(name).Value.String()
 		if err := flag.Set(name, value); err != nil {
 			t.Fatal(err)
 		}
 		defer func() { _ = flag.Set(name, before) }()
 	}
-	seen := &verdict{TB: t}
+	result := &recorder{TB: t}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		rapid.Check(seen, property)
+		rapid.Check(result, property)
 	}()
 	<-done
-	return seen.failed
+	return result.failed
 }
 
-// verdict takes the place of a test, and records whether it failed.
-type verdict struct {
+// recorder replaces the test in rapid and records whether it failed.
+type recorder struct {
 	testing.TB
 	failed bool
 }
 
-func (v *verdict) Helper()               {}
-func (v *verdict) Log(...any)            {}
-func (v *verdict) Logf(string, ...any)   {}
-func (v *verdict) Error(...any)          { v.failed = true }
-func (v *verdict) Errorf(string, ...any) { v.failed = true }
-func (v *verdict) Fatal(...any)          { v.FailNow() }
-func (v *verdict) Fatalf(string, ...any) { v.FailNow() }
-func (v *verdict) Fail()                 { v.failed = true }
-func (v *verdict) Failed() bool          { return v.failed }
+func (r *recorder) Helper()               {}
+func (r *recorder) Log(...any)            {}
+func (r *recorder) Logf(string, ...any)   {}
+func (r *recorder) Error(...any)          { r.failed = true }
+func (r *recorder) Errorf(string, ...any) { r.failed = true }
+func (r *recorder) Fatal(...any)          { r.FailNow() }
+func (r *recorder) Fatalf(string, ...any) { r.FailNow() }
+func (r *recorder) Fail()                 { r.failed = true }
+func (r *recorder) Failed() bool          { return r.failed }
 
-// FailNow ends the goroutine, as that of a test does.
-func (v *verdict) FailNow() {
-	v.failed = true
+// FailNow marks the test as failed and ends the goroutine, as testing.T does.
+func (r *recorder) FailNow() {
+	r.failed = true
 	runtime.Goexit()
 }
--- a/internal/bench/mutant/seed_test.go
+++ b/internal/bench/mutant/seed_test.go
@@ -6,6 +6,6 @@
 	_ "pgregory.net/rapid" // registers the flag
 )
 
-// The seed of the property tests is fixed, so that each run gives the same
-// verdict. The flag -rapid.seed changes it; 0 draws a fresh one.
+// The seed of the property tests is fixed to make runs reproducible. The flag
+// -rapid.seed overrides it; 0 selects a random seed.
 var _ = flag.Set("rapid.seed", "20261202")
