--- a/internal/bench/caller/caller.go
+++ b/internal/bench/caller/caller.go
@@ -79,7 +79,7 @@
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return nil, errors.Wrap(err, "read response")
+		return nil, errors.Wrap(err, "read answer")
 	}
 	return body, nil
 }
