--- a/internal/bench/experiment/routingcomparison/experiment.go
+++ b/internal/bench/experiment/routingcomparison/experiment.go
@@ -90,7 +90,7 @@
 
 // cells lists the cells of one fleet size.
 func cells(servers int, options Options) []*Cell {
-	base := routingfleet.Sized(servers)
+	base := routingfleet.DefaultScenario(servers)
 	base.Load.Rate = options.Rate
 	var list []*Cell
 	for _, lag := range options.Lags {
@@ -116,10 +116,10 @@
 }
 
 func (c *Cell) summarize() {
-	c.TTFTp50Ms = interval.Map(c.runs, func(run routingfleet.Result) float64 { return ttftMs(run, 0.5) })
-	c.TTFTp99Ms = interval.Map(c.runs, func(run routingfleet.Result) float64 { return ttftMs(run, 0.99) })
-	c.HitRate = interval.Map(c.runs, func(run routingfleet.Result) float64 { return run.HitRate() })
-	c.Refused = interval.Map(c.runs, func(run routingfleet.Result) float64 {
+	c.TTFTp50Ms = interval.OfFunc(c.runs, func(run routingfleet.Result) float64 { return ttftMs(run, 0.5) })
+	c.TTFTp99Ms = interval.OfFunc(c.runs, func(run routingfleet.Result) float64 { return ttftMs(run, 0.99) })
+	c.HitRate = interval.OfFunc(c.runs, func(run routingfleet.Result) float64 { return run.HitRate() })
+	c.Refused = interval.OfFunc(c.runs, func(run routingfleet.Result) float64 {
 		return float64(run.Refused+run.Lost) / float64(max(1, run.Requests))
 	})
 	for _, run := range c.runs {
@@ -135,7 +135,7 @@
 func (r *Result) compare() {
 	oracles := make(map[int]float64)
 	for _, cell := range r.Cells {
-		if cell.policy.Fresh {
+		if cell.policy.ExactView {
 			oracles[cell.Servers] = cell.TTFTp99Ms.Mean
 		}
 	}
