--- a/internal/bench/soak/witness/witness_test.go
+++ b/internal/bench/soak/witness/witness_test.go
@@ -8,29 +8,29 @@
 	"rockwind.example/rockwind/internal/bench/soak/witness"
 )
 
-// rules lists the rules that a witness saw broken.
+// rules counts the violations of each rule.
 func rules(w *witness.Witness) map[witness.Rule]int {
-	seen := map[witness.Rule]int{}
+	counts := map[witness.Rule]int{}
 	for _, violation := range w.Violations() {
-		seen[violation.Rule]++
+		counts[violation.Rule]++
 	}
-	return seen
+	return counts
 }
 
 func expect(t *testing.T, w *witness.Witness, want ...witness.Rule) {
 	t.Helper()
 	seen := rules(w)
 	if len(seen) != len(want) {
-		t.Fatalf("broken: %v, want %v", w.Violations(), want)
+		t.Fatalf("violations: %v, want %v", w.Violations(), want)
 	}
 	for _, rule := range want {
 		if seen[rule] == 0 {
-			t.Fatalf("broken: %v, want %v", w.Violations(), want)
+			t.Fatalf("violations: %v, want %v", w.Violations(), want)
 		}
 	}
 }
 
-// submitted returns a witness of one job with a good item and a poisoned one.
+// submitted returns a witness of one job with a good item and a poison item.
 func submitted() *witness.Witness {
 	w := witness.New()
 	w.Submitting("job", map[string]string{"good": "text", "poison": ""})
@@ -42,7 +42,7 @@
 	poison = witness.NewResult("poison", false, "")
 )
 
-func TestWhatIsRightBreaksNothing(t *testing.T) {
+func TestCorrectRunHasNoViolations(t *testing.T) {
 	w := submitted()
 	w.Sent("once", true)
 	w.Ran("once", "a", 0)
@@ -52,20 +52,20 @@
 	w.Sent("refused", true)
 	w.Refused("refused", 0)
 	for range 20 {
-		w.EndedBackEnd("at once", "a", 0, true)
-		w.EndedBackEnd("while others are harmed", "a", time.Hour, false)
+		w.BackendCrashed("at once", "a", 0, true)
+		w.BackendCrashed("while others are harmed", "a", time.Hour, false)
 	}
 	for end := range 6 {
-		w.EndedBackEnd("three more", "a", time.Duration(end)*4*time.Second, true)
+		w.BackendCrashed("three more", "a", time.Duration(end)*4*time.Second, true)
 	}
-	w.Limited("tenant", witness.NewRate(10, 5))
+	w.SetRateLimit("tenant", witness.NewRate(10, 5))
 	for i := range 80 {
-		// What was sent before the span, or runs again, is not of the span.
+		// Requests sent before the span, and repeated runs, don't count.
 		for _, sent := range []time.Duration{0, time.Minute} {
 			id := fmt.Sprint("r-", i, "-", sent)
-			w.SentBy("tenant", id, sent)
-			w.RanFor("tenant", id, "a", time.Minute)
-			w.RanFor("tenant", id, "b", time.Minute)
+			w.SentForTenant("tenant", id, sent)
+			w.RanForTenant("tenant", id, "a", time.Minute)
+			w.RanForTenant("tenant", id, "b", time.Minute)
 		}
 	}
 	w.Accepted("job")
@@ -77,10 +77,10 @@
 	expect(t, w)
 }
 
-// TestEachBreachIsSeen brings each breach about that the witness judges itself.
-func TestEachBreachIsSeen(t *testing.T) {
+// TestEachViolationIsDetected guards against violations that the witness fails to detect.
+func TestEachViolationIsDetected(t *testing.T) {
 	const now = 10 * time.Second
-	for rule, breach := range map[witness.Rule]func(*witness.Witness){
+	for rule, violate := range map[witness.Rule]func(*witness.Witness){
 		witness.RanTwice: func(w *witness.Witness) {
 			w.Sent("r", true)
 			w.Ran("r", "a", now)
@@ -94,7 +94,7 @@
 		witness.JobLost: func(w *witness.Witness) {
 			w.Accepted("job")
 			w.Results("job", 0, []witness.Result{good, poison}, now)
-			w.Lost("job", "unknown", now)
+			w.JobNotFound("job", "unknown", now)
 		},
 		witness.ItemLost: func(w *witness.Witness) {
 			w.Accepted("job")
@@ -109,7 +109,7 @@
 			w.Accepted("job")
 			w.Results("job", 0, []witness.Result{witness.NewResult("good", true, "tex"), poison}, now)
 		},
-		witness.ItemTwice: func(w *witness.Witness) {
+		witness.ItemDuplicated: func(w *witness.Witness) {
 			w.Accepted("job")
 			w.Results("job", 0, []witness.Result{good, good}, now)
 		},
@@ -120,38 +120,38 @@
 			w.ItemRan("job", "good", "a", now+time.Second)
 			w.ItemRan("job", "good", "a", now+time.Minute)
 		},
-		witness.HeldButRan: func(w *witness.Witness) {
+		witness.QuarantinedButRan: func(w *witness.Witness) {
 			for end := range 7 {
-				w.EndedBackEnd("content", "a", time.Duration(end)*4*time.Second, true)
+				w.BackendCrashed("content", "a", time.Duration(end)*4*time.Second, true)
 			}
 		},
 		witness.RateExceeded: func(w *witness.Witness) {
-			w.Limited("tenant", witness.NewRate(10, 5))
+			w.SetRateLimit("tenant", witness.NewRate(10, 5))
 			for i := range 81 {
 				id := fmt.Sprint("r-", i)
-				w.SentBy("tenant", id, now)
-				w.RanFor("tenant", id, "a", now+time.Second)
+				w.SentForTenant("tenant", id, now)
+				w.RanForTenant("tenant", id, "a", now+time.Second)
 			}
 		},
 		witness.WrongTenant: func(w *witness.Witness) {
-			w.Limited("tenant", witness.NewRate(10, 5))
-			w.Limited("other", witness.NewRate(10, 5))
-			w.SentBy("tenant", "r", now)
-			w.RanFor("other", "r", "a", now)
+			w.SetRateLimit("tenant", witness.NewRate(10, 5))
+			w.SetRateLimit("other", witness.NewRate(10, 5))
+			w.SentForTenant("tenant", "r", now)
+			w.RanForTenant("other", "r", "a", now)
 		},
 		witness.RefusedJobRan: func(w *witness.Witness) { w.ItemRan("job", "good", "a", now) },
 		witness.WrongAnswer:   func(w *witness.Witness) { w.ItemRan("job", "other", "a", now) },
 	} {
 		w := submitted()
-		breach(w)
+		violate(w)
 		w.Finish(now)
 		if rules(w)[rule] == 0 {
-			t.Errorf("%s was not seen; broken: %v", rule, w.Violations())
+			t.Errorf("%s was not detected; violations: %v", rule, w.Violations())
 		}
 	}
 }
 
-func TestItemThatDiesWithoutReasonIsWrongUnlessItsJobIsEnded(t *testing.T) {
+func TestFailedItemIsViolationUnlessPoisonOrItsJobEnded(t *testing.T) {
 	dead := witness.NewResult("good", false, "")
 	w := submitted()
 	w.Accepted("job")
@@ -167,9 +167,9 @@
 	expect(t, w)
 }
 
-func TestJobInDoubtMayRun(t *testing.T) {
+func TestItemOfUncertainSubmissionMayRun(t *testing.T) {
 	w := submitted()
-	w.InDoubt("job")
+	w.SubmissionUncertain("job")
 	w.ItemRan("job", "good", "a", 0)
 	w.Finish(0)
 	expect(t, w)
