--- a/internal/coordinator/quarantine.go
+++ b/internal/coordinator/quarantine.go
@@ -150,7 +150,7 @@
 	decision.Default.Record(decision.ServerEnded, content.String(), log.Fields{
 		"server": end.GetServer(), "route": end.GetRoute(), "tenant": end.GetTenant(), "item": end.GetItem(),
 		"began_ms_ago": end.GetBeganMsAgo(), "ends": len(suspect.GetServers()), "later": suspect.GetLater(),
-		"held_ms": view.HeldFor(content, time.Now()).Milliseconds(),
+		"held_ms": view.QuarantinedFor(content, time.Now()).Milliseconds(),
 	})
 }
 
--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -35,8 +35,8 @@
 	AnswerEnded Kind = "answer ended"
 	// BodyRefused: there was no memory for the body of a request.
 	BodyRefused Kind = "body refused"
-	// ReliefChanged: a router started or stopped sending clients to other routers.
-	ReliefChanged Kind = "relief changed"
+	// OverloadReliefChanged: a router started or stopped sending clients to other routers.
+	OverloadReliefChanged Kind = "relief changed"
 	// JobTaken, JobRefused and JobEnded are the outcomes of calls about a job.
 	JobTaken   Kind = "job taken"
 	JobRefused Kind = "job refused"
--- a/internal/featuregate/featuregate.go
+++ b/internal/featuregate/featuregate.go
@@ -18,12 +18,12 @@
 	Pace Gate = "pace"
 	// FairShare divides scarce capacity among the tenants of one priority by the work they use.
 	FairShare Gate = "fair_share"
-	// Returns adds the expected time until capacity is available to refusals, and orders requests
+	// RetryAfter adds the expected time until capacity is available to refusals, and orders requests
 	// that are sent again then by their first arrival.
-	Returns Gate = "returns"
-	// Relief lets a router that is short of CPU, bandwidth, memory or file descriptors ask clients
+	RetryAfter Gate = "returns"
+	// OverloadRelief lets a router that is short of CPU, bandwidth, memory or file descriptors ask clients
 	// to use another router.
-	Relief Gate = "relief"
+	OverloadRelief Gate = "relief"
 	// Continuation copies runs that must not be started twice to a second server, which continues
 	// them if the first one fails.
 	Continuation Gate = "continuation"
@@ -37,7 +37,7 @@
 
 // All lists the gates in alphabetical order.
 func All() []Gate {
-	return []Gate{Continuation, FairShare, ItemProgress, Orphans, Pace, Relief, Returns}
+	return []Gate{Continuation, FairShare, ItemProgress, Orphans, Pace, OverloadRelief, RetryAfter}
 }
 
 // Set is the set of gates that are on. In the zero value all are on.
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -51,8 +51,8 @@
 	return suspected
 }
 
-// HeldFor returns for how much longer a content is held, zero if it may run.
-func (l *List) HeldFor(content fingerprint.Fingerprint, now time.Time) time.Duration {
+// QuarantinedFor returns for how much longer a content is held, zero if it may run.
+func (l *List) QuarantinedFor(content fingerprint.Fingerprint, now time.Time) time.Duration {
 	if l == nil {
 		return 0
 	}
@@ -72,8 +72,8 @@
 	return notices
 }
 
-// Held returns the number of held contents.
-func (l *List) Held(now time.Time) int {
+// QuarantinedCount returns the number of held contents.
+func (l *List) QuarantinedCount(now time.Time) int {
 	held := 0
 	if l == nil {
 		return held
--- a/internal/quarantine/property_test.go
+++ b/internal/quarantine/property_test.go
@@ -57,7 +57,7 @@
 
 // send runs a content that crashes its server, beside other contents.
 func (s *siteModel) send(router int, content string, beside []string) {
-	if s.known(router).HeldFor(contentOf(content), s.now) > 0 {
+	if s.known(router).QuarantinedFor(contentOf(content), s.now) > 0 {
 		return
 	}
 	s.servers++
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -66,7 +66,7 @@
 // heldFor returns for how long a router with an up-to-date list holds a content.
 func (d *driver) heldFor(content string) time.Duration {
 	view := d.registry.View()
-	return quarantine.NewList(view.Revision(), view.Notices(d.now), d.now).HeldFor(contentOf(content), d.now)
+	return quarantine.NewList(view.Revision(), view.Notices(d.now), d.now).QuarantinedFor(contentOf(content), d.now)
 }
 
 func (d *driver) checkHeld(content string, want bool) {
@@ -230,11 +230,11 @@
 	if len(d.registry.View().List(d.now)) != 0 {
 		t.Fatal("an invalid content was stored")
 	}
-	if quarantine.NewList(1, []*rockwindpb.SuspectNotice{{Content: []byte("short"), HeldMs: 5}}, d.now).Held(d.now) != 0 {
+	if quarantine.NewList(1, []*rockwindpb.SuspectNotice{{Content: []byte("short"), HeldMs: 5}}, d.now).QuarantinedCount(d.now) != 0 {
 		t.Fatal("a list accepted an invalid content")
 	}
 	var none *quarantine.List
-	if !none.Empty() || none.Suspected(contentOf("a")) || none.HeldFor(contentOf("a"), d.now) != 0 || none.Held(d.now) != 0 || none.Revision() != 0 {
+	if !none.Empty() || none.Suspected(contentOf("a")) || none.QuarantinedFor(contentOf("a"), d.now) != 0 || none.QuarantinedCount(d.now) != 0 || none.Revision() != 0 {
 		t.Fatal("a nil list is not empty")
 	}
 }
--- a/internal/quarantine/untold_test.go
+++ b/internal/quarantine/unreported_test.go
@@ -15,24 +15,24 @@
 	now := time.UnixMilli(1_000_000)
 	unreported := quarantine.NewUnreported()
 	for _, server := range []string{"a", "b", "c"} {
-		if held := unreported.HeldFor(content, now); held > 0 {
+		if held := unreported.QuarantinedFor(content, now); held > 0 {
 			t.Fatalf("held for %v before server %s crashed", held, server)
 		}
 		now = now.Add(between)
 		unreported.RecordCrash(crashOf("crashing", server, 0), run, now)
 	}
-	if unreported.Empty() || !unreported.Suspected(content) || unreported.HeldFor(content, now) == 0 {
+	if unreported.Empty() || !unreported.Suspected(content) || unreported.QuarantinedFor(content, now) == 0 {
 		t.Fatal("three servers crashed, and the content is not held")
 	}
-	if unreported.HeldFor(contentOf("another"), now) > 0 {
+	if unreported.QuarantinedFor(contentOf("another"), now) > 0 {
 		t.Error("another content is held")
 	}
 	unreported.MarkReported(2)
-	if unreported.HeldFor(content, now) == 0 {
+	if unreported.QuarantinedFor(content, now) == 0 {
 		t.Error("one crash is unreported, but the content is no longer held")
 	}
 	unreported.MarkReported(1)
-	if !unreported.Empty() || unreported.HeldFor(content, now) > 0 {
+	if !unreported.Empty() || unreported.QuarantinedFor(content, now) > 0 {
 		t.Error("all crashes are reported, but the content is still held")
 	}
 }
@@ -49,7 +49,7 @@
 	}
 	unreported.RecordAnswer(contentOf("answered"), now)
 	for _, content := range []string{"asked all the time", "answered"} {
-		if held := unreported.HeldFor(contentOf(content), now); held > 0 {
+		if held := unreported.QuarantinedFor(contentOf(content), now); held > 0 {
 			t.Errorf("what was %s is held for %v", content, held)
 		}
 	}
--- a/internal/quarantine/view.go
+++ b/internal/quarantine/view.go
@@ -38,8 +38,8 @@
 	return notices
 }
 
-// HeldFor returns for how much longer a content is held, zero if it may run.
-func (v *View) HeldFor(content fingerprint.Fingerprint, now time.Time) time.Duration {
+// QuarantinedFor returns for how much longer a content is held, zero if it may run.
+func (v *View) QuarantinedFor(content fingerprint.Fingerprint, now time.Time) time.Duration {
 	found, _ := v.notice(content)
 	return time.Duration(heldMs(found.heldUntil, now)) * time.Millisecond
 }
@@ -58,7 +58,7 @@
 	var listed []*rockwindpb.Suspect
 	for _, suspect := range slices.Backward(sortedByCrashes(v.suspects)) {
 		shown := proto.CloneOf(suspect)
-		shown.HeldMs = uint64(v.HeldFor(fingerprint.Fingerprint(suspect.GetContent()), now).Milliseconds())
+		shown.HeldMs = uint64(v.QuarantinedFor(fingerprint.Fingerprint(suspect.GetContent()), now).Milliseconds())
 		listed = append(listed, shown)
 	}
 	return listed
--- a/internal/router/class.go
+++ b/internal/router/class.go
@@ -153,7 +153,7 @@
 // expected retries, the requests by priority, and the tenants with the highest usage.
 func (p *servicePool) visitQueueLoads(now time.Time, elapsed time.Duration, visit func(hash uint32, load balance.SharedLoad)) {
 	total := balance.SharedLoad{Inflight: p.waiting.Len()}
-	if p.gates.On(featuregate.Returns) {
+	if p.gates.On(featuregate.RetryAfter) {
 		total.Unread = p.pendingRetries.Count(now)
 	}
 	if total != (balance.SharedLoad{}) {
@@ -162,7 +162,7 @@
 	waits := p.waitingCounts()
 	for priority, class := range p.classes {
 		waiting := waits[priority]
-		if sum := sumCounts(waiting); sum > 0 && p.gates.On(featuregate.Returns) {
+		if sum := sumCounts(waiting); sum > 0 && p.gates.On(featuregate.RetryAfter) {
 			visit(balance.QueueHash(class.name), balance.SharedLoad{Inflight: sum})
 		}
 		if !p.gates.On(featuregate.FairShare) {
--- a/internal/router/witness.go
+++ b/internal/router/crashreporter.go
@@ -200,12 +200,12 @@
 // QuarantinedFor returns how much longer a fingerprint is quarantined, or zero if it may run.
 func (r *CrashReporter) QuarantinedFor(content func() fingerprint.Fingerprint) time.Duration {
 	now := time.Now()
-	unreported := r.reporter.HeldFor(content, now)
+	unreported := r.reporter.QuarantinedFor(content, now)
 	list := r.watcher.Quarantine()
 	if list.Empty() {
 		return unreported
 	}
-	return max(unreported, list.HeldFor(content(), now))
+	return max(unreported, list.QuarantinedFor(content(), now))
 }
 
 // Answered records a complete response to a request. It clears the suspicion against the
@@ -218,4 +218,6 @@
 }
 
 // QuarantinedCount counts the quarantined fingerprints known here.
-func (r *CrashReporter) QuarantinedCount() int { return r.watcher.Quarantine().Held(time.Now()) }
+func (r *CrashReporter) QuarantinedCount() int {
+	return r.watcher.Quarantine().QuarantinedCount(time.Now())
+}
--- a/internal/router/daemon.go
+++ b/internal/router/daemon.go
@@ -42,7 +42,7 @@
 type daemon struct {
 	settings *rockwindpb.SiteSettings
 	router   *Router
-	relief   *reliefController
+	relief   *overloadController
 	// clients is the listener for clients, and ready that of the readiness check.
 	clients, ready net.Listener
 	shuttingDown   atomic.Bool
@@ -58,7 +58,7 @@
 		return err
 	}
 	router := New(settings, watcher, protocol, jobclient.New(watcher, client))
-	d := &daemon{settings: settings, router: router, relief: newReliefController(router, settings)}
+	d := &daemon{settings: settings, router: router, relief: newOverloadController(router, settings)}
 	router.metrics = d.metrics()
 	if err := d.listen(); err != nil {
 		return err
@@ -79,7 +79,7 @@
 	set.Waiting(router.dispatcher.Waiting)
 	set.Orphaned(router.dispatcher.Orphaned)
 	set.Coordinators(router.watcher.WatchFailures)
-	set.Relief(d.relief.state)
+	set.OverloadRelief(d.relief.state)
 	return set
 }
 
--- a/internal/router/dispatcher.go
+++ b/internal/router/dispatcher.go
@@ -190,7 +190,7 @@
 // choose returns a server with capacity for the next request. If there is none, a request that
 // may overcommit gets a server beyond its slots. The caller holds d.mutex.
 func (d *Dispatcher) choose(pool *servicePool, request AcquireRequest) (grant, bool) {
-	if d.gates.On(featuregate.Returns) {
+	if d.gates.On(featuregate.RetryAfter) {
 		pool.pool.SetWaiting(pool.waiting.Len())
 	}
 	choice, found := pool.pool.Choose(request.Demand, request.Tried, d.now(), d.random)
@@ -406,7 +406,7 @@
 	pool := d.poolOf(l.service)
 	pool.pool.RecordOutcome(l.Choice, outcome, latency, d.now(), d.random)
 	// A request that timed out held its slot for at least this long.
-	if outcome == health.Success || (outcome == health.Timeout && d.gates.On(featuregate.Returns)) {
+	if outcome == health.Success || (outcome == health.Timeout && d.gates.On(featuregate.RetryAfter)) {
 		pool.recordHoldTime(time.Since(l.startedAt))
 	}
 	d.serveWaiting(l.service)
--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -210,7 +210,7 @@
 		StartBy: e.startBy(), Tried: e.tried, MaxWait: e.maxWait(),
 		Remaining: time.Until(e.deadline), LastAttempt: e.sent > 0 || !retryafter.IsFirstAttempt(e.totalTimeout, e.info.Timeout),
 	}
-	if e.router.gates.On(featuregate.Returns) {
+	if e.router.gates.On(featuregate.RetryAfter) {
 		request.FirstAsked = e.firstAsked()
 	}
 	return request
@@ -218,7 +218,7 @@
 
 // firstAsked estimates when the client first sent the request.
 func (e *exchange) firstAsked() time.Time {
-	if !e.router.gates.On(featuregate.Returns) {
+	if !e.router.gates.On(featuregate.RetryAfter) {
 		return e.received
 	}
 	return retryafter.FirstAttempt(e.received, e.totalTimeout, e.info.Timeout)
@@ -258,7 +258,7 @@
 // rateOptions returns how the request is ordered among others of its tenant at the owner of the
 // rate limit.
 func (e *exchange) rateOptions() rateclient.Options {
-	if e.route.GetGoalMs() == 0 || !e.router.gates.On(featuregate.Returns) {
+	if e.route.GetGoalMs() == 0 || !e.router.gates.On(featuregate.RetryAfter) {
 		return rateclient.Options{}
 	}
 	remaining := time.Until(e.startBy())
--- a/internal/router/relief.go
+++ b/internal/router/overload.go
@@ -28,9 +28,9 @@
 	positionInterval = time.Second
 )
 
-// reliefController monitors the load of a router and sends clients to other routers when it is
+// overloadController monitors the load of a router and sends clients to other routers when it is
 // overloaded: see package overload.
-type reliefController struct {
+type overloadController struct {
 	router      *Router
 	enabled     bool
 	name, zone  string
@@ -47,15 +47,15 @@
 	positionedAt time.Time
 }
 
-func newReliefController(router *Router, settings *rockwindpb.SiteSettings) *reliefController {
-	return &reliefController{
-		router: router, enabled: router.gates.On(featuregate.Relief),
+func newOverloadController(router *Router, settings *rockwindpb.SiteSettings) *overloadController {
+	return &overloadController{
+		router: router, enabled: router.gates.On(featuregate.OverloadRelief),
 		name: settings.GetName(), zone: settings.GetZone(), descriptors: int(settings.GetMaxDescriptors()),
 	}
 }
 
 // run takes and applies samples until the context ends.
-func (r *reliefController) run(ctx context.Context) {
+func (r *overloadController) run(ctx context.Context) {
 	if !r.enabled {
 		return
 	}
@@ -76,7 +76,7 @@
 }
 
 // sample measures the load of the router. The delay is that of its timer.
-func (r *reliefController) sample(delay time.Duration) overload.Sample {
+func (r *overloadController) sample(delay time.Duration) overload.Sample {
 	before := r.usage
 	r.usage = r.router.buffers.Usage()
 	sample := overload.Sample{
@@ -92,7 +92,7 @@
 }
 
 // apply acts on a sample.
-func (r *reliefController) apply(sample overload.Sample, now time.Time) {
+func (r *overloadController) apply(sample overload.Sample, now time.Time) {
 	if r.closing.Load() && now.Sub(r.positionedAt) >= positionInterval {
 		r.position, r.positionedAt = r.zonePosition(), now
 	}
@@ -103,7 +103,7 @@
 		return
 	}
 	r.lack = advice.Shortage
-	decision.Default.Record(decision.ReliefChanged, r.name, log.Fields{
+	decision.Default.Record(decision.OverloadReliefChanged, r.name, log.Fields{
 		"lack": string(advice.Shortage), "ready": !advice.Unready, "late_ms": sample.TimerDelay.Milliseconds(),
 		"memory_part": sample.MemoryFraction, "descriptor_part": sample.DescriptorFraction, "unsent_ms": sample.SendTime.Milliseconds(),
 		"in_progress": sample.InProgress, "behind": sample.Behind, "closed": r.closed.Load(),
@@ -112,7 +112,7 @@
 
 // zonePosition returns this router's position among the routers of its zone, ordered by name, or
 // a zero Zone if the directory is out of date.
-func (r *reliefController) zonePosition() overload.ZonePosition {
+func (r *overloadController) zonePosition() overload.ZonePosition {
 	if time.Since(r.router.watcher.LastHeard()) > maxDirectoryAge {
 		return overload.ZonePosition{}
 	}
@@ -132,7 +132,7 @@
 
 // handler counts requests and, while the router is overloaded, tells some clients to close their
 // connections.
-func (r *reliefController) handler(next http.Handler) http.Handler {
+func (r *overloadController) handler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		r.inProgress.Add(1)
 		defer r.inProgress.Add(-1)
@@ -145,6 +145,6 @@
 }
 
 // state returns the state for metrics.
-func (r *reliefController) state() (closing, unready bool, closed int64) {
+func (r *overloadController) state() (closing, unready bool, closed int64) {
 	return r.closing.Load(), r.unready.Load(), r.closed.Load()
 }
--- a/internal/router/queue.go
+++ b/internal/router/queue.go
@@ -118,7 +118,7 @@
 // aheadElsewhere estimates how many requests at other processes are ahead of the given key.
 func (p *servicePool) aheadElsewhere(key waitqueue.SortKey, elapsed time.Duration) int {
 	count := p.shares.At(balance.QueueHash(p.name)).Inflight
-	if p.gates.On(featuregate.Returns) {
+	if p.gates.On(featuregate.RetryAfter) {
 		count -= p.lowerElsewhere(key.Priority())
 	}
 	if p.overloaded && p.gates.On(featuregate.FairShare) {
@@ -148,7 +148,7 @@
 // requests of its tenant.
 func (p *servicePool) expectedWait(request AcquireRequest, ahead int, elapsed time.Duration) time.Duration {
 	expected := p.slotRate().EstimateWait(ahead)
-	if p.gates.On(featuregate.Returns) && p.overloaded && elapsed-p.overloadedSince >= fairshare.DecayTime {
+	if p.gates.On(featuregate.RetryAfter) && p.overloaded && elapsed-p.overloadedSince >= fairshare.DecayTime {
 		expected = max(expected, p.expectedShareWait(request, elapsed))
 	}
 	return expected
@@ -188,7 +188,7 @@
 // queueFullFault returns the refusal of a request whose expected wait is too long.
 func (p *servicePool) queueFullFault(request AcquireRequest, ahead int, now time.Time, elapsed time.Duration) error {
 	retryAfter := max(minRetryAfter, p.slotRate().EstimateWait(ahead)-request.MaxWait)
-	if p.gates.On(featuregate.Returns) {
+	if p.gates.On(featuregate.RetryAfter) {
 		retryAfter = p.retryAfter(request, ahead, now, elapsed)
 	}
 	return fault.Newf(fault.Overloaded, "retry after the given time",
@@ -199,7 +199,7 @@
 // busyFault returns the refusal of a request that found no capacity in time.
 func (p *servicePool) busyFault(request AcquireRequest, ahead int, now time.Time, elapsed time.Duration) error {
 	retryAfter := max(minRetryAfter, p.holdTime/2)
-	if p.gates.On(featuregate.Returns) {
+	if p.gates.On(featuregate.RetryAfter) {
 		retryAfter = p.retryAfter(request, ahead, now, elapsed)
 	}
 	return fault.Newf(fault.Overloaded, "retry after the given time", "all servers of service %s are busy", p.name).
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -207,7 +207,7 @@
 // totalTimeout returns the whole timeout of a client that has the given time left; zero is
 // unknown.
 func (r *Router) totalTimeout(route *rockwindpb.Route, remaining time.Duration) time.Duration {
-	if !r.gates.On(featuregate.Returns) {
+	if !r.gates.On(featuregate.RetryAfter) {
 		return time.Duration(route.GetTimeoutMs()) * time.Millisecond
 	}
 	return r.timeouts.totalTimeout(route.GetName(), remaining)
--- a/internal/site/reporter.go
+++ b/internal/site/reporter.go
@@ -55,8 +55,8 @@
 	return &QuarantineReporter{watcher: watcher, queue: make(chan observation, reportQueueSize), unreported: quarantine.NewUnreported()}
 }
 
-// HeldFor returns for how much longer a content is quarantined by unreported observations.
-func (r *QuarantineReporter) HeldFor(content func() fingerprint.Fingerprint, now time.Time) time.Duration {
+// QuarantinedFor returns for how much longer a content is quarantined by unreported observations.
+func (r *QuarantineReporter) QuarantinedFor(content func() fingerprint.Fingerprint, now time.Time) time.Duration {
 	r.mutex.Lock()
 	empty := r.unreported.Empty()
 	r.mutex.Unlock()
@@ -66,7 +66,7 @@
 	computed := content()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.unreported.HeldFor(computed, now)
+	return r.unreported.QuarantinedFor(computed, now)
 }
 
 // Suspected reports whether several servers ended under a content according to unreported
--- a/internal/sitemetrics/relief.go
+++ b/internal/sitemetrics/overload.go
@@ -2,10 +2,10 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Relief registers metrics for whether an overloaded router sends clients to other routers, and
+// OverloadRelief registers metrics for whether an overloaded router sends clients to other routers, and
 // for the number of responses that asked the client to reconnect. The source is called at each
 // scrape.
-func (s *Set) Relief(source func() (closing, unready bool, closed int64)) {
+func (s *Set) OverloadRelief(source func() (closing, unready bool, closed int64)) {
 	s.registry.MustRegister(
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "rockwind_relief_level", Help: "Zero in ordinary running, 1 while the router asks clients to come anew, 2 while it also says that it is not ready.",
