--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -11,7 +11,7 @@
 // concurrent use; a nil list is empty.
 type List struct {
 	revision uint64
-	// held maps each suspected content to the time until which it is held, zero if it is not.
+	// held maps each suspected content to the time until which it is quarantined, zero if it is not.
 	held map[fingerprint.Fingerprint]time.Time
 }
 
@@ -51,7 +51,7 @@
 	return suspected
 }
 
-// QuarantinedFor returns for how much longer a content is held, zero if it may run.
+// QuarantinedFor returns for how much longer a content is quarantined, zero if it may run.
 func (l *List) QuarantinedFor(content fingerprint.Fingerprint, now time.Time) time.Duration {
 	if l == nil {
 		return 0
@@ -72,8 +72,8 @@
 	return notices
 }
 
-// QuarantinedCount returns the number of held contents.
-func (l *List) QuarantinedCount(now time.Time) int {
+// Quarantined returns the number of quarantined contents.
+func (l *List) Quarantined(now time.Time) int {
 	held := 0
 	if l == nil {
 		return held
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -1,6 +1,6 @@
 // Package quarantine implements the state machine that records which requests were
 // running when servers crashed, by the fingerprint of their content, and decides
-// which contents are held back. It is part of the root group's state, so that it
+// which contents are quarantined. It is part of the root group's state, so that it
 // combines the reports of all routers and stores and survives their restarts. The
 // package is pure: time is part of the commands.
 //
@@ -11,7 +11,7 @@
 //   - order: three crashes hold a content only if one of its runs started after an
 //     earlier crash. A content that many clients send at the same time runs on several
 //     servers that fail together, but is answered elsewhere before it is affected again;
-//   - other held contents: crashes that a held content explains do not count against
+//   - other quarantined contents: crashes that one of them explains do not count against
 //     items of batch jobs. Such items are rerun immediately, so they may run beside the
 //     same crashing request several times.
 //
@@ -38,8 +38,8 @@
 	// are notified of a content, and crashesToHold the number after which it is held.
 	crashesToSuspect = 2
 	crashesToHold    = 3
-	// holdDuration is how long a request is held after the last crash. It may then run
-	// once more; if the server crashes, the request is held again.
+	// holdDuration is how long a request is quarantined after the last crash. It may then run
+	// once more; if the server crashes, the request is quarantined again.
 	holdDuration = 10 * time.Minute
 	// suspectTTL and confirmedTTL are how long after its last crash a content is kept,
 	// if it is suspected only and if it is confirmed.
@@ -51,7 +51,7 @@
 	maximumServers = 8
 )
 
-// itemHolds is how long an item of a batch job is held after its third and fourth
+// itemHolds is how long an item of a batch job is quarantined after its third and fourth
 // crash; later crashes hold it for holdDuration. Only the store reruns an item, and a job
 // waits for all of its items, so an item that may only have run beside the cause is retried
 // soon.
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -230,11 +230,11 @@
 	if len(d.registry.View().List(d.now)) != 0 {
 		t.Fatal("an invalid content was stored")
 	}
-	if quarantine.NewList(1, []*rockwindpb.SuspectNotice{{Content: []byte("short"), HeldMs: 5}}, d.now).QuarantinedCount(d.now) != 0 {
+	if quarantine.NewList(1, []*rockwindpb.SuspectNotice{{Content: []byte("short"), HeldMs: 5}}, d.now).Quarantined(d.now) != 0 {
 		t.Fatal("a list accepted an invalid content")
 	}
 	var none *quarantine.List
-	if !none.Empty() || none.Suspected(contentOf("a")) || none.QuarantinedFor(contentOf("a"), d.now) != 0 || none.QuarantinedCount(d.now) != 0 || none.Revision() != 0 {
+	if !none.Empty() || none.Suspected(contentOf("a")) || none.QuarantinedFor(contentOf("a"), d.now) != 0 || none.Quarantined(d.now) != 0 || none.Revision() != 0 {
 		t.Fatal("a nil list is not empty")
 	}
 }
--- a/internal/quarantine/unreported.go
+++ b/internal/quarantine/unreported.go
@@ -59,7 +59,7 @@
 	return suspected
 }
 
-// QuarantinedFor returns for how much longer a content is held, zero if it may run.
+// QuarantinedFor returns for how much longer a content is quarantined, zero if it may run.
 func (u *Unreported) QuarantinedFor(content fingerprint.Fingerprint, now time.Time) time.Duration {
 	return u.registry.View().QuarantinedFor(content, now)
 }
--- a/internal/quarantine/view.go
+++ b/internal/quarantine/view.go
@@ -38,7 +38,7 @@
 	return notices
 }
 
-// QuarantinedFor returns for how much longer a content is held, zero if it may run.
+// QuarantinedFor returns for how much longer a content is quarantined, zero if it may run.
 func (v *View) QuarantinedFor(content fingerprint.Fingerprint, now time.Time) time.Duration {
 	found, _ := v.notice(content)
 	return time.Duration(heldMs(found.heldUntil, now)) * time.Millisecond
@@ -87,7 +87,7 @@
 
 func compareFingerprints(a, b fingerprint.Fingerprint) int { return slices.Compare(a[:], b[:]) }
 
-// attributedCrashes returns the servers whose crashes are attributed to a held request.
+// attributedCrashes returns the servers whose crashes are attributed to a quarantined request.
 func attributedCrashes(suspects map[fingerprint.Fingerprint]*rockwindpb.Suspect) map[string]bool {
 	attributed := make(map[string]bool)
 	for _, suspect := range suspects {
@@ -101,7 +101,7 @@
 	return attributed
 }
 
-// heldUntil returns until when a content is held, in Unix milliseconds, zero if it is not.
+// heldUntil returns until when a content is quarantined, in Unix milliseconds, zero if it is not.
 func heldUntil(suspect *rockwindpb.Suspect, attributed map[string]bool) int64 {
 	if !confirmed(suspect) {
 		return 0
--- a/internal/router/crashreporter.go
+++ b/internal/router/crashreporter.go
@@ -218,6 +218,4 @@
 }
 
 // QuarantinedCount counts the quarantined fingerprints known here.
-func (r *CrashReporter) QuarantinedCount() int {
-	return r.watcher.Quarantine().QuarantinedCount(time.Now())
-}
+func (r *CrashReporter) QuarantinedCount() int { return r.watcher.Quarantine().Quarantined(time.Now()) }
--- a/internal/router/daemon.go
+++ b/internal/router/daemon.go
@@ -42,7 +42,7 @@
 type daemon struct {
 	settings *rockwindpb.SiteSettings
 	router   *Router
-	relief   *overloadController
+	overload   *overloadController
 	// clients is the listener for clients, and ready that of the readiness check.
 	clients, ready net.Listener
 	shuttingDown   atomic.Bool
@@ -58,7 +58,7 @@
 		return err
 	}
 	router := New(settings, watcher, protocol, jobclient.New(watcher, client))
-	d := &daemon{settings: settings, router: router, relief: newOverloadController(router, settings)}
+	d := &daemon{settings: settings, router: router, overload: newOverloadController(router, settings)}
 	router.metrics = d.metrics()
 	if err := d.listen(); err != nil {
 		return err
@@ -79,7 +79,7 @@
 	set.Waiting(router.dispatcher.Waiting)
 	set.Orphaned(router.dispatcher.Orphaned)
 	set.Coordinators(router.watcher.WatchFailures)
-	set.OverloadRelief(d.relief.state)
+	set.OverloadRelief(d.overload.state)
 	return set
 }
 
@@ -97,7 +97,7 @@
 // server returns the HTTP server for clients.
 func (d *daemon) server(handler http.Handler) *http.Server {
 	return &http.Server{
-		Handler:           clientconn.Handler(closeConnectionsWhile(&d.shuttingDown, d.relief.handler(handler))),
+		Handler:           clientconn.Handler(closeConnectionsWhile(&d.shuttingDown, d.overload.handler(handler))),
 		ReadHeaderTimeout: clientHeaderTimeout,
 		IdleTimeout:       clientIdleTimeout,
 		ErrorLog:          logring.ServerLog(log.Log),
@@ -142,9 +142,9 @@
 		return nil
 	})
 	group.Go(func() error { router.announce(background, settings); return nil })
-	group.Go(func() error { d.relief.run(background); return nil })
+	group.Go(func() error { d.overload.run(background); return nil })
 	group.Go(func() error {
-		ready := readinessHandler(router.ready, &d.shuttingDown, &d.relief.unready)
+		ready := readinessHandler(router.ready, &d.shuttingDown, &d.overload.unready)
 		return site.Serve(background, site.NewServer(ready), d.ready, 0)
 	})
 }
