--- a/internal/router/daemon.go
+++ b/internal/router/daemon.go
@@ -42,7 +42,7 @@
 type daemon struct {
 	settings *rockwindpb.SiteSettings
 	router   *Router
-	overload   *overloadController
+	overload *overloadController
 	// clients is the listener for clients, and ready that of the readiness check.
 	clients, ready net.Listener
 	shuttingDown   atomic.Bool
