--- a/internal/balance/fleet_test.go
+++ b/internal/balance/fleet_test.go
@@ -119,7 +119,7 @@
 }
 
 // send has the chosen server run a request for about serviceTime. It returns a function that
-// cancels the request, which a process that is gone never calls.
+// cancels the request, which a terminated process never calls.
 func (f *fleet) send(by *process, choice balance.Choice, serviceTime, now time.Duration) (cancel func(now time.Duration)) {
 	chosen := f.servers[choice.ID]
 	if chosen.failed {
--- a/internal/balance/headroom.go
+++ b/internal/balance/headroom.go
@@ -157,7 +157,7 @@
 }
 
 // preemptForQueues preempts batch work for the online requests that wait in the queues of all
-// processes, with waiting in this one's.
+// processes; waiting is their number in the queue of this process.
 func (p *Pool) preemptForQueues(waiting int, now time.Duration, random *rand.Rand, visit func(server string, requests int) int) {
 	own := 0
 	places := p.placesWithBatch()
--- a/internal/balance/pace/pace.go
+++ b/internal/balance/pace/pace.go
@@ -21,11 +21,11 @@
 	// reportsValidFor is how long after the last report servers still count as reporting their
 	// pace. It is far longer than a process goes without answers.
 	reportsValidFor = 30 * time.Second
-	// reportPrior is the weight of the usual pace beside the reports. A report that is a third of a
-	// second old is as likely outdated as not.
+	// reportPrior is the weight of the usual pace relative to the reports. A report that is a third
+	// of a second old is as likely outdated as not.
 	reportPrior = 1.0
-	// observedPrior is the weight, in runs, of the remembered pace beside the runs of the last
-	// seconds. The event interval of a single run is off by a third.
+	// observedPrior is the weight, in runs, of the remembered pace relative to the runs of the
+	// last seconds. The event interval of a single run is off by a third.
 	observedPrior = 4.0
 	// minimumRuns is how many runs replace the remembered pace.
 	minimumRuns = 4
--- a/internal/balance/pace/pace_test.go
+++ b/internal/balance/pace/pace_test.go
@@ -90,7 +90,7 @@
 }
 
 // TestIntervalsAreComparedAtEqualConcurrency checks that longer event intervals due to higher
-// concurrency are not taken for a slow server.
+// concurrency do not make a server count as slow.
 func TestIntervalsAreComparedAtEqualConcurrency(t *testing.T) {
 	estimates := pace.New()
 	estimates.Resize(2)
--- a/internal/balance/paceestimator.go
+++ b/internal/balance/paceestimator.go
@@ -25,7 +25,7 @@
 	CurrentPace(place int, others SharedPace, now time.Duration) float64
 	// LongTermPace returns the estimate for the next seconds.
 	LongTermPace(place int, others SharedPace, now time.Duration) float64
-	// OwnPace returns what this process tells the others about a server.
+	// OwnPace returns what this process reports to the others about a server.
 	OwnPace(place int, now time.Duration) SharedPace
 	// Remember stores the long-term pace of a server for when no more is known of it. Call it for
 	// each server about once a second.
@@ -43,7 +43,7 @@
 	ReportedPace float64
 }
 
-// SharedPace is what processes tell each other about the pace of a server. Values of several
+// SharedPace is what processes exchange about the pace of a server. Values of several
 // processes are added.
 type SharedPace struct {
 	// ReportedSum sums up the paces that the server reported recently, in hundredths; ReportedCount
--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -88,7 +88,7 @@
 	// waiting is the number of online requests that wait in this process, if waitingKnown.
 	waiting      int
 	waitingKnown bool
-	// The following fields spare the choices of a large pool a scan of all servers: cached sums,
+	// The following fields avoid a scan of all servers for each choice in a large pool: cached sums,
 	// where prompt parts were sent, all places in random order, the places with slots freed by this
 	// process, and the places of ejected servers.
 	summary       summary
@@ -132,7 +132,7 @@
 	Uncached int
 	// Candidates is how many of the considered servers had room.
 	Candidates int
-	// Batch tells that the request is batch work.
+	// Batch is set if the request is batch work.
 	Batch bool
 	// Pace is the expected duration of work at the server as a multiple of the usual one; zero if
 	// pace is not used.
@@ -169,7 +169,7 @@
 //
 // Servers are chosen at random, with a probability proportional to their free slots that falls
 // exponentially with the expected time to the first event. Processes that see the same loads thus
-// spread over the servers even if their digests are old. A process that hears of no others chooses
+// spread over the servers even if their digests are old. A process that knows no others chooses
 // the best server. Where servers report their pace, a free slot counts less at a slower server, and
 // much more if only this process knows of it. Large pools are sampled, see sample.
 func (p *Pool) Choose(demand Demand, tried []string, now time.Duration, random *rand.Rand) (Choice, bool) {
@@ -187,7 +187,7 @@
 }
 
 // search finds the best server. In a large pool it considers a sample first, unless the process
-// hears of no others, and all servers only if the sample has no suitable one.
+// knows no others, and all servers only if the sample has no suitable one.
 func (p *Pool) search(demand Demand, tried []string, now time.Duration, random *rand.Rand) *search {
 	s := p.newSearch(demand, tried, now, random)
 	if p.large() && !s.noPeers {
--- a/internal/balance/sample.go
+++ b/internal/balance/sample.go
@@ -57,7 +57,7 @@
 }
 
 // considerPartLocations considers the servers that are likely to have a part of the prompt cached.
-// All processes look at the same homes of a part. Without the penalty, homes would receive all
+// All processes consider the same homes of a part. Without the penalty, homes would receive all
 // requests even for parts that are cheap to prefill.
 func (s *search) considerPartLocations() {
 	s.penalty = math.Log(float64(len(s.pool.places)) / sampleSize)
--- a/internal/balance/serverview.go
+++ b/internal/balance/serverview.go
@@ -52,7 +52,7 @@
 	}
 	if batch {
 		// Reports alternate between new and old; adding them to the counts would leave slots empty.
-		// They only tell whether requests wait at the server.
+		// They only show whether requests wait at the server.
 		return s.totalInflight < s.Slots && s.load <= s.Slots
 	}
 	return s.online < s.Slots+overcommit
--- a/internal/balance/shared.go
+++ b/internal/balance/shared.go
@@ -65,7 +65,7 @@
 	sums    map[uint32]SharedLoad
 	// processes is the number of processes covered by all digests.
 	processes int
-	// zone is the zone of this process; empty if not set. remotePaces holds the paces told by groups
+	// zone is the zone of this process; empty if not set. remotePaces holds the paces sent by groups
 	// of other zones, by server.
 	zone        string
 	remotePaces map[uint32]SharedPace
--- a/internal/raft/cluster_test.go
+++ b/internal/raft/cluster_test.go
@@ -24,7 +24,7 @@
 // clusterFaults are faults that a simulated cluster has on purpose.
 type clusterFaults struct {
 	core faultInjection
-	// reuseIdentity makes an empty disk come back with the identity of the lost one.
+	// reuseIdentity gives the empty disk that replaces a lost one the same identity.
 	reuseIdentity bool
 }
 
--- a/internal/router/deadlines.go
+++ b/internal/router/deadlines.go
@@ -18,7 +18,7 @@
 	routes map[string]*retryafter.TimeoutEstimator
 }
 
-// totalTimeout estimates the whole timeout of a client of a route from the time that it has left.
+// totalTimeout estimates the full timeout of a client of a route from the time that it has left.
 func (d *routeTimeouts) totalTimeout(route string, remaining time.Duration) time.Duration {
 	if remaining <= 0 {
 		return 0
--- a/internal/router/lookout.go
+++ b/internal/router/lookout.go
@@ -70,7 +70,7 @@
 // NewLateWatchdog returns a watchdog for a stream that cannot continue elsewhere. It probes the
 // server, an incarnation of the directory, only after the full pause goal. A planned stop closes
 // the listener and finishes the open streams, so a refused connection counts only if the
-// directory says that the server has ended. The view may be nil while no directory is known.
+// directory shows that the server has ended. The view may be nil while no directory is known.
 func NewLateWatchdog(ctx context.Context, client *upstream.Client, view func() *directory.View, id, address string, pauseGoal time.Duration) *Watchdog {
 	created := NewWatchdog(ctx, client, address, pauseGoal)
 	created.silence = lateSilenceFraction
--- a/internal/router/memory.go
+++ b/internal/router/memory.go
@@ -23,7 +23,7 @@
 	// those of batch jobs. A body of defaultBodyBytes arrives in time at 1.1 Mbit/s.
 	defaultBodyTimeout = 30 * time.Second
 	// relayMemoryFraction is the fraction of the process memory that buffers for clients may use.
-	// Of 144 MB that is 36 MB, beside some 30 MB for the program and 20 KB for each of three
+	// Of 144 MB that is 36 MB, next to some 30 MB for the program and 20 KB for each of three
 	// thousand connections.
 	relayMemoryFraction = 0.25
 	// defaultMemory is the process memory if the settings give none.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -204,7 +204,7 @@
 	return received.Add(limit)
 }
 
-// totalTimeout returns the whole timeout of a client that has the given time left; zero is
+// totalTimeout returns the full timeout of a client that has the given time left; zero is
 // unknown.
 func (r *Router) totalTimeout(route *rockwindpb.Route, remaining time.Duration) time.Duration {
 	if !r.gates.On(featuregate.Returns) {
--- a/internal/router/witness.go
+++ b/internal/router/witness.go
@@ -37,8 +37,8 @@
 
 // CrashReporter finds out which requests were running at a server that crashed and reports them
 // to the coordinators. A broken connection alone proves nothing: servers reset connections and
-// lose responses. A server has crashed if nobody listens at its address although it has not said
-// that it leaves. If a proxy or supervisor accepts connections in its place, it has crashed if
+// lose responses. A server has crashed if no process listens at its address although it has not
+// announced a leave. If a proxy or supervisor accepts connections in its place, it has crashed if
 // the directory soon shows another incarnation at its address, or shows it as silent and the
 // address does not identify itself as that server: see directory.View.Termination. An unreachable
 // server does not refuse connections, and its connections do not break.
--- a/internal/store/giveup.go
+++ b/internal/store/giveup.go
@@ -7,7 +7,7 @@
 	"rockwind.example/rockwind/internal/rockwindpb"
 )
 
-// routeStatus tells whether an item's route exists.
+// routeStatus states whether an item's route exists.
 type routeStatus int
 
 const (
--- a/internal/store/item.go
+++ b/internal/store/item.go
@@ -56,7 +56,7 @@
 
 func (a *itemAttempt) content() fingerprint.Fingerprint { return a.history.content(a.item) }
 
-// reportBroken tells the crash reporter that the connection broke before the response was
+// reportBroken reports to the crash reporter that the connection broke before the response was
 // complete.
 func (a *itemAttempt) reportBroken(cause error) {
 	a.store.crashReporter.ConnectionLost(router.Attempt{
--- a/internal/store/share.go
+++ b/internal/store/share.go
@@ -117,8 +117,8 @@
 	return e.unclaimed(item.Job, item.Index) && (h == nil || (!now.Before(h.quarantinedUntil) && !now.Before(h.retryAt)))
 }
 
-// publishBatchLoad tells the other leaders which items run in this shard, and which short items
-// wait.
+// publishBatchLoad publishes to the other leaders which items run in this shard, and which short
+// items wait.
 func (e *executor) publishBatchLoad(short []jobstore.OpenItem, now time.Time) {
 	if !e.store.gates.On(featuregate.FairShare) {
 		return
--- a/internal/store/share_test.go
+++ b/internal/store/share_test.go
@@ -74,7 +74,7 @@
 func (noQuorumGroup) Read(context.Context, func()) error { return errors.New("no quorum") }
 
 // TestUnreadableShardPublishesNoWaitingItems: other leaders would reserve slots for items that
-// nobody starts.
+// cannot start.
 func TestUnreadableShardPublishesNoWaitingItems(t *testing.T) {
 	register := directory.New()
 	register.Apply(&rockwindpb.DirectoryCommand{Command: &rockwindpb.DirectoryCommand_Report{Report: &rockwindpb.Server{
