--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -27,7 +27,7 @@
 	daemon *daemon
 	state  *exchange.FleetState
 	tasks  chan func(now time.Time)
-	// reconfigured tells the owner goroutine to load the configuration.
+	// reconfigured signals the owner goroutine to load the configuration.
 	reconfigured chan struct{}
 }
 
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -191,7 +191,7 @@
 
 // currentState returns the applied state if this replica is in contact with the leader and has
 // applied an entry of its term. Until the first success after a start, the replica must also have
-// applied everything committed when it first heard the leader: after a restart it may be in
+// applied everything committed when it first heard from the leader: after a restart it may be in
 // contact with the leader of an unchanged term before it has caught up.
 func (c *Coordinator) currentState() (replica.Group, *rootView, error) {
 	group, machine, err := c.rootGroup()
@@ -206,7 +206,7 @@
 	return group, machine.view(), nil
 }
 
-// upToDate reports whether a replica may serve its applied state. wasUpToDate tells that it has
+// upToDate reports whether a replica may serve its applied state. wasUpToDate is whether it has
 // done so since its start.
 func upToDate(status *rockwindpb.GroupStatus, wasUpToDate bool) bool {
 	if !status.GetHearsLeader() || status.GetAppliedTerm() != status.GetTerm() {
--- a/internal/coordinator/liveness.go
+++ b/internal/coordinator/liveness.go
@@ -48,15 +48,15 @@
 	return ids
 }
 
-// heardSince reports whether a server or machine was heard after a time.
+// heardSince reports whether a server or machine was heard from after a time.
 func (l *liveness) heardSince(id string, since time.Time) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.lastHeard[id].After(since)
 }
 
-// silentServers returns the given servers not heard for longer than the timeout and drops the
-// records of all others. A server without a record counts as heard now: it may have reported to
+// silentServers returns the given servers not heard from for longer than the timeout and drops the
+// records of all others. A server without a record counts as heard from now: it may have reported to
 // another coordinator that has not yet relayed the report.
 func (l *liveness) silentServers(ids []string, timeout time.Duration, now time.Time) []string {
 	l.mutex.Lock()
--- a/internal/coordinator/machines.go
+++ b/internal/coordinator/machines.go
@@ -29,7 +29,7 @@
 
 func machineKey(name string) string { return machinePrefix + name }
 
-// forgetMachines removes the entries of machines not heard for forgetTimeout.
+// forgetMachines removes the entries of machines not heard from for forgetTimeout.
 func (c *Coordinator) forgetMachines(ctx context.Context, view *directory.View, leaderSince, now time.Time) {
 	if now.Sub(leaderSince) < forgetTimeout {
 		return
--- a/internal/coordinator/maintenance.go
+++ b/internal/coordinator/maintenance.go
@@ -27,7 +27,7 @@
 )
 
 // runMaintenance announces this coordinator and relays server reports to the leader. On the leader
-// it marks silent servers, forgets machines, founds the store cluster and resolves address
+// it marks silent servers, removes absent machines, founds the store cluster and resolves address
 // conflicts.
 func (c *Coordinator) runMaintenance(ctx context.Context) {
 	var announced, leaderSince time.Time
--- a/internal/coordinator/virtualsite_test.go
+++ b/internal/coordinator/virtualsite_test.go
@@ -143,7 +143,7 @@
 	random    *rand.Rand
 	seeds     []string
 	processes []*process
-	// admitsNew tells that machines with new names may join the root group.
+	// admitsNew is set if machines with new names may join the root group.
 	admitsNew bool
 }
 
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -145,7 +145,7 @@
 
 func (d *Directory) leave(id string, now int64) { d.markGone(id, false, now) }
 
-// markGone marks an incarnation as gone; replaced tells that it was ready and lost its address.
+// markGone marks an incarnation as gone; replaced is set if it was ready and lost its address.
 func (d *Directory) markGone(id string, replaced bool, now int64) {
 	known := d.servers.get(id)
 	if known.GetState() == rockwindpb.ServerState_SERVER_STATE_GONE {
--- a/internal/directory/ending.go
+++ b/internal/directory/ending.go
@@ -6,7 +6,7 @@
 // terminated. It tolerates one lost probe.
 const minUnansweredProbes = 2
 
-// Termination tells whether an incarnation whose connection broke has terminated.
+// Termination is the evidence on whether an incarnation whose connection broke has terminated.
 type Termination int
 
 const (
@@ -43,7 +43,7 @@
 	return h
 }
 
-// Termination tells whether an incarnation whose connection broke has terminated. Another
+// Termination assesses whether an incarnation whose connection broke has terminated. Another
 // incarnation at its address proves it. Silence alone does not, since reports are delayed under
 // load. A silent incarnation is considered terminated if its address does not answer for it
 // either, unless most other servers are silent too: the network is then more likely at fault,
--- a/internal/directory/incarnations.go
+++ b/internal/directory/incarnations.go
@@ -31,7 +31,7 @@
 
 // ConflictingWith returns the incarnations that are not gone at the address of a report, by
 // identifier. It returns nil for a report of a known incarnation. Only a probe of the address
-// tells which incarnation is the latest.
+// shows which incarnation is the latest.
 func (v *View) ConflictingWith(report *rockwindpb.Server) []*rockwindpb.Server {
 	if v.servers.get(report.GetId()) != nil {
 		return nil
@@ -71,7 +71,7 @@
 	return slices.DeleteFunc(conflicts, func(conflict []*rockwindpb.Server) bool { return !slices.ContainsFunc(conflict, reports) })
 }
 
-// reports tells whether a server is ready or draining.
+// reports reports whether a server is ready or draining.
 func reports(server *rockwindpb.Server) bool {
 	return server.GetState() == rockwindpb.ServerState_SERVER_STATE_READY || server.GetState() == rockwindpb.ServerState_SERVER_STATE_DRAINING
 }
--- a/internal/loadshare/layout.go
+++ b/internal/loadshare/layout.go
@@ -19,7 +19,7 @@
 	// standbyCount is the number of members that replace the relays when all of them are silent.
 	standbyCount = 3
 	// standbyQuorumDivisor is the part of the members, as a divisor, that must send a standby their
-	// loads before it acts as delegate. Members do so while they hear no relay, so the quorum keeps
+	// loads before it acts as delegate. Members do so while they receive no sums, so the quorum keeps
 	// a standby that has lost its own connection from acting. A third allows for a zone that has
 	// also lost two thirds of its routers.
 	standbyQuorumDivisor = 3
@@ -67,7 +67,7 @@
 // delegates send to other zones.
 //
 // Relays have the lowest ranks and may all fail at once. Standbys, selected from the other
-// members by hashes of their names, replace them while a process hears none of them.
+// members by hashes of their names, replace them while a process receives no sums from them.
 type Layout struct {
 	self    string
 	group   string
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -79,7 +79,7 @@
 	CrossZoneBytes uint64
 	// Oversized is the number of datagrams that were too long to send.
 	Oversized uint64
-	// RelaysSilent is set while this process hears no relay of its zone.
+	// RelaysSilent is set while this process receives no sums from the relays of its zone.
 	RelaysSilent bool
 }
 
--- a/internal/loadshare/protocol.go
+++ b/internal/loadshare/protocol.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// repeatInterval is the time after which an unchanged digest is sent again: receivers forget
+	// repeatInterval is the time after which an unchanged digest is sent again: receivers drop
 	// a sender that is silent for long.
 	repeatInterval = 400 * time.Millisecond
 	// delegateTimeout is how long the delegate of another group is remembered after its last
@@ -49,7 +49,7 @@
 	// the relays were silent at the last tick.
 	relayHeardAt time.Duration
 	silent       bool
-	// grouped tells whether the layout had groups at the last tick.
+	// grouped is whether the layout had groups at the last tick.
 	grouped bool
 }
 
--- a/internal/serverview/batch.go
+++ b/internal/serverview/batch.go
@@ -26,7 +26,7 @@
 	TokensPerStep int
 }
 
-// BatchYield tells how many batch items must be paused on a server.
+// BatchYield is how many batch items must be paused on a server.
 type BatchYield struct {
 	Target upstream.Target
 	// Count is the number of items to pause.
--- a/internal/serverview/leaving.go
+++ b/internal/serverview/leaving.go
@@ -12,7 +12,7 @@
 // server's owner decide.
 const drainingTTL = 10 * time.Second
 
-// leavingState combines the sources that tell whether a server is leaving.
+// leavingState combines the sources that show whether a server is leaving.
 type leavingState struct {
 	// draining is the server's last own report.
 	draining bool
--- a/internal/serverview/states.go
+++ b/internal/serverview/states.go
@@ -2,7 +2,7 @@
 
 import "rockwind.example/rockwind/internal/routing"
 
-// State tells whether a server receives traffic and, if not, why.
+// State is whether a server receives traffic and, if not, why.
 type State string
 
 // A server is counted in the first state that applies, in this order.
