--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -22,15 +22,15 @@
 
 // Defaults of the options.
 const (
-	// DefaultWait is how long a replica may hold a call without news. It also bounds how long a
+	// DefaultWait is how long a replica may hold a call without a change. It also bounds how long a
 	// partitioned replica can delay an update.
 	DefaultWait = 3 * time.Second
 	// initialWait is how long a replica may hold a call of a daemon that has no configuration yet.
 	initialWait = 500 * time.Millisecond
 	// DefaultGrace is how much longer than the wait an answer may take.
 	DefaultGrace = time.Second
-	// DefaultRetry is the first pause after a failed call, and the pause after an answer without
-	// news that came too early.
+	// DefaultRetry is the first pause after a failed call, and the pause after an early answer
+	// without a change.
 	DefaultRetry = 200 * time.Millisecond
 	// DefaultMaximumRetry bounds the pause after repeated failures.
 	DefaultMaximumRetry = 3 * time.Second
@@ -234,7 +234,7 @@
 	selected.recordSuccess()
 	f.lastHeard.Store(time.Now().UnixMilli())
 	if response.GetChange() == nil {
-		// Early answers without news must not cause a busy loop.
+		// Early answers without a change must not cause a busy loop.
 		if time.Since(startedAt) < f.options.Wait/2 {
 			return f.jitter(f.options.Retry)
 		}
--- a/internal/follower/sources_test.go
+++ b/internal/follower/sources_test.go
@@ -22,7 +22,7 @@
 type behavior int
 
 const (
-	// replica answers with news as soon as there is some.
+	// replica answers with the change as soon as there is one.
 	replica behavior = iota
 	// nonReplica reports that it does not replicate the configuration.
 	nonReplica
@@ -40,7 +40,7 @@
 	calls    int
 }
 
-// pollInterval is how often a fakeMachine checks for news.
+// pollInterval is how often a fakeMachine checks for a change.
 const pollInterval = 10 * time.Millisecond
 
 func (m *fakeMachine) Watch(ctx context.Context, request *rockwindpb.WatchConfigurationRequest) (*rockwindpb.WatchConfigurationResponse, error) {
@@ -144,7 +144,7 @@
 
 func newRandom(seed int) *rand.Rand { return rand.New(rand.NewPCG(uint64(seed), 1)) }
 
-// slowMachine answers with news after a slow transfer.
+// slowMachine answers with a change after a slow transfer.
 type slowMachine struct {
 	rockwindpb.ConfigurationService
 	accepted *configuration.Index
--- a/internal/quarantine/property_test.go
+++ b/internal/quarantine/property_test.go
@@ -13,7 +13,7 @@
 )
 
 // siteModel simulates a site of many routers in virtual time. Some contents crash each
-// server that runs them; others run beside them.
+// server that runs them; others run alongside.
 type siteModel struct {
 	*driver
 	// lags is how long each router takes to learn of a change.
@@ -55,7 +55,7 @@
 	return known
 }
 
-// send runs a content that crashes its server, beside other contents.
+// send runs a content that crashes its server, alongside other contents.
 func (s *siteModel) send(router int, content string, beside []string) {
 	if s.known(router).HeldFor(contentOf(content), s.now) > 0 {
 		return
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -12,7 +12,7 @@
 //     earlier crash. A content that many clients send at the same time runs on several
 //     servers that fail together, but is answered elsewhere before it is affected again;
 //   - other held contents: crashes that a held content explains do not count against
-//     items of batch jobs. Such items are rerun immediately, so they may run beside the
+//     items of batch jobs. Such items are rerun immediately, so they may run alongside the
 //     same crashing request several times.
 //
 // Invariants:
@@ -53,7 +53,7 @@
 
 // itemHolds is how long an item of a batch job is held after its third and fourth
 // crash; later crashes hold it for holdDuration. Only the store reruns an item, and a job
-// waits for all of its items, so an item that may only have run beside the cause is retried
+// waits for all of its items, so an item that may only have run alongside the cause is retried
 // soon.
 var itemHolds = []time.Duration{5 * time.Second, 15 * time.Second}
 
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -154,7 +154,7 @@
 }
 
 // TestItemBesideHeldRequestIsNotHeld: the store reruns an item immediately, so that it runs
-// beside the crashing request each time.
+// alongside the crashing request each time.
 func TestItemBesideHeldRequestIsNotHeld(t *testing.T) {
 	d := newDriver(t)
 	for place := range 4 {
--- a/internal/replica/replacing.go
+++ b/internal/replica/replacing.go
@@ -15,7 +15,7 @@
 const inactivityTimeout = time.Second
 
 // trackInactivity records since when each member has been inactive, as the leader
-// sees it. The record starts anew in each term.
+// sees it. The record is reset in each term.
 func (o *owner) trackInactivity(now time.Time) {
 	status := o.node.Status()
 	if status.Role != raft.Leader || status.Term != o.inactivityTerm {
--- a/internal/replica/shortentries.go
+++ b/internal/replica/shortentries.go
@@ -14,7 +14,7 @@
 // the owner goroutine. The zero value assumes that no member supports short
 // entries.
 //
-// Logs, states and snapshots hold whole entries, so they do not depend on the
+// Logs, states and snapshots hold complete entries, so they do not depend on the
 // version of a member. A message that cannot be expanded is treated as lost.
 type shortEntryEncoder struct {
 	coder   *pieces.Encoder
@@ -98,7 +98,7 @@
 }
 
 // expandAppend converts a short append to a regular one. If that is impossible, the
-// result has no entries, and the leader is asked for whole ones.
+// result has no entries, and the leader is asked for complete ones.
 func (o *owner) expandAppend(message *rockwindpb.Message) *rockwindpb.Message {
 	appended := &rockwindpb.Message{
 		Kind: rockwindpb.MessageKind_MESSAGE_KIND_APPEND, From: message.GetFrom(), To: message.GetTo(), Term: message.GetTerm(),
@@ -121,7 +121,7 @@
 	return appended
 }
 
-// expandEntries restores the whole entries of a message; found is false if a
+// expandEntries restores the complete entries of a message; found is false if a
 // referenced entry is missing or a checksum differs.
 func (o *owner) expandEntries(message *rockwindpb.Message) (entries []*rockwindpb.Entry, found bool) {
 	first := message.GetIndex() + 1
@@ -148,7 +148,7 @@
 	return entries, true
 }
 
-// handleWantWhole resends whole entries to a member that could not expand short
+// handleWantWhole resends complete entries to a member that could not expand short
 // ones, and limits further references to entries that follow.
 func (o *owner) handleWantWhole(message *rockwindpb.Message) {
 	status := o.node.Status()
--- a/internal/replica/shortentries_test.go
+++ b/internal/replica/shortentries_test.go
@@ -138,7 +138,7 @@
 }
 
 // TestWhatMembersHoldIsToldByReference checks that a command that repeats earlier ones is sent in a few
-// bytes, but whole to a machine of the previous version.
+// bytes, but complete to a machine of the previous version.
 func TestWhatMembersHoldIsToldByReference(t *testing.T) {
 	for _, old := range []bool{false, true} {
 		t.Run(fmt.Sprintf("previous version: %v", old), func(t *testing.T) {
--- a/internal/segment/record.go
+++ b/internal/segment/record.go
@@ -100,7 +100,7 @@
 	return header, header.length <= MaximumBodyBytes
 }
 
-// span is a range of a segment file: whole valid records, or damaged bytes.
+// span is a range of a segment file: complete valid records, or damaged bytes.
 type span struct {
 	start int64
 	end   int64
--- a/internal/segment/repair.go
+++ b/internal/segment/repair.go
@@ -231,7 +231,7 @@
 	}
 }
 
-// writeRecords writes and syncs the whole records at the start of data, and returns
+// writeRecords writes and syncs the complete records at the start of data, and returns
 // their length.
 func (n *Node) writeRecords(id uint64, offset int64, data []byte) (int, error) {
 	spans, err := scan(offsetReader{base: offset, data: data}, offset, offset+int64(len(data)))
--- a/internal/segment/replicator.go
+++ b/internal/segment/replicator.go
@@ -77,7 +77,7 @@
 	o.changed = make(chan struct{})
 }
 
-// setTarget tells the replicators up to which length to copy.
+// setTarget sets the length up to which the replicators copy.
 func (o *openSegment) setTarget(target int64) {
 	o.update(func() { o.target = target })
 }
@@ -224,7 +224,7 @@
 	return last && r.durable >= target, nil
 }
 
-// readRecords reads whole records from offset on: up to chunkBytes, or one record
+// readRecords reads complete records from offset on: up to chunkBytes, or one record
 // if that is longer.
 func (l *localSegment) readRecords(offset, target int64) ([]byte, error) {
 	length := min(target-offset, chunkBytes)
@@ -242,7 +242,7 @@
 	return l.read(offset, needed)
 }
 
-// cutAtRecord returns the length of the whole records at the start of data, and
+// cutAtRecord returns the length of the complete records at the start of data, and
 // the length needed to include the record after them.
 func cutAtRecord(data []byte, offset int64) (cut, needed int) {
 	position := 0
--- a/internal/segment/service.go
+++ b/internal/segment/service.go
@@ -112,7 +112,7 @@
 	return bytes.NewReader(b.data).ReadAt(into, position-b.base)
 }
 
-// verifyRecords checks that data, read at offset, consists of whole valid records.
+// verifyRecords checks that data, read at offset, consists of complete valid records.
 func verifyRecords(data []byte, offset int64) error {
 	if len(data) == 0 {
 		return nil
--- a/internal/site/coordinators.go
+++ b/internal/site/coordinators.go
@@ -101,7 +101,7 @@
 	return w.configurationAddress == address
 }
 
-// clearPreferred forgets which coordinator answered last, so that the nearest one comes first.
+// clearPreferred clears the coordinator that answered last, so that the nearest one comes first.
 func (w *Watcher) clearPreferred() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/internal/site/nearer_test.go
+++ b/internal/site/nearer_test.go
@@ -41,7 +41,7 @@
 }
 
 // TestWatcherKeepsItsCoordinatorWhileANearerOneHangs verifies that the search for a nearer
-// coordinator does not delay news.
+// coordinator does not delay changes.
 func TestWatcherKeepsItsCoordinatorWhileANearerOneHangs(t *testing.T) {
 	far, near := newFakeCoordinator(1), newFakeCoordinator(1)
 	near.hanging.Store(true)
--- a/internal/site/watcher.go
+++ b/internal/site/watcher.go
@@ -30,7 +30,7 @@
 )
 
 const (
-	// watchWait is how long a coordinator may hold a watch without news. It bounds how long a
+	// watchWait is how long a coordinator may hold a watch without a change. It bounds how long a
 	// process stays with an unresponsive coordinator.
 	watchWait = time.Second
 	// watchGrace is how much longer than the wait an answer may take.
@@ -301,7 +301,7 @@
 	wait := watchWait
 	if w.lastWatchFailed() {
 		// The first answer after a failure shows that the coordinator is reachable, so it must not
-		// wait for news.
+		// wait for a change.
 		wait = 0
 	}
 	response, err := service.Watch(ctx, w.watchRequest(held, wait))
@@ -311,10 +311,10 @@
 	w.recordDependency(address, nil)
 	age := time.Duration(response.GetAgeMs()) * time.Millisecond
 	w.lastHeard.Store(time.Now().Add(-age).UnixNano())
-	// Hints and redirects make the follower ask the preferred coordinator, which has the news. A
-	// call that is already in progress there is about to be answered and is not aborted. If the
-	// next answer shows that it was not answered, it hangs, and only a redirect ends it, because
-	// the number may have been hinted before.
+	// Hints and redirects make the follower ask the preferred coordinator, which has the new
+	// configuration. A call that is already in progress there is about to be answered and is not
+	// aborted. If the next answer shows that it was not answered, it hangs, and only a redirect
+	// ends it, because the number may have been hinted before.
 	skipped := w.skippedRedirect == address
 	w.skippedRedirect = ""
 	switch changed := w.setPreferred(address); {
--- a/internal/site/watcher_test.go
+++ b/internal/site/watcher_test.go
@@ -124,7 +124,7 @@
 		return nil, err
 	}
 	if request.GetHaveNumber() >= f.number.Load() || f.hangingConfiguration.Load() {
-		// A coordinator holds the call while it has no news.
+		// A coordinator holds the call while it has no change.
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -136,8 +136,8 @@
 }
 
 // TestConfigurationArrivesAfterTheWatchedCoordinatorHangs: the configuration call hangs at an
-// unresponsive coordinator. News from another coordinator must abort it and be fetched from that
-// one.
+// unresponsive coordinator. A change announced by another coordinator must abort it and be fetched
+// from that one.
 func TestConfigurationArrivesAfterTheWatchedCoordinatorHangs(t *testing.T) {
 	first, second := newFakeCoordinator(1), newFakeCoordinator(2)
 	second.hanging.Store(true)
@@ -150,7 +150,7 @@
 }
 
 // TestNewsOfTheSilentCoordinatorIsFetchedElsewhere: a coordinator announces a newer configuration
-// and hangs before it delivers it. The same news from the next coordinator must abort the call.
+// and hangs before it delivers it. The same announcement by the next coordinator must abort the call.
 func TestNewsOfTheSilentCoordinatorIsFetchedElsewhere(t *testing.T) {
 	first, second := newFakeCoordinator(1), newFakeCoordinator(2)
 	second.hanging.Store(true)
@@ -158,7 +158,7 @@
 	awaitConfiguration(t, watcher, 1, 10*time.Second)
 	first.hangingConfiguration.Store(true)
 	first.number.Store(2)
-	// Long enough for the watcher to receive the news.
+	// Long enough for the watcher to receive the announcement.
 	time.Sleep(200 * time.Millisecond)
 	first.hanging.Store(true)
 	second.hanging.Store(false)
--- a/internal/upstream/relay.go
+++ b/internal/upstream/relay.go
@@ -84,7 +84,7 @@
 	Stopped bool
 	// Attempts is the number of backends tried.
 	Attempts int
-	// Hedges is the number of attempts that ran beside another.
+	// Hedges is the number of attempts that ran in parallel with another.
 	Hedges int
 	// Resumes is how often a broken stream was resumed.
 	Resumes int
