--- a/internal/bench/experiment/failures/experiment.go
+++ b/internal/bench/experiment/failures/experiment.go
@@ -113,21 +113,21 @@
 
 func (c *Cell) summarize() {
 	perRequest := func(count func(run routingfleet.Result) int) interval.Interval {
-		return interval.Map(c.runs, func(run routingfleet.Result) float64 {
+		return interval.OfFunc(c.runs, func(run routingfleet.Result) float64 {
 			return float64(count(run)) / float64(max(1, run.Requests))
 		})
 	}
-	c.Goodput = perRequest(func(run routingfleet.Result) int { return sum(run.GoodAt) })
+	c.Goodput = perRequest(func(run routingfleet.Result) int { return sum(run.GoodPerSecond) })
 	c.Amplification = perRequest(func(run routingfleet.Result) int { return run.MeasuredAttempts })
 	c.Refused = perRequest(func(run routingfleet.Result) int { return run.Refused })
 	c.Lost = perRequest(func(run routingfleet.Result) int { return run.Lost })
 	c.Hedges = perRequest(func(run routingfleet.Result) int { return run.Hedges })
-	c.RecoveryS = interval.Map(c.runs, recoverySeconds)
-	c.TTFTp99Ms = interval.Map(c.runs, func(run routingfleet.Result) float64 {
+	c.RecoveryS = interval.OfFunc(c.runs, recoverySeconds)
+	c.TTFTp99Ms = interval.OfFunc(c.runs, func(run routingfleet.Result) float64 {
 		return float64(routingfleet.Quantile(run.TTFT, 0.99)) / float64(time.Millisecond)
 	})
 	for _, run := range c.runs {
-		c.TimeToLastNewOnLeavingS = max(c.TimeToLastNewOnLeavingS, run.LastOnLeaving.Seconds())
+		c.TimeToLastNewOnLeavingS = max(c.TimeToLastNewOnLeavingS, run.LastSentToLeaving.Seconds())
 	}
 }
 
@@ -145,8 +145,8 @@
 
 func recoverySeconds(run routingfleet.Result) float64 {
 	last := 0
-	for second, sent := range run.SentAt {
-		if sent > 0 && float64(run.GoodAt[second]) < recoveredFraction*float64(sent) {
+	for second, sent := range run.RequestsPerSecond {
+		if sent > 0 && float64(run.GoodPerSecond[second]) < recoveredFraction*float64(sent) {
 			last = second + 1
 		}
 	}
--- a/internal/bench/experiment/failures/scenarios.go
+++ b/internal/bench/experiment/failures/scenarios.go
@@ -70,7 +70,7 @@
 func engineFault(fraction float64, kind engine.FaultKind, factor float64, mute bool) func(*routingfleet.Scenario) []routingfleet.Fault {
 	return func(fleet *routingfleet.Scenario) []routingfleet.Fault {
 		return []routingfleet.Fault{{
-			At: warmup, Servers: spread(fleet, fraction), Mute: mute,
+			At: warmup, Servers: spread(fleet, fraction), Unresponsive: mute,
 			Engine: engine.Fault{Kind: kind, Duration: faultDuration, Factor: factor},
 		}}
 	}
@@ -111,7 +111,7 @@
 		servers = append(servers, server)
 	}
 	return []routingfleet.Fault{
-		{At: warmup, Servers: servers, Cut: true},
+		{At: warmup, Servers: servers, Partition: true},
 		{At: warmup + faultDuration, Servers: servers, Heal: true},
 	}
 }
@@ -126,12 +126,12 @@
 
 // build returns the simulated fleet of the scenario.
 func (s scenario) build(servers int, lag time.Duration) routingfleet.Scenario {
-	fleet := routingfleet.Sized(servers)
+	fleet := routingfleet.DefaultScenario(servers)
 	fleet.Engine.ReportLag = lag
 	fleet.Warmup = warmup
 	fleet.Measured = window
-	fleet.Load.Resend = resends
-	fleet.Load.Patience = firstTokenTimeout
+	fleet.Load.MaxResends = resends
+	fleet.Load.ClientTimeout = firstTokenTimeout
 	fleet.Faults = s.faults(&fleet)
 	return fleet
 }
--- a/internal/bench/experiment/faults/command.go
+++ b/internal/bench/experiment/faults/command.go
@@ -79,7 +79,8 @@
 	clientIdleConns = 64
 )
 
-// Run implements the command.
+// Run starts the fleet, runs the experiment and prints the report. It fails if a count of
+// violations is above zero.
 func (c *Command) Run() error {
 	folder := c.Folder
 	if folder == "" {
@@ -119,7 +120,7 @@
 	}
 	if bad := report.violations(); bad > 0 {
 		return fault.Newf(fault.Internal, "run again with the same seed and read the counts above zero",
-			"%d violations of what must always hold", bad)
+			"%d invariant violations", bad)
 	}
 	return nil
 }
@@ -152,7 +153,7 @@
 	for number, name := range []string{"operator-a", "operator-b", "operator-in-a-hurry"} {
 		all.operators = append(all.operators, &operator{
 			name: name, fleet: running, record: seen, history: history, client: number,
-			number:  running.Number(),
+			number:  running.ConfigurationNumber(),
 			service: controlclient.New(controlclient.Options{Machines: running.ControlMachines()}).Configuration(),
 		})
 	}
@@ -185,7 +186,7 @@
 func (c *Command) experiment(ctx context.Context, running *fleet.Fleet) (*Report, error) {
 	seen := &record{}
 	history := newApplyHistory()
-	first := running.Number()
+	first := running.ConfigurationNumber()
 	all := c.actors(running, seen, history)
 	report := &Report{Seed: c.Seed, DurationSeconds: c.Duration.Seconds(), Faults: map[Kind]int{}}
 	if err := c.runLoadAndFaults(ctx, all, report); err != nil {
