--- a/internal/serverview/batch.go
+++ b/internal/serverview/batch.go
@@ -26,7 +26,7 @@
 	TokensPerStep int
 }
 
-// BatchPreemption tells how many batch items must be paused on a server.
+// BatchPreemption is how many batch items must be paused on a server.
 type BatchPreemption struct {
 	Target upstream.Target
 	// Count is the number of items to pause.
