--- a/internal/balance/shared.go
+++ b/internal/balance/shared.go
@@ -65,12 +65,12 @@
 	sums    map[uint32]SharedLoad
 	// processes is the number of processes covered by all digests.
 	processes int
-	// zone is the zone of this process; empty if not set. remotePaces holds the paces told by groups
+	// zone is the zone of this process; empty if not set. remotePaces holds the paces sent by groups
 	// of other zones, by server.
 	zone        string
 	remotePaces map[uint32]SharedPace
 	// ownOrphaned is what this process tells of orphaned requests. hasOrphaned is set if any
-	// process tells of some and ignoreLeftBehind is not set.
+	// process tells of some and ignoreOrphaned is not set.
 	ownOrphaned    map[uint32]SharedLoad
 	hasOrphaned    bool
 	ignoreOrphaned bool
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -53,7 +53,7 @@
 
 // itemHolds is how long an item of a batch job is quarantined after its third and fourth
 // crash; later crashes hold it for holdDuration. Only the store reruns an item, and a job
-// waits for all of its items, so an item that may only have run beside the cause is retried
+// waits for all of its items, so an item that may only have run alongside the cause is retried
 // soon.
 var itemHolds = []time.Duration{5 * time.Second, 15 * time.Second}
 
--- a/internal/router/dispatcher.go
+++ b/internal/router/dispatcher.go
@@ -40,7 +40,7 @@
 	// processes that send requests to servers.
 	index        *configuration.Index
 	processNames []string
-	// serverHashes are the hashes of all servers of the directory, and leftBehindHashes those of
+	// serverHashes are the hashes of all servers of the directory, and orphanHashes those of
 	// the orphaned requests there.
 	serverHashes map[uint32]struct{}
 	orphanHashes map[uint32]struct{}
