--- a/internal/coordinator/machines.go
+++ b/internal/coordinator/machines.go
@@ -18,9 +18,9 @@
 const (
 	// machinePrefix distinguishes machines from servers in liveness records.
 	machinePrefix = "machine/"
-	// forgetTimeout is how long a machine must be silent before its entry is removed. It
+	// machineRemovalTimeout is how long a machine must be silent before its entry is removed. It
 	// announces itself again when it returns.
-	forgetTimeout = 12 * time.Second
+	machineRemovalTimeout = 12 * time.Second
 	// aliveTimeout is how long a machine may be silent and still count as alive.
 	aliveTimeout = 7 * time.Second
 	// identityTimeout bounds the query of all stores for their groups.
@@ -29,13 +29,13 @@
 
 func machineKey(name string) string { return machinePrefix + name }
 
-// forgetMachines removes the entries of machines not heard from for forgetTimeout.
-func (c *Coordinator) forgetMachines(ctx context.Context, view *directory.View, leaderSince, now time.Time) {
-	if now.Sub(leaderSince) < forgetTimeout {
+// removeSilentMachines removes the entries of machines not heard from for machineRemovalTimeout.
+func (c *Coordinator) removeSilentMachines(ctx context.Context, view *directory.View, leaderSince, now time.Time) {
+	if now.Sub(leaderSince) < machineRemovalTimeout {
 		return
 	}
 	for _, machine := range view.Machines() {
-		if machine.GetRetiring() || c.liveness.heardSince(machineKey(machine.GetName()), now.Add(-forgetTimeout)) {
+		if machine.GetRetiring() || c.liveness.heardSince(machineKey(machine.GetName()), now.Add(-machineRemovalTimeout)) {
 			continue
 		}
 		callCtx, cancel := context.WithTimeout(ctx, maintenanceCallTimeout)
@@ -43,7 +43,7 @@
 			Command: &rockwindpb.DirectoryCommand_Forget{Forget: &rockwindpb.ForgetMachine{Name: machine.GetName()}},
 		})
 		cancel()
-		log.WithField("machine", machine.GetName()).WithField("patience", forgetTimeout.String()).WithField("committed", err == nil).Info("machine is forgotten")
+		log.WithField("machine", machine.GetName()).WithField("patience", machineRemovalTimeout.String()).WithField("committed", err == nil).Info("machine is forgotten")
 	}
 }
 
--- a/internal/coordinator/maintenance.go
+++ b/internal/coordinator/maintenance.go
@@ -61,7 +61,7 @@
 		}
 		c.liveness.takePending()
 		c.markSilent(ctx, view.directory, leaderSince, now)
-		c.forgetMachines(ctx, view.directory, leaderSince, now)
+		c.removeSilentMachines(ctx, view.directory, leaderSince, now)
 		c.foundStoreCluster(ctx, view.directory, now)
 		c.resolveConflicts(ctx, view, now)
 	}
--- a/internal/coordinator/restart_test.go
+++ b/internal/coordinator/restart_test.go
@@ -98,9 +98,9 @@
 	}
 }
 
-// TestLivingProcessesHearAtOnceThatCoordinatorsAreBack guards against watchers without pending changes
+// TestIdleWatchersReconnectToRestartedCoordinators guards against watchers without pending changes
 // noticing late that coordinators are reachable again.
-func TestLivingProcessesHearAtOnceThatCoordinatorsAreBack(t *testing.T) {
+func TestIdleWatchersReconnectToRestartedCoordinators(t *testing.T) {
 	inVirtualSite(t, siteSizes()[0], func(s *virtualSite) {
 		s.restart(s.processes[:coordinators], 0)
 		s.awaitCoordinators()
--- a/internal/coordinator/seeds_test.go
+++ b/internal/coordinator/seeds_test.go
@@ -23,9 +23,9 @@
 	return added
 }
 
-// TestProcessesThatKnowOnlyDeadSeedsTryOnWithoutAStorm guards against retry storms while all seeds are
+// TestUnreachableSeedsCauseNoRetryStorm guards against retry storms while all seeds are
 // unreachable, and against slow recovery once one is reachable again.
-func TestProcessesThatKnowOnlyDeadSeedsTryOnWithoutAStorm(t *testing.T) {
+func TestUnreachableSeedsCauseNoRetryStorm(t *testing.T) {
 	const count = 20
 	for name, silent := range map[string]bool{"refusing": false, "silent": true} {
 		t.Run(name, func(t *testing.T) {
@@ -59,9 +59,9 @@
 	}
 }
 
-// TestNewcomersFindTheSiteThroughAnySeedThatLives verifies that new processes start with one reachable
+// TestNewProcessesStartWithOneReachableSeed verifies that new processes start with one reachable
 // seed of three, and that running ones find coordinators through the directory when seeds fail.
-func TestNewcomersFindTheSiteThroughAnySeedThatLives(t *testing.T) {
+func TestNewProcessesStartWithOneReachableSeed(t *testing.T) {
 	inVirtualSite(t, coordinators+10, func(s *virtualSite) {
 		s.network.dropUnanswered = true
 		for _, p := range s.processes[:2] {
--- a/internal/coordinator/zonedrain_test.go
+++ b/internal/coordinator/zonedrain_test.go
@@ -94,9 +94,9 @@
 	})
 }
 
-// TestWatchersOfAnEarlierVersionAreToldNoDrains guards against answering watchers immediately and
+// TestWatchWithoutDrainRevisionWaitsForChange guards against answering watchers immediately and
 // endlessly that do not send the revision of the drains that they know.
-func TestWatchersOfAnEarlierVersionAreToldNoDrains(t *testing.T) {
+func TestWatchWithoutDrainRevisionWaitsForChange(t *testing.T) {
 	inVirtualSite(t, coordinators, func(s *virtualSite) {
 		s.reportServerIn("east")
 		c := s.processes[0].coordinator
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestRetiringLastsOverAnnouncements(t *testing.T) {
+func TestAnnouncementKeepsMachineRetiring(t *testing.T) {
 	d := directory.New()
 	d.Apply(announce("s", rockwindpb.SiteRole_SITE_ROLE_STORE, 1, 0))
 	d.Apply(&rockwindpb.DirectoryCommand{Command: &rockwindpb.DirectoryCommand_Retire{Retire: &rockwindpb.RetireMachine{Name: "s"}}})
@@ -209,9 +209,9 @@
 	}
 }
 
-// TestFoundingIsToldOnce guards against resending the founding with each change: for a large
+// TestFoundingIsSentToWatcherOnce guards against resending the founding with each change: for a large
 // cluster it is most of the response.
-func TestFoundingIsToldOnce(t *testing.T) {
+func TestFoundingIsSentToWatcherOnce(t *testing.T) {
 	d := directory.New()
 	start := time.UnixMilli(10_000)
 	for i := range 3 {
@@ -231,7 +231,7 @@
 	}
 }
 
-func TestServersThatEndWithoutLeavingAreToldApart(t *testing.T) {
+func TestLostReplacedAndAbsentServers(t *testing.T) {
 	d := directory.New()
 	for _, id := range []string{"left", "drained", "replaced", "silent", "serves"} {
 		d.Apply(report(id, id, ready, 1))
--- a/internal/directory/incarnations_test.go
+++ b/internal/directory/incarnations_test.go
@@ -301,11 +301,11 @@
 	}
 }
 
-// TestTheIncarnationThatLivesHasTheAddress simulates starts, ends and leaves with reports and
+// TestRunningIncarnationKeepsItsAddress simulates starts, ends and leaves with reports and
 // commands that are delayed, lost, repeated and reordered, stale views, and partial or lost
 // probe answers. A running incarnation must never become gone, and once all messages have
 // arrived and addresses answer, it must be the only one at its address.
-func TestTheIncarnationThatLivesHasTheAddress(t *testing.T) {
+func TestRunningIncarnationKeepsItsAddress(t *testing.T) {
 	const fleets, mostSteps = 50, 150
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -321,8 +321,8 @@
 	})
 }
 
-// TestQuestionsLeaveTheViewAsItIs guards against modifying a view that other goroutines read.
-func TestQuestionsLeaveTheViewAsItIs(t *testing.T) {
+// TestQueriesDoNotModifyView guards against modifying a view that other goroutines read.
+func TestQueriesDoNotModifyView(t *testing.T) {
 	d := directory.New()
 	for _, id := range []string{"a", "b", "c"} {
 		d.Apply(directory.ReportCommand(&rockwindpb.Server{Id: id, Address: "at-" + id, State: ready, Sequence: 1}, nil, directory.Identity{}))
--- a/internal/directory/scaling_test.go
+++ b/internal/directory/scaling_test.go
@@ -98,9 +98,9 @@
 	}
 }
 
-// TestReplicaThatIsBehindTellsNothing guards against a lagging replica sending the whole
+// TestLaggingReplicaSendsNoDirectory guards against a lagging replica sending the whole
 // directory to a watcher that knows a newer revision.
-func TestReplicaThatIsBehindTellsNothing(t *testing.T) {
+func TestLaggingReplicaSendsNoDirectory(t *testing.T) {
 	behind, held := newWatcherView(100), applyChange(newWatcherView(100), 7)
 	response := behind.Since(held.Revision(), "")
 	if response.GetFull() || len(response.GetServers()) > 0 || response.GetRevision() != behind.Revision() {
--- a/internal/replica/host_test.go
+++ b/internal/replica/host_test.go
@@ -33,9 +33,9 @@
 	})
 }
 
-// TestCutLeaderIsSilent checks that a partitioned leader rejects reads and proposals, and that
+// TestPartitionedLeaderRejectsRequests checks that a partitioned leader rejects reads and proposals, and that
 // it does not disturb the new leader when the partition ends.
-func TestCutLeaderIsSilent(t *testing.T) {
+func TestPartitionedLeaderRejectsRequests(t *testing.T) {
 	runCluster(t, 3, nil, func(f *testCluster) {
 		f.add(0, "a")
 		old := f.leader(0)
--- a/internal/replica/largecluster_test.go
+++ b/internal/replica/largecluster_test.go
@@ -11,9 +11,9 @@
 	manyShards   = 20
 )
 
-// TestMachinesThatOfferAPlaceCostLittle checks that the join calls of a large cluster stay few and small
+// TestJoinCallsOfLargeClusterStaySmall checks that the join calls of a large cluster stay few and small
 // while no group needs another member.
-func TestMachinesThatOfferAPlaceCostLittle(t *testing.T) {
+func TestJoinCallsOfLargeClusterStaySmall(t *testing.T) {
 	runClusterWithShards(t, manyMachines, manyShards, admitNew, func(f *testCluster) {
 		f.eventually("all groups have leaders", func() bool { return f.groupsWithLeader() == manyShards+1 })
 		// Each machine asks all others once and learns their groups.
--- a/internal/replica/owner.go
+++ b/internal/replica/owner.go
@@ -259,7 +259,7 @@
 	case rockwindpb.MessageKind_MESSAGE_KIND_SHORT_APPEND:
 		message = o.expandAppend(message)
 	case rockwindpb.MessageKind_MESSAGE_KIND_WANT_WHOLE:
-		o.handleWantWhole(message)
+		o.handleFullEntriesRequest(message)
 		return
 	}
 	if err := o.node.Step(message); err != nil && !errors.Is(err, raft.ErrBadMessage) {
--- a/internal/replica/shortentries.go
+++ b/internal/replica/shortentries.go
@@ -148,9 +148,9 @@
 	return entries, true
 }
 
-// handleWantWhole resends complete entries to a member that could not expand short
+// handleFullEntriesRequest resends complete entries to a member that could not expand short
 // ones, and limits further references to entries that follow.
-func (o *owner) handleWantWhole(message *rockwindpb.Message) {
+func (o *owner) handleFullEntriesRequest(message *rockwindpb.Message) {
 	status := o.node.Status()
 	member, known := o.shortEntries.members[message.GetFrom()]
 	if !known || message.GetTerm() != status.Term {
--- a/internal/replica/shortentries_test.go
+++ b/internal/replica/shortentries_test.go
@@ -24,8 +24,8 @@
 	old   map[string]bool
 	// corruptNext makes the next short append carry a wrong reference.
 	corruptNext bool
-	// short and wholeRequests count messages; bytes is the size of all appends.
-	short, wholeRequests, bytes int
+	// short and fullEntriesRequests count messages; bytes is the size of all appends.
+	short, fullEntriesRequests, bytes int
 }
 
 // set makes a machine run the previous version or this one.
@@ -56,7 +56,7 @@
 				v.corruptNext, message = false, withCorruptReference(message)
 			}
 		case rockwindpb.MessageKind_MESSAGE_KIND_WANT_WHOLE:
-			v.wholeRequests++
+			v.fullEntriesRequests++
 		}
 		if v.old[from] {
 			message.Message.TakesShort = false
@@ -87,10 +87,10 @@
 }
 
 // counts returns the number of short appends and of requests for whole entries.
-func (v *mixedVersions) counts() (short, wholeRequests int) {
+func (v *mixedVersions) counts() (short, fullEntriesRequests int) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	return v.short, v.wholeRequests
+	return v.short, v.fullEntriesRequests
 }
 
 func (v *mixedVersions) resetBytes() int {
@@ -137,9 +137,9 @@
 	return maps.Clone(state.values)
 }
 
-// TestWhatMembersHoldIsToldByReference checks that a command that repeats earlier ones is sent in a few
+// TestRepeatedDataIsSentByReference checks that a command that repeats earlier ones is sent in a few
 // bytes, but complete to a machine of the previous version.
-func TestWhatMembersHoldIsToldByReference(t *testing.T) {
+func TestRepeatedDataIsSentByReference(t *testing.T) {
 	for _, old := range []bool{false, true} {
 		t.Run(fmt.Sprintf("previous version: %v", old), func(t *testing.T) {
 			versions := &mixedVersions{}
@@ -163,8 +163,8 @@
 				if bytes := versions.resetBytes(); (bytes < 2*1000) == old {
 					t.Fatalf("7,000 repeated bytes were sent to two members in %d bytes", bytes)
 				}
-				if short, wholeRequests := versions.counts(); (short == 0) != old || wholeRequests != 0 {
-					t.Fatalf("%d short appends, %d requests for whole entries", short, wholeRequests)
+				if short, fullEntriesRequests := versions.counts(); (short == 0) != old || fullEntriesRequests != 0 {
+					t.Fatalf("%d short appends, %d requests for whole entries", short, fullEntriesRequests)
 				}
 			})
 		})
@@ -188,7 +188,7 @@
 			time.Sleep(tick)
 		}
 		f.eventually("all machines have the same state", f.sameState)
-		if short, wholeRequests := versions.counts(); wholeRequests == 0 {
+		if short, fullEntriesRequests := versions.counts(); fullEntriesRequests == 0 {
 			t.Fatalf("%d short appends, all of which could be expanded", short)
 		}
 	})
@@ -207,8 +207,8 @@
 		versions.corruptNextAppend()
 		f.addNote("item", text)
 		f.eventually("all machines have the same state", f.sameState)
-		if _, wholeRequests := versions.counts(); wholeRequests != 1 {
-			t.Fatalf("whole entries were requested %d times", wholeRequests)
+		if _, fullEntriesRequests := versions.counts(); fullEntriesRequests != 1 {
+			t.Fatalf("whole entries were requested %d times", fullEntriesRequests)
 		}
 	})
 }
@@ -224,8 +224,8 @@
 				f.network.setRewrite(versions.rewrite)
 				f.runWithMixedVersions(versions, seed)
 			})
-			short, wholeRequests := versions.counts()
-			t.Logf("%d short appends, %d requests for whole entries", short, wholeRequests)
+			short, fullEntriesRequests := versions.counts()
+			t.Logf("%d short appends, %d requests for whole entries", short, fullEntriesRequests)
 			if short == 0 {
 				t.Fatal("no entry was sent by reference")
 			}
--- a/internal/site/watcher_test.go
+++ b/internal/site/watcher_test.go
@@ -149,9 +149,9 @@
 	awaitConfiguration(t, watcher, 2, site.WatchWait+site.WatchGrace+time.Second)
 }
 
-// TestNewsOfTheSilentCoordinatorIsFetchedElsewhere: a coordinator announces a newer configuration
+// TestHangingConfigurationCallIsAbortedByNextCoordinator: a coordinator announces a newer configuration
 // and hangs before it delivers it. The same announcement by the next coordinator must abort the call.
-func TestNewsOfTheSilentCoordinatorIsFetchedElsewhere(t *testing.T) {
+func TestHangingConfigurationCallIsAbortedByNextCoordinator(t *testing.T) {
 	first, second := newFakeCoordinator(1), newFakeCoordinator(2)
 	second.hanging.Store(true)
 	watcher := startWatcher(t, first.start(t), second.start(t))
