--- a/internal/raft/cluster_test.go
+++ b/internal/raft/cluster_test.go
@@ -68,9 +68,9 @@
 	disk    *disk
 	node    *Node
 	pending *Ready
-	// syncedAt is when the sync of the pending Ready ends, and frozenUntil is when a
+	// syncedAt is when the sync of the pending Ready ends, and suspendedUntil is when a
 	// suspended process resumes.
-	syncedAt, frozenUntil uint64
+	syncedAt, suspendedUntil uint64
 	// syncTicks is the duration of each sync of the disk.
 	syncTicks uint64
 	applied   uint64
@@ -87,7 +87,7 @@
 		c.members.Members = append(c.members.Members, &rockwindpb.Member{Id: uint64(number + 1), Machine: fmt.Sprint(number)})
 	}
 	for number := range machineCount {
-		m := &machine{number: number, disk: &disk{id: uint64(number + 1), founding: c.members}}
+		m := &machine{number: number, disk: &disk{id: uint64(number + 1), initialMembership: c.members}}
 		c.machines = append(c.machines, m)
 		c.start(m)
 	}
@@ -131,7 +131,7 @@
 	}
 	c.crash(m)
 	if c.faults.reuseIdentity {
-		m.disk = &disk{id: m.disk.id, founding: c.members}
+		m.disk = &disk{id: m.disk.id, initialMembership: c.members}
 		return
 	}
 	m.disk = &disk{id: c.nextID}
@@ -173,7 +173,7 @@
 func (c *cluster) tick() {
 	c.now++
 	for _, m := range c.allMachines() {
-		if m.node == nil || m.frozenUntil > c.now {
+		if m.node == nil || m.suspendedUntil > c.now {
 			continue
 		}
 		c.checkLease(m)
@@ -199,7 +199,7 @@
 		case to == nil || to.node == nil || c.random.Float64() < c.loss || c.isCut(from, to):
 			reportSnapshot(from, message, false)
 			continue
-		case to.frozenUntil > c.now || from != nil && c.random.Float64() < c.delay[[2]int{from.number, to.number}]:
+		case to.suspendedUntil > c.now || from != nil && c.random.Float64() < c.delay[[2]int{from.number, to.number}]:
 			c.inFlight = append(c.inFlight, message)
 			continue
 		case c.random.Float64() < c.repeat:
@@ -347,8 +347,8 @@
 func (c *cluster) holdsLease(m *machine) bool {
 	started, known := m.roundStart[m.node.LeaseRound()]
 	// Ticks stop while a process is suspended, so the clock is checked as well.
-	wasFrozen := m.frozenUntil > 0
-	return m.node.Status().LeaseValid && (!wasFrozen || known && c.now-started < leaseTicks)
+	wasSuspended := m.suspendedUntil > 0
+	return m.node.Status().LeaseValid && (!wasSuspended || known && c.now-started < leaseTicks)
 }
 
 // checkStaleLeases checks that no replica holds a lease while a leader of a newer term
--- a/internal/raft/disk_test.go
+++ b/internal/raft/disk_test.go
@@ -8,19 +8,19 @@
 
 // disk holds the synced state of one replica. It implements Storage.
 type disk struct {
-	id       uint64
-	hard     *rockwindpb.HardState
-	founding *rockwindpb.Membership
-	snapshot *rockwindpb.SnapshotMetadata
-	entries  []*rockwindpb.Entry
+	id                uint64
+	hardState         *rockwindpb.HardState
+	initialMembership *rockwindpb.Membership
+	snapshot          *rockwindpb.SnapshotMetadata
+	entries           []*rockwindpb.Entry
 }
 
 // InitialState implements Storage.
 func (d *disk) InitialState() (*rockwindpb.HardState, *rockwindpb.Membership, error) {
 	if d.snapshot != nil {
-		return d.hard, d.snapshot.GetMembership(), nil
+		return d.hardState, d.snapshot.GetMembership(), nil
 	}
-	return d.hard, d.founding, nil
+	return d.hardState, d.initialMembership, nil
 }
 
 // Entries implements Storage.
@@ -80,7 +80,7 @@
 		records--
 	}
 	if ready.HardState != nil && records > 0 {
-		d.hard = ready.HardState
+		d.hardState = ready.HardState
 	}
 }
 
--- a/internal/raft/simulation_test.go
+++ b/internal/raft/simulation_test.go
@@ -40,9 +40,9 @@
 	loseDisk
 	fillDisk
 	slowSync
-	freeze
+	suspend
 	cutLink
-	cutOff
+	isolate
 	heal
 	loseMessages
 	delayMessages
@@ -59,22 +59,22 @@
 // Sets of events to draw from. Repeated events are more likely.
 var (
 	allEvents = []event{
-		crash, restart, restart, loseDisk, fillDisk, slowSync, freeze, cutLink, cutOff, heal, heal,
+		crash, restart, restart, loseDisk, fillDisk, slowSync, suspend, cutLink, isolate, heal, heal,
 		loseMessages, delayMessages, shrinkMembership, transfer, compactLog, replaceMachine,
 	}
 	// leaseEvents isolate leaders, which may still hold a lease.
-	leaseEvents = []event{cutLink, cutOff, heal, heal, delayMessages}
+	leaseEvents = []event{cutLink, isolate, heal, heal, delayMessages}
 	// replyEvents also delay replies.
-	replyEvents = []event{cutOff, heal, crash, restart, delayMessages}
+	replyEvents = []event{isolate, heal, crash, restart, delayMessages}
 	// termEvents bring back leaders of earlier terms.
-	termEvents = []event{cutLink, heal, freeze, delayMessages}
+	termEvents = []event{cutLink, heal, suspend, delayMessages}
 	// memberEvents replace machines repeatedly.
-	memberEvents = []event{replaceMachine, loseDisk, restart, cutLink, cutOff, heal, delayMessages}
+	memberEvents = []event{replaceMachine, loseDisk, restart, cutLink, isolate, heal, delayMessages}
 	// diskEvents slow down disks for a long time, so that leaders transfer leadership.
-	diskEvents = []event{slowDisk, slowDisk, slowDisk, slowLeader, slowLeader, cutLink, cutOff, heal, heal, heal, delayMessages, loseMessages, crash, restart}
+	diskEvents = []event{slowDisk, slowDisk, slowDisk, slowLeader, slowLeader, cutLink, isolate, heal, heal, heal, delayMessages, loseMessages, crash, restart}
 	// restartEvents restart many processes at once while others may be partitioned.
 	restartEvents = []event{
-		restartOthers, restartOthers, restartAll, cutOff, cutLink, heal, heal, loseMessages, delayMessages, crash, restart, transfer, replaceMachine,
+		restartOthers, restartOthers, restartAll, isolate, cutLink, heal, heal, loseMessages, delayMessages, crash, restart, transfer, replaceMachine,
 	}
 )
 
@@ -132,11 +132,11 @@
 		m.syncTicks = uint64(choose("sync", electionTicks))
 	case slowLeader:
 		c.slowLeader(electionTicks/2 + uint64(choose("sync", electionTicks/2)))
-	case freeze:
-		m.frozenUntil = c.now + uint64(choose("frozen", 3*electionTicks))
+	case suspend:
+		m.suspendedUntil = c.now + uint64(choose("frozen", 3*electionTicks))
 	case cutLink:
 		c.cutLink(m.number, (m.number+1)%machineCount, choose("both", 2) == 1)
-	case cutOff:
+	case isolate:
 		both := choose("both", 2) == 1
 		for other := range machineCount {
 			c.cutLink(m.number, other, both)
@@ -236,7 +236,7 @@
 	c.replacedMachines = nil
 	c.loss, c.repeat = 0, 0
 	for _, m := range c.machines {
-		m.syncedAt, m.syncTicks, m.frozenUntil = 0, 0, min(m.frozenUntil, c.now)
+		m.syncedAt, m.syncTicks, m.suspendedUntil = 0, 0, min(m.suspendedUntil, c.now)
 		c.start(m)
 	}
 	before := uint64(len(c.committed))
@@ -356,7 +356,7 @@
 	for _, faults := range []faultInjection{{}, {commitOlderTerm: true}} {
 		c := newCluster(rand.New(rand.NewPCG(1, 1)), clusterFaults{})
 		stored := &disk{
-			id: 1, founding: c.members, hard: &rockwindpb.HardState{Term: 2},
+			id: 1, initialMembership: c.members, hardState: &rockwindpb.HardState{Term: 2},
 			entries: []*rockwindpb.Entry{{Term: 1, Index: 1, Kind: rockwindpb.EntryKind_ENTRY_KIND_COMMAND}},
 		}
 		m := &machine{disk: stored}
@@ -390,7 +390,7 @@
 func TestVotesCompareLogs(t *testing.T) {
 	c := newCluster(rand.New(rand.NewPCG(1, 1)), clusterFaults{})
 	m := &machine{disk: &disk{
-		id: 1, founding: c.members, hard: &rockwindpb.HardState{Term: 2},
+		id: 1, initialMembership: c.members, hardState: &rockwindpb.HardState{Term: 2},
 		entries: []*rockwindpb.Entry{{Term: 1, Index: 1}, {Term: 2, Index: 2}},
 	}}
 	c.start(m)
